--- a/gateway/ahead_test.go
+++ b/gateway/ahead_test.go
@@ -65,7 +65,7 @@
 // them run at the same time and are answered in their order. They ran one after the other: six
 // of 300 ms at four idle targets took 1,810 ms.
 func TestRequestsAheadRunSideBySide(t *testing.T) {
-	const requests = 6
+	const requests, targets = 6, 4
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "idempotent", timeout: "9s"})
 	var all sync.WaitGroup
@@ -80,6 +80,7 @@
 		})
 	}
 	in.awaitStatus("/x/", 200)
+	require.Eventually(t, func() bool { return in.counted("rainford_targets", `service="s"`) == targets }, wait, poll)
 	conn := in.dial()
 	ids := make([]string, requests)
 	for i := range ids {
