--- a/availability/departures.go
+++ b/availability/departures.go
@@ -18,14 +18,14 @@
 func IDOf(incarnation string) ID { return ID(mix.Hash(incarnation)) }
 
 const (
-	// departureLife is how long it is remembered that a target said that it leaves, and told
+	// departureTTL is how long it is remembered that a target said that it leaves, and told
 	// to instances that do not know. A target leaves within seconds, at times many. It is
 	// less than longestAge, the highest age that a message can tell.
-	departureLife = time.Hour
-	// leastLeft is how much longer a departure has to be remembered for it to be told: its
+	departureTTL = time.Hour
+	// minRemainingTTL is how much longer a departure has to be remembered for it to be told: its
 	// age grows a little shorter on each step of its way, and without this margin it could
 	// be passed around for good.
-	leastLeft = 10 * time.Second
+	minRemainingTTL = 10 * time.Second
 	// maxDepartures bounds the departures remembered, more than a fleet has targets: 40 kB
 	// at 10 bytes each as a message carries them.
 	maxDepartures = 4096
@@ -42,56 +42,56 @@
 // the same whatever the order in which they hear of each other, however often. The zero value
 // is empty. It is not safe for concurrent use.
 type Departures struct {
-	heard map[ID]time.Time
+	firstHeard map[ID]time.Time
 }
 
 // Len returns the number of targets.
-func (d *Departures) Len() int { return len(d.heard) }
+func (d *Departures) Len() int { return len(d.firstHeard) }
 
-// Has tells whether a target said that it leaves, and when that was first heard.
-func (d *Departures) Has(id ID) (time.Time, bool) {
-	at, ok := d.heard[id]
+// FirstHeard tells whether a target said that it leaves, and when that was first heard.
+func (d *Departures) FirstHeard(id ID) (time.Time, bool) {
+	at, ok := d.firstHeard[id]
 	return at, ok
 }
 
 // Add takes in that a target said at a time that it leaves. It reports whether that is new.
 func (d *Departures) Add(at time.Time, id ID) bool {
-	known, ok := d.heard[id]
+	known, ok := d.firstHeard[id]
 	if ok {
 		if at.Before(known) {
 			// Each step of the way to here has made it look younger.
-			d.heard[id] = at
+			d.firstHeard[id] = at
 		}
 		return false
 	}
-	if len(d.heard) >= maxDepartures {
-		d.dropOldest()
+	if len(d.firstHeard) >= maxDepartures {
+		d.evictOldest()
 	}
-	if d.heard == nil {
-		d.heard = make(map[ID]time.Time)
+	if d.firstHeard == nil {
+		d.firstHeard = make(map[ID]time.Time)
 	}
-	d.heard[id] = at
+	d.firstHeard[id] = at
 	return true
 }
 
-// dropOldest drops the departure that was heard first, and of those heard together the one
+// evictOldest drops the departure that was heard first, and of those heard together the one
 // with the lowest ID, so that all instances drop the same one.
-func (d *Departures) dropOldest() {
+func (d *Departures) evictOldest() {
 	var oldest ID
 	var first time.Time
-	for id, at := range d.heard {
+	for id, at := range d.firstHeard {
 		if first.IsZero() || at.Before(first) || (at.Equal(first) && id < oldest) {
 			oldest, first = id, at
 		}
 	}
-	delete(d.heard, oldest)
+	delete(d.firstHeard, oldest)
 }
 
 // Expire forgets what is no longer remembered.
 func (d *Departures) Expire(now time.Time) {
-	for id, at := range d.heard {
-		if now.Sub(at) >= departureLife {
-			delete(d.heard, id)
+	for id, at := range d.firstHeard {
+		if now.Sub(at) >= departureTTL {
+			delete(d.firstHeard, id)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 func (d *Departures) Merge(now time.Time, told DepartureList) DepartureList {
 	var fresh DepartureList
 	for _, one := range told {
-		if one.Age >= departureLife {
+		if one.Age >= departureTTL {
 			continue
 		}
 		if d.Add(now.Add(-one.Age), one.ID) {
@@ -110,26 +110,26 @@
 	return fresh
 }
 
-// told tells whether a departure that was heard at a time is still told to others.
-func told(now, at time.Time) bool { return now.Sub(at) < departureLife-leastLeft }
+// isShared tells whether a departure that was heard at a time is still isShared to others.
+func isShared(now, at time.Time) bool { return now.Sub(at) < departureTTL-minRemainingTTL }
 
-// Sum returns a number that is the same for sets of the same targets, 0 for none.
-func (d *Departures) Sum(now time.Time) uint32 {
+// Checksum returns a number that is the same for sets of the same targets, 0 for none.
+func (d *Departures) Checksum(now time.Time) uint32 {
 	var sum uint64
-	for id, at := range d.heard {
-		if told(now, at) {
+	for id, at := range d.firstHeard {
+		if isShared(now, at) {
 			sum += uint64(id)
 		}
 	}
 	return uint32(sum>>32) ^ uint32(sum)
 }
 
-// Some returns at most n of the departures that are told to others. The salt draws which, so
+// Sample returns at most n of the departures that are told to others. The salt draws which, so
 // that one that misses many is told all of them in time.
-func (d *Departures) Some(now time.Time, n int, salt uint64) DepartureList {
-	out := make(DepartureList, 0, len(d.heard))
-	for id, at := range d.heard {
-		if told(now, at) {
+func (d *Departures) Sample(now time.Time, n int, salt uint64) DepartureList {
+	out := make(DepartureList, 0, len(d.firstHeard))
+	for id, at := range d.firstHeard {
+		if isShared(now, at) {
 			out = append(out, Departure{ID: id, Age: max(now.Sub(at), 0)})
 		}
 	}
@@ -146,18 +146,18 @@
 const (
 	departureBytes = 8 + 2
 	ageUnit        = 100 * time.Millisecond
-	longestAge     = math.MaxUint16 * ageUnit
+	maxAge         = math.MaxUint16 * ageUnit
 )
 
-// ErrDepartures is returned for departures that are cut short.
-var ErrDepartures = errors.New("availability: departures cut short")
+// ErrTruncatedDepartures is returned for departures that are cut short.
+var ErrTruncatedDepartures = errors.New("availability: departures cut short")
 
 // MarshalBinary implements encoding.BinaryMarshaler.
 func (l DepartureList) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, len(l)*departureBytes)
 	for _, one := range l {
 		raw = binary.BigEndian.AppendUint64(raw, uint64(one.ID))
-		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(one.Age, 0), longestAge)/ageUnit))
+		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(one.Age, 0), maxAge)/ageUnit))
 	}
 	return raw, nil
 }
@@ -165,7 +165,7 @@
 // UnmarshalBinary implements encoding.BinaryUnmarshaler.
 func (l *DepartureList) UnmarshalBinary(raw []byte) error {
 	if len(raw)%departureBytes != 0 {
-		return ErrDepartures
+		return ErrTruncatedDepartures
 	}
 	*l = nil
 	for ; len(raw) > 0; raw = raw[departureBytes:] {
--- a/availability/departures_test.go
+++ b/availability/departures_test.go
@@ -24,36 +24,36 @@
 			set := &sets[rapid.IntRange(0, 2).Draw(t, "set")]
 			if rapid.Bool().Draw(t, "own") {
 				id := availability.IDOf(fmt.Sprint("i-", rapid.IntRange(0, 9).Draw(t, "target")))
-				known, before := set.Has(id)
+				known, before := set.FirstHeard(id)
 				require.Equal(t, !before, set.Add(now, id))
 				if before {
-					heard, _ := set.Has(id)
+					heard, _ := set.FirstHeard(id)
 					require.Equal(t, known, heard)
 				}
 				said[id] = true
 				continue
 			}
 			other := &sets[rapid.IntRange(0, 2).Draw(t, "other")]
-			set.Merge(now, overWire(t, other.Some(now, rapid.IntRange(0, 5).Draw(t, "told"), rapid.Uint64().Draw(t, "salt"))))
+			set.Merge(now, roundTrip(t, other.Sample(now, rapid.IntRange(0, 5).Draw(t, "told"), rapid.Uint64().Draw(t, "salt"))))
 		}
 		for range 2 {
 			for i := range sets {
-				sets[i].Merge(now, overWire(t, sets[(i+1)%len(sets)].Some(now, len(said), 0)))
+				sets[i].Merge(now, roundTrip(t, sets[(i+1)%len(sets)].Sample(now, len(said), 0)))
 			}
 		}
 		for i := range sets {
 			require.Equal(t, len(said), sets[i].Len())
-			require.Equal(t, sets[0].Sum(now), sets[i].Sum(now))
+			require.Equal(t, sets[0].Checksum(now), sets[i].Checksum(now))
 			for id := range said {
-				_, ok := sets[i].Has(id)
+				_, ok := sets[i].FirstHeard(id)
 				require.True(t, ok)
 			}
 		}
 	})
 }
 
-// overWire returns departures as they come out of a message.
-func overWire(t require.TestingT, l availability.DepartureList) availability.DepartureList {
+// roundTrip returns departures as they come out of a message.
+func roundTrip(t require.TestingT, l availability.DepartureList) availability.DepartureList {
 	raw, err := l.MarshalBinary()
 	require.NoError(t, err)
 	var out availability.DepartureList
@@ -61,46 +61,46 @@
 	return out
 }
 
-// TestDeparturesEnd checks that departures are forgotten, and are not told on and on by
+// TestDeparturesExpire checks that departures are forgotten, and are not told on and on by
 // instances that each take them for a little younger.
-func TestDeparturesEnd(t *testing.T) {
+func TestDeparturesExpire(t *testing.T) {
 	sets := make([]availability.Departures, 2)
 	sets[0].Add(start, availability.IDOf("i-1"))
 	for now := start; now.Before(start.Add(2 * time.Hour)); now = now.Add(500 * time.Millisecond) {
 		for i := range sets {
 			sets[i].Expire(now)
-			sets[1-i].Merge(now, overWire(t, sets[i].Some(now, 10, 0)))
+			sets[1-i].Merge(now, roundTrip(t, sets[i].Sample(now, 10, 0)))
 		}
 	}
 	require.Zero(t, sets[0].Len())
 	require.Zero(t, sets[1].Len())
 }
 
-// TestManyDepartures checks that a full set forgets the first ones, and that one that misses
+// TestDeparturesBoundedAndSynchronized checks that a full set forgets the first ones, and that one that misses
 // many is told all of them a few at a time.
-func TestManyDepartures(t *testing.T) {
+func TestDeparturesBoundedAndSynchronized(t *testing.T) {
 	var full availability.Departures
 	for i := range 5000 {
 		full.Add(start.Add(time.Duration(i)*time.Millisecond), availability.IDOf(fmt.Sprint("i-", i)))
 	}
 	require.Equal(t, 4096, full.Len())
-	_, first := full.Has(availability.IDOf("i-0"))
-	_, last := full.Has(availability.IDOf("i-4999"))
+	_, first := full.FirstHeard(availability.IDOf("i-0"))
+	_, last := full.FirstHeard(availability.IDOf("i-4999"))
 	require.False(t, first)
 	require.True(t, last)
 	var late availability.Departures
 	now := start.Add(10 * time.Second)
 	salt := uint64(0)
-	for ; late.Sum(now) != full.Sum(now) && salt < 10000; salt++ {
-		late.Merge(now, full.Some(now, 64, salt))
+	for ; late.Checksum(now) != full.Checksum(now) && salt < 10000; salt++ {
+		late.Merge(now, full.Sample(now, 64, salt))
 	}
 	t.Logf("%d messages of 64 departures for %d", salt, full.Len())
 	require.Equal(t, full.Len(), late.Len())
 }
 
-func TestDeparturesCutShort(t *testing.T) {
+func TestTruncatedDepartures(t *testing.T) {
 	raw, err := availability.DepartureList{{ID: 1}, {ID: 2}}.MarshalBinary()
 	require.NoError(t, err)
 	var out availability.DepartureList
-	require.ErrorIs(t, out.UnmarshalBinary(slices.Clone(raw[:len(raw)-1])), availability.ErrDepartures)
+	require.ErrorIs(t, out.UnmarshalBinary(slices.Clone(raw[:len(raw)-1])), availability.ErrTruncatedDepartures)
 }
--- a/availability/rate_limits.go
+++ b/availability/rate_limits.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// limitRise is how much higher, as a part, a limit has to be than the one in force to
+	// minRelativeRise is how much higher, as a part, a limit has to be than the one in force to
 	// replace it: targets name a little more or less each time. A lower one always does.
-	limitRise = 0.1
-	// limitSettle is how long nothing as low as the limit in force may have been heard for a
+	minRelativeRise = 0.1
+	// raiseDelay is how long nothing as low as the limit in force may have been heard for a
 	// higher one, or its end, to count. Answers that were on their way when the target
 	// first named it are older than it.
-	limitSettle = 500 * time.Millisecond
-	// limitRefresh is the age from which on a limit that is still named is told again, and
+	raiseDelay = 500 * time.Millisecond
+	// limitRefreshAge is the age from which on a limit that is still named is told again, and
 	// limitLife that at which one that nobody hears any more is forgotten.
-	limitRefresh = 20 * time.Minute
-	limitLife    = time.Hour
-	// endLife is how long it is remembered that a limit has ended, for those that missed it.
-	endLife = time.Minute
-	// leastLimitLeft is how much longer a limit has to be remembered for it to be told: its age
+	limitRefreshAge = 20 * time.Minute
+	limitTTL        = time.Hour
+	// tombstoneTTL is how long it is remembered that a limit has ended, for those that missed it.
+	tombstoneTTL = time.Minute
+	// minRemainingLimitTTL is how much longer a limit has to be remembered for it to be told: its age
 	// grows a little shorter on each step of its way, and it could be passed around for good.
-	leastLimitLeft = 10 * time.Second
+	minRemainingLimitTTL = 10 * time.Second
 	// maxLimits bounds the limits remembered, more than a fleet has targets.
 	maxLimits = 4096
 )
 
-// Limit is what one target has named last of how much it takes.
-type Limit struct {
+// RateLimit is what one target has named last of how much it takes.
+type RateLimit struct {
 	ID ID
 	// Version orders what is said of a target: whoever finds out something new takes the next
 	// one. Of two of the same version the lower limit holds, so that all come to the same.
@@ -41,108 +41,108 @@
 	// PerSecond is the number of requests a second from all instances together. Ended says
 	// that the target no longer names a limit.
 	PerSecond float64
-	Ended     bool
+	Removed   bool
 	// Age is the time since it was found out.
 	Age time.Duration
 }
 
-// overrides tells whether l holds where both are known.
-func (l Limit) overrides(other Limit) bool {
+// supersedes tells whether l holds where both are known.
+func (l RateLimit) supersedes(other RateLimit) bool {
 	switch {
 	case l.Version != other.Version:
 		return l.Version > other.Version
-	case l.Ended != other.Ended:
-		return other.Ended
+	case l.Removed != other.Removed:
+		return other.Removed
 	default:
-		return !l.Ended && l.PerSecond < other.PerSecond
+		return !l.Removed && l.PerSecond < other.PerSecond
 	}
 }
 
-// Limits are the limits that targets have named, and that ended a moment ago. Two sets come to be
+// RateLimits are the limits that targets have named, and that ended a moment ago. Two sets come to be
 // the same whatever the order in which they hear of each other, however often. The zero value is
 // empty. It is not safe for concurrent use.
-type Limits struct {
-	known map[ID]*knownLimit
+type RateLimits struct {
+	entries map[ID]*rateLimitEntry
 }
 
-type knownLimit struct {
-	Limit
-	// at is when it was found out, and heardAt when this instance last heard the target
+type rateLimitEntry struct {
+	RateLimit
+	// createdAt is when it was found out, and confirmedAt when this instance last heard the target
 	// name it, or a lower one.
-	at, heardAt time.Time
+	createdAt, confirmedAt time.Time
 }
 
 // Len returns the number of limits, those too that have ended a moment ago.
-func (l *Limits) Len() int { return len(l.known) }
+func (l *RateLimits) Len() int { return len(l.entries) }
 
-// Of returns the limit of a target, false if there is none.
-func (l *Limits) Of(id ID) (Limit, bool) {
-	k := l.known[id]
-	if k == nil || k.Ended {
-		return Limit{}, false
+// Get returns the limit of a target, false if there is none.
+func (l *RateLimits) Get(id ID) (RateLimit, bool) {
+	k := l.entries[id]
+	if k == nil || k.Removed {
+		return RateLimit{}, false
 	}
-	return k.Limit, true
+	return k.RateLimit, true
 }
 
-// About returns what is known of a target's limit for others, nothing if there is none.
-func (l *Limits) About(now time.Time, id ID) LimitList {
-	k := l.known[id]
-	if k == nil || !k.told(now) {
+// Update returns what is known of a target's limit for others, nothing if there is none.
+func (l *RateLimits) Update(now time.Time, id ID) RateLimitList {
+	k := l.entries[id]
+	if k == nil || !k.isShared(now) {
 		return nil
 	}
-	return LimitList{k.aged(now)}
+	return RateLimitList{k.withAge(now)}
 }
 
-// Name takes in that a target named a limit in its answer to a request of this instance that was
+// Announce takes in that a target named a limit in its answer to a request of this instance that was
 // sent at a time. It reports whether others are to be told.
-func (l *Limits) Name(now, sentAt time.Time, id ID, perSecond float64) bool {
+func (l *RateLimits) Announce(now, sentAt time.Time, id ID, perSecond float64) bool {
 	// As messages carry it.
 	perSecond = float64(float32(perSecond))
-	k := l.known[id]
+	k := l.entries[id]
 	switch {
 	case k == nil:
-		return l.put(now, Limit{ID: id, Version: 1, PerSecond: perSecond})
-	case k.Ended && sentAt.Before(k.at):
+		return l.put(now, RateLimit{ID: id, Version: 1, PerSecond: perSecond})
+	case k.Removed && sentAt.Before(k.createdAt):
 		return false
-	case k.Ended || perSecond < k.PerSecond:
-		return l.put(now, Limit{ID: id, Version: k.Version + 1, PerSecond: perSecond})
-	case perSecond <= (1+limitRise)*k.PerSecond && now.Sub(k.at) < limitRefresh:
-		k.heardAt = now
+	case k.Removed || perSecond < k.PerSecond:
+		return l.put(now, RateLimit{ID: id, Version: k.Version + 1, PerSecond: perSecond})
+	case perSecond <= (1+minRelativeRise)*k.PerSecond && now.Sub(k.createdAt) < limitRefreshAge:
+		k.confirmedAt = now
 		return false
-	case perSecond > (1+limitRise)*k.PerSecond && sentAt.Before(k.heardAt.Add(limitSettle)):
+	case perSecond > (1+minRelativeRise)*k.PerSecond && sentAt.Before(k.confirmedAt.Add(raiseDelay)):
 		return false
 	default:
-		return l.put(now, Limit{ID: id, Version: k.Version + 1, PerSecond: perSecond})
+		return l.put(now, RateLimit{ID: id, Version: k.Version + 1, PerSecond: perSecond})
 	}
 }
 
-// NameNone takes in that a whole answer of a target to a request of this instance that was sent at
+// AnnounceNone takes in that a whole answer of a target to a request of this instance that was sent at
 // a time named no limit. It reports whether one has ended by that, so that others are to be told.
-func (l *Limits) NameNone(now, sentAt time.Time, id ID) bool {
-	k := l.known[id]
-	if k == nil || k.Ended || sentAt.Before(k.heardAt.Add(limitSettle)) {
+func (l *RateLimits) AnnounceNone(now, sentAt time.Time, id ID) bool {
+	k := l.entries[id]
+	if k == nil || k.Removed || sentAt.Before(k.confirmedAt.Add(raiseDelay)) {
 		return false
 	}
-	return l.put(now, Limit{ID: id, Version: k.Version + 1, Ended: true})
+	return l.put(now, RateLimit{ID: id, Version: k.Version + 1, Removed: true})
 }
 
-func (l *Limits) put(at time.Time, limit Limit) bool {
-	if l.known == nil {
-		l.known = make(map[ID]*knownLimit)
+func (l *RateLimits) put(at time.Time, limit RateLimit) bool {
+	if l.entries == nil {
+		l.entries = make(map[ID]*rateLimitEntry)
 	}
-	if l.known[limit.ID] == nil && len(l.known) >= maxLimits {
+	if l.entries[limit.ID] == nil && len(l.entries) >= maxLimits {
 		return false
 	}
-	l.known[limit.ID] = &knownLimit{Limit: limit, at: at, heardAt: at}
+	l.entries[limit.ID] = &rateLimitEntry{RateLimit: limit, createdAt: at, confirmedAt: at}
 	return true
 }
 
 // Merge takes in what another instance has told, and returns what is new.
-func (l *Limits) Merge(now time.Time, told LimitList) LimitList {
-	var fresh LimitList
+func (l *RateLimits) Merge(now time.Time, told RateLimitList) RateLimitList {
+	var fresh RateLimitList
 	for _, one := range told {
-		k := l.known[one.ID]
-		if k != nil && !one.overrides(k.Limit) {
+		k := l.entries[one.ID]
+		if k != nil && !one.supersedes(k.RateLimit) {
 			continue
 		}
 		if l.put(now.Add(-one.Age), one) {
@@ -152,115 +152,117 @@
 	return fresh
 }
 
-func (k *knownLimit) life() time.Duration {
-	if k.Ended {
-		return endLife
+func (k *rateLimitEntry) ttl() time.Duration {
+	if k.Removed {
+		return tombstoneTTL
 	}
-	return limitLife
+	return limitTTL
 }
 
-// told tells whether a limit is told to others.
-func (k *knownLimit) told(now time.Time) bool { return now.Sub(k.at) < k.life()-leastLimitLeft }
+// isShared tells whether a limit is isShared to others.
+func (k *rateLimitEntry) isShared(now time.Time) bool {
+	return now.Sub(k.createdAt) < k.ttl()-minRemainingLimitTTL
+}
 
-// aged returns the limit as others are told of it.
-func (k *knownLimit) aged(now time.Time) Limit {
-	out := k.Limit
-	out.Age = max(now.Sub(k.at), 0)
+// withAge returns the limit as others are told of it.
+func (k *rateLimitEntry) withAge(now time.Time) RateLimit {
+	out := k.RateLimit
+	out.Age = max(now.Sub(k.createdAt), 0)
 	return out
 }
 
 // Expire forgets what is no longer remembered, and returns the targets whose limits it forgets.
-func (l *Limits) Expire(now time.Time) []ID {
+func (l *RateLimits) Expire(now time.Time) []ID {
 	var gone []ID
-	for id, k := range l.known {
-		if now.Sub(k.at) < k.life() {
+	for id, k := range l.entries {
+		if now.Sub(k.createdAt) < k.ttl() {
 			continue
 		}
-		delete(l.known, id)
-		if !k.Ended {
+		delete(l.entries, id)
+		if !k.Removed {
 			gone = append(gone, id)
 		}
 	}
 	return gone
 }
 
-// Sum returns a number that is the same for sets of the same limits, 0 for none.
-func (l *Limits) Sum(now time.Time) uint32 {
+// Checksum returns a number that is the same for sets of the same limits, 0 for none.
+func (l *RateLimits) Checksum(now time.Time) uint32 {
 	var sum uint64
-	for id, k := range l.known {
-		if k.told(now) {
-			sum += mix.Join(uint64(id), mix.Join(uint64(k.Version), math.Float64bits(k.wire())))
+	for id, k := range l.entries {
+		if k.isShared(now) {
+			sum += mix.Join(uint64(id), mix.Join(uint64(k.Version), math.Float64bits(k.wireValue())))
 		}
 	}
 	return uint32(sum>>32) ^ uint32(sum)
 }
 
-// Some returns at most n of the limits that are told to others. The salt draws which, so that one
+// Sample returns at most n of the limits that are told to others. The salt draws which, so that one
 // that misses many is told all of them in time.
-func (l *Limits) Some(now time.Time, n int, salt uint64) LimitList {
-	out := make(LimitList, 0, len(l.known))
-	for _, k := range l.known {
-		if k.told(now) {
-			out = append(out, k.aged(now))
+func (l *RateLimits) Sample(now time.Time, n int, salt uint64) RateLimitList {
+	out := make(RateLimitList, 0, len(l.entries))
+	for _, k := range l.entries {
+		if k.isShared(now) {
+			out = append(out, k.withAge(now))
 		}
 	}
-	slices.SortFunc(out, func(a, b Limit) int {
+	slices.SortFunc(out, func(a, b RateLimit) int {
 		return cmp.Or(cmp.Compare(mix.Join(uint64(a.ID), salt), mix.Join(uint64(b.ID), salt)), cmp.Compare(a.ID, b.ID))
 	})
 	return out[:min(n, len(out))]
 }
 
-// LimitList are limits as a message carries them.
-type LimitList []Limit
+// RateLimitList are limits as a message carries them.
+type RateLimitList []RateLimit
 
 // Sizes of a limit in a message, the unit of ages there, and what stands for the end of a limit in
 // place of a number of requests a second.
 const (
-	limitBytes   = 8 + 4 + 4 + 2
-	limitAgeUnit = time.Second
-	longestLimit = math.MaxUint16 * limitAgeUnit
-	endedOnWire  = -1
+	limitBytes    = 8 + 4 + 4 + 2
+	limitAgeUnit  = time.Second
+	maxLimitAge   = math.MaxUint16 * limitAgeUnit
+	removedOnWire = -1
 )
 
-// ErrLimits is returned for limits that are cut short or are none.
-var ErrLimits = errors.New("availability: limits cut short or no numbers")
+// ErrMalformedRateLimits is returned for limits that are cut short or are none.
+var ErrMalformedRateLimits = errors.New("availability: limits cut short or no numbers")
 
-// wire returns the number that stands for the limit in a message.
-func (l Limit) wire() float64 {
-	if l.Ended {
-		return endedOnWire
+// wireValue returns the number that stands for the limit in a message.
+func (l RateLimit) wireValue() float64 {
+	if l.Removed {
+		return removedOnWire
 	}
 	return l.PerSecond
 }
 
 // MarshalBinary implements encoding.BinaryMarshaler.
-func (l LimitList) MarshalBinary() ([]byte, error) {
+func (l RateLimitList) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, len(l)*limitBytes)
 	for _, one := range l {
 		raw = binary.BigEndian.AppendUint64(raw, uint64(one.ID))
 		raw = binary.BigEndian.AppendUint32(raw, one.Version)
-		raw = binary.BigEndian.AppendUint32(raw, math.Float32bits(float32(one.wire())))
-		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(one.Age, 0), longestLimit)/limitAgeUnit))
+		raw = binary.BigEndian.AppendUint32(raw, math.Float32bits(float32(one.wireValue())))
+		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(one.Age, 0), maxLimitAge)/limitAgeUnit))
 	}
 	return raw, nil
 }
 
 // UnmarshalBinary implements encoding.BinaryUnmarshaler.
-func (l *LimitList) UnmarshalBinary(raw []byte) error {
+func (l *RateLimitList) UnmarshalBinary(raw []byte) error {
 	if len(raw)%limitBytes != 0 {
-		return ErrLimits
+		return ErrMalformedRateLimits
 	}
 	*l = nil
 	for ; len(raw) > 0; raw = raw[limitBytes:] {
 		perSecond := float64(math.Float32frombits(binary.BigEndian.Uint32(raw[12:])))
-		if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || (perSecond < 0 && perSecond != endedOnWire) {
-			return ErrLimits
+		if math.IsNaN(perSecond) || math.IsInf(perSecond, 0) || (perSecond < 0 && perSecond != removedOnWire) {
+			return ErrMalformedRateLimits
 		}
-		*l = append(*l, Limit{
+		*l = append(*l, RateLimit{
 			ID:        ID(binary.BigEndian.Uint64(raw)),
 			Version:   binary.BigEndian.Uint32(raw[8:]),
 			PerSecond: max(perSecond, 0),
-			Ended:     perSecond == endedOnWire,
+			Removed:   perSecond == removedOnWire,
 			Age:       time.Duration(binary.BigEndian.Uint16(raw[16:])) * limitAgeUnit,
 		})
 	}
--- a/availability/self_report.go
+++ b/availability/self_report.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Word is what a target says of itself in an answer. The zero value says nothing.
-type Word struct {
-	// Leaves says that the target is about to end and wants no new requests.
-	Leaves bool
-	// Rest is how long the target wants no requests from this instance, 0 if it does not
+// SelfReport is what a target says of itself in an answer. The zero value says nothing.
+type SelfReport struct {
+	// Leaving says that the target is about to end and wants no new requests.
+	Leaving bool
+	// Backoff is how long the target wants no requests from this instance, 0 if it does not
 	// ask for that.
-	Rest time.Duration
-	// Limited says that the target names how much it takes, and Limit is the number of
+	Backoff time.Duration
+	// HasLimit says that the target names how much it takes, and Limit is the number of
 	// requests a second that it takes from all instances together.
-	Limited bool
-	Limit   float64
-	// Unreadable are the parts of the word whose value is none that they may have.
-	Unreadable []Part
+	HasLimit  bool
+	RateLimit float64
+	// Malformed are the parts of the word whose value is none that they may have.
+	Malformed []Field
 }
 
-// Part is a part of a target's word.
-type Part string
+// Field is a part of a target's word.
+type Field string
 
 // The parts.
 const (
-	PartLeaving Part = "leaving"
-	PartRest    Part = "rest"
-	PartLimit   Part = "limit"
+	FieldLeaving   Field = "leaving"
+	FieldBackoff   Field = "rest"
+	FieldRateLimit Field = "limit"
 )
 
-// CantRead tells whether a part of the word can't be read.
-func (w Word) CantRead(part Part) bool { return slices.Contains(w.Unreadable, part) }
+// IsMalformed tells whether a part of the word can't be read.
+func (w SelfReport) IsMalformed(part Field) bool { return slices.Contains(w.Malformed, part) }
 
-// Says tells whether the word keeps requests of this instance from the target, all or some.
-func (w Word) Says() bool { return w.Leaves || w.Rest > 0 || w.Limited }
+// Restricts tells whether the word keeps requests of this instance from the target, all or some.
+func (w SelfReport) Restricts() bool { return w.Leaving || w.Backoff > 0 || w.HasLimit }
--- a/availability/state_test.go
+++ b/availability/state_test.go
@@ -15,68 +15,68 @@
 // at is a time some seconds after the start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-func TestOwnWordOutlivesTheList(t *testing.T) {
+func TestAnnouncedLeavingOverridesList(t *testing.T) {
 	var s availability.State
-	s.List(at(0), false)
-	require.True(t, s.May(at(0)))
-	require.True(t, s.Leave(at(1), availability.SourceWord))
-	require.False(t, s.Leave(at(2), availability.SourcePeer), "known")
-	s.List(at(3), false)
-	s.Unlist(at(4))
-	s.List(at(5), false)
-	s.Drain(at(5), false)
-	s.Evacuate(at(5), false)
-	require.Equal(t, availability.Verdict{Cause: availability.CauseLeaving, Source: availability.SourceWord, Since: at(1)}, s.Judge(at(3600)))
+	s.SetListed(at(0), false)
+	require.True(t, s.Available(at(0)))
+	require.True(t, s.SetLeaving(at(1), availability.SourceTarget))
+	require.False(t, s.SetLeaving(at(2), availability.SourcePeer), "known")
+	s.SetListed(at(3), false)
+	s.SetUnlisted(at(4))
+	s.SetListed(at(5), false)
+	s.SetDrained(at(5), false)
+	s.SetEvacuated(at(5), false)
+	require.Equal(t, availability.Verdict{Cause: availability.CauseLeaving, Source: availability.SourceTarget, Since: at(1)}, s.Verdict(at(3600)))
 }
 
-func TestListTakesBackItsOwn(t *testing.T) {
+func TestListClearsOnlyItsOwnCondition(t *testing.T) {
 	var s availability.State
-	s.List(at(0), true)
-	require.Equal(t, availability.SourceList, s.Judge(at(0)).Source)
-	s.Drain(at(1), true)
-	s.List(at(2), false)
-	require.Equal(t, availability.Verdict{Cause: availability.CauseLeaving, Source: availability.SourceOperator, Since: at(1)}, s.Judge(at(2)))
-	s.Drain(at(3), false)
-	require.True(t, s.Judge(at(3)).OK())
+	s.SetListed(at(0), true)
+	require.Equal(t, availability.SourceList, s.Verdict(at(0)).Source)
+	s.SetDrained(at(1), true)
+	s.SetListed(at(2), false)
+	require.Equal(t, availability.Verdict{Cause: availability.CauseLeaving, Source: availability.SourceOperator, Since: at(1)}, s.Verdict(at(2)))
+	s.SetDrained(at(3), false)
+	require.True(t, s.Verdict(at(3)).OK())
 }
 
-// TestLongestRest checks that rests are kept to their end, that a shorter one changes nothing,
+// TestBackoffIsBounded checks that rests are kept to their end, that a shorter one changes nothing,
 // and that none is longer than an hour.
-func TestLongestRest(t *testing.T) {
+func TestBackoffIsBounded(t *testing.T) {
 	var s availability.State
-	s.Rest(at(0), 3*time.Second)
-	s.Rest(at(1), time.Second)
-	require.Equal(t, availability.Verdict{Cause: availability.CauseResting, Source: availability.SourceWord, Since: at(0), Until: at(3)}, s.Judge(at(2.9)))
-	require.True(t, s.May(at(3)))
-	s.Rest(at(10), 1<<62)
-	require.Equal(t, at(3610), s.Judge(at(10)).Until)
-	require.Equal(t, at(10), s.Judge(at(10)).Since, "another rest")
-	require.True(t, s.May(at(3610)))
+	s.BackOff(at(0), 3*time.Second)
+	s.BackOff(at(1), time.Second)
+	require.Equal(t, availability.Verdict{Cause: availability.CauseBackoff, Source: availability.SourceTarget, Since: at(0), Until: at(3)}, s.Verdict(at(2.9)))
+	require.True(t, s.Available(at(3)))
+	s.BackOff(at(10), 1<<62)
+	require.Equal(t, at(3610), s.Verdict(at(10)).Until)
+	require.Equal(t, at(10), s.Verdict(at(10)).Since, "another rest")
+	require.True(t, s.Available(at(3610)))
 }
 
-// naive is a State by its definition: all that was ever said, looked through for each question.
-type naive struct {
-	replaced, gone, evacuated, listed, drained, word bool
-	spans                                            []naiveSpan
+// referenceState is a State by its definition: all that was ever said, looked through for each question.
+type referenceState struct {
+	replaced, gone, evacuated, listed, drained, announced bool
+	timed                                                 []referenceTimed
 }
 
-type naiveSpan struct {
+type referenceTimed struct {
 	cause availability.Cause
 	until time.Time
 }
 
 // causes returns what is in the way at a time.
-func (n *naive) causes(now time.Time) map[availability.Cause]bool {
+func (n *referenceState) causes(now time.Time) map[availability.Cause]bool {
 	out := make(map[availability.Cause]bool)
 	for cause, set := range map[availability.Cause]bool{
 		availability.CauseReplaced: n.replaced, availability.CauseGone: n.gone, availability.CauseEvacuated: n.evacuated,
-		availability.CauseLeaving: n.listed || n.drained || n.word,
+		availability.CauseLeaving: n.listed || n.drained || n.announced,
 	} {
 		if set {
 			out[cause] = true
 		}
 	}
-	for _, s := range n.spans {
+	for _, s := range n.timed {
 		if now.Before(s.until) {
 			out[s.cause] = true
 		}
@@ -84,55 +84,55 @@
 	return out
 }
 
-// TestStateFollowsItsDefinition checks any sequence of facts against the naive reference.
-func TestStateFollowsItsDefinition(t *testing.T) {
+// TestStateMatchesReference checks any sequence of facts against the naive reference.
+func TestStateMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s availability.State
-		var n naive
+		var n referenceState
 		now := start
 		span := func(cause availability.Cause, set func(until time.Time)) {
 			until := now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			set(until)
-			n.spans = append(n.spans, naiveSpan{cause, until})
+			n.timed = append(n.timed, referenceTimed{cause, until})
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pass")) * time.Millisecond)
 			set := rapid.Bool().Draw(t, "set")
 			switch rapid.IntRange(0, 8).Draw(t, "fact") {
 			case 0:
-				s.List(now, set)
+				s.SetListed(now, set)
 				n.listed, n.gone = set, false
 			case 1:
-				s.Unlist(now)
+				s.SetUnlisted(now)
 				n.gone = true
 			case 2:
-				s.Drain(now, set)
+				s.SetDrained(now, set)
 				n.drained = set
 			case 3:
-				s.Evacuate(now, set)
+				s.SetEvacuated(now, set)
 				n.evacuated = set
 			case 4:
-				s.Replace(now)
+				s.SetReplaced(now)
 				n.replaced = true
 			case 5:
-				require.Equal(t, !n.word, s.Leave(now, availability.SourcePeer))
-				n.word = true
+				require.Equal(t, !n.announced, s.SetLeaving(now, availability.SourcePeer))
+				n.announced = true
 			case 6:
-				span(availability.CauseResting, func(until time.Time) { s.Rest(now, until.Sub(now)) })
+				span(availability.CauseBackoff, func(until time.Time) { s.BackOff(now, until.Sub(now)) })
 			case 7:
 				span(availability.CauseSuspected, func(until time.Time) { s.Suspect(now, until) })
 			case 8:
-				span(availability.CausePaused, func(until time.Time) { s.Pause(now, until, availability.SourceOwn) })
+				span(availability.CausePaused, func(until time.Time) { s.Pause(now, until, availability.SourceLocal) })
 			}
 			causes := n.causes(now)
-			verdict := s.Judge(now)
+			verdict := s.Verdict(now)
 			require.Equal(t, len(causes) == 0, verdict.OK())
-			require.Equal(t, verdict.OK(), s.May(now))
+			require.Equal(t, verdict.OK(), s.Available(now))
 			if !verdict.OK() {
 				require.True(t, causes[verdict.Cause], "%v of %v", verdict.Cause, causes)
 				require.False(t, verdict.Since.After(now))
 			}
-			require.Equal(t, verdict.OK() || !verdict.Until.IsZero(), s.Serves())
+			require.Equal(t, verdict.OK() || !verdict.Until.IsZero(), s.InService())
 			if !verdict.Until.IsZero() {
 				require.True(t, len(n.causes(verdict.Until)) == 0, "the last of the spans decides")
 			}
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -130,13 +130,13 @@
 			p.targets[spec.ID] = t
 		}
 		t.spec = spec
-		t.state.List(now, false)
+		t.state.SetListed(now, false)
 	}
 	for id, t := range p.targets {
 		if named[id] {
 			continue
 		}
-		t.state.Unlist(now)
+		t.state.SetUnlisted(now)
 		if t.inFlight == 0 {
 			delete(p.targets, id)
 		}
@@ -155,7 +155,7 @@
 
 // Hear takes in what a target said of itself. What the list says of it, later or not, does not
 // undo that, unless it names the target at another address.
-func (p *Pool) Hear(now time.Time, id string, w availability.Word) {
+func (p *Pool) Hear(now time.Time, id string, w availability.SelfReport) {
 	if t := p.targets[id]; t != nil {
 		t.hear(now, w)
 	}
--- a/balance/target.go
+++ b/balance/target.go
@@ -91,17 +91,17 @@
 }
 
 func (t *target) usable(now time.Time) bool {
-	return t.state.May(now)
+	return t.state.Available(now)
 }
 
 // hear takes in what the target said of itself.
-func (t *target) hear(now time.Time, w availability.Word) {
-	if w.Leaves {
-		t.state.Rest(now, wordLife)
+func (t *target) hear(now time.Time, w availability.SelfReport) {
+	if w.Leaving {
+		t.state.BackOff(now, wordLife)
 		t.beginAnew()
 	}
-	if w.Rest > 0 {
-		t.state.Rest(now, w.Rest)
+	if w.Backoff > 0 {
+		t.state.BackOff(now, w.Backoff)
 	}
 }
 
--- a/balance/wait.go
+++ b/balance/wait.go
@@ -32,8 +32,8 @@
 func (p *Pool) untilRetry(now time.Time) time.Duration {
 	wait := maxRetryAfter
 	for _, t := range p.targets {
-		if t.state.Serves() && t.spec.Slots > 0 {
-			wait = min(wait, max(t.state.Judge(now).Until.Sub(now), 0)+p.serviceTime())
+		if t.state.InService() && t.spec.Slots > 0 {
+			wait = min(wait, max(t.state.Verdict(now).Until.Sub(now), 0)+p.serviceTime())
 		}
 	}
 	return wait
--- a/caller/attempt.go
+++ b/caller/attempt.go
@@ -98,7 +98,7 @@
 
 // judge turns an answer that the system gave by itself into an error.
 func judge(resp *http.Response) (*http.Response, error) {
-	outcome := retry.Parse(resp.Header.Get(protocol.HeaderOutcome))
+	outcome := retry.ParseOutcome(resp.Header.Get(protocol.HeaderOutcome))
 	if outcome == retry.Ran && resp.Header.Get(protocol.HeaderTarget) != "" {
 		return resp, nil
 	}
--- a/cmd/rainford/hold.go
+++ b/cmd/rainford/hold.go
@@ -64,17 +64,17 @@
 
 // readHeld reads the held requests from the store, the latest first.
 func readHeld(ctx context.Context, client objectstore.Service) ([]held, error) {
-	listing, err := client.List(ctx, quarantine.KeptPrefix)
+	listing, err := client.List(ctx, quarantine.StoredPrefix)
 	if err != nil {
 		return nil, err
 	}
 	byDigest := make(map[quarantine.Digest]*held)
 	for _, o := range listing.Objects {
-		kept, err := quarantine.ParseKept(o.Key, o.Value)
+		kept, err := quarantine.ParseStoredRecord(o.Key, o.Value)
 		if err != nil {
 			return nil, err
 		}
-		if kept.IsOver(time.Now()) {
+		if kept.Expired(time.Now()) {
 			continue
 		}
 		h := byDigest[kept.Digest]
@@ -96,15 +96,15 @@
 }
 
 // add takes in one of the objects of the request.
-func (h *held) add(kept quarantine.Kept) {
+func (h *held) add(kept quarantine.StoredRecord) {
 	if kept.Released > 0 {
-		if at := kept.Last(); at.After(h.Released) {
-			h.Released, h.By = at, kept.Who
+		if at := kept.LastEvent(); at.After(h.Released) {
+			h.Released, h.By = at, kept.ReleasedBy
 		}
 		return
 	}
-	h.Ends = max(h.Ends, len(kept.Ends))
-	if last := kept.Last(); last.After(h.Last) {
+	h.Ends = max(h.Ends, len(kept.Crashes))
+	if last := kept.LastEvent(); last.After(h.Last) {
 		h.Last = last
 	}
 }
@@ -143,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	kept := quarantine.Kept{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), Who: c.who}
+	kept := quarantine.StoredRecord{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), ReleasedBy: c.who}
 	_, err = client.Put(ctx, kept.Key(), 0, kept)
 	if err != nil {
 		return err
--- a/cmd/rainford/hold_test.go
+++ b/cmd/rainford/hold_test.go
@@ -30,9 +30,9 @@
 	require.Empty(t, hold(exitOK, "list", "-platform", at))
 	store := platform.NewObjects(addr)
 	for _, uri := range []string{"/a/", "/b/"} {
-		kept := quarantine.Kept{Digest: quarantine.Content{URI: uri}.Digest()}
+		kept := quarantine.StoredRecord{Digest: quarantine.Content{URI: uri}.Digest()}
 		for i := range 3 {
-			kept.Ends = append(kept.Ends, quarantine.KeptEnd{Target: quarantine.Target(i), At: time.Now().UnixMilli(), Trial: i == 2})
+			kept.Crashes = append(kept.Crashes, quarantine.StoredCrash{Target: quarantine.TargetID(i), At: time.Now().UnixMilli(), Trial: i == 2})
 		}
 		_, err := store.Put(t.Context(), kept.Key(), 0, kept)
 		require.NoError(t, err)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -362,7 +362,7 @@
 	if ex.tries >= maxTries || !ex.body.replayable() || !time.Now().Before(ex.Deadline) {
 		return false
 	}
-	if !retry.May(outcome, !ex.Service.Once) || ex.r.Context().Err() != nil {
+	if !retry.Allowed(outcome, !ex.Service.Once) || ex.r.Context().Err() != nil {
 		return false
 	}
 	e.mu.Lock()
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -83,7 +83,7 @@
 			a := tr.send(ex, addr, "/x", func(http.Header) {}, time.Second)
 			sent++
 			require.NoError(t, a.err)
-			require.Equal(t, retry.Ran, retry.Judge(a.evidence))
+			require.Equal(t, retry.Ran, retry.Classify(a.evidence))
 			_, _ = io.Copy(io.Discard, a.resp.Body)
 			a.close()
 			require.Equal(t, sent, runs.Load(), "a request was repeated")
@@ -122,7 +122,7 @@
 			ex := exchange(t, table.Service{Name: "s", Once: true}, http.MethodPost, []byte("rent"))
 			a := tr.send(ex, c.server.Listener.Addr().String(), "/x", func(http.Header) {}, 5*time.Second)
 			defer a.close()
-			require.Equal(t, c.want, retry.Judge(a.evidence))
+			require.Equal(t, c.want, retry.Classify(a.evidence))
 		})
 	}
 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -151,7 +151,7 @@
 func evidenceOf(connected bool, resp *http.Response) retry.Evidence {
 	e := retry.Evidence{Connected: connected, Answered: resp != nil}
 	if resp != nil {
-		e.Refusal = resp.Header.Get(protocol.HeaderNotRun) == protocol.HeaderSet
+		e.Refused = resp.Header.Get(protocol.HeaderNotRun) == protocol.HeaderSet
 	}
 	return e
 }
--- a/entry/hall.go
+++ b/entry/hall.go
@@ -108,7 +108,7 @@
 }
 
 // Hear takes in what the slot's target said of itself.
-func (s *Slot) Hear(w availability.Word) {
+func (s *Slot) Hear(w availability.SelfReport) {
 	s.hall.mu.Lock()
 	defer s.hall.mu.Unlock()
 	s.hall.pools[s.service].Hear(time.Now(), s.Target.ID, w)
--- a/entry/region.go
+++ b/entry/region.go
@@ -142,10 +142,10 @@
 		h.Set(protocol.HeaderConfig, strconv.FormatInt(ex.plan.Version, 10))
 	}, e.config.Stall)
 	defer a.close()
-	outcome := retry.Judge(a.evidence)
+	outcome := retry.Classify(a.evidence)
 	if outcome == retry.Ran {
 		// The other instance may say itself that it does not know.
-		outcome = retry.Parse(a.resp.Header.Get(protocol.HeaderOutcome))
+		outcome = retry.ParseOutcome(a.resp.Header.Get(protocol.HeaderOutcome))
 	}
 	switch outcome {
 	case retry.Ran:
@@ -219,7 +219,7 @@
 	ex.target = slot.Target.ID
 	a := e.transports.send(ex, slot.Target.Addr, ex.Path, stripOwn, e.config.Stall)
 	defer a.close()
-	outcome := retry.Judge(a.evidence)
+	outcome := retry.Classify(a.evidence)
 	slot.Hear(a.word(outcome))
 	switch outcome {
 	case retry.Ran:
@@ -247,13 +247,13 @@
 
 // word returns what a target said of itself in its answer. The time after which to come back
 // counts for the target only in a refusal: else it is for the caller.
-func (a *attempt) word(outcome retry.Outcome) availability.Word {
+func (a *attempt) word(outcome retry.Outcome) availability.SelfReport {
 	if a.resp == nil {
-		return availability.Word{}
+		return availability.SelfReport{}
 	}
-	word := availability.Word{Leaves: a.resp.Header.Get(protocol.HeaderDraining) == protocol.HeaderSet}
+	word := availability.SelfReport{Leaving: a.resp.Header.Get(protocol.HeaderDraining) == protocol.HeaderSet}
 	if outcome == retry.NotRun {
-		word.Rest = protocol.RetryAfter(a.resp.Header)
+		word.Backoff = protocol.RetryAfter(a.resp.Header)
 	}
 	return word
 }
--- a/forward/answer_fuzz_test.go
+++ b/forward/answer_fuzz_test.go
@@ -31,7 +31,7 @@
 func (plainCodec) Load(string) *upstream.Report { return nil }
 func (plainCodec) Replaced(status int) bool     { return status == http.StatusMisdirectedRequest }
 
-func (plainCodec) Word(int, http.Header) availability.Word { return availability.Word{} }
+func (plainCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
 
 // FuzzAnswer has a target answer with any bytes and close, and checks that a request counts
 // as not run only if a head says so, and that an answer is taken only if it carries the
--- a/forward/arrived_test.go
+++ b/forward/arrived_test.go
@@ -21,7 +21,7 @@
 func (noCodec) Load(string) *upstream.Report { return nil }
 func (noCodec) Replaced(int) bool            { return false }
 
-func (noCodec) Word(int, http.Header) availability.Word { return availability.Word{} }
+func (noCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
 
 // pair returns a connection to a target and the target's side of it.
 func pair(t *testing.T) (*conn, net.Conn) {
--- a/forward/client.go
+++ b/forward/client.go
@@ -47,7 +47,7 @@
 	// service has the address.
 	Replaced(status int) bool
 	// Word reads what the target says of itself.
-	Word(status int, header http.Header) availability.Word
+	Word(status int, header http.Header) availability.SelfReport
 }
 
 // Client sends requests to targets. It is safe for concurrent use.
@@ -326,10 +326,10 @@
 // word returns what the head of an answer to the request says of its target. It counts whatever
 // became of the rest of the answer, and whether or not the client is still there. What another
 // incarnation says does not, nor what a success says that no target has signed.
-func (c *Client) word(resp *http.Response) availability.Word {
+func (c *Client) word(resp *http.Response) availability.SelfReport {
 	unsigned := resp.StatusCode/100 == 2 && resp.Header.Get(c.headers.Signature) == ""
 	if unsigned || c.codec.Replaced(resp.StatusCode) {
-		return availability.Word{}
+		return availability.SelfReport{}
 	}
 	return c.codec.Word(resp.StatusCode, resp.Header)
 }
--- a/forward/word_test.go
+++ b/forward/word_test.go
@@ -18,12 +18,12 @@
 // TestWordOfAnswer checks which answers count for what a target says of itself: whole heads of
 // answers to the request, and none of another request, another incarnation, or nobody known.
 func TestWordOfAnswer(t *testing.T) {
-	leaves := availability.Word{Leaves: true}
-	rests := availability.Word{Leaves: true, Rest: 3 * time.Second}
+	leaves := availability.SelfReport{Leaving: true}
+	rests := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
 	for _, c := range []struct {
 		name  string
 		fault origin.Fault
-		want  availability.Word
+		want  availability.SelfReport
 	}{
 		{"success", origin.None, leaves},
 		{"failure", origin.Failed, leaves},
@@ -34,10 +34,10 @@
 		{"reset within the body", origin.UnframedReset, leaves},
 		{"cut within the body", origin.Cut, leaves},
 		{"silent within the body", origin.Stalled, leaves},
-		{"in the answer to another request", origin.Foreign, availability.Word{}},
-		{"success without a signature", origin.Unsigned, availability.Word{}},
-		{"garbage", origin.Garbage, availability.Word{}},
-		{"no answer", origin.Lost, availability.Word{}},
+		{"in the answer to another request", origin.Foreign, availability.SelfReport{}},
+		{"success without a signature", origin.Unsigned, availability.SelfReport{}},
+		{"garbage", origin.Garbage, availability.SelfReport{}},
+		{"no answer", origin.Lost, availability.SelfReport{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, client := start(t, c.fault)
@@ -73,7 +73,7 @@
 		r.Deadline = time.Now().Add(time.Minute)
 		a := client.Do(ctx, r)
 		require.Equal(t, upstream.Abandoned, a.Target.Outcome)
-		if a.Target.Word.Leaves {
+		if a.Target.Word.Leaving {
 			return
 		}
 	}
--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -174,7 +174,7 @@
 // computed from slots, and their drains. Other objects of the kind are not for
 // instances.
 func (g *Gateway) applyTable(c feed.Change, from provenance) {
-	if strings.HasPrefix(c.Name, quarantine.KeptPrefix) {
+	if strings.HasPrefix(c.Name, quarantine.StoredPrefix) {
 		g.applyKept(c, from)
 		return
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -83,7 +83,7 @@
 		g.metrics.attempt(ex.service, decision.Target, a.Target)
 		ex.note(decision, a)
 		g.witness(ex, decision.Target, a)
-		if a.Target.Word.Leaves {
+		if a.Target.Word.Leaving {
 			g.heardLeaving(decision.Target.ID)
 		}
 		if a.Response != nil {
@@ -100,7 +100,7 @@
 		if stop, v := g.after(ex, a); stop {
 			return v, nil
 		}
-		if a.Target.Outcome == upstream.Rejected && decision.Sent.Load < 1 && !a.Target.Word.Says() {
+		if a.Target.Outcome == upstream.Rejected && decision.Sent.Load < 1 && !a.Target.Word.Restricts() {
 			// The target was not full and is the one that knows the object.
 			backoff = soonRetryAfter
 			continue
@@ -144,7 +144,7 @@
 // backoffAfter is when the caller should come back if an attempt was the last one. Where the
 // target has just said that it wants nothing, the next choice is another one, so at once.
 func backoffAfter(a forward.Attempt) time.Duration {
-	if a.Target.Outcome == upstream.Rejected && a.Target.Word.Says() {
+	if a.Target.Outcome == upstream.Rejected && a.Target.Word.Restricts() {
 		return soonRetryAfter
 	}
 	return defaultRetryAfter
@@ -215,7 +215,7 @@
 		return false, verdict{}
 	case late || errors.Is(a.Err, os.ErrDeadlineExceeded):
 		return true, verdict{status: http.StatusGatewayTimeout, reason: "timeout"}
-	case !retry.May(a.Outcome, ex.route.Kind == catalog.Idempotent):
+	case !retry.Allowed(a.Outcome, ex.route.Kind == catalog.Idempotent):
 		return true, verdict{status: http.StatusBadGateway, reason: "unknown-outcome"}
 	default:
 		return false, verdict{}
@@ -244,11 +244,11 @@
 		Outcome: a.Outcome.String(),
 		Reused:  a.Reused,
 		TookMs:  a.Target.Took.Milliseconds(),
-		Leaves:  a.Target.Word.Leaves,
-		RestMs:  a.Target.Word.Rest.Milliseconds(),
+		Leaves:  a.Target.Word.Leaving,
+		RestMs:  a.Target.Word.Backoff.Milliseconds(),
 	}
-	if a.Target.Word.Limited {
-		h.Limit = &a.Target.Word.Limit
+	if a.Target.Word.HasLimit {
+		h.Limit = &a.Target.Word.RateLimit
 	}
 	if a.Err != nil {
 		h.Error = a.Err.Error()
--- a/gateway/departures.go
+++ b/gateway/departures.go
@@ -39,7 +39,7 @@
 func (d *departures) has(target string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, ok := d.known.Has(availability.IDOf(target))
+	_, ok := d.known.FirstHeard(availability.IDOf(target))
 	return ok
 }
 
@@ -80,24 +80,24 @@
 func (d *departures) sum(now time.Time) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.known.Sum(now)
+	return d.known.Checksum(now)
 }
 
 // missing returns what to tell an instance that does not know the same.
 func (d *departures) missing(now time.Time, sum uint32, salt uint64) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.known.Sum(now) == sum {
+	if d.known.Checksum(now) == sum {
 		return nil
 	}
-	return d.known.Some(now, maxDepartures, salt)
+	return d.known.Sample(now, maxDepartures, salt)
 }
 
 // all returns all departures that are told to others.
 func (d *departures) all(now time.Time) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.known.Some(now, d.known.Len(), 0)
+	return d.known.Sample(now, d.known.Len(), 0)
 }
 
 // heardLeaving takes in that a target has said to this instance that it leaves, and has all
@@ -141,5 +141,5 @@
 	}
 	g.holds.mu.Lock()
 	defer g.holds.mu.Unlock()
-	g.holds.witness.Leaves(target)
+	g.holds.witness.TargetLeaving(target)
 }
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -269,9 +269,9 @@
 	}
 	ahead := g.compare(now, sender, m.Positions)
 	outlived, behindItself := g.view.Outlived(m.Beats)
-	var missed quarantine.News
+	var missed quarantine.Updates
 	var left availability.DepartureList
-	var limits availability.LimitList
+	var limits availability.RateLimitList
 	if !m.Reply {
 		missed = g.newsFor(now, m.NewsSum)
 		left = g.departures.missing(now, m.DeparturesSum, g.rand.Uint64())
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -24,7 +24,7 @@
 func (g *Gateway) keep(now time.Time, digests []quarantine.Digest) {
 	for _, d := range digests {
 		g.holds.mu.Lock()
-		kept, ok := g.holds.table.Keep(now, time.Now(), d)
+		kept, ok := g.holds.table.StoredRecord(now, time.Now(), d)
 		g.holds.mu.Unlock()
 		if ok {
 			g.write(kept)
@@ -34,11 +34,11 @@
 
 // keepRelease has the store keep that a request was answered.
 func (g *Gateway) keepRelease(d quarantine.Digest) {
-	g.write(quarantine.Kept{Digest: d, Released: time.Now().UnixMilli(), Who: g.config.Name})
+	g.write(quarantine.StoredRecord{Digest: d, Released: time.Now().UnixMilli(), ReleasedBy: g.config.Name})
 }
 
 // write creates an object in the store, unless too many writes are under way.
-func (g *Gateway) write(kept quarantine.Kept) {
+func (g *Gateway) write(kept quarantine.StoredRecord) {
 	if g.holds.keeping.Add(1) > maxKeeping {
 		g.holds.keeping.Add(-1)
 		g.log.Warn(logNotKept, "content", kept.Digest.String(), "error", "too many writes under way")
@@ -50,7 +50,7 @@
 	})
 }
 
-func (g *Gateway) create(kept quarantine.Kept) {
+func (g *Gateway) create(kept quarantine.StoredRecord) {
 	ctx, cancel := context.WithTimeout(context.Background(), keepTries*keepPause)
 	defer cancel()
 	var err error
@@ -71,23 +71,23 @@
 	if c.Gone {
 		return
 	}
-	kept, err := quarantine.ParseKept(c.Name, c.Value)
+	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
 	if err != nil {
 		g.metrics.refused.Add(1, string(KindTable), "entry")
 		g.log.Error(logKeptRefused, "name", c.Name, "error", err.Error(), "source", from.source, "revision", from.revision)
 		return
 	}
-	facts, ok := kept.Facts(time.Now())
+	facts, ok := kept.Update(time.Now())
 	if !ok {
 		return
 	}
 	now := g.clock.Now()
 	g.holds.mu.Lock()
-	learned := g.holds.table.Merge(now, quarantine.News{facts})
+	learned := g.holds.table.Merge(now, quarantine.Updates{facts})
 	g.holds.note()
 	g.holds.mu.Unlock()
 	if kept.Released > 0 {
-		g.log.Info(logRequestFreed, "content", kept.Digest.String(), "who", kept.Who)
+		g.log.Info(logRequestFreed, "content", kept.Digest.String(), "who", kept.ReleasedBy)
 		return
 	}
 	g.reportHolds(now, learned, sourceStore)
@@ -115,8 +115,8 @@
 	}
 	over := ""
 	g.replicas[KindTable].Objects(func(o feed.Object) {
-		kept, err := quarantine.ParseKept(o.Name, o.Value)
-		if err == nil && kept.IsOver(time.Now()) {
+		kept, err := quarantine.ParseStoredRecord(o.Name, o.Value)
+		if err == nil && kept.Expired(time.Now()) {
 			over = o.Name
 		}
 	})
@@ -125,7 +125,7 @@
 
 // releases returns 1 for an object that releases a held request, else 0.
 func releases(c feed.Change) int {
-	kept, err := quarantine.ParseKept(c.Name, c.Value)
+	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
 	if err != nil || kept.Released == 0 {
 		return 0
 	}
--- a/gateway/kept_test.go
+++ b/gateway/kept_test.go
@@ -17,7 +17,7 @@
 func (s *site) keptObjects() []string {
 	var out []string
 	for _, name := range s.store.Names("rainford-objects") {
-		if key := strings.ReplaceAll(name, "~", "/"); strings.HasPrefix(key, quarantine.KeptPrefix) {
+		if key := strings.ReplaceAll(name, "~", "/"); strings.HasPrefix(key, quarantine.StoredPrefix) {
 			out = append(out, key)
 		}
 	}
@@ -68,9 +68,9 @@
 	mended.Store(true)
 	require.Equal(t, 503, instances[0].send("GET", endingPath, "").status)
 	key := v.site.keptObjects()[0]
-	kept, err := quarantine.ParseKept(key, []byte("{}"))
+	kept, err := quarantine.ParseStoredRecord(key, []byte("{}"))
 	require.NoError(t, err)
-	release := quarantine.Kept{Digest: kept.Digest, Released: time.Now().UnixMilli(), Who: "ama"}
+	release := quarantine.StoredRecord{Digest: kept.Digest, Released: time.Now().UnixMilli(), ReleasedBy: "ama"}
 	_, err = platform.NewObjects(v.site.addr).Put(t.Context(), release.Key(), 0, release)
 	require.NoError(t, err)
 	for _, in := range instances {
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -145,7 +145,7 @@
 func (m *metrics) poolGauges(ps *pools) error {
 	return errors.Join(
 		m.telemetry.Gauges("rainford.repeats.left", "Attempts after the first one that the budget allows now.", []string{"service"},
-			ps.observe(func(p *pool, emit emit) { emit(p.tokens.Held()) })),
+			ps.observe(func(p *pool, emit emit) { emit(p.tokens.Available()) })),
 		m.telemetry.Gauges("rainford.queue.length", "Requests that wait here for a target.", []string{"service"},
 			ps.observe(func(p *pool, emit emit) { emit(float64(p.upstream.Waiting())) })),
 		m.telemetry.Gauges("rainford.targets", "Targets by hall and state.", []string{"service", "hall", "state"},
@@ -260,17 +260,17 @@
 )
 
 // word counts what a target said of itself in an answer.
-func (m *metrics) word(service string, w availability.Word) {
-	if w.Leaves {
+func (m *metrics) word(service string, w availability.SelfReport) {
+	if w.Leaving {
 		m.words.Add(1, service, wordLeaves)
 	}
-	if w.Rest > 0 {
+	if w.Backoff > 0 {
 		m.words.Add(1, service, wordRests)
 	}
-	if w.Limited {
+	if w.HasLimit {
 		m.words.Add(1, service, wordLimited)
 	}
-	if len(w.Unreadable) > 0 {
+	if len(w.Malformed) > 0 {
 		m.words.Add(1, service, wordUnreadable)
 	}
 }
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -36,7 +36,7 @@
 	require.True(t, reply.Reply)
 	var known availability.Departures
 	require.Len(t, known.Merge(g.clock.Now(), reply.Departures), 1)
-	require.Equal(t, reply.DeparturesSum, known.Sum(g.clock.Now()))
+	require.Equal(t, reply.DeparturesSum, known.Checksum(g.clock.Now()))
 	word(peer.Gossip{DeparturesSum: reply.DeparturesSum})
 	select {
 	case m := <-late.messages:
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -21,7 +21,7 @@
 // repeat a request within milliseconds, at any of them.
 func (g *Gateway) tell(now time.Time, digests ...quarantine.Digest) {
 	g.holds.mu.Lock()
-	news := g.holds.table.About(now, digests...)
+	news := g.holds.table.Updates(now, digests...)
 	g.holds.mu.Unlock()
 	if len(news) == 0 {
 		return
@@ -71,7 +71,7 @@
 }
 
 // hearNews takes in what another instance knows of requests under which targets have ended.
-func (g *Gateway) hearNews(now time.Time, news quarantine.News) {
+func (g *Gateway) hearNews(now time.Time, news quarantine.Updates) {
 	if len(news) == 0 {
 		return
 	}
@@ -89,18 +89,18 @@
 	}
 	g.holds.mu.Lock()
 	defer g.holds.mu.Unlock()
-	return g.holds.table.Sum()
+	return g.holds.table.Checksum()
 }
 
 // newsFor returns what to tell an instance that does not know the same.
-func (g *Gateway) newsFor(now time.Time, sum uint32) quarantine.News {
+func (g *Gateway) newsFor(now time.Time, sum uint32) quarantine.Updates {
 	if !g.holds.known.Load() {
 		return nil
 	}
 	g.holds.mu.Lock()
 	defer g.holds.mu.Unlock()
-	if g.holds.table.Sum() == sum {
+	if g.holds.table.Checksum() == sum {
 		return nil
 	}
-	return g.holds.table.Most(now, maxNews)
+	return g.holds.table.LatestSuspects(now, maxNews)
 }
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -20,7 +20,7 @@
 	now := g.clock.Now()
 	d := quarantine.Content{URI: "/ends/"}.Digest()
 	for i := range 3 {
-		g.holds.table.Ended(now, d, "", quarantine.Target(i), i == 2)
+		g.holds.table.RecordCrash(now, d, "", quarantine.TargetID(i), i == 2)
 	}
 	g.holds.note()
 	late := newNeighbour(t, "n0")
@@ -34,9 +34,9 @@
 	require.True(t, reply.Reply)
 	var table quarantine.Table
 	table.Merge(now, reply.News)
-	require.Equal(t, quarantine.Held, table.Standing(now, d).Verdict)
-	require.Equal(t, reply.NewsSum, table.Sum())
-	word(table.Sum())
+	require.Equal(t, quarantine.Held, table.Status(now, d).Verdict)
+	require.Equal(t, reply.NewsSum, table.Checksum())
+	word(table.Checksum())
 	select {
 	case m := <-late.messages:
 		require.Fail(t, "told what it knows", "%+v", m)
@@ -49,20 +49,20 @@
 func TestReleaseCountsInAnyOrder(t *testing.T) {
 	d := quarantine.Content{URI: "/ends/"}.Digest()
 	day := time.Now().Add(-time.Minute)
-	held := quarantine.Kept{Digest: d}
+	held := quarantine.StoredRecord{Digest: d}
 	for i := range 3 {
-		held.Ends = append(held.Ends, quarantine.KeptEnd{Target: quarantine.Target(i), At: day.UnixMilli(), Trial: i == 2})
+		held.Crashes = append(held.Crashes, quarantine.StoredCrash{Target: quarantine.TargetID(i), At: day.UnixMilli(), Trial: i == 2})
 	}
-	release := quarantine.Kept{Digest: d, Released: day.Add(time.Second).UnixMilli(), Who: "ama"}
+	release := quarantine.StoredRecord{Digest: d, Released: day.Add(time.Second).UnixMilli(), ReleasedBy: "ama"}
 	later := held
-	later.Ends = []quarantine.KeptEnd{{Target: 7, At: day.Add(2 * time.Second).UnixMilli()}, {Target: 8, At: day.Add(2 * time.Second).UnixMilli()}, {Target: 9, At: day.Add(2 * time.Second).UnixMilli(), Trial: true}}
+	later.Crashes = []quarantine.StoredCrash{{Target: 7, At: day.Add(2 * time.Second).UnixMilli()}, {Target: 8, At: day.Add(2 * time.Second).UnixMilli()}, {Target: 9, At: day.Add(2 * time.Second).UnixMilli(), Trial: true}}
 	for name, c := range map[string]struct {
-		kept []quarantine.Kept
+		kept []quarantine.StoredRecord
 		want int
 	}{
-		"released first": {[]quarantine.Kept{release, held}, 0},
-		"held first":     {[]quarantine.Kept{held, release}, 0},
-		"held again":     {[]quarantine.Kept{later, release}, 3},
+		"released first": {[]quarantine.StoredRecord{release, held}, 0},
+		"held first":     {[]quarantine.StoredRecord{held, release}, 0},
+		"held again":     {[]quarantine.StoredRecord{later, release}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newPlain(t)
@@ -74,7 +74,7 @@
 			}
 			require.True(t, g.take(delta, sourceStore))
 			standing, _ := g.holds.standing(g.clock.Now(), d)
-			require.Equal(t, c.want, standing.Ends)
+			require.Equal(t, c.want, standing.Crashes)
 		})
 	}
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -21,7 +21,7 @@
 type pool struct {
 	mu       sync.Mutex
 	upstream *upstream.Pool
-	tokens   *retry.Tokens
+	tokens   *retry.TokenBucket
 	waits    map[uint64]chan upstream.Decision
 	lastID   uint64
 	ticking  bool
@@ -223,7 +223,7 @@
 func (p *pool) arrived() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokens.Request()
+	p.tokens.Earn()
 }
 
 // spend takes a repeat from the budget.
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -24,7 +24,7 @@
 	// departed returns the targets that are known to have said themselves that they leave.
 	departed func(now time.Time) availability.DepartureList
 	// limits returns the limits that targets have named.
-	limits func(now time.Time) availability.LimitList
+	limits func(now time.Time) availability.RateLimitList
 	// ask sends questions for permits of targets' limits, and is told the owners that do not
 	// answer.
 	ask func(asks []ratelimit.Ask, silent []string)
@@ -52,7 +52,7 @@
 	until   time.Time
 }
 
-func newPools(config Config, departed func(time.Time) availability.DepartureList, limits func(time.Time) availability.LimitList,
+func newPools(config Config, departed func(time.Time) availability.DepartureList, limits func(time.Time) availability.RateLimitList,
 	ask func([]ratelimit.Ask, []string)) *pools {
 	return &pools{config: config, departed: departed, limits: limits, ask: ask, pools: make(map[string]*pool),
 		count: 1, splits: make(map[string]versionSplit)}
@@ -147,7 +147,7 @@
 		ShiftStep:   shiftStepShare * ps.config.ShiftMost,
 		ShiftWindow: shiftWindow,
 	})
-	p := &pool{upstream: u, tokens: retry.NewTokens(ps.config.RetryRatio), waits: make(map[uint64]chan upstream.Decision), ask: ps.ask, log: ps.config.Log, clock: ps.config.Clock}
+	p := &pool{upstream: u, tokens: retry.NewTokenBucket(ps.config.RetryRatio), waits: make(map[uint64]chan upstream.Decision), ask: ps.ask, log: ps.config.Log, clock: ps.config.Clock}
 	u.SetService(ps.services[service])
 	u.SetMembers(ps.members)
 	u.SetHomeShares(ps.homeShares)
@@ -160,7 +160,7 @@
 	if ps.owners != nil {
 		u.SetLimitOwners(ps.owners)
 	}
-	p.tokens.Share(ps.config.RetrySlack, ps.count)
+	p.tokens.SetCapacity(ps.config.RetrySlack, ps.count)
 	if s, ok := ps.splits[service]; ok {
 		p.rollout.Store(s.rollout)
 		u.SetSplit(now, s.split, s.until)
@@ -203,7 +203,7 @@
 	for _, p := range ps.pools {
 		p.update(func(u *upstream.Pool) []upstream.Grant {
 			u.SetMembers(members)
-			p.tokens.Share(ps.config.RetrySlack, count)
+			p.tokens.SetCapacity(ps.config.RetrySlack, count)
 			return nil
 		})
 	}
@@ -234,7 +234,7 @@
 
 // hearLimits takes in the limits that targets have named, and returns the IDs of those whose limits
 // changed.
-func (ps *pools) hearLimits(now time.Time, limits availability.LimitList, source availability.Source) []string {
+func (ps *pools) hearLimits(now time.Time, limits availability.RateLimitList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	var changed []string
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -31,8 +31,8 @@
 
 	mu      sync.Mutex
 	table   quarantine.Table
-	witness quarantine.Witness
-	warden  quarantine.Warden
+	witness quarantine.CrashCorrelator
+	warden  quarantine.TrialCoordinator
 	trials  map[quarantine.Digest]chan trialAnswer
 	// answers are the requests of accounts that were answered here of late.
 	answers answeredRequests
@@ -54,7 +54,7 @@
 		return nil
 	}
 	h.flaggedAt = now
-	return h.table.Flag(now, func(account uint32) bool { return h.answers.isSound(now, account) })
+	return h.table.FlagAccounts(now, func(account uint32) bool { return h.answers.isSound(now, account) })
 }
 
 func newHolds() *holds {
@@ -82,24 +82,24 @@
 
 // standing returns what the table says of a request, and how many targets may have ended
 // under it besides.
-func (h *holds) standing(now time.Time, d quarantine.Digest) (quarantine.Standing, int) {
+func (h *holds) standing(now time.Time, d quarantine.Digest) (quarantine.Status, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.Standing(now, d), h.witness.Doubts(d)
+	return h.table.Status(now, d), h.witness.PendingFor(d)
 }
 
 // doubts tells whether it is not known if a target has ended.
 func (h *holds) doubts(target string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.witness.Doubtful(target)
+	return h.witness.IsPending(target)
 }
 
 // suspects returns the number of requests that are not free.
 func (h *holds) suspects() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return int64(h.table.Suspects())
+	return int64(h.table.SuspectCount())
 }
 
 // digestOf returns the digest of a request.
@@ -126,10 +126,10 @@
 	}
 	now := g.clock.Now()
 	standing, doubts := g.holds.standing(now, ex.digestOf())
-	if unknown && standing.Ends+doubts >= maxDoubtful {
+	if unknown && standing.Crashes+doubts >= maxDoubtful {
 		return given(true, reasonEndsTargets, 0), false
 	}
-	if standing.Verdict != quarantine.Free {
+	if standing.Verdict != quarantine.Allowed {
 		return g.try(ex, ex.digestOf(), standing, reasonEndsTargets)
 	}
 	if ex.account == nil || g.holds.answers.has(answeredOf(ex.account.Name, ex.digestOf())) {
@@ -137,7 +137,7 @@
 	}
 	account := quarantine.AccountDigest(ex.account.Name)
 	standing, _ = g.holds.standing(now, account)
-	if standing.Verdict == quarantine.Free || g.holds.answers.isSound(now, quarantine.AccountHash(ex.account.Name)) {
+	if standing.Verdict == quarantine.Allowed || g.holds.answers.isSound(now, quarantine.AccountHash(ex.account.Name)) {
 		return verdict{}, true
 	}
 	ex.heldAsAccount = true
@@ -150,7 +150,7 @@
 }
 
 // try has a request sent as a trial of what a digest stands for if that may be tried now.
-func (g *Gateway) try(ex *exchange, d quarantine.Digest, standing quarantine.Standing, reason string) (verdict, bool) {
+func (g *Gateway) try(ex *exchange, d quarantine.Digest, standing quarantine.Status, reason string) (verdict, bool) {
 	if standing.Verdict == quarantine.Held {
 		return notRun(reason, g.clock.Until(standing.Until)), false
 	}
@@ -169,11 +169,11 @@
 	}
 	now := g.clock.Now()
 	standing, _ := g.holds.standing(now, ex.digestOf())
-	if standing.Verdict != quarantine.Free || ex.account == nil || g.holds.answers.has(answeredOf(ex.account.Name, ex.digestOf())) {
-		return standing.Verdict == quarantine.Free
+	if standing.Verdict != quarantine.Allowed || ex.account == nil || g.holds.answers.has(answeredOf(ex.account.Name, ex.digestOf())) {
+		return standing.Verdict == quarantine.Allowed
 	}
 	standing, _ = g.holds.standing(now, quarantine.AccountDigest(ex.account.Name))
-	return standing.Verdict == quarantine.Free || g.holds.answers.isSound(now, quarantine.AccountHash(ex.account.Name))
+	return standing.Verdict == quarantine.Allowed || g.holds.answers.isSound(now, quarantine.AccountHash(ex.account.Name))
 }
 
 // witness takes in what an attempt says of its target's life.
@@ -198,7 +198,7 @@
 	}
 	g.holds.mu.Lock()
 	defer g.holds.mu.Unlock()
-	g.holds.witness.Lives(sent, target)
+	g.holds.witness.TargetAnswered(sent, target)
 }
 
 // answered takes in that a request was answered: targets do not end under it.
@@ -210,8 +210,8 @@
 	g.lives(now.Add(-a.Target.Took), target.ID)
 	d := ex.digestOf()
 	g.holds.mu.Lock()
-	kept := g.holds.table.Standing(now, d).Failed > 0
-	freed := g.holds.table.Answered(now, d)
+	kept := g.holds.table.Status(now, d).FailedTrials > 0
+	freed := g.holds.table.RecordAnswer(now, d)
 	g.holds.mu.Unlock()
 	if !freed {
 		return
@@ -249,9 +249,9 @@
 		return
 	}
 	ofAccount := ex.trial.IsAccount()
-	broken := quarantine.Broken{Digest: ex.digestOf(), Account: accountName(ex.account), Trial: ex.isTrial() && !ofAccount, OfAccount: ofAccount}
+	broken := quarantine.InterruptedRequest{Digest: ex.digestOf(), Account: accountName(ex.account), Trial: ex.isTrial() && !ofAccount, AccountTrial: ofAccount}
 	g.holds.mu.Lock()
-	ended, ask := g.holds.witness.Broke(now, target.ID, broken)
+	ended, ask := g.holds.witness.RequestInterrupted(now, target.ID, broken)
 	g.holds.note()
 	g.holds.mu.Unlock()
 	g.noteEnds(now, target.ID, ended)
@@ -287,7 +287,7 @@
 		return
 	}
 	g.holds.mu.Lock()
-	broken := g.holds.witness.Ended(now, target)
+	broken := g.holds.witness.TargetCrashed(now, target)
 	g.holds.mu.Unlock()
 	g.noteEnds(now, target, broken)
 }
@@ -301,7 +301,7 @@
 	for _, spec := range changed {
 		if spec.Leaves {
 			g.holds.mu.Lock()
-			g.holds.witness.Leaves(spec.ID)
+			g.holds.witness.TargetLeaving(spec.ID)
 			g.holds.mu.Unlock()
 		}
 	}
@@ -314,7 +314,7 @@
 }
 
 // noteEnds notes that a target has ended under some requests, and tells the other instances.
-func (g *Gateway) noteEnds(now time.Time, target string, broken []quarantine.Broken) {
+func (g *Gateway) noteEnds(now time.Time, target string, broken []quarantine.InterruptedRequest) {
 	if len(broken) == 0 {
 		return
 	}
@@ -322,13 +322,13 @@
 	contents := make([]string, 0, len(broken))
 	g.holds.mu.Lock()
 	for _, b := range broken {
-		if g.holds.table.Ended(now, b.Digest, b.Account, quarantine.TargetOf(target), b.Trial) {
+		if g.holds.table.RecordCrash(now, b.Digest, b.Account, quarantine.TargetIDOf(target), b.Trial) {
 			digests = append(digests, b.Digest)
 			contents = append(contents, b.Digest.String())
 		}
 		g.holds.answers.ended(now, quarantine.AccountHash(b.Account))
 		account := quarantine.AccountDigest(b.Account)
-		if b.OfAccount && g.holds.table.Ended(now, account, b.Account, quarantine.TargetOf(target), true) {
+		if b.AccountTrial && g.holds.table.RecordCrash(now, account, b.Account, quarantine.TargetIDOf(target), true) {
 			digests = append(digests, account)
 		}
 	}
@@ -352,7 +352,7 @@
 func (g *Gateway) reportHolds(now time.Time, digests []quarantine.Digest, source string) {
 	for _, d := range digests {
 		standing, _ := g.holds.standing(now, d)
-		if standing.Verdict == quarantine.Free {
+		if standing.Verdict == quarantine.Allowed {
 			continue
 		}
 		message := logRequestHeld
@@ -361,7 +361,7 @@
 			// What this locks is held by some callers.
 			g.start(func() { g.tellAnswers(now, d) })
 		}
-		attrs := []any{"content", d.String(), "ends", standing.Ends, "failed_trials", standing.Failed, "source", source}
+		attrs := []any{"content", d.String(), "ends", standing.Crashes, "failed_trials", standing.FailedTrials, "source", source}
 		if standing.Verdict == quarantine.Held {
 			attrs = append(attrs, slog.Int64("for_ms", standing.Until.Sub(now).Milliseconds()))
 		}
--- a/gateway/restored_own_objects_test.go
+++ b/gateway/restored_own_objects_test.go
@@ -56,7 +56,7 @@
 	s.store.Set("other", "o", 1)
 	_, err = own.Put(t.Context(), config.Key, first.Version, tableAt(2))
 	require.NoError(t, err)
-	kept := quarantine.Kept{Digest: quarantine.Digest{1}, Ends: []quarantine.KeptEnd{
+	kept := quarantine.StoredRecord{Digest: quarantine.Digest{1}, Crashes: []quarantine.StoredCrash{
 		{Target: 1, At: time.Now().UnixMilli()}, {Target: 2, At: time.Now().UnixMilli(), Trial: true}}}
 	_, err = own.Put(t.Context(), kept.Key(), 0, kept)
 	require.NoError(t, err)
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -178,8 +178,8 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []HeldRequest
-	h.table.Suspected(now, func(d quarantine.Digest, s quarantine.Standing) {
-		held := HeldRequest{Content: d.String(), Ends: s.Ends, Failed: s.Failed}
+	h.table.ForEachSuspect(now, func(d quarantine.Digest, s quarantine.Status) {
+		held := HeldRequest{Content: d.String(), Ends: s.Crashes, Failed: s.FailedTrials}
 		if s.Verdict == quarantine.Held {
 			held.LeftMs = s.Until.Sub(now).Milliseconds()
 		}
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -29,7 +29,7 @@
 	any atomic.Bool
 
 	mu    sync.Mutex
-	known availability.Limits
+	known availability.RateLimits
 	// untold are the targets of which the others are to be told.
 	untold []availability.ID
 }
@@ -39,16 +39,16 @@
 
 // hear takes in what a target said in an answer to a request that was sent at a time. It returns
 // what is new, and whether that is the first of which the others have to be told.
-func (l *targetLimits) hear(now, sentAt time.Time, id availability.ID, r upstream.Result) (fresh availability.LimitList, first bool) {
+func (l *targetLimits) hear(now, sentAt time.Time, id availability.ID, r upstream.Result) (fresh availability.RateLimitList, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.note()
 	var changed bool
 	switch {
-	case r.Word.Limited:
-		changed = l.known.Name(now, sentAt, id, r.Word.Limit)
+	case r.Word.HasLimit:
+		changed = l.known.Announce(now, sentAt, id, r.Word.RateLimit)
 	case saysNoLimit(r):
-		changed = l.known.NameNone(now, sentAt, id)
+		changed = l.known.AnnounceNone(now, sentAt, id)
 	}
 	if !changed {
 		return nil, false
@@ -57,18 +57,18 @@
 	if !slices.Contains(l.untold, id) {
 		l.untold = append(l.untold, id)
 	}
-	return l.known.About(now, id), first
+	return l.known.Update(now, id), first
 }
 
 // saysNoLimit tells whether an answer shows that its target names no limit: a whole one without a
 // word of it. A value that can't be read is neither a limit nor its end.
 func saysNoLimit(r upstream.Result) bool {
 	whole := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
-	return whole && !r.Word.CantRead(availability.PartLimit)
+	return whole && !r.Word.IsMalformed(availability.FieldRateLimit)
 }
 
 // merge takes in what another instance has told, and returns what is new.
-func (l *targetLimits) merge(now time.Time, told availability.LimitList) availability.LimitList {
+func (l *targetLimits) merge(now time.Time, told availability.RateLimitList) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.note()
@@ -76,12 +76,12 @@
 }
 
 // takeUntold returns what the others are to be told.
-func (l *targetLimits) takeUntold(now time.Time) availability.LimitList {
+func (l *targetLimits) takeUntold(now time.Time) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out availability.LimitList
+	var out availability.RateLimitList
 	for _, id := range l.untold {
-		out = append(out, l.known.About(now, id)...)
+		out = append(out, l.known.Update(now, id)...)
 	}
 	l.untold = nil
 	return out
@@ -91,15 +91,15 @@
 func (l *targetLimits) of(id availability.ID) (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit, ok := l.known.Of(id)
+	limit, ok := l.known.Get(id)
 	return limit.PerSecond, ok
 }
 
 // about returns what is known of a target's limit for others.
-func (l *targetLimits) about(now time.Time, id availability.ID) availability.LimitList {
+func (l *targetLimits) about(now time.Time, id availability.ID) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.About(now, id)
+	return l.known.Update(now, id)
 }
 
 // sum returns a number by which instances see that they do not know the same.
@@ -109,11 +109,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Sum(now)
+	return l.known.Checksum(now)
 }
 
 // missing returns what to tell an instance that does not know the same.
-func (l *targetLimits) missing(now time.Time, sum uint32, salt uint64) availability.LimitList {
+func (l *targetLimits) missing(now time.Time, sum uint32, salt uint64) availability.RateLimitList {
 	if !l.any.Load() || l.sum(now) == sum {
 		return nil
 	}
@@ -121,25 +121,25 @@
 }
 
 // all returns all limits that are told to others.
-func (l *targetLimits) all(now time.Time) availability.LimitList {
+func (l *targetLimits) all(now time.Time) availability.RateLimitList {
 	return l.some(now, math.MaxInt, 0)
 }
 
 // some returns at most n of the limits that are told to others, drawn by a salt.
-func (l *targetLimits) some(now time.Time, n int, salt uint64) availability.LimitList {
+func (l *targetLimits) some(now time.Time, n int, salt uint64) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Some(now, n, salt)
+	return l.known.Sample(now, n, salt)
 }
 
 // expire forgets what is no longer remembered, and returns the limits that ended by that.
-func (l *targetLimits) expire(now time.Time) availability.LimitList {
+func (l *targetLimits) expire(now time.Time) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.note()
-	var ended availability.LimitList
+	var ended availability.RateLimitList
 	for _, id := range l.known.Expire(now) {
-		ended = append(ended, availability.Limit{ID: id, Ended: true})
+		ended = append(ended, availability.RateLimit{ID: id, Removed: true})
 	}
 	return ended
 }
@@ -147,12 +147,12 @@
 // hearLimit takes in what a target said in an answer of how much it takes, and has all instances
 // know.
 func (g *Gateway) hearLimit(d upstream.Decision, a forward.Attempt) {
-	if !a.Target.Word.Limited && !g.targetLimits.any.Load() {
+	if !a.Target.Word.HasLimit && !g.targetLimits.any.Load() {
 		return
 	}
 	now := g.clock.Now()
 	fresh, first := g.targetLimits.hear(now, d.Sent.At, availability.IDOf(d.Target.ID), a.Target)
-	g.putLimits(now, fresh, availability.SourceWord)
+	g.putLimits(now, fresh, availability.SourceTarget)
 	if first {
 		time.AfterFunc(rand.N(limitsPause), g.tellLimits)
 	}
@@ -167,7 +167,7 @@
 }
 
 // hearLimits takes in what other instances have found out.
-func (g *Gateway) hearLimits(now time.Time, told availability.LimitList) {
+func (g *Gateway) hearLimits(now time.Time, told availability.RateLimitList) {
 	if len(told) == 0 {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // putLimits puts limits in force.
-func (g *Gateway) putLimits(now time.Time, fresh availability.LimitList, source availability.Source) {
+func (g *Gateway) putLimits(now time.Time, fresh availability.RateLimitList, source availability.Source) {
 	if len(fresh) == 0 {
 		return
 	}
@@ -202,6 +202,6 @@
 // expireLimits forgets limits that nobody has heard of for long.
 func (g *Gateway) expireLimits(now time.Time) {
 	if g.targetLimits.any.Load() {
-		g.putLimits(now, g.targetLimits.expire(now), availability.SourceOwn)
+		g.putLimits(now, g.targetLimits.expire(now), availability.SourceLocal)
 	}
 }
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -28,13 +28,13 @@
 func (g *Gateway) askTrial(ex *exchange, d quarantine.Digest) (granted bool, next time.Time) {
 	now := g.clock.Now()
 	standing, _ := g.holds.standing(now, d)
-	warden := g.wardenOf(now, d, standing.Failed > 0)
+	warden := g.wardenOf(now, d, standing.FailedTrials > 0)
 	ex.warden = warden
 	until := ex.deadline.Add(lateMargin)
 	if warden.Name == g.config.Name {
 		g.holds.mu.Lock()
 		defer g.holds.mu.Unlock()
-		return g.holds.warden.Ask(now, &g.holds.table, d, g.config.Name, until)
+		return g.holds.warden.Acquire(now, &g.holds.table, d, g.config.Name, until)
 	}
 	wait := make(chan trialAnswer, 1)
 	g.holds.mu.Lock()
@@ -43,7 +43,7 @@
 		return false, now.Add(defaultRetryAfter)
 	}
 	g.holds.trials[d] = wait
-	news := g.holds.table.About(now, d)
+	news := g.holds.table.Updates(now, d)
 	g.holds.mu.Unlock()
 	defer g.endQuestion(d)
 	g.mesh.Send(warden.PeerAddr, &peer.TrialAsk{Digest: d, From: g.config.Name, ReplyTo: g.view.Self().PeerAddr, For: until.Sub(now), News: news})
@@ -88,7 +88,7 @@
 			names = append(names, name)
 		}
 	}
-	name := quarantine.Choose(d, names)
+	name := quarantine.CoordinatorFor(d, names)
 	if name == g.config.Name {
 		return g.view.Self()
 	}
@@ -136,7 +136,7 @@
 func (g *Gateway) trialDone(d quarantine.Digest, from string, answered bool) {
 	now := g.clock.Now()
 	g.holds.mu.Lock()
-	acquitted := g.holds.warden.Done(&g.holds.table, now, d, from, answered)
+	acquitted := g.holds.warden.Release(&g.holds.table, now, d, from, answered)
 	g.holds.mu.Unlock()
 	if !acquitted {
 		return
@@ -157,7 +157,7 @@
 	defer g.holds.mu.Unlock()
 	g.holds.table.Merge(now, m.News)
 	g.holds.note()
-	granted, next := g.holds.warden.Ask(now, &g.holds.table, m.Digest, m.From, now.Add(m.For))
+	granted, next := g.holds.warden.Acquire(now, &g.holds.table, m.Digest, m.From, now.Add(m.For))
 	answer := &peer.TrialAnswer{Digest: m.Digest, Granted: granted}
 	if !granted {
 		answer.Wait = next.Sub(now)
--- a/peer/message.go
+++ b/peer/message.go
@@ -114,16 +114,16 @@
 	Unheard bool `msgpack:"h,omitempty"`
 	// News are of requests under which targets have ended, and NewsSum is the same for
 	// instances that know the same of those that are held back.
-	News    quarantine.News `msgpack:"e,omitempty"`
-	NewsSum uint32          `msgpack:"s,omitempty"`
+	News    quarantine.Updates `msgpack:"e,omitempty"`
+	NewsSum uint32             `msgpack:"s,omitempty"`
 	// Departures are targets that have said themselves that they leave, and DeparturesSum
 	// is the same for instances that know of the same ones.
 	Departures    availability.DepartureList `msgpack:"d,omitempty"`
 	DeparturesSum uint32                     `msgpack:"c,omitempty"`
 	// Limits are what targets have named of how much they take, and LimitsSum is the same for
 	// instances that know the same.
-	Limits    availability.LimitList `msgpack:"t,omitempty"`
-	LimitsSum uint32                 `msgpack:"q,omitempty"`
+	Limits    availability.RateLimitList `msgpack:"t,omitempty"`
+	LimitsSum uint32                     `msgpack:"q,omitempty"`
 	// Stages are those of rollouts that go on.
 	Stages []rollout.Stage `msgpack:"g,omitempty"`
 	// Until is the last member of the region that the receiver has to pass News, Departures, Limits
@@ -142,7 +142,7 @@
 	// For is how long the trial takes at most.
 	For time.Duration `msgpack:"t"`
 	// News are what the asker knows of the request.
-	News quarantine.News `msgpack:"e,omitempty"`
+	News quarantine.Updates `msgpack:"e,omitempty"`
 	// Done says that the asker's trial has ended, and Answered that a target has answered.
 	Done     bool `msgpack:"o,omitempty"`
 	Answered bool `msgpack:"w,omitempty"`
@@ -200,8 +200,8 @@
 	// Lend says that the asker owns the part of another domain.
 	Lend bool `msgpack:"l,omitempty"`
 	// Target says that it is about a target's limit, and Limits is what the asker knows of it.
-	Target bool                   `msgpack:"g,omitempty"`
-	Limits availability.LimitList `msgpack:"v,omitempty"`
+	Target bool                       `msgpack:"g,omitempty"`
+	Limits availability.RateLimitList `msgpack:"v,omitempty"`
 }
 
 // PermitIssue answers a PermitAsk.
@@ -212,8 +212,8 @@
 	Issue   ratelimit.Issue `msgpack:"i"`
 	Lend    bool            `msgpack:"l,omitempty"`
 	// Target says that it is about a target's limit, and Limits is what the owner knows of it.
-	Target bool                   `msgpack:"g,omitempty"`
-	Limits availability.LimitList `msgpack:"v,omitempty"`
+	Target bool                       `msgpack:"g,omitempty"`
+	Limits availability.RateLimitList `msgpack:"v,omitempty"`
 }
 
 // NewObject returns the message that passes obj on.
--- a/quarantine/account_model_test.go
+++ b/quarantine/account_model_test.go
@@ -10,67 +10,67 @@
 	"github.com/stretchr/testify/require"
 )
 
-// floodCase is one setting of the model of floods: one account sends requests that are all
+// accountModelCase is one setting of the model of floods: one account sends requests that are all
 // different, each of which ends the target that runs it, to instances that tell each other.
-type floodCase struct {
-	instances int
-	news      time.Duration
-	perSecond float64
-	// good is the part of the requests that are answered instead, none of them before.
-	good float64
-	// unflagged has no account flagged, free has its requests sent as trials without a
-	// warden's leave, and restless has instances ask the warden during the pause after a
+type accountModelCase struct {
+	instances    int
+	messageDelay time.Duration
+	perSecond    float64
+	// harmlessShare is the part of the requests that are answered instead, none of them before.
+	harmlessShare float64
+	// noFlagging has no account flagged, noCoordinator has its requests sent as trials without a
+	// warden's leave, and noLocalBackoff has instances ask the warden during the pause after a
 	// failed trial.
-	unflagged, free, restless bool
+	noFlagging, noCoordinator, noLocalBackoff bool
 }
 
-// floodModel plays one setting and counts the targets that end.
-type floodModel struct {
-	floodCase
-	rnd       *rand.Rand
-	now       time.Duration
-	queue     modelQueue
-	tables    []Table
-	lookedAt  []time.Duration
-	warden    Warden
-	down      map[int]time.Duration
-	sent      int
-	ends      int
-	goodSent  int
-	answered  int
-	newsBytes int
+// accountModel plays one setting and counts the targets that end.
+type accountModel struct {
+	accountModelCase
+	rnd          *rand.Rand
+	now          time.Duration
+	queue        modelQueue
+	tables       []Table
+	flaggedAt    []time.Duration
+	coordinator  TrialCoordinator
+	downUntil    map[int]time.Duration
+	sent         int
+	crashes      int
+	harmlessSent int
+	answered     int
+	updateBytes  int
 }
 
-// floodModelTime is how long a flood lasts in the model, and floodModelLook the time between two
+// accountModelTime is how long a flood lasts in the model, and accountModelFlagInterval the time between two
 // looks of an instance for accounts to flag.
 const (
-	floodModelTime = 14 * time.Second
-	floodModelLook = 250 * time.Millisecond
+	accountModelTime         = 14 * time.Second
+	accountModelFlagInterval = 250 * time.Millisecond
 )
 
-const flooder = "ada"
+const crashingAccount = "ada"
 
-func (m *floodModel) clock() time.Time { return after(m.now) }
+func (m *accountModel) clock() time.Time { return after(m.now) }
 
-func (m *floodModel) at(delay time.Duration, do func()) {
+func (m *accountModel) at(delay time.Duration, do func()) {
 	heap.Push(&m.queue, modelEvent{at: m.now + delay, do: do})
 }
 
-func (m *floodModel) delay() time.Duration {
-	return time.Duration((0.5 + m.rnd.Float64()) * float64(m.news))
+func (m *accountModel) delay() time.Duration {
+	return time.Duration((0.5 + m.rnd.Float64()) * float64(m.messageDelay))
 }
 
-func (m *floodModel) play() {
+func (m *accountModel) run() {
 	m.tables = make([]Table, m.instances)
-	m.lookedAt = make([]time.Duration, m.instances)
-	m.down = make(map[int]time.Duration)
+	m.flaggedAt = make([]time.Duration, m.instances)
+	m.downUntil = make(map[int]time.Duration)
 	var arrive func()
 	arrive = func() {
 		m.arrive(m.rnd.IntN(m.instances))
 		m.at(time.Duration(float64(time.Second)/m.perSecond), arrive)
 	}
 	m.at(0, arrive)
-	for len(m.queue) > 0 && m.now < floodModelTime {
+	for len(m.queue) > 0 && m.now < accountModelTime {
 		e := heap.Pop(&m.queue).(modelEvent)
 		m.now = e.at
 		e.do()
@@ -78,102 +78,102 @@
 }
 
 // arrive has an instance decide on a request that nobody has sent before.
-func (m *floodModel) arrive(i int) {
+func (m *accountModel) arrive(i int) {
 	m.sent++
-	d := Content{Account: flooder, URI: fmt.Sprint(m.sent)}.Digest()
-	good := m.rnd.Float64() < m.good
+	d := Content{Account: crashingAccount, URI: fmt.Sprint(m.sent)}.Digest()
+	good := m.rnd.Float64() < m.harmlessShare
 	if good {
-		m.goodSent++
+		m.harmlessSent++
 	}
-	account := AccountDigest(flooder)
-	standing := m.tables[i].Standing(m.clock(), account)
+	account := AccountDigest(crashingAccount)
+	standing := m.tables[i].Status(m.clock(), account)
 	switch {
-	case standing.Verdict == Free:
+	case standing.Verdict == Allowed:
 		m.send(i, d, good, modelAttempts, false)
-	case standing.Verdict == Held && !m.restless:
-	case m.free:
+	case standing.Verdict == Held && !m.noLocalBackoff:
+	case m.noCoordinator:
 		m.send(i, d, good, 1, true)
 	default:
-		m.at(m.delay(), func() { m.ask(i, d, account, good) })
+		m.at(m.delay(), func() { m.acquire(i, d, account, good) })
 	}
 }
 
-// ask asks the warden of the account whether a request may be sent.
-func (m *floodModel) ask(i int, d, account Digest, good bool) {
+// acquire asks the warden of the account whether a request may be sent.
+func (m *accountModel) acquire(i int, d, account Digest, good bool) {
 	name := fmt.Sprint(i)
-	granted, _ := m.warden.Ask(m.clock(), &m.tables[0], account, name, after(m.now+3*time.Second))
+	granted, _ := m.coordinator.Acquire(m.clock(), &m.tables[0], account, name, after(m.now+3*time.Second))
 	if granted {
 		m.at(m.delay(), func() { m.send(i, d, good, 1, true) })
 	}
 }
 
 // send has some target run a request, and another one if that ends and attempts are left.
-func (m *floodModel) send(i int, d Digest, good bool, attempts int, trial bool) {
-	target := m.pick()
+func (m *accountModel) send(i int, d Digest, good bool, attempts int, trial bool) {
+	target := m.pickTarget()
 	if target < 0 {
 		return
 	}
-	m.at(modelRun, func() {
+	m.at(modelServiceTime, func() {
 		if good {
 			m.answered++
-			m.tables[i].Answered(m.clock(), d)
-			m.done(i, trial)
+			m.tables[i].RecordAnswer(m.clock(), d)
+			m.release(i, trial)
 			return
 		}
-		generation := m.down[target]
+		generation := m.downUntil[target]
 		if m.now >= generation {
-			m.ends++
-			m.down[target] = m.now + modelRevive
+			m.crashes++
+			m.downUntil[target] = m.now + modelRestartTime
 		}
-		m.learn(i, d, TargetOf(fmt.Sprint(target, "#", m.down[target])), trial)
+		m.recordCrash(i, d, TargetIDOf(fmt.Sprint(target, "#", m.downUntil[target])), trial)
 		if attempts > 1 {
 			m.send(i, d, good, attempts-1, trial)
 		}
 	})
 }
 
-// done tells the warden that a trial was answered.
-func (m *floodModel) done(i int, trial bool) {
+// release tells the warden that a trial was answered.
+func (m *accountModel) release(i int, trial bool) {
 	if !trial {
 		return
 	}
 	m.at(m.delay(), func() {
-		account := AccountDigest(flooder)
-		if m.warden.Done(&m.tables[0], m.clock(), account, fmt.Sprint(i), true) {
-			m.tell(0, account)
+		account := AccountDigest(crashingAccount)
+		if m.coordinator.Release(&m.tables[0], m.clock(), account, fmt.Sprint(i), true) {
+			m.broadcast(0, account)
 		}
 	})
 }
 
-func (m *floodModel) pick() int {
+func (m *accountModel) pickTarget() int {
 	first := m.rnd.IntN(modelTargets)
 	for k := range modelTargets {
 		target := (first + k) % modelTargets
-		if m.now >= m.down[target] {
+		if m.now >= m.downUntil[target] {
 			return target
 		}
 	}
 	return -1
 }
 
-// learn has an instance note an end, look for accounts to flag, and tell all others.
-func (m *floodModel) learn(i int, d Digest, target Target, trial bool) {
+// recordCrash has an instance note an end, look for accounts to flag, and tell all others.
+func (m *accountModel) recordCrash(i int, d Digest, target TargetID, trial bool) {
 	t := &m.tables[i]
-	t.Ended(m.clock(), d, flooder, target, false)
+	t.RecordCrash(m.clock(), d, crashingAccount, target, false)
 	told := []Digest{d}
 	if trial {
-		t.Ended(m.clock(), AccountDigest(flooder), flooder, target, true)
-		told = append(told, AccountDigest(flooder))
+		t.RecordCrash(m.clock(), AccountDigest(crashingAccount), crashingAccount, target, true)
+		told = append(told, AccountDigest(crashingAccount))
 	}
-	if !m.unflagged && (m.lookedAt[i] == 0 || m.now-m.lookedAt[i] >= floodModelLook) {
-		m.lookedAt[i] = m.now
-		told = append(told, t.Flag(m.clock(), nobody)...)
+	if !m.noFlagging && (m.flaggedAt[i] == 0 || m.now-m.flaggedAt[i] >= accountModelFlagInterval) {
+		m.flaggedAt[i] = m.now
+		told = append(told, t.FlagAccounts(m.clock(), trustNone)...)
 	}
-	m.tell(i, told...)
+	m.broadcast(i, told...)
 }
 
-func (m *floodModel) tell(i int, digests ...Digest) {
-	news := m.tables[i].About(m.clock(), digests...)
+func (m *accountModel) broadcast(i int, digests ...Digest) {
+	news := m.tables[i].Updates(m.clock(), digests...)
 	raw, err := news.MarshalBinary()
 	if err != nil {
 		panic(err)
@@ -182,38 +182,38 @@
 		if j == i {
 			continue
 		}
-		m.newsBytes += len(raw)
+		m.updateBytes += len(raw)
 		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), news) })
 	}
 }
 
-// TestFloodModel plays 14 s of floods at fleets of several sizes, and checks that few targets end.
+// TestAccountModel plays 14 s of floods at fleets of several sizes, and checks that few targets end.
 // Each way is switched off in turn, for what it is worth.
-func TestFloodModel(t *testing.T) {
+func TestAccountModel(t *testing.T) {
 	const far, most = 60 * time.Millisecond, 30
 	for _, c := range []struct {
 		name string
-		floodCase
+		accountModelCase
 		most int
 	}{
-		{"12 instances", floodCase{instances: 12, news: far, perSecond: 10}, most},
-		{"300 instances", floodCase{instances: 300, news: 2 * far, perSecond: 10}, most},
-		{"730 instances", floodCase{instances: 730, news: 2 * far, perSecond: 10}, most},
-		{"12, half of them good", floodCase{instances: 12, news: far, perSecond: 20, good: 0.5}, 0},
-		{"12, 50 a second", floodCase{instances: 12, news: far, perSecond: 50}, 0},
-		{"12, no account flagged", floodCase{instances: 12, news: far, perSecond: 10, unflagged: true}, 0},
-		{"12, no warden", floodCase{instances: 12, news: far, perSecond: 10, free: true}, 0},
-		{"12, no pauses kept by who asks", floodCase{instances: 12, news: far, perSecond: 10, restless: true}, 0},
+		{"12 instances", accountModelCase{instances: 12, messageDelay: far, perSecond: 10}, most},
+		{"300 instances", accountModelCase{instances: 300, messageDelay: 2 * far, perSecond: 10}, most},
+		{"730 instances", accountModelCase{instances: 730, messageDelay: 2 * far, perSecond: 10}, most},
+		{"12, half of them good", accountModelCase{instances: 12, messageDelay: far, perSecond: 20, harmlessShare: 0.5}, 0},
+		{"12, 50 a second", accountModelCase{instances: 12, messageDelay: far, perSecond: 50}, 0},
+		{"12, no account flagged", accountModelCase{instances: 12, messageDelay: far, perSecond: 10, noFlagging: true}, 0},
+		{"12, no warden", accountModelCase{instances: 12, messageDelay: far, perSecond: 10, noCoordinator: true}, 0},
+		{"12, no pauses kept by who asks", accountModelCase{instances: 12, messageDelay: far, perSecond: 10, noLocalBackoff: true}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ends, worst, bytes, goodSent, answered := 0, 0, 0, 0, 0
 			const seeds = 5
 			for seed := range uint64(seeds) {
-				m := &floodModel{floodCase: c.floodCase, rnd: rand.New(rand.NewPCG(seed, 13))}
-				m.play()
-				ends += m.ends
-				goodSent, answered = goodSent+m.goodSent, answered+m.answered
-				worst, bytes = max(worst, m.ends), max(bytes, m.newsBytes/c.instances)
+				m := &accountModel{accountModelCase: c.accountModelCase, rnd: rand.New(rand.NewPCG(seed, 13))}
+				m.run()
+				ends += m.crashes
+				goodSent, answered = goodSent+m.harmlessSent, answered+m.answered
+				worst, bytes = max(worst, m.crashes), max(bytes, m.updateBytes/c.instances)
 			}
 			t.Logf("%.1f targets ended, %d at worst; %d of %d good ones answered; %d bytes of news an instance", float64(ends)/seeds, worst, answered, goodSent, bytes)
 			if c.most > 0 {
--- a/quarantine/accounts_test.go
+++ b/quarantine/accounts_test.go
@@ -9,24 +9,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// floodEvent has a target end under different requests of some accounts, which come again
+// addCrashes has a target end under different requests of some accounts, which come again
 // unanswered or are answered.
-func floodEvent(t *Table, at time.Time, target int, accounts ...string) {
+func addCrashes(t *Table, at time.Time, target int, accounts ...string) {
 	for _, account := range accounts {
 		d := Content{Account: account, URI: fmt.Sprint("/", account, "/", target, "/", at.UnixNano())}.Digest()
-		t.Ended(at, d, account, Target(target), false)
+		t.RecordCrash(at, d, account, TargetID(target), false)
 	}
 }
 
-// modelBusy is the part of the ended targets at which the busiest innocent account has a request.
-const modelBusy = 0.6
+// busiestShare is the part of the ended targets at which the busiest innocent account has a request.
+const busiestShare = 0.6
 
-// nobody is sound.
-func nobody(uint32) bool { return false }
+// trustNone is sound.
+func trustNone(uint32) bool { return false }
 
-// TestFlag checks what flags an account: enough targets that end under enough of its different
+// TestFlagAccounts checks what flags an account: enough targets that end under enough of its different
 // requests, at enough moments, of which none was answered.
-func TestFlag(t *testing.T) {
+func TestFlagAccounts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		bring func(t *Table)
@@ -34,41 +34,41 @@
 	}{
 		{"a flood", func(t *Table) {
 			for i := range 4 {
-				floodEvent(t, after(time.Duration(i)*300*time.Millisecond), i, "ada")
+				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, "ada")
 			}
 		}, []string{"ada"}},
 		{"too few targets", func(t *Table) {
 			for i := range 3 {
-				floodEvent(t, after(time.Duration(i)*300*time.Millisecond), i, "ada")
+				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, "ada")
 			}
 		}, nil},
 		{"together", func(t *Table) {
 			for i := range 20 {
-				floodEvent(t, after(time.Duration(i)*5*time.Millisecond), i, "ada")
+				addCrashes(t, after(time.Duration(i)*5*time.Millisecond), i, "ada")
 			}
 		}, nil},
 		{"one request", func(t *Table) {
 			d := Content{Account: "ada", URI: "/"}.Digest()
 			for i := range 6 {
-				t.Ended(after(time.Duration(i)*300*time.Millisecond), d, "ada", Target(i), false)
+				t.RecordCrash(after(time.Duration(i)*300*time.Millisecond), d, "ada", TargetID(i), false)
 			}
 		}, nil},
 		{"answered", func(t *Table) {
 			for i := range 6 {
 				at := after(time.Duration(i) * 300 * time.Millisecond)
 				d := Content{Account: "ada", URI: fmt.Sprint(i)}.Digest()
-				t.Ended(at, d, "ada", Target(i), false)
-				t.Answered(at.Add(time.Millisecond), d)
+				t.RecordCrash(at, d, "ada", TargetID(i), false)
+				t.RecordAnswer(at.Add(time.Millisecond), d)
 			}
 		}, nil},
 		{"long ago", func(t *Table) {
 			for i := range 6 {
-				floodEvent(t, after(time.Duration(i)*300*time.Millisecond-2*floodWindow), i, "ada")
+				addCrashes(t, after(time.Duration(i)*300*time.Millisecond-2*flagWindow), i, "ada")
 			}
 		}, nil},
 		{"without an account", func(t *Table) {
 			for i := range 6 {
-				floodEvent(t, after(time.Duration(i)*300*time.Millisecond), i, "")
+				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, "")
 			}
 		}, nil},
 		{"another account at most of them", func(t *Table) {
@@ -77,7 +77,7 @@
 				if i != 3 {
 					accounts = append(accounts, "ben")
 				}
-				floodEvent(t, after(time.Duration(i)*300*time.Millisecond), i, accounts...)
+				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, accounts...)
 			}
 		}, []string{"ada"}},
 		{"crashes in waves", func(t *Table) {
@@ -86,12 +86,12 @@
 				if i%6 == 0 {
 					accounts = append(accounts, "ada")
 				}
-				floodEvent(t, after(time.Duration(i/16)*1500*time.Millisecond+time.Duration(i%16)*40*time.Millisecond), i, append(accounts, fmt.Sprint("account-", i))...)
+				addCrashes(t, after(time.Duration(i/16)*1500*time.Millisecond+time.Duration(i%16)*40*time.Millisecond), i, append(accounts, fmt.Sprint("account-", i))...)
 			}
 		}, nil},
 		{"two floods", func(t *Table) {
 			for i := range 8 {
-				floodEvent(t, after(time.Duration(i)*300*time.Millisecond), i, []string{"ada", "cem"}[i%2])
+				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, []string{"ada", "cem"}[i%2])
 			}
 		}, []string{"ada", "cem"}},
 	} {
@@ -99,62 +99,62 @@
 			var table Table
 			c.bring(&table)
 			now := after(3 * time.Second)
-			flagged := table.Flag(now, nobody)
+			flagged := table.FlagAccounts(now, trustNone)
 			var want []Digest
 			for _, account := range c.want {
 				want = append(want, AccountDigest(account))
-				require.Equal(t, Suspect, table.Standing(now, AccountDigest(account)).Verdict)
+				require.Equal(t, Suspect, table.Status(now, AccountDigest(account)).Verdict)
 			}
 			require.ElementsMatch(t, want, flagged)
-			require.Equal(t, Free, table.Standing(now, AccountDigest("ben")).Verdict)
+			require.Equal(t, Allowed, table.Status(now, AccountDigest("ben")).Verdict)
 		})
 	}
 }
 
-// TestFlaggedAccountIsTried checks the pauses after failed trials, and that three answered ones in a
+// TestFlaggedAccountTrials checks the pauses after failed trials, and that three answered ones in a
 // row free the account at all instances, and what ended before does not count again.
-func TestFlaggedAccountIsTried(t *testing.T) {
+func TestFlaggedAccountTrials(t *testing.T) {
 	var table Table
-	var warden Warden
+	var warden TrialCoordinator
 	for i := range 5 {
-		floodEvent(&table, after(time.Duration(i)*300*time.Millisecond), i, "ada")
+		addCrashes(&table, after(time.Duration(i)*300*time.Millisecond), i, "ada")
 	}
 	now := after(2 * time.Second)
-	table.Flag(now, nobody)
+	table.FlagAccounts(now, trustNone)
 	d := AccountDigest("ada")
 	for i, pause := range []time.Duration{1, 2, 4, 8, 16, 30, 30} {
-		granted, _ := warden.Ask(now, &table, d, "n1", now.Add(time.Second))
+		granted, _ := warden.Acquire(now, &table, d, "n1", now.Add(time.Second))
 		require.True(t, granted)
-		table.Ended(now, d, "ada", Target(100+i), true)
-		granted, next := warden.Ask(now, &table, d, "n1", now.Add(time.Second))
+		table.RecordCrash(now, d, "ada", TargetID(100+i), true)
+		granted, next := warden.Acquire(now, &table, d, "n1", now.Add(time.Second))
 		require.False(t, granted)
-		if i >= mostEnds {
+		if i >= maxCrashes {
 			// No more are remembered than that.
-			require.Equal(t, longFloodPause, next.Sub(now))
+			require.Equal(t, maxAccountTrialBackoff, next.Sub(now))
 			break
 		}
 		require.Equal(t, pause*time.Second, next.Sub(now))
 		now = next
 	}
-	now = now.Add(longFloodPause)
-	for i := range acquittal {
-		granted, _ := warden.Ask(now, &table, d, "n1", now.Add(time.Second))
+	now = now.Add(maxAccountTrialBackoff)
+	for i := range answersToClear {
+		granted, _ := warden.Acquire(now, &table, d, "n1", now.Add(time.Second))
 		require.True(t, granted)
-		require.Equal(t, i == acquittal-1, warden.Done(&table, now, d, "n1", true))
+		require.Equal(t, i == answersToClear-1, warden.Release(&table, now, d, "n1", true))
 		now = now.Add(time.Second)
 	}
-	require.Equal(t, Free, table.Standing(now, d).Verdict)
-	require.Empty(t, table.Flag(now, nobody))
+	require.Equal(t, Allowed, table.Status(now, d).Verdict)
+	require.Empty(t, table.FlagAccounts(now, trustNone))
 	var other Table
-	other.Merge(now, table.About(now, d))
-	require.Equal(t, Free, other.Standing(now, d).Verdict)
+	other.Merge(now, table.Updates(now, d))
+	require.Equal(t, Allowed, other.Status(now, d).Verdict)
 }
 
-// TestFloodsAmongManyAccounts has three of a hundred accounts flood, each target's end also
+// TestFlagAmongManyAccounts has three of a hundred accounts flood, each target's end also
 // breaking off unanswered requests of some of the others, more of the busier ones, of which the
 // busiest are known to be answered as a rule. It checks that just the three are flagged, within a
 // few seconds.
-func TestFloodsAmongManyAccounts(t *testing.T) {
+func TestFlagAmongManyAccounts(t *testing.T) {
 	busiest := make(map[uint32]bool)
 	for i := range 12 {
 		busiest[AccountHash(fmt.Sprint("account-", i))] = true
@@ -170,13 +170,13 @@
 				target++
 				accounts := []string{fmt.Sprint("flood-", flooder)}
 				for i := range 97 {
-					if rnd.Float64() < modelBusy/float64(1+i/4) {
+					if rnd.Float64() < busiestShare/float64(1+i/4) {
 						accounts = append(accounts, fmt.Sprint("account-", i))
 					}
 				}
-				floodEvent(&table, after(time.Duration(ms)*time.Millisecond+time.Duration(flooder)), target, accounts...)
+				addCrashes(&table, after(time.Duration(ms)*time.Millisecond+time.Duration(flooder)), target, accounts...)
 			}
-			for _, d := range table.Flag(after(time.Duration(ms)*time.Millisecond), sound) {
+			for _, d := range table.FlagAccounts(after(time.Duration(ms)*time.Millisecond), sound) {
 				flagged[d] = true
 			}
 			if ms == 3_000 {
@@ -189,14 +189,14 @@
 	}
 }
 
-// BenchmarkFlag measures a look for accounts to flag at a full table of a hundred accounts.
-func BenchmarkFlag(b *testing.B) {
+// BenchmarkFlagAccounts measures a look for accounts to flag at a full table of a hundred accounts.
+func BenchmarkFlagAccounts(b *testing.B) {
 	var table Table
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for i := range maxRecords {
-		floodEvent(&table, after(time.Duration(i)*time.Millisecond), i/8, fmt.Sprint("account-", rnd.IntN(100)))
+		addCrashes(&table, after(time.Duration(i)*time.Millisecond), i/8, fmt.Sprint("account-", rnd.IntN(100)))
 	}
 	for b.Loop() {
-		table.Flag(after(3*time.Second), nobody)
+		table.FlagAccounts(after(3*time.Second), trustNone)
 	}
 }
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -6,95 +6,95 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Warden grants the trials of the requests that one instance looks after, one at a time for
+// TrialCoordinator grants the trials of the requests that one instance looks after, one at a time for
 // each. It is not safe for concurrent use.
-type Warden struct {
-	grants map[Digest]grant
-	// answers are the trials of accounts that were answered one after the other.
-	answers map[Digest]answers
+type TrialCoordinator struct {
+	leases map[Digest]trialLease
+	// streaks are the trials of accounts that were answered one after the other.
+	streaks map[Digest]answerStreak
 }
 
-// answers are answered trials since the last failed one.
-type answers struct {
-	count  int
-	failed int
-	last   time.Time
+// answerStreak are answered trials since the last failed one.
+type answerStreak struct {
+	count        int
+	failedTrials int
+	last         time.Time
 }
 
-// grant is a trial that is under way.
-type grant struct {
-	to string
-	// until is when it has ended at the latest.
-	until time.Time
-	// failed is the number of failed trials before it.
-	failed int
+// trialLease is a trial that is under way.
+type trialLease struct {
+	holder string
+	// expiresAt is when it has ended at the latest.
+	expiresAt time.Time
+	// failedTrials is the number of failedTrials trials before it.
+	failedTrials int
 }
 
-// againPause is when another instance is told to ask again while a trial is under way: an
+// leaseRetryDelay is when another instance is told to ask again while a trial is under way: an
 // answer mostly comes within that time.
-const againPause = 500 * time.Millisecond
+const leaseRetryDelay = 500 * time.Millisecond
 
-// Ask decides whether an instance may send a request as a trial, which takes at most until
+// Acquire decides whether an instance may send a request as a trial, which takes at most until
 // a time. If not, it returns when there may be another one.
-func (w *Warden) Ask(now time.Time, t *Table, d Digest, from string, until time.Time) (granted bool, next time.Time) {
-	s := t.Standing(now, d)
+func (w *TrialCoordinator) Acquire(now time.Time, t *Table, d Digest, from string, until time.Time) (granted bool, next time.Time) {
+	s := t.Status(now, d)
 	if s.Verdict == Held {
 		return false, s.Until
 	}
-	if g, ok := w.grants[d]; ok && s.Verdict == Suspect && now.Before(g.until) && s.Failed == g.failed {
-		return false, now.Add(againPause)
+	if g, ok := w.leases[d]; ok && s.Verdict == Suspect && now.Before(g.expiresAt) && s.FailedTrials == g.failedTrials {
+		return false, now.Add(leaseRetryDelay)
 	}
-	if w.grants == nil {
-		w.grants = make(map[Digest]grant)
+	if w.leases == nil {
+		w.leases = make(map[Digest]trialLease)
 	}
-	w.grants[d] = grant{to: from, until: until, failed: s.Failed}
+	w.leases[d] = trialLease{holder: from, expiresAt: until, failedTrials: s.FailedTrials}
 	return true, time.Time{}
 }
 
-// Done ends a trial that did not end its target, and tells whether it was answered. It reports
+// Release ends a trial that did not end its target, and tells whether it was answered. It reports
 // whether that frees an account.
-func (w *Warden) Done(t *Table, now time.Time, d Digest, from string, answered bool) bool {
-	if w.grants[d].to != from {
+func (w *TrialCoordinator) Release(t *Table, now time.Time, d Digest, from string, answered bool) bool {
+	if w.leases[d].holder != from {
 		return false
 	}
-	failed := w.grants[d].failed
-	delete(w.grants, d)
+	failed := w.leases[d].failedTrials
+	delete(w.leases, d)
 	if !answered || !d.IsAccount() {
 		return false
 	}
-	if w.answers == nil {
-		w.answers = make(map[Digest]answers)
+	if w.streaks == nil {
+		w.streaks = make(map[Digest]answerStreak)
 	}
-	a := w.answers[d]
-	if a.failed != failed {
-		a = answers{failed: failed}
+	a := w.streaks[d]
+	if a.failedTrials != failed {
+		a = answerStreak{failedTrials: failed}
 	}
 	a.count, a.last = a.count+1, now
-	w.answers[d] = a
-	if a.count < acquittal {
+	w.streaks[d] = a
+	if a.count < answersToClear {
 		return false
 	}
-	delete(w.answers, d)
-	return t.Answered(now, d)
+	delete(w.streaks, d)
+	return t.RecordAnswer(now, d)
 }
 
 // Expire forgets trials that have ended.
-func (w *Warden) Expire(now time.Time) {
-	for d, g := range w.grants {
-		if !now.Before(g.until) {
-			delete(w.grants, d)
+func (w *TrialCoordinator) Expire(now time.Time) {
+	for d, g := range w.leases {
+		if !now.Before(g.expiresAt) {
+			delete(w.leases, d)
 		}
 	}
-	for d, a := range w.answers {
-		if now.Sub(a.last) >= floodLife {
-			delete(w.answers, d)
+	for d, a := range w.streaks {
+		if now.Sub(a.last) >= flagTTL {
+			delete(w.streaks, d)
 		}
 	}
 }
 
-// Choose returns the warden of a request among the instances that can be asked, "" if there
+// CoordinatorFor returns the warden of a request among the instances that can be asked, "" if there
 // are none. All that know the same instances choose the same one.
-func Choose(d Digest, instances []string) string {
+func CoordinatorFor(d Digest, instances []string) string {
 	best, bestHash := "", uint64(0)
 	for _, name := range instances {
 		if hash := mix.Pair(string(d[:]), name); best == "" || hash > bestHash || (hash == bestHash && name < best) {
--- a/quarantine/correlator.go
+++ b/quarantine/correlator.go
@@ -5,108 +5,108 @@
 	"time"
 )
 
-// Broken is a request that was at a target, unanswered, when its connection ended.
-type Broken struct {
+// InterruptedRequest is a request that was at a target, unanswered, when its connection ended.
+type InterruptedRequest struct {
 	Digest  Digest
 	Account string
-	// Trial says that it was a trial of its content, and OfAccount that it was one of the
+	// Trial says that it was a trial of its content, and AccountTrial that it was one of the
 	// unknown requests of its account.
-	Trial, OfAccount bool
+	Trial, AccountTrial bool
 }
 
 const (
-	// doubtLife is how long after a broken connection news of the target's end count for
+	// correlationWindow is how long after a broken connection news of the target's end count for
 	// the requests that it had: an entry is gone five seconds after the target, when
 	// three heartbeats are missing.
-	doubtLife = 10 * time.Second
-	// maxDoubts bounds the broken requests kept for one target.
-	maxDoubts = 64
+	correlationWindow = 10 * time.Second
+	// maxInterrupted bounds the broken requests kept for one target.
+	maxInterrupted = 64
 )
 
-// Witness finds out under which requests targets have ended. A connection that ends says
+// CrashCorrelator finds out under which requests targets have ended. A connection that ends says
 // little: it may have been reset, cut off or forgotten. What was broken off counts once it
 // is known that the target has ended, and not at all if it answers again. The zero value is
 // ready. It is not safe for concurrent use.
-type Witness struct {
-	doubts map[string]*doubt
+type CrashCorrelator struct {
+	pending map[string]*pendingTarget
 }
 
-// doubt is what is known of one target at which requests have broken.
-type doubt struct {
-	since  time.Time
-	broken []Broken
-	ended  bool
-	asked  bool
+// pendingTarget is what is known of one target at which requests have broken.
+type pendingTarget struct {
+	since          time.Time
+	interrupted    []InterruptedRequest
+	crashed        bool
+	checkRequested bool
 }
 
-// Broke notes that a request was broken off at a target. It returns those that are known to
+// RequestInterrupted notes that a request was broken off at a target. It returns those that are known to
 // have been there when the target ended, and whether it has to be found out if it has.
-func (w *Witness) Broke(now time.Time, target string, b Broken) (ended []Broken, ask bool) {
-	d := w.doubts[target]
-	if d == nil || now.Sub(d.since) >= doubtLife {
-		if w.doubts == nil {
-			w.doubts = make(map[string]*doubt)
+func (w *CrashCorrelator) RequestInterrupted(now time.Time, target string, b InterruptedRequest) (ended []InterruptedRequest, ask bool) {
+	d := w.pending[target]
+	if d == nil || now.Sub(d.since) >= correlationWindow {
+		if w.pending == nil {
+			w.pending = make(map[string]*pendingTarget)
 		}
-		d = &doubt{since: now}
-		w.doubts[target] = d
+		d = &pendingTarget{since: now}
+		w.pending[target] = d
 	}
-	if d.ended {
-		return []Broken{b}, false
+	if d.crashed {
+		return []InterruptedRequest{b}, false
 	}
-	ask, d.asked = !d.asked, true
-	if len(d.broken) < maxDoubts && !slices.Contains(d.broken, b) {
-		d.broken = append(d.broken, b)
+	ask, d.checkRequested = !d.checkRequested, true
+	if len(d.interrupted) < maxInterrupted && !slices.Contains(d.interrupted, b) {
+		d.interrupted = append(d.interrupted, b)
 	}
 	return nil, ask
 }
 
-// Ended takes in that a target has ended. It returns the requests that were there.
-func (w *Witness) Ended(now time.Time, target string) []Broken {
-	d := w.doubts[target]
-	if d == nil || d.ended || now.Sub(d.since) >= doubtLife {
+// TargetCrashed takes in that a target has ended. It returns the requests that were there.
+func (w *CrashCorrelator) TargetCrashed(now time.Time, target string) []InterruptedRequest {
+	d := w.pending[target]
+	if d == nil || d.crashed || now.Sub(d.since) >= correlationWindow {
 		return nil
 	}
-	broken := d.broken
-	d.ended, d.broken = true, nil
+	broken := d.interrupted
+	d.crashed, d.interrupted = true, nil
 	return broken
 }
 
-// Lives takes in that a target has answered a request that was sent at a time.
-func (w *Witness) Lives(sent time.Time, target string) {
-	if d := w.doubts[target]; d != nil && !d.ended && d.since.Before(sent) {
-		delete(w.doubts, target)
+// TargetAnswered takes in that a target has answered a request that was sent at a time.
+func (w *CrashCorrelator) TargetAnswered(sent time.Time, target string) {
+	if d := w.pending[target]; d != nil && !d.crashed && d.since.Before(sent) {
+		delete(w.pending, target)
 	}
 }
 
-// Leaves takes in that a target leaves: what it breaks off is its planned end.
-func (w *Witness) Leaves(target string) { delete(w.doubts, target) }
+// TargetLeaving takes in that a target leaves: what it breaks off is its planned end.
+func (w *CrashCorrelator) TargetLeaving(target string) { delete(w.pending, target) }
 
-// Doubts returns the number of targets that may have ended under a request, of which nothing
+// PendingFor returns the number of targets that may have ended under a request, of which nothing
 // is known for certain.
-func (w *Witness) Doubts(digest Digest) int {
+func (w *CrashCorrelator) PendingFor(digest Digest) int {
 	n := 0
-	for _, d := range w.doubts {
-		if slices.ContainsFunc(d.broken, func(b Broken) bool { return b.Digest == digest }) {
+	for _, d := range w.pending {
+		if slices.ContainsFunc(d.interrupted, func(b InterruptedRequest) bool { return b.Digest == digest }) {
 			n++
 		}
 	}
 	return n
 }
 
-// Doubtful tells whether requests have broken at a target of which nothing is known.
-func (w *Witness) Doubtful(target string) bool {
-	d := w.doubts[target]
-	return d != nil && !d.ended
+// IsPending tells whether requests have broken at a target of which nothing is known.
+func (w *CrashCorrelator) IsPending(target string) bool {
+	d := w.pending[target]
+	return d != nil && !d.crashed
 }
 
 // Len returns the number of targets in doubt.
-func (w *Witness) Len() int { return len(w.doubts) }
+func (w *CrashCorrelator) Len() int { return len(w.pending) }
 
 // Expire forgets what counts no more.
-func (w *Witness) Expire(now time.Time) {
-	for target, d := range w.doubts {
-		if now.Sub(d.since) >= doubtLife {
-			delete(w.doubts, target)
+func (w *CrashCorrelator) Expire(now time.Time) {
+	for target, d := range w.pending {
+		if now.Sub(d.since) >= correlationWindow {
+			delete(w.pending, target)
 		}
 	}
 }
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -38,17 +38,17 @@
 	return Digest(h.Sum(sum[:0])[:len(Digest{})])
 }
 
-// shownBytes is how much of a digest is shown: enough to see which requests are alike, and
+// printedBytes is how much of a digest is shown: enough to see which requests are alike, and
 // too little to confirm a guess at a short body.
-const shownBytes = 4
+const printedBytes = 4
 
 // String returns the form of the digest in logs.
 func (d Digest) String() string {
 	if d.IsAccount() {
-		return accountPrefix + hex.EncodeToString(d[len(floodMark):][:shownBytes])
+		return accountStringPrefix + hex.EncodeToString(d[len(accountDigestPrefix):][:printedBytes])
 	}
-	return hex.EncodeToString(d[:shownBytes])
+	return hex.EncodeToString(d[:printedBytes])
 }
 
-// accountPrefix begins the form of digests that stand for accounts.
-const accountPrefix = "account-"
+// accountStringPrefix begins the form of digests that stand for accounts.
+const accountStringPrefix = "account-"
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -13,24 +13,24 @@
 // The model: instances that each hold a table, one caller that repeats a request under which
 // targets end, and news that take a while from instance to instance.
 const (
-	modelRun      = 50 * time.Millisecond
-	modelRevive   = 3 * time.Second
-	modelTargets  = 40
-	modelAttempts = 2
-	modelTime     = 60 * time.Second
+	modelServiceTime = 50 * time.Millisecond
+	modelRestartTime = 3 * time.Second
+	modelTargets     = 40
+	modelAttempts    = 2
+	modelTime        = 60 * time.Second
 )
 
 // modelCase is one setting of the model.
 type modelCase struct {
 	instances int
-	// news is the mean time that news take, and perSecond the rate of the repeats.
-	news      time.Duration
-	perSecond float64
+	// messageDelay is the mean time that messageDelay take, and perSecond the rate of the repeats.
+	messageDelay time.Duration
+	perSecond    float64
 	// sticky requests go to the same targets at all instances.
 	sticky bool
-	// silent has instances tell each other nothing, and free has suspect requests sent
+	// noGossip has instances tell each other nothing, and noCoordinator has suspect requests sent
 	// without a warden's leave.
-	silent, free bool
+	noGossip, noCoordinator bool
 }
 
 type modelEvent struct {
@@ -53,27 +53,27 @@
 // model plays one setting and counts the targets that end.
 type model struct {
 	modelCase
-	rnd    *rand.Rand
-	now    time.Duration
-	queue  modelQueue
-	tables []Table
-	warden Warden
-	down   map[int]time.Duration
-	digest Digest
-	ends   int
+	rnd         *rand.Rand
+	now         time.Duration
+	queue       modelQueue
+	tables      []Table
+	coordinator TrialCoordinator
+	downUntil   map[int]time.Duration
+	digest      Digest
+	crashes     int
 	// lateSends are those later than four seconds after the third end.
-	thirdAt   time.Duration
-	lateSends int
-	newsBytes int
+	thirdCrashAt time.Duration
+	lateSends    int
+	updateBytes  int
 }
 
 func (m *model) at(delay time.Duration, do func()) {
 	heap.Push(&m.queue, modelEvent{at: m.now + delay, do: do})
 }
 
-func (m *model) play() {
+func (m *model) run() {
 	m.tables = make([]Table, m.instances)
-	m.down = make(map[int]time.Duration)
+	m.downUntil = make(map[int]time.Duration)
 	var arrive func()
 	arrive = func() {
 		m.arrive(m.rnd.IntN(m.instances), 0, 0)
@@ -92,15 +92,15 @@
 // arrive has an instance decide on an attempt. Broken is the number of attempts that ended
 // their target before.
 func (m *model) arrive(i, sent, broken int) {
-	s := m.tables[i].Standing(m.clock(), m.digest)
+	s := m.tables[i].Status(m.clock(), m.digest)
 	switch {
-	case broken > 0 && s.Ends >= suspectEnds, s.Verdict == Held, sent >= modelAttempts:
+	case broken > 0 && s.Crashes >= suspectCrashes, s.Verdict == Held, sent >= modelAttempts:
 		return
-	case s.Verdict == Free || m.free:
+	case s.Verdict == Allowed || m.noCoordinator:
 		m.send(i, sent, broken, false)
 	default:
 		m.at(m.delay(), func() {
-			granted, _ := m.warden.Ask(m.clock(), &m.tables[0], m.digest, fmt.Sprint(i), after(m.now+3*time.Second))
+			granted, _ := m.coordinator.Acquire(m.clock(), &m.tables[0], m.digest, fmt.Sprint(i), after(m.now+3*time.Second))
 			if granted {
 				m.at(m.delay(), func() { m.send(i, sent, broken, true) })
 			}
@@ -110,31 +110,31 @@
 
 // delay is how long a message takes.
 func (m *model) delay() time.Duration {
-	return time.Duration((0.5 + m.rnd.Float64()) * float64(m.news))
+	return time.Duration((0.5 + m.rnd.Float64()) * float64(m.messageDelay))
 }
 
 // send has the first target that is there run the request, or any.
 func (m *model) send(i, sent, broken int, trial bool) {
-	target := m.pick()
+	target := m.pickTarget()
 	if target < 0 {
 		return
 	}
-	if m.thirdAt > 0 && m.now > m.thirdAt+4*time.Second {
+	if m.thirdCrashAt > 0 && m.now > m.thirdCrashAt+4*time.Second {
 		m.lateSends++
 	}
-	until, there := m.down[target]
+	until, there := m.downUntil[target]
 	generation := until
-	m.at(modelRun, func() {
-		if now, again := m.down[target]; again != there || now != generation {
+	m.at(modelServiceTime, func() {
+		if now, again := m.downUntil[target]; again != there || now != generation {
 			// It has ended under another copy meanwhile.
-			m.learn(i, target, generation, trial)
+			m.recordCrash(i, target, generation, trial)
 		} else {
-			m.ends++
-			if m.ends == 3 {
-				m.thirdAt = m.now
+			m.crashes++
+			if m.crashes == 3 {
+				m.thirdCrashAt = m.now
 			}
-			m.down[target] = m.now + modelRevive
-			m.learn(i, target, generation, trial)
+			m.downUntil[target] = m.now + modelRestartTime
+			m.recordCrash(i, target, generation, trial)
 		}
 		if !trial {
 			m.arrive(i, sent+1, broken+1)
@@ -142,27 +142,27 @@
 	})
 }
 
-func (m *model) pick() int {
+func (m *model) pickTarget() int {
 	first := 0
 	if !m.sticky {
 		first = m.rnd.IntN(modelTargets)
 	}
 	for k := range modelTargets {
 		target := (first + k) % modelTargets
-		if m.now >= m.down[target] {
+		if m.now >= m.downUntil[target] {
 			return target
 		}
 	}
 	return -1
 }
 
-// learn has an instance note an end and tell all others.
-func (m *model) learn(i, target int, generation time.Duration, trial bool) {
-	id := TargetOf(fmt.Sprint(target, "#", generation))
-	if !m.tables[i].Ended(m.clock(), m.digest, "", id, trial) || m.silent {
+// recordCrash has an instance note an end and tell all others.
+func (m *model) recordCrash(i, target int, generation time.Duration, trial bool) {
+	id := TargetIDOf(fmt.Sprint(target, "#", generation))
+	if !m.tables[i].RecordCrash(m.clock(), m.digest, "", id, trial) || m.noGossip {
 		return
 	}
-	news := m.tables[i].About(m.clock(), m.digest)
+	news := m.tables[i].Updates(m.clock(), m.digest)
 	raw, err := news.MarshalBinary()
 	if err != nil {
 		panic(err)
@@ -171,30 +171,30 @@
 		if j == i {
 			continue
 		}
-		m.newsBytes += len(raw)
+		m.updateBytes += len(raw)
 		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), news) })
 	}
 }
 
-// TestModel plays a minute of one caller's repeats at fleets of several sizes, and checks that
+// TestRepeatModel plays a minute of one caller's repeats at fleets of several sizes, and checks that
 // few targets end and that nothing is sent late, where news take as long as between regions.
 // Each way is switched off in turn, for what it is worth.
-func TestModel(t *testing.T) {
+func TestRepeatModel(t *testing.T) {
 	const far = 60 * time.Millisecond
 	cases := []struct {
 		name string
 		modelCase
 		most int
 	}{
-		{"12 instances", modelCase{instances: 12, news: far, perSecond: 20, sticky: true}, mostEnds},
-		{"300 instances", modelCase{instances: 300, news: 2 * far, perSecond: 20, sticky: true}, mostEnds},
-		{"730 instances", modelCase{instances: 730, news: 2 * far, perSecond: 20, sticky: true}, mostEnds},
-		{"12, without an object", modelCase{instances: 12, news: far, perSecond: 20}, mostEnds + 2},
-		{"730, without an object", modelCase{instances: 730, news: 2 * far, perSecond: 20}, mostEnds + 4},
-		{"12, 200 a second", modelCase{instances: 12, news: far, perSecond: 200, sticky: true}, mostEnds + 2},
-		{"12, gossip alone", modelCase{instances: 12, news: 700 * time.Millisecond, perSecond: 20, sticky: true}, 0},
-		{"12, told nothing", modelCase{instances: 12, news: far, perSecond: 20, sticky: true, silent: true}, 0},
-		{"12, no warden", modelCase{instances: 12, news: far, perSecond: 20, sticky: true, free: true}, 0},
+		{"12 instances", modelCase{instances: 12, messageDelay: far, perSecond: 20, sticky: true}, maxCrashes},
+		{"300 instances", modelCase{instances: 300, messageDelay: 2 * far, perSecond: 20, sticky: true}, maxCrashes},
+		{"730 instances", modelCase{instances: 730, messageDelay: 2 * far, perSecond: 20, sticky: true}, maxCrashes},
+		{"12, without an object", modelCase{instances: 12, messageDelay: far, perSecond: 20}, maxCrashes + 2},
+		{"730, without an object", modelCase{instances: 730, messageDelay: 2 * far, perSecond: 20}, maxCrashes + 4},
+		{"12, 200 a second", modelCase{instances: 12, messageDelay: far, perSecond: 200, sticky: true}, maxCrashes + 2},
+		{"12, gossip alone", modelCase{instances: 12, messageDelay: 700 * time.Millisecond, perSecond: 20, sticky: true}, 0},
+		{"12, told nothing", modelCase{instances: 12, messageDelay: far, perSecond: 20, sticky: true, noGossip: true}, 0},
+		{"12, no warden", modelCase{instances: 12, messageDelay: far, perSecond: 20, sticky: true, noCoordinator: true}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -202,14 +202,14 @@
 			const seeds = 10
 			for seed := range uint64(seeds) {
 				m := &model{modelCase: c.modelCase, rnd: rand.New(rand.NewPCG(seed, 9)), digest: digest("/ends/")}
-				m.play()
-				ends += m.ends
-				worst, late, bytes = max(worst, m.ends), max(late, m.lateSends), max(bytes, m.newsBytes/c.instances)
+				m.run()
+				ends += m.crashes
+				worst, late, bytes = max(worst, m.crashes), max(late, m.lateSends), max(bytes, m.updateBytes/c.instances)
 			}
 			t.Logf("%.1f targets ended, %d at worst; %d sends late at worst; %d bytes of news an instance", float64(ends)/seeds, worst, late, bytes)
 			if c.most > 0 {
 				require.LessOrEqual(t, worst, c.most)
-				require.LessOrEqual(t, late, mostTrials)
+				require.LessOrEqual(t, late, maxFailedTrials)
 			}
 		})
 	}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -9,8 +9,8 @@
 const (
 	// maxRecords bounds the table: with six ends each it takes less than 1 MB.
 	maxRecords = 2048
-	// maxOfAccount bounds the records of one client account, where there are several.
-	maxOfAccount = 256
+	// maxRecordsPerAccount bounds the records of one client account, where there are several.
+	maxRecordsPerAccount = 256
 )
 
 // Verdict says what is done with a request.
@@ -18,21 +18,21 @@
 
 // The verdicts.
 const (
-	// Free requests are sent like any other.
-	Free Verdict = iota
+	// Allowed requests are sent like any other.
+	Allowed Verdict = iota
 	// Suspect requests are sent if a trial is granted.
 	Suspect
 	// Held requests are refused.
 	Held
 )
 
-// Standing is what the table says of a request.
-type Standing struct {
+// Status is what the table says of a request.
+type Status struct {
 	Verdict Verdict
-	// Ends is the number of targets that have ended under it since it was last answered.
-	Ends int
-	// Failed is the number of trials among them.
-	Failed int
+	// Crashes is the number of targets that have ended under it since it was last answered.
+	Crashes int
+	// FailedTrials is the number of trials among them.
+	FailedTrials int
 	// Until is when a held request may be tried again or is forgotten.
 	Until time.Time
 }
@@ -41,32 +41,32 @@
 // is ready. It is not safe for concurrent use.
 type Table struct {
 	records map[Digest]*record
-	// suspects is the number of records with suspectEnds and more.
-	suspects int
-	// ended is when targets ended, also under requests that were answered since.
-	ended map[Target]time.Time
+	// suspectCount is the number of records with suspectEnds and more.
+	suspectCount int
+	// crashedAt is when targets crashedAt, also under requests that were answered since.
+	crashedAt map[TargetID]time.Time
 }
 
 // Len returns the number of digests of which anything is known.
 func (t *Table) Len() int { return len(t.records) }
 
-// Suspects returns the number of digests that are not free.
-func (t *Table) Suspects() int { return t.suspects }
+// SuspectCount returns the number of digests that are not free.
+func (t *Table) SuspectCount() int { return t.suspectCount }
 
-// Standing returns what is to be done with a request.
-func (t *Table) Standing(now time.Time, d Digest) Standing {
+// Status returns what is to be done with a request.
+func (t *Table) Status(now time.Time, d Digest) Status {
 	r := t.records[d]
-	if r == nil || !now.Before(r.until()) {
-		return Standing{}
+	if r == nil || !now.Before(r.expiresAt()) {
+		return Status{}
 	}
-	s := Standing{Ends: len(r.ends), Failed: r.failed()}
-	if !r.suspects() {
+	s := Status{Crashes: len(r.crashes), FailedTrials: r.failedTrials()}
+	if !r.isSuspect() {
 		return s
 	}
 	next, more := r.nextTrial()
 	switch {
 	case !more:
-		s.Verdict, s.Until = Held, r.until()
+		s.Verdict, s.Until = Held, r.expiresAt()
 	case now.Before(next):
 		s.Verdict, s.Until = Held, next
 	default:
@@ -75,23 +75,23 @@
 	return s
 }
 
-// Suspected calls f with all that is not free.
-func (t *Table) Suspected(now time.Time, f func(Digest, Standing)) {
+// ForEachSuspect calls f with all that is not free.
+func (t *Table) ForEachSuspect(now time.Time, f func(Digest, Status)) {
 	for d := range t.records {
-		s := t.Standing(now, d)
-		if s.Verdict != Free {
+		s := t.Status(now, d)
+		if s.Verdict != Allowed {
 			f(d, s)
 		}
 	}
 }
 
-// Ended notes that a target has ended under a request of an account. Trial says that the
+// RecordCrash notes that a target has ended under a request of an account. Trial says that the
 // request was a trial. It reports whether that is new.
-func (t *Table) Ended(now time.Time, d Digest, account string, target Target, trial bool) bool {
-	return t.add(now, d, AccountHash(account), end{target: target, at: now, trial: trial})
+func (t *Table) RecordCrash(now time.Time, d Digest, account string, target TargetID, trial bool) bool {
+	return t.add(now, d, AccountHash(account), crash{target: target, at: now, trial: trial})
 }
 
-func (t *Table) add(now time.Time, d Digest, account uint32, e end) bool {
+func (t *Table) add(now time.Time, d Digest, account uint32, e crash) bool {
 	r := t.records[d]
 	if r == nil {
 		r = newRecord(d, account)
@@ -100,48 +100,48 @@
 		}
 		t.put(d, r)
 	}
-	t.noteEnded(e)
+	t.noteCrash(e)
 	var fresh bool
-	t.change(r, func() { fresh = r.add(e) })
+	t.modify(r, func() { fresh = r.addCrash(e) })
 	return fresh
 }
 
-// maxEnded bounds the ended targets that are remembered for a minute.
-const maxEnded = 4096
+// maxCrashedTargets bounds the ended targets that are remembered for a minute.
+const maxCrashedTargets = 4096
 
-// noteEnded remembers when a target ended.
-func (t *Table) noteEnded(e end) {
-	known, ok := t.ended[e.target]
-	if (ok && !e.at.Before(known)) || (!ok && len(t.ended) >= maxEnded) {
+// noteCrash remembers when a target ended.
+func (t *Table) noteCrash(e crash) {
+	known, ok := t.crashedAt[e.target]
+	if (ok && !e.at.Before(known)) || (!ok && len(t.crashedAt) >= maxCrashedTargets) {
 		return
 	}
-	if t.ended == nil {
-		t.ended = make(map[Target]time.Time)
+	if t.crashedAt == nil {
+		t.crashedAt = make(map[TargetID]time.Time)
 	}
-	t.ended[e.target] = e.at
+	t.crashedAt[e.target] = e.at
 }
 
-// Answered notes that a request was answered. It reports whether that frees a suspect one.
-func (t *Table) Answered(now time.Time, d Digest) bool {
+// RecordAnswer notes that a request was answered. It reports whether that frees a suspect one.
+func (t *Table) RecordAnswer(now time.Time, d Digest) bool {
 	r := t.records[d]
 	if r == nil {
 		return false
 	}
-	before := r.suspects()
-	t.change(r, func() { r.answer(now) })
-	return before && !r.suspects()
+	before := r.isSuspect()
+	t.modify(r, func() { r.addAnswer(now) })
+	return before && !r.isSuspect()
 }
 
-// change changes a record and counts the suspects anew.
-func (t *Table) change(r *record, f func()) {
-	before := r.suspects()
+// modify changes a record and counts the suspects anew.
+func (t *Table) modify(r *record, f func()) {
+	before := r.isSuspect()
 	f()
-	after := r.suspects()
+	after := r.isSuspect()
 	switch {
 	case after && !before:
-		t.suspects++
+		t.suspectCount++
 	case before && !after:
-		t.suspects--
+		t.suspectCount--
 	}
 }
 
@@ -152,9 +152,9 @@
 	t.records[d] = r
 }
 
-func (t *Table) drop(d Digest) {
+func (t *Table) remove(d Digest) {
 	if r := t.records[d]; r != nil {
-		t.change(r, func() { r.ends = nil })
+		t.modify(r, func() { r.crashes = nil })
 		delete(t.records, d)
 	}
 }
@@ -162,13 +162,13 @@
 // Expire forgets what is no longer remembered.
 func (t *Table) Expire(now time.Time) {
 	for d, r := range t.records {
-		if !now.Before(r.until()) {
-			t.drop(d)
+		if !now.Before(r.expiresAt()) {
+			t.remove(d)
 		}
 	}
-	for target, at := range t.ended {
-		if now.Sub(at) >= floodWindow {
-			delete(t.ended, target)
+	for target, at := range t.crashedAt {
+		if now.Sub(at) >= flagWindow {
+			delete(t.crashedAt, target)
 		}
 	}
 }
@@ -188,32 +188,32 @@
 	}
 	accounts[account] = true
 	switch {
-	case len(accounts) > 1 && own >= maxOfAccount:
-		t.dropLeast(func(r *record) bool { return r.account == account })
+	case len(accounts) > 1 && own >= maxRecordsPerAccount:
+		t.evictLeast(func(r *record) bool { return r.account == account })
 	case len(t.records) >= maxRecords:
 		t.Expire(now)
 		if len(t.records) >= maxRecords {
-			t.dropLeast(func(*record) bool { return true })
+			t.evictLeast(func(*record) bool { return true })
 		}
 	}
 	return len(t.records) < maxRecords
 }
 
-// dropLeast drops, of the records that f picks, the one that says least.
-func (t *Table) dropLeast(f func(*record) bool) {
+// evictLeast drops, of the records that f picks, the one that says least.
+func (t *Table) evictLeast(f func(*record) bool) {
 	var least Digest
 	var found *record
 	for d, r := range t.records {
-		if f(r) && (found == nil || less(d, r, least, found)) {
+		if f(r) && (found == nil || carriesLess(d, r, least, found)) {
 			least, found = d, r
 		}
 	}
-	t.drop(least)
+	t.remove(least)
 }
 
-// less orders records by what they say: their ends, the time of the last, and, so that all
+// carriesLess orders records by what they say: their ends, the time of the last, and, so that all
 // instances drop the same one, their digests.
-func less(d Digest, r *record, other Digest, o *record) bool {
-	order := cmp.Or(cmp.Compare(len(r.ends), len(o.ends)), r.lastEnd().Compare(o.lastEnd()), slices.Compare(d[:], other[:]))
+func carriesLess(d Digest, r *record, other Digest, o *record) bool {
+	order := cmp.Or(cmp.Compare(len(r.crashes), len(o.crashes)), r.lastCrash().Compare(o.lastCrash()), slices.Compare(d[:], other[:]))
 	return order < 0
 }
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -11,110 +11,110 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Facts are what a message tells of one request: its ends and its last answer, with their
+// Update are what a message tells of one request: its ends and its last answer, with their
 // ages at the time of sending.
-type Facts struct {
+type Update struct {
 	Digest Digest
 	// Account is the hash of the name of its client account.
 	Account uint32
-	Ends    []EndFact
-	// Answered is the time since it was last answered, negative if it was not.
-	Answered time.Duration
+	Crashes []CrashUpdate
+	// AnswerAge is the time since it was last answered, negative if it was not.
+	AnswerAge time.Duration
 }
 
-// EndFact is an end in a message.
-type EndFact struct {
-	Target Target
+// CrashUpdate is an end in a message.
+type CrashUpdate struct {
+	Target TargetID
 	Age    time.Duration
 	Trial  bool
 }
 
-// News are facts as a message carries them.
-type News []Facts
+// Updates are facts as a message carries them.
+type Updates []Update
 
-// ErrNews is returned for news that are cut short.
-var ErrNews = errors.New("quarantine: news cut short")
+// ErrTruncated is returned for news that are cut short.
+var ErrTruncated = errors.New("quarantine: news cut short")
 
 // AccountHash is the form of the name of a client account in facts.
 func AccountHash(name string) uint32 { return uint32(mix.Hash(name) >> 32) }
 
-// TargetOf returns what stands for the target with an ID.
-func TargetOf(id string) Target { return Target(mix.Hash(id)) }
+// TargetIDOf returns what stands for the target with an ID.
+func TargetIDOf(id string) TargetID { return TargetID(mix.Hash(id)) }
 
-// facts returns what is told of a record.
-func (r *record) facts(now time.Time, d Digest) Facts {
-	f := Facts{Digest: d, Account: r.account, Answered: -1}
-	for _, e := range r.ends {
-		f.Ends = append(f.Ends, EndFact{Target: e.target, Age: now.Sub(e.at), Trial: e.trial})
+// update returns what is told of a record.
+func (r *record) update(now time.Time, d Digest) Update {
+	f := Update{Digest: d, Account: r.account, AnswerAge: -1}
+	for _, e := range r.crashes {
+		f.Crashes = append(f.Crashes, CrashUpdate{Target: e.target, Age: now.Sub(e.at), Trial: e.trial})
 	}
 	if !r.answeredAt.IsZero() {
-		f.Answered = now.Sub(r.answeredAt)
+		f.AnswerAge = now.Sub(r.answeredAt)
 	}
 	return f
 }
 
-// About returns what is known of some requests, for a message.
-func (t *Table) About(now time.Time, digests ...Digest) News {
-	var out News
+// Updates returns what is known of some requests, for a message.
+func (t *Table) Updates(now time.Time, digests ...Digest) Updates {
+	var out Updates
 	for _, d := range digests {
-		if r := t.records[d]; r != nil && now.Add(leastLeft).Before(r.until()) {
-			out = append(out, r.facts(now, d))
+		if r := t.records[d]; r != nil && now.Add(minRemainingTTL).Before(r.expiresAt()) {
+			out = append(out, r.update(now, d))
 		}
 	}
 	return out
 }
 
-// Most returns what is known of at most n suspect requests, those with the latest ends.
-func (t *Table) Most(now time.Time, n int) News {
+// LatestSuspects returns what is known of at most n suspect requests, those with the latest ends.
+func (t *Table) LatestSuspects(now time.Time, n int) Updates {
 	var digests []Digest
 	for d, r := range t.records {
-		if r.suspects() {
+		if r.isSuspect() {
 			digests = append(digests, d)
 		}
 	}
 	slices.SortFunc(digests, func(a, b Digest) int {
-		return cmp.Or(t.records[b].lastEnd().Compare(t.records[a].lastEnd()), slices.Compare(a[:], b[:]))
+		return cmp.Or(t.records[b].lastCrash().Compare(t.records[a].lastCrash()), slices.Compare(a[:], b[:]))
 	})
-	return t.About(now, digests[:min(n, len(digests))]...)
+	return t.Updates(now, digests[:min(n, len(digests))]...)
 }
 
-// Sum returns a number that is the same for tables that know the same of suspect requests,
+// Checksum returns a number that is the same for tables that know the same of suspect requests,
 // 0 if there are none.
-func (t *Table) Sum() uint32 {
+func (t *Table) Checksum() uint32 {
 	sum := uint64(0)
 	for d, r := range t.records {
-		if !r.suspects() {
+		if !r.isSuspect() {
 			continue
 		}
 		one := binary.BigEndian.Uint64(d[:])
-		for _, e := range r.ends {
+		for _, e := range r.crashes {
 			one = mix.Join(one, 0) ^ uint64(e.target)
 		}
-		sum ^= mix.Join(one, uint64(len(r.ends)))
+		sum ^= mix.Join(one, uint64(len(r.crashes)))
 	}
 	return uint32(sum)
 }
 
 // Merge takes in what another instance knows. It returns the digests of which something new
 // was learned.
-func (t *Table) Merge(now time.Time, news News) []Digest {
+func (t *Table) Merge(now time.Time, news Updates) []Digest {
 	var learned []Digest
 	for _, f := range news {
 		fresh := false
-		if f.Answered >= 0 && f.Answered < clearedLife && t.records[f.Digest] == nil && t.makeRoom(now, f.Account) {
+		if f.AnswerAge >= 0 && f.AnswerAge < answeredTTL && t.records[f.Digest] == nil && t.makeRoom(now, f.Account) {
 			// Its ends may come later than the news that they do not count.
 			t.put(f.Digest, newRecord(f.Digest, f.Account))
 		}
-		if f.Answered >= 0 && t.records[f.Digest] != nil {
+		if f.AnswerAge >= 0 && t.records[f.Digest] != nil {
 			r := t.records[f.Digest]
-			t.change(r, func() { fresh = r.answer(now.Add(-f.Answered)) })
+			t.modify(r, func() { fresh = r.addAnswer(now.Add(-f.AnswerAge)) })
 		}
-		for _, e := range f.Ends {
+		for _, e := range f.Crashes {
 			at := now.Add(-e.Age)
-			if f.Answered >= 0 && e.Age >= f.Answered {
+			if f.AnswerAge >= 0 && e.Age >= f.AnswerAge {
 				continue
 			}
-			fresh = t.add(now, f.Digest, f.Account, end{target: e.Target, at: at, trial: e.Trial}) || fresh
+			fresh = t.add(now, f.Digest, f.Account, crash{target: e.Target, at: at, trial: e.Trial}) || fresh
 		}
 		if fresh {
 			learned = append(learned, f.Digest)
@@ -125,45 +125,45 @@
 
 // Sizes of facts in a message, and the unit of ages there.
 const (
-	headBytes = len(Digest{}) + 4 + 2 + 1
-	endBytes  = 8 + 2
-	wireUnit  = 100 * time.Millisecond
-	// never stands for an answer that there was not; the highest age is below it.
-	never = math.MaxUint16
+	headerBytes = len(Digest{}) + 4 + 2 + 1
+	crashBytes  = 8 + 2
+	ageUnit     = 100 * time.Millisecond
+	// noAnswer stands for an answer that there was not; the highest age is below it.
+	noAnswer = math.MaxUint16
 	// trialBit is the highest bit of an end's age.
 	trialBit = 1 << 15
-	// longestEnd is the highest age of an end in a message, and longestAnswer that of
+	// maxCrashAge is the highest age of an end in a message, and longestAnswer that of
 	// an answer: what is older is long forgotten.
-	longestEnd    = trialBit - 1
-	longestAnswer = never - 1
+	maxCrashAge  = trialBit - 1
+	maxAnswerAge = noAnswer - 1
 )
 
 // MarshalBinary implements encoding.BinaryMarshaler, by which messages carry news.
-func (n News) MarshalBinary() ([]byte, error) {
-	raw := make([]byte, 0, len(n)*(headBytes+2*endBytes))
+func (n Updates) MarshalBinary() ([]byte, error) {
+	raw := make([]byte, 0, len(n)*(headerBytes+2*crashBytes))
 	for _, f := range n {
 		raw = append(raw, f.Digest[:]...)
 		raw = binary.BigEndian.AppendUint32(raw, f.Account)
-		raw = binary.BigEndian.AppendUint16(raw, answerAge(f.Answered))
-		ends := f.Ends[:min(len(f.Ends), mostEnds)]
+		raw = binary.BigEndian.AppendUint16(raw, encodeAnswerAge(f.AnswerAge))
+		ends := f.Crashes[:min(len(f.Crashes), maxCrashes)]
 		raw = append(raw, byte(len(ends)))
 		for _, e := range ends {
 			raw = binary.BigEndian.AppendUint64(raw, uint64(e.Target))
-			raw = binary.BigEndian.AppendUint16(raw, endAge(e))
+			raw = binary.BigEndian.AppendUint16(raw, encodeCrashAge(e))
 		}
 	}
 	return raw, nil
 }
 
-func answerAge(age time.Duration) uint16 {
+func encodeAnswerAge(age time.Duration) uint16 {
 	if age < 0 {
-		return never
+		return noAnswer
 	}
-	return uint16(min(age/wireUnit, longestAnswer))
+	return uint16(min(age/ageUnit, maxAnswerAge))
 }
 
-func endAge(e EndFact) uint16 {
-	age := uint16(min(max(e.Age, 0)/wireUnit, longestEnd))
+func encodeCrashAge(e CrashUpdate) uint16 {
+	age := uint16(min(max(e.Age, 0)/ageUnit, maxCrashAge))
 	if e.Trial {
 		age |= trialBit
 	}
@@ -171,31 +171,31 @@
 }
 
 // UnmarshalBinary implements encoding.BinaryUnmarshaler.
-func (n *News) UnmarshalBinary(raw []byte) error {
+func (n *Updates) UnmarshalBinary(raw []byte) error {
 	*n = nil
 	for len(raw) > 0 {
-		if len(raw) < headBytes {
-			return ErrNews
+		if len(raw) < headerBytes {
+			return ErrTruncated
 		}
-		f := Facts{Digest: Digest(raw), Answered: -1}
+		f := Update{Digest: Digest(raw), AnswerAge: -1}
 		raw = raw[len(f.Digest):]
 		f.Account = binary.BigEndian.Uint32(raw)
-		if age := binary.BigEndian.Uint16(raw[4:]); age != never {
-			f.Answered = time.Duration(age) * wireUnit
+		if age := binary.BigEndian.Uint16(raw[4:]); age != noAnswer {
+			f.AnswerAge = time.Duration(age) * ageUnit
 		}
 		count := int(raw[6])
 		raw = raw[7:]
-		if count > mostEnds || len(raw) < count*endBytes {
-			return ErrNews
+		if count > maxCrashes || len(raw) < count*crashBytes {
+			return ErrTruncated
 		}
 		for range count {
 			age := binary.BigEndian.Uint16(raw[8:])
-			f.Ends = append(f.Ends, EndFact{
-				Target: Target(binary.BigEndian.Uint64(raw)),
-				Age:    time.Duration(age&^trialBit) * wireUnit,
+			f.Crashes = append(f.Crashes, CrashUpdate{
+				Target: TargetID(binary.BigEndian.Uint64(raw)),
+				Age:    time.Duration(age&^trialBit) * ageUnit,
 				Trial:  age&trialBit != 0,
 			})
-			raw = raw[endBytes:]
+			raw = raw[crashBytes:]
 		}
 		*n = append(*n, f)
 	}
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -9,36 +9,36 @@
 }
 
 const (
-	// tenths is the number of successes that earn one retry.
-	tenths      = 10
-	startTenths = 10 * tenths
-	maxTenths   = 100 * tenths
+	// successesPerRetry is the number of successes that earn one retry.
+	successesPerRetry = 10
+	initialCredit     = 10 * successesPerRetry
+	maxCredit         = 100 * successesPerRetry
 )
 
 // Success earns a part of a retry.
 func (b *Budget) Success() {
-	if b.available() < maxTenths {
+	if b.available() < maxCredit {
 		b.earned++
 	}
 }
 
 // Spend takes one retry. It reports whether there was one.
 func (b *Budget) Spend() bool {
-	if b.available() < tenths {
+	if b.available() < successesPerRetry {
 		return false
 	}
-	b.spent += tenths
+	b.spent += successesPerRetry
 	return true
 }
 
 func (b *Budget) available() int {
-	return startTenths + b.earned - b.spent
+	return initialCredit + b.earned - b.spent
 }
 
-// May tells whether an attempt with the outcome may be followed by another,
+// Allowed tells whether an attempt with the outcome may be followed by another,
 // the budget aside. Retriable marks a service whose requests may run more than
 // once.
-func May(o Outcome, retriable bool) bool {
+func Allowed(o Outcome, retriable bool) bool {
 	switch o {
 	case NotRun:
 		return true
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -6,11 +6,11 @@
 	"github.com/rainford/rainford/retry"
 )
 
-func ExampleJudge() {
-	refused := retry.Evidence{Connected: true, Answered: true, Refusal: true}
+func ExampleClassify() {
+	refused := retry.Evidence{Connected: true, Answered: true, Refused: true}
 	lost := retry.Evidence{Connected: true}
-	fmt.Println(retry.Judge(refused), retry.May(retry.Judge(refused), false))
-	fmt.Println(retry.Judge(lost), retry.May(retry.Judge(lost), false))
+	fmt.Println(retry.Classify(refused), retry.Allowed(retry.Classify(refused), false))
+	fmt.Println(retry.Classify(lost), retry.Allowed(retry.Classify(lost), false))
 	// Output:
 	// not-run true
 	// unknown false
--- a/retry/outcome.go
+++ b/retry/outcome.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// Parse returns the outcome that text spells. Any other text is Unknown.
-func Parse(text string) Outcome {
+// ParseOutcome returns the outcome that text spells. Any other text is Unknown.
+func ParseOutcome(text string) Outcome {
 	switch text {
 	case "not-run":
 		return NotRun
@@ -45,14 +45,14 @@
 	Connected bool
 	// Answered means that the head of an answer came.
 	Answered bool
-	// Refusal means that the answer says that the request was not run.
-	Refusal bool
+	// Refused means that the answer says that the request was not run.
+	Refused bool
 }
 
-// Judge returns the outcome that the evidence proves.
-func Judge(e Evidence) Outcome {
+// Classify returns the outcome that the evidence proves.
+func Classify(e Evidence) Outcome {
 	switch {
-	case e.Answered && e.Refusal:
+	case e.Answered && e.Refused:
 		return NotRun
 	case e.Answered:
 		return Ran
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,7 +8,7 @@
 	"github.com/rainford/rainford/retry"
 )
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	cases := []struct {
 		name string
 		e    retry.Evidence
@@ -17,21 +17,21 @@
 		{"no connection", retry.Evidence{}, retry.NotRun},
 		{"connected, no answer", retry.Evidence{Connected: true}, retry.Unknown},
 		{"answered", retry.Evidence{Connected: true, Answered: true}, retry.Ran},
-		{"refused", retry.Evidence{Connected: true, Answered: true, Refusal: true}, retry.NotRun},
+		{"refused", retry.Evidence{Connected: true, Answered: true, Refused: true}, retry.NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, retry.Judge(c.e))
-			require.Equal(t, c.want, retry.Parse(c.want.String()))
+			require.Equal(t, c.want, retry.Classify(c.e))
+			require.Equal(t, c.want, retry.ParseOutcome(c.want.String()))
 		})
 	}
 }
 
-func TestMay(t *testing.T) {
+func TestAllowed(t *testing.T) {
 	for _, retriable := range []bool{true, false} {
-		require.True(t, retry.May(retry.NotRun, retriable))
-		require.Equal(t, retriable, retry.May(retry.Unknown, retriable))
-		require.False(t, retry.May(retry.Ran, retriable))
+		require.True(t, retry.Allowed(retry.NotRun, retriable))
+		require.Equal(t, retriable, retry.Allowed(retry.Unknown, retriable))
+		require.False(t, retry.Allowed(retry.Ran, retriable))
 	}
 }
 
--- a/retry/token_bucket_test.go
+++ b/retry/token_bucket_test.go
@@ -9,18 +9,18 @@
 	"github.com/rainford/rainford/retry"
 )
 
-// TestTokensAddUp has instances that repeat whenever they may, are restarted, and
+// TestTokenBucketsBoundRetries has instances that repeat whenever they may, are restarted, and
 // learn late of each other, and checks every window: the repeats of all stay within
 // the ratio of the window's requests plus the slack.
-func TestTokensAddUp(t *testing.T) {
+func TestTokenBucketsBoundRetries(t *testing.T) {
 	const ratio, slack = 0.2, 64
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "instances")
-		tokens := make([]*retry.Tokens, n)
+		tokens := make([]*retry.TokenBucket, n)
 		start := func(i int) {
-			tokens[i] = retry.NewTokens(ratio)
+			tokens[i] = retry.NewTokenBucket(ratio)
 			// One instance in ten is not known to the others yet.
-			tokens[i].Share(slack, max(1, n-n/10))
+			tokens[i].SetCapacity(slack, max(1, n-n/10))
 		}
 		for i := range tokens {
 			start(i)
@@ -47,7 +47,7 @@
 				// Many, so that instances often hold as much as they may.
 				r = rapid.IntRange(1, 2000).Draw(t, "requests")
 				for range r {
-					tokens[i].Request()
+					tokens[i].Earn()
 				}
 			}
 			requests = append(requests, requests[len(requests)-1]+r)
@@ -62,14 +62,14 @@
 	})
 }
 
-func TestTokensBeginEmpty(t *testing.T) {
-	tokens := retry.NewTokens(0.2)
-	tokens.Share(64, 4)
+func TestTokenBucketStartsEmpty(t *testing.T) {
+	tokens := retry.NewTokenBucket(0.2)
+	tokens.SetCapacity(64, 4)
 	require.False(t, tokens.Spend())
 	for range 1000 {
-		tokens.Request()
+		tokens.Earn()
 	}
-	require.InDelta(t, 0.85*64/4, tokens.Held(), 1e-9)
-	tokens.Share(64, 32)
-	require.InDelta(t, 0.85*64/32, tokens.Held(), 1e-9)
+	require.InDelta(t, 0.85*64/4, tokens.Available(), 1e-9)
+	tokens.SetCapacity(64, 32)
+	require.InDelta(t, 0.85*64/32, tokens.Available(), 1e-9)
 }
--- a/upstream/away.go
+++ b/upstream/away.go
@@ -46,10 +46,10 @@
 func (t *target) back(now time.Time) (availability.Cause, time.Time) {
 	verdict := t.judge(now)
 	if verdict.OK() && !t.permitted(now) {
-		return availability.CauseLimited, later(now, t.permits.DeniedUntil(t.limited.name))
+		return availability.CauseRateLimited, later(now, t.permits.DeniedUntil(t.limited.name))
 	}
 	switch verdict.Cause {
-	case availability.CauseNone, availability.CauseTrying, availability.CauseCold:
+	case availability.CauseNone, availability.CauseProbing, availability.CauseCold:
 		return verdict.Cause, now
 	default:
 		return verdict.Cause, verdict.Until
@@ -94,10 +94,10 @@
 		return refusal, true
 	}
 	left := first.until.Sub(now)
-	if first.cause == availability.CauseLimited {
+	if first.cause == availability.CauseRateLimited {
 		return p.refuse(now, &r, ReasonLimited), true
 	}
-	if first.cause != availability.CauseResting {
+	if first.cause != availability.CauseBackoff {
 		refusal.RetryAfter = max(refusal.RetryAfter, left)
 		return refusal, true
 	}
--- a/upstream/census.go
+++ b/upstream/census.go
@@ -54,14 +54,14 @@
 
 // standing returns what keeps requests from the target, the most lasting first.
 func (t *target) standing(now time.Time) State {
-	switch t.state.Judge(now).Cause {
+	switch t.state.Verdict(now).Cause {
 	case availability.CauseReplaced:
 		return StateReplaced
 	case availability.CauseGone, availability.CauseLeaving:
 		return StateLeaving
 	case availability.CauseEvacuated:
 		return StateEvacuated
-	case availability.CauseResting:
+	case availability.CauseBackoff:
 		return StateResting
 	case availability.CauseSuspected, availability.CausePaused:
 		return StateSuspect
--- a/upstream/event.go
+++ b/upstream/event.go
@@ -82,9 +82,9 @@
 func (t *target) belief() belief {
 	return belief{
 		replaced:     t.state.Replaced(),
-		leaves:       t.state.Leaves(),
+		leaves:       t.state.AnnouncedLeaving(),
 		suspected:    t.contact.suspicion > 0,
-		restUntil:    t.state.RestsUntil(),
+		restUntil:    t.state.BackoffUntil(),
 		suspectUntil: t.state.SuspectedUntil(),
 		coldUntil:    t.coldUntil,
 		pausedUntil:  t.state.PausedUntil(),
--- a/upstream/limit_model_test.go
+++ b/upstream/limit_model_test.go
@@ -66,7 +66,7 @@
 }
 
 // says has all instances know of a target's limit, or of its end, a moment after it is said.
-func (m *limitModel) says(t *modelTarget) availability.Word {
+func (m *limitModel) says(t *modelTarget) availability.SelfReport {
 	perSecond, limited := m.named[t.id]
 	id := availability.IDOf(t.id)
 	known, had := m.limits[id]
@@ -75,7 +75,7 @@
 		if !limited {
 			delete(m.limits, id)
 		}
-		told := availability.LimitList{{ID: id, PerSecond: perSecond, Ended: !limited}}
+		told := availability.RateLimitList{{ID: id, PerSecond: perSecond, Removed: !limited}}
 		for i := range m.pools {
 			m.after(modelToldAfter, func() {
 				_, grants := m.pools[i].HearLimits(m.now, told, availability.SourcePeer)
@@ -83,7 +83,7 @@
 			})
 		}
 	}
-	return availability.Word{Limited: limited, Limit: perSecond}
+	return availability.SelfReport{HasLimit: limited, RateLimit: perSecond}
 }
 
 // ask sends the questions of an instance.
--- a/upstream/limited.go
+++ b/upstream/limited.go
@@ -71,10 +71,10 @@
 // HearLimits takes in the limits that targets have named, to this or to another instance, and
 // which of them have ended. It returns the IDs of the targets of the pool whose limits changed,
 // and the grants that this makes possible.
-func (p *Pool) HearLimits(now time.Time, limits availability.LimitList, source availability.Source) ([]string, []Grant) {
+func (p *Pool) HearLimits(now time.Time, limits availability.RateLimitList, source availability.Source) ([]string, []Grant) {
 	var changed []string
 	for _, limit := range limits {
-		if limit.Ended {
+		if limit.Removed {
 			delete(p.limits, limit.ID)
 		} else {
 			p.limits[limit.ID] = limit
--- a/upstream/limited_test.go
+++ b/upstream/limited_test.go
@@ -18,13 +18,13 @@
 func newLimitedPool(n int) *upstream.Pool {
 	p := newPool()
 	var specs []*catalog.Target
-	var limits availability.LimitList
+	var limits availability.RateLimitList
 	for _, hall := range []string{"a1", "b1"} {
 		for i := range n {
 			id := fmt.Sprint("t-", hall, i)
 			specs = append(specs, &catalog.Target{ID: id, Service: "s", Addr: "x", Hall: hall, Slots: 5})
 			if hall == "a1" {
-				limits = append(limits, availability.Limit{ID: availability.IDOf(id), Version: 1, PerSecond: 100})
+				limits = append(limits, availability.RateLimit{ID: availability.IDOf(id), Version: 1, PerSecond: 100})
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 	before := p.Acquire(start, request("k"))
 	require.Equal(t, upstream.Send, before.Verdict)
 	require.True(t, p.May(start, "t", before.Sent))
-	p.HearLimits(start, availability.LimitList{{ID: availability.IDOf("t"), Version: 1, PerSecond: 1}}, availability.SourceWord)
+	p.HearLimits(start, availability.RateLimitList{{ID: availability.IDOf("t"), Version: 1, PerSecond: 1}}, availability.SourceTarget)
 	require.False(t, p.May(start, "t", before.Sent), "granted before the limit was known")
 	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, Sent: before.Sent})
 
--- a/upstream/listing.go
+++ b/upstream/listing.go
@@ -12,7 +12,7 @@
 // the grants that this makes possible. The specs are kept, and must not change afterwards.
 func (p *Pool) SetTargets(now time.Time, specs []*catalog.Target, evacuated map[string]bool) []Grant {
 	for _, t := range p.byID {
-		t.state.Unlist(now)
+		t.state.SetUnlisted(now)
 	}
 	for _, spec := range specs {
 		p.setTarget(now, spec, evacuated[spec.Hall])
@@ -41,7 +41,7 @@
 			continue
 		}
 		touched = append(touched, t)
-		t.state.Unlist(now)
+		t.state.SetUnlisted(now)
 		if t.inFlight == 0 {
 			p.forget(t)
 		}
@@ -98,12 +98,12 @@
 	}
 	t.group, t.weight = p.groups[spec.Hall], float64(max(spec.Slots, 1))
 	t.spec, t.region = spec, p.regionFor(p.config.RegionOf[spec.Hall])
-	t.state.List(now, spec.Leaves)
-	t.state.Drain(now, spec.Drained)
-	t.state.Evacuate(now, evacuated)
+	t.state.SetListed(now, spec.Leaves)
+	t.state.SetDrained(now, spec.Drained)
+	t.state.SetEvacuated(now, evacuated)
 	p.limit(now, t, availability.SourcePeer)
-	if at, ok := p.departures.Has(availability.ID(t.hash)); ok {
-		t.state.Leave(at, availability.SourcePeer)
+	if at, ok := p.departures.FirstHeard(availability.ID(t.hash)); ok {
+		t.state.SetLeaving(at, availability.SourcePeer)
 	}
 	p.note(t, before, Answered)
 	return t
--- a/upstream/placement_test.go
+++ b/upstream/placement_test.go
@@ -138,7 +138,7 @@
 				p.HearDepartures(now, availability.DepartureList{{ID: hash()}}, availability.SourcePeer)
 			},
 			"limit": func(t *rapid.T) {
-				p.HearLimits(now, availability.LimitList{{ID: hash(), PerSecond: 1, Ended: rapid.Bool().Draw(t, "ended")}}, availability.SourcePeer)
+				p.HearLimits(now, availability.RateLimitList{{ID: hash(), PerSecond: 1, Removed: rapid.Bool().Draw(t, "ended")}}, availability.SourcePeer)
 			},
 			"split": func(t *rapid.T) {
 				split := rollout.Split{Version: rapid.SampledFrom([]string{"v2", "v3"}).Draw(t, "version"), Over: rapid.Bool().Draw(t, "over")}
@@ -158,7 +158,7 @@
 				}
 				d := sent[0]
 				sent = sent[1:]
-				word := availability.Word{Leaves: rapid.Bool().Draw(t, "leaves")}
+				word := availability.SelfReport{Leaving: rapid.Bool().Draw(t, "leaves")}
 				outcome := rapid.SampledFrom([]Outcome{Answered, Replaced, Unreachable}).Draw(t, "outcome")
 				p.Release(now, d.Target.ID, Result{Outcome: outcome, Word: word, Sent: d.Sent, Took: time.Millisecond})
 			},
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -68,7 +68,7 @@
 	touched []*target
 	none    contact
 	// limits are those that targets have named, those too that the pool does not have.
-	limits map[availability.ID]availability.Limit
+	limits map[availability.ID]availability.RateLimit
 	// limited are the targets that have named one, in the order of IDs.
 	limited []*target
 	// permits are those of targets' limits, asks the questions for more that are to be sent
@@ -101,7 +101,7 @@
 		regions:   make(map[string]*regionTargets),
 		groups:    numberHalls(config.RegionOf),
 		plans:     make(map[string]*plan),
-		limits:    make(map[availability.ID]availability.Limit),
+		limits:    make(map[availability.ID]availability.RateLimit),
 		permits:   ratelimit.NewPlacedHolder(config.Self),
 		typical:   firstTypical,
 		salt:      mix.Hash(config.Self),
@@ -233,13 +233,13 @@
 	p.touch(now, t)
 	full := t.load(now) > float64(t.spec.Slots)
 	before := t.belief()
-	if r.Word.Leaves {
+	if r.Word.Leaving {
 		p.departures.Add(now, availability.ID(t.hash))
 	}
 	p.learn(t, r)
 	p.returnPermit(now, t, r)
 	t.end(now, r)
-	if until := t.state.RestsUntil(); until.After(p.restsUntil) {
+	if until := t.state.BackoffUntil(); until.After(p.restsUntil) {
 		p.restsUntil = until
 	}
 	p.note(t, before, r.Outcome)
@@ -263,7 +263,7 @@
 // may have ended.
 func (p *Pool) May(now time.Time, id string, sent Sent) bool {
 	t := p.byID[id]
-	if t == nil || !t.state.May(now) {
+	if t == nil || !t.state.Available(now) {
 		return false
 	}
 	return t.limited == nil || now.Before(sent.PermitUntil)
@@ -281,7 +281,7 @@
 			continue
 		}
 		before := t.belief()
-		if t.state.Leave(now.Add(-d.Age), source) {
+		if t.state.SetLeaving(now.Add(-d.Age), source) {
 			fresh = append(fresh, t.spec.ID)
 			p.note(t, before, Answered)
 			p.count(t)
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -151,7 +151,7 @@
 	// Report is nil if the answer carried none.
 	Report *Report
 	// Word is what the target said of itself.
-	Word availability.Word
+	Word availability.SelfReport
 	// Failed says that the answer is one of a failure of the target.
 	Failed bool
 	// NotSent says that the request never left for the target.
--- a/upstream/rest_model_test.go
+++ b/upstream/rest_model_test.go
@@ -43,7 +43,7 @@
 	// flush, if it is set, is called after each change of a pool.
 	flush func(pool int)
 	// word, if it is set, returns what a target says of itself in an answer.
-	word func(t *modelTarget) availability.Word
+	word func(t *modelTarget) availability.SelfReport
 	// onArrival, if it is set, is told of each arrival at a target.
 	onArrival func(t *modelTarget)
 
@@ -237,9 +237,9 @@
 }
 
 // says returns what a target says of itself.
-func (m *restModel) says(t *modelTarget) availability.Word {
+func (m *restModel) says(t *modelTarget) availability.SelfReport {
 	if m.word == nil {
-		return availability.Word{}
+		return availability.SelfReport{}
 	}
 	return m.word(t)
 }
@@ -270,12 +270,12 @@
 		m.onArrival(t)
 	}
 	if t.asks > 0 && !m.now.Before(t.restFrom) && m.now.Before(t.restTo) {
-		m.turnAway(r, t, availability.Word{Rest: t.asks})
+		m.turnAway(r, t, availability.SelfReport{Backoff: t.asks})
 		return
 	}
 	if t.busy >= modelSlots {
 		if len(t.queue) >= 3*modelSlots {
-			m.turnAway(r, t, availability.Word{})
+			m.turnAway(r, t, availability.SelfReport{})
 			return
 		}
 		t.queue = append(t.queue, func() { m.work(r, t, sent) })
@@ -284,7 +284,7 @@
 	m.work(r, t, sent)
 }
 
-func (m *restModel) turnAway(r *modelRequest, t *modelTarget, w availability.Word) {
+func (m *restModel) turnAway(r *modelRequest, t *modelTarget, w availability.SelfReport) {
 	m.after(m.way(m.poolHall[r.pool], m.hallOf[t.id]), func() {
 		m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, Word: w}))
 		r.attempts++
--- a/upstream/target.go
+++ b/upstream/target.go
@@ -100,13 +100,13 @@
 
 // serves tells whether the target is meant to serve. Suspicions, pauses, rests and a cold
 // target's quota pass.
-func (t *target) serves() bool { return t.state.Serves() }
+func (t *target) serves() bool { return t.state.InService() }
 
 // holds tells whether the target keeps its keys though it may not be used for a moment. While it
 // rests, which takes seconds, they have two other places, as one
 // would have as many objects again to read.
 func (t *target) holds(now time.Time) bool {
-	return t.serves() && !now.Before(t.state.RestsUntil())
+	return t.serves() && !now.Before(t.state.BackoffUntil())
 }
 
 // usable tells whether a request may be sent now, its load aside.
@@ -115,12 +115,12 @@
 // otherwiseUsable tells whether a request may be sent now, the target's load and limit aside.
 func (t *target) otherwiseUsable(now time.Time) bool {
 	switch {
-	case !t.state.May(now):
+	case !t.state.Available(now):
 		return false
 	case t.contact.suspicion > 0 && t.contact.probing:
 		return false
 	case t.cold(now):
-		return t.contact.window.Free(now, t.quotaNow())
+		return t.contact.window.CanTake(now, t.quotaNow())
 	default:
 		return true
 	}
@@ -128,13 +128,13 @@
 
 // judge tells whether a request may be sent now, its load and limit aside, and what is in the way.
 func (t *target) judge(now time.Time) availability.Verdict {
-	switch verdict := t.state.Judge(now); {
+	switch verdict := t.state.Verdict(now); {
 	case !verdict.OK():
 		return verdict
 	case t.otherwiseUsable(now):
 		return verdict
 	case t.contact.suspicion > 0 && t.contact.probing:
-		return availability.Verdict{Cause: availability.CauseTrying, Source: availability.SourceOwn}
+		return availability.Verdict{Cause: availability.CauseProbing, Source: availability.SourceLocal}
 	default:
 		return availability.Verdict{Cause: availability.CauseCold, Source: availability.SourceList, Until: t.coldUntil}
 	}
@@ -217,10 +217,10 @@
 		t.contact.answeredAt = now
 		t.contact.rejections++
 		if full || t.contact.rejections >= rejectionsToPause {
-			t.state.Pause(now, now.Add(rejectedPause), availability.SourceOwn)
+			t.state.Pause(now, now.Add(rejectedPause), availability.SourceLocal)
 		}
 	case Replaced:
-		t.state.Replace(now)
+		t.state.SetReplaced(now)
 	case Unreachable:
 		t.contact.downAt = now
 		t.suspect(now)
@@ -244,12 +244,12 @@
 }
 
 // take takes in what the target said of itself in an answer to this instance.
-func (t *target) take(now time.Time, w availability.Word) {
-	if w.Leaves {
-		t.state.Leave(now, availability.SourceWord)
+func (t *target) take(now time.Time, w availability.SelfReport) {
+	if w.Leaving {
+		t.state.SetLeaving(now, availability.SourceTarget)
 	}
-	if w.Rest > 0 {
-		t.state.Rest(now, w.Rest)
+	if w.Backoff > 0 {
+		t.state.BackOff(now, w.Backoff)
 	}
 }
 
--- a/upstream/word_test.go
+++ b/upstream/word_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	leaves = availability.Word{Leaves: true}
-	rests  = availability.Word{Rest: 3 * time.Second}
+	leaves = availability.SelfReport{Leaving: true}
+	rests  = availability.SelfReport{Backoff: 3 * time.Second}
 )
 
 // latestUsual is the longest time after which a refused request is told to come back where no
@@ -21,7 +21,7 @@
 const latestUsual = 700 * time.Millisecond
 
 // spoken returns the result of an attempt whose answer holds a target's word.
-func spoken(outcome upstream.Outcome, w availability.Word) upstream.Result {
+func spoken(outcome upstream.Outcome, w availability.SelfReport) upstream.Result {
 	return upstream.Result{Outcome: outcome, Word: w, Took: time.Millisecond}
 }
 
@@ -39,7 +39,7 @@
 // however the attempt ended that brought it.
 func TestWordCountsWhateverBecameOfTheRequest(t *testing.T) {
 	for _, outcome := range []upstream.Outcome{upstream.Answered, upstream.Rejected, upstream.Broken, upstream.Abandoned} {
-		for name, word := range map[string]availability.Word{"leaves": leaves, "rests": rests} {
+		for name, word := range map[string]availability.SelfReport{"leaves": leaves, "rests": rests} {
 			t.Run(outcome.String()+" "+name, func(t *testing.T) {
 				p := newPool()
 				p.SetTargets(start, spread(3), nil)
@@ -63,10 +63,10 @@
 	first := p.Acquire(start, request("k")).Target.ID
 	p.Release(start, first, spoken(upstream.Rejected, rests))
 	second := firstOf(p, start, "k")
-	for at := start; at.Before(start.Add(rests.Rest)); at = at.Add(50 * time.Millisecond) {
+	for at := start; at.Before(start.Add(rests.Backoff)); at = at.Add(50 * time.Millisecond) {
 		require.Equal(t, second, firstOf(p, at, "k"))
 	}
-	require.Equal(t, first, firstOf(p, start.Add(rests.Rest), "k"))
+	require.Equal(t, first, firstOf(p, start.Add(rests.Backoff), "k"))
 }
 
 // TestAnswerDoesNotEndRest checks that the answer to a request that was on its way does not
@@ -77,7 +77,7 @@
 	first := p.Acquire(start, request("k")).Target.ID
 	require.Equal(t, first, p.Acquire(start, request("k")).Target.ID)
 	p.Release(start, first, spoken(upstream.Rejected, rests))
-	p.Release(start, first, spoken(upstream.Answered, availability.Word{}))
+	p.Release(start, first, spoken(upstream.Answered, availability.SelfReport{}))
 	require.NotEqual(t, first, firstOf(p, start.Add(time.Second), "k"))
 }
 
@@ -148,7 +148,7 @@
 		rest := time.Duration(2+i) * time.Second
 		for p.May(start, spec.ID, upstream.Sent{}) {
 			d := p.Acquire(start, request("k"))
-			p.Release(start, d.Target.ID, spoken(upstream.Rejected, availability.Word{Rest: rest}))
+			p.Release(start, d.Target.ID, spoken(upstream.Rejected, availability.SelfReport{Backoff: rest}))
 		}
 	}
 	told := make(map[time.Duration]bool)
@@ -188,7 +188,7 @@
 // TestEveryChoicePassesTheWord checks that no way to a target passes by what it said: the first
 // place of a key, the second, the least loaded target, a request sent alone, the queue.
 func TestEveryChoicePassesTheWord(t *testing.T) {
-	for name, word := range map[string]availability.Word{"leaves": leaves, "rests": rests} {
+	for name, word := range map[string]availability.SelfReport{"leaves": leaves, "rests": rests} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool()
 			specs := spread(3)[:3]
--- a/warmup/quota.go
+++ b/warmup/quota.go
@@ -7,8 +7,8 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// maxHolders bounds the instances that may send to one cold target.
-const maxHolders = 4
+// maxSenders bounds the instances that may send to one cold target.
+const maxSenders = 4
 
 // Quota returns how many requests the instance self may send to a cold target
 // in any second. Members are the names of all instances known in the target's
@@ -23,7 +23,7 @@
 		}
 		return holders[i] < holders[j]
 	})
-	n := min(len(holders), maxHolders)
+	n := min(len(holders), maxSenders)
 	for _, name := range holders[:n] {
 		if name == self {
 			return int(rate) / n
@@ -32,9 +32,9 @@
 	return 0
 }
 
-// window is the length of the time in which sends are counted. It is longer
+// windowLength is the length of the time in which sends are counted. It is longer
 // than a second by what clocks and the ways to the target may differ.
-const window = 1200 * time.Millisecond
+const windowLength = 1200 * time.Millisecond
 
 // Window counts sends in a sliding window. The zero value is ready.
 type Window struct {
@@ -51,15 +51,15 @@
 	return true
 }
 
-// Free tells whether Take would count a send.
-func (w *Window) Free(now time.Time, quota int) bool {
+// CanTake tells whether Take would count a send.
+func (w *Window) CanTake(now time.Time, quota int) bool {
 	w.expire(now)
 	return len(w.sent) < quota
 }
 
 func (w *Window) expire(now time.Time) {
 	n := 0
-	for n < len(w.sent) && now.Sub(w.sent[n]) >= window {
+	for n < len(w.sent) && now.Sub(w.sent[n]) >= windowLength {
 		n++
 	}
 	w.sent = append(w.sent[:0], w.sent[n:]...)
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestStrangersSendNothing(t *testing.T) {
+func TestNonMembersHaveNoQuota(t *testing.T) {
 	require.Zero(t, warmup.Quota("x", "t", []string{"a", "b"}, 11))
 	require.Zero(t, warmup.Quota("x", "t", nil, 11))
 }
@@ -50,7 +50,7 @@
 		now := time.Unix(0, 0)
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			free := w.Free(now, quota)
+			free := w.CanTake(now, quota)
 			taken := w.Take(now, quota)
 			require.Equal(t, free, taken)
 			if taken {
