--- a/member/instance.go
+++ b/member/instance.go
@@ -70,9 +70,9 @@
 	Loads  []Load
 	// HeardAt is the arrival of the last heartbeat.
 	HeardAt time.Time
-	// SilentSince is when the instance was last known to be alive: heard by
+	// LastAlive is when the instance was last known to be alive: heard by
 	// this one or one of its hall, or new on the list.
-	SilentSince time.Time
+	LastAlive time.Time
 }
 
 // LoadOf returns what the instance says of its targets for a service.
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -15,7 +15,7 @@
 	settings = member.DefaultSettings
 )
 
-func in(id, hall string) member.Instance { return member.Instance{ID: id, Hall: hall} }
+func instance(id, hall string) member.Instance { return member.Instance{ID: id, Hall: hall} }
 
 func states(v *member.View, now time.Time) map[string]member.State {
 	out := make(map[string]member.State)
@@ -26,63 +26,63 @@
 }
 
 func TestView(t *testing.T) {
-	v := member.NewView(in("me", "h"), settings)
-	v.SetList(epoch, []member.Instance{in("me", "h"), in("a", "h"), in("far", "g"), in("far2", "g")})
+	v := member.NewView(instance("me", "h"), settings)
+	v.SetList(epoch, []member.Instance{instance("me", "h"), instance("a", "h"), instance("far", "g"), instance("far2", "g")})
 	require.Equal(t, map[string]member.State{"a": member.Live, "far": member.Live, "far2": member.Live}, states(v, epoch),
 		"new ones count as alive until they had time to be heard; oneself is left out")
 	later := epoch.Add(settings.SuspectAfter + time.Second)
 	require.Equal(t, member.Suspect, states(v, later)["a"])
-	v.Hear(later, member.Heartbeat{From: in("a", "h")})
-	v.Hear(later, member.Heartbeat{From: in("far", "g"), Heard: []string{"far2", "stranger"}})
+	v.HandleHeartbeat(later, member.Heartbeat{From: instance("a", "h")})
+	v.HandleHeartbeat(later, member.Heartbeat{From: instance("far", "g"), Heard: []string{"far2", "stranger"}})
 	require.Equal(t, map[string]member.State{"a": member.Live, "far": member.Live, "far2": member.Live}, states(v, later),
 		"one of a hall speaks for the others that it hears")
 	require.Equal(t, []string{"a"}, v.HeardInHall(later))
 }
 
-// TestLeavingIsForGood checks that neither an old heartbeat nor an old list
+// TestLeavingIsPermanent checks that neither an old heartbeat nor an old list
 // brings a leaving instance back.
-func TestLeavingIsForGood(t *testing.T) {
-	v := member.NewView(in("me", "h"), settings)
-	leaving := in("a", "h")
+func TestLeavingIsPermanent(t *testing.T) {
+	v := member.NewView(instance("me", "h"), settings)
+	leaving := instance("a", "h")
 	leaving.Leaving = true
-	v.Hear(epoch, member.Heartbeat{From: in("a", "h")})
-	v.Hear(epoch, member.Heartbeat{From: leaving})
-	v.Hear(epoch, member.Heartbeat{From: in("a", "h")})
-	v.SetList(epoch, []member.Instance{in("a", "h")})
+	v.HandleHeartbeat(epoch, member.Heartbeat{From: instance("a", "h")})
+	v.HandleHeartbeat(epoch, member.Heartbeat{From: leaving})
+	v.HandleHeartbeat(epoch, member.Heartbeat{From: instance("a", "h")})
+	v.SetList(epoch, []member.Instance{instance("a", "h")})
 	require.Equal(t, member.Leaving, states(v, epoch)["a"])
-	b := in("b", "h")
+	b := instance("b", "h")
 	b.Leaving = true
 	v.SetList(epoch, []member.Instance{b})
-	v.Hear(epoch, member.Heartbeat{From: in("b", "h")})
+	v.HandleHeartbeat(epoch, member.Heartbeat{From: instance("b", "h")})
 	require.Equal(t, member.Leaving, states(v, epoch)["b"], "the list may be first to know")
 	v.SetList(epoch, nil)
 	v.Forget(epoch.Add(settings.ForgetAfter + time.Second))
 	require.Empty(t, v.All(epoch))
 }
 
-// TestUnreachable checks that a failed connection makes an instance suspected
+// TestMarkUnreachable checks that a failed connection makes an instance suspected
 // at once, and that hearing it ends that.
-func TestUnreachable(t *testing.T) {
-	v := member.NewView(in("me", "h"), settings)
-	a := in("a", "h")
+func TestMarkUnreachable(t *testing.T) {
+	v := member.NewView(instance("me", "h"), settings)
+	a := instance("a", "h")
 	a.PeerAddr = "127.0.0.1:9"
-	v.Hear(epoch, member.Heartbeat{From: a})
-	v.Unreachable("127.0.0.1:9")
+	v.HandleHeartbeat(epoch, member.Heartbeat{From: a})
+	v.MarkUnreachable("127.0.0.1:9")
 	require.Equal(t, member.Suspect, states(v, epoch)["a"])
 	require.Empty(t, v.HeardInHall(epoch))
-	v.Hear(epoch, member.Heartbeat{From: a})
+	v.HandleHeartbeat(epoch, member.Heartbeat{From: a})
 	require.Equal(t, member.Live, states(v, epoch)["a"])
 }
 
-// TestRecipientsReachEveryone checks that the whole own hall is told every
+// TestRecipientsCoverAllInstances checks that the whole own hall is told every
 // round, and each instance of the other halls within as many rounds as its
 // hall has instances.
-func TestRecipientsReachEveryone(t *testing.T) {
-	v := member.NewView(in("me", "h0"), settings)
+func TestRecipientsCoverAllInstances(t *testing.T) {
+	v := member.NewView(instance("me", "h0"), settings)
 	var list []member.Instance
 	for hall := range 5 {
 		for i := range 6 {
-			list = append(list, in(fmt.Sprintf("h%d-%d", hall, i), fmt.Sprintf("h%d", hall)))
+			list = append(list, instance(fmt.Sprintf("h%d-%d", hall, i), fmt.Sprintf("h%d", hall)))
 		}
 	}
 	v.SetList(epoch, list)
@@ -103,12 +103,12 @@
 	}
 }
 
-func BenchmarkAll(b *testing.B) {
+func BenchmarkViewAll(b *testing.B) {
 	for _, n := range []int{12, 100, 730} {
 		b.Run(fmt.Sprintf("instances%d", n), func(b *testing.B) {
-			v := member.NewView(in("me", "h"), settings)
+			v := member.NewView(instance("me", "h"), settings)
 			for i := range n {
-				v.Hear(epoch, member.Heartbeat{From: in(fmt.Sprintf("instance-%03d", i), fmt.Sprintf("h%d", i%19))})
+				v.HandleHeartbeat(epoch, member.Heartbeat{From: instance(fmt.Sprintf("instance-%03d", i), fmt.Sprintf("h%d", i%19))})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -121,7 +121,7 @@
 func ExampleView() {
 	v := member.NewView(member.Instance{ID: "me", Hall: "accra-1"}, member.DefaultSettings)
 	now := time.Unix(0, 0)
-	v.Hear(now, member.Heartbeat{From: member.Instance{ID: "other", Hall: "accra-1"}})
+	v.HandleHeartbeat(now, member.Heartbeat{From: member.Instance{ID: "other", Hall: "accra-1"}})
 	fmt.Println(v.All(now)[0].State)
 	fmt.Println(v.All(now.Add(time.Minute))[0].State)
 	// Output:
--- a/member/propagation_test.go
+++ b/member/propagation_test.go
@@ -9,27 +9,27 @@
 	"github.com/rainford/rainford/member"
 )
 
-// spread models how a change comes in force: by the platform's watches, whose
+// propagation models how a change comes in force: by the platform's watches, whose
 // answers the platform's limit spreads over time, and by heartbeats with pulls
 // behind them. Recipients are the views' own.
-type spread struct {
-	rnd   *rand.Rand
-	list  []member.Instance
-	views []*member.View
-	at    []time.Duration
+type propagation struct {
+	rng        *rand.Rand
+	list       []member.Instance
+	views      []*member.View
+	receivedAt []time.Duration
 }
 
 const (
-	spreadBeat  = 500 * time.Millisecond
-	readsPerSec = 2000
-	never       = time.Hour
+	heartbeatInterval = 500 * time.Millisecond
+	readsPerSec       = 2000
+	never             = time.Hour
 )
 
-func newSpread(n, halls int) *spread {
-	s := &spread{rnd: rand.New(rand.NewPCG(1, uint64(n)))}
+func newPropagation(n, halls int) *propagation {
+	s := &propagation{rng: rand.New(rand.NewPCG(1, uint64(n)))}
 	for i := range n {
 		hall := fmt.Sprintf("h%02d", i%halls)
-		s.list = append(s.list, in(fmt.Sprintf("%s-%03d", hall, i), hall))
+		s.list = append(s.list, instance(fmt.Sprintf("%s-%03d", hall, i), hall))
 	}
 	for i := range n {
 		v := member.NewView(s.list[i], settings)
@@ -41,27 +41,27 @@
 
 // run returns when the last instance has the change. Told says which have it
 // from the platform.
-func (s *spread) run(told func(i int) bool) time.Duration {
+func (s *propagation) run(told func(i int) bool) time.Duration {
 	index := make(map[string]int)
-	s.at = make([]time.Duration, len(s.list))
+	s.receivedAt = make([]time.Duration, len(s.list))
 	answer := time.Duration(0)
 	for i, inst := range s.list {
 		index[inst.ID] = i
-		s.at[i] = never
+		s.receivedAt[i] = never
 		if told(i) {
 			// A watch's answer and the next watch are two calls.
 			answer += 2 * time.Second / readsPerSec
-			s.at[i] = answer
+			s.receivedAt[i] = answer
 		}
 	}
 	phase := make([]time.Duration, len(s.list))
 	for i := range phase {
-		phase[i] = time.Duration(s.rnd.Int64N(int64(spreadBeat)))
+		phase[i] = time.Duration(s.rng.Int64N(int64(heartbeatInterval)))
 	}
 	for round := range uint64(60) {
 		for i, v := range s.views {
-			sent := phase[i] + time.Duration(round)*spreadBeat
-			if s.at[i] > sent {
+			sent := phase[i] + time.Duration(round)*heartbeatInterval
+			if s.receivedAt[i] > sent {
 				continue
 			}
 			for _, to := range v.Recipients(epoch, round) {
@@ -71,21 +71,21 @@
 					delay = 3 * 55 * time.Millisecond
 				}
 				j := index[to.ID]
-				s.at[j] = min(s.at[j], sent+delay)
+				s.receivedAt[j] = min(s.receivedAt[j], sent+delay)
 			}
 		}
 	}
 	worst := time.Duration(0)
-	for _, t := range s.at {
+	for _, t := range s.receivedAt {
 		worst = max(worst, t)
 	}
 	return worst
 }
 
-// BenchmarkSpread reports the seconds until a change is in force everywhere.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkPropagation reports the seconds until a change is in force everywhere.
+func BenchmarkPropagation(b *testing.B) {
 	for _, size := range []struct{ n, halls int }{{12, 6}, {100, 19}, {730, 19}} {
-		s := newSpread(size.n, size.halls)
+		s := newPropagation(size.n, size.halls)
 		for name, told := range map[string]func(int) bool{
 			"all-watch":       func(int) bool { return true },
 			"one-told":        func(i int) bool { return i == 0 },
--- a/member/view.go
+++ b/member/view.go
@@ -26,7 +26,7 @@
 type View struct {
 	self     Instance
 	settings Settings
-	known    map[string]*record
+	records  map[string]*record
 }
 
 type record struct {
@@ -35,30 +35,30 @@
 	// unreachable is set when a connection to the instance has failed since
 	// it was last heard.
 	unreachable bool
-	// reportedAt is when the instance or one of its hall was last heard to
+	// lastAlive is when the instance or one of its hall was last heard to
 	// be alive.
-	reportedAt time.Time
+	lastAlive time.Time
 }
 
 // NewView returns the view of the instance self.
 func NewView(self Instance, settings Settings) *View {
-	return &View{self: self, settings: settings, known: make(map[string]*record)}
+	return &View{self: self, settings: settings, records: make(map[string]*record)}
 }
 
 // SetList takes in the platform's list. An instance that is new on it counts as
 // alive and ready until it has had time to be heard.
 func (v *View) SetList(now time.Time, list []Instance) {
-	for _, r := range v.known {
+	for _, r := range v.records {
 		r.listed = false
 	}
 	for _, in := range list {
 		if in.ID == v.self.ID {
 			continue
 		}
-		r := v.known[in.ID]
+		r := v.records[in.ID]
 		if r == nil {
 			r = v.record(in)
-			r.reportedAt = now
+			r.lastAlive = now
 			r.status.Ready = true
 		}
 		r.listed = true
@@ -66,8 +66,8 @@
 	}
 }
 
-// Hear takes in a heartbeat.
-func (v *View) Hear(now time.Time, hb Heartbeat) {
+// HandleHeartbeat takes in a heartbeat.
+func (v *View) HandleHeartbeat(now time.Time, hb Heartbeat) {
 	if hb.From.ID == v.self.ID {
 		return
 	}
@@ -79,19 +79,19 @@
 	r.status.Ready = hb.Ready
 	r.status.Config = max(r.status.Config, hb.Config)
 	r.status.Loads = hb.Loads
-	r.reportedAt = now
+	r.lastAlive = now
 	r.unreachable = false
 	for _, id := range hb.Heard {
-		if other := v.known[id]; other != nil {
-			other.reportedAt = now
+		if other := v.records[id]; other != nil {
+			other.lastAlive = now
 		}
 	}
 }
 
-// Unreachable takes in that no connection to a peer address could be had. The
+// MarkUnreachable takes in that no connection to a peer address could be had. The
 // instance there is suspected until it is heard again.
-func (v *View) Unreachable(addr string) {
-	for _, r := range v.known {
+func (v *View) MarkUnreachable(addr string) {
+	for _, r := range v.records {
 		if r.status.PeerAddr == addr {
 			r.unreachable = true
 		}
@@ -99,42 +99,42 @@
 }
 
 func (v *View) record(in Instance) *record {
-	r := v.known[in.ID]
+	r := v.records[in.ID]
 	if r == nil {
 		r = &record{status: Status{Instance: in}}
-		v.known[in.ID] = r
+		v.records[in.ID] = r
 	}
 	return r
 }
 
 // Forget drops the instances that are neither listed nor heard.
 func (v *View) Forget(now time.Time) {
-	for id, r := range v.known {
-		if !r.listed && now.Sub(r.reportedAt) > v.settings.ForgetAfter {
-			delete(v.known, id)
+	for id, r := range v.records {
+		if !r.listed && now.Sub(r.lastAlive) > v.settings.ForgetAfter {
+			delete(v.records, id)
 		}
 	}
 }
 
 // Get returns what is known of an instance.
 func (v *View) Get(now time.Time, id string) (Status, bool) {
-	r := v.known[id]
+	r := v.records[id]
 	if r == nil {
 		return Status{}, false
 	}
 	s := r.status
 	s.State = v.state(now, r)
-	s.SilentSince = r.reportedAt
+	s.LastAlive = r.lastAlive
 	return s, true
 }
 
 // All returns every instance known, with its state, in the order of IDs.
 func (v *View) All(now time.Time) []Status {
-	out := make([]Status, 0, len(v.known))
-	for _, r := range v.known {
+	out := make([]Status, 0, len(v.records))
+	for _, r := range v.records {
 		s := r.status
 		s.State = v.state(now, r)
-		s.SilentSince = r.reportedAt
+		s.LastAlive = r.lastAlive
 		out = append(out, s)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
@@ -147,7 +147,7 @@
 		return Leaving
 	case r.unreachable:
 		return Suspect
-	case !r.reportedAt.IsZero() && now.Sub(r.reportedAt) <= v.settings.SuspectAfter:
+	case !r.lastAlive.IsZero() && now.Sub(r.lastAlive) <= v.settings.SuspectAfter:
 		return Live
 	default:
 		return Suspect
@@ -158,7 +158,7 @@
 // directly and of late.
 func (v *View) HeardInHall(now time.Time) []string {
 	var out []string
-	for id, r := range v.known {
+	for id, r := range v.records {
 		fresh := !r.status.HeardAt.IsZero() && now.Sub(r.status.HeardAt) <= v.settings.SuspectAfter
 		if r.status.Hall == v.self.Hall && fresh && !r.unreachable {
 			out = append(out, id)
@@ -185,7 +185,7 @@
 		}
 		halls[s.Hall] = append(halls[s.Hall], s.Instance)
 	}
-	start := uint64(hashOf(v.self.ID))
+	start := uint64(hashID(v.self.ID))
 	for _, name := range names {
 		list := halls[name]
 		out = append(out, list[(round+start)%uint64(len(list))])
@@ -193,7 +193,7 @@
 	return out
 }
 
-func hashOf(id string) uint32 {
+func hashID(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return h.Sum32()
--- a/node/beat.go
+++ b/node/beat.go
@@ -148,7 +148,7 @@
 func (n *Node) Unreachable(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.view.Unreachable(addr)
+	n.view.MarkUnreachable(addr)
 	n.fleetOld = true
 }
 
@@ -156,7 +156,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	n.view.Hear(now, hb)
+	n.view.HandleHeartbeat(now, hb)
 	n.fleetOld = true
 	for _, l := range hb.Loads {
 		delete(n.sent, offer{hb.From.ID, l.Service})
--- a/node/register.go
+++ b/node/register.go
@@ -84,7 +84,7 @@
 	var dead []objectstore.Object
 	n.mu.Lock()
 	for _, s := range n.view.All(now) {
-		silent := now.Sub(s.SilentSince) > removeAfter
+		silent := now.Sub(s.LastAlive) > removeAfter
 		obj, listed := n.objects.byKey[InstancePrefix+s.ID]
 		if s.Hall == n.self.Hall && silent && listed && !obj.Deleted {
 			dead = append(dead, obj)
