--- a/ratelimit/hall_limit.go
+++ b/ratelimit/hall_limit.go
@@ -21,23 +21,23 @@
 var PlacedBound = Bound{Window: 4 * time.Second, Over: 0.1, Slack: 2}
 
 const (
-	// placedTenure is how long after a change of the instances a new owner of a placed limit
+	// hallHandoverDelay is how long after a change of the instances a new owner of a placed limit
 	// issues nothing: the permits of the last one have ended by then, and all instances that
 	// reach each other have heard what it has heard.
-	placedTenure = 2 * time.Second
-	// mostPlacedDenial bounds the time for which an instance that got no permit of a placed
+	hallHandoverDelay = 2 * time.Second
+	// maxHallDenial bounds the time for which an instance that got no permit of a placed
 	// limit refuses without asking again.
-	mostPlacedDenial = time.Second
-	// mostCrowd bounds how many times longer than a permit takes to come those are denied that
+	maxHallDenial = time.Second
+	// maxDenialScale bounds how many times longer than a permit takes to come those are denied that
 	// ask for one in vain.
-	mostCrowd = 20
-	// deputies is the number of owners that are asked one after the other. All but one say that
+	maxDenialScale = 20
+	// maxCandidates is the number of owners that are asked one after the other. All but one say that
 	// they are not, unless they know of fewer instances than the asker.
-	deputies = maxTries
+	maxCandidates = maxTries
 )
 
-// placement knows who may own a placed limit.
-type placement struct {
+// hallOwners knows who may own a placed limit.
+type hallOwners struct {
 	self     string
 	region   string
 	regionOf map[string]string
@@ -50,16 +50,16 @@
 // or if that has none one of its region, or of all. Places are those that are not known to be
 // away.
 func NewPlacedOwners(self Place, regionOf map[string]string, places []Place) *Owners {
-	p := &placement{self: self.Name, region: self.Region, regionOf: regionOf, byHall: make(map[string][]Place), byRegion: make(map[string][]Place), all: places}
+	p := &hallOwners{self: self.Name, region: self.Region, regionOf: regionOf, byHall: make(map[string][]Place), byRegion: make(map[string][]Place), all: places}
 	for _, place := range places {
 		p.byHall[place.Hall] = append(p.byHall[place.Hall], place)
 		p.byRegion[place.Region] = append(p.byRegion[place.Region], place)
 	}
-	return &Owners{self: self, parts: 1, placed: p}
+	return &Owners{self: self, shares: 1, hall: p}
 }
 
-// among returns the instances one of which owns a limit.
-func (p *placement) among(name string) []Place {
+// candidates returns the instances one of which owns a limit.
+func (p *hallOwners) candidates(name string) []Place {
 	hall, _, _ := strings.Cut(name, PlaceMark)
 	if in := p.byHall[hall]; len(in) > 0 {
 		return in
@@ -70,9 +70,9 @@
 	return p.all
 }
 
-// of returns the owner of a limit, and those who would own it if it were away.
-func (p *placement) of(name string) []Owner {
-	places := slices.Clone(p.among(name))
+// owners returns the owner owners a limit, and those who would own it if it were away.
+func (p *hallOwners) owners(name string) []Owner {
+	places := slices.Clone(p.candidates(name))
 	slices.SortFunc(places, func(a, b Place) int {
 		x, y := mix.Pair(name, a.Name), mix.Pair(name, b.Name)
 		switch {
@@ -84,23 +84,23 @@
 			return strings.Compare(a.Name, b.Name)
 		}
 	})
-	owners := make([]Owner, 0, deputies)
-	for _, place := range places[:min(deputies, len(places))] {
+	owners := make([]Owner, 0, maxCandidates)
+	for _, place := range places[:min(maxCandidates, len(places))] {
 		owners = append(owners, Owner{Name: place.Name, Near: place.Region == p.region})
 	}
 	return owners
 }
 
 // owns tells whether this instance owns a limit.
-func (p *placement) owns(name string) bool {
-	owners := p.of(name)
+func (p *hallOwners) owns(name string) bool {
+	owners := p.owners(name)
 	return len(owners) > 0 && owners[0].Name == p.self
 }
 
 // NewPlacedHolder returns a holder of permits of placed limits for the instance of a name.
 func NewPlacedHolder(name string) *Holder {
 	h := NewHolder(name)
-	h.mostDenial = mostPlacedDenial
+	h.maxDenial = maxHallDenial
 	return h
 }
 
@@ -108,43 +108,43 @@
 // with the whole system for the first time.
 func NewPlacedIssuer(startedAt time.Time, firstStart bool) *Issuer {
 	i := NewIssuer(PlacedBound, startedAt, firstStart)
-	i.tenure.time = placedTenure
-	i.crowds = true
+	i.ownership.handoverDelay = hallHandoverDelay
+	i.scaleDenials = true
 	return i
 }
 
-// crowdWait is how long an instance is denied that asked for a permit in vain: longer than the
+// scaledDenial is how long an instance is denied that asked for a permit in vain: longer than the
 // next one takes to come if many ask, so that the questions stay in proportion to the permits.
-func (p *part) crowdWait(now time.Time) time.Duration {
+func (p *bucket) scaledDenial(now time.Time) time.Duration {
 	if p.limit.Rate <= 0 {
 		return maxWait
 	}
-	crowd := math.Max(1, math.Min(mostCrowd, p.asked.now(now)/p.limit.Rate))
-	return min(maxWait, time.Duration(crowd*float64(p.wait(1))))
+	crowd := math.Max(1, math.Min(maxDenialScale, p.demand.value(now)/p.limit.Rate))
+	return min(maxWait, time.Duration(crowd*float64(p.timeToTokens(1))))
 }
 
 // Free returns the number of permits of a limit that the holder has.
 func (h *Holder) Free(now time.Time, name string) int {
-	a := h.held[name]
+	a := h.accounts[name]
 	if a == nil {
 		return 0
 	}
 	return a.permits.count(now)
 }
 
-// leftAfter is the age from which on a permit is left over: the request that it was asked for has
+// unusedAfter is the age from which on a permit is left over: the request that it was asked for has
 // gone elsewhere.
-const leftAfter = 100 * time.Millisecond
+const unusedAfter = 100 * time.Millisecond
 
 // Spare tells whether the holder has a permit of a limit that nobody waits for: more than one, or
 // one that is left over.
 func (h *Holder) Spare(now time.Time, name string) bool {
-	a := h.held[name]
+	a := h.accounts[name]
 	if a == nil {
 		return false
 	}
 	n := a.permits.count(now)
-	return n > 1 || n == 1 && a.permits[0].until.Sub(now) <= a.life-leftAfter
+	return n > 1 || n == 1 && a.permits[0].expiresAt.Sub(now) <= a.lifetime-unusedAfter
 }
 
 // Spend takes a permit that the holder has, and returns until when it may be used and what to ask
@@ -156,8 +156,8 @@
 	if n == 0 {
 		return time.Time{}, nil, false
 	}
-	a.used.add(now, 1)
-	return until, h.ahead(now, name, a), true
+	a.requestRate.add(now, 1)
+	return until, h.prefetch(now, name, a), true
 }
 
 // Want asks for a permit of a limit, unless there is one, an owner has been asked, or one has
@@ -165,24 +165,24 @@
 func (h *Holder) Want(now time.Time, name string) []Ask {
 	a := h.account(name)
 	a.usedAt = now
-	if a.asking || now.Before(a.deniedUntil) || a.permits.count(now) > 0 {
+	if a.outstanding || now.Before(a.deniedUntil) || a.permits.count(now) > 0 {
 		return nil
 	}
 	a.tries = 0
-	_, asks := h.next(now, name, a)
+	_, asks := h.askNext(now, name, a)
 	return asks
 }
 
 // AsksNear tells whether an owner of the own region has been asked for permits of a limit and has
 // not answered.
 func (h *Holder) AsksNear(name string) bool {
-	a := h.held[name]
-	return a != nil && a.asking && a.ask.To.Near
+	a := h.accounts[name]
+	return a != nil && a.outstanding && a.request.To.Near
 }
 
 // DeniedUntil returns until when no permit of a limit is asked for, as one was denied.
 func (h *Holder) DeniedUntil(name string) time.Time {
-	a := h.held[name]
+	a := h.accounts[name]
 	if a == nil {
 		return time.Time{}
 	}
@@ -192,9 +192,9 @@
 // Use returns the rates at which permits of a limit were got and spent here, in 1/s, and the owner
 // that was asked last.
 func (h *Holder) Use(now time.Time, name string) (got, used float64, owner string) {
-	a := h.held[name]
+	a := h.accounts[name]
 	if a == nil {
 		return 0, 0, ""
 	}
-	return a.got.now(now), a.used.now(now), a.ask.To.Name
+	return a.permitRate.value(now), a.requestRate.value(now), a.request.To.Name
 }
--- a/ratelimit/hall_limit_test.go
+++ b/ratelimit/hall_limit_test.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	placedHall = "a1"
-	// seesWithin is how long after an instance goes or is back all others know.
-	seesWithin = time.Second
+	limitHall = "a1"
+	// maxNoticeDelay is how long after an instance goes or is back all others know.
+	maxNoticeDelay = time.Second
 )
 
-var placedName = ratelimit.PlacedName(placedHall, "t")
+var limitName = ratelimit.PlacedName(limitHall, "t")
 
-// placedWorld is instances of one hall that issue permits of one limit.
-type placedWorld struct {
+// hallSimulation is instances of one hall that issue permits of one limit.
+type hallSimulation struct {
 	issuers []*ratelimit.Issuer
 	places  []ratelimit.Place
 	issued  []time.Time
 }
 
-func newPlacedWorld(n int, now time.Time) *placedWorld {
-	w := &placedWorld{}
+func newHallSimulation(n int, now time.Time) *hallSimulation {
+	w := &hallSimulation{}
 	for i := range n {
-		w.places = append(w.places, ratelimit.Place{Name: fmt.Sprint("n", i), Hall: placedHall, Region: "a"})
+		w.places = append(w.places, ratelimit.Place{Name: fmt.Sprint("n", i), Hall: limitHall, Region: "a"})
 	}
 	for i := range n {
 		w.issuers = append(w.issuers, ratelimit.NewPlacedIssuer(now.Add(-time.Hour), false))
@@ -39,26 +39,26 @@
 }
 
 // owners returns the owners as an instance knows them that takes others to be away.
-func (w *placedWorld) owners(self int, away map[int]bool) *ratelimit.Owners {
+func (w *hallSimulation) owners(self int, away map[int]bool) *ratelimit.Owners {
 	var places []ratelimit.Place
 	for i, p := range w.places {
 		if !away[i] {
 			places = append(places, p)
 		}
 	}
-	return ratelimit.NewPlacedOwners(w.places[self], map[string]string{placedHall: "a"}, places)
+	return ratelimit.NewPlacedOwners(w.places[self], map[string]string{limitHall: "a"}, places)
 }
 
-// TestPlacedLimitOutlivesItsOwner draws which instances go and come back, when each of the others
+// TestHallLimitHoldsThroughOwnerChanges draws which instances go and come back, when each of the others
 // knows of that, and who asks whom, also instances that are not the owner for anybody, and checks
 // that all together never issue more in any window than one and a half times the limit and five.
-func TestPlacedLimitOutlivesItsOwner(t *testing.T) {
+func TestHallLimitHoldsThroughOwnerChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		n := rapid.IntRange(2, 5).Draw(t, "instances")
 		perSecond := float64(rapid.IntRange(1, 80).Draw(t, "limit")) / 2
 		limit := ratelimit.Limit{Rate: perSecond, Burst: perSecond / 4}
-		w := newPlacedWorld(n, now)
+		w := newHallSimulation(n, now)
 		gone := make(map[int]bool)
 		knows := make([]map[int]bool, n)
 		var changed time.Time
@@ -75,7 +75,7 @@
 				}
 			}
 			for i := range n {
-				late := time.Duration(i) * seesWithin / time.Duration(n)
+				late := time.Duration(i) * maxNoticeDelay / time.Duration(n)
 				if gone[i] || now.Sub(changed) < late {
 					continue
 				}
@@ -95,7 +95,7 @@
 				if gone[to] || knows[to] == nil {
 					continue
 				}
-				reply, loans := w.issuers[to].Issue(now, placedName, limit, ratelimit.Claim{From: "x", N: rapid.IntRange(1, 20).Draw(t, "n")})
+				reply, loans := w.issuers[to].Issue(now, limitName, limit, ratelimit.Claim{From: "x", N: rapid.IntRange(1, 20).Draw(t, "n")})
 				require.Empty(t, loans, "nothing is lent")
 				for range reply.Issue.N {
 					w.issued = append(w.issued, now)
@@ -120,9 +120,9 @@
 	})
 }
 
-// TestPlacedOwnerIsNear checks that a limit belongs to an instance of its hall, or if there is none
+// TestHallOwnerIsNearest checks that a limit belongs to an instance of its hall, or if there is none
 // to one of the region, or of all, and that one that joins takes over few.
-func TestPlacedOwnerIsNear(t *testing.T) {
+func TestHallOwnerIsNearest(t *testing.T) {
 	regionOf := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	place := func(name, hall string) ratelimit.Place {
 		return ratelimit.Place{Name: name, Hall: hall, Region: regionOf[hall]}
@@ -130,7 +130,7 @@
 	self := place("s", "b1")
 	all := []ratelimit.Place{self, place("x", "a1"), place("y", "a2")}
 	of := func(places ...ratelimit.Place) ratelimit.Owner {
-		return ratelimit.NewPlacedOwners(self, regionOf, places).Of(placedName)[0]
+		return ratelimit.NewPlacedOwners(self, regionOf, places).Of(limitName)[0]
 	}
 	require.Equal(t, ratelimit.Owner{Name: "x"}, of(all...))
 	require.Equal(t, ratelimit.Owner{Name: "y"}, of(all[0], all[2]))
@@ -152,9 +152,9 @@
 	require.InDelta(t, 100, moved, 40)
 }
 
-// TestThousandsCostFewMessages checks that a limit of thousands a second that 74 instances use is
+// TestHighRateNeedsFewRequests checks that a limit of thousands a second that 74 instances use is
 // kept and used, at a small part of a question for each request.
-func TestThousandsCostFewMessages(t *testing.T) {
+func TestHighRateNeedsFewRequests(t *testing.T) {
 	const (
 		perSecond = 4000.0
 		instances = 74
@@ -162,7 +162,7 @@
 		length    = 6 * time.Second
 	)
 	now := time.Unix(1000, 0)
-	w := newPlacedWorld(instances, now)
+	w := newHallSimulation(instances, now)
 	limit := ratelimit.Limit{Rate: perSecond, Burst: perSecond / 4}
 	var holders []*ratelimit.Holder
 	for i := range instances {
@@ -179,14 +179,14 @@
 	hear := func(replies ...ratelimit.Reply) {
 		for _, r := range replies {
 			i := numbers[r.To]
-			_, more := holders[i].Hear(now, time.Unix(0, r.At), placedName, w.owners(0, nil).Of(placedName)[0].Name, r.Issue)
+			_, more := holders[i].Hear(now, time.Unix(0, r.At), limitName, w.owners(0, nil).Of(limitName)[0].Name, r.Issue)
 			ask(i, more)
 		}
 	}
 	ask = func(i int, asks []ratelimit.Ask) {
 		for _, a := range asks {
 			asked++
-			reply, _ := w.issuers[numbers[a.To.Name]].Issue(now, placedName, limit, ratelimit.Claim{From: w.places[i].Name, At: a.At.UnixNano(), N: a.N})
+			reply, _ := w.issuers[numbers[a.To.Name]].Issue(now, limitName, limit, ratelimit.Claim{From: w.places[i].Name, At: a.At.UnixNano(), N: a.N})
 			hear(reply)
 		}
 	}
@@ -195,13 +195,13 @@
 		for range int(1.2 * perSecond * step.Seconds()) {
 			i := wanted % instances
 			wanted++
-			_, asks, ok := holders[i].Spend(now, placedName)
+			_, asks, ok := holders[i].Spend(now, limitName)
 			ask(i, asks)
 			if ok {
 				spent++
 				continue
 			}
-			ask(i, holders[i].Want(now, placedName))
+			ask(i, holders[i].Want(now, limitName))
 		}
 		for i := range instances {
 			hear(w.issuers[i].Tick(now)...)
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// nearTimeout and farTimeout are how long the answer of an owner of the own or of
+	// sameRegionTimeout and farTimeout are how long the answer of an owner of the own or of
 	// another region is waited for. Between regions the way there and back takes 70 to
 	// 110 ms.
-	nearTimeout = 50 * time.Millisecond
-	farTimeout  = 150 * time.Millisecond
-	// moreTimeout is how long the next answer of an owner is waited for that said that
+	sameRegionTimeout  = 50 * time.Millisecond
+	crossRegionTimeout = 150 * time.Millisecond
+	// followUpTimeout is how long the next answer of an owner is waited for that said that
 	// another one follows.
-	moreTimeout = loanTime + nearTimeout
+	followUpTimeout = maxLoanWait + sameRegionTimeout
 	// maxTries bounds the owners that are asked for one request.
 	maxTries = 3
-	// silentFor is how long an owner that did not answer is passed over, and foreignFor
+	// timeoutSuspension is how long an owner that did not answer is passed over, and foreignFor
 	// how long one that says that it does not own the part.
-	silentFor  = time.Second
-	foreignFor = 500 * time.Millisecond
+	timeoutSuspension  = time.Second
+	notOwnerSuspension = 500 * time.Millisecond
 
-	// aheadTime is the time for which permits are asked for ahead of need, and lowShare
+	// prefetchTime is the time for which permits are asked for ahead of need, and lowShare
 	// the part of them below which more are asked for.
-	aheadTime = 250 * time.Millisecond
-	lowShare  = 0.4
-	// aheadFrom is the number of requests in a permit's life from which on permits are
+	prefetchTime      = 250 * time.Millisecond
+	prefetchThreshold = 0.4
+	// minPrefetchRequests is the number of requests in a permit's life from which on permits are
 	// asked for ahead of need. Of fewer requests many would come too late for theirs.
-	aheadFrom = 3
+	minPrefetchRequests = 3
 
-	// leastDenial and mostDenial bound the time for which an instance that got none
+	// minDenial and mostDenial bound the time for which an instance that got none
 	// refuses without asking again.
-	leastDenial = 10 * time.Millisecond
-	mostDenial  = 100 * time.Millisecond
-	// leastGot bounds the rate of permits that a forecast is made from, in 1/s.
-	leastGot = 0.5
-	// heldForgotten is when an account without requests is forgotten.
-	heldForgotten = 30 * time.Second
+	minDenial = 10 * time.Millisecond
+	maxDenial = 100 * time.Millisecond
+	// minPermitRate bounds the rate of permits that a forecast is made from, in 1/s.
+	minPermitRate = 0.5
+	// accountIdleTimeout is when an account without requests is forgotten.
+	accountIdleTimeout = 30 * time.Second
 )
 
 // Verdict is the kind of an answer to a request for a permit.
@@ -82,47 +82,47 @@
 
 // Holder holds the permits of an instance. It is not safe for concurrent use.
 type Holder struct {
-	owners *Owners
-	held   map[string]*held
-	// asking is the number of accounts whose owner's answer is due.
-	asking int
-	// silences are of the owners that are passed over, by name.
-	silences map[string]silence
+	owners   *Owners
+	accounts map[string]*accountState
+	// outstanding is the number of accounts whose owner's answer is due.
+	outstanding int
+	// suspended are of the owners that are passed over, by name.
+	suspended map[string]suspension
 	// salt tells the instances' drawn times apart.
 	salt uint64
-	// mostDenial bounds the time for which an instance that got none refuses without asking.
-	mostDenial time.Duration
+	// maxDenial bounds the time for which an instance that got none refuses without asking.
+	maxDenial time.Duration
 }
 
-// held is what an instance knows of one account.
-type held struct {
-	permits lots
-	// life is that of the last permits.
-	life time.Duration
-	// used is the rate of requests, and got that of permits.
-	used, got rate
-	waiting   []uint64
-	// asking is set while an owner's answer is due.
-	asking  bool
-	ask     Ask
-	askedAt time.Time
-	// dueAt is when the answer should be there.
-	dueAt time.Time
-	tries int
+// accountState is what an instance knows of one account.
+type accountState struct {
+	permits batches
+	// lifetime is that of the last permits.
+	lifetime time.Duration
+	// requestRate is the rate of requests, and permitRate that of permits.
+	requestRate, permitRate rateEstimate
+	waiting                 []uint64
+	// outstanding is set while an owner's answer is due.
+	outstanding bool
+	request     Ask
+	requestedAt time.Time
+	// deadline is when the answer should be there.
+	deadline time.Time
+	tries    int
 
 	deniedUntil time.Time
 	// denials is the number of requests refused since the last permit.
 	denials int
 
-	owners       []Owner
-	from         *Owners
-	foreignUntil map[string]time.Time
-	usedAt       time.Time
+	owners        []Owner
+	ownersSource  *Owners
+	notOwnerUntil map[string]time.Time
+	usedAt        time.Time
 }
 
 // NewHolder returns a holder without permits for the instance of a name.
 func NewHolder(name string) *Holder {
-	return &Holder{held: make(map[string]*held), silences: make(map[string]silence), salt: mix.Hash(name), mostDenial: mostDenial}
+	return &Holder{accounts: make(map[string]*accountState), suspended: make(map[string]suspension), salt: mix.Hash(name), maxDenial: maxDenial}
 }
 
 // SetOwners puts owners in force.
@@ -132,44 +132,44 @@
 func (h *Holder) Take(now time.Time, id uint64, account string) (Answer, []Ask) {
 	a := h.account(account)
 	a.usedAt = now
-	a.used.add(now, 1)
+	a.requestRate.add(now, 1)
 	if n, until := a.permits.take(now, 1); n > 0 {
-		return Answer{ID: id, Verdict: Admit, Until: until}, h.ahead(now, account, a)
+		return Answer{ID: id, Verdict: Admit, Until: until}, h.prefetch(now, account, a)
 	}
 	if now.Before(a.deniedUntil) {
 		return h.deny(now, a, id), nil
 	}
 	a.waiting = append(a.waiting, id)
-	if a.asking {
+	if a.outstanding {
 		return Answer{ID: id, Verdict: Wait}, nil
 	}
 	a.tries = 0
-	answers, asks := h.next(now, account, a)
+	answers, asks := h.askNext(now, account, a)
 	if len(answers) > 0 {
 		return answers[0], nil
 	}
 	return Answer{ID: id, Verdict: Wait}, asks
 }
 
-func (h *Holder) account(name string) *held {
-	a := h.held[name]
+func (h *Holder) account(name string) *accountState {
+	a := h.accounts[name]
 	if a == nil {
-		a = &held{}
-		h.held[name] = a
+		a = &accountState{}
+		h.accounts[name] = a
 	}
 	return a
 }
 
 // Return gives back the permit of a request that was not sent.
 func (h *Holder) Return(now time.Time, account string, until time.Time) {
-	if a := h.held[account]; a != nil && now.Before(until) {
+	if a := h.accounts[account]; a != nil && now.Before(until) {
 		a.permits.add(1, until)
 	}
 }
 
 // Cancel ends the wait of a request.
 func (h *Holder) Cancel(account string, id uint64) {
-	a := h.held[account]
+	a := h.accounts[account]
 	if a == nil {
 		return
 	}
@@ -181,69 +181,69 @@
 	}
 }
 
-// setAsking notes whether an owner's answer is due for an account.
-func (h *Holder) setAsking(a *held, asking bool) {
+// setOutstanding notes whether an owner's answer is due for an account.
+func (h *Holder) setOutstanding(a *accountState, asking bool) {
 	switch {
-	case asking && !a.asking:
-		h.asking++
-	case !asking && a.asking:
-		h.asking--
+	case asking && !a.outstanding:
+		h.outstanding++
+	case !asking && a.outstanding:
+		h.outstanding--
 	}
-	a.asking = asking
+	a.outstanding = asking
 }
 
-// ahead returns the question for permits ahead of need, if there is to be one.
-func (h *Holder) ahead(now time.Time, account string, a *held) []Ask {
-	used := a.used.now(now)
-	if a.asking || now.Before(a.deniedUntil) || used*a.life.Seconds() < aheadFrom {
+// prefetch returns the question for permits prefetch of need, if there is to be one.
+func (h *Holder) prefetch(now time.Time, account string, a *accountState) []Ask {
+	used := a.requestRate.value(now)
+	if a.outstanding || now.Before(a.deniedUntil) || used*a.lifetime.Seconds() < minPrefetchRequests {
 		return nil
 	}
-	wanted := used * min(aheadTime, a.life/2).Seconds()
-	if float64(a.permits.count(now)) >= lowShare*wanted {
+	wanted := used * min(prefetchTime, a.lifetime/2).Seconds()
+	if float64(a.permits.count(now)) >= prefetchThreshold*wanted {
 		return nil
 	}
 	a.tries = 0
-	_, asks := h.next(now, account, a)
+	_, asks := h.askNext(now, account, a)
 	return asks
 }
 
-// wanted is how many permits to ask for: for the requests that wait, and ahead of need.
-func (h *Holder) wanted(now time.Time, a *held) int {
-	used := a.used.now(now)
+// requestSize is how many permits to ask for: for the requests that wait, and ahead of need.
+func (h *Holder) requestSize(now time.Time, a *accountState) int {
+	used := a.requestRate.value(now)
 	n := len(a.waiting)
-	if used*a.life.Seconds() >= aheadFrom {
-		n += int(math.Ceil(used*min(aheadTime, a.life/2).Seconds())) - a.permits.count(now)
+	if used*a.lifetime.Seconds() >= minPrefetchRequests {
+		n += int(math.Ceil(used*min(prefetchTime, a.lifetime/2).Seconds())) - a.permits.count(now)
 	}
 	return max(n, 1)
 }
 
-// next asks the next owner, or ends the wait of all requests if there is none left.
-func (h *Holder) next(now time.Time, account string, a *held) ([]Answer, []Ask) {
-	owner, ok := h.ownerFor(now, account, a)
+// askNext asks the askNext owner, or ends the wait of all requests if there is none left.
+func (h *Holder) askNext(now time.Time, account string, a *accountState) ([]Answer, []Ask) {
+	owner, ok := h.nextOwner(now, account, a)
 	if !ok || a.tries >= maxTries {
-		h.setAsking(a, false)
-		return h.answerAll(a, h.explain(now, a, Answer{Verdict: Unknown, RetryAfter: silentFor})), nil
+		h.setOutstanding(a, false)
+		return h.finishAll(a, h.withRates(now, a, Answer{Verdict: Unknown, RetryAfter: timeoutSuspension})), nil
 	}
 	a.tries++
-	h.setAsking(a, true)
-	a.askedAt, a.dueAt = now, now.Add(farTimeout)
+	h.setOutstanding(a, true)
+	a.requestedAt, a.deadline = now, now.Add(crossRegionTimeout)
 	if owner.Near {
-		a.dueAt = now.Add(nearTimeout)
+		a.deadline = now.Add(sameRegionTimeout)
 	}
-	a.ask = Ask{Account: account, To: owner, N: h.wanted(now, a), At: now}
-	return nil, []Ask{a.ask}
+	a.request = Ask{Account: account, To: owner, N: h.requestSize(now, a), At: now}
+	return nil, []Ask{a.request}
 }
 
-// ownerFor returns the nearest owner that is not known to be of no use.
-func (h *Holder) ownerFor(now time.Time, account string, a *held) (Owner, bool) {
+// nextOwner returns the nearest owner that is not known to be of no use.
+func (h *Holder) nextOwner(now time.Time, account string, a *accountState) (Owner, bool) {
 	if h.owners == nil {
 		return Owner{}, false
 	}
-	if a.from != h.owners {
-		a.from, a.owners = h.owners, h.owners.Of(account)
+	if a.ownersSource != h.owners {
+		a.ownersSource, a.owners = h.owners, h.owners.Of(account)
 	}
 	for _, owner := range a.owners {
-		if now.Before(h.silences[owner.Name].until) || now.Before(a.foreignUntil[owner.Name]) {
+		if now.Before(h.suspended[owner.Name].until) || now.Before(a.notOwnerUntil[owner.Name]) {
 			continue
 		}
 		return owner, true
@@ -251,7 +251,7 @@
 	return Owner{}, false
 }
 
-func (h *Holder) answerAll(a *held, answer Answer) []Answer {
+func (h *Holder) finishAll(a *accountState, answer Answer) []Answer {
 	out := make([]Answer, 0, len(a.waiting))
 	for _, id := range a.waiting {
 		answer.ID = id
@@ -264,42 +264,42 @@
 // Hear takes in the answer of an owner to a question that was asked at a time. It returns
 // the ends of requests that waited, and what to ask next.
 func (h *Holder) Hear(now, askedAt time.Time, account, from string, issue Issue) ([]Answer, []Ask) {
-	a := h.held[account]
+	a := h.accounts[account]
 	if a == nil {
 		return nil, nil
 	}
-	delete(h.silences, from)
-	if until := askedAt.Add(min(issue.Life, maxLife)); issue.N > 0 && now.Before(until) {
+	delete(h.suspended, from)
+	if until := askedAt.Add(min(issue.Life, maxLifetime)); issue.N > 0 && now.Before(until) {
 		a.permits.add(issue.N, until)
-		a.life = issue.Life
-		a.got.add(now, issue.N)
+		a.lifetime = issue.Life
+		a.permitRate.add(now, issue.N)
 		a.denials = 0
 	}
-	due := a.asking && a.ask.To.Name == from && a.askedAt.Equal(askedAt)
+	due := a.outstanding && a.request.To.Name == from && a.requestedAt.Equal(askedAt)
 	if due && issue.Foreign {
-		if a.foreignUntil == nil {
-			a.foreignUntil = make(map[string]time.Time)
+		if a.notOwnerUntil == nil {
+			a.notOwnerUntil = make(map[string]time.Time)
 		}
-		a.foreignUntil[from] = now.Add(foreignFor)
-		return h.next(now, account, a)
+		a.notOwnerUntil[from] = now.Add(notOwnerSuspension)
+		return h.askNext(now, account, a)
 	}
 	answers := h.serveWaiting(now, a)
 	if !due {
 		return answers, nil
 	}
 	if issue.More {
-		a.ask.N -= issue.N
-		a.dueAt = now.Add(moreTimeout)
+		a.request.N -= issue.N
+		a.deadline = now.Add(followUpTimeout)
 		return answers, nil
 	}
-	h.setAsking(a, false)
-	if issue.N < a.ask.N {
-		a.deniedUntil = now.Add(min(max(issue.Wait, leastDenial), h.mostDenial))
+	h.setOutstanding(a, false)
+	if issue.N < a.request.N {
+		a.deniedUntil = now.Add(min(max(issue.Wait, minDenial), h.maxDenial))
 	}
 	if len(a.waiting) == 0 {
 		return answers, nil
 	}
-	if issue.N < a.ask.N {
+	if issue.N < a.request.N {
 		for _, id := range a.waiting {
 			answers = append(answers, h.deny(now, a, id))
 		}
@@ -307,12 +307,12 @@
 		return answers, nil
 	}
 	a.tries = 0
-	more, asks := h.next(now, account, a)
+	more, asks := h.askNext(now, account, a)
 	return append(answers, more...), asks
 }
 
 // serveWaiting gives the permits held to the requests that wait.
-func (h *Holder) serveWaiting(now time.Time, a *held) []Answer {
+func (h *Holder) serveWaiting(now time.Time, a *accountState) []Answer {
 	var out []Answer
 	for len(a.waiting) > 0 {
 		n, until := a.permits.take(now, 1)
@@ -328,30 +328,30 @@
 // deny refuses a request. It is told to come back when those refused before it are served,
 // at the rate at which permits come, and spread so that those refused together do not come
 // together.
-func (h *Holder) deny(now time.Time, a *held, id uint64) Answer {
+func (h *Holder) deny(now time.Time, a *accountState, id uint64) Answer {
 	a.denials++
-	wait := a.deniedUntil.Sub(now).Seconds() + float64(a.denials)/max(a.got.now(now), leastGot)
+	wait := a.deniedUntil.Sub(now).Seconds() + float64(a.denials)/max(a.permitRate.value(now), minPermitRate)
 	wait *= 1 + mix.Unit(mix.Join(id, h.salt))/2
 	after := min(time.Duration(wait*float64(time.Second)), maxWait)
-	return h.explain(now, a, Answer{ID: id, Verdict: Refuse, RetryAfter: max(after, leastDenial)})
+	return h.withRates(now, a, Answer{ID: id, Verdict: Refuse, RetryAfter: max(after, minDenial)})
 }
 
-// explain adds what decided to a refusal.
-func (h *Holder) explain(now time.Time, a *held, answer Answer) Answer {
-	answer.Owner, answer.Used, answer.Got = a.ask.To.Name, a.used.now(now), a.got.now(now)
+// withRates adds what decided to a refusal.
+func (h *Holder) withRates(now time.Time, a *accountState, answer Answer) Answer {
+	answer.Owner, answer.Used, answer.Got = a.request.To.Name, a.requestRate.value(now), a.permitRate.value(now)
 	return answer
 }
 
 // Forget drops what is known of accounts without requests.
 func (h *Holder) Forget(now time.Time) {
-	for name, a := range h.held {
-		if !a.asking && now.Sub(a.usedAt) >= heldForgotten {
-			delete(h.held, name)
+	for name, a := range h.accounts {
+		if !a.outstanding && now.Sub(a.usedAt) >= accountIdleTimeout {
+			delete(h.accounts, name)
 		}
 	}
-	for name, s := range h.silences {
-		if !s.unanswered && !now.Before(s.until) {
-			delete(h.silences, name)
+	for name, s := range h.suspended {
+		if !s.timedOut && !now.Before(s.until) {
+			delete(h.suspended, name)
 		}
 	}
 }
@@ -359,16 +359,16 @@
 // Unreachable passes over an owner that refused a connection, and asks the next one for
 // the requests that wait for its answer.
 func (h *Holder) Unreachable(now time.Time, owner string) (answers []Answer, asks []Ask) {
-	h.silences[owner] = silence{until: now.Add(silentFor)}
-	for name, a := range h.held {
-		if !a.asking || a.ask.To.Name != owner {
+	h.suspended[owner] = suspension{until: now.Add(timeoutSuspension)}
+	for name, a := range h.accounts {
+		if !a.outstanding || a.request.To.Name != owner {
 			continue
 		}
 		if len(a.waiting) == 0 {
-			h.setAsking(a, false)
+			h.setOutstanding(a, false)
 			continue
 		}
-		ended, asked := h.next(now, name, a)
+		ended, asked := h.askNext(now, name, a)
 		answers, asks = append(answers, ended...), append(asks, asked...)
 	}
 	return answers, asks
--- a/ratelimit/holder_test.go
+++ b/ratelimit/holder_test.go
@@ -16,9 +16,9 @@
 	return ratelimit.NewOwners(ratelimit.ByHall, self, map[string]string{"a": "r", "b": "r"}, places)
 }
 
-// TestNextOwnerIsAsked checks what is asked when an owner refuses connections, says that
+// TestFailoverToNextOwner checks what is asked when an owner refuses connections, says that
 // the part is not its own, or says nothing.
-func TestNextOwnerIsAsked(t *testing.T) {
+func TestFailoverToNextOwner(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for name, fail := range map[string]func(*ratelimit.Holder) ([]ratelimit.Answer, []ratelimit.Ask){
 		"unreachable": func(h *ratelimit.Holder) ([]ratelimit.Answer, []ratelimit.Ask) {
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestPermitsEnd checks that permits are used within their life only, and that one that is
+// TestPermitsExpire checks that permits are used within their life only, and that one that is
 // given back can be used again.
-func TestPermitsEnd(t *testing.T) {
+func TestPermitsExpire(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
 	h.SetOwners(twoHalls())
@@ -72,9 +72,9 @@
 	require.Equal(t, ratelimit.Wait, answer.Verdict, "it has ended")
 }
 
-// TestStrangerOwnsNothing checks that an instance that the store does not list issues
+// TestUnlistedInstanceOwnsNothing checks that an instance that the store does not list issues
 // nothing, and one that has just come to own a part waits.
-func TestStrangerOwnsNothing(t *testing.T) {
+func TestUnlistedInstanceOwnsNothing(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	limit := ratelimit.Limit{Rate: 100, Burst: 100}
 	claim := ratelimit.Claim{From: "n0", N: 1}
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -25,19 +25,19 @@
 }
 
 const (
-	// burstShare and slackShare are the parts of a burst and of Slack that the buckets
+	// burstFraction and slackShare are the parts of a burst and of Slack that the buckets
 	// hold, all parts together. The rest is for the life of permits: what was issued
 	// before a window may be used in it. A part of a small limit has a burst of less than
 	// one request without a part of Slack.
-	burstShare = 0.85
-	slackShare = 0.6
-	// lifeShare is the part of the longest life that the bound allows that permits have.
+	burstFraction = 0.85
+	slackFraction = 0.6
+	// lifetimeFraction is the part of the longest life that the bound allows that permits have.
 	// The rest is for what passes between the use of a permit and the arrival at a target:
 	// a wait for a target of an eighth of an objective, and the way to another region.
-	lifeShare = 0.8
-	// maxLife bounds the life of permits: longer ones are of no use for requests that come
+	lifetimeFraction = 0.8
+	// maxLifetime bounds the life of permits: longer ones are of no use for requests that come
 	// more often than once a second, and hold back a limit that is lowered.
-	maxLife = time.Second
+	maxLifetime = time.Second
 )
 
 // Life returns how long a permit of a limit may be used after it was asked for. In a
@@ -45,14 +45,14 @@
 // a life before the window on; the life is such that this keeps the bound.
 func (b Bound) Life(l Limit) time.Duration {
 	if l.Rate <= 0 {
-		return maxLife
+		return maxLifetime
 	}
-	left := b.Over*l.Rate*b.Window.Seconds() + (1+b.Over-burstShare)*l.Burst + (1-slackShare)*b.Slack
-	return min(maxLife, time.Duration(lifeShare*left/l.Rate*float64(time.Second)))
+	left := b.Over*l.Rate*b.Window.Seconds() + (1+b.Over-burstFraction)*l.Burst + (1-slackFraction)*b.Slack
+	return min(maxLifetime, time.Duration(lifetimeFraction*left/l.Rate*float64(time.Second)))
 }
 
-// part returns the limit of one of n equal parts.
-func (b Bound) part(l Limit, n int) Limit {
+// share returns the limit of one of n equal parts.
+func (b Bound) share(l Limit, n int) Limit {
 	parts := float64(max(n, 1))
-	return Limit{Rate: l.Rate / parts, Burst: (burstShare*l.Burst + slackShare*b.Slack) / parts}
+	return Limit{Rate: l.Rate / parts, Burst: (burstFraction*l.Burst + slackFraction*b.Slack) / parts}
 }
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -15,19 +15,19 @@
 
 var figures = flag.Bool("figures", false, "print the figures of the ways to divide limits")
 
-// TestNeverAboveTheBound floods an account through random fleets in which processes are
+// TestBoundHoldsThroughFaults floods an account through random fleets in which processes are
 // killed again and again, messages are lost and fleets are cut apart, and checks every
 // window.
-func TestNeverAboveTheBound(t *testing.T) {
+func TestBoundHoldsThroughFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "halls")
 		limit := ratelimit.Limit{Rate: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 200).Draw(t, "burst"))}
 		division := rapid.SampledFrom([]ratelimit.Division{ratelimit.ByInstance, ratelimit.ByHall, ratelimit.ByRegion, ratelimit.Whole}).Draw(t, "division")
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), division, halls, halls*rapid.IntRange(1, 4).Draw(t, "per hall"), map[string]ratelimit.Limit{"a": limit})
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), division, halls, halls*rapid.IntRange(1, 4).Draw(t, "per hall"), map[string]ratelimit.Limit{"a": limit})
 		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss")
 		end := epoch.Add(14 * time.Second)
 		hot := w.nodes[0]
-		pick := w.any
+		pick := w.randomNode
 		if rapid.Bool().Draw(t, "through one") {
 			pick = func() *node { return hot }
 		}
@@ -55,12 +55,12 @@
 			w.after(at+length, func() { w.cut = nil })
 		}
 		w.run(end)
-		require.LessOrEqual(t, w.worst("a", w.bound.Window, w.bound.Of(limit)), 1.0)
+		require.LessOrEqual(t, w.worstWindow("a", w.bound.Window, w.bound.Of(limit)), 1.0)
 	})
 }
 
-// shares are what became of requests, as parts of those sent.
-type shares struct {
+// costs are what became of requests, as parts of those sent.
+type costs struct {
 	// moving and calm are the parts refused in the first second after demand has moved and
 	// later, and ideal is the part that one bucket for all would have refused.
 	moving, calm, ideal float64
@@ -72,15 +72,15 @@
 
 // measure has an account send a part of its limit through one instance, another one, and
 // all, for some seeds.
-func measure(division ratelimit.Division, instances int, rate, demand float64) shares {
-	var out shares
+func measure(division ratelimit.Division, instances int, rate, demand float64) costs {
+	var out costs
 	var moving, calm, asked, waits int
 	for seed := range uint64(5) {
-		w := newWorld(seed, division, 6, instances, map[string]ratelimit.Limit{"a": {Rate: rate, Burst: rate}})
+		w := newSimulation(seed, division, 6, instances, map[string]ratelimit.Limit{"a": {Rate: rate, Burst: rate}})
 		for k := range 4 {
 			pick := func() *node { return w.nodes[k*7%instances] }
 			if k == 3 {
-				pick = w.any
+				pick = w.randomNode
 			}
 			end := w.now.Add(4 * time.Second)
 			refused := w.refused["a"] + w.unknown["a"]
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestFigures prints what each way to divide limits refuses and costs.
-func TestFigures(t *testing.T) {
+// TestScopeCosts prints what each way to divide limits refuses and costs.
+func TestScopeCosts(t *testing.T) {
 	if !*figures {
 		t.Skip("run with -figures")
 	}
@@ -146,10 +146,10 @@
 	}
 }
 
-// TestManyAccounts prints what many accounts cost at once, a hundredfold different in size and
+// TestManyAccountsCosts prints what many accounts cost at once, a hundredfold different in size and
 // each sending six tenths of its limit through all instances, from two seconds after the start
 // of all on, when no account had any permits.
-func TestManyAccounts(t *testing.T) {
+func TestManyAccountsCosts(t *testing.T) {
 	if !*figures {
 		t.Skip("run with -figures")
 	}
@@ -162,9 +162,9 @@
 			rate := max(smallest, largest/math.Sqrt(float64(i+1)))
 			limits[fmt.Sprint("a", i)] = ratelimit.Limit{Rate: rate, Burst: rate}
 		}
-		w := newWorld(1, ratelimit.ByHall, 6, c.instances, limits)
+		w := newSimulation(1, ratelimit.ByHall, 6, c.instances, limits)
 		for account, limit := range limits {
-			w.demand(account, limit.Rate*demand, epoch.Add(length), w.any)
+			w.demand(account, limit.Rate*demand, epoch.Add(length), w.randomNode)
 		}
 		total := func() (asked, refused, unknown, beyond int) {
 			for account := range limits {
@@ -183,7 +183,7 @@
 		asked, refused, unknown, beyond = asked-asked0, refused-refused0, unknown-unknown0, beyond-beyond0
 		worst := 0.0
 		for account, limit := range limits {
-			worst = max(worst, w.worst(account, w.bound.Window, w.bound.Of(limit)))
+			worst = max(worst, w.worstWindow(account, w.bound.Window, w.bound.Of(limit)))
 		}
 		bytes := w.bytes - bytes0
 		perNode := float64(bytes) / (length - settle).Seconds() / float64(c.instances)
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -42,22 +42,22 @@
 
 // Owners knows the owner of each account's part in each domain. It is immutable.
 type Owners struct {
-	self  Place
-	parts int
+	self   Place
+	shares int
 	// domains begin with the own one, then come those of the own region. There is only the
 	// own one where nothing is lent.
 	domains []domain
-	// near are the instances of the own region.
-	near map[string]bool
-	// placed is set for the owners of placed limits, and all else but self and parts is not.
-	placed *placement
+	// sameRegion are the instances of the own region.
+	sameRegion map[string]bool
+	// hall is set for the owners of hall limits, and all else but self and parts is not.
+	hall *hallOwners
 }
 
 // domain is a set of instances that share the parts of one cut of the limits.
 type domain struct {
-	name  string
-	names []string
-	near  bool
+	name       string
+	instances  []string
+	sameRegion bool
 }
 
 // lends tells whether owners of different domains lend each other permits.
@@ -77,14 +77,14 @@
 		}
 		d := byName[name]
 		if d == nil {
-			d = &domain{name: name, near: p.Region == self.Region}
+			d = &domain{name: name, sameRegion: p.Region == self.Region}
 			byName[name] = d
 		}
-		d.names = append(d.names, p.Name)
+		d.instances = append(d.instances, p.Name)
 	}
-	o := &Owners{self: self, parts: division.parts(regionOf, len(places)), near: near}
+	o := &Owners{self: self, shares: division.shares(regionOf, len(places)), sameRegion: near}
 	for _, d := range byName {
-		sort.Strings(d.names)
+		sort.Strings(d.instances)
 		o.domains = append(o.domains, *d)
 	}
 	// The others come in an order of the instance's own, so that borrowers do not all
@@ -93,7 +93,7 @@
 		switch {
 		case d.name == own:
 			return 0, 0
-		case d.near:
+		case d.sameRegion:
 			return 1, mix.Pair(self.Name, d.name)
 		default:
 			return 2, mix.Pair(self.Name, d.name)
@@ -107,8 +107,8 @@
 	return o
 }
 
-// parts returns the number of parts that each limit is cut into.
-func (d Division) parts(regionOf map[string]string, instances int) int {
+// shares returns the number of shares that each limit is cut into.
+func (d Division) shares(regionOf map[string]string, instances int) int {
 	switch d {
 	case ByInstance:
 		return max(instances, 1)
@@ -126,7 +126,7 @@
 }
 
 // Parts returns the number of parts that each limit is cut into.
-func (o *Owners) Parts() int { return o.parts }
+func (o *Owners) Parts() int { return o.shares }
 
 // Owner is an instance that owns a part of an account.
 type Owner struct {
@@ -138,20 +138,20 @@
 // Of returns the owners of an account's parts: that of the own domain first, then those
 // of the own region.
 func (o *Owners) Of(account string) []Owner {
-	if o.placed != nil {
-		return o.placed.of(account)
+	if o.hall != nil {
+		return o.hall.owners(account)
 	}
 	out := make([]Owner, 0, len(o.domains))
 	for _, d := range o.domains {
-		name := ownerAmong(account, d.names)
-		out = append(out, Owner{Name: name, Near: o.near[name]})
+		name := ownerAmong(account, d.instances)
+		out = append(out, Owner{Name: name, Near: o.sameRegion[name]})
 	}
 	return out
 }
 
 // lenders returns the owners of the other parts of an account.
 func (o *Owners) lenders(account string) []Owner {
-	if o.placed != nil {
+	if o.hall != nil {
 		return nil
 	}
 	return o.Of(account)[1:]
@@ -159,13 +159,13 @@
 
 // owns tells whether this instance owns the account's part in its domain.
 func (o *Owners) owns(account string) bool {
-	if o.placed != nil {
-		return o.placed.owns(account)
+	if o.hall != nil {
+		return o.hall.owns(account)
 	}
 	if len(o.domains) == 0 {
 		return false
 	}
-	return ownerAmong(account, o.domains[0].names) == o.self.Name
+	return ownerAmong(account, o.domains[0].instances) == o.self.Name
 }
 
 // ownerAmong returns the owner of an account's part among the instances of a domain: the
@@ -182,62 +182,62 @@
 	return owner
 }
 
-// tenureTime is how long after a change of the instances a new owner leaves the part to
+// handoverDelay is how long after a change of the instances a new owner leaves the part to
 // the last one, which may not have heard of the change yet: changes are in force at all
 // instances that reach the store or each other within three seconds.
-const tenureTime = 5 * time.Second
-
-// tenure tells which parts an instance may issue from.
-type tenure struct {
-	// time is how long a new owner leaves a part to the last one.
-	time time.Duration
-	// held are the owners in force and those that were a moment ago.
-	held []heldOwners
+const handoverDelay = 5 * time.Second
+
+// ownership tells which parts an instance may issue from.
+type ownership struct {
+	// handoverDelay is how long a new owner leaves a part to the last one.
+	handoverDelay time.Duration
+	// recent are the owners in force and those that were a moment ago.
+	recent []ownersPeriod
 	// changedAt is when owners were last put in force that this instance had not from
 	// its start on.
 	changedAt time.Time
 }
 
-type heldOwners struct {
+type ownersPeriod struct {
 	owners *Owners
-	// until is when they were replaced, zero for those in force.
-	until time.Time
+	// replacedAt is when they were replaced, zero for those in force.
+	replacedAt time.Time
 }
 
 // set puts owners in force.
-func (t *tenure) set(now time.Time, owners *Owners) {
-	if n := len(t.held); n > 0 {
-		t.held[n-1].until = now
+func (t *ownership) set(now time.Time, owners *Owners) {
+	if n := len(t.recent); n > 0 {
+		t.recent[n-1].replacedAt = now
 		t.changedAt = now
 	}
-	t.held = append(t.held, heldOwners{owners: owners})
-	t.forget(now)
+	t.recent = append(t.recent, ownersPeriod{owners: owners})
+	t.dropOld(now)
 }
 
-func (t *tenure) forget(now time.Time) {
+func (t *ownership) dropOld(now time.Time) {
 	ended := 0
-	for ended < len(t.held)-1 && now.Sub(t.held[ended].until) >= t.time {
+	for ended < len(t.recent)-1 && now.Sub(t.recent[ended].replacedAt) >= t.handoverDelay {
 		ended++
 	}
-	t.held = append(t.held[:0], t.held[ended:]...)
+	t.recent = append(t.recent[:0], t.recent[ended:]...)
 }
 
 // current returns the owners in force, nil before any are known.
-func (t *tenure) current() *Owners {
-	if len(t.held) == 0 {
+func (t *ownership) current() *Owners {
+	if len(t.recent) == 0 {
 		return nil
 	}
-	return t.held[len(t.held)-1].owners
+	return t.recent[len(t.recent)-1].owners
 }
 
 // owns tells whether the instance owns the account's part and has for t.time, as far
 // back as it knows.
-func (t *tenure) owns(now time.Time, account string) bool {
-	t.forget(now)
-	for _, h := range t.held {
+func (t *ownership) owns(now time.Time, account string) bool {
+	t.dropOld(now)
+	for _, h := range t.recent {
 		if !h.owners.owns(account) {
 			return false
 		}
 	}
-	return len(t.held) > 0
+	return len(t.recent) > 0
 }
--- a/ratelimit/rate.go
+++ b/ratelimit/rate.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// rateTime is the time over which a rate is averaged.
-const rateTime = 500 * time.Millisecond
+// rateTimeConstant is the time over which a rate is averaged.
+const rateTimeConstant = 500 * time.Millisecond
 
-// rate estimates how many events a second there are. The zero value has seen none.
-type rate struct {
+// rateEstimate estimates how many events a second there are. The zero value has seen none.
+type rateEstimate struct {
 	perSecond float64
 	at        time.Time
 }
 
 // add counts events.
-func (r *rate) add(now time.Time, n int) {
-	r.perSecond = r.now(now) + float64(n)/rateTime.Seconds()
+func (r *rateEstimate) add(now time.Time, n int) {
+	r.perSecond = r.value(now) + float64(n)/rateTimeConstant.Seconds()
 	r.at = now
 }
 
-// now returns the present rate.
-func (r *rate) now(now time.Time) float64 {
+// value returns the present rate.
+func (r *rateEstimate) value(now time.Time) float64 {
 	if r.perSecond == 0 {
 		return 0
 	}
-	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/rateTime.Seconds())
+	return r.perSecond * math.Exp(-now.Sub(r.at).Seconds()/rateTimeConstant.Seconds())
 }
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -11,9 +11,9 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// world plays instances that hold and issue permits, with messages that take time, get
+// simulation plays instances that hold and issue permits, with messages that take time, get
 // lost and are cut off, and processes that are killed. Its time is its own.
-type world struct {
+type simulation struct {
 	bound    ratelimit.Bound
 	division ratelimit.Division
 	regionOf map[string]string
@@ -46,7 +46,7 @@
 
 // node is one instance.
 type node struct {
-	world  *world
+	world  *simulation
 	place  ratelimit.Place
 	holder *ratelimit.Holder
 	issuer *ratelimit.Issuer
@@ -87,9 +87,9 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newWorld returns instances spread over halls of two to a region.
-func newWorld(seed uint64, division ratelimit.Division, halls, instances int, limits map[string]ratelimit.Limit) *world {
-	w := &world{
+// newSimulation returns instances spread over halls of two to a region.
+func newSimulation(seed uint64, division ratelimit.Division, halls, instances int, limits map[string]ratelimit.Limit) *simulation {
+	w := &simulation{
 		bound: ratelimit.DefaultBound, division: division, regionOf: make(map[string]string), limits: limits,
 		byName: make(map[string]*node), rnd: rand.New(rand.NewPCG(seed, 1)), now: epoch,
 		admitted: make(map[string][]time.Time), asked: make(map[string]int), refused: make(map[string]int), unknown: make(map[string]int),
@@ -113,13 +113,13 @@
 }
 
 // after has something done after a time.
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.count++
 	heap.Push(&w.events, event{at: w.now.Add(d), seq: w.count, do: do})
 }
 
 // run plays up to a time.
-func (w *world) run(until time.Time) {
+func (w *simulation) run(until time.Time) {
 	for len(w.events) > 0 && !w.events[0].at.After(until) {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
@@ -152,7 +152,7 @@
 }
 
 // delay is how long a message takes.
-func (w *world) delay(a, b *node) time.Duration {
+func (w *simulation) delay(a, b *node) time.Duration {
 	base := 35 * time.Millisecond
 	switch {
 	case a.place.Hall == b.place.Hall:
@@ -186,18 +186,18 @@
 func (n *node) request(account string) {
 	w := n.world
 	w.asked[account]++
-	w.note(account)
+	w.countIdeal(account)
 	if n.down {
 		return
 	}
 	n.lastID++
 	answer, asks := n.holder.Take(w.now, n.lastID, account)
 	n.waiting[n.lastID] = pending{account: account, since: w.now}
-	n.end(answer)
+	n.finish(answer)
 	n.ask(asks)
 }
 
-func (n *node) end(answers ...ratelimit.Answer) {
+func (n *node) finish(answers ...ratelimit.Answer) {
 	w := n.world
 	for _, a := range answers {
 		if a.Verdict == ratelimit.Wait {
@@ -235,9 +235,9 @@
 	n.tick()
 }
 
-func (n *node) hear(askedAt time.Time, account, from string, issue ratelimit.Issue) {
+func (n *node) handleReply(askedAt time.Time, account, from string, issue ratelimit.Issue) {
 	answers, asks := n.holder.Hear(n.world.now, askedAt, account, from, issue)
-	n.end(answers...)
+	n.finish(answers...)
 	n.ask(asks)
 }
 
@@ -275,13 +275,13 @@
 	for _, r := range replies {
 		askedAt := epoch.Add(time.Duration(r.At))
 		if r.To == n.place.Name {
-			n.hear(askedAt, r.Account, n.place.Name, r.Issue)
+			n.handleReply(askedAt, r.Account, n.place.Name, r.Issue)
 			continue
 		}
 		process := n.world.byName[r.To].epoch
 		n.send(r.To, &peer.PermitIssue{Account: r.Account, From: n.place.Name, At: r.At, Issue: r.Issue}, func(to *node) {
 			if to.epoch == process && !to.startedAt.After(askedAt) {
-				to.hear(askedAt, r.Account, n.place.Name, r.Issue)
+				to.handleReply(askedAt, r.Account, n.place.Name, r.Issue)
 			}
 		})
 	}
@@ -299,7 +299,7 @@
 		}
 		n.ticking = false
 		answers, asks, _ := n.holder.Tick(n.world.now)
-		n.end(answers...)
+		n.finish(answers...)
 		n.ask(asks)
 		n.reply(n.issuer.Tick(n.world.now)...)
 		n.tick()
@@ -308,7 +308,7 @@
 
 // demand has requests of an account come as a Poisson process through the instances that
 // pick draws, from the present on until a time.
-func (w *world) demand(account string, perSecond float64, until time.Time, pick func() *node) {
+func (w *simulation) demand(account string, perSecond float64, until time.Time, pick func() *node) {
 	if perSecond <= 0 {
 		return
 	}
@@ -329,8 +329,8 @@
 	at     time.Time
 }
 
-// note has the one bucket for all decide on a request.
-func (w *world) note(account string) {
+// countIdeal has the one bucket for all decide on a request.
+func (w *simulation) countIdeal(account string) {
 	limit := w.limits[account]
 	b := w.ideal[account]
 	if b == nil {
@@ -346,12 +346,12 @@
 	b.tokens--
 }
 
-// any draws an instance.
-func (w *world) any() *node { return w.nodes[w.rnd.IntN(len(w.nodes))] }
+// randomNode draws an instance.
+func (w *simulation) randomNode() *node { return w.nodes[w.rnd.IntN(len(w.nodes))] }
 
-// worst returns the largest part of what a bound allows that the requests admitted of an
+// worstWindow returns the largest part of what a bound allows that the requests admitted of an
 // account take in any window.
-func (w *world) worst(account string, window time.Duration, most float64) float64 {
+func (w *simulation) worstWindow(account string, window time.Duration, most float64) float64 {
 	times := w.admitted[account]
 	worst, end := 0.0, 0
 	for i := range times {
--- a/ratelimit/suspension.go
+++ b/ratelimit/suspension.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// silence is that an owner is passed over.
-type silence struct {
+// suspension is that an owner is passed over.
+type suspension struct {
 	until time.Time
-	// unanswered says that it did not answer a question in time, and has said nothing since.
-	unanswered bool
+	// timedOut says that it did not answer a question in time, and has said nothing since.
+	timedOut bool
 }
 
 // Tick passes over owners that have not answered in time, and asks others. It is to be called
 // often while Due says so. Silent are owners of which nothing came until they may be asked
 // again: an answer that is only late has come by then, so that the connection may carry nothing.
 func (h *Holder) Tick(now time.Time) (answers []Answer, asks []Ask, silent []string) {
-	silent = h.endSilences(now)
-	for name, a := range h.held {
-		if !a.asking {
+	silent = h.endSuspensions(now)
+	for name, a := range h.accounts {
+		if !a.outstanding {
 			continue
 		}
-		if now.Before(a.dueAt) {
+		if now.Before(a.deadline) {
 			continue
 		}
-		h.silences[a.ask.To.Name] = silence{until: now.Add(silentFor), unanswered: true}
+		h.suspended[a.request.To.Name] = suspension{until: now.Add(timeoutSuspension), timedOut: true}
 		if len(a.waiting) == 0 {
-			h.setAsking(a, false)
+			h.setOutstanding(a, false)
 			continue
 		}
-		ended, asked := h.next(now, name, a)
+		ended, asked := h.askNext(now, name, a)
 		answers, asks = append(answers, ended...), append(asks, asked...)
 	}
 	return answers, asks, silent
@@ -37,26 +37,26 @@
 
 // Due tells whether an owner's answer is due, in time or late.
 func (h *Holder) Due() bool {
-	if h.asking > 0 {
+	if h.outstanding > 0 {
 		return true
 	}
-	for _, s := range h.silences {
-		if s.unanswered {
+	for _, s := range h.suspended {
+		if s.timedOut {
 			return true
 		}
 	}
 	return false
 }
 
-// endSilences ends the silences that are over, and returns the owners that have not answered.
-func (h *Holder) endSilences(now time.Time) []string {
+// endSuspensions ends the silences that are over, and returns the owners that have not answered.
+func (h *Holder) endSuspensions(now time.Time) []string {
 	var silent []string
-	for name, s := range h.silences {
+	for name, s := range h.suspended {
 		if now.Before(s.until) {
 			continue
 		}
-		delete(h.silences, name)
-		if s.unanswered {
+		delete(h.suspended, name)
+		if s.timedOut {
 			silent = append(silent, name)
 		}
 	}
--- a/ratelimit/suspension_test.go
+++ b/ratelimit/suspension_test.go
@@ -19,10 +19,10 @@
 	return silent
 }
 
-// TestLateAnswerIsNoSilence checks that an owner whose answer is late is not named as one whose
+// TestLateReplyIsNotReported checks that an owner whose answer is late is not named as one whose
 // connection carries nothing: one answer in twenty takes more than 50 ms where instances have
 // links of 10 Mbit/s that bodies go over too.
-func TestLateAnswerIsNoSilence(t *testing.T) {
+func TestLateReplyIsNotReported(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
 	h.SetOwners(twoHalls())
@@ -35,9 +35,9 @@
 	require.Empty(t, tickUntil(h, late, start.Add(5*time.Second)))
 }
 
-// TestSilentOwnerIsNamed checks that an owner that never answers is named once its answer is
+// TestUnresponsiveOwnerIsReported checks that an owner that never answers is named once its answer is
 // due for long, also if nothing else is asked meanwhile, and again only if it is asked again.
-func TestSilentOwnerIsNamed(t *testing.T) {
+func TestUnresponsiveOwnerIsReported(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
 	h.SetOwners(twoHalls())
@@ -45,12 +45,12 @@
 		at := start.Add(time.Duration(round) * 10 * time.Second)
 		_, asks := h.Take(at, uint64(round), "ada")
 		require.Equal(t, "n1", asks[0].To.Name)
-		require.Equal(t, []string{"n1"}, tickUntilHeardFrom(h, at, "n2"))
+		require.Equal(t, []string{"n1"}, tickWithReplies(h, at, "n2"))
 	}
 }
 
-// tickUntilHeardFrom ticks for two seconds, in which one of the owners answers all questions.
-func tickUntilHeardFrom(h *ratelimit.Holder, from time.Time, answers string) []string {
+// tickWithReplies ticks for two seconds, in which one of the owners answers all questions.
+func tickWithReplies(h *ratelimit.Holder, from time.Time, answers string) []string {
 	var silent []string
 	for now := from; now.Before(from.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		_, asks, named := h.Tick(now)
--- a/seat/agent.go
+++ b/seat/agent.go
@@ -13,38 +13,38 @@
 	hall   string
 	timing Timing
 
-	sent    sentTimes
-	roster  *Roster
-	version int64
-	known   bool
-	seen    map[string]sighting
-	peers   map[string]*peer
-	// giving holds the seats that are given back, with the time from which
+	sent     sentTimes
+	roster   *Roster
+	version  int64
+	known    bool
+	renewals map[string]observedRenewal
+	peers    map[string]*peerState
+	// releasing holds the seats that are given back, with the time from which
 	// the instance says so.
-	giving  map[SeatTerm]time.Time
-	leaving bool
+	releasing map[SeatTerm]time.Time
+	leaving   bool
 	// retiring and retireTo are set by Retire.
-	retiring bool
-	retireTo int
+	retiring    bool
+	retireSeats int
 
 	renewedAt time.Time
 	lastWrite time.Time
 	inFlight  *Write
-	// takes are the members whose seats a write at the version known takes
+	// takeovers are the members whose seats a write at the version known takeovers
 	// that is in flight or whose end is uncertain.
-	takes     map[string]bool
+	takeovers map[string]bool
 	uncertain bool
 }
 
-// sighting is a member's renewal and when this instance first saw it.
-type sighting struct {
+// observedRenewal is a member's renewal and when this instance first saw it.
+type observedRenewal struct {
 	renewal uint64
 	joined  int64
 	at      time.Time
 }
 
-// peer is what this instance has heard from another one itself.
-type peer struct {
+// peerState is what this instance has heard from another one itself.
+type peerState struct {
 	heardAt  time.Time
 	seq      uint64
 	epoch    int64
@@ -66,14 +66,14 @@
 // for its peers.
 func NewAgent(id, addr, hall string, timing Timing) *Agent {
 	return &Agent{
-		id:     id,
-		addr:   addr,
-		hall:   hall,
-		timing: timing,
-		seen:   make(map[string]sighting),
-		peers:  make(map[string]*peer),
-		giving: make(map[SeatTerm]time.Time),
-		takes:  make(map[string]bool),
+		id:        id,
+		addr:      addr,
+		hall:      hall,
+		timing:    timing,
+		renewals:  make(map[string]observedRenewal),
+		peers:     make(map[string]*peerState),
+		releasing: make(map[SeatTerm]time.Time),
+		takeovers: make(map[string]bool),
 	}
 }
 
@@ -85,7 +85,7 @@
 	b := Beat{Seq: a.sent.seq, Released: a.released(now), Retiring: a.retiring}
 	// Peers do without the echo of one that leaves, so it must have no write
 	// under way that takes their seats.
-	b.Leaving = a.leaving && len(a.takes) == 0
+	b.Leaving = a.leaving && len(a.takeovers) == 0
 	if a.roster == nil {
 		return b
 	}
@@ -97,7 +97,7 @@
 	b.Renewed = member.Renewal
 	// An echo to a member whose seats are being taken would give it a lease
 	// that the write ignores.
-	if p := a.peers[to]; p != nil && !a.takes[to] {
+	if p := a.peers[to]; p != nil && !a.takeovers[to] {
 		b.Echo = p.seq
 	}
 	return b
@@ -107,7 +107,7 @@
 func (a *Agent) Hear(now time.Time, from string, b Beat) {
 	p := a.peers[from]
 	if p == nil {
-		p = &peer{}
+		p = &peerState{}
 		a.peers[from] = p
 	}
 	p.heardAt = now
@@ -117,13 +117,13 @@
 	p.retiring = p.retiring || b.Retiring
 	if b.Seq >= p.seq {
 		p.seq = b.Seq
-		p.released = existing(b.Released)
+		p.released = validTerms(b.Released)
 	}
 	a.renew(b.Renewed)
 }
 
-// existing returns the terms of seats that there are: a message may name any.
-func existing(terms []SeatTerm) []SeatTerm {
+// validTerms returns the terms of seats that there are: a message may name any.
+func validTerms(terms []SeatTerm) []SeatTerm {
 	var out []SeatTerm
 	for _, st := range terms {
 		if st.Seat >= 0 && st.Seat < Count {
@@ -145,14 +145,14 @@
 	// A write on the older version has taken effect or never will.
 	a.inFlight = nil
 	a.uncertain = false
-	clear(a.takes)
-	a.sight(now)
+	clear(a.takeovers)
+	a.observeRenewals(now)
 	if me, ok := a.roster.Member(a.id); ok {
 		a.renew(me.Renewal)
 	}
-	for st := range a.giving {
+	for st := range a.releasing {
 		if !a.holdsTerm(st) {
-			delete(a.giving, st)
+			delete(a.releasing, st)
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	}
 	a.inFlight = nil
 	if !a.uncertain {
-		clear(a.takes)
+		clear(a.takeovers)
 	}
 }
 
@@ -190,16 +190,16 @@
 	a.uncertain = true
 }
 
-func (a *Agent) sight(now time.Time) {
+func (a *Agent) observeRenewals(now time.Time) {
 	for _, m := range a.roster.Members {
-		s, ok := a.seen[m.ID]
+		s, ok := a.renewals[m.ID]
 		if !ok || s.renewal != m.Renewal || s.joined != m.Joined {
-			a.seen[m.ID] = sighting{renewal: m.Renewal, joined: m.Joined, at: now}
+			a.renewals[m.ID] = observedRenewal{renewal: m.Renewal, joined: m.Joined, at: now}
 		}
 	}
-	for id := range a.seen {
+	for id := range a.renewals {
 		if a.roster.index(id) < 0 {
-			delete(a.seen, id)
+			delete(a.renewals, id)
 		}
 	}
 }
@@ -301,12 +301,12 @@
 	}
 	var live []string
 	for _, m := range a.roster.Members {
-		if m.ID == a.id || !a.silent(now, m.ID) {
+		if m.ID == a.id || !a.unresponsive(now, m.ID) {
 			live = append(live, m.ID)
 		}
 	}
 	for i, s := range a.roster.Seats {
-		orphan := s.Holder == "" || s.Holder != a.id && a.silent(now, s.Holder)
+		orphan := s.Holder == "" || s.Holder != a.id && a.unresponsive(now, s.Holder)
 		if orphan && live[i%len(live)] == a.id {
 			out = append(out, i)
 		}
@@ -314,13 +314,13 @@
 	return out
 }
 
-// silent tells whether a member was neither heard nor renewed of late.
-func (a *Agent) silent(now time.Time, id string) bool {
-	if p := a.peers[id]; p != nil && now.Sub(p.heardAt) <= a.timing.outlast(a.timing.Grant) {
+// unresponsive tells whether a member was neither heard nor renewed of late.
+func (a *Agent) unresponsive(now time.Time, id string) bool {
+	if p := a.peers[id]; p != nil && now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.Grant) {
 		return false
 	}
-	s, ok := a.seen[id]
-	return !ok || now.Sub(s.at) > a.timing.outlast(a.timing.Lease)
+	s, ok := a.renewals[id]
+	return !ok || now.Sub(s.at) > a.timing.takeoverWait(a.timing.Lease)
 }
 
 // Held returns the seats that the instance may use at now: none once its
@@ -343,7 +343,7 @@
 		if s.Holder != a.id {
 			continue
 		}
-		if _, given := a.giving[SeatTerm{i, s.Term}]; !given {
+		if _, given := a.releasing[SeatTerm{i, s.Term}]; !given {
 			out = append(out, i)
 		}
 	}
--- a/seat/heartbeat.go
+++ b/seat/heartbeat.go
@@ -32,21 +32,21 @@
 // sentTimes keeps when the latest heartbeats were sent.
 type sentTimes struct {
 	seq   uint64
-	times [sentKept]time.Time
+	times [sentTimesKept]time.Time
 }
 
-const sentKept = 256
+const sentTimesKept = 256
 
 func (s *sentTimes) next(now time.Time) uint64 {
 	s.seq++
-	s.times[s.seq%sentKept] = now
+	s.times[s.seq%sentTimesKept] = now
 	return s.seq
 }
 
 // at returns when heartbeat seq was sent, if that is still kept.
 func (s *sentTimes) at(seq uint64) (time.Time, bool) {
-	if seq == 0 || seq > s.seq || s.seq-seq >= sentKept {
+	if seq == 0 || seq > s.seq || s.seq-seq >= sentTimesKept {
 		return time.Time{}, false
 	}
-	return s.times[seq%sentKept], true
+	return s.times[seq%sentTimesKept], true
 }
--- a/seat/propose.go
+++ b/seat/propose.go
@@ -9,7 +9,7 @@
 // that others can serve while callers still move away from it.
 func (a *Agent) Retire() {
 	a.retiring = true
-	a.retireTo = len(a.Assigned()) / 2
+	a.retireSeats = len(a.Assigned()) / 2
 }
 
 // Left tells whether a leaving instance holds no seat any more.
@@ -24,11 +24,11 @@
 	if a.roster == nil {
 		return
 	}
-	keep := a.roster.fair()
+	keep := a.roster.fairShare()
 	if a.leaving {
 		keep = 0
 	} else if a.retiring {
-		keep = a.retireTo
+		keep = a.retireSeats
 	} else if !now.Before(a.PlatformLeaseEnd()) {
 		// Without the platform nobody could take over what is given.
 		return
@@ -41,14 +41,14 @@
 	for len(held) > keep {
 		last := held[len(held)-1]
 		held = held[:len(held)-1]
-		a.giving[SeatTerm{last, a.roster.Seats[last].Term}] = free
+		a.releasing[SeatTerm{last, a.roster.Seats[last].Term}] = free
 	}
 }
 
 // released returns the seats given back whose last uses and loans are over.
 func (a *Agent) released(now time.Time) []SeatTerm {
 	var out []SeatTerm
-	for st, free := range a.giving {
+	for st, free := range a.releasing {
 		if !now.Before(free) {
 			out = append(out, st)
 		}
@@ -59,18 +59,18 @@
 // Propose returns the write that the instance should try now, or nil. The
 // caller reports its end by Learn, WriteFailed or WriteUncertain.
 func (a *Agent) Propose(now time.Time) *Write {
-	if !a.known || a.inFlight != nil || !a.due(now) {
+	if !a.known || a.inFlight != nil || !a.writeDue(now) {
 		return nil
 	}
 	w := &Write{Roster: a.roster.Clone(), Version: a.version}
 	w.Roster.Hall = a.hall
-	a.refresh(now, w.Roster)
+	a.applyHeartbeats(now, w.Roster)
 	if a.isMember() {
-		a.take(now, w)
+		a.takeOver(now, w)
 	} else {
-		w.Roster.join(a.id, a.addr, a.sent.seq)
+		w.Roster.add(a.id, a.addr, a.sent.seq)
 	}
-	w.Roster.fill(a.skip(w.Roster))
+	w.Roster.assignFree(a.ineligible(w.Roster))
 	a.lastWrite = now
 	a.inFlight = w
 	return w
@@ -78,25 +78,25 @@
 
 func (a *Agent) isMember() bool { return a.roster.index(a.id) >= 0 }
 
-// due tells whether to write now: to join, as the keeper each Renew or when
+// writeDue tells whether to write now: to join, as the keeper each Renew or when
 // seats are waiting for a new holder, or because the keeper has let this
 // instance's lease run low.
-func (a *Agent) due(now time.Time) bool {
+func (a *Agent) writeDue(now time.Time) bool {
 	since := now.Sub(a.lastWrite)
-	if !a.lastWrite.IsZero() && since < a.timing.Renew/promptDivisor {
+	if !a.lastWrite.IsZero() && since < a.timing.Renew/minWriteDivisor {
 		return false
 	}
 	if !a.isMember() {
 		return !a.leaving
 	}
-	if a.keeper(now) == a.id {
+	if a.writer(now) == a.id {
 		return a.lastWrite.IsZero() || since >= a.timing.Renew || a.anyReleased(now)
 	}
 	return since >= a.timing.Renew && now.After(a.PlatformLeaseEnd().Add(-a.timing.Lease/3))
 }
 
-// promptDivisor gives the shortest time between two writes as a part of Renew.
-const promptDivisor = 6
+// minWriteDivisor gives the shortest time between two writes as a part of Renew.
+const minWriteDivisor = 6
 
 // anyReleased tells whether a member has given back a seat that the roster
 // still shows as held.
@@ -114,8 +114,8 @@
 	return false
 }
 
-// keeper returns the first member by name that is heard and not leaving.
-func (a *Agent) keeper(now time.Time) string {
+// writer returns the first member by name that is heard and not leaving.
+func (a *Agent) writer(now time.Time) string {
 	for _, m := range a.roster.Members {
 		if m.ID == a.id && !a.leaving {
 			return m.ID
@@ -128,8 +128,8 @@
 	return a.id
 }
 
-// refresh writes what the heartbeats say into the roster.
-func (a *Agent) refresh(now time.Time, r *Roster) {
+// applyHeartbeats writes what the heartbeats say into the roster.
+func (a *Agent) applyHeartbeats(now time.Time, r *Roster) {
 	for i := range r.Members {
 		m := &r.Members[i]
 		if m.ID == a.id {
@@ -140,14 +140,14 @@
 		if p := a.peers[m.ID]; p != nil {
 			m.Renewal = max(m.Renewal, p.seq)
 			m.Acked = max(m.Acked, p.epoch)
-			a.free(r, m.ID, p.released)
+			a.freeReleased(r, m.ID, p.released)
 		}
 	}
-	a.free(r, a.id, a.released(now))
-	a.dropLeft(r)
+	a.freeReleased(r, a.id, a.released(now))
+	a.removeLeft(r)
 }
 
-func (a *Agent) free(r *Roster, holder string, released []SeatTerm) {
+func (a *Agent) freeReleased(r *Roster, holder string, released []SeatTerm) {
 	for _, st := range released {
 		if s := r.Seats[st.Seat]; s.Holder == holder && s.Term == st.Term {
 			r.assign(st.Seat, "")
@@ -155,8 +155,8 @@
 	}
 }
 
-// dropLeft removes members that leave and have given everything back.
-func (a *Agent) dropLeft(r *Roster) {
+// removeLeft removes members that leave and have given everything back.
+func (a *Agent) removeLeft(r *Roster) {
 	for _, m := range append([]Member(nil), r.Members...) {
 		if a.isLeaving(m.ID) && len(r.Held(m.ID)) == 0 {
 			r.remove(m.ID)
@@ -180,8 +180,8 @@
 	return p != nil && p.retiring
 }
 
-// skip returns the members that get no more seats.
-func (a *Agent) skip(r *Roster) map[string]bool {
+// ineligible returns the members that get no more seats.
+func (a *Agent) ineligible(r *Roster) map[string]bool {
 	out := make(map[string]bool)
 	for _, m := range r.Members {
 		if a.isLeaving(m.ID) || a.isRetiring(m.ID) {
@@ -191,30 +191,30 @@
 	return out
 }
 
-// take removes the members whose leases are certainly over.
-func (a *Agent) take(now time.Time, w *Write) {
+// takeOver removes the members whose leases are certainly over.
+func (a *Agent) takeOver(now time.Time, w *Write) {
 	if a.leaving {
 		return
 	}
 	me, _ := a.roster.Member(a.id)
 	for _, m := range a.roster.Members {
-		if m.ID != a.id && a.over(now, me, m) {
-			a.takes[m.ID] = true
+		if m.ID != a.id && a.leasesOver(now, me, m) {
+			a.takeovers[m.ID] = true
 			w.Roster.remove(m.ID)
 		}
 	}
 }
 
-// over tells whether both leases of m are over on m's own clock.
-func (a *Agent) over(now time.Time, me, m Member) bool {
-	s, ok := a.seen[m.ID]
-	if !ok || now.Sub(s.at) <= a.timing.outlast(a.timing.Lease) {
+// leasesOver tells whether both leases of m are leasesOver on m's own clock.
+func (a *Agent) leasesOver(now time.Time, me, m Member) bool {
+	s, ok := a.renewals[m.ID]
+	if !ok || now.Sub(s.at) <= a.timing.takeoverWait(a.timing.Lease) {
 		return false
 	}
 	acked := m.Acked
 	if p := a.peers[m.ID]; p != nil {
 		acked = max(acked, p.epoch)
-		if now.Sub(p.heardAt) <= a.timing.outlast(a.timing.Grant) {
+		if now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.Grant) {
 			return false
 		}
 	}
@@ -223,5 +223,5 @@
 		// could not listen on its address.
 		return true
 	}
-	return now.Sub(s.at) > a.timing.outlast(a.timing.Offline)
+	return now.Sub(s.at) > a.timing.takeoverWait(a.timing.Offline)
 }
--- a/seat/roster.go
+++ b/seat/roster.go
@@ -77,7 +77,7 @@
 	return out
 }
 
-func (r *Roster) join(id, addr string, renewal uint64) {
+func (r *Roster) add(id, addr string, renewal uint64) {
 	r.Epoch++
 	r.Members = append(r.Members, Member{ID: id, Addr: addr, Joined: r.Epoch, Renewal: renewal, Acked: r.Epoch})
 	sort.Slice(r.Members, func(i, j int) bool { return r.Members[i].ID < r.Members[j].ID })
@@ -103,17 +103,17 @@
 	r.Seats[seat].Term++
 }
 
-// fair returns the most seats that a member should hold.
-func (r *Roster) fair() int {
+// fairShare returns the most seats that a member should hold.
+func (r *Roster) fairShare() int {
 	if len(r.Members) == 0 {
 		return Count
 	}
 	return (Count + len(r.Members) - 1) / len(r.Members)
 }
 
-// fill hands every free seat to the member that holds the fewest, the first by
+// assignFree hands every free seat to the member that holds the fewest, the first by
 // name among equals. Members in skip get none.
-func (r *Roster) fill(skip map[string]bool) {
+func (r *Roster) assignFree(skip map[string]bool) {
 	held := make(map[string]int)
 	for i := range r.Seats {
 		held[r.Seats[i].Holder]++
@@ -124,7 +124,7 @@
 		}
 		best := ""
 		for _, m := range r.Members {
-			if skip[m.ID] || held[m.ID] >= r.fair() {
+			if skip[m.ID] || held[m.ID] >= r.fairShare() {
 				continue
 			}
 			if best == "" || held[m.ID] < held[best] {
--- a/seat/seat_test.go
+++ b/seat/seat_test.go
@@ -13,23 +13,23 @@
 
 var timing = seat.DefaultTiming
 
-// stage is a hall with agents that hear each other and the platform as the
+// simulatedHall is a hall with agents that hear each other and the platform as the
 // test says.
-type stage struct {
+type simulatedHall struct {
 	t       *testing.T
 	now     time.Time
 	agents  map[string]*seat.Agent
 	order   []string
 	roster  *seat.Roster
 	version int64
-	// offline agents do not reach the platform, deaf pairs do not hear each
+	// platformDown agents do not reach the platform, deaf pairs do not hear each
 	// other.
-	offline map[string]bool
-	deaf    map[string]bool
+	platformDown map[string]bool
+	disconnected map[string]bool
 }
 
-func newStage(t *testing.T, ids ...string) *stage {
-	s := &stage{t: t, now: time.Unix(1000, 0), agents: map[string]*seat.Agent{}, offline: map[string]bool{}, deaf: map[string]bool{}}
+func newSimulatedHall(t *testing.T, ids ...string) *simulatedHall {
+	s := &simulatedHall{t: t, now: time.Unix(1000, 0), agents: map[string]*seat.Agent{}, platformDown: map[string]bool{}, disconnected: map[string]bool{}}
 	for _, id := range ids {
 		s.add(id, id)
 	}
@@ -40,19 +40,19 @@
 	return s
 }
 
-func (s *stage) add(id, addr string) {
+func (s *simulatedHall) add(id, addr string) {
 	s.agents[id] = seat.NewAgent(id, addr, "hall", timing)
 	s.order = append(s.order, id)
 }
 
 // cut separates an agent from all others.
-func (s *stage) cut(id string) {
+func (s *simulatedHall) cut(id string) {
 	for _, other := range s.order {
-		s.deaf[id+other], s.deaf[other+id] = true, true
+		s.disconnected[id+other], s.disconnected[other+id] = true, true
 	}
 }
 
-func (s *stage) kill(id string) {
+func (s *simulatedHall) kill(id string) {
 	delete(s.agents, id)
 	for i, other := range s.order {
 		if other == id {
@@ -61,18 +61,18 @@
 	}
 }
 
-func (s *stage) run(length time.Duration) {
+func (s *simulatedHall) run(length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); s.now = s.now.Add(500 * time.Millisecond) {
 		for _, id := range s.order {
 			s.round(id)
 		}
-		s.exclusive()
+		s.requireExclusive()
 	}
 }
 
-func (s *stage) round(id string) {
+func (s *simulatedHall) round(id string) {
 	a := s.agents[id]
-	if !s.offline[id] {
+	if !s.platformDown[id] {
 		if s.version == 0 {
 			a.LearnEmpty()
 		} else {
@@ -82,14 +82,14 @@
 	a.Begin(s.now)
 	a.Tick(s.now, time.Time{})
 	for _, other := range s.order {
-		if other != id && !s.deaf[id+other] {
+		if other != id && !s.disconnected[id+other] {
 			s.agents[other].Hear(s.now, id, a.Beat(s.now, other))
 		}
 	}
 	w := a.Propose(s.now)
 	switch {
 	case w == nil:
-	case s.offline[id] || w.Version != s.version:
+	case s.platformDown[id] || w.Version != s.version:
 		a.WriteFailed(w)
 	default:
 		s.version++
@@ -98,8 +98,8 @@
 	}
 }
 
-// exclusive checks that no seat is held by two.
-func (s *stage) exclusive() {
+// requireExclusive checks that no seat is held by two.
+func (s *simulatedHall) requireExclusive() {
 	holder := make(map[int]string)
 	for _, id := range s.order {
 		for _, n := range s.agents[id].Held(s.now) {
@@ -109,14 +109,14 @@
 	}
 }
 
-func (s *stage) held(id string) int { return len(s.agents[id].Held(s.now)) }
+func (s *simulatedHall) held(id string) int { return len(s.agents[id].Held(s.now)) }
 
 // The cases of the table in docs/DESIGN.md, "Who may use which units".
 
 func TestPlatformDown(t *testing.T) {
-	s := newStage(t, "a", "b", "c")
+	s := newSimulatedHall(t, "a", "b", "c")
 	for _, id := range s.order {
-		s.offline[id] = true
+		s.platformDown[id] = true
 	}
 	s.run(10 * time.Minute)
 	for _, id := range s.order {
@@ -127,27 +127,27 @@
 }
 
 func TestPlatformDownAndInstanceDead(t *testing.T) {
-	s := newStage(t, "a", "b")
-	s.offline["a"], s.offline["b"] = true, true
+	s := newSimulatedHall(t, "a", "b")
+	s.platformDown["a"], s.platformDown["b"] = true, true
 	s.run(time.Minute)
 	s.kill("b")
 	s.run(timing.Lease + timing.Grant)
 	require.Zero(t, s.held("a"), "b may be alive and reach the platform")
-	s.offline["a"] = false
+	s.platformDown["a"] = false
 	s.run(30 * time.Second)
 	require.Equal(t, seat.Count, s.held("a"))
 }
 
-func TestOnlyInstanceGoesOnAlone(t *testing.T) {
-	s := newStage(t, "a")
-	s.offline["a"] = true
+func TestSingleInstanceKeepsSeatsOffline(t *testing.T) {
+	s := newSimulatedHall(t, "a")
+	s.platformDown["a"] = true
 	s.run(timing.Offline - time.Minute)
 	require.Equal(t, seat.Count, s.held("a"))
 }
 
 func TestInstanceCutFromAll(t *testing.T) {
-	s := newStage(t, "a", "b", "c")
-	s.offline["a"] = true
+	s := newSimulatedHall(t, "a", "b", "c")
+	s.platformDown["a"] = true
 	s.cut("a")
 	s.run(timing.Lease + time.Second)
 	require.Zero(t, s.held("a"))
@@ -156,14 +156,14 @@
 }
 
 func TestInstanceCutFromPlatformOnly(t *testing.T) {
-	s := newStage(t, "a", "b", "c")
-	s.offline["a"] = true
+	s := newSimulatedHall(t, "a", "b", "c")
+	s.platformDown["a"] = true
 	s.run(10 * time.Minute)
 	require.Positive(t, s.held("a"), "its peers renew it")
 }
 
 func TestInstanceCutFromPeersOnly(t *testing.T) {
-	s := newStage(t, "a", "b", "c")
+	s := newSimulatedHall(t, "a", "b", "c")
 	s.cut("a")
 	s.run(10 * time.Minute)
 	require.Positive(t, s.held("a"), "it renews itself")
@@ -173,8 +173,8 @@
 // TestJoinerWaitsForAck has an instance join that the old ones can't hear of:
 // they are cut from the platform, and it from them.
 func TestJoinerWaitsForAck(t *testing.T) {
-	s := newStage(t, "a", "b")
-	s.offline["a"], s.offline["b"] = true, true
+	s := newSimulatedHall(t, "a", "b")
+	s.platformDown["a"], s.platformDown["b"] = true, true
 	s.add("j", "j")
 	s.cut("j")
 	s.run(10 * time.Minute)
@@ -187,18 +187,18 @@
 // TestJoinerOnSameAddress has an instance come back on the address of the
 // hall's only one, which has died.
 func TestJoinerOnSameAddress(t *testing.T) {
-	s := newStage(t, "a")
+	s := newSimulatedHall(t, "a")
 	s.kill("a")
 	s.add("a2", "a")
 	s.run(30 * time.Second)
 	require.Equal(t, seat.Count, s.held("a2"))
 }
 
-// TestNoEchoWhileTaking checks that a member whose seats are being taken by a
+// TestNoEchoDuringTakeover checks that a member whose seats are being taken by a
 // write of uncertain end gets no echo, which would renew its peer lease.
-func TestNoEchoWhileTaking(t *testing.T) {
-	s := newStage(t, "a", "b")
-	s.offline["a"] = true
+func TestNoEchoDuringTakeover(t *testing.T) {
+	s := newSimulatedHall(t, "a", "b")
+	s.platformDown["a"] = true
 	s.cut("a")
 	s.run(timing.Lease)
 	b := s.agents["b"]
@@ -228,7 +228,7 @@
 // TestPlannedStop checks that seats given back pass on without a wait for the
 // lease.
 func TestPlannedStop(t *testing.T) {
-	s := newStage(t, "a", "b")
+	s := newSimulatedHall(t, "a", "b")
 	s.agents["a"].Leave()
 	began := s.now
 	for !s.agents["a"].Left() {
@@ -243,17 +243,17 @@
 	require.False(t, member)
 }
 
-// TestSeatsThatDoNotExist has a peer give back seats that there are not.
-func TestSeatsThatDoNotExist(t *testing.T) {
-	s := newStage(t, "a", "b")
+// TestNonexistentSeatsAreIgnored has a peer give back seats that there are not.
+func TestNonexistentSeatsAreIgnored(t *testing.T) {
+	s := newSimulatedHall(t, "a", "b")
 	bad := seat.Beat{Seq: 1 << 30, Released: []seat.SeatTerm{{Seat: -1}, {Seat: seat.Count}, {Seat: 1 << 40}}}
 	s.agents["a"].Hear(s.now, "b", bad)
 	s.agents["a"].Hear(s.now, "stranger", bad)
 	require.NotPanics(t, func() { s.run(10 * time.Second) })
 }
 
-func TestReleased(t *testing.T) {
-	s := newStage(t, "a", "b")
+func TestCleared(t *testing.T) {
+	s := newSimulatedHall(t, "a", "b")
 	free := s.roster.Released()
 	require.Empty(t, free.Members)
 	for i := range free.Seats {
--- a/seat/timing.go
+++ b/seat/timing.go
@@ -26,11 +26,11 @@
 	Window:  time.Second,
 }
 
-// driftDivisor bounds the difference between the rates of two clocks.
-const driftDivisor = 50
+// clockDriftDivisor bounds the difference between the rates of two clocks.
+const clockDriftDivisor = 50
 
-// outlast returns how long another instance waits to be sure that d is over on
+// takeoverWait returns how long another instance waits to be sure that d is over on
 // the holder's clock, with the window that its last uses still fill.
-func (t Timing) outlast(d time.Duration) time.Duration {
-	return d + d/driftDivisor + t.Window
+func (t Timing) takeoverWait(d time.Duration) time.Duration {
+	return d + d/clockDriftDivisor + t.Window
 }
--- a/share/ledger.go
+++ b/share/ledger.go
@@ -20,30 +20,30 @@
 	// DefaultLoanTerms.
 	Terms LoanTerms
 
-	hall     string
-	region   string
-	plan     *table.Plan
-	seats    []int
-	leaseEnd time.Time
-	rows     map[table.RowKey]*account
-	nonce    uint64
-	closed   bool
+	hall           string
+	region         string
+	plan           *table.Plan
+	seats          []int
+	leaseEnd       time.Time
+	rows           map[table.RowKey]*rowEntry
+	nonce          uint64
+	lendingStopped bool
 }
 
-// account is the state of one row.
-type account struct {
-	meter    Meter
-	ramp     Ramp
-	borrower *Borrower
-	limit    int
-	hallPart int
-	wants    int
-	demand   demand
+// rowEntry is the state of one row.
+type rowEntry struct {
+	limiter   Meter
+	ramp      Ramp
+	borrower  *Borrower
+	rowCap    int
+	hallShare int
+	unmet     int
+	demand    demand
 }
 
-// meterWindow is over the window of the caps by the largest error of a clock's
+// limiterWindow is over the window of the caps by the largest error of a clock's
 // rate: one that runs fast would else end its windows early.
-const meterWindow = table.Window + table.Window/1000
+const limiterWindow = table.Window + table.Window/1000
 
 // NewLedger returns the ledger of an instance in a hall, without units. Nonce
 // is the first number that its asks are named by and should differ from one
@@ -57,7 +57,7 @@
 		Terms:     DefaultLoanTerms,
 		hall:      hall,
 		region:    region,
-		rows:      make(map[table.RowKey]*account),
+		rows:      make(map[table.RowKey]*rowEntry),
 		nonce:     nonce,
 	}
 }
@@ -73,26 +73,26 @@
 		named[row.Key()] = true
 		a := l.rows[row.Key()]
 		if a == nil {
-			a = &account{meter: Meter{Window: meterWindow}, borrower: NewBorrower(l.Terms)}
+			a = &rowEntry{limiter: Meter{Window: limiterWindow}, borrower: NewBorrower(l.Terms)}
 			l.rows[row.Key()] = a
 		}
-		if row.Cap < a.limit {
+		if row.Cap < a.rowCap {
 			// Units borrowed under the higher cap are in nobody's part of
 			// the lower one.
-			a.meter.Forfeit()
+			a.limiter.Forfeit()
 		}
-		a.limit = row.Cap
+		a.rowCap = row.Cap
 		a.ramp.SetLimits(row.Shift, row.Ramp)
-		a.hallPart = HallPart(plan, row, l.hall)
+		a.hallShare = HallPart(plan, row, l.hall)
 	}
 	for key, a := range l.rows {
 		if !named[key] {
-			a.hallPart = 0
-			a.limit = 0
-			a.meter.Forfeit()
+			a.hallShare = 0
+			a.rowCap = 0
+			a.limiter.Forfeit()
 		}
 	}
-	l.divide()
+	l.updateUnits()
 }
 
 // HallPart returns the units of a row that belong to a hall of the region that
@@ -127,7 +127,7 @@
 		return
 	}
 	l.seats = append(l.seats[:0:0], seats...)
-	l.divide()
+	l.updateUnits()
 }
 
 func equalInts(a, b []int) bool {
@@ -142,22 +142,22 @@
 	return true
 }
 
-func (l *Ledger) divide() {
+func (l *Ledger) updateUnits() {
 	for key, a := range l.rows {
 		units := 0
 		for _, seat := range l.seats {
-			units += SeatPart(a.hallPart, l.SeatCount, seat, key)
+			units += SeatPart(a.hallShare, l.SeatCount, seat, key)
 		}
-		a.meter.SetUnits(units)
+		a.limiter.SetUnits(units)
 	}
 }
 
-// fence drops the units once the lease is over. It comes before every
+// expireLease drops the units once the lease is over. It comes before every
 // decision.
-func (l *Ledger) fence(now time.Time) {
+func (l *Ledger) expireLease(now time.Time) {
 	if len(l.seats) > 0 && !now.Before(l.leaseEnd) {
 		l.seats = nil
-		l.divide()
+		l.updateUnits()
 	}
 }
 
@@ -180,17 +180,17 @@
 	if row.Cap == table.NoCap {
 		return Admitted
 	}
-	l.fence(now)
+	l.expireLease(now)
 	a := l.rows[row.Key()]
 	if a == nil {
 		return NoUnits
 	}
-	used, total := a.meter.Used(now), a.meter.Total(now)
+	used, total := a.limiter.Used(now), a.limiter.Total(now)
 	if total > 0 && used >= a.ramp.Permit(now, total) && used < total {
 		return Ramping
 	}
-	if !a.meter.Take(now) {
-		a.wants++
+	if !a.limiter.Take(now) {
+		a.unmet++
 		return NoUnits
 	}
 	return Admitted
@@ -200,11 +200,11 @@
 // once a window. Warm tells whether a region answers about as fast as it
 // usually does.
 func (l *Ledger) Observe(now time.Time, warm func(service, region string) bool) {
-	l.fence(now)
+	l.expireLease(now)
 	for key, a := range l.rows {
-		used := a.meter.Used(now)
+		used := a.limiter.Used(now)
 		a.demand.observe(used)
-		a.ramp.Observe(now, used, a.meter.Total(now), warm(key.Service, key.To))
+		a.ramp.Observe(now, used, a.limiter.Total(now), warm(key.Service, key.To))
 	}
 }
 
@@ -217,16 +217,16 @@
 	var out []Ask
 	for _, key := range l.sortedRows() {
 		a := l.rows[key]
-		if a.wants == 0 {
+		if a.unmet == 0 {
 			continue
 		}
-		out = append(out, l.asksOf(now, key, a, count)...)
-		a.wants = 0
+		out = append(out, l.requestsFor(now, key, a, count)...)
+		a.unmet = 0
 	}
 	return out
 }
 
-func (l *Ledger) asksOf(now time.Time, key table.RowKey, a *account, count int) []Ask {
+func (l *Ledger) requestsFor(now time.Time, key table.RowKey, a *rowEntry, count int) []Ask {
 	nonces := make([]uint64, count)
 	for i := range nonces {
 		l.nonce++
@@ -235,7 +235,7 @@
 	if !a.borrower.Ask(now, nonces...) {
 		return nil
 	}
-	each := (a.wants + count - 1) / count
+	each := (a.unmet + count - 1) / count
 	out := make([]Ask, count)
 	for i := range out {
 		out[i] = Ask{Row: key, Units: each, Nonce: nonces[i]}
@@ -254,24 +254,24 @@
 
 // Lend answers another instance's ask.
 func (l *Ledger) Lend(now time.Time, ask Ask) (Loan, bool) {
-	l.fence(now)
+	l.expireLease(now)
 	a := l.rows[ask.Row]
-	if a == nil || l.NoLoans || l.closed {
+	if a == nil || l.NoLoans || l.lendingStopped {
 		return Loan{}, false
 	}
-	loan, ok := l.Terms.Lend(now, &a.meter, ask, a.demand.keep(), l.leaseEnd)
+	loan, ok := l.Terms.Lend(now, &a.limiter, ask, a.demand.reserve(), l.leaseEnd)
 	loan.Version = l.plan.Version
 	return loan, ok
 }
 
 // StopLending ends lending, as before a planned stop.
-func (l *Ledger) StopLending() { l.closed = true }
+func (l *Ledger) StopLending() { l.lendingStopped = true }
 
 // LoansEnd returns the end of the last loan that the instance has given.
 func (l *Ledger) LoansEnd() time.Time {
 	var end time.Time
 	for _, a := range l.rows {
-		if t := a.meter.LoansEnd(); t.After(end) {
+		if t := a.limiter.LoansEnd(); t.After(end) {
 			end = t
 		}
 	}
@@ -286,7 +286,7 @@
 		// one has taken away.
 		return 0
 	}
-	return a.borrower.Receive(now, &a.meter, loan)
+	return a.borrower.Receive(now, &a.limiter, loan)
 }
 
 // RowState is the state of one row, for status and metrics.
@@ -301,16 +301,16 @@
 
 // States returns the state of every row, in the order of their keys.
 func (l *Ledger) States(now time.Time) []RowState {
-	l.fence(now)
+	l.expireLease(now)
 	var out []RowState
 	for _, key := range l.sortedRows() {
 		a := l.rows[key]
 		out = append(out, RowState{
 			Row:       key,
-			Units:     a.meter.Units(),
-			Used:      a.meter.Used(now),
-			Available: a.meter.Available(now),
-			Lent:      a.meter.Lent(now),
+			Units:     a.limiter.Units(),
+			Used:      a.limiter.Used(now),
+			Available: a.limiter.Available(now),
+			Lent:      a.limiter.Lent(now),
 			Level:     a.ramp.Level(),
 		})
 	}
@@ -324,7 +324,7 @@
 	if a == nil {
 		return table.Window
 	}
-	oldest, ok := a.meter.uses.oldest()
+	oldest, ok := a.limiter.uses.oldest()
 	if !ok {
 		return table.Window
 	}
--- a/share/limiter.go
+++ b/share/limiter.go
@@ -10,18 +10,18 @@
 
 	units    int
 	uses     timeRing
-	lent     []lease
-	borrowed []credit
+	lent     []loanOut
+	borrowed []loanIn
 }
 
-// lease is a number of own units that are lent until a time.
-type lease struct {
+// loanOut is a number of own units that are lent until a time.
+type loanOut struct {
 	units int
 	until time.Time
 }
 
-// credit is a number of borrowed units that may be used until a time.
-type credit struct {
+// loanIn is a number of borrowed units that may be used until a time.
+type loanIn struct {
 	units int
 	until time.Time
 	uses  timeRing
@@ -47,7 +47,7 @@
 // window and are not on loan. It may be negative after SetUnits.
 func (m *Meter) Idle(now time.Time) int {
 	m.expire(now)
-	return m.units - m.uses.len() - m.lentUnits()
+	return m.units - m.uses.len() - m.unitsLent()
 }
 
 // Available returns the number of requests that Take would admit at now.
@@ -73,7 +73,7 @@
 // borrowed.
 func (m *Meter) Total(now time.Time) int {
 	m.expire(now)
-	n := m.units - m.lentUnits()
+	n := m.units - m.unitsLent()
 	for i := range m.borrowed {
 		n += m.borrowed[i].units
 	}
@@ -91,7 +91,7 @@
 			return true
 		}
 	}
-	if m.units-m.uses.len()-m.lentUnits() <= 0 {
+	if m.units-m.uses.len()-m.unitsLent() <= 0 {
 		return false
 	}
 	m.uses.push(now)
@@ -105,7 +105,7 @@
 	if n <= 0 || length <= 0 {
 		return 0
 	}
-	m.lent = append(m.lent, lease{units: n, until: now.Add(length)})
+	m.lent = append(m.lent, loanOut{units: n, until: now.Add(length)})
 	return n
 }
 
@@ -116,7 +116,7 @@
 	if n <= 0 || !now.Before(until) {
 		return false
 	}
-	m.borrowed = append(m.borrowed, credit{units: n, until: until})
+	m.borrowed = append(m.borrowed, loanIn{units: n, until: until})
 	return true
 }
 
@@ -130,7 +130,7 @@
 // Lent returns the units on loan.
 func (m *Meter) Lent(now time.Time) int {
 	m.expire(now)
-	return m.lentUnits()
+	return m.unitsLent()
 }
 
 // LoansEnd returns the end of the last loan, or the zero time.
@@ -144,7 +144,7 @@
 	return end
 }
 
-func (m *Meter) lentUnits() int {
+func (m *Meter) unitsLent() int {
 	n := 0
 	for _, l := range m.lent {
 		n += l.units
@@ -156,7 +156,7 @@
 // credit is kept until its last use has left the window.
 func (m *Meter) expire(now time.Time) {
 	since := now.Add(-m.window())
-	m.uses.dropUntil(since)
+	m.uses.dropThrough(since)
 	lent := m.lent[:0]
 	for _, l := range m.lent {
 		if now.Before(l.until) {
@@ -166,7 +166,7 @@
 	m.lent = lent
 	borrowed := m.borrowed[:0]
 	for _, c := range m.borrowed {
-		c.uses.dropUntil(since)
+		c.uses.dropThrough(since)
 		if now.Before(c.until) {
 			borrowed = append(borrowed, c)
 		}
--- a/share/loan.go
+++ b/share/loan.go
@@ -41,14 +41,14 @@
 
 // Borrower keeps the asks of one row that are under way.
 type Borrower struct {
-	terms LoanTerms
-	asked map[uint64]time.Time
-	last  time.Time
+	terms     LoanTerms
+	requested map[uint64]time.Time
+	last      time.Time
 }
 
 // NewBorrower returns a borrower on the given terms.
 func NewBorrower(terms LoanTerms) *Borrower {
-	return &Borrower{terms: terms, asked: make(map[uint64]time.Time)}
+	return &Borrower{terms: terms, requested: make(map[uint64]time.Time)}
 }
 
 // Ask tells whether to ask for more units now. If so it records the nonces of
@@ -57,14 +57,14 @@
 	if !b.last.IsZero() && now.Sub(b.last) < b.terms.AskEvery {
 		return false
 	}
-	for n, t := range b.asked {
+	for n, t := range b.requested {
 		if now.Sub(t) > b.terms.Length {
-			delete(b.asked, n)
+			delete(b.requested, n)
 		}
 	}
 	b.last = now
 	for _, n := range nonces {
-		b.asked[n] = now
+		b.requested[n] = now
 	}
 	return true
 }
@@ -73,11 +73,11 @@
 // ask is answered once: a copy of a loan that the network delivers twice is
 // dropped. It returns the units added.
 func (b *Borrower) Receive(now time.Time, m *Meter, loan Loan) int {
-	asked, ok := b.asked[loan.Nonce]
+	asked, ok := b.requested[loan.Nonce]
 	if !ok {
 		return 0
 	}
-	delete(b.asked, loan.Nonce)
+	delete(b.requested, loan.Nonce)
 	if !m.Borrow(now, asked, loan.Units, loan.For) {
 		return 0
 	}
@@ -105,20 +105,20 @@
 type demand float64
 
 const (
-	demandFade = 0.8
-	// keepFactor times the demand stays with a lender.
-	keepFactor = 1.5
+	demandDecay = 0.8
+	// reserveFactor times the demand stays with a lender.
+	reserveFactor = 1.5
 )
 
 func (d *demand) observe(used int) {
-	*d = max(demand(used), demandFade**d)
+	*d = max(demand(used), demandDecay**d)
 }
 
-// keep returns the number of units that the demand needs. A holder without
+// reserve returns the number of units that the demand needs. A holder without
 // demand keeps none: else a cap of a few units would serve one instance only.
-func (d demand) keep() int {
+func (d demand) reserve() int {
 	if d < 0.5 {
 		return 0
 	}
-	return int(math.Ceil(keepFactor * float64(d)))
+	return int(math.Ceil(reserveFactor * float64(d)))
 }
--- a/share/model_test.go
+++ b/share/model_test.go
@@ -21,25 +21,25 @@
 )
 
 const (
-	modelStep   = 10 * time.Millisecond
-	modelBeat   = 500 * time.Millisecond
-	modelTables = 3
+	modelStep      = 10 * time.Millisecond
+	modelHeartbeat = 500 * time.Millisecond
+	modelTables    = 3
 	// modelDrift is the largest error of a clock's rate.
 	modelDrift = 0.0004
 )
 
-// world runs the agents and ledgers of one region's instances, as they are,
+// simulation runs the agents and ledgers of one region's instances, as they are,
 // through lost, doubled and late messages, pauses, deaths, cuts, platform
 // outages, lost replies and drifting clocks.
-type world struct {
-	t     *testing.T
-	rnd   *rand.Rand
-	now   time.Time
-	halls []string
-	size  int
-	nodes []*modelNode
-	born  int
-	mail  []modelMail
+type simulation struct {
+	t        *testing.T
+	rnd      *rand.Rand
+	now      time.Time
+	halls    []string
+	size     int
+	nodes    []*modelNode
+	started  int
+	messages []modelMessage
 
 	platformDown bool
 	rosters      map[string]*modelObject
@@ -58,25 +58,25 @@
 }
 
 type modelNode struct {
-	id      string
-	addr    string
-	hall    string
-	agent   *seat.Agent
-	ledger  *share.Ledger
-	rate    float64
-	origin  time.Time
-	start   time.Time
-	dead    bool
-	paused  time.Time
-	cutPlat time.Time
-	cutPeer time.Time
-	beatAt  time.Time
-	pollAt  time.Time
-	plan    int
-	busy    float64
+	id               string
+	addr             string
+	hall             string
+	agent            *seat.Agent
+	ledger           *share.Ledger
+	rate             float64
+	origin           time.Time
+	start            time.Time
+	dead             bool
+	pausedUntil      time.Time
+	platformCutUntil time.Time
+	peersCutUntil    time.Time
+	nextHeartbeat    time.Time
+	nextPoll         time.Time
+	plan             int
+	load             float64
 }
 
-type modelMail struct {
+type modelMessage struct {
 	at time.Time
 	to *modelNode
 	do func(now time.Time)
@@ -86,8 +86,8 @@
 	return n.origin.Add(time.Duration(float64(now.Sub(n.start)) * n.rate))
 }
 
-func newWorld(t *testing.T, seed uint64, halls, perHall, limit int) *world {
-	w := &world{
+func newSimulation(t *testing.T, seed uint64, halls, perHall, limit int) *simulation {
+	w := &simulation{
 		t:       t,
 		rnd:     rand.New(rand.NewPCG(seed, 7)),
 		now:     time.Unix(1_000_000, 0),
@@ -116,15 +116,15 @@
 }
 
 // join starts an instance, on the address of a dead one or on a new one.
-func (w *world) join(hall, addr string) {
-	w.born++
+func (w *simulation) join(hall, addr string) {
+	w.started++
 	n := &modelNode{
-		id:     fmt.Sprintf("%s-%04d", hall, w.born),
+		id:     fmt.Sprintf("%s-%04d", hall, w.started),
 		hall:   hall,
 		rate:   1 + modelDrift*(2*w.rnd.Float64()-1),
 		origin: time.Unix(w.rnd.Int64N(1e9), 0),
 		start:  w.now,
-		busy:   w.rnd.Float64(),
+		load:   w.rnd.Float64(),
 		plan:   w.accepted,
 	}
 	n.addr = addr
@@ -137,15 +137,15 @@
 	w.nodes = append(w.nodes, n)
 }
 
-func (w *world) chance(p float64) bool { return w.rnd.Float64() < p }
+func (w *simulation) chance(p float64) bool { return w.rnd.Float64() < p }
 
-func (w *world) between(a, b time.Duration) time.Duration {
+func (w *simulation) between(a, b time.Duration) time.Duration {
 	return a + time.Duration(w.rnd.Int64N(int64(b-a)+1))
 }
 
-// post delivers a call later, unless it is lost, and perhaps twice.
-func (w *world) post(from, to *modelNode, do func(now time.Time)) {
-	cut := w.now.Before(from.cutPeer) || w.now.Before(to.cutPeer)
+// send delivers a call later, unless it is lost, and perhaps twice.
+func (w *simulation) send(from, to *modelNode, do func(now time.Time)) {
+	cut := w.now.Before(from.peersCutUntil) || w.now.Before(to.peersCutUntil)
 	if cut || w.chance(0.05) {
 		return
 	}
@@ -158,18 +158,18 @@
 		if w.chance(0.03) {
 			delay = w.between(time.Second, 8*time.Second)
 		}
-		w.mail = append(w.mail, modelMail{at: w.now.Add(delay), to: to, do: do})
+		w.messages = append(w.messages, modelMessage{at: w.now.Add(delay), to: to, do: do})
 	}
 }
 
-func (w *world) run(length time.Duration) {
+func (w *simulation) run(length time.Duration) {
 	end := w.now.Add(length)
 	for w.now.Before(end) {
 		w.now = w.now.Add(modelStep)
 		w.faults()
 		w.deliver()
 		for _, n := range w.nodes {
-			if !n.dead && !w.now.Before(n.paused) {
+			if !n.dead && !w.now.Before(n.pausedUntil) {
 				w.step(n)
 			}
 		}
@@ -177,23 +177,23 @@
 }
 
 // deliver hands out due messages; a paused receiver gets them when it wakes.
-func (w *world) deliver() {
-	var later []modelMail
-	mail := w.mail
-	w.mail = nil
+func (w *simulation) deliver() {
+	var later []modelMessage
+	mail := w.messages
+	w.messages = nil
 	for _, m := range mail {
 		switch {
 		case m.to != nil && m.to.dead:
-		case m.at.After(w.now) || m.to != nil && w.now.Before(m.to.paused):
+		case m.at.After(w.now) || m.to != nil && w.now.Before(m.to.pausedUntil):
 			later = append(later, m)
 		default:
 			m.do(w.now)
 		}
 	}
-	w.mail = append(w.mail, later...)
+	w.messages = append(w.messages, later...)
 }
 
-func (w *world) faults() {
+func (w *simulation) faults() {
 	perSecond := func(p float64) bool { return w.chance(p * modelStep.Seconds()) }
 	if perSecond(0.02) {
 		w.platformDown = !w.platformDown
@@ -207,11 +207,11 @@
 		}
 		switch {
 		case perSecond(0.01):
-			n.paused = w.now.Add(w.between(time.Second, 40*time.Second))
+			n.pausedUntil = w.now.Add(w.between(time.Second, 40*time.Second))
 		case perSecond(0.01):
-			n.cutPlat = w.now.Add(w.between(time.Second, 60*time.Second))
+			n.platformCutUntil = w.now.Add(w.between(time.Second, 60*time.Second))
 		case perSecond(0.01):
-			n.cutPeer = w.now.Add(w.between(time.Second, 60*time.Second))
+			n.peersCutUntil = w.now.Add(w.between(time.Second, 60*time.Second))
 		case perSecond(0.005):
 			n.dead = true
 			addr := n.addr
@@ -224,10 +224,10 @@
 			n.ledger.StopLending()
 		}
 	}
-	w.bury()
+	w.removeDead()
 }
 
-func (w *world) bury() {
+func (w *simulation) removeDead() {
 	kept := w.nodes[:0]
 	for _, n := range w.nodes {
 		if !n.dead {
@@ -237,9 +237,9 @@
 	w.nodes = kept
 }
 
-// worst returns the largest number of uses over the cap of any window, and the
+// worstWindow returns the largest number of uses over the cap of any window, and the
 // largest number in any window.
-func (w *world) worst() (over, most int) {
+func (w *simulation) worstWindow() (over, most int) {
 	from := 0
 	for i, t := range w.uses {
 		for !t.Before(w.uses[from].Add(table.Window)) {
@@ -260,9 +260,9 @@
 	var served []float64
 	worstOver, worstMost := 0, 0
 	for seed := first; seed < first+uint64(seeds); seed++ {
-		w := newWorld(t, seed, halls, perHall, limit)
+		w := newSimulation(t, seed, halls, perHall, limit)
 		w.run(length)
-		over, most := w.worst()
+		over, most := w.worstWindow()
 		worstOver, worstMost = max(worstOver, over), max(worstMost, most)
 		served = append(served, float64(w.served)/length.Seconds())
 		if over > 0 {
--- a/share/modelstep_test.go
+++ b/share/modelstep_test.go
@@ -12,17 +12,17 @@
 
 // step lets an instance act. Requests may come before anything else, as they
 // do when a paused process wakes.
-func (w *world) step(n *modelNode) {
+func (w *simulation) step(n *modelNode) {
 	early := w.chance(0.5)
 	if early {
 		w.arrivals(n)
 	}
-	if !w.now.Before(n.beatAt) {
-		n.beatAt = w.now.Add(modelBeat)
-		w.beat(n)
+	if !w.now.Before(n.nextHeartbeat) {
+		n.nextHeartbeat = w.now.Add(modelHeartbeat)
+		w.heartbeat(n)
 	}
-	if !w.now.Before(n.pollAt) {
-		n.pollAt = w.now.Add(w.between(50*time.Millisecond, 300*time.Millisecond))
+	if !w.now.Before(n.nextPoll) {
+		n.nextPoll = w.now.Add(w.between(50*time.Millisecond, 300*time.Millisecond))
 		w.poll(n)
 	}
 	if !early {
@@ -30,9 +30,9 @@
 	}
 }
 
-func (w *world) arrivals(n *modelNode) {
+func (w *simulation) arrivals(n *modelNode) {
 	arrivals := 0
-	for w.chance(0.3 * n.busy) {
+	for w.chance(0.3 * n.load) {
 		arrivals++
 	}
 	row := w.plans[n.plan].Table.Rows[0]
@@ -46,7 +46,7 @@
 	}
 }
 
-func (w *world) highestCap() int {
+func (w *simulation) highestCap() int {
 	highest := 0
 	for _, n := range w.nodes {
 		highest = max(highest, w.plans[n.plan].Table.Rows[0].Cap)
@@ -54,49 +54,49 @@
 	return highest
 }
 
-func (w *world) beat(n *modelNode) {
+func (w *simulation) heartbeat(n *modelNode) {
 	local := n.local(w.now)
 	n.agent.Begin(local)
 	n.agent.Tick(local, n.ledger.LoansEnd())
-	w.seats(n)
+	w.updateSeats(n)
 	for _, peer := range w.nodes {
 		if peer == n || peer.hall != n.hall {
 			continue
 		}
 		b := n.agent.Beat(local, peer.id)
-		w.post(n, peer, func(now time.Time) {
+		w.send(n, peer, func(now time.Time) {
 			peer.agent.Hear(peer.local(now), n.id, b)
-			w.seats(peer)
+			w.updateSeats(peer)
 		})
 	}
-	w.ask(n)
+	w.requestLoans(n)
 	if write := n.agent.Propose(local); write != nil {
 		w.write(n, write)
 	}
 }
 
-func (w *world) seats(n *modelNode) {
+func (w *simulation) updateSeats(n *modelNode) {
 	n.ledger.SetSeats(n.agent.Held(n.local(w.now)), n.agent.LeaseEnd())
 }
 
-func (w *world) ask(n *modelNode) {
+func (w *simulation) requestLoans(n *modelNode) {
 	for _, a := range n.ledger.Asks(n.local(w.now), 2) {
 		lender := w.nodes[w.rnd.IntN(len(w.nodes))]
 		if lender == n {
 			continue
 		}
-		w.post(n, lender, func(now time.Time) {
+		w.send(n, lender, func(now time.Time) {
 			loan, ok := lender.ledger.Lend(lender.local(now), a)
 			if !ok {
 				return
 			}
-			w.post(lender, n, func(now time.Time) { n.ledger.Receive(n.local(now), loan) })
+			w.send(lender, n, func(now time.Time) { n.ledger.Receive(n.local(now), loan) })
 		})
 	}
 }
 
 // write tries a roster write: it may arrive late, and its reply may be lost.
-func (w *world) write(n *modelNode, write *seat.Write) {
+func (w *simulation) write(n *modelNode, write *seat.Write) {
 	raw, err := json.Marshal(write.Roster)
 	require.NoError(w.t, err)
 	if w.unreachable(n) {
@@ -108,30 +108,32 @@
 	if lost && w.chance(0.5) {
 		arrive = w.now.Add(w.between(time.Second, 20*time.Second))
 	}
-	w.mail = append(w.mail, modelMail{at: arrive, do: func(now time.Time) {
+	w.messages = append(w.messages, modelMessage{at: arrive, do: func(now time.Time) {
 		accepted, version := w.put(n.hall, write.Version, raw)
 		if lost {
 			return
 		}
-		w.mail = append(w.mail, modelMail{at: now.Add(5 * time.Millisecond), to: n, do: func(now time.Time) {
+		w.messages = append(w.messages, modelMessage{at: now.Add(5 * time.Millisecond), to: n, do: func(now time.Time) {
 			if accepted {
 				n.agent.Learn(n.local(now), write.Roster, version)
 			} else {
 				n.agent.WriteFailed(write)
 			}
-			w.seats(n)
+			w.updateSeats(n)
 		}})
 	}})
 	if lost {
-		w.mail = append(w.mail, modelMail{at: w.now.Add(3 * time.Second), to: n, do: func(time.Time) {
+		w.messages = append(w.messages, modelMessage{at: w.now.Add(3 * time.Second), to: n, do: func(time.Time) {
 			n.agent.WriteUncertain(write)
 		}})
 	}
 }
 
-func (w *world) unreachable(n *modelNode) bool { return w.platformDown || w.now.Before(n.cutPlat) }
+func (w *simulation) unreachable(n *modelNode) bool {
+	return w.platformDown || w.now.Before(n.platformCutUntil)
+}
 
-func (w *world) put(hall string, version int64, raw []byte) (bool, int64) {
+func (w *simulation) put(hall string, version int64, raw []byte) (bool, int64) {
 	obj := w.rosters[hall]
 	if obj == nil {
 		obj = &modelObject{}
@@ -146,7 +148,7 @@
 }
 
 // poll reads the roster and the table, which may be an old one.
-func (w *world) poll(n *modelNode) {
+func (w *simulation) poll(n *modelNode) {
 	if w.unreachable(n) {
 		return
 	}
@@ -165,8 +167,8 @@
 	}
 	var roster seat.Roster
 	require.NoError(w.t, json.Unmarshal(obj.raw, &roster))
-	w.mail = append(w.mail, modelMail{at: w.now.Add(w.between(0, 30*time.Millisecond)), to: n, do: func(now time.Time) {
+	w.messages = append(w.messages, modelMessage{at: w.now.Add(w.between(0, 30*time.Millisecond)), to: n, do: func(now time.Time) {
 		n.agent.Learn(n.local(now), &roster, version)
-		w.seats(n)
+		w.updateSeats(n)
 	}})
 }
--- a/share/ramp.go
+++ b/share/ramp.go
@@ -23,9 +23,9 @@
 
 const (
 	fullLevel   = 100
-	nearPercent = 80
-	// idlePercent is the use below which a period counts as unused.
-	idlePercent = 20
+	risePercent = 80
+	// fallPercent is the use below which a period counts as unused.
+	fallPercent = 20
 )
 
 // SetLimits changes the step and the period. The level reached is kept.
@@ -40,8 +40,8 @@
 	if r.unlimited() {
 		return total
 	}
-	r.begin(now)
-	return permitted(total, r.level)
+	r.start(now)
+	return allowedUnits(total, r.level)
 }
 
 // Level returns the permitted part in percent.
@@ -59,9 +59,9 @@
 	if r.unlimited() {
 		return
 	}
-	r.begin(now)
+	r.start(now)
 	if total > 0 {
-		r.peak = max(r.peak, used*fullLevel/permitted(total, r.level))
+		r.peak = max(r.peak, used*fullLevel/allowedUnits(total, r.level))
 	}
 	if now.Sub(r.started) < r.Period {
 		return
@@ -75,7 +75,7 @@
 	return r.Shift <= 0 || r.Shift >= fullLevel
 }
 
-func (r *Ramp) begin(now time.Time) {
+func (r *Ramp) start(now time.Time) {
 	if r.started.IsZero() {
 		r.started = now
 		r.level = r.Shift
@@ -84,14 +84,14 @@
 
 func (r *Ramp) step(warm bool) {
 	switch {
-	case r.peak >= nearPercent && warm:
+	case r.peak >= risePercent && warm:
 		r.level = min(r.level+r.Shift, fullLevel)
-	case r.peak < idlePercent:
+	case r.peak < fallPercent:
 		r.level = max(r.level-r.Shift, r.Shift)
 	}
 }
 
-// permitted rounds up, so that a row of few units can be used at all.
-func permitted(total, level int) int {
+// allowedUnits rounds up, so that a row of few units can be used at all.
+func allowedUnits(total, level int) int {
 	return (total*level + fullLevel - 1) / fullLevel
 }
--- a/share/ring.go
+++ b/share/ring.go
@@ -9,7 +9,7 @@
 	n    int
 }
 
-const firstRingSize = 8
+const initialRingSize = 8
 
 func (r *timeRing) len() int { return r.n }
 
@@ -28,8 +28,8 @@
 	r.n++
 }
 
-// dropUntil removes the times that are not after t.
-func (r *timeRing) dropUntil(t time.Time) {
+// dropThrough removes the times that are not after t.
+func (r *timeRing) dropThrough(t time.Time) {
 	for r.n > 0 && !r.buf[r.head].After(t) {
 		r.head = (r.head + 1) % len(r.buf)
 		r.n--
@@ -37,7 +37,7 @@
 }
 
 func (r *timeRing) grow() {
-	next := make([]time.Time, max(firstRingSize, 2*len(r.buf)))
+	next := make([]time.Time, max(initialRingSize, 2*len(r.buf)))
 	for i := range r.n {
 		next[i] = r.buf[(r.head+i)%len(r.buf)]
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestMeterAgainstNaive compares the meter with a count over all past uses.
-func TestMeterAgainstNaive(t *testing.T) {
+// TestLimiterAgainstNaive compares the meter with a count over all past uses.
+func TestLimiterAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &share.Meter{}
 		now := time.Unix(0, 0)
@@ -77,14 +77,14 @@
 	})
 }
 
-// pair is a lender and a borrower with clocks of their own, and a wire that
+// loanPair is a lender and a borrower with clocks of their own, and a wire that
 // loses, doubles and delays.
-type pair struct {
+type loanPair struct {
 	now      time.Time
 	rnd      *rand.Rand
 	lender   share.Meter
 	borrower share.Meter
-	book     *share.Borrower
+	requests *share.Borrower
 	wire     []delivery
 	uses     []time.Time
 }
@@ -100,7 +100,7 @@
 	borrowerAhead = 1000 * time.Hour
 )
 
-func (p *pair) send(do func()) {
+func (p *loanPair) send(do func()) {
 	for range 1 + p.rnd.IntN(2) {
 		if p.rnd.IntN(10) == 0 {
 			continue
@@ -113,7 +113,7 @@
 	}
 }
 
-func (p *pair) step(nonce uint64) {
+func (p *loanPair) step(nonce uint64) {
 	p.now = p.now.Add(10 * time.Millisecond)
 	var later []delivery
 	wire := p.wire
@@ -137,12 +137,12 @@
 			p.uses = append(p.uses, p.now)
 		}
 	}
-	if p.book.Ask(theirs, nonce) {
+	if p.requests.Ask(theirs, nonce) {
 		ask := share.Ask{Units: 3, Nonce: nonce}
 		p.send(func() {
 			loan, ok := share.DefaultLoanTerms.Lend(p.now, &p.lender, ask, 2, p.now.Add(time.Hour))
 			if ok {
-				p.send(func() { p.book.Receive(p.now.Add(borrowerAhead), &p.borrower, loan) })
+				p.send(func() { p.requests.Receive(p.now.Add(borrowerAhead), &p.borrower, loan) })
 			}
 		})
 	}
@@ -154,7 +154,7 @@
 func TestLoansCreateNoUnits(t *testing.T) {
 	lentAny := false
 	for seed := range uint64(40) {
-		p := &pair{now: time.Unix(0, 0), rnd: rand.New(rand.NewPCG(seed, 3)), book: share.NewBorrower(share.DefaultLoanTerms)}
+		p := &loanPair{now: time.Unix(0, 0), rnd: rand.New(rand.NewPCG(seed, 3)), requests: share.NewBorrower(share.DefaultLoanTerms)}
 		p.lender.SetUnits(pairUnits)
 		for i := range 6000 {
 			p.step(uint64(i + 1))
@@ -171,9 +171,9 @@
 	require.True(t, lentAny)
 }
 
-// TestFence checks that units end with the lease by the clock alone, as for a
+// TestUnitsEndWithLease checks that units end with the lease by the clock alone, as for a
 // process that was paused and handles a request before anything else.
-func TestFence(t *testing.T) {
+func TestUnitsEndWithLease(t *testing.T) {
 	plan := table.Compile(&table.Table{
 		Regions: []table.Region{{Name: "r", Halls: []string{"h"}}, {Name: "q", Halls: []string{"z"}}},
 		Rows:    []table.Row{{Service: "s", From: "r", To: "q", Weight: 1, Cap: 64, Shift: 100}},
@@ -245,7 +245,7 @@
 	require.Equal(t, 1, (&share.Ramp{Shift: 10, Period: time.Second}).Permit(now, 1), "a tiny row can be used")
 }
 
-func BenchmarkMeterTake(b *testing.B) {
+func BenchmarkLimiterAllow(b *testing.B) {
 	for _, units := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("units%d", units), func(b *testing.B) {
 			m := &share.Meter{}
--- a/share/split.go
+++ b/share/split.go
@@ -17,17 +17,17 @@
 	}
 	part := total / holders
 	rest := total % holders
-	if turn(holders, index, offset) < rest {
+	if remainderRank(holders, index, offset) < rest {
 		part++
 	}
 	return part
 }
 
-// turn returns the place of a holder in the order in which left-over units are
+// remainderRank returns the place of a holder in the order in which left-over units are
 // handed out. The order steps through the holders by about the golden section,
 // so that any few units are spread evenly over any run of holders.
-func turn(holders, index, offset int) int {
-	step := stepOf(holders)
+func remainderRank(holders, index, offset int) int {
+	step := goldenStep(holders)
 	place := positiveMod(index-offset, holders)
 	t := 0
 	for at := 0; at != place; at = (at + step) % holders {
@@ -36,9 +36,9 @@
 	return t
 }
 
-// stepOf returns the number nearest below 0.618 of holders that shares no
+// goldenStep returns the number nearest below 0.618 of holders that shares no
 // factor with it.
-func stepOf(holders int) int {
+func goldenStep(holders int) int {
 	for step := holders * 618 / 1000; step > 1; step-- {
 		if gcd(step, holders) == 1 {
 			return step
