--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -17,7 +17,7 @@
 func rankIn(key string, ids []string, preferred int, group func(int) int) []string {
 	r := affinity.NewRanker(key)
 	for i, id := range ids {
-		r.Offer(i, group(i), affinity.Hash(id), 6)
+		r.Add(i, group(i), affinity.Hash(id), 6)
 	}
 	var out []string
 	for _, i := range r.Ranking(preferred) {
@@ -118,7 +118,7 @@
 			for b.Loop() {
 				r := affinity.NewRanker("r-abc/17")
 				for i, id := range hashes {
-					r.Offer(i, groupOf(i), id, 6)
+					r.Add(i, groupOf(i), id, 6)
 				}
 			}
 		})
--- a/affinity/rank.go
+++ b/affinity/rank.go
@@ -42,9 +42,9 @@
 // Hash returns the hash of a key or of a target's ID.
 func Hash(text string) uint64 { return mix.Hash(text) }
 
-// Offer takes in a target by the hash of its ID. Weight is its size relative to
+// Add takes in a target by the hash of its ID. Weight is its size relative to
 // the others.
-func (r *Ranker) Offer(index, group int, id uint64, weight float64) {
+func (r *Ranker) Add(index, group int, id uint64, weight float64) {
 	group = min(group, MaxGroups-1)
 	for r.groups <= group {
 		r.best[r.groups] = [Depth]place{nobody, nobody}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -36,7 +36,7 @@
 }
 
 func request(id uint64) balance.Request {
-	return balance.Request{ID: id, Deadline: epoch.Add(time.Hour), Patience: time.Hour}
+	return balance.Request{ID: id, Deadline: epoch.Add(time.Hour), QueueTimeout: time.Hour}
 }
 
 // warmUp answers until every target may use its whole share.
@@ -45,9 +45,9 @@
 		var taken []string
 		for {
 			r := request(i)
-			r.Patience = 0
+			r.QueueTimeout = 0
 			d := p.Acquire(epoch, r)
-			if d.Verdict != balance.Run {
+			if d.Action != balance.Run {
 				break
 			}
 			taken = append(taken, d.Target.ID)
@@ -66,7 +66,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rand"), 1))})
 		floor := rapid.IntRange(0, 100).Draw(t, "floor")
-		p.SetFloor(floor)
+		p.SetReserve(floor)
 		m := &poolModel{t: t, slots: map[string]int{}, inFlight: map[string]int{}, shifted: map[string]int{}, waiting: map[uint64]bool{}}
 		now := epoch
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -84,14 +84,14 @@
 				m.granted(p.SetTargets(now, next))
 			case 1, 2, 3:
 				r := balance.Request{
-					ID:       uint64(step + 1),
-					Deadline: now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond),
-					Patience: time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond,
-					Shifted:  rapid.Bool().Draw(t, "shifted"),
+					ID:              uint64(step + 1),
+					Deadline:        now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond),
+					QueueTimeout:    time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond,
+					FromOtherRegion: rapid.Bool().Draw(t, "shifted"),
 				}
 				before := p.Load(now)
 				d := p.Acquire(now, r)
-				if d.Verdict == balance.Run && r.Shifted {
+				if d.Action == balance.Run && r.FromOtherRegion {
 					require.Less(t, before.InFlight, before.Limit-before.Limit*floor/100+1)
 				}
 				m.decided(r.ID, d)
@@ -117,7 +117,7 @@
 }
 
 func (m *poolModel) decided(id uint64, d balance.Decision) {
-	switch d.Verdict {
+	switch d.Action {
 	case balance.Run:
 		m.ran(d)
 	case balance.Wait:
@@ -138,7 +138,7 @@
 	for _, g := range grants {
 		require.True(m.t, m.waiting[g.ID], "a grant for nobody")
 		delete(m.waiting, g.ID)
-		require.NotEqual(m.t, balance.Wait, g.Decision.Verdict)
+		require.NotEqual(m.t, balance.Wait, g.Decision.Action)
 		m.decided(g.ID, g.Decision)
 	}
 }
@@ -159,7 +159,7 @@
 	for range 3 {
 		n := p.Load(epoch).Limit
 		for i := range n {
-			require.Equal(t, balance.Run, p.Acquire(epoch, request(uint64(i))).Verdict)
+			require.Equal(t, balance.Run, p.Acquire(epoch, request(uint64(i))).Action)
 		}
 		for range n {
 			p.Release(epoch, "t0", balance.Answered, 10*time.Millisecond)
@@ -204,16 +204,16 @@
 // that it will be late, not when it is.
 func TestGivenUpAtOnce(t *testing.T) {
 	p := newPool(t, 1)
-	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Verdict)
-	late := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), Patience: time.Hour}
-	require.Equal(t, balance.Refuse, p.Acquire(epoch, late).Verdict)
+	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Action)
+	late := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), QueueTimeout: time.Hour}
+	require.Equal(t, balance.Refuse, p.Acquire(epoch, late).Action)
 	late.Deadline = epoch.Add(time.Second)
-	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Verdict)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
 	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "it may still make it: the target is tried again after 500 ms")
 	require.Empty(t, p.Tick(epoch.Add(100*time.Millisecond)))
 	grants := p.SetTargets(epoch.Add(200*time.Millisecond), nil)
 	require.Len(t, grants, 1, "no target is left, 800 ms before the deadline")
-	require.Equal(t, balance.Refuse, grants[0].Decision.Verdict)
+	require.Equal(t, balance.Refuse, grants[0].Decision.Action)
 }
 
 // TestWaitIsBounded has uploads hold every slot while the usual request takes
@@ -225,12 +225,12 @@
 	p.Acquire(epoch, request(1))
 	p.Acquire(epoch, request(2))
 	deadline := epoch.Add(4 * time.Second)
-	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 3, Deadline: deadline, Patience: 100 * time.Millisecond}).Verdict)
-	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 4, Deadline: deadline, Patience: 4 * time.Second}).Verdict)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 3, Deadline: deadline, QueueTimeout: 100 * time.Millisecond}).Action)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 4, Deadline: deadline, QueueTimeout: 4 * time.Second}).Action)
 	refused := make(map[uint64]time.Duration)
 	for at := time.Duration(0); at < 4*time.Second; at += 50 * time.Millisecond {
 		for _, g := range p.Tick(epoch.Add(at)) {
-			require.Equal(t, balance.Refuse, g.Decision.Verdict)
+			require.Equal(t, balance.Refuse, g.Decision.Action)
 			refused[g.ID] = at
 		}
 	}
@@ -242,13 +242,13 @@
 // the slots is nothing, as after it gave its seats back.
 func TestNoShareIsNoQueue(t *testing.T) {
 	p := newPool(t, 0, 0)
-	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), Patience: 5 * time.Second})
-	require.Equal(t, balance.Refuse, d.Verdict)
+	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second})
+	require.Equal(t, balance.Refuse, d.Action)
 	p = newPool(t, 1)
 	p.Acquire(epoch, request(1))
-	require.Equal(t, balance.Wait, p.Acquire(epoch, request(2)).Verdict)
-	late := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), Patience: 5 * time.Second}
-	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Verdict)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, request(2)).Action)
+	late := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second}
+	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
 	grants := p.SetTargets(epoch, specs(0))
 	require.Len(t, grants, 1, "the one that can't wait for ever is refused at once")
 	require.EqualValues(t, 3, grants[0].ID)
@@ -257,15 +257,15 @@
 func TestBrokenTargetIsLeftOutAfterThreeInARow(t *testing.T) {
 	p := newPool(t, 1)
 	r := request(1)
-	r.Patience = 0
+	r.QueueTimeout = 0
 	for i := range 3 {
-		require.Equal(t, balance.Run, p.Acquire(epoch, r).Verdict, "exchange %d", i)
+		require.Equal(t, balance.Run, p.Acquire(epoch, r).Action, "exchange %d", i)
 		p.Release(epoch, "t0", balance.Broken, 0)
 	}
 	d := p.Acquire(epoch, r)
-	require.Equal(t, balance.Refuse, d.Verdict)
+	require.Equal(t, balance.Refuse, d.Action)
 	require.InDelta(t, 0.78, d.RetryAfter.Seconds(), 0.27, "about when it is tried again, with jitter")
-	require.Equal(t, balance.Run, p.Acquire(epoch.Add(time.Second), r).Verdict)
+	require.Equal(t, balance.Run, p.Acquire(epoch.Add(time.Second), r).Action)
 }
 
 func BenchmarkPool(b *testing.B) {
@@ -289,9 +289,9 @@
 	p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(1, 2))})
 	now := time.Unix(0, 0)
 	p.SetTargets(now, []balance.Spec{{ID: "a", Addr: "127.0.0.1:80", Slots: 2}})
-	first := p.Acquire(now, balance.Request{ID: 1, Deadline: now.Add(time.Second), Patience: time.Second})
-	second := p.Acquire(now, balance.Request{ID: 2, Deadline: now.Add(time.Second), Patience: time.Second})
-	fmt.Println(first.Verdict == balance.Run, second.Verdict == balance.Wait)
+	first := p.Acquire(now, balance.Request{ID: 1, Deadline: now.Add(time.Second), QueueTimeout: time.Second})
+	second := p.Acquire(now, balance.Request{ID: 2, Deadline: now.Add(time.Second), QueueTimeout: time.Second})
+	fmt.Println(first.Action == balance.Run, second.Action == balance.Wait)
 	for _, g := range p.Release(now, first.Target.ID, balance.Answered, 10*time.Millisecond) {
 		fmt.Println("request", g.ID, "runs on", g.Decision.Target.ID)
 	}
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -8,13 +8,13 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// Verdict is the kind of a decision.
-type Verdict int
+// Action is the kind of a decision.
+type Action int
 
 // The verdicts.
 const (
 	// Run means: send the request to Decision.Target.
-	Run Verdict = iota
+	Run Action = iota
 	// Wait means: the request is queued; a Grant with its ID follows.
 	Wait
 	// Refuse means: give the request up now.
@@ -23,8 +23,8 @@
 
 // Decision is the answer to Acquire.
 type Decision struct {
-	Verdict Verdict
-	Target  Spec
+	Action Action
+	Target Spec
 	// RetryAfter says when to come back after a refusal.
 	RetryAfter time.Duration
 }
@@ -35,14 +35,14 @@
 	ID uint64
 	// Deadline is when the answer has to be there.
 	Deadline time.Time
-	// Patience is the longest time to wait for a slot. 0 refuses rather than
+	// QueueTimeout is the longest time to wait for a slot. 0 refuses rather than
 	// wait.
-	Patience time.Duration
-	// Shifted marks a request that another region sent here. It may not use
+	QueueTimeout time.Duration
+	// FromOtherRegion marks a request that another region sent here. It may not use
 	// the part of the slots that the floor keeps.
-	Shifted bool
-	// Avoid is a target that the request has failed on already, or "".
-	Avoid string
+	FromOtherRegion bool
+	// Tried is a target that the request has failed on already, or "".
+	Tried string
 }
 
 // Grant ends the wait of a queued request.
@@ -111,9 +111,9 @@
 	return &Pool{config: config, targets: make(map[string]*target)}
 }
 
-// SetFloor sets the percentage of the slots kept for the region's own
+// SetReserve sets the percentage of the slots kept for the region's own
 // requests.
-func (p *Pool) SetFloor(percent int) { p.floor = percent }
+func (p *Pool) SetReserve(percent int) { p.floor = percent }
 
 // SetTargets replaces the targets that get new work. One that is no longer
 // named gets none; what it has in flight goes on.
@@ -153,9 +153,9 @@
 	sort.Strings(p.order)
 }
 
-// Hear takes in what a target said of itself. What the list says of it, later or not, does not
+// ApplySelfReport takes in what a target said of itself. What the list says of it, later or not, does not
 // undo that, unless it names the target at another address.
-func (p *Pool) Hear(now time.Time, id string, w availability.SelfReport) {
+func (p *Pool) ApplySelfReport(now time.Time, id string, w availability.SelfReport) {
 	if t := p.targets[id]; t != nil {
 		t.hear(now, w)
 	}
@@ -167,12 +167,12 @@
 	p.creep(now)
 	if !p.queuedAhead(req) {
 		if spec, ok := p.pick(now, req); ok {
-			return Decision{Verdict: Run, Target: spec}
+			return Decision{Action: Run, Target: spec}
 		}
 	}
 	wait := p.expectedWait(now)
 	left := req.Deadline.Sub(now) - p.serviceTime()
-	if len(p.queue) >= p.config.MaxQueue || wait > min(left, req.Patience) {
+	if len(p.queue) >= p.config.MaxQueue || wait > min(left, req.QueueTimeout) {
 		return p.refuse(wait)
 	}
 	if len(p.queue) == 0 && p.lastFree.Before(now) {
@@ -180,14 +180,14 @@
 		p.lastFree = now
 	}
 	p.queue = append(p.queue, queued{Request: req, since: now})
-	return Decision{Verdict: Wait}
+	return Decision{Action: Wait}
 }
 
 // queuedAhead tells whether a queued request has a right to the next slot
 // before req. Requests from other regions have none before the region's own.
 func (p *Pool) queuedAhead(req Request) bool {
 	for i := range p.queue {
-		if req.Shifted || !p.queue[i].Shifted {
+		if req.FromOtherRegion || !p.queue[i].FromOtherRegion {
 			return true
 		}
 	}
@@ -260,12 +260,12 @@
 	kept := p.queue[:0]
 	for _, q := range p.queue {
 		if spec, ok := p.pick(now, q.Request); ok {
-			out = append(out, Grant{ID: q.ID, Decision: Decision{Verdict: Run, Target: spec}})
+			out = append(out, Grant{ID: q.ID, Decision: Decision{Action: Run, Target: spec}})
 			continue
 		}
 		wait := p.waitAt(now, len(kept))
 		late := now.Add(wait + p.serviceTime()).After(q.Deadline)
-		if late || now.Sub(q.since) >= q.Patience {
+		if late || now.Sub(q.since) >= q.QueueTimeout {
 			out = append(out, Grant{ID: q.ID, Decision: p.refuse(wait)})
 			continue
 		}
@@ -277,11 +277,11 @@
 
 // pick takes a slot for the request.
 func (p *Pool) pick(now time.Time, req Request) (Spec, bool) {
-	if req.Shifted && !p.aboveFloor(now) {
+	if req.FromOtherRegion && !p.aboveFloor(now) {
 		return Spec{}, false
 	}
-	candidates := p.candidates(now, req.Avoid)
-	if len(candidates) == 0 && req.Avoid != "" {
+	candidates := p.candidates(now, req.Tried)
+	if len(candidates) == 0 && req.Tried != "" {
 		candidates = p.candidates(now, "")
 	}
 	if len(candidates) == 0 {
@@ -345,7 +345,7 @@
 func (p *Pool) refuse(wait time.Duration) Decision {
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	jitter := time.Duration(p.config.Rand.Int64N(int64(wait)))
-	return Decision{Verdict: Refuse, RetryAfter: wait + jitter}
+	return Decision{Action: Refuse, RetryAfter: wait + jitter}
 }
 
 // Load is the state of a pool, as told to other instances.
--- a/balance/word_test.go
+++ b/balance/word_test.go
@@ -22,7 +22,7 @@
 // runOn returns the target of a request that is over at once, "" if it was not sent.
 func runOn(p *balance.Pool, now time.Time) string {
 	d := p.Acquire(now, balance.Request{Deadline: now.Add(time.Minute)})
-	if d.Verdict != balance.Run {
+	if d.Action != balance.Run {
 		return ""
 	}
 	p.Release(now, d.Target.ID, balance.Answered, time.Millisecond)
@@ -36,7 +36,7 @@
 func TestWordOutlivesTheList(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p, specs := wordPool(start)
-	p.Hear(start, "t-1", availability.SelfReport{Leaving: true})
+	p.ApplySelfReport(start, "t-1", availability.SelfReport{Leaving: true})
 	now := start
 	for ; now.Before(start.Add(time.Minute)); now = now.Add(500 * time.Millisecond) {
 		require.Equal(t, "t-2", runOn(p, now))
@@ -53,7 +53,7 @@
 	require.Equal(t, 1, tries, "requests that ask a target again that said that it drains")
 
 	p, specs = wordPool(start)
-	p.Hear(start, "t-1", availability.SelfReport{Leaving: true})
+	p.ApplySelfReport(start, "t-1", availability.SelfReport{Leaving: true})
 	specs[0].Addr = "c"
 	p.SetTargets(start, specs[:1])
 	require.Equal(t, "t-1", runOn(p, start), "another address")
@@ -64,14 +64,14 @@
 func TestRefusalIsKept(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p, specs := wordPool(start)
-	p.Hear(start, "t-1", availability.SelfReport{Backoff: 3 * time.Second})
+	p.ApplySelfReport(start, "t-1", availability.SelfReport{Backoff: 3 * time.Second})
 	for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		require.Equal(t, "t-2", runOn(p, now))
 		p.SetTargets(now, specs)
 	}
-	p.Hear(start, "t-2", availability.SelfReport{Backoff: 5 * time.Second})
-	d := p.Acquire(start, balance.Request{Deadline: start.Add(time.Minute), Patience: time.Second})
-	require.Equal(t, balance.Refuse, d.Verdict)
+	p.ApplySelfReport(start, "t-2", availability.SelfReport{Backoff: 5 * time.Second})
+	d := p.Acquire(start, balance.Request{Deadline: start.Add(time.Minute), QueueTimeout: time.Second})
+	require.Equal(t, balance.Refuse, d.Action)
 	require.GreaterOrEqual(t, d.RetryAfter, 3*time.Second)
 	require.Equal(t, "t-1", runOn(p, start.Add(3*time.Second)))
 }
--- a/cmd/rainford/estate.go
+++ b/cmd/rainford/estate.go
@@ -183,7 +183,7 @@
 		if err != nil {
 			return err
 		}
-		_, err = client.Put(ctx, key, obj.Version, roster.Released())
+		_, err = client.Put(ctx, key, obj.Version, roster.Cleared())
 		if err != nil {
 			return err
 		}
--- a/cmd/rainfordd/gateway.go
+++ b/cmd/rainfordd/gateway.go
@@ -118,7 +118,7 @@
 	fs.Float64Var(&s.RetrySlack, "retry-slack", s.RetrySlack, "repeats of all instances together on top of the ratio, in a window")
 	fs.Float64Var(&s.ShiftMost, "shift-most", s.ShiftMost, "largest part of a region's requests that may change region within 2 s")
 	fs.DurationVar(&s.Limits.Window, "limit-window", s.Limits.Window, "window of the promise on limits of client accounts")
-	fs.Float64Var(&s.Limits.Over, "limit-over", s.Limits.Over, "part of a limit that may be admitted beyond it in a window")
+	fs.Float64Var(&s.Limits.Overshoot, "limit-over", s.Limits.Overshoot, "part of a limit that may be admitted beyond it in a window")
 	fs.Float64Var(&s.Limits.Slack, "limit-slack", s.Limits.Slack, "requests of an account that may be admitted beyond that in a window")
 	fs.Float64Var(&s.Rollouts.Share, "canary-share", s.Rollouts.Share, "part of a service's requests that a version that is brought in by order and turns out to be bad may get, 0 if there are no such orders")
 	fs.Float64Var(&s.Rollouts.Slack, "canary-slack", s.Rollouts.Slack, "requests that such a version may get on top of that")
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -207,7 +207,7 @@
 		go func() {
 			r := httptest.NewRequest(http.MethodGet, "/", nil)
 			ctx := r.Context()
-			slot, _ := h.Acquire(ctx, "s", balance.Request{Deadline: time.Now().Add(time.Minute), Patience: time.Minute})
+			slot, _ := h.Acquire(ctx, "s", balance.Request{Deadline: time.Now().Add(time.Minute), QueueTimeout: time.Minute})
 			if slot != nil {
 				time.Sleep(time.Duration(i%5) * time.Millisecond)
 				slot.Release(balance.Answered, time.Millisecond)
--- a/entry/hall.go
+++ b/entry/hall.go
@@ -41,7 +41,7 @@
 		}
 	}
 	for service, pool := range h.pools {
-		pool.SetFloor(floors[service])
+		pool.SetReserve(floors[service])
 		h.deliver(pool.SetTargets(now, targets[service]))
 	}
 }
@@ -69,7 +69,7 @@
 	now := time.Now()
 	decision := pool.Acquire(now, req)
 	var wait chan balance.Decision
-	if decision.Verdict == balance.Wait {
+	if decision.Action == balance.Wait {
 		wait = make(chan balance.Decision, 1)
 		h.waiters[req.ID] = wait
 	}
@@ -77,7 +77,7 @@
 	if wait != nil {
 		decision = h.await(ctx, pool, req.ID, wait)
 	}
-	if decision.Verdict != balance.Run {
+	if decision.Action != balance.Run {
 		return nil, decision.RetryAfter
 	}
 	return &Slot{Target: decision.Target, hall: h, service: service, taken: time.Now()}, 0
@@ -93,7 +93,7 @@
 	defer h.mu.Unlock()
 	if pool.Cancel(id) {
 		delete(h.waiters, id)
-		return balance.Decision{Verdict: balance.Refuse, RetryAfter: time.Second}
+		return balance.Decision{Action: balance.Refuse, RetryAfter: time.Second}
 	}
 	// The grant came at the same moment.
 	return <-wait
@@ -111,7 +111,7 @@
 func (s *Slot) Hear(w availability.SelfReport) {
 	s.hall.mu.Lock()
 	defer s.hall.mu.Unlock()
-	s.hall.pools[s.service].Hear(time.Now(), s.Target.ID, w)
+	s.hall.pools[s.service].ApplySelfReport(time.Now(), s.Target.ID, w)
 }
 
 // Tick gives up queued requests whose time is over.
--- a/entry/region.go
+++ b/entry/region.go
@@ -86,7 +86,7 @@
 		return Result{}, true
 	}
 	detail := "the cap of " + row.Key().String() + " is used up"
-	if admission == share.Ramping {
+	if admission == share.RampLimited {
 		detail = "the shift on " + row.Key().String() + " is still ramping"
 	}
 	return notRun(fullStatus, protocol.ReasonCap, detail, e.jitter(max(wait, 50*time.Millisecond))), false
@@ -180,10 +180,10 @@
 // slot takes a slot of a target of the own hall.
 func (e *Entry) slot(ex *Exchange, patience time.Duration, avoid string) (*Slot, Result) {
 	slot, wait := e.config.Hall.Acquire(ex.r.Context(), ex.Service.Name, balance.Request{
-		Deadline: ex.Deadline,
-		Patience: patience,
-		Shifted:  ex.From != e.config.Region,
-		Avoid:    avoid,
+		Deadline:        ex.Deadline,
+		QueueTimeout:    patience,
+		FromOtherRegion: ex.From != e.config.Region,
+		Tried:           avoid,
 	})
 	if slot == nil {
 		return nil, notRun(fullStatus, protocol.ReasonCapacity, "every target in reach is busy", wait)
--- a/fleet/model_test.go
+++ b/fleet/model_test.go
@@ -46,7 +46,7 @@
 
 // busy are as many loads of targets as a message of gossip carries, as while a site is
 // overloaded.
-var busy = make(upstream.Sightings, 24)
+var busy = make(upstream.TargetReports, 24)
 
 // introduceEvery is the number of messages of which one carries the sender itself.
 const introduceEvery = 8
--- a/forward/answer_fuzz_test.go
+++ b/forward/answer_fuzz_test.go
@@ -28,8 +28,8 @@
 // plainCodec knows no loads, and 421 as the answer of another target.
 type plainCodec struct{}
 
-func (plainCodec) Load(string) *upstream.Report { return nil }
-func (plainCodec) Replaced(status int) bool     { return status == http.StatusMisdirectedRequest }
+func (plainCodec) Load(string) *upstream.LoadReport { return nil }
+func (plainCodec) Replaced(status int) bool         { return status == http.StatusMisdirectedRequest }
 
 func (plainCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
 
--- a/forward/arrived_test.go
+++ b/forward/arrived_test.go
@@ -18,8 +18,8 @@
 // noCodec reads nothing.
 type noCodec struct{}
 
-func (noCodec) Load(string) *upstream.Report { return nil }
-func (noCodec) Replaced(int) bool            { return false }
+func (noCodec) Load(string) *upstream.LoadReport { return nil }
+func (noCodec) Replaced(int) bool                { return false }
 
 func (noCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
 
--- a/forward/client.go
+++ b/forward/client.go
@@ -42,7 +42,7 @@
 
 // Codec reads what answers say in the target's format.
 type Codec interface {
-	Load(text string) *upstream.Report
+	Load(text string) *upstream.LoadReport
 	// Replaced tells whether a status says that another incarnation or
 	// service has the address.
 	Replaced(status int) bool
@@ -96,7 +96,7 @@
 	a := c.exchange(ctx, cn, r)
 	a.Sent = true
 	a.Reused = reused
-	a.Target.Took = c.clock.Since(start)
+	a.Target.Latency = c.clock.Since(start)
 	return a
 }
 
@@ -337,15 +337,15 @@
 // judge turns a whole answer into an attempt.
 func (c *Client) judge(resp *answer) Attempt {
 	a := Attempt{Outcome: retry.Ran}
-	a.Target.Report = c.codec.Load(resp.Header.Get(c.headers.Load))
-	a.Target.Word = c.word(resp.Response)
+	a.Target.LoadReport = c.codec.Load(resp.Header.Get(c.headers.Load))
+	a.Target.SelfReport = c.word(resp.Response)
 	switch {
 	case c.codec.Replaced(resp.StatusCode):
 		a.Outcome, a.Target.Outcome = retry.NotRun, upstream.Replaced
 	case c.notRun(resp.Response):
 		a.Outcome, a.Target.Outcome = retry.NotRun, upstream.Rejected
 	default:
-		a.Target.Failed = resp.StatusCode >= http.StatusInternalServerError
+		a.Target.ServerError = resp.StatusCode >= http.StatusInternalServerError
 		a.Response = &Response{Status: resp.StatusCode, Header: EndToEnd(resp.Header), Body: resp.body}
 	}
 	return a
@@ -355,13 +355,13 @@
 func (c *Client) failure(ctx context.Context, r *Request, resp *answer, err error) Attempt {
 	a := Attempt{Outcome: retry.Unknown, Err: err}
 	if resp != nil {
-		a.Target.Word = c.word(resp.Response)
+		a.Target.SelfReport = c.word(resp.Response)
 	}
 	switch {
 	case ctx.Err() != nil:
 		a.Target.Outcome = upstream.Abandoned
 	case resp == nil && !c.clock.Now().Before(r.Deadline):
-		a.Target.Outcome = upstream.Silent
+		a.Target.Outcome = upstream.TimedOut
 	default:
 		a.Target.Outcome = upstream.Broken
 	}
--- a/forward/client_test.go
+++ b/forward/client_test.go
@@ -48,7 +48,7 @@
 	require.NoError(t, a.Err)
 	require.Equal(t, retry.Ran, a.Outcome)
 	require.Equal(t, "answer of i-1 to "+r.ID, string(a.Response.Body))
-	require.Equal(t, &upstream.Report{Running: 1, Slots: 3}, a.Target.Report)
+	require.Equal(t, &upstream.LoadReport{Running: 1, Slots: 3}, a.Target.LoadReport)
 	require.Equal(t, []origin.Run{{ID: r.ID, Method: "POST", URI: "/a//b/%2f?q=1", Body: []byte("body")}}, s.Runs())
 }
 
@@ -190,7 +190,7 @@
 	network.Silence()
 	silent := send(200 * time.Millisecond)
 	require.True(t, silent.Reused)
-	require.Equal(t, upstream.Silent, silent.Target.Outcome)
+	require.Equal(t, upstream.TimedOut, silent.Target.Outcome)
 	next := send(5 * time.Second)
 	require.Equal(t, retry.Ran, next.Outcome, "%v", next.Err)
 	require.False(t, next.Reused)
--- a/forward/contract_test.go
+++ b/forward/contract_test.go
@@ -26,7 +26,7 @@
 			a := c.Do(context.Background(), request(s))
 			require.Equal(t, retry.NotRun, a.Outcome)
 			require.Equal(t, upstream.Rejected, a.Target.Outcome)
-			require.Equal(t, rests, a.Target.Word.Backoff == 3*time.Second)
+			require.Equal(t, rests, a.Target.SelfReport.Backoff == 3*time.Second)
 			require.Empty(t, s.Runs())
 		})
 	}
--- a/forward/word_test.go
+++ b/forward/word_test.go
@@ -43,7 +43,7 @@
 			s, client := start(t, c.fault)
 			s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\nRetry-After: 3\r\n" })
 			a := client.Do(context.Background(), request(s))
-			require.Equal(t, c.want, a.Target.Word)
+			require.Equal(t, c.want, a.Target.SelfReport)
 		})
 	}
 }
@@ -57,7 +57,7 @@
 	r.Target, r.Name = "i-0", "i-0"
 	a := client.Do(context.Background(), r)
 	require.Equal(t, upstream.Replaced, a.Target.Outcome)
-	require.Zero(t, a.Target.Word)
+	require.Zero(t, a.Target.SelfReport)
 }
 
 // TestWordToClientThatLeft checks that the head of an answer counts although its client leaves
@@ -73,7 +73,7 @@
 		r.Deadline = time.Now().Add(time.Minute)
 		a := client.Do(ctx, r)
 		require.Equal(t, upstream.Abandoned, a.Target.Outcome)
-		if a.Target.Word.Leaving {
+		if a.Target.SelfReport.Leaving {
 			return
 		}
 	}
--- a/gateway/apply_test.go
+++ b/gateway/apply_test.go
@@ -57,7 +57,7 @@
 	// Three slots take five requests.
 	for i := range 5 {
 		d := g.pools.get("s").acquire(t.Context(), upstream.Request{Key: fmt.Sprint(i), Deadline: time.Now().Add(time.Minute)})
-		require.Equal(t, upstream.Send, d.Verdict)
+		require.Equal(t, upstream.Send, d.Action)
 		require.Equal(t, "back", d.Target.ID)
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -56,11 +56,11 @@
 		if sent > 0 && !p.spend() {
 			return p.giveUp(want, unknown, "no-budget", backoff), nil
 		}
-		want.Alone = ex.isTrial()
+		want.Isolated = ex.isTrial()
 		queuedAt := g.clock.Now()
 		decision := p.acquire(ex.ctx, want)
 		g.metrics.queued.Record(g.clock.Since(queuedAt).Seconds(), ex.service)
-		if decision.Verdict != upstream.Send {
+		if decision.Action != upstream.Send {
 			return given(unknown, string(decision.Reason), decision.RetryAfter), nil
 		}
 		if v, ok := g.checkAgain(ex); !ok {
@@ -76,14 +76,14 @@
 		}
 		p.noteSent(decision)
 		a := g.attempt(ex, header, p, decision)
-		a.Target.Sent, a.Target.NotSent = decision.Sent, !a.Sent
+		a.Target.SendState, a.Target.NotSent = decision.SendState, !a.Sent
 		g.hearLimit(decision, a)
 		p.release(decision.Target.ID, a.Target)
 		g.observe(ex, p, want, decision, a)
 		g.metrics.attempt(ex.service, decision.Target, a.Target)
 		ex.note(decision, a)
 		g.witness(ex, decision.Target, a)
-		if a.Target.Word.Leaving {
+		if a.Target.SelfReport.Leaving {
 			g.heardLeaving(decision.Target.ID)
 		}
 		if a.Response != nil {
@@ -100,13 +100,13 @@
 		if stop, v := g.after(ex, a); stop {
 			return v, nil
 		}
-		if a.Target.Outcome == upstream.Rejected && decision.Sent.Load < 1 && !a.Target.Word.Restricts() {
+		if a.Target.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.Target.SelfReport.Restricts() {
 			// The target was not full and is the one that knows the object.
 			backoff = soonRetryAfter
 			continue
 		}
 		backoff = backoffAfter(a)
-		want.Avoid = append(want.Avoid, decision.Target.ID)
+		want.Tried = append(want.Tried, decision.Target.ID)
 	}
 	return p.giveUp(want, unknown, "no-attempt-left", backoff), nil
 }
@@ -144,7 +144,7 @@
 // backoffAfter is when the caller should come back if an attempt was the last one. Where the
 // target has just said that it wants nothing, the next choice is another one, so at once.
 func backoffAfter(a forward.Attempt) time.Duration {
-	if a.Target.Outcome == upstream.Rejected && a.Target.Word.Restricts() {
+	if a.Target.Outcome == upstream.Rejected && a.Target.SelfReport.Restricts() {
 		return soonRetryAfter
 	}
 	return defaultRetryAfter
@@ -162,13 +162,13 @@
 func (g *Gateway) want(ex *exchange) upstream.Request {
 	key := ex.r.Header.Get(g.headers.Key)
 	want := upstream.Request{
-		Key:      key,
-		Sticky:   key != "",
-		Regions:  ex.homes,
-		Priority: catalog.PriorityOf(ex.route, ex.account),
-		Heavy:    g.sizes.heavy(ex.route.Name, len(ex.body)),
-		Deadline: ex.deadline,
-		Patience: defaultPatience,
+		Key:          key,
+		Sticky:       key != "",
+		Regions:      ex.homes,
+		Priority:     catalog.PriorityOf(ex.route, ex.account),
+		Heavy:        g.sizes.heavy(ex.route.Name, len(ex.body)),
+		Deadline:     ex.deadline,
+		QueueTimeout: defaultPatience,
 	}
 	if key == "" {
 		want.Key = ex.id
@@ -177,7 +177,7 @@
 		want.Key = ex.route.Name + "/" + key
 	}
 	if ex.route.Objective > 0 {
-		want.Patience = ex.route.Objective / patienceShare
+		want.QueueTimeout = ex.route.Objective / patienceShare
 	}
 	return want
 }
@@ -240,15 +240,15 @@
 		Target:  d.Target.ID,
 		Region:  d.Target.Region,
 		Reason:  string(d.Reason),
-		Load:    d.Sent.Load,
+		Load:    d.SendState.Load,
 		Outcome: a.Outcome.String(),
 		Reused:  a.Reused,
-		TookMs:  a.Target.Took.Milliseconds(),
-		Leaves:  a.Target.Word.Leaving,
-		RestMs:  a.Target.Word.Backoff.Milliseconds(),
+		TookMs:  a.Target.Latency.Milliseconds(),
+		Leaves:  a.Target.SelfReport.Leaving,
+		RestMs:  a.Target.SelfReport.Backoff.Milliseconds(),
 	}
-	if a.Target.Word.HasLimit {
-		h.Limit = &a.Target.Word.RateLimit
+	if a.Target.SelfReport.HasLimit {
+		h.Limit = &a.Target.SelfReport.RateLimit
 	}
 	if a.Err != nil {
 		h.Error = a.Err.Error()
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -130,7 +130,7 @@
 	if c.Limits.Window <= 0 {
 		add("limit-window", "must be positive")
 	}
-	if c.Limits.Over <= 0 || c.Limits.Over > 1 {
+	if c.Limits.Overshoot <= 0 || c.Limits.Overshoot > 1 {
 		add("limit-over", "must be over 0 and at most 1")
 	}
 	if c.Limits.Slack < 0 {
--- a/gateway/incarnation_model_test.go
+++ b/gateway/incarnation_model_test.go
@@ -147,7 +147,7 @@
 		return "", false
 	}
 	d := p.acquire(context.Background(), upstream.Request{Deadline: in.clock.Now().Add(time.Minute)})
-	if d.Verdict != upstream.Send {
+	if d.Action != upstream.Send {
 		return "", false
 	}
 	p.release(d.Target.ID, upstream.Result{Outcome: upstream.Abandoned})
@@ -162,7 +162,7 @@
 	}
 	p := in.pools.get("s")
 	d := p.acquire(context.Background(), upstream.Request{Deadline: in.clock.Now().Add(time.Minute)})
-	p.release(d.Target.ID, upstream.Result{Outcome: upstream.Answered, Word: availability.SelfReport{Leaving: true}})
+	p.release(d.Target.ID, upstream.Result{Outcome: upstream.Answered, SelfReport: availability.SelfReport{Leaving: true}})
 	in.heardLeaving(target)
 	in.departed[target] = true
 }
--- a/gateway/late_targets_test.go
+++ b/gateway/late_targets_test.go
@@ -37,7 +37,7 @@
 	for i := range 20 {
 		p := g.pools.get("s")
 		d := p.acquire(t.Context(), upstream.Request{Key: fmt.Sprint(i), Deadline: time.Now().Add(time.Minute)})
-		require.Equal(t, upstream.Send, d.Verdict)
+		require.Equal(t, upstream.Send, d.Action)
 		require.Equal(t, "old", d.Target.ID)
 		p.release(d.Target.ID, upstream.Result{Outcome: upstream.Abandoned})
 	}
--- a/gateway/limit_owners.go
+++ b/gateway/limit_owners.go
@@ -56,7 +56,7 @@
 		limits:    known,
 		began:     startedAt,
 		clock:     c.Clock,
-		issuer:    ratelimit.NewPlacedIssuer(startedAt, c.FirstStart),
+		issuer:    ratelimit.NewHallIssuer(startedAt, c.FirstStart),
 		addrs:     make(map[string]string),
 		awaySince: make(map[string]time.Time),
 	}
@@ -64,7 +64,7 @@
 
 // targetOf returns the target whose permits have a name.
 func targetOf(permits string) availability.ID {
-	_, target, _ := strings.Cut(permits, ratelimit.PlaceMark)
+	_, target, _ := strings.Cut(permits, ratelimit.HallLimitSeparator)
 	return availability.IDOf(target)
 }
 
@@ -97,21 +97,21 @@
 	}
 	o.present = present
 	clear(o.addrs)
-	places := make([]ratelimit.Place, 0, len(present))
+	places := make([]ratelimit.Instance, 0, len(present))
 	for _, m := range registered {
 		o.addrs[m.Name] = m.PeerAddr
 	}
 	for _, m := range present {
-		places = append(places, ratelimit.Place{Name: m.Name, Hall: m.Hall, Region: m.Region})
+		places = append(places, ratelimit.Instance{Name: m.Name, Hall: m.Hall, Region: m.Region})
 	}
-	owners := ratelimit.NewPlacedOwners(ratelimit.Place{Name: c.Name, Hall: c.Hall, Region: c.Region}, c.RegionOf, places)
+	owners := ratelimit.NewHallOwners(ratelimit.Instance{Name: c.Name, Hall: c.Hall, Region: c.Region}, c.RegionOf, places)
 	o.issuer.SetOwners(now, owners)
 	return owners, true
 }
 
 // ask sends questions for permits to their owners. The answers of this instance to itself are
 // heard at once.
-func (o *limitOwner) ask(now time.Time, asks []ratelimit.Ask) {
+func (o *limitOwner) ask(now time.Time, asks []ratelimit.PermitRequest) {
 	for _, ask := range asks {
 		m := &peer.PermitAsk{Account: ask.Account, From: o.name, At: o.stamp(ask.At), N: ask.N, Target: true, Limits: o.limits.about(now, targetOf(ask.Account))}
 		if ask.To.Name == o.name {
@@ -128,10 +128,10 @@
 // issue answers a question.
 func (o *limitOwner) issue(now time.Time, m *peer.PermitAsk) {
 	limit, ok := o.limits.of(targetOf(m.Account))
-	reply := ratelimit.Reply{To: m.From, At: m.At, Account: m.Account, Issue: ratelimit.Issue{Foreign: true}}
+	reply := ratelimit.Reply{To: m.From, At: m.At, Account: m.Account, Grant: ratelimit.Grant{NotOwner: true}}
 	if ok {
 		o.mu.Lock()
-		reply, _ = o.issuer.Issue(now, m.Account, o.rate(limit), ratelimit.Claim{From: m.From, At: m.At, N: m.N})
+		reply, _ = o.issuer.Issue(now, m.Account, o.rate(limit), ratelimit.IssueRequest{From: m.From, At: m.At, N: m.N})
 		o.tick()
 		o.mu.Unlock()
 	}
@@ -153,7 +153,7 @@
 // reply sends answers.
 func (o *limitOwner) reply(now time.Time, replies ...ratelimit.Reply) {
 	for _, r := range replies {
-		m := &peer.PermitIssue{Account: r.Account, From: o.name, At: r.At, Issue: r.Issue, Target: true, Limits: o.limits.about(now, targetOf(r.Account))}
+		m := &peer.PermitIssue{Account: r.Account, From: o.name, At: r.At, Issue: r.Grant, Target: true, Limits: o.limits.about(now, targetOf(r.Account))}
 		if r.To == o.name {
 			// The caller may hold what the answer changes.
 			go o.hear(m)
@@ -189,7 +189,7 @@
 func (o *limitOwner) forget(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.issuer.Forget(now)
+	o.issuer.EvictIdle(now)
 }
 
 // stamp returns a time as messages carry it: that since the start of the process. moment is its
@@ -225,7 +225,7 @@
 }
 
 // askForPermits sends questions of pools, and opens other connections to owners that are silent.
-func (g *Gateway) askForPermits(asks []ratelimit.Ask, silent []string) {
+func (g *Gateway) askForPermits(asks []ratelimit.PermitRequest, silent []string) {
 	g.limitOwner.renew(silent)
 	g.limitOwner.ask(g.clock.Now(), asks)
 }
--- a/gateway/limit_owners_test.go
+++ b/gateway/limit_owners_test.go
@@ -49,7 +49,7 @@
 }
 
 // ownerOf returns the owner of some target's permits.
-func ownerOf(o *ratelimit.Owners) string { return o.Of(ratelimit.PlacedName("a1", "t"))[0].Name }
+func ownerOf(o *ratelimit.Owners) string { return o.Of(ratelimit.HallLimitName("a1", "t"))[0].Name }
 
 // TestSuspectedOwnerStays checks that an owner that is suspected for a moment stays one, and that
 // one that is suspected for longer, or says that it stops, does not, until it is back.
@@ -97,8 +97,8 @@
 	w.review(map[string]fleet.State{"n1": fleet.Suspect, "n2": fleet.Suspect})
 	cutOff := w.owner.rate(perSecond).Rate
 	require.Less(t, cutOff, float64(perSecond))
-	both := ratelimit.PlacedBound.Of(ratelimit.Limit{Rate: perSecond}) + ratelimit.PlacedBound.Of(ratelimit.Limit{Rate: cutOff})
-	require.LessOrEqual(t, both, 1.5*perSecond*ratelimit.PlacedBound.Window.Seconds()+5)
+	both := ratelimit.HallBound.MaxRequests(ratelimit.Limit{Rate: perSecond}) + ratelimit.HallBound.MaxRequests(ratelimit.Limit{Rate: cutOff})
+	require.LessOrEqual(t, both, 1.5*perSecond*ratelimit.HallBound.Window.Seconds()+5)
 	w.review(nil)
 	require.Equal(t, float64(perSecond), w.owner.rate(perSecond).Rate)
 }
@@ -109,11 +109,11 @@
 	w := newOwnersWorld("n0", 1)
 	w.review(nil)
 	require.Equal(t, leastLimit, w.owner.rate(0).Rate)
-	window := ratelimit.PlacedBound.Window.Seconds()
-	require.LessOrEqual(t, ratelimit.PlacedBound.Of(w.owner.rate(0)), 1.5*0*window+5)
+	window := ratelimit.HallBound.Window.Seconds()
+	require.LessOrEqual(t, ratelimit.HallBound.MaxRequests(w.owner.rate(0)), 1.5*0*window+5)
 }
 
 // TestTargetOfPermits checks that the target is found by the name of its permits.
 func TestTargetOfPermits(t *testing.T) {
-	require.Equal(t, availability.IDOf("i-1#2"), targetOf(ratelimit.PlacedName("a1", "i-1#2")))
+	require.Equal(t, availability.IDOf("i-1#2"), targetOf(ratelimit.HallLimitName("a1", "i-1#2")))
 }
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -150,14 +150,14 @@
 			ps.observe(func(p *pool, emit emit) { emit(float64(p.upstream.Waiting())) })),
 		m.telemetry.Gauges("rainford.targets", "Targets by hall and state.", []string{"service", "hall", "state"},
 			ps.observe(func(p *pool, emit emit) {
-				for group, n := range p.upstream.Census(p.clock.Now()) {
+				for group, n := range p.upstream.TargetCounts(p.clock.Now()) {
 					emit(float64(n.Targets), group.Hall, string(group.State))
 				}
 			})),
 		m.telemetry.Gauges("rainford.targets.limited", "Targets that name how many requests they take, by hall.", []string{"service", "hall"},
 			ps.observe(func(p *pool, emit emit) {
 				halls := make(map[string]int)
-				for _, l := range p.upstream.Limited(p.clock.Now()) {
+				for _, l := range p.upstream.LimitedTargets(p.clock.Now()) {
 					halls[l.Hall]++
 				}
 				for hall, n := range halls {
@@ -167,7 +167,7 @@
 		m.telemetry.Gauges("rainford.attempts.in_flight", "Attempts in flight by the target's hall.", []string{"service", "hall"},
 			ps.observe(func(p *pool, emit emit) {
 				inFlight := make(map[string]int)
-				for group, n := range p.upstream.Census(p.clock.Now()) {
+				for group, n := range p.upstream.TargetCounts(p.clock.Now()) {
 					inFlight[group.Hall] += n.InFlight
 				}
 				for hall, n := range inFlight {
@@ -235,11 +235,11 @@
 // attempt counts an attempt at a target.
 func (m *metrics) attempt(service string, target upstream.Choice, r upstream.Result) {
 	m.attempts.Add(1, service, target.Region, r.Outcome.String())
-	m.attempted.Record(r.Took.Seconds(), service)
+	m.attempted.Record(r.Latency.Seconds(), service)
 	if target.Cold {
 		m.cold.Add(1, service)
 	}
-	m.word(service, r.Word)
+	m.word(service, r.SelfReport)
 }
 
 // sideNames are the versions of a rollout's targets, as the metrics name them: few, whatever versions are
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -90,7 +90,7 @@
 	p := g.pools.get("s")
 	ex := &exchange{r: httptest.NewRequest("GET", "/", nil), ctx: t.Context(), route: &catalog.Route{}, deadline: g.clock.Now().Add(time.Minute)}
 	d := p.acquire(t.Context(), upstream.Request{Deadline: ex.deadline})
-	require.Equal(t, upstream.Send, d.Verdict)
+	require.Equal(t, upstream.Send, d.Action)
 	d.Target.Addr = server.Addr()
 	g.pools.hearDepartures(g.clock.Now(), availability.DepartureList{{ID: availability.IDOf("i-1")}}, availability.SourcePeer)
 	a := g.attempt(ex, http.Header{}, p, d)
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -16,7 +16,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.goesOn() {
-		r.follower.Sent(d.Sent.New)
+		r.follower.Sent(d.SendState.NewVersion)
 	}
 }
 
@@ -26,7 +26,7 @@
 	if r == nil {
 		return
 	}
-	g.metrics.version(ex.service, d.Sent.New, a.Target)
+	g.metrics.version(ex.service, d.SendState.NewVersion, a.Target)
 	outcome, tells := outcomeAt(a.Target)
 	if !tells {
 		return
@@ -35,7 +35,7 @@
 		Route:   uint16(mix.Hash(ex.route.Name)),
 		Key:     uint32(mix.Hash(want.Key)),
 		Target:  uint32(mix.Hash(d.Target.ID)),
-		Took:    rollout.TimeOf(a.Target.Took),
+		Took:    rollout.TimeOf(a.Target.Latency),
 		Outcome: outcome,
 		Cold:    d.Target.Cold,
 	}
@@ -43,7 +43,7 @@
 	defer r.mu.Unlock()
 	switch {
 	case !r.goesOn():
-	case d.Sent.New:
+	case d.SendState.NewVersion:
 		r.follower.EndedNew(o)
 	default:
 		r.follower.EndedOld(o)
@@ -55,11 +55,11 @@
 func outcomeAt(r upstream.Result) (rollout.Outcome, bool) {
 	switch r.Outcome {
 	case upstream.Answered:
-		if r.Failed {
+		if r.ServerError {
 			return rollout.Failed, true
 		}
 		return rollout.Answered, true
-	case upstream.Silent, upstream.Broken:
+	case upstream.TimedOut, upstream.Broken:
 		return rollout.Unanswered, true
 	default:
 		return 0, false
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -37,7 +37,7 @@
 	issuer *ratelimit.Issuer
 	// addrs are the peer addresses of the instances that the store lists.
 	addrs   map[string]string
-	waits   map[uint64]chan ratelimit.Answer
+	waits   map[uint64]chan ratelimit.Result
 	lastID  uint64
 	ticking bool
 }
@@ -52,7 +52,7 @@
 		holder:  ratelimit.NewHolder(c.Name),
 		issuer:  ratelimit.NewIssuer(c.Limits, startedAt, c.FirstStart),
 		addrs:   make(map[string]string),
-		waits:   make(map[uint64]chan ratelimit.Answer),
+		waits:   make(map[uint64]chan ratelimit.Result),
 	}
 }
 
@@ -72,22 +72,22 @@
 
 // setMembers takes in the instances that the store lists, which own the parts of limits.
 func (p *permits) setMembers(now time.Time, c Config, members map[string]fleet.Member) {
-	places := make([]ratelimit.Place, 0, len(members))
+	places := make([]ratelimit.Instance, 0, len(members))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.addrs)
 	for _, m := range members {
-		places = append(places, ratelimit.Place{Name: m.Name, Hall: m.Hall, Region: m.Region})
+		places = append(places, ratelimit.Instance{Name: m.Name, Hall: m.Hall, Region: m.Region})
 		p.addrs[m.Name] = m.PeerAddr
 	}
-	self := ratelimit.Place{Name: c.Name, Hall: c.Hall, Region: c.Region}
+	self := ratelimit.Instance{Name: c.Name, Hall: c.Hall, Region: c.Region}
 	owners := ratelimit.NewOwners(limitDivision, self, c.RegionOf, places)
 	p.holder.SetOwners(owners)
 	p.issuer.SetOwners(now, owners)
 }
 
 // limitDivision is the division of limits: one owner in each hall.
-const limitDivision = ratelimit.ByHall
+const limitDivision = ratelimit.PerHall
 
 // permit is the right of one request of an account to be sent.
 type permit struct {
@@ -97,15 +97,15 @@
 
 // take takes a permit for a request of an account, or returns why there is none. It waits
 // for the answer of an owner if the instance holds none.
-func (p *permits) take(ctx context.Context, account string) (permit, ratelimit.Answer) {
+func (p *permits) take(ctx context.Context, account string) (permit, ratelimit.Result) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	p.lastID++
 	id := p.lastID
-	answer, asks := p.holder.Take(now, id, account)
-	var wait chan ratelimit.Answer
-	if answer.Verdict == ratelimit.Wait {
-		wait = make(chan ratelimit.Answer, 1)
+	answer, asks := p.holder.Acquire(now, id, account)
+	var wait chan ratelimit.Result
+	if answer.Decision == ratelimit.Wait {
+		wait = make(chan ratelimit.Result, 1)
 		p.waits[id] = wait
 	}
 	p.send(now, asks)
@@ -116,22 +116,22 @@
 		case answer = <-wait:
 		case <-ctx.Done():
 			p.cancel(account, id, wait)
-			return permit{}, ratelimit.Answer{Verdict: ratelimit.Unknown}
+			return permit{}, ratelimit.Result{Decision: ratelimit.Unavailable}
 		}
 	}
-	return permit{account: account, until: answer.Until}, answer
+	return permit{account: account, until: answer.ExpiresAt}, answer
 }
 
 // cancel ends the wait of a request whose client has left.
-func (p *permits) cancel(account string, id uint64, wait chan ratelimit.Answer) {
+func (p *permits) cancel(account string, id uint64, wait chan ratelimit.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.waits, id)
 	p.holder.Cancel(account, id)
 	select {
 	case answer := <-wait:
-		if answer.Verdict == ratelimit.Admit {
-			p.holder.Return(p.clock.Now(), account, answer.Until)
+		if answer.Decision == ratelimit.Admit {
+			p.holder.Release(p.clock.Now(), account, answer.ExpiresAt)
 		}
 	default:
 	}
@@ -144,13 +144,13 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder.Return(p.clock.Now(), unused.account, unused.until)
+	p.holder.Release(p.clock.Now(), unused.account, unused.until)
 }
 
 // send sends questions to owners. The caller holds mu.
-func (p *permits) send(now time.Time, asks []ratelimit.Ask) {
+func (p *permits) send(now time.Time, asks []ratelimit.PermitRequest) {
 	for _, ask := range asks {
-		claim := ratelimit.Claim{From: p.name, At: p.stamp(now), N: ask.N}
+		claim := ratelimit.IssueRequest{From: p.name, At: p.stamp(now), N: ask.N}
 		if ask.To.Name == p.name {
 			p.issue(now, ask.Account, claim)
 			continue
@@ -160,10 +160,10 @@
 }
 
 // issue answers a claim of the own domain, and borrows if need be. The caller holds mu.
-func (p *permits) issue(now time.Time, account string, c ratelimit.Claim) {
+func (p *permits) issue(now time.Time, account string, c ratelimit.IssueRequest) {
 	limit, ok := p.limitOf(account)
 	if !ok {
-		p.reply(now, ratelimit.Reply{To: c.From, At: c.At, Account: account, Issue: ratelimit.Issue{Foreign: true}})
+		p.reply(now, ratelimit.Reply{To: c.From, At: c.At, Account: account, Grant: ratelimit.Grant{NotOwner: true}})
 		return
 	}
 	reply, loans := p.issuer.Issue(now, account, limit, c)
@@ -172,9 +172,9 @@
 }
 
 // borrow sends questions to owners of other domains. The caller holds mu.
-func (p *permits) borrow(now time.Time, loans []ratelimit.Loan) {
+func (p *permits) borrow(now time.Time, loans []ratelimit.LoanRequest) {
 	for _, loan := range loans {
-		p.mesh.Send(p.addrs[loan.From.Name], &peer.PermitAsk{Account: loan.Account, From: p.name, At: p.stamp(now), N: loan.N, Lend: true})
+		p.mesh.Send(p.addrs[loan.Lender.Name], &peer.PermitAsk{Account: loan.Account, From: p.name, At: p.stamp(now), N: loan.N, Lend: true})
 	}
 }
 
@@ -182,16 +182,16 @@
 func (p *permits) reply(now time.Time, replies ...ratelimit.Reply) {
 	for _, r := range replies {
 		if r.To == p.name {
-			p.hear(now, r.At, r.Account, p.name, r.Issue)
+			p.hear(now, r.At, r.Account, p.name, r.Grant)
 			continue
 		}
-		p.mesh.Send(p.addrs[r.To], &peer.PermitIssue{Account: r.Account, From: p.name, At: r.At, Issue: r.Issue})
+		p.mesh.Send(p.addrs[r.To], &peer.PermitIssue{Account: r.Account, From: p.name, At: r.At, Issue: r.Grant})
 	}
 }
 
 // hear takes in the answer of an owner. The caller holds mu.
-func (p *permits) hear(now time.Time, at int64, account, from string, issue ratelimit.Issue) {
-	answers, asks := p.holder.Hear(now, p.moment(at), account, from, issue)
+func (p *permits) hear(now time.Time, at int64, account, from string, issue ratelimit.Grant) {
+	answers, asks := p.holder.HandleReply(now, p.moment(at), account, from, issue)
 	p.wake(answers)
 	p.send(now, asks)
 }
@@ -212,11 +212,11 @@
 	}
 	now := p.clock.Now()
 	if !m.Lend {
-		p.issue(now, m.Account, ratelimit.Claim{From: m.From, At: m.At, N: m.N})
+		p.issue(now, m.Account, ratelimit.IssueRequest{From: m.From, At: m.At, N: m.N})
 		p.tick()
 		return
 	}
-	answer := &peer.PermitIssue{Account: m.Account, From: p.name, At: m.At, Lend: true, Issue: ratelimit.Issue{Foreign: true}}
+	answer := &peer.PermitIssue{Account: m.Account, From: p.name, At: m.At, Lend: true, Issue: ratelimit.Grant{NotOwner: true}}
 	if limit, ok := p.limitOf(m.Account); ok {
 		answer.Issue = p.issuer.Lend(now, m.Account, limit, m.N)
 	}
@@ -233,7 +233,7 @@
 		return
 	}
 	if m.Lend {
-		replies, loans := p.issuer.Borrowed(now, p.moment(m.At), m.Account, m.From, m.Issue)
+		replies, loans := p.issuer.HandleLoan(now, p.moment(m.At), m.Account, m.From, m.Issue)
 		p.borrow(now, loans)
 		p.reply(now, replies...)
 	} else {
@@ -243,7 +243,7 @@
 }
 
 // wake ends the waits of requests. The caller holds mu.
-func (p *permits) wake(answers []ratelimit.Answer) {
+func (p *permits) wake(answers []ratelimit.Result) {
 	for _, answer := range answers {
 		if wait := p.waits[answer.ID]; wait != nil {
 			delete(p.waits, answer.ID)
@@ -255,7 +255,7 @@
 // tick looks for owners that do not answer, and for claims that wait, as long as there are
 // any. The caller holds mu.
 func (p *permits) tick() {
-	if p.ticking || !p.holder.Due() && p.issuer.Queued() == 0 {
+	if p.ticking || !p.holder.NeedsTick() && p.issuer.Queued() == 0 {
 		return
 	}
 	p.ticking = true
@@ -286,7 +286,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, use := range p.issuer.Busiest(p.clock.Now(), busiestAccounts) {
-		observe(use.Share, use.Account)
+		observe(use.Utilization, use.Account)
 	}
 }
 
@@ -299,7 +299,7 @@
 		if known != addr {
 			continue
 		}
-		answers, asks := p.holder.Unreachable(now, name)
+		answers, asks := p.holder.OwnerUnreachable(now, name)
 		p.wake(answers)
 		p.send(now, asks)
 	}
@@ -310,8 +310,8 @@
 func (p *permits) forget(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder.Forget(now)
-	p.issuer.Forget(now)
+	p.holder.EvictIdle(now)
+	p.issuer.EvictIdle(now)
 }
 
 // admit takes a permit for the request if its account is limited, or returns the answer
@@ -324,8 +324,8 @@
 	permit, answer := g.permits.take(ex.ctx, ex.account.Name)
 	ex.permitWait = g.clock.Since(began)
 	ex.limited = answer
-	g.metrics.permits.Add(1, verdictName(answer.Verdict))
-	switch answer.Verdict {
+	g.metrics.permits.Add(1, verdictName(answer.Decision))
+	switch answer.Decision {
 	case ratelimit.Admit:
 		ex.permit = permit
 		return verdict{}, true
@@ -337,7 +337,7 @@
 }
 
 // verdictName is the name of a verdict in the metrics.
-func verdictName(v ratelimit.Verdict) string {
+func verdictName(v ratelimit.Decision) string {
 	switch v {
 	case ratelimit.Admit:
 		return "admitted"
--- a/gateway/permits_test.go
+++ b/gateway/permits_test.go
@@ -90,7 +90,7 @@
 			end++
 		}
 		// The bound of a window of one second, with that on the permits' life.
-		require.LessOrEqual(t, float64(end-i), rate*(1+bound.Life(limit).Seconds())+burst+bound.Slack)
+		require.LessOrEqual(t, float64(end-i), rate*(1+bound.PermitLifetime(limit).Seconds())+burst+bound.Slack)
 	}
 }
 
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -25,7 +25,7 @@
 	waits    map[uint64]chan upstream.Decision
 	lastID   uint64
 	ticking  bool
-	ask      func(asks []ratelimit.Ask, silent []string)
+	ask      func(asks []ratelimit.PermitRequest, silent []string)
 	log      *slog.Logger
 	clock    *clock.Clock
 	// rollout is that of the service, nil if there was none.
@@ -42,8 +42,8 @@
 
 // unlock releases mu and sends the questions for permits that came up meanwhile.
 func (p *pool) unlock() {
-	asks, silent := p.upstream.TakeAsks(), p.upstream.TakeSilent()
-	if p.upstream.AwaitsOwners() {
+	asks, silent := p.upstream.TakePermitRequests(), p.upstream.TakeUnresponsiveOwners()
+	if p.upstream.AwaitingPermits() {
 		p.tick()
 	}
 	p.mu.Unlock()
@@ -91,9 +91,9 @@
 
 func (p *pool) beliefLevel(e upstream.Event) slog.Level {
 	switch e.Kind {
-	case upstream.Suspected, upstream.Taken:
+	case upstream.EventSuspected, upstream.EventReplaced:
 		return slog.LevelWarn
-	case upstream.Resting:
+	case upstream.EventBackoff:
 		if p.clock.Until(e.Until) > longRest {
 			return slog.LevelWarn
 		}
@@ -118,7 +118,7 @@
 	p.lastID++
 	r.ID = p.lastID
 	decision := p.upstream.Acquire(p.clock.Now(), r)
-	if decision.Verdict != upstream.Wait {
+	if decision.Action != upstream.Wait {
 		p.unlock()
 		return decision
 	}
@@ -142,12 +142,12 @@
 	p.upstream.Cancel(id)
 	select {
 	case granted := <-wait:
-		if granted.Verdict == upstream.Send {
+		if granted.Action == upstream.Send {
 			p.wake(p.upstream.Release(p.clock.Now(), granted.Target.ID, notSent(granted)))
 		}
 	default:
 	}
-	return upstream.Decision{Verdict: upstream.Refuse, Reason: upstream.ReasonLate}
+	return upstream.Decision{Action: upstream.Refuse, Reason: upstream.ReasonLate}
 }
 
 // tick looks at the queue again and again while there is one. The caller holds
@@ -172,7 +172,7 @@
 
 // notSent is the result of a decision that nothing was sent by.
 func notSent(d upstream.Decision) upstream.Result {
-	return upstream.Result{Outcome: upstream.Abandoned, NotSent: true, Sent: d.Sent}
+	return upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: d.SendState}
 }
 
 // unsent ends a decision that nothing was sent by.
@@ -189,33 +189,33 @@
 func (p *pool) may(d upstream.Decision) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.upstream.May(p.clock.Now(), d.Target.ID, d.Sent)
+	return p.upstream.MaySend(p.clock.Now(), d.Target.ID, d.SendState)
 }
 
 // away returns the refusal of a request if none of its targets may be sent to for a while.
 func (p *pool) away(r upstream.Request) (upstream.Decision, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.upstream.Away(p.clock.Now(), r)
+	return p.upstream.RefuseIfUnavailable(p.clock.Now(), r)
 }
 
 func (p *pool) hearDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	defer p.tell()
-	return p.upstream.HearDepartures(now, departures, source)
+	return p.upstream.ApplyDepartures(now, departures, source)
 }
 
-func (p *pool) sightings(now time.Time) upstream.Sightings {
+func (p *pool) sightings(now time.Time) upstream.TargetReports {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.upstream.Sightings(now)
+	return p.upstream.TargetReports(now)
 }
 
-func (p *pool) hear(now time.Time, seen upstream.Sightings) {
+func (p *pool) hear(now time.Time, seen upstream.TargetReports) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.upstream.Hear(now, seen)
+	p.upstream.ApplyTargetReports(now, seen)
 	p.tell()
 }
 
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -27,7 +27,7 @@
 	limits func(now time.Time) availability.RateLimitList
 	// ask sends questions for permits of targets' limits, and is told the owners that do not
 	// answer.
-	ask func(asks []ratelimit.Ask, silent []string)
+	ask func(asks []ratelimit.PermitRequest, silent []string)
 
 	mu       sync.RWMutex
 	pools    map[string]*pool
@@ -53,7 +53,7 @@
 }
 
 func newPools(config Config, departed func(time.Time) availability.DepartureList, limits func(time.Time) availability.RateLimitList,
-	ask func([]ratelimit.Ask, []string)) *pools {
+	ask func([]ratelimit.PermitRequest, []string)) *pools {
 	return &pools{config: config, departed: departed, limits: limits, ask: ask, pools: make(map[string]*pool),
 		count: 1, splits: make(map[string]versionSplit)}
 }
@@ -138,14 +138,14 @@
 
 func (ps *pools) newPool(service string) *pool {
 	u := upstream.NewPool(upstream.Config{
-		Service:     service,
-		Self:        ps.config.Name,
-		Hall:        ps.config.Hall,
-		Region:      ps.config.Region,
-		RegionOf:    ps.config.RegionOf,
-		HoldsNew:    ps.config.bringsVersionsIn(),
-		ShiftStep:   shiftStepShare * ps.config.ShiftMost,
-		ShiftWindow: shiftWindow,
+		Service:         service,
+		Self:            ps.config.Name,
+		Hall:            ps.config.Hall,
+		Region:          ps.config.Region,
+		RegionOf:        ps.config.RegionOf,
+		HoldNewVersions: ps.config.bringsVersionsIn(),
+		ShiftStep:       shiftStepShare * ps.config.ShiftMost,
+		ShiftWindow:     shiftWindow,
 	})
 	p := &pool{upstream: u, tokens: retry.NewTokenBucket(ps.config.RetryRatio), waits: make(map[uint64]chan upstream.Decision), ask: ps.ask, log: ps.config.Log, clock: ps.config.Clock}
 	u.SetService(ps.services[service])
@@ -155,8 +155,8 @@
 		u.SetRows(ps.plan.Rows(service, ps.config.Region))
 	}
 	now := ps.config.Clock.Now()
-	u.HearDepartures(now, ps.departed(now), availability.SourcePeer)
-	u.HearLimits(now, ps.limits(now), availability.SourcePeer)
+	u.ApplyDepartures(now, ps.departed(now), availability.SourcePeer)
+	u.ApplyRateLimits(now, ps.limits(now), availability.SourcePeer)
 	if ps.owners != nil {
 		u.SetLimitOwners(ps.owners)
 	}
@@ -210,10 +210,10 @@
 }
 
 // sightings returns the loads of busy targets of all services.
-func (ps *pools) sightings(now time.Time) upstream.Sightings {
+func (ps *pools) sightings(now time.Time) upstream.TargetReports {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	var out upstream.Sightings
+	var out upstream.TargetReports
 	for _, p := range ps.pools {
 		out = append(out, p.sightings(now)...)
 	}
@@ -239,7 +239,7 @@
 	defer ps.mu.RUnlock()
 	var changed []string
 	ps.each(func(u *upstream.Pool) []upstream.Grant {
-		ids, grants := u.HearLimits(now, limits, source)
+		ids, grants := u.ApplyRateLimits(now, limits, source)
 		changed = append(changed, ids...)
 		return grants
 	})
@@ -269,7 +269,7 @@
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	ps.each(func(u *upstream.Pool) []upstream.Grant {
-		return u.HearPermits(now, askedAt, m.Account, m.From, m.Issue)
+		return u.ReceivePermits(now, askedAt, m.Account, m.From, m.Issue)
 	})
 }
 
@@ -299,14 +299,14 @@
 }
 
 // versions returns what there is of a service's targets of both versions.
-func (ps *pools) versions(now time.Time, service string) upstream.Versions {
+func (ps *pools) versions(now time.Time, service string) upstream.VersionStats {
 	p := ps.get(service)
 	if p == nil {
-		return upstream.Versions{}
+		return upstream.VersionStats{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.upstream.Versions(now)
+	return p.upstream.VersionStats(now)
 }
 
 // forget drops what is known of permits that nobody asks for, and of idle targets.
@@ -314,13 +314,13 @@
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	ps.each(func(u *upstream.Pool) []upstream.Grant {
-		u.Forget(now)
+		u.Expire(now)
 		return nil
 	})
 }
 
 // hear takes in the loads of targets that another instance has told of.
-func (ps *pools) hear(now time.Time, seen upstream.Sightings) {
+func (ps *pools) hear(now time.Time, seen upstream.TargetReports) {
 	if len(seen) == 0 {
 		return
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -183,7 +183,7 @@
 	case a.Response != nil:
 		g.answered(now, ex, target, a)
 	case a.Target.Outcome == upstream.Rejected:
-		g.lives(now.Add(-a.Target.Took), target.ID)
+		g.lives(now.Add(-a.Target.Latency), target.ID)
 	case a.Target.Outcome == upstream.Replaced, a.Target.Outcome == upstream.Unreachable && errors.Is(a.Err, syscall.ECONNREFUSED):
 		g.targetEnded(now, target.ID)
 	case a.Target.Outcome == upstream.Broken && a.Sent:
@@ -207,7 +207,7 @@
 	if !g.holds.known.Load() {
 		return
 	}
-	g.lives(now.Add(-a.Target.Took), target.ID)
+	g.lives(now.Add(-a.Target.Latency), target.ID)
 	d := ex.digestOf()
 	g.holds.mu.Lock()
 	kept := g.holds.table.Status(now, d).FailedTrials > 0
--- a/gateway/question_test.go
+++ b/gateway/question_test.go
@@ -102,7 +102,7 @@
 // isUsed tells whether a request would be sent to the only target.
 func isUsed(t *testing.T, g *Gateway) bool {
 	d := g.pools.get("s").acquire(t.Context(), upstream.Request{Key: "k", Deadline: time.Now().Add(10 * time.Millisecond)})
-	return d.Verdict == upstream.Send
+	return d.Action == upstream.Send
 }
 
 // TestSilentSourceHoldsNobodyBack guards against a change that is kept from an instance as it asks one that never answers.
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -29,7 +29,7 @@
 		{"retry-slack", config.RetrySlack != g.config.RetrySlack},
 		{"shift-most", config.ShiftMost != g.config.ShiftMost},
 		{"limit-window", config.Limits.Window != g.config.Limits.Window},
-		{"limit-over", config.Limits.Over != g.config.Limits.Over},
+		{"limit-over", config.Limits.Overshoot != g.config.Limits.Overshoot},
 		{"limit-slack", config.Limits.Slack != g.config.Limits.Slack},
 	} {
 		if pair.changed {
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -196,7 +196,7 @@
 	g.lead(ctx, now, r, versions)
 	r.mu.Lock()
 	split, until := r.follower.Split(now)
-	report, leader, reports := r.follower.Report(now, versions.AtOld)
+	report, leader, reports := r.follower.Report(now, versions.OldInFlight)
 	goesOn := r.goesOn()
 	r.mu.Unlock()
 	g.pools.setSplit(now, r, split, until)
@@ -213,7 +213,7 @@
 
 // lead takes the lead of a rollout if that is this instance's part, decides on its stage, tells all
 // others, and has the store hold what has become of it.
-func (g *Gateway) lead(ctx context.Context, now time.Time, r *serviceRollout, versions upstream.Versions) {
+func (g *Gateway) lead(ctx context.Context, now time.Time, r *serviceRollout, versions upstream.VersionStats) {
 	leads, members := g.leads(now, r.isLed())
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -232,10 +232,10 @@
 	}
 	stage, tell := r.leader.Decide(now, rollout.Situation{
 		Members:  members,
-		Rate:     versions.Rate * float64(members),
+		Rate:     versions.SendRate * float64(members),
 		OldSlots: versions.OldSlots,
 		NewSlots: versions.NewSlots,
-		Usage:    versions.Usage,
+		Usage:    versions.OldUtilization,
 	})
 	if r.follower.Hear(now, stage) {
 		g.logStage(r, stage)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -51,7 +51,7 @@
 	// permitWait how long it took to have it.
 	permit     permit
 	permitWait time.Duration
-	limited    ratelimit.Answer
+	limited    ratelimit.Result
 	body       []byte
 	uri        string
 	trail      []hop
@@ -321,11 +321,11 @@
 		return nil
 	}
 	attrs := []slog.Attr{slog.Int64("permit_ms", ex.permitWait.Milliseconds())}
-	if ex.limited.Verdict == ratelimit.Admit {
+	if ex.limited.Decision == ratelimit.Admit {
 		return attrs
 	}
 	return append(attrs, slog.String("limit_owner", ex.limited.Owner),
-		slog.Float64("sent_per_s", ex.limited.Used), slog.Float64("permits_per_s", ex.limited.Got),
+		slog.Float64("sent_per_s", ex.limited.RequestRate), slog.Float64("permits_per_s", ex.limited.PermitRate),
 		slog.Int64("retry_after_ms", ex.limited.RetryAfter.Milliseconds()))
 }
 
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -133,10 +133,10 @@
 	defer ps.mu.RUnlock()
 	for service, p := range ps.pools {
 		p.mu.Lock()
-		for _, count := range p.upstream.Census(now) {
+		for _, count := range p.upstream.TargetCounts(now) {
 			all += count.Targets
 		}
-		for _, u := range p.upstream.Unavailable(now) {
+		for _, u := range p.upstream.UnavailableTargets(now) {
 			t := UnavailableTarget{Service: service, Target: u.ID, Hall: u.Hall, Cause: u.Cause, Source: u.Source}
 			if !u.Since.IsZero() {
 				t.ForMs = now.Sub(u.Since).Milliseconds()
@@ -161,9 +161,9 @@
 	var out []LimitedTarget
 	for service, p := range ps.pools {
 		p.mu.Lock()
-		for _, l := range p.upstream.Limited(now) {
+		for _, l := range p.upstream.LimitedTargets(now) {
 			out = append(out, LimitedTarget{Service: service, Target: l.ID, Hall: l.Hall, PerSecond: l.PerSecond, Source: l.Source,
-				ForMs: now.Sub(l.Since).Milliseconds(), Owner: l.Owner, Got: l.Got, Used: l.Used})
+				ForMs: now.Sub(l.Since).Milliseconds(), Owner: l.Owner, Got: l.PermitRate, Used: l.UsedRate})
 		}
 		p.mu.Unlock()
 	}
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -45,8 +45,8 @@
 	defer l.note()
 	var changed bool
 	switch {
-	case r.Word.HasLimit:
-		changed = l.known.Announce(now, sentAt, id, r.Word.RateLimit)
+	case r.SelfReport.HasLimit:
+		changed = l.known.Announce(now, sentAt, id, r.SelfReport.RateLimit)
 	case saysNoLimit(r):
 		changed = l.known.AnnounceNone(now, sentAt, id)
 	}
@@ -64,7 +64,7 @@
 // word of it. A value that can't be read is neither a limit nor its end.
 func saysNoLimit(r upstream.Result) bool {
 	whole := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
-	return whole && !r.Word.IsMalformed(availability.FieldRateLimit)
+	return whole && !r.SelfReport.IsMalformed(availability.FieldRateLimit)
 }
 
 // merge takes in what another instance has told, and returns what is new.
@@ -147,11 +147,11 @@
 // hearLimit takes in what a target said in an answer of how much it takes, and has all instances
 // know.
 func (g *Gateway) hearLimit(d upstream.Decision, a forward.Attempt) {
-	if !a.Target.Word.HasLimit && !g.targetLimits.any.Load() {
+	if !a.Target.SelfReport.HasLimit && !g.targetLimits.any.Load() {
 		return
 	}
 	now := g.clock.Now()
-	fresh, first := g.targetLimits.hear(now, d.Sent.At, availability.IDOf(d.Target.ID), a.Target)
+	fresh, first := g.targetLimits.hear(now, d.SendState.GrantedAt, availability.IDOf(d.Target.ID), a.Target)
 	g.putLimits(now, fresh, availability.SourceTarget)
 	if first {
 		time.AfterFunc(rand.N(limitsPause), g.tellLimits)
--- a/internal/demo/gatewayaccounts.go
+++ b/internal/demo/gatewayaccounts.go
@@ -75,8 +75,8 @@
 		for o.busy[end].Sub(o.busy[begin]) > bound.Window {
 			begin++
 		}
-		if n := end - begin + 1; float64(n) > bound.Of(limit) {
-			r.Broken = append(r.Broken, fmt.Sprintf("%d requests of one account ran within %v, of %.0f", n, bound.Window, bound.Of(limit)))
+		if n := end - begin + 1; float64(n) > bound.MaxRequests(limit) {
+			r.Broken = append(r.Broken, fmt.Sprintf("%d requests of one account ran within %v, of %.0f", n, bound.Window, bound.MaxRequests(limit)))
 			return
 		}
 	}
--- a/locality/bench_test.go
+++ b/locality/bench_test.go
@@ -12,13 +12,13 @@
 // BenchmarkCalibrate measures the fit of shares to keys, which runs once a second for a
 // service: at the keys of a small site and at the most that are counted.
 func BenchmarkCalibrate(b *testing.B) {
-	want := []locality.Share{{Region: "a", Part: 0.3}, {Region: "b", Part: 0.3}, {Region: "c", Part: 0.4}}
+	want := []locality.Share{{Region: "a", Fraction: 0.3}, {Region: "b", Fraction: 0.3}, {Region: "c", Fraction: 0.4}}
 	for _, n := range []int{32, 1024} {
 		b.Run(fmt.Sprintf("keys=%d", n), func(b *testing.B) {
 			var points locality.Points
 			now := time.Unix(0, 0)
 			for i := range n {
-				points.Note(now, mix.Unit(mix.Hash(fmt.Sprint(i))))
+				points.Add(now, mix.Unit(mix.Hash(fmt.Sprint(i))))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/locality/calibrate.go
+++ b/locality/calibrate.go
@@ -19,8 +19,8 @@
 	seen map[float64]time.Time
 }
 
-// Note counts a key's point.
-func (p *Points) Note(now time.Time, point float64) {
+// Add counts a key's point.
+func (p *Points) Add(now time.Time, point float64) {
 	if p.seen == nil {
 		p.seen = make(map[float64]time.Time)
 	}
@@ -63,12 +63,12 @@
 	}
 	part, begin := 0.0, 0.0
 	for i, s := range ordered {
-		part += s.Part
+		part += s.Fraction
 		end := quantile(points, part)
 		if i == len(ordered)-1 {
 			end = 1
 		}
-		ordered[i].Part = end - begin
+		ordered[i].Fraction = end - begin
 		begin = end
 	}
 	sort.Slice(ordered, func(i, j int) bool { return ordered[i].Region < ordered[j].Region })
--- a/locality/calibrate_test.go
+++ b/locality/calibrate_test.go
@@ -31,7 +31,7 @@
 		now := time.Unix(0, 0)
 		for i := range n {
 			keys = append(keys, mix.Unit(mix.Hash(name, fmt.Sprint(i))))
-			points.Note(now, keys[i])
+			points.Add(now, keys[i])
 		}
 		got := locality.Calibrate("a", want, points.Sorted(now))
 		require.InDelta(t, 1, sum(got), 1e-9)
@@ -40,7 +40,7 @@
 			counts[locality.Draw("a", got, key)]++
 		}
 		for _, s := range want {
-			require.Less(t, math.Abs(s.Part*float64(n)-float64(counts[s.Region])), 2.0, s.Region)
+			require.Less(t, math.Abs(s.Fraction*float64(n)-float64(counts[s.Region])), 2.0, s.Region)
 		}
 	})
 }
@@ -48,12 +48,12 @@
 // TestManyKeysNeedNoCalibration checks that shares stay as they are where chance gives
 // each region its part anyway, and where nothing is known of the keys.
 func TestManyKeysNeedNoCalibration(t *testing.T) {
-	want := []locality.Share{{Region: "a", Part: 0.3}, {Region: "b", Part: 0.3}, {Region: "c", Part: 0.4}}
+	want := []locality.Share{{Region: "a", Fraction: 0.3}, {Region: "b", Fraction: 0.3}, {Region: "c", Fraction: 0.4}}
 	require.Equal(t, want, locality.Calibrate("a", want, nil))
 	var points locality.Points
 	now := time.Unix(0, 0)
 	for i := range 5000 {
-		points.Note(now, mix.Unit(mix.Hash(fmt.Sprint(i))))
+		points.Add(now, mix.Unit(mix.Hash(fmt.Sprint(i))))
 	}
 	got := locality.Calibrate("a", want, points.Sorted(now))
 	require.LessOrEqual(t, moved(want, got), 0.06)
@@ -62,15 +62,15 @@
 // TestNewKeyMovesFew checks that one key more moves at most the keys next to a
 // boundary.
 func TestNewKeyMovesFew(t *testing.T) {
-	want := []locality.Share{{Region: "a", Part: 0.3}, {Region: "b", Part: 0.3}, {Region: "c", Part: 0.4}}
+	want := []locality.Share{{Region: "a", Fraction: 0.3}, {Region: "b", Fraction: 0.3}, {Region: "c", Fraction: 0.4}}
 	now := time.Unix(0, 0)
 	for n := 8; n < 60; n++ {
 		var points locality.Points
 		for i := range n {
-			points.Note(now, mix.Unit(mix.Hash("k", fmt.Sprint(i))))
+			points.Add(now, mix.Unit(mix.Hash("k", fmt.Sprint(i))))
 		}
 		before := points.Sorted(now)
-		points.Note(now, mix.Unit(mix.Hash("k", fmt.Sprint(n))))
+		points.Add(now, mix.Unit(mix.Hash("k", fmt.Sprint(n))))
 		one, other := locality.Calibrate("a", want, before), locality.Calibrate("a", want, points.Sorted(now))
 		changed := 0
 		for _, key := range before {
@@ -85,8 +85,8 @@
 func TestPointsAreForgotten(t *testing.T) {
 	var points locality.Points
 	now := time.Unix(0, 0)
-	points.Note(now, 0.25)
-	points.Note(now.Add(20*time.Second), 0.5)
+	points.Add(now, 0.25)
+	points.Add(now.Add(20*time.Second), 0.5)
 	require.Equal(t, []float64{0.5}, points.Sorted(now.Add(40*time.Second)))
 	require.Empty(t, points.Sorted(now.Add(80*time.Second)))
 }
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -26,7 +26,7 @@
 func sum(shares []locality.Share) float64 {
 	total := 0.0
 	for _, s := range shares {
-		total += s.Part
+		total += s.Fraction
 	}
 	return total
 }
@@ -51,7 +51,7 @@
 			require.InDelta(t, 1, sum(shares), 1e-9)
 			for _, s := range shares {
 				require.Positive(t, slots[s.Region])
-				carried[s.Region] += s.Part * total / float64(len(regions))
+				carried[s.Region] += s.Fraction * total / float64(len(regions))
 			}
 		}
 		for region, n := range carried {
@@ -78,12 +78,12 @@
 		{Service: "s", From: "b", To: "b", Weight: 100},
 	}
 	got := locality.FromRows("s", "a", rows, map[string]float64{"a": 3, "b": 3})
-	require.Equal(t, []locality.Share{{Region: "a", Part: 0.6}, {Region: "b", Part: 0.4}}, got)
+	require.Equal(t, []locality.Share{{Region: "a", Fraction: 0.6}, {Region: "b", Fraction: 0.4}}, got)
 	require.Empty(t, locality.FromRows("s", "c", rows, map[string]float64{"a": 3}))
 }
 
 func TestDrawFollowsParts(t *testing.T) {
-	shares := []locality.Share{{Region: "a", Part: 0.25}, {Region: "b", Part: 0.25}, {Region: "c", Part: 0.5}}
+	shares := []locality.Share{{Region: "a", Fraction: 0.25}, {Region: "b", Fraction: 0.25}, {Region: "c", Fraction: 0.5}}
 	counts := map[string]int{}
 	for i := range 1000 {
 		counts[locality.Draw("b", shares, (float64(i)+0.5)/1000)]++
@@ -111,7 +111,7 @@
 // nothing while it has slots.
 func TestMoverIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &locality.Mover{Step: 0.05, Window: 2 * time.Second}
+		m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 		slots := map[string]float64{}
 		change := func() {
 			for _, r := range regions {
@@ -121,7 +121,7 @@
 		now := time.Unix(0, 0)
 		change()
 		follow := func() []locality.Share {
-			got := m.Follow(now, locality.FromSlots("a", slots, len(regions)), slots)
+			got := m.Advance(now, locality.FromSlots("a", slots, len(regions)), slots)
 			return append([]locality.Share(nil), got...)
 		}
 		history := [][]locality.Share{follow()}
@@ -148,22 +148,22 @@
 // TestRestEarnsNoStep checks that a long time without a change does not make the
 // first step larger.
 func TestRestEarnsNoStep(t *testing.T) {
-	m := &locality.Mover{Step: 0.05, Window: 2 * time.Second}
+	m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 	slots := map[string]float64{"a": 1, "b": 1}
-	before := []locality.Share{{Region: "a", Part: 1}}
+	before := []locality.Share{{Region: "a", Fraction: 1}}
 	now := time.Unix(0, 0)
-	m.Follow(now, before, slots)
-	want := []locality.Share{{Region: "a", Part: 0.5}, {Region: "b", Part: 0.5}}
+	m.Advance(now, before, slots)
+	want := []locality.Share{{Region: "a", Fraction: 0.5}, {Region: "b", Fraction: 0.5}}
 	now = now.Add(time.Minute)
-	got := append([]locality.Share(nil), m.Follow(now, want, slots)...)
+	got := append([]locality.Share(nil), m.Advance(now, want, slots)...)
 	require.Zero(t, moved(before, got))
-	got = m.Follow(now.Add(2*time.Second), want, slots)
+	got = m.Advance(now.Add(2*time.Second), want, slots)
 	require.InDelta(t, 0.05, moved(before, got), 0.005)
 }
 
 func TestMoverLeavesEmptyRegionsAtOnce(t *testing.T) {
-	m := &locality.Mover{Step: 0.05, Window: 2 * time.Second}
-	m.Follow(time.Unix(0, 0), []locality.Share{{Region: "a", Part: 0.5}, {Region: "b", Part: 0.5}}, map[string]float64{"a": 1, "b": 1})
-	got := m.Follow(time.Unix(1, 0), []locality.Share{{Region: "a", Part: 1}}, map[string]float64{"a": 1})
-	require.Equal(t, []locality.Share{{Region: "a", Part: 1}}, got)
+	m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
+	m.Advance(time.Unix(0, 0), []locality.Share{{Region: "a", Fraction: 0.5}, {Region: "b", Fraction: 0.5}}, map[string]float64{"a": 1, "b": 1})
+	got := m.Advance(time.Unix(1, 0), []locality.Share{{Region: "a", Fraction: 1}}, map[string]float64{"a": 1})
+	require.Equal(t, []locality.Share{{Region: "a", Fraction: 1}}, got)
 }
--- a/locality/mover.go
+++ b/locality/mover.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Mover follows shares by bounded steps. The zero value of its state takes the
+// Ramp follows shares by bounded steps. The zero value of its state takes the
 // first shares as they are: constant shares from the start shift nothing.
-type Mover struct {
+type Ramp struct {
 	// Step is the largest part of the requests that changes its region in a
 	// Window.
 	Step   float64
@@ -20,9 +20,9 @@
 	arrived bool
 }
 
-// Follow moves towards want and returns the shares in force. The part of a region
+// Advance moves towards want and returns the shares in force. The part of a region
 // without slots moves at once, since nothing there can run a request.
-func (m *Mover) Follow(now time.Time, want []Share, slots map[string]float64) []Share {
+func (m *Ramp) Advance(now time.Time, want []Share, slots map[string]float64) []Share {
 	if len(m.shares) == 0 || len(want) == 0 {
 		m.shares, m.movedAt, m.arrived = want, now, true
 		return m.shares
@@ -47,19 +47,19 @@
 }
 
 // Settled tells whether the shares in force are those last wanted.
-func (m *Mover) Settled(want []Share) bool { return m.distance(want) < 1e-9 }
+func (m *Ramp) Settled(want []Share) bool { return m.distance(want) < 1e-9 }
 
 func parts(shares []Share) map[string]float64 {
 	out := make(map[string]float64, len(shares))
 	for _, s := range shares {
-		out[s.Region] = s.Part
+		out[s.Region] = s.Fraction
 	}
 	return out
 }
 
 // leaveEmpty gives the parts of regions without slots to the others, in
 // proportion to want.
-func (m *Mover) leaveEmpty(want []Share, slots map[string]float64) {
+func (m *Ramp) leaveEmpty(want []Share, slots map[string]float64) {
 	held := parts(m.shares)
 	freed := 0.0
 	for region, part := range held {
@@ -78,18 +78,18 @@
 }
 
 // distance is the part of the requests that would change its region.
-func (m *Mover) distance(want []Share) float64 {
+func (m *Ramp) distance(want []Share) float64 {
 	held := parts(m.shares)
 	moved := 0.0
 	for _, s := range want {
-		if s.Part > held[s.Region] {
-			moved += s.Part - held[s.Region]
+		if s.Fraction > held[s.Region] {
+			moved += s.Fraction - held[s.Region]
 		}
 	}
 	return moved
 }
 
-func (m *Mover) blend(want []Share, weight float64) {
+func (m *Ramp) blend(want []Share, weight float64) {
 	held := parts(m.shares)
 	for region := range parts(want) {
 		if _, ok := held[region]; !ok {
@@ -106,7 +106,7 @@
 func sorted(held map[string]float64) []Share {
 	out := make([]Share, 0, len(held))
 	for region, part := range held {
-		out = append(out, Share{Region: region, Part: part})
+		out = append(out, Share{Region: region, Fraction: part})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Region < out[j].Region })
 	return out
--- a/locality/share.go
+++ b/locality/share.go
@@ -8,8 +8,8 @@
 
 // Share is the part of the requests that a region runs.
 type Share struct {
-	Region string
-	Part   float64
+	Region   string
+	Fraction float64
 }
 
 // FromSlots returns the shares of the requests that enter in region from. Slots
@@ -27,19 +27,19 @@
 	demand := total / float64(max(regions, 1))
 	keep := slots[from] / demand
 	if keep >= 1 {
-		return []Share{{Region: from, Part: 1}}
+		return []Share{{Region: from, Fraction: 1}}
 	}
 	spare := spareSlots(from, slots, demand)
 	out := make([]Share, 0, len(spare)+1)
 	if keep > 0 {
-		out = append(out, Share{Region: from, Part: keep})
+		out = append(out, Share{Region: from, Fraction: keep})
 	}
 	sum := 0.0
 	for _, s := range spare {
-		sum += s.Part
+		sum += s.Fraction
 	}
 	for _, s := range spare {
-		out = append(out, Share{Region: s.Region, Part: (1 - keep) * s.Part / sum})
+		out = append(out, Share{Region: s.Region, Fraction: (1 - keep) * s.Fraction / sum})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Region < out[j].Region })
 	return out
@@ -53,9 +53,9 @@
 		if region == from || n <= 0 {
 			continue
 		}
-		all = append(all, Share{Region: region, Part: n})
+		all = append(all, Share{Region: region, Fraction: n})
 		if n > demand {
-			spare = append(spare, Share{Region: region, Part: n - demand})
+			spare = append(spare, Share{Region: region, Fraction: n - demand})
 		}
 	}
 	if len(spare) == 0 {
@@ -80,7 +80,7 @@
 	}
 	out := make([]Share, 0, len(parts))
 	for region, part := range parts {
-		out = append(out, Share{Region: region, Part: part / total})
+		out = append(out, Share{Region: region, Fraction: part / total})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Region < out[j].Region })
 	return out
@@ -92,10 +92,10 @@
 func Draw(from string, shares []Share, point float64) string {
 	for _, s := range shares {
 		if s.Region == from {
-			if point < s.Part {
+			if point < s.Fraction {
 				return from
 			}
-			point -= s.Part
+			point -= s.Fraction
 		}
 	}
 	last := ""
@@ -105,10 +105,10 @@
 			continue
 		}
 		last = s.Region
-		if point < s.Part {
+		if point < s.Fraction {
 			return s.Region
 		}
-		point -= s.Part
+		point -= s.Fraction
 	}
 	return last
 }
--- a/member/instance.go
+++ b/member/instance.go
@@ -35,9 +35,9 @@
 
 // Heartbeat is what an instance tells another one every period.
 type Heartbeat struct {
-	From  Instance  `msgpack:"f"`
-	Seat  seat.Beat `msgpack:"s"`
-	Ready bool      `msgpack:"r"`
+	From  Instance       `msgpack:"f"`
+	Seat  seat.Heartbeat `msgpack:"s"`
+	Ready bool           `msgpack:"r"`
 	// Config is the version of the configuration in force at the sender.
 	Config int64 `msgpack:"c"`
 	// Targets is the version of the sender's list of its hall's targets.
--- a/node/beat.go
+++ b/node/beat.go
@@ -40,8 +40,8 @@
 	now := time.Now()
 	n.mu.Lock()
 	n.round++
-	n.agent.Begin(now)
-	n.agent.Tick(now, n.ledger.LoansEnd())
+	n.agent.BeginRound(now)
+	n.agent.Tick(now, n.ledger.LastLoanEnd())
 	n.updateSeats(now)
 	n.ledger.Observe(now, n.warm)
 	n.view.Forget(now)
@@ -64,7 +64,7 @@
 	out := make([]outgoing, 0, len(recipients)+len(n.config.Bootstrap))
 	for _, in := range recipients {
 		msg := *hb
-		msg.Seat = n.agent.Beat(now, in.ID)
+		msg.Seat = n.agent.Heartbeat(now, in.ID)
 		if in.Hall == n.self.Hall {
 			// They hear each other themselves.
 			msg.Heard = nil
@@ -113,11 +113,11 @@
 		return nil
 	}
 	var out []outgoing
-	for i, ask := range n.ledger.Asks(now, min(askCount, len(lenders))) {
+	for i, ask := range n.ledger.LoanRequests(now, min(askCount, len(lenders))) {
 		if i%askCount == 0 {
 			n.rand.Shuffle(len(lenders), func(a, b int) { lenders[a], lenders[b] = lenders[b], lenders[a] })
 		}
-		out = append(out, outgoing{lenders[i%len(lenders)], &peer.Ask{Ask: ask}})
+		out = append(out, outgoing{lenders[i%len(lenders)], &peer.Ask{LoanRequest: ask}})
 	}
 	return out
 }
@@ -162,7 +162,7 @@
 		delete(n.sent, offer{hb.From.ID, l.Service})
 	}
 	if hb.From.Hall == n.self.Hall {
-		n.agent.Hear(now, hb.From.ID, hb.Seat)
+		n.agent.HandleHeartbeat(now, hb.From.ID, hb.Seat)
 		n.ledger.SetSeats(n.agent.Held(now), n.agent.LeaseEnd())
 	}
 	n.pull(hb)
@@ -214,7 +214,7 @@
 
 func (n *Node) lend(from string, msg *peer.Ask) {
 	n.mu.Lock()
-	loan, ok := n.ledger.Lend(time.Now(), msg.Ask)
+	loan, ok := n.ledger.Lend(time.Now(), msg.LoanRequest)
 	addr := n.addrOf(from)
 	n.mu.Unlock()
 	if ok && addr != "" {
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -236,7 +236,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	admission := n.ledger.Take(now, row)
+	admission := n.ledger.Admit(now, row)
 	if admission == share.Admitted {
 		if n.config.Admitted != nil {
 			n.config.Admitted(row.Key(), now)
@@ -244,7 +244,7 @@
 		n.log.Debug("admitted", "row", row.Key().String(), "at_ns", now.UnixNano())
 		return admission, 0
 	}
-	return admission, n.ledger.UntilUnit(now, row.Key())
+	return admission, n.ledger.TimeToUnit(now, row.Key())
 }
 
 // Order implements entry.Draw.
--- a/node/node.go
+++ b/node/node.go
@@ -163,7 +163,7 @@
 	n.ledger = share.NewLedger(n.self.Hall, n.self.Region, seat.Count, n.rand.Uint64())
 	n.ledger.NoLoans = n.config.Baseline.NoLoans
 	if n.config.Baseline.LoanLength > 0 {
-		n.ledger.Terms.Length = n.config.Baseline.LoanLength
+		n.ledger.Terms.Duration = n.config.Baseline.LoanLength
 	}
 	n.hall = entry.NewHall(balance.Config{
 		Policy:      n.config.Baseline.Policy,
--- a/node/sync.go
+++ b/node/sync.go
@@ -90,7 +90,7 @@
 		if first {
 			first = false
 			n.mu.Lock()
-			n.agent.LearnEmpty()
+			n.agent.ObserveNoRoster()
 			n.mu.Unlock()
 		}
 	}
@@ -223,7 +223,7 @@
 }
 
 func (n *Node) learnRoster(roster *seat.Roster, version int64) {
-	n.agent.Learn(time.Now(), roster, version)
+	n.agent.ObserveRoster(time.Now(), roster, version)
 	n.updateSeats(time.Now())
 }
 
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -18,7 +18,7 @@
 		b.Run(fmt.Sprintf("heard%d-services%d", size.heard, size.services), func(b *testing.B) {
 			hb := &Heartbeat{member.Heartbeat{
 				From: member.Instance{ID: "accra-1-01-0a1b2c3d", Hall: "accra-1", Region: "accra", CallerAddr: "10.20.30.40:7300", HopAddr: "10.20.30.40:7301", PeerAddr: "10.20.30.40:7302", AdminAddr: "10.20.30.40:7303"},
-				Seat: seat.Beat{Seq: 1 << 20, Epoch: 1 << 10, Echo: 1 << 20, Renewed: 1 << 20}, Ready: true, Config: 1 << 16, Targets: 1 << 20,
+				Seat: seat.Heartbeat{Seq: 1 << 20, Epoch: 1 << 10, Echo: 1 << 20, Renewed: 1 << 20}, Ready: true, Config: 1 << 16, Targets: 1 << 20,
 			}}
 			for i := range size.heard {
 				hb.Heard = append(hb.Heard, fmt.Sprintf("accra-1-%02d-0a1b2c3d", i))
--- a/peer/message.go
+++ b/peer/message.go
@@ -59,7 +59,7 @@
 
 // Ask asks for a loan.
 type Ask struct {
-	share.Ask
+	share.LoanRequest
 }
 
 // Loan answers an Ask.
@@ -107,7 +107,7 @@
 	// instances share. New kinds come last.
 	Positions []feed.Position `msgpack:"p,omitempty"`
 	// Busy are the loads of targets that have more requests than they can work on.
-	Busy upstream.Sightings `msgpack:"l,omitempty"`
+	Busy upstream.TargetReports `msgpack:"l,omitempty"`
 	// Reply marks an answer to gossip, which is not answered again.
 	Reply bool `msgpack:"a,omitempty"`
 	// Unheard says that the sender should hear the receiver and does not.
@@ -209,7 +209,7 @@
 	Account string          `msgpack:"c"`
 	From    string          `msgpack:"f"`
 	At      int64           `msgpack:"t"`
-	Issue   ratelimit.Issue `msgpack:"i"`
+	Issue   ratelimit.Grant `msgpack:"i"`
 	Lend    bool            `msgpack:"l,omitempty"`
 	// Target says that it is about a target's limit, and Limits is what the owner knows of it.
 	Target bool                       `msgpack:"g,omitempty"`
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -23,8 +23,8 @@
 func messages() []Message {
 	return []Message{
 		&Hello{From: "a", Secret: "s"},
-		&Heartbeat{member.Heartbeat{From: member.Instance{ID: "a"}, Seat: seat.Beat{Seq: 3, Released: []seat.SeatTerm{{Seat: 1, Term: 2}}}, Loads: []member.Load{{Service: "s", Free: 2}}, Heard: []string{"b"}}},
-		&Ask{share.Ask{Row: table.RowKey{Service: "s", From: "a", To: "b"}, Units: 3, Nonce: 9}},
+		&Heartbeat{member.Heartbeat{From: member.Instance{ID: "a"}, Seat: seat.Heartbeat{Seq: 3, Released: []seat.SeatTerm{{Seat: 1, Term: 2}}}, Loads: []member.Load{{Service: "s", Free: 2}}, Heard: []string{"b"}}},
+		&Ask{share.LoanRequest{Row: table.RowKey{Service: "s", From: "a", To: "b"}, Units: 3, Nonce: 9}},
 		&Loan{share.Loan{Units: 3, For: time.Second, Nonce: 9, Version: 4}},
 		&Pull{Key: "config/table", Version: 3},
 		&Object{Key: "config/table", Version: 3, Value: []byte("{}")},
--- a/ratelimit/hall_limit.go
+++ b/ratelimit/hall_limit.go
@@ -9,16 +9,16 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// PlaceMark divides the hall from the rest of the name of a placed limit. It is in no name.
-const PlaceMark = "\x00"
+// HallLimitSeparator divides the hall from the rest of the name of a placed limit. It is in no name.
+const HallLimitSeparator = "\x00"
 
-// PlacedName returns the name of the limit of something in a hall, as holders and issuers of
+// HallLimitName returns the name of the limit of something in a hall, as holders and issuers of
 // placed limits take it.
-func PlacedName(hall, name string) string { return hall + PlaceMark + name }
+func HallLimitName(hall, name string) string { return hall + HallLimitSeparator + name }
 
-// PlacedBound is what is promised of placed limits: in any four seconds a tenth and two requests
+// HallBound is what is promised of placed limits: in any four seconds a tenth and two requests
 // more than the limit.
-var PlacedBound = Bound{Window: 4 * time.Second, Over: 0.1, Slack: 2}
+var HallBound = Bound{Window: 4 * time.Second, Overshoot: 0.1, Slack: 2}
 
 const (
 	// hallHandoverDelay is how long after a change of the instances a new owner of a placed limit
@@ -42,15 +42,15 @@
 	region   string
 	regionOf map[string]string
 	// byHall, byRegion and all are the instances of each hall, of each region, and all.
-	byHall, byRegion map[string][]Place
-	all              []Place
+	byHall, byRegion map[string][]Instance
+	all              []Instance
 }
 
-// NewPlacedOwners returns the owners of placed limits: one of the instances of the hall, by hash,
+// NewHallOwners returns the owners of placed limits: one of the instances of the hall, by hash,
 // or if that has none one of its region, or of all. Places are those that are not known to be
 // away.
-func NewPlacedOwners(self Place, regionOf map[string]string, places []Place) *Owners {
-	p := &hallOwners{self: self.Name, region: self.Region, regionOf: regionOf, byHall: make(map[string][]Place), byRegion: make(map[string][]Place), all: places}
+func NewHallOwners(self Instance, regionOf map[string]string, places []Instance) *Owners {
+	p := &hallOwners{self: self.Name, region: self.Region, regionOf: regionOf, byHall: make(map[string][]Instance), byRegion: make(map[string][]Instance), all: places}
 	for _, place := range places {
 		p.byHall[place.Hall] = append(p.byHall[place.Hall], place)
 		p.byRegion[place.Region] = append(p.byRegion[place.Region], place)
@@ -59,8 +59,8 @@
 }
 
 // candidates returns the instances one of which owns a limit.
-func (p *hallOwners) candidates(name string) []Place {
-	hall, _, _ := strings.Cut(name, PlaceMark)
+func (p *hallOwners) candidates(name string) []Instance {
+	hall, _, _ := strings.Cut(name, HallLimitSeparator)
 	if in := p.byHall[hall]; len(in) > 0 {
 		return in
 	}
@@ -73,7 +73,7 @@
 // owners returns the owner owners a limit, and those who would own it if it were away.
 func (p *hallOwners) owners(name string) []Owner {
 	places := slices.Clone(p.candidates(name))
-	slices.SortFunc(places, func(a, b Place) int {
+	slices.SortFunc(places, func(a, b Instance) int {
 		x, y := mix.Pair(name, a.Name), mix.Pair(name, b.Name)
 		switch {
 		case x > y:
@@ -86,7 +86,7 @@
 	})
 	owners := make([]Owner, 0, maxCandidates)
 	for _, place := range places[:min(maxCandidates, len(places))] {
-		owners = append(owners, Owner{Name: place.Name, Near: place.Region == p.region})
+		owners = append(owners, Owner{Name: place.Name, SameRegion: place.Region == p.region})
 	}
 	return owners
 }
@@ -97,17 +97,17 @@
 	return len(owners) > 0 && owners[0].Name == p.self
 }
 
-// NewPlacedHolder returns a holder of permits of placed limits for the instance of a name.
-func NewPlacedHolder(name string) *Holder {
+// NewHallHolder returns a holder of permits of placed limits for the instance of a name.
+func NewHallHolder(name string) *Holder {
 	h := NewHolder(name)
 	h.maxDenial = maxHallDenial
 	return h
 }
 
-// NewPlacedIssuer returns the issuer of placed limits of a process that started at a time, maybe
+// NewHallIssuer returns the issuer of placed limits of a process that started at a time, maybe
 // with the whole system for the first time.
-func NewPlacedIssuer(startedAt time.Time, firstStart bool) *Issuer {
-	i := NewIssuer(PlacedBound, startedAt, firstStart)
+func NewHallIssuer(startedAt time.Time, firstStart bool) *Issuer {
+	i := NewIssuer(HallBound, startedAt, firstStart)
 	i.ownership.handoverDelay = hallHandoverDelay
 	i.scaleDenials = true
 	return i
@@ -123,8 +123,8 @@
 	return min(maxWait, time.Duration(crowd*float64(p.timeToTokens(1))))
 }
 
-// Free returns the number of permits of a limit that the holder has.
-func (h *Holder) Free(now time.Time, name string) int {
+// Available returns the number of permits of a limit that the holder has.
+func (h *Holder) Available(now time.Time, name string) int {
 	a := h.accounts[name]
 	if a == nil {
 		return 0
@@ -136,9 +136,9 @@
 // gone elsewhere.
 const unusedAfter = 100 * time.Millisecond
 
-// Spare tells whether the holder has a permit of a limit that nobody waits for: more than one, or
+// HasSpare tells whether the holder has a permit of a limit that nobody waits for: more than one, or
 // one that is left over.
-func (h *Holder) Spare(now time.Time, name string) bool {
+func (h *Holder) HasSpare(now time.Time, name string) bool {
 	a := h.accounts[name]
 	if a == nil {
 		return false
@@ -147,9 +147,9 @@
 	return n > 1 || n == 1 && a.permits[0].expiresAt.Sub(now) <= a.lifetime-unusedAfter
 }
 
-// Spend takes a permit that the holder has, and returns until when it may be used and what to ask
+// TryAcquire takes a permit that the holder has, and returns until when it may be used and what to ask
 // owners. It returns false if there is none.
-func (h *Holder) Spend(now time.Time, name string) (until time.Time, asks []Ask, ok bool) {
+func (h *Holder) TryAcquire(now time.Time, name string) (until time.Time, asks []PermitRequest, ok bool) {
 	a := h.account(name)
 	a.usedAt = now
 	n, until := a.permits.take(now, 1)
@@ -160,9 +160,9 @@
 	return until, h.prefetch(now, name, a), true
 }
 
-// Want asks for a permit of a limit, unless there is one, an owner has been asked, or one has
+// Request asks for a permit of a limit, unless there is one, an owner has been asked, or one has
 // denied it a moment ago.
-func (h *Holder) Want(now time.Time, name string) []Ask {
+func (h *Holder) Request(now time.Time, name string) []PermitRequest {
 	a := h.account(name)
 	a.usedAt = now
 	if a.outstanding || now.Before(a.deniedUntil) || a.permits.count(now) > 0 {
@@ -173,11 +173,11 @@
 	return asks
 }
 
-// AsksNear tells whether an owner of the own region has been asked for permits of a limit and has
+// AwaitsSameRegion tells whether an owner of the own region has been asked for permits of a limit and has
 // not answered.
-func (h *Holder) AsksNear(name string) bool {
+func (h *Holder) AwaitsSameRegion(name string) bool {
 	a := h.accounts[name]
-	return a != nil && a.outstanding && a.request.To.Near
+	return a != nil && a.outstanding && a.request.To.SameRegion
 }
 
 // DeniedUntil returns until when no permit of a limit is asked for, as one was denied.
@@ -189,9 +189,9 @@
 	return a.deniedUntil
 }
 
-// Use returns the rates at which permits of a limit were got and spent here, in 1/s, and the owner
+// Rates returns the rates at which permits of a limit were got and spent here, in 1/s, and the owner
 // that was asked last.
-func (h *Holder) Use(now time.Time, name string) (got, used float64, owner string) {
+func (h *Holder) Rates(now time.Time, name string) (got, used float64, owner string) {
 	a := h.accounts[name]
 	if a == nil {
 		return 0, 0, ""
--- a/ratelimit/hall_limit_test.go
+++ b/ratelimit/hall_limit_test.go
@@ -17,22 +17,22 @@
 	maxNoticeDelay = time.Second
 )
 
-var limitName = ratelimit.PlacedName(limitHall, "t")
+var limitName = ratelimit.HallLimitName(limitHall, "t")
 
 // hallSimulation is instances of one hall that issue permits of one limit.
 type hallSimulation struct {
 	issuers []*ratelimit.Issuer
-	places  []ratelimit.Place
+	places  []ratelimit.Instance
 	issued  []time.Time
 }
 
 func newHallSimulation(n int, now time.Time) *hallSimulation {
 	w := &hallSimulation{}
 	for i := range n {
-		w.places = append(w.places, ratelimit.Place{Name: fmt.Sprint("n", i), Hall: limitHall, Region: "a"})
+		w.places = append(w.places, ratelimit.Instance{Name: fmt.Sprint("n", i), Hall: limitHall, Region: "a"})
 	}
 	for i := range n {
-		w.issuers = append(w.issuers, ratelimit.NewPlacedIssuer(now.Add(-time.Hour), false))
+		w.issuers = append(w.issuers, ratelimit.NewHallIssuer(now.Add(-time.Hour), false))
 		w.issuers[i].SetOwners(now.Add(-time.Hour), w.owners(i, nil))
 	}
 	return w
@@ -40,13 +40,13 @@
 
 // owners returns the owners as an instance knows them that takes others to be away.
 func (w *hallSimulation) owners(self int, away map[int]bool) *ratelimit.Owners {
-	var places []ratelimit.Place
+	var places []ratelimit.Instance
 	for i, p := range w.places {
 		if !away[i] {
 			places = append(places, p)
 		}
 	}
-	return ratelimit.NewPlacedOwners(w.places[self], map[string]string{limitHall: "a"}, places)
+	return ratelimit.NewHallOwners(w.places[self], map[string]string{limitHall: "a"}, places)
 }
 
 // TestHallLimitHoldsThroughOwnerChanges draws which instances go and come back, when each of the others
@@ -70,7 +70,7 @@
 				changed = now
 				if !gone[who] {
 					// It starts again, and knows whom the others know.
-					w.issuers[who] = ratelimit.NewPlacedIssuer(now, false)
+					w.issuers[who] = ratelimit.NewHallIssuer(now, false)
 					knows[who] = nil
 				}
 			}
@@ -95,21 +95,21 @@
 				if gone[to] || knows[to] == nil {
 					continue
 				}
-				reply, loans := w.issuers[to].Issue(now, limitName, limit, ratelimit.Claim{From: "x", N: rapid.IntRange(1, 20).Draw(t, "n")})
+				reply, loans := w.issuers[to].Issue(now, limitName, limit, ratelimit.IssueRequest{From: "x", N: rapid.IntRange(1, 20).Draw(t, "n")})
 				require.Empty(t, loans, "nothing is lent")
-				for range reply.Issue.N {
+				for range reply.Grant.N {
 					w.issued = append(w.issued, now)
 				}
 			}
 			for i := range n {
 				for _, reply := range w.issuers[i].Tick(now) {
-					for range reply.Issue.N {
+					for range reply.Grant.N {
 						w.issued = append(w.issued, now)
 					}
 				}
 			}
 		}
-		window := ratelimit.PlacedBound.Window
+		window := ratelimit.HallBound.Window
 		first := 0
 		for i := range w.issued {
 			for w.issued[i].Sub(w.issued[first]) >= window {
@@ -124,26 +124,26 @@
 // to one of the region, or of all, and that one that joins takes over few.
 func TestHallOwnerIsNearest(t *testing.T) {
 	regionOf := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
-	place := func(name, hall string) ratelimit.Place {
-		return ratelimit.Place{Name: name, Hall: hall, Region: regionOf[hall]}
+	place := func(name, hall string) ratelimit.Instance {
+		return ratelimit.Instance{Name: name, Hall: hall, Region: regionOf[hall]}
 	}
 	self := place("s", "b1")
-	all := []ratelimit.Place{self, place("x", "a1"), place("y", "a2")}
-	of := func(places ...ratelimit.Place) ratelimit.Owner {
-		return ratelimit.NewPlacedOwners(self, regionOf, places).Of(limitName)[0]
+	all := []ratelimit.Instance{self, place("x", "a1"), place("y", "a2")}
+	of := func(places ...ratelimit.Instance) ratelimit.Owner {
+		return ratelimit.NewHallOwners(self, regionOf, places).Of(limitName)[0]
 	}
 	require.Equal(t, ratelimit.Owner{Name: "x"}, of(all...))
 	require.Equal(t, ratelimit.Owner{Name: "y"}, of(all[0], all[2]))
-	require.Equal(t, ratelimit.Owner{Name: "s", Near: true}, of(all[0]))
+	require.Equal(t, ratelimit.Owner{Name: "s", SameRegion: true}, of(all[0]))
 	moved := 0
-	var places []ratelimit.Place
+	var places []ratelimit.Instance
 	for i := range 10 {
 		places = append(places, place(fmt.Sprint("n", i), "a1"))
 	}
 	for k := range 1000 {
-		name := ratelimit.PlacedName("a1", fmt.Sprint("t", k))
-		before := ratelimit.NewPlacedOwners(self, regionOf, places[:9]).Of(name)[0]
-		after := ratelimit.NewPlacedOwners(self, regionOf, places).Of(name)[0]
+		name := ratelimit.HallLimitName("a1", fmt.Sprint("t", k))
+		before := ratelimit.NewHallOwners(self, regionOf, places[:9]).Of(name)[0]
+		after := ratelimit.NewHallOwners(self, regionOf, places).Of(name)[0]
 		if before != after {
 			require.Equal(t, "n9", after.Name)
 			moved++
@@ -166,7 +166,7 @@
 	limit := ratelimit.Limit{Rate: perSecond, Burst: perSecond / 4}
 	var holders []*ratelimit.Holder
 	for i := range instances {
-		h := ratelimit.NewPlacedHolder(w.places[i].Name)
+		h := ratelimit.NewHallHolder(w.places[i].Name)
 		h.SetOwners(w.owners(i, nil))
 		holders = append(holders, h)
 	}
@@ -175,18 +175,18 @@
 		numbers[place.Name] = i
 	}
 	spent, asked, wanted := 0, 0, 0
-	var ask func(i int, asks []ratelimit.Ask)
+	var ask func(i int, asks []ratelimit.PermitRequest)
 	hear := func(replies ...ratelimit.Reply) {
 		for _, r := range replies {
 			i := numbers[r.To]
-			_, more := holders[i].Hear(now, time.Unix(0, r.At), limitName, w.owners(0, nil).Of(limitName)[0].Name, r.Issue)
+			_, more := holders[i].HandleReply(now, time.Unix(0, r.At), limitName, w.owners(0, nil).Of(limitName)[0].Name, r.Grant)
 			ask(i, more)
 		}
 	}
-	ask = func(i int, asks []ratelimit.Ask) {
+	ask = func(i int, asks []ratelimit.PermitRequest) {
 		for _, a := range asks {
 			asked++
-			reply, _ := w.issuers[numbers[a.To.Name]].Issue(now, limitName, limit, ratelimit.Claim{From: w.places[i].Name, At: a.At.UnixNano(), N: a.N})
+			reply, _ := w.issuers[numbers[a.To.Name]].Issue(now, limitName, limit, ratelimit.IssueRequest{From: w.places[i].Name, At: a.At.UnixNano(), N: a.N})
 			hear(reply)
 		}
 	}
@@ -195,13 +195,13 @@
 		for range int(1.2 * perSecond * step.Seconds()) {
 			i := wanted % instances
 			wanted++
-			_, asks, ok := holders[i].Spend(now, limitName)
+			_, asks, ok := holders[i].TryAcquire(now, limitName)
 			ask(i, asks)
 			if ok {
 				spent++
 				continue
 			}
-			ask(i, holders[i].Want(now, limitName))
+			ask(i, holders[i].Request(now, limitName))
 		}
 		for i := range instances {
 			hear(w.issuers[i].Tick(now)...)
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -41,38 +41,38 @@
 	accountIdleTimeout = 30 * time.Second
 )
 
-// Verdict is the kind of an answer to a request for a permit.
-type Verdict int
+// Decision is the kind of an answer to a request for a permit.
+type Decision int
 
 // The verdicts.
 const (
 	// Admit means that the request has a permit.
-	Admit Verdict = iota
+	Admit Decision = iota
 	// Wait means that an owner is asked; an Answer with the request's ID follows unless it
 	// is cancelled.
 	Wait
 	// Refuse means that the account is beyond its limit.
 	Refuse
-	// Unknown means that no owner could be asked.
-	Unknown
+	// Unavailable means that no owner could be asked.
+	Unavailable
 )
 
-// Answer ends a request for a permit.
-type Answer struct {
-	ID      uint64
-	Verdict Verdict
-	// Until is how long the permit may be used.
-	Until time.Time
+// Result ends a request for a permit.
+type Result struct {
+	ID       uint64
+	Decision Decision
+	// ExpiresAt is how long the permit may be used.
+	ExpiresAt time.Time
 	// RetryAfter is when there is room again, after a refusal.
 	RetryAfter time.Duration
 	// Owner is the instance that was asked last, Used the rate of the account's requests
 	// here and Got that of permits, in 1/s, to explain a refusal.
-	Owner     string
-	Used, Got float64
+	Owner                   string
+	RequestRate, PermitRate float64
 }
 
-// Ask is a question to the owner of an account's part.
-type Ask struct {
+// PermitRequest is a question to the owner of an account's part.
+type PermitRequest struct {
 	Account string
 	To      Owner
 	N       int
@@ -104,7 +104,7 @@
 	waiting                 []uint64
 	// outstanding is set while an owner's answer is due.
 	outstanding bool
-	request     Ask
+	request     PermitRequest
 	requestedAt time.Time
 	// deadline is when the answer should be there.
 	deadline time.Time
@@ -128,27 +128,27 @@
 // SetOwners puts owners in force.
 func (h *Holder) SetOwners(owners *Owners) { h.owners = owners }
 
-// Take asks for a permit for a request of an account, and returns what to ask owners.
-func (h *Holder) Take(now time.Time, id uint64, account string) (Answer, []Ask) {
+// Acquire asks for a permit for a request of an account, and returns what to ask owners.
+func (h *Holder) Acquire(now time.Time, id uint64, account string) (Result, []PermitRequest) {
 	a := h.account(account)
 	a.usedAt = now
 	a.requestRate.add(now, 1)
 	if n, until := a.permits.take(now, 1); n > 0 {
-		return Answer{ID: id, Verdict: Admit, Until: until}, h.prefetch(now, account, a)
+		return Result{ID: id, Decision: Admit, ExpiresAt: until}, h.prefetch(now, account, a)
 	}
 	if now.Before(a.deniedUntil) {
 		return h.deny(now, a, id), nil
 	}
 	a.waiting = append(a.waiting, id)
 	if a.outstanding {
-		return Answer{ID: id, Verdict: Wait}, nil
+		return Result{ID: id, Decision: Wait}, nil
 	}
 	a.tries = 0
 	answers, asks := h.askNext(now, account, a)
 	if len(answers) > 0 {
 		return answers[0], nil
 	}
-	return Answer{ID: id, Verdict: Wait}, asks
+	return Result{ID: id, Decision: Wait}, asks
 }
 
 func (h *Holder) account(name string) *accountState {
@@ -160,8 +160,8 @@
 	return a
 }
 
-// Return gives back the permit of a request that was not sent.
-func (h *Holder) Return(now time.Time, account string, until time.Time) {
+// Release gives back the permit of a request that was not sent.
+func (h *Holder) Release(now time.Time, account string, until time.Time) {
 	if a := h.accounts[account]; a != nil && now.Before(until) {
 		a.permits.add(1, until)
 	}
@@ -193,7 +193,7 @@
 }
 
 // prefetch returns the question for permits prefetch of need, if there is to be one.
-func (h *Holder) prefetch(now time.Time, account string, a *accountState) []Ask {
+func (h *Holder) prefetch(now time.Time, account string, a *accountState) []PermitRequest {
 	used := a.requestRate.value(now)
 	if a.outstanding || now.Before(a.deniedUntil) || used*a.lifetime.Seconds() < minPrefetchRequests {
 		return nil
@@ -218,20 +218,20 @@
 }
 
 // askNext asks the askNext owner, or ends the wait of all requests if there is none left.
-func (h *Holder) askNext(now time.Time, account string, a *accountState) ([]Answer, []Ask) {
+func (h *Holder) askNext(now time.Time, account string, a *accountState) ([]Result, []PermitRequest) {
 	owner, ok := h.nextOwner(now, account, a)
 	if !ok || a.tries >= maxTries {
 		h.setOutstanding(a, false)
-		return h.finishAll(a, h.withRates(now, a, Answer{Verdict: Unknown, RetryAfter: timeoutSuspension})), nil
+		return h.finishAll(a, h.withRates(now, a, Result{Decision: Unavailable, RetryAfter: timeoutSuspension})), nil
 	}
 	a.tries++
 	h.setOutstanding(a, true)
 	a.requestedAt, a.deadline = now, now.Add(crossRegionTimeout)
-	if owner.Near {
+	if owner.SameRegion {
 		a.deadline = now.Add(sameRegionTimeout)
 	}
-	a.request = Ask{Account: account, To: owner, N: h.requestSize(now, a), At: now}
-	return nil, []Ask{a.request}
+	a.request = PermitRequest{Account: account, To: owner, N: h.requestSize(now, a), At: now}
+	return nil, []PermitRequest{a.request}
 }
 
 // nextOwner returns the nearest owner that is not known to be of no use.
@@ -251,8 +251,8 @@
 	return Owner{}, false
 }
 
-func (h *Holder) finishAll(a *accountState, answer Answer) []Answer {
-	out := make([]Answer, 0, len(a.waiting))
+func (h *Holder) finishAll(a *accountState, answer Result) []Result {
+	out := make([]Result, 0, len(a.waiting))
 	for _, id := range a.waiting {
 		answer.ID = id
 		out = append(out, answer)
@@ -261,22 +261,22 @@
 	return out
 }
 
-// Hear takes in the answer of an owner to a question that was asked at a time. It returns
+// HandleReply takes in the answer of an owner to a question that was asked at a time. It returns
 // the ends of requests that waited, and what to ask next.
-func (h *Holder) Hear(now, askedAt time.Time, account, from string, issue Issue) ([]Answer, []Ask) {
+func (h *Holder) HandleReply(now, askedAt time.Time, account, from string, issue Grant) ([]Result, []PermitRequest) {
 	a := h.accounts[account]
 	if a == nil {
 		return nil, nil
 	}
 	delete(h.suspended, from)
-	if until := askedAt.Add(min(issue.Life, maxLifetime)); issue.N > 0 && now.Before(until) {
+	if until := askedAt.Add(min(issue.Lifetime, maxLifetime)); issue.N > 0 && now.Before(until) {
 		a.permits.add(issue.N, until)
-		a.lifetime = issue.Life
+		a.lifetime = issue.Lifetime
 		a.permitRate.add(now, issue.N)
 		a.denials = 0
 	}
 	due := a.outstanding && a.request.To.Name == from && a.requestedAt.Equal(askedAt)
-	if due && issue.Foreign {
+	if due && issue.NotOwner {
 		if a.notOwnerUntil == nil {
 			a.notOwnerUntil = make(map[string]time.Time)
 		}
@@ -287,14 +287,14 @@
 	if !due {
 		return answers, nil
 	}
-	if issue.More {
+	if issue.MoreFollows {
 		a.request.N -= issue.N
 		a.deadline = now.Add(followUpTimeout)
 		return answers, nil
 	}
 	h.setOutstanding(a, false)
 	if issue.N < a.request.N {
-		a.deniedUntil = now.Add(min(max(issue.Wait, minDenial), h.maxDenial))
+		a.deniedUntil = now.Add(min(max(issue.RetryAfter, minDenial), h.maxDenial))
 	}
 	if len(a.waiting) == 0 {
 		return answers, nil
@@ -312,14 +312,14 @@
 }
 
 // serveWaiting gives the permits held to the requests that wait.
-func (h *Holder) serveWaiting(now time.Time, a *accountState) []Answer {
-	var out []Answer
+func (h *Holder) serveWaiting(now time.Time, a *accountState) []Result {
+	var out []Result
 	for len(a.waiting) > 0 {
 		n, until := a.permits.take(now, 1)
 		if n == 0 {
 			break
 		}
-		out = append(out, Answer{ID: a.waiting[0], Verdict: Admit, Until: until})
+		out = append(out, Result{ID: a.waiting[0], Decision: Admit, ExpiresAt: until})
 		a.waiting = a.waiting[1:]
 	}
 	return out
@@ -328,22 +328,22 @@
 // deny refuses a request. It is told to come back when those refused before it are served,
 // at the rate at which permits come, and spread so that those refused together do not come
 // together.
-func (h *Holder) deny(now time.Time, a *accountState, id uint64) Answer {
+func (h *Holder) deny(now time.Time, a *accountState, id uint64) Result {
 	a.denials++
 	wait := a.deniedUntil.Sub(now).Seconds() + float64(a.denials)/max(a.permitRate.value(now), minPermitRate)
 	wait *= 1 + mix.Unit(mix.Join(id, h.salt))/2
 	after := min(time.Duration(wait*float64(time.Second)), maxWait)
-	return h.withRates(now, a, Answer{ID: id, Verdict: Refuse, RetryAfter: max(after, minDenial)})
+	return h.withRates(now, a, Result{ID: id, Decision: Refuse, RetryAfter: max(after, minDenial)})
 }
 
 // withRates adds what decided to a refusal.
-func (h *Holder) withRates(now time.Time, a *accountState, answer Answer) Answer {
-	answer.Owner, answer.Used, answer.Got = a.request.To.Name, a.requestRate.value(now), a.permitRate.value(now)
+func (h *Holder) withRates(now time.Time, a *accountState, answer Result) Result {
+	answer.Owner, answer.RequestRate, answer.PermitRate = a.request.To.Name, a.requestRate.value(now), a.permitRate.value(now)
 	return answer
 }
 
-// Forget drops what is known of accounts without requests.
-func (h *Holder) Forget(now time.Time) {
+// EvictIdle drops what is known of accounts without requests.
+func (h *Holder) EvictIdle(now time.Time) {
 	for name, a := range h.accounts {
 		if !a.outstanding && now.Sub(a.usedAt) >= accountIdleTimeout {
 			delete(h.accounts, name)
@@ -356,9 +356,9 @@
 	}
 }
 
-// Unreachable passes over an owner that refused a connection, and asks the next one for
+// OwnerUnreachable passes over an owner that refused a connection, and asks the next one for
 // the requests that wait for its answer.
-func (h *Holder) Unreachable(now time.Time, owner string) (answers []Answer, asks []Ask) {
+func (h *Holder) OwnerUnreachable(now time.Time, owner string) (answers []Result, asks []PermitRequest) {
 	h.suspended[owner] = suspension{until: now.Add(timeoutSuspension)}
 	for name, a := range h.accounts {
 		if !a.outstanding || a.request.To.Name != owner {
--- a/ratelimit/issuer.go
+++ b/ratelimit/issuer.go
@@ -32,22 +32,22 @@
 	bucketIdleTimeout = time.Minute
 )
 
-// Issue is the answer to a question for permits.
-type Issue struct {
+// Grant is the answer to a question for permits.
+type Grant struct {
 	// N permits are given, fewer than asked for or none if there are no more.
 	N int `msgpack:"n,omitempty"`
-	// Life is how long they may be used, from when they were asked for.
-	Life time.Duration `msgpack:"l,omitempty"`
-	// More says that another answer to the question follows: other domains are asked.
-	More bool `msgpack:"m,omitempty"`
-	// Wait is when the next permit is expected, if fewer were given than asked for.
-	Wait time.Duration `msgpack:"w,omitempty"`
-	// Foreign says that this instance does not own the account's part.
-	Foreign bool `msgpack:"f,omitempty"`
+	// Lifetime is how long they may be used, from when they were asked for.
+	Lifetime time.Duration `msgpack:"l,omitempty"`
+	// MoreFollows says that another answer to the question follows: other domains are asked.
+	MoreFollows bool `msgpack:"m,omitempty"`
+	// RetryAfter is when the next permit is expected, if fewer were given than asked for.
+	RetryAfter time.Duration `msgpack:"w,omitempty"`
+	// NotOwner says that this instance does not own the account's part.
+	NotOwner bool `msgpack:"f,omitempty"`
 }
 
-// Claim is a question of an instance for permits.
-type Claim struct {
+// IssueRequest is a question of an instance for permits.
+type IssueRequest struct {
 	// From is the asker, and At its own time, which the answer brings back.
 	From string
 	At   int64
@@ -59,15 +59,15 @@
 	To      string
 	At      int64
 	Account string
-	Issue   Issue
+	Grant   Grant
 }
 
-// Loan is a question of an owner to that of another domain.
-type Loan struct {
+// LoanRequest is a question of an owner to that of another domain.
+type LoanRequest struct {
 	Account string
-	// From is the lender.
-	From Owner
-	N    int
+	// Lender is the lender.
+	Lender Owner
+	N      int
 }
 
 // Issuer issues the permits of the parts that an instance owns. It is not safe for
@@ -110,7 +110,7 @@
 
 // queuedRequest is a claim that waits for loans.
 type queuedRequest struct {
-	Claim
+	IssueRequest
 	deadline time.Time
 }
 
@@ -143,23 +143,23 @@
 
 // Issue answers a claim of an instance of the own domain on an account whose limit is
 // given. It returns the questions to owners of other domains that follow.
-func (i *Issuer) Issue(now time.Time, account string, limit Limit, c Claim) (Reply, []Loan) {
+func (i *Issuer) Issue(now time.Time, account string, limit Limit, c IssueRequest) (Reply, []LoanRequest) {
 	reply := Reply{To: c.From, At: c.At, Account: account}
 	if !i.ownership.owns(now, account) {
-		reply.Issue.Foreign = true
+		reply.Grant.NotOwner = true
 		return reply, nil
 	}
 	p := i.bucket(now, account, limit)
 	p.demand.add(now, c.N)
-	reply.Issue = i.grant(now, p, c.N)
+	reply.Grant = i.grant(now, p, c.N)
 	loans := i.borrow(now, account, p)
 	if len(loans) > 0 {
 		p.loanDeadline = now.Add(maxLoanWait)
 	}
-	c.N -= reply.Issue.N
+	c.N -= reply.Grant.N
 	if until, ok := p.queueDeadline(now, c.N); ok {
-		reply.Issue.More = true
-		p.queue = append(p.queue, queuedRequest{Claim: c, deadline: until})
+		reply.Grant.MoreFollows = true
+		p.queue = append(p.queue, queuedRequest{IssueRequest: c, deadline: until})
 		p.queuedPermits += c.N
 		i.queued++
 	}
@@ -182,11 +182,11 @@
 }
 
 // grant takes permits that were borrowed, since these end, then from the bucket.
-func (i *Issuer) grant(now time.Time, p *bucket, n int) Issue {
-	issue := Issue{Life: p.lifetime}
+func (i *Issuer) grant(now time.Time, p *bucket, n int) Grant {
+	issue := Grant{Lifetime: p.lifetime}
 	borrowed, until := p.borrowed.take(now, n)
 	if borrowed > 0 {
-		issue.Life = min(issue.Life, until.Sub(now))
+		issue.Lifetime = min(issue.Lifetime, until.Sub(now))
 	}
 	own := min(n-borrowed, int(p.tokens))
 	p.tokens -= float64(own)
@@ -194,9 +194,9 @@
 	switch {
 	case issue.N >= n:
 	case i.scaleDenials:
-		issue.Wait = p.scaledDenial(now)
+		issue.RetryAfter = p.scaledDenial(now)
 	default:
-		issue.Wait = p.timeToTokens(1)
+		issue.RetryAfter = p.timeToTokens(1)
 	}
 	return issue
 }
@@ -215,8 +215,8 @@
 		if !due && issue.N == 0 {
 			break
 		}
-		issue.More = !due
-		out = append(out, Reply{To: first.From, At: first.At, Account: account, Issue: issue})
+		issue.MoreFollows = !due
+		out = append(out, Reply{To: first.From, At: first.At, Account: account, Grant: issue})
 		if !due {
 			break
 		}
@@ -244,17 +244,17 @@
 
 // Lend gives at most n permits of an account to the owner of its part in another domain:
 // those that the own domain does not need.
-func (i *Issuer) Lend(now time.Time, account string, limit Limit, n int) Issue {
+func (i *Issuer) Lend(now time.Time, account string, limit Limit, n int) Grant {
 	if !i.ownership.owns(now, account) {
-		return Issue{Foreign: true}
+		return Grant{NotOwner: true}
 	}
 	p := i.bucket(now, account, limit)
 	spare := p.tokens - p.demand.value(now)*lendReserveTime.Seconds()
 	given := max(0, min(n, int(spare)))
 	p.tokens -= float64(given)
-	issue := Issue{N: given, Life: p.lifetime}
+	issue := Grant{N: given, Lifetime: p.lifetime}
 	if given < n {
-		issue.Wait = p.timeToTokens(1)
+		issue.RetryAfter = p.timeToTokens(1)
 	}
 	return issue
 }
@@ -289,8 +289,8 @@
 		i.buckets[account] = p
 	}
 	p.usedAt = now
-	p.limit = i.bound.share(limit, i.ownership.current().Parts())
-	p.lifetime = i.bound.Life(limit)
+	p.limit = i.bound.share(limit, i.ownership.current().Shares())
+	p.lifetime = i.bound.PermitLifetime(limit)
 	i.refill(now, p)
 	return p
 }
@@ -301,29 +301,29 @@
 	p.refilledAt = now
 }
 
-// Use is how much of an account's part is asked for.
-type Use struct {
+// AccountUse is how much of an account's part is asked for.
+type AccountUse struct {
 	Account string
-	// Share is the rate at which permits are asked for, over that of the part.
-	Share float64
+	// Utilization is the rate at which permits are asked for, over that of the part.
+	Utilization float64
 }
 
 // Busiest returns the n accounts of whose parts most is asked for, the highest first.
-func (i *Issuer) Busiest(now time.Time, n int) []Use {
-	uses := make([]Use, 0, len(i.buckets))
+func (i *Issuer) Busiest(now time.Time, n int) []AccountUse {
+	uses := make([]AccountUse, 0, len(i.buckets))
 	for account, p := range i.buckets {
 		if p.limit.Rate > 0 {
-			uses = append(uses, Use{Account: account, Share: p.demand.value(now) / p.limit.Rate})
+			uses = append(uses, AccountUse{Account: account, Utilization: p.demand.value(now) / p.limit.Rate})
 		}
 	}
-	slices.SortFunc(uses, func(a, b Use) int {
-		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Account, b.Account))
+	slices.SortFunc(uses, func(a, b AccountUse) int {
+		return cmp.Or(cmp.Compare(b.Utilization, a.Utilization), cmp.Compare(a.Account, b.Account))
 	})
 	return uses[:min(n, len(uses))]
 }
 
-// Forget drops what is known of accounts that nobody has asked for of late.
-func (i *Issuer) Forget(now time.Time) {
+// EvictIdle drops what is known of accounts that nobody has asked for of late.
+func (i *Issuer) EvictIdle(now time.Time) {
 	for account, p := range i.buckets {
 		if now.Sub(p.usedAt) >= bucketIdleTimeout && len(p.queue) == 0 {
 			delete(i.buckets, account)
@@ -333,7 +333,7 @@
 
 // borrow returns the questions to owners of other domains, if the part is asked for at a
 // higher rate than its permits last.
-func (i *Issuer) borrow(now time.Time, account string, p *bucket) []Loan {
+func (i *Issuer) borrow(now time.Time, account string, p *bucket) []LoanRequest {
 	asked := p.demand.value(now)
 	held := p.tokens + p.limit.Rate*now.Sub(p.refilledAt).Seconds() + float64(p.borrowed.count(now))
 	if held >= max(1, asked*borrowThresholdTime.Seconds()) || asked < 1 || now.Sub(p.borrowedAt) < minBorrowInterval {
@@ -347,9 +347,9 @@
 	p.borrowedAt = now
 	lenders = lenders[:min(len(lenders), missing)]
 	each := min(maxLoan, (missing+len(lenders)-1)/len(lenders))
-	out := make([]Loan, 0, len(lenders))
+	out := make([]LoanRequest, 0, len(lenders))
 	for _, l := range lenders {
-		out = append(out, Loan{Account: account, From: l.Owner, N: each})
+		out = append(out, LoanRequest{Account: account, Lender: l.Owner, N: each})
 	}
 	return out
 }
@@ -378,14 +378,14 @@
 	return append(gave, others...)
 }
 
-// Borrowed takes in what a lender gave. AskedAt is when it was asked.
+// HandleLoan takes in what a lender gave. AskedAt is when it was asked.
 // It returns the answers to claims that waited, and the questions to lenders that follow.
-func (i *Issuer) Borrowed(now, askedAt time.Time, account, from string, issue Issue) ([]Reply, []Loan) {
+func (i *Issuer) HandleLoan(now, askedAt time.Time, account, from string, issue Grant) ([]Reply, []LoanRequest) {
 	p := i.buckets[account]
 	if p == nil {
 		return nil, nil
 	}
-	until := askedAt.Add(min(issue.Life, p.lifetime))
+	until := askedAt.Add(min(issue.Lifetime, p.lifetime))
 	if issue.N > 0 && now.Before(until) {
 		p.borrowed.add(issue.N, until)
 	}
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -11,17 +11,17 @@
 // Bound is what is promised of a limit: in any Window no more requests are admitted than
 // (Rate x Window + Burst) x (1 + Over) + Slack.
 type Bound struct {
-	Window time.Duration
-	Over   float64
-	Slack  float64
+	Window    time.Duration
+	Overshoot float64
+	Slack     float64
 }
 
 // DefaultBound is the bound where operators name none.
-var DefaultBound = Bound{Window: 5 * time.Second, Over: 0.1, Slack: 20}
+var DefaultBound = Bound{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// Of returns the largest number of requests in a window of a limit.
-func (b Bound) Of(l Limit) float64 {
-	return (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Over) + b.Slack
+// MaxRequests returns the largest number of requests in a window of a limit.
+func (b Bound) MaxRequests(l Limit) float64 {
+	return (l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Overshoot) + b.Slack
 }
 
 const (
@@ -40,14 +40,14 @@
 	maxLifetime = time.Second
 )
 
-// Life returns how long a permit of a limit may be used after it was asked for. In a
+// PermitLifetime returns how long a permit of a limit may be used after it was asked for. In a
 // window, what the buckets hold at its start is used, and what they are filled with from
 // a life before the window on; the life is such that this keeps the bound.
-func (b Bound) Life(l Limit) time.Duration {
+func (b Bound) PermitLifetime(l Limit) time.Duration {
 	if l.Rate <= 0 {
 		return maxLifetime
 	}
-	left := b.Over*l.Rate*b.Window.Seconds() + (1+b.Over-burstFraction)*l.Burst + (1-slackFraction)*b.Slack
+	left := b.Overshoot*l.Rate*b.Window.Seconds() + (1+b.Overshoot-burstFraction)*l.Burst + (1-slackFraction)*b.Slack
 	return min(maxLifetime, time.Duration(lifetimeFraction*left/l.Rate*float64(time.Second)))
 }
 
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -22,7 +22,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "halls")
 		limit := ratelimit.Limit{Rate: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 200).Draw(t, "burst"))}
-		division := rapid.SampledFrom([]ratelimit.Division{ratelimit.ByInstance, ratelimit.ByHall, ratelimit.ByRegion, ratelimit.Whole}).Draw(t, "division")
+		division := rapid.SampledFrom([]ratelimit.Scope{ratelimit.PerInstance, ratelimit.PerHall, ratelimit.PerRegion, ratelimit.Global}).Draw(t, "division")
 		w := newSimulation(rapid.Uint64().Draw(t, "seed"), division, halls, halls*rapid.IntRange(1, 4).Draw(t, "per hall"), map[string]ratelimit.Limit{"a": limit})
 		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss")
 		end := epoch.Add(14 * time.Second)
@@ -55,7 +55,7 @@
 			w.after(at+length, func() { w.cut = nil })
 		}
 		w.run(end)
-		require.LessOrEqual(t, w.worstWindow("a", w.bound.Window, w.bound.Of(limit)), 1.0)
+		require.LessOrEqual(t, w.worstWindow("a", w.bound.Window, w.bound.MaxRequests(limit)), 1.0)
 	})
 }
 
@@ -72,7 +72,7 @@
 
 // measure has an account send a part of its limit through one instance, another one, and
 // all, for some seeds.
-func measure(division ratelimit.Division, instances int, rate, demand float64) costs {
+func measure(division ratelimit.Scope, instances int, rate, demand float64) costs {
 	var out costs
 	var moving, calm, asked, waits int
 	for seed := range uint64(5) {
@@ -121,7 +121,7 @@
 		{5, 0.9, 0.05}, {20, 0.9, 0.01}, {100, 0.9, 0.005}, {1000, 0.9, 0.005},
 	} {
 		t.Run(fmt.Sprintf("rate=%g/demand=%g", c.rate, c.demand), func(t *testing.T) {
-			got := measure(ratelimit.ByHall, 74, c.rate, c.demand)
+			got := measure(ratelimit.PerHall, 74, c.rate, c.demand)
 			t.Logf("%+v", got)
 			require.LessOrEqual(t, got.calm, got.ideal+c.most)
 		})
@@ -134,7 +134,7 @@
 		t.Skip("run with -figures")
 	}
 	for _, instances := range []int{12, 74, 295, 730} {
-		for _, division := range []ratelimit.Division{ratelimit.ByInstance, ratelimit.ByHall, ratelimit.ByRegion, ratelimit.Whole} {
+		for _, division := range []ratelimit.Scope{ratelimit.PerInstance, ratelimit.PerHall, ratelimit.PerRegion, ratelimit.Global} {
 			for _, rate := range []float64{5, 20, 100, 1000} {
 				for _, demand := range []float64{0.6, 0.9} {
 					got := measure(division, instances, rate, demand)
@@ -162,7 +162,7 @@
 			rate := max(smallest, largest/math.Sqrt(float64(i+1)))
 			limits[fmt.Sprint("a", i)] = ratelimit.Limit{Rate: rate, Burst: rate}
 		}
-		w := newSimulation(1, ratelimit.ByHall, 6, c.instances, limits)
+		w := newSimulation(1, ratelimit.PerHall, 6, c.instances, limits)
 		for account, limit := range limits {
 			w.demand(account, limit.Rate*demand, epoch.Add(length), w.randomNode)
 		}
@@ -183,7 +183,7 @@
 		asked, refused, unknown, beyond = asked-asked0, refused-refused0, unknown-unknown0, beyond-beyond0
 		worst := 0.0
 		for account, limit := range limits {
-			worst = max(worst, w.worstWindow(account, w.bound.Window, w.bound.Of(limit)))
+			worst = max(worst, w.worstWindow(account, w.bound.Window, w.bound.MaxRequests(limit)))
 		}
 		bytes := w.bytes - bytes0
 		perNode := float64(bytes) / (length - settle).Seconds() / float64(c.instances)
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -7,33 +7,33 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Division says which instances form a domain.
-type Division string
+// Scope says which instances form a domain.
+type Scope string
 
 // The divisions.
 const (
-	// ByInstance gives each instance an equal part of each limit, of which it lends nothing.
-	ByInstance Division = "instance"
-	// ByHall and ByRegion make the instances of a hall or a region a domain.
-	ByHall   Division = "hall"
-	ByRegion Division = "region"
-	// Whole makes all instances one domain.
-	Whole Division = "whole"
+	// PerInstance gives each instance an equal part of each limit, of which it lends nothing.
+	PerInstance Scope = "instance"
+	// PerHall and ByRegion make the instances of a hall or a region a domain.
+	PerHall   Scope = "hall"
+	PerRegion Scope = "region"
+	// Global makes all instances one domain.
+	Global Scope = "whole"
 )
 
-// Place is where an instance runs.
-type Place struct {
+// Instance is where an instance runs.
+type Instance struct {
 	Name, Hall, Region string
 }
 
 // domain returns the name of the domain that a place belongs to.
-func (d Division) domain(p Place) string {
+func (d Scope) domain(p Instance) string {
 	switch d {
-	case ByInstance:
+	case PerInstance:
 		return p.Name
-	case ByHall:
+	case PerHall:
 		return p.Hall
-	case ByRegion:
+	case PerRegion:
 		return p.Region
 	default:
 		return ""
@@ -42,7 +42,7 @@
 
 // Owners knows the owner of each account's part in each domain. It is immutable.
 type Owners struct {
-	self   Place
+	self   Instance
 	shares int
 	// domains begin with the own one, then come those of the own region. There is only the
 	// own one where nothing is lent.
@@ -61,12 +61,12 @@
 }
 
 // lends tells whether owners of different domains lend each other permits.
-func (d Division) lends() bool { return d != ByInstance }
+func (d Scope) lends() bool { return d != PerInstance }
 
 // NewOwners returns the owners among the places of the instances that the store lists.
 // RegionOf maps each hall to its region: the number of parts follows from it, so that all
 // instances agree on it whatever they know of each other.
-func NewOwners(division Division, self Place, regionOf map[string]string, places []Place) *Owners {
+func NewOwners(division Scope, self Instance, regionOf map[string]string, places []Instance) *Owners {
 	byName := make(map[string]*domain)
 	own, near := division.domain(self), make(map[string]bool)
 	for _, p := range places {
@@ -108,13 +108,13 @@
 }
 
 // shares returns the number of shares that each limit is cut into.
-func (d Division) shares(regionOf map[string]string, instances int) int {
+func (d Scope) shares(regionOf map[string]string, instances int) int {
 	switch d {
-	case ByInstance:
+	case PerInstance:
 		return max(instances, 1)
-	case ByHall:
+	case PerHall:
 		return max(len(regionOf), 1)
-	case ByRegion:
+	case PerRegion:
 		regions := make(map[string]bool)
 		for _, region := range regionOf {
 			regions[region] = true
@@ -125,14 +125,14 @@
 	}
 }
 
-// Parts returns the number of parts that each limit is cut into.
-func (o *Owners) Parts() int { return o.shares }
+// Shares returns the number of parts that each limit is cut into.
+func (o *Owners) Shares() int { return o.shares }
 
 // Owner is an instance that owns a part of an account.
 type Owner struct {
 	Name string
-	// Near owners are of the own region.
-	Near bool
+	// SameRegion owners are of the own region.
+	SameRegion bool
 }
 
 // Of returns the owners of an account's parts: that of the own domain first, then those
@@ -144,7 +144,7 @@
 	out := make([]Owner, 0, len(o.domains))
 	for _, d := range o.domains {
 		name := ownerAmong(account, d.instances)
-		out = append(out, Owner{Name: name, Near: o.sameRegion[name]})
+		out = append(out, Owner{Name: name, SameRegion: o.sameRegion[name]})
 	}
 	return out
 }
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -15,9 +15,9 @@
 // lost and are cut off, and processes that are killed. Its time is its own.
 type simulation struct {
 	bound    ratelimit.Bound
-	division ratelimit.Division
+	division ratelimit.Scope
 	regionOf map[string]string
-	places   []ratelimit.Place
+	places   []ratelimit.Instance
 	limits   map[string]ratelimit.Limit
 	nodes    []*node
 	byName   map[string]*node
@@ -47,7 +47,7 @@
 // node is one instance.
 type node struct {
 	world  *simulation
-	place  ratelimit.Place
+	place  ratelimit.Instance
 	holder *ratelimit.Holder
 	issuer *ratelimit.Issuer
 	// epoch counts the processes, and startedAt is when the last one began.
@@ -88,7 +88,7 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // newSimulation returns instances spread over halls of two to a region.
-func newSimulation(seed uint64, division ratelimit.Division, halls, instances int, limits map[string]ratelimit.Limit) *simulation {
+func newSimulation(seed uint64, division ratelimit.Scope, halls, instances int, limits map[string]ratelimit.Limit) *simulation {
 	w := &simulation{
 		bound: ratelimit.DefaultBound, division: division, regionOf: make(map[string]string), limits: limits,
 		byName: make(map[string]*node), rnd: rand.New(rand.NewPCG(seed, 1)), now: epoch,
@@ -101,7 +101,7 @@
 	}
 	for i := range instances {
 		hall := hallName(i % halls)
-		n := &node{world: w, place: ratelimit.Place{Name: fmt.Sprintf("n%d", i), Hall: hall, Region: w.regionOf[hall]}}
+		n := &node{world: w, place: ratelimit.Instance{Name: fmt.Sprintf("n%d", i), Hall: hall, Region: w.regionOf[hall]}}
 		w.nodes = append(w.nodes, n)
 		w.byName[n.place.Name] = n
 		w.places = append(w.places, n.place)
@@ -191,16 +191,16 @@
 		return
 	}
 	n.lastID++
-	answer, asks := n.holder.Take(w.now, n.lastID, account)
+	answer, asks := n.holder.Acquire(w.now, n.lastID, account)
 	n.waiting[n.lastID] = pending{account: account, since: w.now}
 	n.finish(answer)
 	n.ask(asks)
 }
 
-func (n *node) finish(answers ...ratelimit.Answer) {
+func (n *node) finish(answers ...ratelimit.Result) {
 	w := n.world
 	for _, a := range answers {
-		if a.Verdict == ratelimit.Wait {
+		if a.Decision == ratelimit.Wait {
 			continue
 		}
 		p, ok := n.waiting[a.ID]
@@ -208,7 +208,7 @@
 			continue
 		}
 		delete(n.waiting, a.ID)
-		switch a.Verdict {
+		switch a.Decision {
 		case ratelimit.Admit:
 			w.admitted[p.account] = append(w.admitted[p.account], w.now)
 			w.waits = append(w.waits, w.now.Sub(p.since))
@@ -220,29 +220,29 @@
 	}
 }
 
-func (n *node) ask(asks []ratelimit.Ask) {
+func (n *node) ask(asks []ratelimit.PermitRequest) {
 	w := n.world
 	for _, ask := range asks {
 		askedAt := w.now
 		if ask.To.Name == n.place.Name {
-			n.issue(ask.Account, ratelimit.Claim{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
+			n.issue(ask.Account, ratelimit.IssueRequest{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
 			continue
 		}
 		n.send(ask.To.Name, &peer.PermitAsk{Account: ask.Account, From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N}, func(owner *node) {
-			owner.issue(ask.Account, ratelimit.Claim{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
+			owner.issue(ask.Account, ratelimit.IssueRequest{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
 		})
 	}
 	n.tick()
 }
 
-func (n *node) handleReply(askedAt time.Time, account, from string, issue ratelimit.Issue) {
-	answers, asks := n.holder.Hear(n.world.now, askedAt, account, from, issue)
+func (n *node) handleReply(askedAt time.Time, account, from string, issue ratelimit.Grant) {
+	answers, asks := n.holder.HandleReply(n.world.now, askedAt, account, from, issue)
 	n.finish(answers...)
 	n.ask(asks)
 }
 
 // issue answers a claim, and borrows if need be.
-func (n *node) issue(account string, c ratelimit.Claim) {
+func (n *node) issue(account string, c ratelimit.IssueRequest) {
 	w := n.world
 	reply, loans := n.issuer.Issue(w.now, account, w.limits[account], c)
 	n.reply(reply)
@@ -251,17 +251,17 @@
 }
 
 // borrow asks the owners of other domains.
-func (n *node) borrow(loans []ratelimit.Loan) {
+func (n *node) borrow(loans []ratelimit.LoanRequest) {
 	w := n.world
 	for _, loan := range loans {
 		askedAt, process := w.now, n.epoch
-		n.send(loan.From.Name, &peer.PermitAsk{Account: loan.Account, From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: loan.N, Lend: true}, func(lender *node) {
+		n.send(loan.Lender.Name, &peer.PermitAsk{Account: loan.Account, From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: loan.N, Lend: true}, func(lender *node) {
 			lent := lender.issuer.Lend(w.now, loan.Account, w.limits[loan.Account], loan.N)
 			lender.send(n.place.Name, &peer.PermitIssue{Account: loan.Account, From: lender.place.Name, At: int64(askedAt.Sub(epoch)), Issue: lent, Lend: true}, func(n *node) {
 				if n.epoch != process {
 					return
 				}
-				replies, more := n.issuer.Borrowed(w.now, askedAt, loan.Account, lender.place.Name, lent)
+				replies, more := n.issuer.HandleLoan(w.now, askedAt, loan.Account, lender.place.Name, lent)
 				n.reply(replies...)
 				n.borrow(more)
 			})
@@ -275,20 +275,20 @@
 	for _, r := range replies {
 		askedAt := epoch.Add(time.Duration(r.At))
 		if r.To == n.place.Name {
-			n.handleReply(askedAt, r.Account, n.place.Name, r.Issue)
+			n.handleReply(askedAt, r.Account, n.place.Name, r.Grant)
 			continue
 		}
 		process := n.world.byName[r.To].epoch
-		n.send(r.To, &peer.PermitIssue{Account: r.Account, From: n.place.Name, At: r.At, Issue: r.Issue}, func(to *node) {
+		n.send(r.To, &peer.PermitIssue{Account: r.Account, From: n.place.Name, At: r.At, Issue: r.Grant}, func(to *node) {
 			if to.epoch == process && !to.startedAt.After(askedAt) {
-				to.handleReply(askedAt, r.Account, n.place.Name, r.Issue)
+				to.handleReply(askedAt, r.Account, n.place.Name, r.Grant)
 			}
 		})
 	}
 }
 
 func (n *node) tick() {
-	if n.ticking || !n.holder.Due() && n.issuer.Queued() == 0 {
+	if n.ticking || !n.holder.NeedsTick() && n.issuer.Queued() == 0 {
 		return
 	}
 	n.ticking = true
--- a/ratelimit/suspension.go
+++ b/ratelimit/suspension.go
@@ -15,7 +15,7 @@
 // Tick passes over owners that have not answered in time, and asks others. It is to be called
 // often while Due says so. Silent are owners of which nothing came until they may be asked
 // again: an answer that is only late has come by then, so that the connection may carry nothing.
-func (h *Holder) Tick(now time.Time) (answers []Answer, asks []Ask, silent []string) {
+func (h *Holder) Tick(now time.Time) (answers []Result, asks []PermitRequest, silent []string) {
 	silent = h.endSuspensions(now)
 	for name, a := range h.accounts {
 		if !a.outstanding {
@@ -35,8 +35,8 @@
 	return answers, asks, silent
 }
 
-// Due tells whether an owner's answer is due, in time or late.
-func (h *Holder) Due() bool {
+// NeedsTick tells whether an owner's answer is due, in time or late.
+func (h *Holder) NeedsTick() bool {
 	if h.outstanding > 0 {
 		return true
 	}
--- a/ratelimit/suspension_test.go
+++ b/ratelimit/suspension_test.go
@@ -26,12 +26,12 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
 	h.SetOwners(twoHalls())
-	_, asks := h.Take(start, 1, "ada")
+	_, asks := h.Acquire(start, 1, "ada")
 	require.Equal(t, "n1", asks[0].To.Name)
 	late := start.Add(120 * time.Millisecond)
 	require.Empty(t, tickUntil(h, start, late))
-	h.Hear(late, start, "ada", "n1", ratelimit.Issue{N: 1, Life: time.Second})
-	h.Hear(late, start.Add(50*time.Millisecond), "ada", "n2", ratelimit.Issue{N: 1, Life: time.Second})
+	h.HandleReply(late, start, "ada", "n1", ratelimit.Grant{N: 1, Lifetime: time.Second})
+	h.HandleReply(late, start.Add(50*time.Millisecond), "ada", "n2", ratelimit.Grant{N: 1, Lifetime: time.Second})
 	require.Empty(t, tickUntil(h, late, start.Add(5*time.Second)))
 }
 
@@ -43,7 +43,7 @@
 	h.SetOwners(twoHalls())
 	for round := range 3 {
 		at := start.Add(time.Duration(round) * 10 * time.Second)
-		_, asks := h.Take(at, uint64(round), "ada")
+		_, asks := h.Acquire(at, uint64(round), "ada")
 		require.Equal(t, "n1", asks[0].To.Name)
 		require.Equal(t, []string{"n1"}, tickWithReplies(h, at, "n2"))
 	}
@@ -57,7 +57,7 @@
 		silent = append(silent, named...)
 		for _, ask := range asks {
 			if ask.To.Name == answers {
-				h.Hear(now, now, ask.Account, answers, ratelimit.Issue{N: ask.N, Life: time.Second})
+				h.HandleReply(now, now, ask.Account, answers, ratelimit.Grant{N: ask.N, Lifetime: time.Second})
 			}
 		}
 	}
--- a/seat/agent.go
+++ b/seat/agent.go
@@ -77,12 +77,12 @@
 	}
 }
 
-// Begin starts a new round of heartbeats.
-func (a *Agent) Begin(now time.Time) { a.sent.next(now) }
+// BeginRound starts a new round of heartbeats.
+func (a *Agent) BeginRound(now time.Time) { a.sent.next(now) }
 
-// Beat returns what the heartbeat of the current round says to one peer.
-func (a *Agent) Beat(now time.Time, to string) Beat {
-	b := Beat{Seq: a.sent.seq, Released: a.released(now), Retiring: a.retiring}
+// Heartbeat returns what the heartbeat of the current round says to one peer.
+func (a *Agent) Heartbeat(now time.Time, to string) Heartbeat {
+	b := Heartbeat{Seq: a.sent.seq, Released: a.released(now), Retiring: a.retiring}
 	// Peers do without the echo of one that leaves, so it must have no write
 	// under way that takes their seats.
 	b.Leaving = a.leaving && len(a.takeovers) == 0
@@ -103,8 +103,8 @@
 	return b
 }
 
-// Hear takes in a heartbeat. It may be late, doubled or out of order.
-func (a *Agent) Hear(now time.Time, from string, b Beat) {
+// HandleHeartbeat takes in a heartbeat. It may be late, doubled or out of order.
+func (a *Agent) HandleHeartbeat(now time.Time, from string, b Heartbeat) {
 	p := a.peers[from]
 	if p == nil {
 		p = &peerState{}
@@ -133,9 +133,9 @@
 	return out
 }
 
-// Learn takes in the roster at a version, as read or as written. An older one
+// ObserveRoster takes in the roster at a version, as read or as written. An older one
 // than is known is ignored.
-func (a *Agent) Learn(now time.Time, roster *Roster, version int64) {
+func (a *Agent) ObserveRoster(now time.Time, roster *Roster, version int64) {
 	if a.known && version <= a.version {
 		return
 	}
@@ -157,8 +157,8 @@
 	}
 }
 
-// LearnEmpty takes in that the platform has no roster for the hall yet.
-func (a *Agent) LearnEmpty() {
+// ObserveNoRoster takes in that the platform has no roster for the hall yet.
+func (a *Agent) ObserveNoRoster() {
 	if a.known {
 		return
 	}
@@ -216,8 +216,8 @@
 	return s.Holder == a.id && s.Term == st.Term
 }
 
-// Known tells whether the agent has read the roster.
-func (a *Agent) Known() bool { return a.known }
+// HasRoster tells whether the agent has read the roster.
+func (a *Agent) HasRoster() bool { return a.known }
 
 // Version returns the version of the roster known.
 func (a *Agent) Version() int64 { return a.version }
@@ -243,7 +243,7 @@
 	if a.renewedAt.IsZero() {
 		return time.Time{}
 	}
-	return a.renewedAt.Add(a.timing.Lease)
+	return a.renewedAt.Add(a.timing.PlatformLease)
 }
 
 // LeaseEnd returns when the instance's use of its seats ends, by the later of
@@ -263,7 +263,7 @@
 // peerLeaseEnd returns the earliest end of the grants of all other members,
 // bounded by Offline.
 func (a *Agent) peerLeaseEnd() time.Time {
-	end := a.renewedAt.Add(a.timing.Offline)
+	end := a.renewedAt.Add(a.timing.MaxOffline)
 	for _, m := range a.roster.Members {
 		if m.ID == a.id {
 			continue
@@ -279,7 +279,7 @@
 		if !ok {
 			return time.Time{}
 		}
-		if grant := at.Add(a.timing.Grant); grant.Before(end) {
+		if grant := at.Add(a.timing.PeerLease); grant.Before(end) {
 			end = grant
 		}
 	}
@@ -316,11 +316,11 @@
 
 // unresponsive tells whether a member was neither heard nor renewed of late.
 func (a *Agent) unresponsive(now time.Time, id string) bool {
-	if p := a.peers[id]; p != nil && now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.Grant) {
+	if p := a.peers[id]; p != nil && now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.PeerLease) {
 		return false
 	}
 	s, ok := a.renewals[id]
-	return !ok || now.Sub(s.at) > a.timing.takeoverWait(a.timing.Lease)
+	return !ok || now.Sub(s.at) > a.timing.takeoverWait(a.timing.PlatformLease)
 }
 
 // Held returns the seats that the instance may use at now: none once its
--- a/seat/heartbeat.go
+++ b/seat/heartbeat.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Beat is the part of a heartbeat that concerns the roster. It is made for one
+// Heartbeat is the part of a heartbeat that concerns the roster. It is made for one
 // receiver.
-type Beat struct {
+type Heartbeat struct {
 	// Seq numbers the sender's heartbeats from 1.
 	Seq uint64 `msgpack:"q"`
 	// Epoch is the latest roster epoch that the sender knows.
--- a/seat/propose.go
+++ b/seat/propose.go
@@ -83,16 +83,16 @@
 // instance's lease run low.
 func (a *Agent) writeDue(now time.Time) bool {
 	since := now.Sub(a.lastWrite)
-	if !a.lastWrite.IsZero() && since < a.timing.Renew/minWriteDivisor {
+	if !a.lastWrite.IsZero() && since < a.timing.RenewInterval/minWriteDivisor {
 		return false
 	}
 	if !a.isMember() {
 		return !a.leaving
 	}
 	if a.writer(now) == a.id {
-		return a.lastWrite.IsZero() || since >= a.timing.Renew || a.anyReleased(now)
+		return a.lastWrite.IsZero() || since >= a.timing.RenewInterval || a.anyReleased(now)
 	}
-	return since >= a.timing.Renew && now.After(a.PlatformLeaseEnd().Add(-a.timing.Lease/3))
+	return since >= a.timing.RenewInterval && now.After(a.PlatformLeaseEnd().Add(-a.timing.PlatformLease/3))
 }
 
 // minWriteDivisor gives the shortest time between two writes as a part of Renew.
@@ -121,7 +121,7 @@
 			return m.ID
 		}
 		p := a.peers[m.ID]
-		if p != nil && !p.leaving && now.Sub(p.heardAt) < a.timing.Grant {
+		if p != nil && !p.leaving && now.Sub(p.heardAt) < a.timing.PeerLease {
 			return m.ID
 		}
 	}
@@ -208,13 +208,13 @@
 // leasesOver tells whether both leases of m are leasesOver on m's own clock.
 func (a *Agent) leasesOver(now time.Time, me, m Member) bool {
 	s, ok := a.renewals[m.ID]
-	if !ok || now.Sub(s.at) <= a.timing.takeoverWait(a.timing.Lease) {
+	if !ok || now.Sub(s.at) <= a.timing.takeoverWait(a.timing.PlatformLease) {
 		return false
 	}
 	acked := m.Acked
 	if p := a.peers[m.ID]; p != nil {
 		acked = max(acked, p.epoch)
-		if now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.Grant) {
+		if now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.PeerLease) {
 			return false
 		}
 	}
@@ -223,5 +223,5 @@
 		// could not listen on its address.
 		return true
 	}
-	return now.Sub(s.at) > a.timing.takeoverWait(a.timing.Offline)
+	return now.Sub(s.at) > a.timing.takeoverWait(a.timing.MaxOffline)
 }
--- a/seat/roster.go
+++ b/seat/roster.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// Released returns the roster without members and with every seat free, for
+// Cleared returns the roster without members and with every seat free, for
 // an operator who knows that all former members have ended.
-func (r *Roster) Released() *Roster {
+func (r *Roster) Cleared() *Roster {
 	out := r.Clone()
 	for _, m := range r.Members {
 		out.remove(m.ID)
--- a/seat/seat_test.go
+++ b/seat/seat_test.go
@@ -74,16 +74,16 @@
 	a := s.agents[id]
 	if !s.platformDown[id] {
 		if s.version == 0 {
-			a.LearnEmpty()
+			a.ObserveNoRoster()
 		} else {
-			a.Learn(s.now, s.roster, s.version)
+			a.ObserveRoster(s.now, s.roster, s.version)
 		}
 	}
-	a.Begin(s.now)
+	a.BeginRound(s.now)
 	a.Tick(s.now, time.Time{})
 	for _, other := range s.order {
 		if other != id && !s.disconnected[id+other] {
-			s.agents[other].Hear(s.now, id, a.Beat(s.now, other))
+			s.agents[other].HandleHeartbeat(s.now, id, a.Heartbeat(s.now, other))
 		}
 	}
 	w := a.Propose(s.now)
@@ -94,7 +94,7 @@
 	default:
 		s.version++
 		s.roster = w.Roster
-		a.Learn(s.now, w.Roster, s.version)
+		a.ObserveRoster(s.now, w.Roster, s.version)
 	}
 }
 
@@ -122,7 +122,7 @@
 	for _, id := range s.order {
 		require.Positive(t, s.held(id), "all hear each other: all go on")
 	}
-	s.run(timing.Offline)
+	s.run(timing.MaxOffline)
 	require.Zero(t, s.held("a"), "after Offline nobody does")
 }
 
@@ -131,7 +131,7 @@
 	s.platformDown["a"], s.platformDown["b"] = true, true
 	s.run(time.Minute)
 	s.kill("b")
-	s.run(timing.Lease + timing.Grant)
+	s.run(timing.PlatformLease + timing.PeerLease)
 	require.Zero(t, s.held("a"), "b may be alive and reach the platform")
 	s.platformDown["a"] = false
 	s.run(30 * time.Second)
@@ -141,7 +141,7 @@
 func TestSingleInstanceKeepsSeatsOffline(t *testing.T) {
 	s := newSimulatedHall(t, "a")
 	s.platformDown["a"] = true
-	s.run(timing.Offline - time.Minute)
+	s.run(timing.MaxOffline - time.Minute)
 	require.Equal(t, seat.Count, s.held("a"))
 }
 
@@ -149,7 +149,7 @@
 	s := newSimulatedHall(t, "a", "b", "c")
 	s.platformDown["a"] = true
 	s.cut("a")
-	s.run(timing.Lease + time.Second)
+	s.run(timing.PlatformLease + time.Second)
 	require.Zero(t, s.held("a"))
 	s.run(30 * time.Second)
 	require.Equal(t, seat.Count, s.held("b")+s.held("c"), "the others take its seats")
@@ -180,7 +180,7 @@
 	s.run(10 * time.Minute)
 	require.Zero(t, s.held("j"), "it can't know that a and b have stopped")
 	require.Equal(t, seat.Count, s.held("a")+s.held("b"), "they go on by each other's echoes")
-	s.run(timing.Offline + time.Hour)
+	s.run(timing.MaxOffline + time.Hour)
 	require.Equal(t, seat.Count, s.held("j"), "after Offline they have stopped")
 }
 
@@ -200,7 +200,7 @@
 	s := newSimulatedHall(t, "a", "b")
 	s.platformDown["a"] = true
 	s.cut("a")
-	s.run(timing.Lease)
+	s.run(timing.PlatformLease)
 	b := s.agents["b"]
 	var w *seat.Write
 	for w == nil || len(w.Roster.Members) == 2 {
@@ -208,21 +208,21 @@
 		if w != nil {
 			s.version++
 			s.roster = w.Roster
-			b.Learn(s.now, w.Roster, s.version)
+			b.ObserveRoster(s.now, w.Roster, s.version)
 		}
-		b.Begin(s.now)
+		b.BeginRound(s.now)
 		w = b.Propose(s.now)
 		require.Less(t, s.now.Unix(), int64(1200), "b never takes over")
 	}
 	b.WriteUncertain(w)
 	a := s.agents["a"]
-	a.Begin(s.now)
-	b.Hear(s.now, "a", a.Beat(s.now, "b"))
-	require.Zero(t, b.Beat(s.now, "a").Echo, "the write may yet take effect")
-	a.Hear(s.now, "b", b.Beat(s.now, "a"))
+	a.BeginRound(s.now)
+	b.HandleHeartbeat(s.now, "a", a.Heartbeat(s.now, "b"))
+	require.Zero(t, b.Heartbeat(s.now, "a").Echo, "the write may yet take effect")
+	a.HandleHeartbeat(s.now, "b", b.Heartbeat(s.now, "a"))
 	require.Zero(t, s.held("a"))
-	b.Learn(s.now, s.roster.Clone(), s.version+1)
-	require.NotZero(t, b.Beat(s.now, "a").Echo, "a later version without the write settles it")
+	b.ObserveRoster(s.now, s.roster.Clone(), s.version+1)
+	require.NotZero(t, b.Heartbeat(s.now, "a").Echo, "a later version without the write settles it")
 }
 
 // TestPlannedStop checks that seats given back pass on without a wait for the
@@ -236,7 +236,7 @@
 		require.Less(t, s.now.Sub(began), time.Minute)
 	}
 	t.Logf("given back after %s", s.now.Sub(began))
-	require.Less(t, s.now.Sub(began), timing.Lease)
+	require.Less(t, s.now.Sub(began), timing.PlatformLease)
 	s.run(2 * time.Second)
 	require.Equal(t, seat.Count, s.held("b"))
 	_, member := s.roster.Member("a")
@@ -246,15 +246,15 @@
 // TestNonexistentSeatsAreIgnored has a peer give back seats that there are not.
 func TestNonexistentSeatsAreIgnored(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b")
-	bad := seat.Beat{Seq: 1 << 30, Released: []seat.SeatTerm{{Seat: -1}, {Seat: seat.Count}, {Seat: 1 << 40}}}
-	s.agents["a"].Hear(s.now, "b", bad)
-	s.agents["a"].Hear(s.now, "stranger", bad)
+	bad := seat.Heartbeat{Seq: 1 << 30, Released: []seat.SeatTerm{{Seat: -1}, {Seat: seat.Count}, {Seat: 1 << 40}}}
+	s.agents["a"].HandleHeartbeat(s.now, "b", bad)
+	s.agents["a"].HandleHeartbeat(s.now, "stranger", bad)
 	require.NotPanics(t, func() { s.run(10 * time.Second) })
 }
 
 func TestCleared(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b")
-	free := s.roster.Released()
+	free := s.roster.Cleared()
 	require.Empty(t, free.Members)
 	for i := range free.Seats {
 		require.Empty(t, free.Seats[i].Holder)
@@ -283,18 +283,18 @@
 			raw, err := json.Marshal(roster)
 			require.NoError(b, err)
 			a := seat.NewAgent(roster.Members[0].ID, "a", "accra-1", timing)
-			a.Learn(now, roster, 1)
+			a.ObserveRoster(now, roster, 1)
 			version := int64(1)
 			b.ReportAllocs()
 			for b.Loop() {
-				now = now.Add(timing.Renew)
-				a.Begin(now)
+				now = now.Add(timing.RenewInterval)
+				a.BeginRound(now)
 				for _, m := range roster.Members[1:] {
-					a.Hear(now, m.ID, seat.Beat{Seq: uint64(version), Epoch: int64(n)})
+					a.HandleHeartbeat(now, m.ID, seat.Heartbeat{Seq: uint64(version), Epoch: int64(n)})
 				}
 				w := a.Propose(now)
 				version++
-				a.Learn(now, w.Roster, version)
+				a.ObserveRoster(now, w.Roster, version)
 			}
 			b.ReportMetric(float64(len(raw)), "json-B")
 		})
@@ -304,11 +304,11 @@
 func ExampleAgent() {
 	now := time.Unix(0, 0)
 	a := seat.NewAgent("a", "127.0.0.1:1", "hall", seat.DefaultTiming)
-	a.LearnEmpty()
-	a.Begin(now)
+	a.ObserveNoRoster()
+	a.BeginRound(now)
 	w := a.Propose(now)
-	a.Learn(now, w.Roster, 1)
-	fmt.Println(len(a.Held(now)), "seats until", a.LeaseEnd().Sub(now) >= seat.DefaultTiming.Lease)
+	a.ObserveRoster(now, w.Roster, 1)
+	fmt.Println(len(a.Held(now)), "seats until", a.LeaseEnd().Sub(now) >= seat.DefaultTiming.PlatformLease)
 	fmt.Println(len(a.Held(a.LeaseEnd())), "after")
 	// Output:
 	// 64 seats until true
--- a/seat/timing.go
+++ b/seat/timing.go
@@ -4,14 +4,14 @@
 
 // Timing are the lengths of time that the rules of a roster use.
 type Timing struct {
-	// Renew is the time between two writes of the roster's keeper.
-	Renew time.Duration
-	// Lease is the length of a platform lease.
-	Lease time.Duration
-	// Grant is the length of a peer lease.
-	Grant time.Duration
-	// Offline is how long a peer lease may stand in for a platform lease.
-	Offline time.Duration
+	// RenewInterval is the time between two writes of the roster's keeper.
+	RenewInterval time.Duration
+	// PlatformLease is the length of a platform lease.
+	PlatformLease time.Duration
+	// PeerLease is the length of a peer lease.
+	PeerLease time.Duration
+	// MaxOffline is how long a peer lease may stand in for a platform lease.
+	MaxOffline time.Duration
 	// Window is the window of the caps: a seat changes hands one window after
 	// its last use.
 	Window time.Duration
@@ -19,11 +19,11 @@
 
 // DefaultTiming is the timing of a daemon.
 var DefaultTiming = Timing{
-	Renew:   3 * time.Second,
-	Lease:   10 * time.Second,
-	Grant:   5 * time.Second,
-	Offline: 2 * time.Hour,
-	Window:  time.Second,
+	RenewInterval: 3 * time.Second,
+	PlatformLease: 10 * time.Second,
+	PeerLease:     5 * time.Second,
+	MaxOffline:    2 * time.Hour,
+	Window:        time.Second,
 }
 
 // clockDriftDivisor bounds the difference between the rates of two clocks.
--- a/share/bench_test.go
+++ b/share/bench_test.go
@@ -40,7 +40,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				l.Observe(now, warm)
-				l.Asks(now, 2)
+				l.LoanRequests(now, 2)
 			}
 		})
 	}
--- a/share/ledger.go
+++ b/share/ledger.go
@@ -32,7 +32,7 @@
 
 // rowEntry is the state of one row.
 type rowEntry struct {
-	limiter   Meter
+	limiter   Limiter
 	ramp      Ramp
 	borrower  *Borrower
 	rowCap    int
@@ -73,31 +73,31 @@
 		named[row.Key()] = true
 		a := l.rows[row.Key()]
 		if a == nil {
-			a = &rowEntry{limiter: Meter{Window: limiterWindow}, borrower: NewBorrower(l.Terms)}
+			a = &rowEntry{limiter: Limiter{Window: limiterWindow}, borrower: NewBorrower(l.Terms)}
 			l.rows[row.Key()] = a
 		}
 		if row.Cap < a.rowCap {
 			// Units borrowed under the higher cap are in nobody's part of
 			// the lower one.
-			a.limiter.Forfeit()
+			a.limiter.DropBorrowed()
 		}
 		a.rowCap = row.Cap
-		a.ramp.SetLimits(row.Shift, row.Ramp)
-		a.hallShare = HallPart(plan, row, l.hall)
+		a.ramp.Configure(row.Shift, row.Ramp)
+		a.hallShare = HallShare(plan, row, l.hall)
 	}
 	for key, a := range l.rows {
 		if !named[key] {
 			a.hallShare = 0
 			a.rowCap = 0
-			a.limiter.Forfeit()
+			a.limiter.DropBorrowed()
 		}
 	}
 	l.updateUnits()
 }
 
-// HallPart returns the units of a row that belong to a hall of the region that
+// HallShare returns the units of a row that belong to a hall of the region that
 // the row starts in.
-func HallPart(plan *table.Plan, row table.Row, hall string) int {
+func HallShare(plan *table.Plan, row table.Row, hall string) int {
 	halls := plan.Halls(row.From)
 	for i, h := range halls {
 		if h == hall {
@@ -107,8 +107,8 @@
 	return 0
 }
 
-// SeatPart returns the units of a hall's part that belong to a seat.
-func SeatPart(hallPart, seatCount, seat int, row table.RowKey) int {
+// SeatShare returns the units of a hall's part that belong to a seat.
+func SeatShare(hallPart, seatCount, seat int, row table.RowKey) int {
 	return Split(hallPart, seatCount, seat, rowOffset(row))
 }
 
@@ -146,7 +146,7 @@
 	for key, a := range l.rows {
 		units := 0
 		for _, seat := range l.seats {
-			units += SeatPart(a.hallShare, l.SeatCount, seat, key)
+			units += SeatShare(a.hallShare, l.SeatCount, seat, key)
 		}
 		a.limiter.SetUnits(units)
 	}
@@ -170,13 +170,13 @@
 	Admitted Admission = iota
 	// NoUnits means that the units held are used up for now.
 	NoUnits
-	// Ramping means that units are free and the ramp does not permit their
+	// RampLimited means that units are free and the ramp does not permit their
 	// use yet.
-	Ramping
+	RampLimited
 )
 
-// Take decides whether a request may flow on a row now.
-func (l *Ledger) Take(now time.Time, row table.Row) Admission {
+// Admit decides whether a request may flow on a row now.
+func (l *Ledger) Admit(now time.Time, row table.Row) Admission {
 	if row.Cap == table.NoCap {
 		return Admitted
 	}
@@ -186,10 +186,10 @@
 		return NoUnits
 	}
 	used, total := a.limiter.Used(now), a.limiter.Total(now)
-	if total > 0 && used >= a.ramp.Permit(now, total) && used < total {
-		return Ramping
+	if total > 0 && used >= a.ramp.Allowed(now, total) && used < total {
+		return RampLimited
 	}
-	if !a.limiter.Take(now) {
+	if !a.limiter.Allow(now) {
 		a.unmet++
 		return NoUnits
 	}
@@ -208,13 +208,13 @@
 	}
 }
 
-// Asks returns the asks to send now, for the rows that ran out of units since
+// LoanRequests returns the asks to send now, for the rows that ran out of units since
 // the last call. Each goes to one lender, so count asks are made for a row.
-func (l *Ledger) Asks(now time.Time, count int) []Ask {
+func (l *Ledger) LoanRequests(now time.Time, count int) []LoanRequest {
 	if l.NoLoans {
 		return nil
 	}
-	var out []Ask
+	var out []LoanRequest
 	for _, key := range l.sortedRows() {
 		a := l.rows[key]
 		if a.unmet == 0 {
@@ -226,19 +226,19 @@
 	return out
 }
 
-func (l *Ledger) requestsFor(now time.Time, key table.RowKey, a *rowEntry, count int) []Ask {
+func (l *Ledger) requestsFor(now time.Time, key table.RowKey, a *rowEntry, count int) []LoanRequest {
 	nonces := make([]uint64, count)
 	for i := range nonces {
 		l.nonce++
 		nonces[i] = l.nonce
 	}
-	if !a.borrower.Ask(now, nonces...) {
+	if !a.borrower.TryRequest(now, nonces...) {
 		return nil
 	}
 	each := (a.unmet + count - 1) / count
-	out := make([]Ask, count)
+	out := make([]LoanRequest, count)
 	for i := range out {
-		out[i] = Ask{Row: key, Units: each, Nonce: nonces[i]}
+		out[i] = LoanRequest{Row: key, Units: each, Nonce: nonces[i]}
 	}
 	return out
 }
@@ -253,7 +253,7 @@
 }
 
 // Lend answers another instance's ask.
-func (l *Ledger) Lend(now time.Time, ask Ask) (Loan, bool) {
+func (l *Ledger) Lend(now time.Time, ask LoanRequest) (Loan, bool) {
 	l.expireLease(now)
 	a := l.rows[ask.Row]
 	if a == nil || l.NoLoans || l.lendingStopped {
@@ -267,11 +267,11 @@
 // StopLending ends lending, as before a planned stop.
 func (l *Ledger) StopLending() { l.lendingStopped = true }
 
-// LoansEnd returns the end of the last loan that the instance has given.
-func (l *Ledger) LoansEnd() time.Time {
+// LastLoanEnd returns the end of the last loan that the instance has given.
+func (l *Ledger) LastLoanEnd() time.Time {
 	var end time.Time
 	for _, a := range l.rows {
-		if t := a.limiter.LoansEnd(); t.After(end) {
+		if t := a.limiter.LastLoanEnd(); t.After(end) {
 			end = t
 		}
 	}
@@ -317,9 +317,9 @@
 	return out
 }
 
-// UntilUnit returns how long it takes until a unit of the row is free, at most
+// TimeToUnit returns how long it takes until a unit of the row is free, at most
 // one window.
-func (l *Ledger) UntilUnit(now time.Time, row table.RowKey) time.Duration {
+func (l *Ledger) TimeToUnit(now time.Time, row table.RowKey) time.Duration {
 	a := l.rows[row]
 	if a == nil {
 		return table.Window
--- a/share/limiter.go
+++ b/share/limiter.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Meter counts one holder's use of its units of one row. The zero value holds
+// Limiter counts one holder's use of its units of one row. The zero value holds
 // no units. It is not safe for concurrent use.
-type Meter struct {
+type Limiter struct {
 	// Window is the length of the sliding window. 0 stands for one second.
 	Window time.Duration
 
@@ -29,7 +29,7 @@
 
 const defaultWindow = time.Second
 
-func (m *Meter) window() time.Duration {
+func (m *Limiter) window() time.Duration {
 	if m.Window == 0 {
 		return defaultWindow
 	}
@@ -38,20 +38,20 @@
 
 // SetUnits sets the number of units held. A lower number takes effect at once:
 // uses within the last window and units on loan count against it.
-func (m *Meter) SetUnits(n int) { m.units = n }
+func (m *Limiter) SetUnits(n int) { m.units = n }
 
 // Units returns the number of units held, with those on loan.
-func (m *Meter) Units() int { return m.units }
+func (m *Limiter) Units() int { return m.units }
 
 // Idle returns the number of own units that were not used within the last
 // window and are not on loan. It may be negative after SetUnits.
-func (m *Meter) Idle(now time.Time) int {
+func (m *Limiter) Idle(now time.Time) int {
 	m.expire(now)
 	return m.units - m.uses.len() - m.unitsLent()
 }
 
 // Available returns the number of requests that Take would admit at now.
-func (m *Meter) Available(now time.Time) int {
+func (m *Limiter) Available(now time.Time) int {
 	free := max(m.Idle(now), 0)
 	for i := range m.borrowed {
 		free += m.borrowed[i].units - m.borrowed[i].uses.len()
@@ -60,7 +60,7 @@
 }
 
 // Used returns the number of uses within the last window.
-func (m *Meter) Used(now time.Time) int {
+func (m *Limiter) Used(now time.Time) int {
 	m.expire(now)
 	n := m.uses.len()
 	for i := range m.borrowed {
@@ -71,7 +71,7 @@
 
 // Total returns the units that may be used now: own and not lent, and
 // borrowed.
-func (m *Meter) Total(now time.Time) int {
+func (m *Limiter) Total(now time.Time) int {
 	m.expire(now)
 	n := m.units - m.unitsLent()
 	for i := range m.borrowed {
@@ -80,9 +80,9 @@
 	return max(n, 0)
 }
 
-// Take uses one unit if there is one to use, and reports whether it did.
+// Allow uses one unit if there is one to use, and reports whether it did.
 // Borrowed units go first, since they end sooner.
-func (m *Meter) Take(now time.Time) bool {
+func (m *Limiter) Allow(now time.Time) bool {
 	m.expire(now)
 	for i := range m.borrowed {
 		c := &m.borrowed[i]
@@ -100,7 +100,7 @@
 
 // Lend lends up to n idle units for a length of time that starts at now, and
 // returns how many it lent.
-func (m *Meter) Lend(now time.Time, n int, length time.Duration) int {
+func (m *Limiter) Lend(now time.Time, n int, length time.Duration) int {
 	n = min(n, m.Idle(now))
 	if n <= 0 || length <= 0 {
 		return 0
@@ -111,8 +111,8 @@
 
 // Borrow adds n units lent for a length of time, in answer to a request that
 // was sent at asked. It returns false when the loan is of no use any more.
-func (m *Meter) Borrow(now, asked time.Time, n int, length time.Duration) bool {
-	until := asked.Add(length - length/DriftDivisor - m.window())
+func (m *Limiter) Borrow(now, asked time.Time, n int, length time.Duration) bool {
+	until := asked.Add(length - length/ClockDriftDivisor - m.window())
 	if n <= 0 || !now.Before(until) {
 		return false
 	}
@@ -120,21 +120,21 @@
 	return true
 }
 
-// Forfeit gives up all borrowed units.
-func (m *Meter) Forfeit() { m.borrowed = nil }
+// DropBorrowed gives up all borrowed units.
+func (m *Limiter) DropBorrowed() { m.borrowed = nil }
 
-// DriftDivisor bounds the difference between the rates of two clocks: within
-// a time d they may differ by d/DriftDivisor.
-const DriftDivisor = 100
+// ClockDriftDivisor bounds the difference between the rates of two clocks: within
+// a time d they may differ by d/ClockDriftDivisor.
+const ClockDriftDivisor = 100
 
 // Lent returns the units on loan.
-func (m *Meter) Lent(now time.Time) int {
+func (m *Limiter) Lent(now time.Time) int {
 	m.expire(now)
 	return m.unitsLent()
 }
 
-// LoansEnd returns the end of the last loan, or the zero time.
-func (m *Meter) LoansEnd() time.Time {
+// LastLoanEnd returns the end of the last loan, or the zero time.
+func (m *Limiter) LastLoanEnd() time.Time {
 	var end time.Time
 	for _, l := range m.lent {
 		if l.until.After(end) {
@@ -144,7 +144,7 @@
 	return end
 }
 
-func (m *Meter) unitsLent() int {
+func (m *Limiter) unitsLent() int {
 	n := 0
 	for _, l := range m.lent {
 		n += l.units
@@ -154,7 +154,7 @@
 
 // expire drops what is over: uses older than a window and ended loans. A
 // credit is kept until its last use has left the window.
-func (m *Meter) expire(now time.Time) {
+func (m *Limiter) expire(now time.Time) {
 	since := now.Add(-m.window())
 	m.uses.dropThrough(since)
 	lent := m.lent[:0]
--- a/share/loan.go
+++ b/share/loan.go
@@ -7,8 +7,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Ask is a request for units of one row.
-type Ask struct {
+// LoanRequest is a request for units of one row.
+type LoanRequest struct {
 	Row   table.RowKey `msgpack:"r"`
 	Units int          `msgpack:"u"`
 	// Nonce names the ask, so that its sender finds when it was sent.
@@ -27,16 +27,16 @@
 
 // LoanTerms are the settings of borrowing and lending.
 type LoanTerms struct {
-	// Length is the length of a loan.
-	Length time.Duration
-	// AskEvery is the shortest time between two asks for one row.
-	AskEvery time.Duration
+	// Duration is the length of a loan.
+	Duration time.Duration
+	// RequestInterval is the shortest time between two asks for one row.
+	RequestInterval time.Duration
 }
 
 // DefaultLoanTerms were chosen by the measurement in docs/MEASUREMENTS.md.
 var DefaultLoanTerms = LoanTerms{
-	Length:   5 * time.Second,
-	AskEvery: 500 * time.Millisecond,
+	Duration:        5 * time.Second,
+	RequestInterval: 500 * time.Millisecond,
 }
 
 // Borrower keeps the asks of one row that are under way.
@@ -51,14 +51,14 @@
 	return &Borrower{terms: terms, requested: make(map[uint64]time.Time)}
 }
 
-// Ask tells whether to ask for more units now. If so it records the nonces of
+// TryRequest tells whether to ask for more units now. If so it records the nonces of
 // the asks that are sent.
-func (b *Borrower) Ask(now time.Time, nonces ...uint64) bool {
-	if !b.last.IsZero() && now.Sub(b.last) < b.terms.AskEvery {
+func (b *Borrower) TryRequest(now time.Time, nonces ...uint64) bool {
+	if !b.last.IsZero() && now.Sub(b.last) < b.terms.RequestInterval {
 		return false
 	}
 	for n, t := range b.requested {
-		if now.Sub(t) > b.terms.Length {
+		if now.Sub(t) > b.terms.Duration {
 			delete(b.requested, n)
 		}
 	}
@@ -72,7 +72,7 @@
 // Receive adds a loan to the meter if it answers an ask of this borrower. Each
 // ask is answered once: a copy of a loan that the network delivers twice is
 // dropped. It returns the units added.
-func (b *Borrower) Receive(now time.Time, m *Meter, loan Loan) int {
+func (b *Borrower) Receive(now time.Time, m *Limiter, loan Loan) int {
 	asked, ok := b.requested[loan.Nonce]
 	if !ok {
 		return 0
@@ -87,8 +87,8 @@
 // Lend answers an ask from the idle units of m. Keep is the number of units that
 // stay with the lender, and leaseEnd the end of the lender's own lease: no loan
 // outlives it.
-func (t LoanTerms) Lend(now time.Time, m *Meter, ask Ask, keep int, leaseEnd time.Time) (Loan, bool) {
-	length := min(t.Length, leaseEnd.Sub(now))
+func (t LoanTerms) Lend(now time.Time, m *Limiter, ask LoanRequest, keep int, leaseEnd time.Time) (Loan, bool) {
+	length := min(t.Duration, leaseEnd.Sub(now))
 	spare := min(m.Idle(now)-keep, ask.Units)
 	if length < 2*m.window() {
 		return Loan{}, false
--- a/share/modelstep_test.go
+++ b/share/modelstep_test.go
@@ -38,7 +38,7 @@
 	row := w.plans[n.plan].Table.Rows[0]
 	for range arrivals {
 		w.wanted++
-		if n.ledger.Take(n.local(w.now), row) == share.Admitted {
+		if n.ledger.Admit(n.local(w.now), row) == share.Admitted {
 			w.served++
 			w.uses = append(w.uses, w.now)
 			w.bounds = append(w.bounds, w.highestCap())
@@ -56,16 +56,16 @@
 
 func (w *simulation) heartbeat(n *modelNode) {
 	local := n.local(w.now)
-	n.agent.Begin(local)
-	n.agent.Tick(local, n.ledger.LoansEnd())
+	n.agent.BeginRound(local)
+	n.agent.Tick(local, n.ledger.LastLoanEnd())
 	w.updateSeats(n)
 	for _, peer := range w.nodes {
 		if peer == n || peer.hall != n.hall {
 			continue
 		}
-		b := n.agent.Beat(local, peer.id)
+		b := n.agent.Heartbeat(local, peer.id)
 		w.send(n, peer, func(now time.Time) {
-			peer.agent.Hear(peer.local(now), n.id, b)
+			peer.agent.HandleHeartbeat(peer.local(now), n.id, b)
 			w.updateSeats(peer)
 		})
 	}
@@ -80,7 +80,7 @@
 }
 
 func (w *simulation) requestLoans(n *modelNode) {
-	for _, a := range n.ledger.Asks(n.local(w.now), 2) {
+	for _, a := range n.ledger.LoanRequests(n.local(w.now), 2) {
 		lender := w.nodes[w.rnd.IntN(len(w.nodes))]
 		if lender == n {
 			continue
@@ -115,7 +115,7 @@
 		}
 		w.messages = append(w.messages, modelMessage{at: now.Add(5 * time.Millisecond), to: n, do: func(now time.Time) {
 			if accepted {
-				n.agent.Learn(n.local(now), write.Roster, version)
+				n.agent.ObserveRoster(n.local(now), write.Roster, version)
 			} else {
 				n.agent.WriteFailed(write)
 			}
@@ -158,7 +158,7 @@
 	}
 	obj := w.rosters[n.hall]
 	if obj == nil || obj.version == 0 {
-		n.agent.LearnEmpty()
+		n.agent.ObserveNoRoster()
 		return
 	}
 	version := obj.version
@@ -168,7 +168,7 @@
 	var roster seat.Roster
 	require.NoError(w.t, json.Unmarshal(obj.raw, &roster))
 	w.messages = append(w.messages, modelMessage{at: w.now.Add(w.between(0, 30*time.Millisecond)), to: n, do: func(now time.Time) {
-		n.agent.Learn(n.local(now), &roster, version)
+		n.agent.ObserveRoster(n.local(now), &roster, version)
 		w.updateSeats(n)
 	}})
 }
--- a/share/ramp.go
+++ b/share/ramp.go
@@ -11,8 +11,8 @@
 // Rising in bounded steps and watching between them follows Taiji (Xu et al.,
 // SOSP 2019) and Maelstrom (Veeraraghavan et al., OSDI 2018).
 type Ramp struct {
-	// Shift is a step in percent of the units. 0 and 100 permit everything.
-	Shift int
+	// Step is a step in percent of the units. 0 and 100 permit everything.
+	Step int
 	// Period is the time between steps.
 	Period time.Duration
 
@@ -28,15 +28,15 @@
 	fallPercent = 20
 )
 
-// SetLimits changes the step and the period. The level reached is kept.
-func (r *Ramp) SetLimits(shift int, period time.Duration) {
-	r.Shift = shift
+// Configure changes the step and the period. The level reached is kept.
+func (r *Ramp) Configure(shift int, period time.Duration) {
+	r.Step = shift
 	r.Period = period
 }
 
-// Permit returns how many of total units may be used within one window at now.
+// Allowed returns how many of total units may be used within one window at now.
 // It is at least 1 when total is.
-func (r *Ramp) Permit(now time.Time, total int) int {
+func (r *Ramp) Allowed(now time.Time, total int) int {
 	if r.unlimited() {
 		return total
 	}
@@ -49,7 +49,7 @@
 	if r.unlimited() {
 		return fullLevel
 	}
-	return max(r.level, r.Shift)
+	return max(r.level, r.Step)
 }
 
 // Observe reports the units used within the window that ends at now, out of
@@ -72,22 +72,22 @@
 }
 
 func (r *Ramp) unlimited() bool {
-	return r.Shift <= 0 || r.Shift >= fullLevel
+	return r.Step <= 0 || r.Step >= fullLevel
 }
 
 func (r *Ramp) start(now time.Time) {
 	if r.started.IsZero() {
 		r.started = now
-		r.level = r.Shift
+		r.level = r.Step
 	}
 }
 
 func (r *Ramp) step(warm bool) {
 	switch {
 	case r.peak >= risePercent && warm:
-		r.level = min(r.level+r.Shift, fullLevel)
+		r.level = min(r.level+r.Step, fullLevel)
 	case r.peak < fallPercent:
-		r.level = max(r.level-r.Shift, r.Shift)
+		r.level = max(r.level-r.Step, r.Step)
 	}
 }
 
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -53,7 +53,7 @@
 // TestLimiterAgainstNaive compares the meter with a count over all past uses.
 func TestLimiterAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &share.Meter{}
+		m := &share.Limiter{}
 		now := time.Unix(0, 0)
 		units := 0
 		var uses []time.Time
@@ -69,7 +69,7 @@
 					recent++
 				}
 			}
-			require.Equal(t, recent < units, m.Take(now))
+			require.Equal(t, recent < units, m.Allow(now))
 			if recent < units {
 				uses = append(uses, now)
 			}
@@ -82,8 +82,8 @@
 type loanPair struct {
 	now      time.Time
 	rnd      *rand.Rand
-	lender   share.Meter
-	borrower share.Meter
+	lender   share.Limiter
+	borrower share.Limiter
 	requests *share.Borrower
 	wire     []delivery
 	uses     []time.Time
@@ -128,17 +128,17 @@
 	p.wire = append(p.wire, later...)
 	theirs := p.now.Add(borrowerAhead)
 	for range p.rnd.IntN(2) {
-		if p.lender.Take(p.now) {
+		if p.lender.Allow(p.now) {
 			p.uses = append(p.uses, p.now)
 		}
 	}
 	for range p.rnd.IntN(3) {
-		if p.borrower.Take(theirs) {
+		if p.borrower.Allow(theirs) {
 			p.uses = append(p.uses, p.now)
 		}
 	}
-	if p.requests.Ask(theirs, nonce) {
-		ask := share.Ask{Units: 3, Nonce: nonce}
+	if p.requests.TryRequest(theirs, nonce) {
+		ask := share.LoanRequest{Units: 3, Nonce: nonce}
 		p.send(func() {
 			loan, ok := share.DefaultLoanTerms.Lend(p.now, &p.lender, ask, 2, p.now.Add(time.Hour))
 			if ok {
@@ -183,10 +183,10 @@
 	l.SetPlan(plan)
 	start := time.Unix(0, 0)
 	l.SetSeats([]int{0, 1, 2}, start.Add(10*time.Second))
-	require.Equal(t, share.Admitted, l.Take(start, row))
-	require.Equal(t, share.Admitted, l.Take(start.Add(10*time.Second-1), row))
-	require.Equal(t, share.NoUnits, l.Take(start.Add(10*time.Second), row))
-	_, lent := l.Lend(start.Add(10*time.Second), share.Ask{Row: row.Key(), Units: 1})
+	require.Equal(t, share.Admitted, l.Admit(start, row))
+	require.Equal(t, share.Admitted, l.Admit(start.Add(10*time.Second-1), row))
+	require.Equal(t, share.NoUnits, l.Admit(start.Add(10*time.Second), row))
+	_, lent := l.Lend(start.Add(10*time.Second), share.LoanRequest{Row: row.Key(), Units: 1})
 	require.False(t, lent)
 }
 
@@ -213,10 +213,10 @@
 	used := 0
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		if poor.Take(now, row) == share.Admitted {
+		if poor.Admit(now, row) == share.Admitted {
 			used++
 		}
-		for _, ask := range poor.Asks(now, 1) {
+		for _, ask := range poor.LoanRequests(now, 1) {
 			if loan, ok := rich.Lend(now, ask); ok {
 				poor.Receive(now, loan)
 			}
@@ -228,45 +228,45 @@
 
 func TestRampRisesInSteps(t *testing.T) {
 	const total = 100
-	r := &share.Ramp{Shift: 25, Period: time.Second}
+	r := &share.Ramp{Step: 25, Period: time.Second}
 	now := time.Unix(0, 0)
 	for i, want := range []int{25, 50, 75, 100, 100} {
-		require.Equal(t, want, r.Permit(now, total), "step %d", i)
+		require.Equal(t, want, r.Allowed(now, total), "step %d", i)
 		r.Observe(now, want, total, true)
 		now = now.Add(time.Second)
 		r.Observe(now, want, total, true)
 	}
-	cold := &share.Ramp{Shift: 25, Period: time.Second}
+	cold := &share.Ramp{Step: 25, Period: time.Second}
 	for range 5 {
-		cold.Observe(now, cold.Permit(now, total), total, false)
+		cold.Observe(now, cold.Allowed(now, total), total, false)
 		now = now.Add(time.Second)
 	}
-	require.Equal(t, 25, cold.Permit(now, total), "a cold destination holds the next step back and does not fold the row up")
-	require.Equal(t, 1, (&share.Ramp{Shift: 10, Period: time.Second}).Permit(now, 1), "a tiny row can be used")
+	require.Equal(t, 25, cold.Allowed(now, total), "a cold destination holds the next step back and does not fold the row up")
+	require.Equal(t, 1, (&share.Ramp{Step: 10, Period: time.Second}).Allowed(now, 1), "a tiny row can be used")
 }
 
 func BenchmarkLimiterAllow(b *testing.B) {
 	for _, units := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("units%d", units), func(b *testing.B) {
-			m := &share.Meter{}
+			m := &share.Limiter{}
 			m.SetUnits(units)
 			now := time.Unix(0, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				m.Take(now)
+				m.Allow(now)
 			}
 		})
 	}
 }
 
-func ExampleMeter() {
-	m := &share.Meter{}
+func ExampleLimiter() {
+	m := &share.Limiter{}
 	m.SetUnits(2)
 	start := time.Unix(0, 0)
 	for _, ms := range []int{0, 300, 600, 1000, 1300} {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		fmt.Println(ms, m.Take(now))
+		fmt.Println(ms, m.Allow(now))
 	}
 	// Output:
 	// 0 true
--- a/upstream/away.go
+++ b/upstream/away.go
@@ -20,7 +20,7 @@
 // be used by it again, and counts for when its caller should come back.
 func (p *Pool) awayFor(now time.Time, r *Request) (away, bool) {
 	var first away
-	if held := p.versions.heldUntil; !held.IsZero() && held.Sub(now) <= r.Patience {
+	if held := p.versions.heldUntil; !held.IsZero() && held.Sub(now) <= r.QueueTimeout {
 		return away{}, false
 	}
 	soon := false
@@ -29,7 +29,7 @@
 			return
 		}
 		cause, until := t.back(now)
-		soon = !r.avoids(t.spec.ID) && until.Sub(now) <= r.Patience
+		soon = !r.avoids(t.spec.ID) && until.Sub(now) <= r.QueueTimeout
 		if !first.any || until.Before(first.until) {
 			first = away{any: true, cause: cause, until: until}
 		}
@@ -81,15 +81,15 @@
 	return time.Duration(restSpread * float64(left))
 }
 
-// Away refuses a request none of whose targets will be back before its patience is over, and
+// RefuseIfUnavailable refuses a request none of whose targets will be back before its patience is over, and
 // tells its caller when the first of them will be. To hold the request until then would only keep
 // the caller from trying elsewhere.
-func (p *Pool) Away(now time.Time, r Request) (Decision, bool) {
+func (p *Pool) RefuseIfUnavailable(now time.Time, r Request) (Decision, bool) {
 	first, known := p.awayFor(now, &r)
 	if !known {
 		return Decision{}, false
 	}
-	refusal := Decision{Verdict: Refuse, Reason: ReasonNoTarget, RetryAfter: p.retryAfter(r.ID)}
+	refusal := Decision{Action: Refuse, Reason: ReasonNoTarget, RetryAfter: p.retryAfter(r.ID)}
 	if !first.any {
 		return refusal, true
 	}
@@ -102,7 +102,7 @@
 		return refusal, true
 	}
 	drawn := mix.Unit(mix.Join(r.ID, mix.Join(p.salt, p.salt)))
-	refusal.Reason = ReasonResting
+	refusal.Reason = ReasonBackoff
 	refusal.RetryAfter += left + time.Duration(drawn*float64(spreadFor(r.Priority, left)))
 	return refusal, true
 }
--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -32,7 +32,7 @@
 			for i := 0; b.Loop(); i++ {
 				now = now.Add(time.Millisecond)
 				d := p.Acquire(now, requests[i%len(requests)])
-				p.Release(now, d.Target.ID, upstream.Result{Took: 100 * time.Millisecond})
+				p.Release(now, d.Target.ID, upstream.Result{Latency: 100 * time.Millisecond})
 			}
 		})
 	}
--- a/upstream/census.go
+++ b/upstream/census.go
@@ -17,8 +17,8 @@
 	StateCold State = "cold"
 	// StateSuspect targets get nothing for a while, or single requests.
 	StateSuspect State = "suspect"
-	// StateResting targets have asked to get nothing for a while.
-	StateResting State = "resting"
+	// StateBackoff targets have asked to get nothing for a while.
+	StateBackoff State = "resting"
 	// StateLeaving targets state that they leave, are drained, or are gone from the list.
 	StateLeaving State = "leaving"
 	// StateEvacuated targets are in a hall that is to get nothing.
@@ -27,23 +27,23 @@
 	StateReplaced State = "replaced"
 )
 
-// Group is a hall's targets in one state.
-type Group struct {
+// HallState is a hall's targets in one state.
+type HallState struct {
 	Hall  string
 	State State
 }
 
-// Count is the number of targets of a group and of the requests of this instance
+// StateCount is the number of targets of a group and of the requests of this instance
 // in flight there.
-type Count struct {
+type StateCount struct {
 	Targets, InFlight int
 }
 
-// Census counts the targets by hall and state.
-func (p *Pool) Census(now time.Time) map[Group]Count {
-	census := make(map[Group]Count)
+// TargetCounts counts the targets by hall and state.
+func (p *Pool) TargetCounts(now time.Time) map[HallState]StateCount {
+	census := make(map[HallState]StateCount)
 	for _, t := range p.byID {
-		group := Group{Hall: t.spec.Hall, State: t.standing(now)}
+		group := HallState{Hall: t.spec.Hall, State: t.standing(now)}
 		n := census[group]
 		n.Targets++
 		n.InFlight += t.inFlight
@@ -62,7 +62,7 @@
 	case availability.CauseEvacuated:
 		return StateEvacuated
 	case availability.CauseBackoff:
-		return StateResting
+		return StateBackoff
 	case availability.CauseSuspected, availability.CausePaused:
 		return StateSuspect
 	}
--- a/upstream/choose.go
+++ b/upstream/choose.go
@@ -58,7 +58,7 @@
 		return c
 	}
 	chooseIn := p.chooseIn
-	if !r.Alone && p.limitsBindIn(now, r, drawn) {
+	if !r.Isolated && p.limitsBindIn(now, r, drawn) {
 		chooseIn = p.chooseSpare
 	}
 	for _, region := range pl.regions {
@@ -77,7 +77,7 @@
 // so that a key whose first target can't be used for a moment goes to its second one, which
 // knows the object. Only if neither can be used is the ranking made anew over those that can.
 func (p *Pool) chooseIn(now time.Time, r *Request, region string) candidate {
-	if r.Alone {
+	if r.Isolated {
 		return p.chooseAlone(now, r, region)
 	}
 	ranking := p.rank(r, region, p.holding(now))
@@ -125,7 +125,7 @@
 	ranker := affinity.NewRanker(r.Key)
 	for i, t := range p.targetsOf(r, region) {
 		if !r.avoids(t.spec.ID) && eligible(t) {
-			ranker.Offer(i, t.group, t.hash, t.weight)
+			ranker.Add(i, t.group, t.hash, t.weight)
 		}
 	}
 	return ranker.Ranking(p.preferred(r, region))
@@ -175,7 +175,7 @@
 	if place > 0 {
 		return ReasonLoad
 	}
-	return ReasonFirst
+	return ReasonFirstChoice
 }
 
 // preferred returns the group of the own hall, if it is in the region, for requests that
--- a/upstream/contact.go
+++ b/upstream/contact.go
@@ -11,10 +11,10 @@
 	t.contact.touchedAt = now
 }
 
-// Forget drops what is known of permits that nobody asks for, and of targets of which nothing was heard
+// Expire drops what is known of permits that nobody asks for, and of targets of which nothing was heard
 // for as long as a key is taken to be remembered, unless that would make them look better than they are.
-func (p *Pool) Forget(now time.Time) {
-	p.permits.Forget(now)
+func (p *Pool) Expire(now time.Time) {
+	p.permits.EvictIdle(now)
 	kept := p.touched[:0]
 	for _, t := range p.touched {
 		switch {
--- a/upstream/event.go
+++ b/upstream/event.go
@@ -7,21 +7,21 @@
 
 // The kinds.
 const (
-	// Suspected targets get nothing until a time, then one request that
+	// EventSuspected targets get nothing until a time, then one request that
 	// tries them.
-	Suspected EventKind = "suspected"
-	// Trusted targets have answered after a suspicion.
-	Trusted EventKind = "trusted"
-	// Taken means that another server has answered at the address.
-	Taken EventKind = "replaced"
-	// Chilled targets are cold until a time.
-	Chilled EventKind = "cold"
-	// Paused targets have rejected a request and get none for a moment.
-	Paused EventKind = "paused"
-	// Resting targets have asked to get nothing until a time.
-	Resting EventKind = "resting"
-	// Leaving targets have said themselves that they leave.
-	Leaving EventKind = "leaving"
+	EventSuspected EventKind = "suspected"
+	// EventRecovered targets have answered after a suspicion.
+	EventRecovered EventKind = "trusted"
+	// EventReplaced means that another server has answered at the address.
+	EventReplaced EventKind = "replaced"
+	// EventCold targets are cold until a time.
+	EventCold EventKind = "cold"
+	// EventPaused targets have rejected a request and get none for a moment.
+	EventPaused EventKind = "paused"
+	// EventBackoff targets have asked to get nothing until a time.
+	EventBackoff EventKind = "resting"
+	// EventLeaving targets have said themselves that they leave.
+	EventLeaving EventKind = "leaving"
 )
 
 // Event is a change in what a pool believes of a target, with what decided it.
@@ -52,19 +52,19 @@
 	event := Event{Target: t.spec.ID, Cause: cause, InFlight: t.inFlight, Failures: t.contact.failures}
 	switch {
 	case after.replaced && !before.replaced:
-		event.Kind = Taken
+		event.Kind = EventReplaced
 	case after.leaves && !before.leaves:
-		event.Kind = Leaving
+		event.Kind = EventLeaving
 	case after.restUntil.After(before.restUntil):
-		event.Kind, event.Until = Resting, after.restUntil
+		event.Kind, event.Until = EventBackoff, after.restUntil
 	case after.suspectUntil.After(before.suspectUntil):
-		event.Kind, event.Until = Suspected, after.suspectUntil
+		event.Kind, event.Until = EventSuspected, after.suspectUntil
 	case before.suspected && !after.suspected:
-		event.Kind = Trusted
+		event.Kind = EventRecovered
 	case after.coldUntil.After(before.coldUntil):
-		event.Kind, event.Until = Chilled, after.coldUntil
+		event.Kind, event.Until = EventCold, after.coldUntil
 	case after.pausedUntil.After(before.pausedUntil):
-		event.Kind, event.Until = Paused, after.pausedUntil
+		event.Kind, event.Until = EventPaused, after.pausedUntil
 	default:
 		return
 	}
@@ -93,7 +93,7 @@
 
 var outcomeNames = map[Outcome]string{
 	Answered: "answered", Rejected: "rejected", Replaced: "replaced", Unreachable: "unreachable",
-	Broken: "broken", Silent: "silent", Abandoned: "abandoned",
+	Broken: "broken", TimedOut: "silent", Abandoned: "abandoned",
 }
 
 // String returns the name of the outcome in logs.
--- a/upstream/limit_model_test.go
+++ b/upstream/limit_model_test.go
@@ -37,16 +37,16 @@
 func newLimitModel(regionOf map[string]string, seed uint64, instances, targets int) *limitModel {
 	m := &limitModel{restModel: newRestModelIn(regionOf, seed, instances, targets), names: make(map[string]int), limits: make(map[availability.ID]float64),
 		named: make(map[string]float64), came: make(map[string][]time.Time)}
-	var places []ratelimit.Place
+	var places []ratelimit.Instance
 	for i := range instances {
 		name := fmt.Sprint("n-", i)
 		m.names[name] = i
-		places = append(places, ratelimit.Place{Name: name, Hall: m.poolHall[i], Region: regionOf[m.poolHall[i]]})
+		places = append(places, ratelimit.Instance{Name: name, Hall: m.poolHall[i], Region: regionOf[m.poolHall[i]]})
 	}
 	for i := range instances {
-		owners := ratelimit.NewPlacedOwners(places[i], regionOf, places)
+		owners := ratelimit.NewHallOwners(places[i], regionOf, places)
 		m.pools[i].SetLimitOwners(owners)
-		issuer := ratelimit.NewPlacedIssuer(start.Add(-time.Minute), false)
+		issuer := ratelimit.NewHallIssuer(start.Add(-time.Minute), false)
 		issuer.SetOwners(start.Add(-time.Minute), owners)
 		m.issuers = append(m.issuers, issuer)
 		m.issue(i)
@@ -78,7 +78,7 @@
 		told := availability.RateLimitList{{ID: id, PerSecond: perSecond, Removed: !limited}}
 		for i := range m.pools {
 			m.after(modelToldAfter, func() {
-				_, grants := m.pools[i].HearLimits(m.now, told, availability.SourcePeer)
+				_, grants := m.pools[i].ApplyRateLimits(m.now, told, availability.SourcePeer)
 				m.grant(i, grants)
 			})
 		}
@@ -88,9 +88,9 @@
 
 // ask sends the questions of an instance.
 func (m *limitModel) ask(i int) {
-	for _, ask := range m.pools[i].TakeAsks() {
+	for _, ask := range m.pools[i].TakePermitRequests() {
 		to := m.names[ask.To.Name]
-		claim := ratelimit.Claim{From: fmt.Sprint("n-", i), At: m.now.UnixNano(), N: ask.N}
+		claim := ratelimit.IssueRequest{From: fmt.Sprint("n-", i), At: m.now.UnixNano(), N: ask.N}
 		m.messages++
 		m.after(m.way(m.poolHall[i], m.poolHall[to]), func() {
 			limit, ok := m.limitOf(ask.Account)
@@ -106,7 +106,7 @@
 func (m *limitModel) limitOf(name string) (ratelimit.Limit, bool) {
 	for id := range m.targets {
 		hall := m.hallOf[id]
-		if ratelimit.PlacedName(hall, id) == name {
+		if ratelimit.HallLimitName(hall, id) == name {
 			perSecond, ok := m.limits[availability.IDOf(id)]
 			return ratelimit.Limit{Rate: perSecond, Burst: perSecond / 4}, ok
 		}
@@ -118,7 +118,7 @@
 	m.messages++
 	to := m.names[r.To]
 	m.after(m.way(m.poolHall[from], m.poolHall[to]), func() {
-		m.grant(to, m.pools[to].HearPermits(m.now, time.Unix(0, r.At), r.Account, fmt.Sprint("n-", from), r.Issue))
+		m.grant(to, m.pools[to].ReceivePermits(m.now, time.Unix(0, r.At), r.Account, fmt.Sprint("n-", from), r.Grant))
 	})
 }
 
--- a/upstream/limited.go
+++ b/upstream/limited.go
@@ -31,8 +31,8 @@
 	since  time.Time
 }
 
-// Limited is a target that has named a limit.
-type Limited struct {
+// LimitedTarget is a target that has named a limit.
+type LimitedTarget struct {
 	ID, Hall string
 	// PerSecond is the number of requests a second that it takes from all instances together.
 	PerSecond float64
@@ -40,19 +40,19 @@
 	Since     time.Time
 	// Owner is the instance that was last asked for permits, Got the rate at which they came
 	// here, and Used that at which they were spent, in 1/s.
-	Owner     string
-	Got, Used float64
+	Owner                string
+	PermitRate, UsedRate float64
 }
 
 // permitted tells whether a request may be sent as far as the target's limit is concerned.
 func (t *target) permitted(now time.Time) bool {
-	return t.limited == nil || t.permits.Free(now, t.limited.name) > 0
+	return t.limited == nil || t.permits.Available(now, t.limited.name) > 0
 }
 
 // spares tells whether a request that any other target could serve as well may be sent: one that
 // takes the permit of a request whose object the target has would run without its own.
 func (t *target) spares(now time.Time) bool {
-	return t.limited == nil || t.permits.Spare(now, t.limited.name)
+	return t.limited == nil || t.permits.HasSpare(now, t.limited.name)
 }
 
 // capacity is the number of slots that the target's limit lets it use, at the usual time of an
@@ -68,10 +68,10 @@
 // SetLimitOwners takes in who issues the permits of targets' limits.
 func (p *Pool) SetLimitOwners(owners *ratelimit.Owners) { p.permits.SetOwners(owners) }
 
-// HearLimits takes in the limits that targets have named, to this or to another instance, and
+// ApplyRateLimits takes in the limits that targets have named, to this or to another instance, and
 // which of them have ended. It returns the IDs of the targets of the pool whose limits changed,
 // and the grants that this makes possible.
-func (p *Pool) HearLimits(now time.Time, limits availability.RateLimitList, source availability.Source) ([]string, []Grant) {
+func (p *Pool) ApplyRateLimits(now time.Time, limits availability.RateLimitList, source availability.Source) ([]string, []Grant) {
 	var changed []string
 	for _, limit := range limits {
 		if limit.Removed {
@@ -100,7 +100,7 @@
 		p.setLimited(t, nil)
 		return had
 	case t.limited == nil:
-		name := ratelimit.PlacedName(t.spec.Hall, t.spec.ID)
+		name := ratelimit.HallLimitName(t.spec.Hall, t.spec.ID)
 		p.setLimited(t, &limited{perSecond: known.PerSecond, name: name, source: source, since: now.Add(-known.Age)})
 		return true
 	case t.limited.perSecond == known.PerSecond:
@@ -124,20 +124,20 @@
 	t.limited = limit
 }
 
-// Limited returns the targets that have named a limit, in the order of their IDs.
-func (p *Pool) Limited(now time.Time) []Limited {
-	var out []Limited
+// LimitedTargets returns the targets that have named a limit, in the order of their IDs.
+func (p *Pool) LimitedTargets(now time.Time) []LimitedTarget {
+	var out []LimitedTarget
 	for _, t := range p.limited {
-		got, used, owner := p.permits.Use(now, t.limited.name)
-		out = append(out, Limited{ID: t.spec.ID, Hall: t.spec.Hall, PerSecond: t.limited.perSecond, Source: t.limited.source,
-			Since: t.limited.since, Owner: owner, Got: got, Used: used})
+		got, used, owner := p.permits.Rates(now, t.limited.name)
+		out = append(out, LimitedTarget{ID: t.spec.ID, Hall: t.spec.Hall, PerSecond: t.limited.perSecond, Source: t.limited.source,
+			Since: t.limited.since, Owner: owner, PermitRate: got, UsedRate: used})
 	}
 	return out
 }
 
 // want asks for a permit of a target that a request would be sent to if there were one.
 func (p *Pool) want(now time.Time, t *target) {
-	p.asks = append(p.asks, p.permits.Want(now, t.limited.name)...)
+	p.asks = append(p.asks, p.permits.Request(now, t.limited.name)...)
 }
 
 // wantAny asks for permits of those of some targets that only their limits keep from a request.
@@ -152,7 +152,7 @@
 // awaits tells whether a request waits for a permit of its key's first target in place of going to
 // another one.
 func (p *Pool) awaits(now time.Time, r *Request, t *target) bool {
-	return now.Sub(r.since) < min(permitPatience, r.Patience) && p.permits.AsksNear(t.limited.name)
+	return now.Sub(r.since) < min(permitPatience, r.QueueTimeout) && p.permits.AwaitsSameRegion(t.limited.name)
 }
 
 // spend takes the permit of a request that is sent to a target, and returns until when it may be
@@ -161,7 +161,7 @@
 	if t.limited == nil {
 		return time.Time{}
 	}
-	until, asks, _ := p.permits.Spend(now, t.limited.name)
+	until, asks, _ := p.permits.TryAcquire(now, t.limited.name)
 	p.asks = append(p.asks, asks...)
 	return until
 }
@@ -169,44 +169,44 @@
 // returnPermit gives back the permit of a request that was not sent.
 func (p *Pool) returnPermit(now time.Time, t *target, r Result) {
 	if r.NotSent && t.limited != nil {
-		p.permits.Return(now, t.limited.name, r.Sent.PermitUntil)
+		p.permits.Release(now, t.limited.name, r.SendState.PermitExpiry)
 	}
 }
 
-// HearPermits takes in the answer of an owner to a question for permits that was asked at a time,
+// ReceivePermits takes in the answer of an owner to a question for permits that was asked at a time,
 // and returns the grants that this makes possible.
-func (p *Pool) HearPermits(now, askedAt time.Time, name, from string, issue ratelimit.Issue) []Grant {
-	_, asks := p.permits.Hear(now, askedAt, name, from, issue)
+func (p *Pool) ReceivePermits(now, askedAt time.Time, name, from string, issue ratelimit.Grant) []Grant {
+	_, asks := p.permits.HandleReply(now, askedAt, name, from, issue)
 	p.asks = append(p.asks, asks...)
 	return p.dispatch(now)
 }
 
 // OwnerUnreachable takes in that no connection to an instance could be had.
 func (p *Pool) OwnerUnreachable(now time.Time, owner string) {
-	_, asks := p.permits.Unreachable(now, owner)
+	_, asks := p.permits.OwnerUnreachable(now, owner)
 	p.asks = append(p.asks, asks...)
 }
 
-// TakeAsks returns the questions for permits since the last call.
-func (p *Pool) TakeAsks() []ratelimit.Ask {
+// TakePermitRequests returns the questions for permits since the last call.
+func (p *Pool) TakePermitRequests() []ratelimit.PermitRequest {
 	asks := p.asks
 	p.asks = nil
 	return asks
 }
 
-// TakeSilent returns the owners that have been found not to answer since the last call.
-func (p *Pool) TakeSilent() []string {
+// TakeUnresponsiveOwners returns the owners that have been found not to answer since the last call.
+func (p *Pool) TakeUnresponsiveOwners() []string {
 	silent := p.silent
 	p.silent = nil
 	return silent
 }
 
-// AwaitsOwners tells whether an answer of an owner is due.
-func (p *Pool) AwaitsOwners() bool { return p.permits.Due() }
+// AwaitingPermits tells whether an answer of an owner is due.
+func (p *Pool) AwaitingPermits() bool { return p.permits.NeedsTick() }
 
 // tickPermits asks others in place of owners that have not answered in time.
 func (p *Pool) tickPermits(now time.Time) {
-	if !p.permits.Due() {
+	if !p.permits.NeedsTick() {
 		return
 	}
 	_, asks, silent := p.permits.Tick(now)
@@ -272,7 +272,7 @@
 
 // refuse is the refusal of a request that has no target.
 func (p *Pool) refuse(now time.Time, r *Request, reason Reason) Decision {
-	d := Decision{Verdict: Refuse, Reason: reason, RetryAfter: p.retryAfter(r.ID)}
+	d := Decision{Action: Refuse, Reason: reason, RetryAfter: p.retryAfter(r.ID)}
 	if reason != ReasonNoTarget && reason != ReasonLimited || len(p.limits) == 0 || !p.limitsBind(now, r) {
 		return d
 	}
--- a/upstream/limited_test.go
+++ b/upstream/limited_test.go
@@ -29,9 +29,9 @@
 		}
 	}
 	p.SetTargets(start, specs, nil)
-	p.HearLimits(start, limits, availability.SourcePeer)
-	self := ratelimit.Place{Name: "i1", Hall: "a1", Region: "a"}
-	p.SetLimitOwners(ratelimit.NewPlacedOwners(self, halls, []ratelimit.Place{self}))
+	p.ApplyRateLimits(start, limits, availability.SourcePeer)
+	self := ratelimit.Instance{Name: "i1", Hall: "a1", Region: "a"}
+	p.SetLimitOwners(ratelimit.NewHallOwners(self, halls, []ratelimit.Instance{self}))
 	return p
 }
 
@@ -54,9 +54,9 @@
 	busy := map[string]int{"t-b10": 0, "t-b11": 0, "t-b12": 0}
 	for range 40 {
 		r := request(key)
-		r.Alone = true
+		r.Isolated = true
 		d := p.Acquire(start, r)
-		if d.Verdict != upstream.Send {
+		if d.Action != upstream.Send {
 			break
 		}
 		require.Equal(t, "b", d.Target.Region, "no permit has come")
@@ -75,27 +75,27 @@
 	spec := &catalog.Target{ID: "t", Service: "s", Addr: "x", Hall: "a1", Slots: 5}
 	p.SetTargets(start, []*catalog.Target{spec}, nil)
 	before := p.Acquire(start, request("k"))
-	require.Equal(t, upstream.Send, before.Verdict)
-	require.True(t, p.May(start, "t", before.Sent))
-	p.HearLimits(start, availability.RateLimitList{{ID: availability.IDOf("t"), Version: 1, PerSecond: 1}}, availability.SourceTarget)
-	require.False(t, p.May(start, "t", before.Sent), "granted before the limit was known")
-	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, Sent: before.Sent})
+	require.Equal(t, upstream.Send, before.Action)
+	require.True(t, p.MaySend(start, "t", before.SendState))
+	p.ApplyRateLimits(start, availability.RateLimitList{{ID: availability.IDOf("t"), Version: 1, PerSecond: 1}}, availability.SourceTarget)
+	require.False(t, p.MaySend(start, "t", before.SendState), "granted before the limit was known")
+	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: before.SendState})
 
-	self := ratelimit.Place{Name: "i1", Hall: "a1", Region: "a"}
-	p.SetLimitOwners(ratelimit.NewPlacedOwners(self, halls, []ratelimit.Place{self}))
+	self := ratelimit.Instance{Name: "i1", Hall: "a1", Region: "a"}
+	p.SetLimitOwners(ratelimit.NewHallOwners(self, halls, []ratelimit.Instance{self}))
 	waits := request("k")
 	waits.ID = 1
-	require.Equal(t, upstream.Wait, p.Acquire(start, waits).Verdict)
-	asks := p.TakeAsks()
+	require.Equal(t, upstream.Wait, p.Acquire(start, waits).Action)
+	asks := p.TakePermitRequests()
 	require.Len(t, asks, 1)
-	grants := p.HearPermits(start, asks[0].At, asks[0].Account, "i1", ratelimit.Issue{N: 1, Life: time.Second})
+	grants := p.ReceivePermits(start, asks[0].At, asks[0].Account, "i1", ratelimit.Grant{N: 1, Lifetime: time.Second})
 	require.Len(t, grants, 1)
 	granted := grants[0].Decision
-	require.True(t, p.May(start, "t", granted.Sent))
-	require.False(t, p.May(start.Add(time.Second), "t", granted.Sent), "its permit has ended")
-	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, Sent: granted.Sent})
+	require.True(t, p.MaySend(start, "t", granted.SendState))
+	require.False(t, p.MaySend(start.Add(time.Second), "t", granted.SendState), "its permit has ended")
+	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: granted.SendState})
 	again := p.Acquire(start, request("k"))
-	require.Equal(t, upstream.Send, again.Verdict, "the permit has gone back")
-	p.Release(start, "t", upstream.Result{Outcome: upstream.Answered, Sent: again.Sent})
-	require.Equal(t, upstream.Wait, p.Acquire(start, request("k")).Verdict, "it is spent")
+	require.Equal(t, upstream.Send, again.Action, "the permit has gone back")
+	p.Release(start, "t", upstream.Result{Outcome: upstream.Answered, SendState: again.SendState})
+	require.Equal(t, upstream.Wait, p.Acquire(start, request("k")).Action, "it is spent")
 }
--- a/upstream/listing.go
+++ b/upstream/listing.go
@@ -74,7 +74,7 @@
 // noteVersions takes in the versions of the targets that there are now. It reports whether that
 // may change what other targets get.
 func (p *Pool) noteVersions(now time.Time) bool {
-	return p.config.HoldsNew && p.versions.note(now)
+	return p.config.HoldNewVersions && p.versions.note(now)
 }
 
 // setTarget takes in what is listed of a target. It is to be placed after that.
--- a/upstream/placement_test.go
+++ b/upstream/placement_test.go
@@ -119,7 +119,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		p, _ := placedPool(now, 3)
-		p.config.HoldsNew = rapid.Bool().Draw(t, "holds new")
+		p.config.HoldNewVersions = rapid.Bool().Draw(t, "holds new")
 		id := func() string { return fmt.Sprint("t", rapid.IntRange(0, 7).Draw(t, "target")) }
 		hash := func() availability.ID { return availability.ID(affinity.Hash(id())) }
 		spec := func() *catalog.Target {
@@ -135,10 +135,10 @@
 			"gone":   func(*rapid.T) { p.ChangeTargets(now, nil, []string{id(), id()}, nil) },
 			"set":    func(*rapid.T) { p.SetTargets(now, []*catalog.Target{spec(), spec(), spec()}, evacuated()) },
 			"leave": func(*rapid.T) {
-				p.HearDepartures(now, availability.DepartureList{{ID: hash()}}, availability.SourcePeer)
+				p.ApplyDepartures(now, availability.DepartureList{{ID: hash()}}, availability.SourcePeer)
 			},
 			"limit": func(t *rapid.T) {
-				p.HearLimits(now, availability.RateLimitList{{ID: hash(), PerSecond: 1, Removed: rapid.Bool().Draw(t, "ended")}}, availability.SourcePeer)
+				p.ApplyRateLimits(now, availability.RateLimitList{{ID: hash(), PerSecond: 1, Removed: rapid.Bool().Draw(t, "ended")}}, availability.SourcePeer)
 			},
 			"split": func(t *rapid.T) {
 				split := rollout.Split{Version: rapid.SampledFrom([]string{"v2", "v3"}).Draw(t, "version"), Over: rapid.Bool().Draw(t, "over")}
@@ -148,7 +148,7 @@
 			},
 			"send": func(*rapid.T) {
 				d := p.Acquire(now, Request{ID: uint64(len(sent)), Key: id(), Sticky: true, Deadline: now.Add(time.Minute)})
-				if d.Verdict == Send {
+				if d.Action == Send {
 					sent = append(sent, d)
 				}
 			},
@@ -160,7 +160,7 @@
 				sent = sent[1:]
 				word := availability.SelfReport{Leaving: rapid.Bool().Draw(t, "leaves")}
 				outcome := rapid.SampledFrom([]Outcome{Answered, Replaced, Unreachable}).Draw(t, "outcome")
-				p.Release(now, d.Target.ID, Result{Outcome: outcome, Word: word, Sent: d.Sent, Took: time.Millisecond})
+				p.Release(now, d.Target.ID, Result{Outcome: outcome, SelfReport: word, SendState: d.SendState, Latency: time.Millisecond})
 			},
 			"wait": func(*rapid.T) {
 				now = now.Add(unorderedTime / 2)
