--- a/upstream/plan.go
+++ b/upstream/plan.go
@@ -19,7 +19,7 @@
 
 // plan is the division of requests between regions for one set of home regions.
 type plan struct {
-	mover locality.Mover
+	mover locality.Ramp
 	slots map[string]float64
 	// parts are the wanted parts of the keys, and want the shares of the hashes that
 	// give them.
@@ -52,7 +52,7 @@
 	}
 	pl := p.plans[key]
 	if pl == nil {
-		pl = &plan{mover: locality.Mover{Step: p.config.ShiftStep, Window: p.config.ShiftWindow}, stale: true}
+		pl = &plan{mover: locality.Ramp{Step: p.config.ShiftStep, Window: p.config.ShiftWindow}, stale: true}
 		p.plans[key] = pl
 	}
 	if pl.stale {
@@ -62,7 +62,7 @@
 		p.calibrate(now, pl)
 	}
 	if pl.stale || (!pl.settled && now.Sub(pl.madeAt) >= planLife) {
-		pl.shares = pl.mover.Follow(now, pl.want, pl.slots)
+		pl.shares = pl.mover.Advance(now, pl.want, pl.slots)
 		pl.settled = pl.mover.Settled(pl.want)
 		pl.madeAt, pl.stale = now, false
 	}
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -20,9 +20,9 @@
 	Self, Hall, Region string
 	// RegionOf maps each hall to its region.
 	RegionOf map[string]string
-	// HoldsNew says that targets of a version that none had before get nothing until an order for it
+	// HoldNewVersions says that targets of a version that none had before get nothing until an order for it
 	// is known, or for some time if there is none.
-	HoldsNew bool
+	HoldNewVersions bool
 	// ShiftStep is the largest part of a region's requests that changes the
 	// region that runs them in ShiftWindow.
 	ShiftStep   float64
@@ -74,7 +74,7 @@
 	// permits are those of targets' limits, asks the questions for more that are to be sent
 	// to their owners, and silent the owners that do not answer.
 	permits *ratelimit.Holder
-	asks    []ratelimit.Ask
+	asks    []ratelimit.PermitRequest
 	silent  []string
 	returns returns
 	// restsUntil is when the last of the targets that rest is back.
@@ -102,7 +102,7 @@
 		groups:    numberHalls(config.RegionOf),
 		plans:     make(map[string]*plan),
 		limits:    make(map[availability.ID]availability.RateLimit),
-		permits:   ratelimit.NewPlacedHolder(config.Self),
+		permits:   ratelimit.NewHallHolder(config.Self),
 		typical:   firstTypical,
 		salt:      mix.Hash(config.Self),
 	}
@@ -130,8 +130,8 @@
 	return groups
 }
 
-// Typical returns the usual time of an answer.
-func (p *Pool) Typical() time.Duration { return p.typical }
+// TypicalLatency returns the usual time of an answer.
+func (p *Pool) TypicalLatency() time.Duration { return p.typical }
 
 // SetService takes in what the configuration says of the service.
 func (p *Pool) SetService(s catalog.Service) {
@@ -167,7 +167,7 @@
 	r.since = now
 	r.point = mix.Unit(mix.Pair(r.Key, "region"))
 	if r.Sticky {
-		p.planFor(now, &r).points.Note(now, r.point)
+		p.planFor(now, &r).points.Add(now, r.point)
 	}
 	r.side = p.sideFor(now, &r)
 	c := p.choose(now, &r)
@@ -175,34 +175,34 @@
 		return p.send(now, &r, c)
 	}
 	if c.reason == ReasonNoTarget {
-		refusal, refused := p.Away(now, r)
+		refusal, refused := p.RefuseIfUnavailable(now, r)
 		if refused {
 			return refusal
 		}
 	}
 	if now.Add(p.typical).After(r.Deadline) {
-		return Decision{Verdict: Refuse, Reason: ReasonLate, RetryAfter: p.retryAfter(r.ID)}
+		return Decision{Action: Refuse, Reason: ReasonLate, RetryAfter: p.retryAfter(r.ID)}
 	}
 	if !p.queue.add(r) {
-		return Decision{Verdict: Refuse, Reason: ReasonQueueFull, RetryAfter: p.retryAfter(r.ID)}
+		return Decision{Action: Refuse, Reason: ReasonQueueFull, RetryAfter: p.retryAfter(r.ID)}
 	}
-	return Decision{Verdict: Wait, Reason: c.reason}
+	return Decision{Action: Wait, Reason: c.reason}
 }
 
 func (p *Pool) send(now time.Time, r *Request, c candidate) Decision {
 	t := c.target
-	sent := Sent{New: t.side == newSide, Known: t.knows(now, r.Key), First: c.first, Load: t.load(now) / float64(max(t.spec.Slots, 1))}
+	sent := SendState{NewVersion: t.side == newSide, KeyKnown: t.knows(now, r.Key), FirstChoice: c.first, Load: t.load(now) / float64(max(t.spec.Slots, 1))}
 	cold := t.cold(now)
-	sent.At, sent.PermitUntil = now, p.spend(now, t)
+	sent.GrantedAt, sent.PermitExpiry = now, p.spend(now, t)
 	p.returns.sent(now)
 	p.touch(now, t)
 	t.begin(now)
 	t.learn(now, r.Key)
 	return Decision{
-		Verdict: Send,
-		Reason:  c.reason,
-		Sent:    sent,
-		Target:  Choice{ID: t.spec.ID, Name: t.spec.Name, Addr: t.spec.Addr, Hall: t.spec.Hall, Region: t.region.name, Cold: cold},
+		Action:    Send,
+		Reason:    c.reason,
+		SendState: sent,
+		Target:    Choice{ID: t.spec.ID, Name: t.spec.Name, Addr: t.spec.Addr, Hall: t.spec.Hall, Region: t.region.name, Cold: cold},
 	}
 }
 
@@ -233,7 +233,7 @@
 	p.touch(now, t)
 	full := t.load(now) > float64(t.spec.Slots)
 	before := t.belief()
-	if r.Word.Leaving {
+	if r.SelfReport.Leaving {
 		p.departures.Add(now, availability.ID(t.hash))
 	}
 	p.learn(t, r)
@@ -244,7 +244,7 @@
 	}
 	p.note(t, before, r.Outcome)
 	if r.Outcome == Answered && !full {
-		p.observe(r.Took)
+		p.observe(r.Latency)
 	}
 	switch {
 	case t.state.Gone() && t.inFlight == 0:
@@ -258,20 +258,20 @@
 	return p.dispatch(now)
 }
 
-// May tells whether a request that was granted a target may still be sent there. Between the
+// MaySend tells whether a request that was granted a target may still be sent there. Between the
 // grant and the sending, a connection has to be opened, the target may have spoken, and a permit
 // may have ended.
-func (p *Pool) May(now time.Time, id string, sent Sent) bool {
+func (p *Pool) MaySend(now time.Time, id string, sent SendState) bool {
 	t := p.byID[id]
 	if t == nil || !t.state.Available(now) {
 		return false
 	}
-	return t.limited == nil || now.Before(sent.PermitUntil)
+	return t.limited == nil || now.Before(sent.PermitExpiry)
 }
 
-// HearDepartures takes in that targets said, to this or to another instance, that they leave.
+// ApplyDepartures takes in that targets said, to this or to another instance, that they leave.
 // It returns the IDs of those that the pool has and that were not known to leave.
-func (p *Pool) HearDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
+func (p *Pool) ApplyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	p.departures.Expire(now)
 	p.departures.Merge(now, departures)
 	var fresh []string
@@ -295,7 +295,7 @@
 	if r.Outcome != Answered {
 		return
 	}
-	times := p.warmth.learn(r.Sent, r.Took)
+	times := p.warmth.learn(r.SendState, r.Latency)
 	if times > 0 {
 		t.contact.slow.take(times)
 	}
@@ -332,7 +332,7 @@
 		switch {
 		case c.found:
 			grants = append(grants, Grant{ID: w.ID, Decision: p.send(now, &w, c)})
-		case now.Sub(w.since) >= w.Patience || now.Add(p.typical).After(w.Deadline):
+		case now.Sub(w.since) >= w.QueueTimeout || now.Add(p.typical).After(w.Deadline):
 			grants = append(grants, Grant{ID: w.ID, Decision: p.refuse(now, &w, c.reason)})
 		default:
 			kept = append(kept, w)
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -45,7 +45,7 @@
 var start = time.Unix(1000, 0)
 
 func request(key string) upstream.Request {
-	return upstream.Request{Key: key, Sticky: true, Deadline: start.Add(time.Hour), Patience: 100 * time.Millisecond}
+	return upstream.Request{Key: key, Sticky: true, Deadline: start.Add(time.Hour), QueueTimeout: 100 * time.Millisecond}
 }
 
 func TestKeyKeepsItsTarget(t *testing.T) {
@@ -56,12 +56,12 @@
 		for i := range 30 {
 			key := fmt.Sprint("k", i)
 			d := p.Acquire(start, request(key))
-			require.Equal(t, upstream.Send, d.Verdict)
+			require.Equal(t, upstream.Send, d.Action)
 			if round == 0 {
 				first[key] = d.Target.ID
 			}
 			require.Equal(t, first[key], d.Target.ID)
-			p.Release(start, d.Target.ID, upstream.Result{Took: time.Millisecond})
+			p.Release(start, d.Target.ID, upstream.Result{Latency: time.Millisecond})
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	used := map[string]bool{}
 	for range 100 {
 		d := p.Acquire(start, request("k"))
-		if d.Verdict == upstream.Send {
+		if d.Action == upstream.Send {
 			used[d.Target.ID] = true
 		}
 	}
@@ -98,7 +98,7 @@
 	one, other := poolAt("a1"), poolAt("a2")
 	run := func(p *upstream.Pool, r upstream.Request) upstream.Choice {
 		d := p.Acquire(start, r)
-		p.Release(start, d.Target.ID, upstream.Result{Took: time.Millisecond})
+		p.Release(start, d.Target.ID, upstream.Result{Latency: time.Millisecond})
 		return d.Target
 	}
 	for i := range 50 {
@@ -178,7 +178,7 @@
 		}
 		for i := range 60 {
 			d := p.Acquire(start, request(fmt.Sprint("k", i)))
-			if d.Verdict != upstream.Send {
+			if d.Action != upstream.Send {
 				continue
 			}
 			spec := byID[d.Target.ID]
@@ -228,7 +228,7 @@
 		for i := range 20 {
 			r := request(fmt.Sprint("k", i))
 			a, b := stepwise.Acquire(start, r), whole.Acquire(start, r)
-			require.Equal(t, b.Verdict, a.Verdict)
+			require.Equal(t, b.Action, a.Action)
 			require.Equal(t, b.Target, a.Target)
 		}
 	})
@@ -269,9 +269,9 @@
 				r.ID = id
 				d := p.Acquire(now, r)
 				p.Cancel(id)
-				if d.Verdict == upstream.Send {
+				if d.Action == upstream.Send {
 					sent[d.Target.ID] = append(sent[d.Target.ID], now)
-					p.Release(now, d.Target.ID, upstream.Result{Took: time.Millisecond})
+					p.Release(now, d.Target.ID, upstream.Result{Latency: time.Millisecond})
 				}
 			}
 			require.NotEmpty(t, sent["a1-0"])
@@ -283,7 +283,7 @@
 					}
 				}
 			}
-			require.Equal(t, upstream.Send, p.Acquire(start.Add(3100*time.Millisecond), request("x")).Verdict)
+			require.Equal(t, upstream.Send, p.Acquire(start.Add(3100*time.Millisecond), request("x")).Action)
 		})
 	}
 }
@@ -302,7 +302,7 @@
 		queued := map[uint64]bool{}
 		keys := map[uint64]string{}
 		count := func(id uint64, d upstream.Decision) {
-			if d.Verdict != upstream.Send {
+			if d.Action != upstream.Send {
 				return
 			}
 			inFlight[d.Target.ID]++
@@ -331,7 +331,7 @@
 				keys[id] = r.Key
 				d := p.Acquire(now, r)
 				count(id, d)
-				queued[id] = d.Verdict == upstream.Wait
+				queued[id] = d.Action == upstream.Wait
 				if !queued[id] {
 					delete(queued, id)
 				}
@@ -341,7 +341,7 @@
 			target := running[i]
 			running = append(running[:i], running[i+1:]...)
 			inFlight[target]--
-			grant(p.Release(now, target, upstream.Result{Took: 50 * time.Millisecond}))
+			grant(p.Release(now, target, upstream.Result{Latency: 50 * time.Millisecond}))
 		}
 		grant(p.Tick(now.Add(time.Second)))
 		require.Empty(t, queued)
@@ -352,7 +352,7 @@
 	p := newPool()
 	p.SetTargets(start, spread(1)[:1], nil)
 	full := 0
-	for d := p.Acquire(start, request("k")); d.Verdict == upstream.Send; d = p.Acquire(start, request("k")) {
+	for d := p.Acquire(start, request("k")); d.Action == upstream.Send; d = p.Acquire(start, request("k")) {
 		full++
 	}
 	require.Equal(t, 8, full, "2.5 x 3 slots for an object that the target has")
@@ -393,7 +393,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				d := p.Acquire(start, r)
-				p.Release(start, d.Target.ID, upstream.Result{Took: time.Millisecond})
+				p.Release(start, d.Target.ID, upstream.Result{Latency: time.Millisecond})
 			}
 		})
 	}
@@ -409,7 +409,7 @@
 		now = now.Add(100 * time.Millisecond)
 		d := p.Acquire(now, request(key))
 		now = now.Add(took)
-		p.Release(now, d.Target.ID, upstream.Result{Took: took, Sent: d.Sent, Report: &upstream.Report{Running: 2, Slots: 3}})
+		p.Release(now, d.Target.ID, upstream.Result{Latency: took, SendState: d.SendState, LoadReport: &upstream.LoadReport{Running: 2, Slots: 3}})
 		return d.Target.ID
 	}
 	first := ask("k", 100*time.Millisecond)
@@ -418,7 +418,7 @@
 	}
 	require.Equal(t, first, ask("k", time.Second))
 	require.NotEqual(t, first, ask("k", 100*time.Millisecond))
-	seen := p.Sightings(now)
+	seen := p.TargetReports(now)
 	require.Len(t, seen, 1)
 	require.Greater(t, seen[0].PerSlot, 2.0, "it counts for more than it has")
 	now = now.Add(5 * time.Second)
--- a/upstream/refusal_test.go
+++ b/upstream/refusal_test.go
@@ -31,7 +31,7 @@
 	require.NotEqual(t, first, p.Acquire(start, request("k")).Target.ID, "five in a row")
 	later := start.Add(time.Second)
 	require.Equal(t, first, p.Acquire(later, request("k")).Target.ID)
-	p.Release(later, first, upstream.Result{Took: time.Millisecond})
+	p.Release(later, first, upstream.Result{Latency: time.Millisecond})
 	p.Acquire(later, request("k"))
 	reject(p, later, first)
 	require.Equal(t, first, p.Acquire(later, request("k")).Target.ID, "an answer begins the count anew")
@@ -55,7 +55,7 @@
 func TestReturnsAreSpread(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(1)[:1], nil)
-	for p.Acquire(start, request("k")).Verdict == upstream.Send {
+	for p.Acquire(start, request("k")).Action == upstream.Send {
 	}
 	for id := range uint64(200) {
 		r := request("k")
@@ -64,11 +64,11 @@
 	}
 	least, most := time.Hour, time.Duration(0)
 	for _, grant := range p.Tick(start.Add(time.Second)) {
-		require.Equal(t, upstream.Refuse, grant.Decision.Verdict)
+		require.Equal(t, upstream.Refuse, grant.Decision.Action)
 		least = min(least, grant.Decision.RetryAfter)
 		most = max(most, grant.Decision.RetryAfter)
 	}
-	require.GreaterOrEqual(t, least, p.Typical()*3/2)
-	require.LessOrEqual(t, most, p.Typical()*7/2)
-	require.Greater(t, most-least, p.Typical())
+	require.GreaterOrEqual(t, least, p.TypicalLatency()*3/2)
+	require.LessOrEqual(t, most, p.TypicalLatency()*7/2)
+	require.Greater(t, most-least, p.TypicalLatency())
 }
--- a/upstream/region_test.go
+++ b/upstream/region_test.go
@@ -22,7 +22,7 @@
 			r := request(fmt.Sprint("k", i))
 			r.Regions = homes
 			d := p.Acquire(start, r)
-			if d.Verdict == upstream.Send {
+			if d.Action == upstream.Send {
 				require.Contains(t, homes, d.Target.Region)
 			}
 		}
@@ -47,9 +47,9 @@
 			for i := range keys {
 				r := request(fmt.Sprint(name, i))
 				d := p.Acquire(now, r)
-				require.Equal(t, upstream.Send, d.Verdict)
+				require.Equal(t, upstream.Send, d.Action)
 				regions = append(regions, d.Target.Region)
-				p.Release(now, d.Target.ID, upstream.Result{Took: time.Millisecond})
+				p.Release(now, d.Target.ID, upstream.Result{Latency: time.Millisecond})
 			}
 			return regions
 		}
@@ -90,7 +90,7 @@
 			r := request(fmt.Sprint("k", i))
 			r.Sticky = false
 			d := p.Acquire(start, r)
-			p.Release(start, d.Target.ID, upstream.Result{Took: time.Millisecond})
+			p.Release(start, d.Target.ID, upstream.Result{Latency: time.Millisecond})
 			counts[d.Target.Region]++
 		}
 		return counts
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -20,17 +20,17 @@
 	Heavy bool
 	// Regions are the regions that may run the request, empty for any.
 	Regions []string
-	// Alone requests may end the target that runs them. They go to the one with the
+	// Isolated requests may end the target that runs them. They go to the one with the
 	// fewest requests.
-	Alone bool
+	Isolated bool
 	// Priority is the rank, 0 the most urgent.
 	Priority int
 	// Deadline is when the answer has to be there.
 	Deadline time.Time
-	// Patience is the longest time to wait in the queue.
-	Patience time.Duration
-	// Avoid are the targets that the request was sent to already.
-	Avoid []string
+	// QueueTimeout is the longest time to wait in the queue.
+	QueueTimeout time.Duration
+	// Tried are the targets that the request was sent to already.
+	Tried []string
 
 	// since is when the request came.
 	since time.Time
@@ -41,7 +41,7 @@
 }
 
 func (r *Request) avoids(id string) bool {
-	for _, a := range r.Avoid {
+	for _, a := range r.Tried {
 		if a == id {
 			return true
 		}
@@ -61,13 +61,13 @@
 	return false
 }
 
-// Verdict is the kind of a decision.
-type Verdict int
+// Action is the kind of a decision.
+type Action int
 
 // The verdicts.
 const (
 	// Send means: send the request to Decision.Target now.
-	Send Verdict = iota
+	Send Action = iota
 	// Wait means: the request is queued; a Grant with its ID follows, unless
 	// it is cancelled.
 	Wait
@@ -80,10 +80,10 @@
 
 // The reasons.
 const (
-	ReasonFirst    Reason = "first-choice"
-	ReasonLoad     Reason = "by-load"
-	ReasonNoTarget Reason = "no-target"
-	ReasonResting  Reason = "targets-rest"
+	ReasonFirstChoice Reason = "first-choice"
+	ReasonLoad        Reason = "by-load"
+	ReasonNoTarget    Reason = "no-target"
+	ReasonBackoff     Reason = "targets-rest"
 	// ReasonLimited means that the targets take no more now by the limits that they name.
 	ReasonLimited   Reason = "targets-limited"
 	ReasonFull      Reason = "targets-full"
@@ -93,11 +93,11 @@
 
 // Decision is the answer to Acquire, or a grant.
 type Decision struct {
-	Verdict Verdict
-	Target  Choice
-	Reason  Reason
-	// Sent is to be brought back with the result.
-	Sent Sent
+	Action Action
+	Target Choice
+	Reason Reason
+	// SendState is to be brought back with the result.
+	SendState SendState
 	// RetryAfter says when to come back after a refusal.
 	RetryAfter time.Duration
 }
@@ -134,30 +134,30 @@
 	Unreachable
 	// Broken means that the connection or the answer broke.
 	Broken
-	// Silent means that nothing came in time.
-	Silent
+	// TimedOut means that nothing came in time.
+	TimedOut
 	// Abandoned means that the client left or the attempt was not sent.
 	Abandoned
 )
 
-// Report is what a target tells of its load in an answer.
-type Report struct {
+// LoadReport is what a target tells of its load in an answer.
+type LoadReport struct {
 	Running, Waiting, Slots int
 }
 
 // Result ends an attempt.
 type Result struct {
 	Outcome Outcome
-	// Report is nil if the answer carried none.
-	Report *Report
-	// Word is what the target said of itself.
-	Word availability.SelfReport
-	// Failed says that the answer is one of a failure of the target.
-	Failed bool
+	// LoadReport is nil if the answer carried none.
+	LoadReport *LoadReport
+	// SelfReport is what the target said of itself.
+	SelfReport availability.SelfReport
+	// ServerError says that the answer is one of a failure of the target.
+	ServerError bool
 	// NotSent says that the request never left for the target.
 	NotSent bool
-	// Took is the time from the send to the whole answer.
-	Took time.Duration
-	// Sent is that of the decision.
-	Sent Sent
+	// Latency is the time from the send to the whole answer.
+	Latency time.Duration
+	// SendState is that of the decision.
+	SendState SendState
 }
--- a/upstream/rest_model_test.go
+++ b/upstream/rest_model_test.go
@@ -199,7 +199,7 @@
 // arrive has a request reach some instance.
 func (m *restModel) arrive(r *modelRequest) {
 	r.pool, r.attempts = m.rnd.IntN(len(m.pools)), 0
-	r.request = upstream.Request{Key: r.key, Sticky: true, Priority: r.priority, Deadline: r.began.Add(modelDeadline), Patience: modelObjective / 8}
+	r.request = upstream.Request{Key: r.key, Sticky: true, Priority: r.priority, Deadline: r.began.Add(modelDeadline), QueueTimeout: modelObjective / 8}
 	m.acquire(r)
 }
 
@@ -211,9 +211,9 @@
 }
 
 func (m *restModel) decide(r *modelRequest, d upstream.Decision) {
-	switch d.Verdict {
+	switch d.Action {
 	case upstream.Send:
-		m.after(m.way(m.poolHall[r.pool], d.Target.Hall), func() { m.reach(r, m.targets[d.Target.ID], d.Sent) })
+		m.after(m.way(m.poolHall[r.pool], d.Target.Hall), func() { m.reach(r, m.targets[d.Target.ID], d.SendState) })
 	case upstream.Wait:
 		m.waiting[r.pool][r.request.ID] = r
 	case upstream.Refuse:
@@ -264,7 +264,7 @@
 }
 
 // reach has a request reach a target.
-func (m *restModel) reach(r *modelRequest, t *modelTarget, sent upstream.Sent) {
+func (m *restModel) reach(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	m.arrivals = append(m.arrivals, m.now)
 	if m.onArrival != nil {
 		m.onArrival(t)
@@ -286,18 +286,18 @@
 
 func (m *restModel) turnAway(r *modelRequest, t *modelTarget, w availability.SelfReport) {
 	m.after(m.way(m.poolHall[r.pool], m.hallOf[t.id]), func() {
-		m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, Word: w}))
+		m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, SelfReport: w}))
 		r.attempts++
 		if r.attempts >= 2 {
 			m.refuse(r, 20*time.Millisecond)
 			return
 		}
-		r.request.Avoid = append(r.request.Avoid, t.id)
+		r.request.Tried = append(r.request.Tried, t.id)
 		m.acquire(r)
 	})
 }
 
-func (m *restModel) work(r *modelRequest, t *modelTarget, sent upstream.Sent) {
+func (m *restModel) work(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	t.busy++
 	began := m.now
 	back := m.way(m.hallOf[t.id], m.poolHall[r.pool]) - modelWay
@@ -311,10 +311,10 @@
 		if m.now.Add(back).Sub(r.began) <= modelObjective {
 			m.inTime++
 		}
-		report := &upstream.Report{Running: t.busy, Waiting: len(t.queue), Slots: modelSlots}
+		report := &upstream.LoadReport{Running: t.busy, Waiting: len(t.queue), Slots: modelSlots}
 		word := m.says(t)
 		m.after(back, func() {
-			m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Answered, Report: report, Word: word, Took: m.now.Sub(began), Sent: sent}))
+			m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Answered, LoadReport: report, SelfReport: word, Latency: m.now.Sub(began), SendState: sent}))
 		})
 	})
 }
@@ -336,10 +336,10 @@
 
 // gossip has an instance tell a few others what it has seen, round after round.
 func (m *restModel) gossip(pool int) {
-	seen := m.pools[pool].Sightings(m.now).Sample(modelSightings, m.rnd)
+	seen := m.pools[pool].TargetReports(m.now).Sample(modelSightings, m.rnd)
 	for range modelPartners {
 		other := m.rnd.IntN(len(m.pools))
-		m.after(m.way(m.poolHall[pool], m.poolHall[other]), func() { m.pools[other].Hear(m.now, seen) })
+		m.after(m.way(m.poolHall[pool], m.poolHall[other]), func() { m.pools[other].ApplyTargetReports(m.now, seen) })
 	}
 	m.after(modelRound, func() { m.gossip(pool) })
 }
--- a/upstream/sighting.go
+++ b/upstream/sighting.go
@@ -27,11 +27,11 @@
 	downPause = 1500 * time.Millisecond
 )
 
-// Sighting is what an instance has seen of a target and passes on to others. In a large
+// TargetReport is what an instance has seen of a target and passes on to others. In a large
 // fleet an instance has an answer of each target once in minutes, so it would not know
 // which few have more requests than they have slots, and each would find out by itself that
 // a target is down.
-type Sighting struct {
+type TargetReport struct {
 	// Target is a short form of the target's ID.
 	Target uint32
 	// PerSlot is the number of requests running and waiting there, over its slots.
@@ -44,8 +44,8 @@
 	Age time.Duration
 }
 
-// Sightings are reports as a message carries them.
-type Sightings []Sighting
+// TargetReports are reports as a message carries them.
+type TargetReports []TargetReport
 
 // Units of a sighting in a message: a byte each for the load and the age. The highest load
 // stands for a target that is down.
@@ -56,11 +56,11 @@
 	downByte      = math.MaxUint8
 )
 
-// ErrSightings is returned for sightings that are cut short.
-var ErrSightings = errors.New("upstream: sightings cut short")
+// ErrTruncatedTargetReports is returned for sightings that are cut short.
+var ErrTruncatedTargetReports = errors.New("upstream: sightings cut short")
 
 // EncodeMsgpack implements msgpack.CustomEncoder: one string of bytes.
-func (s Sightings) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (s TargetReports) EncodeMsgpack(enc *msgpack.Encoder) error {
 	raw := make([]byte, 0, len(s)*sightingBytes)
 	for _, seen := range s {
 		raw = binary.BigEndian.AppendUint32(raw, seen.Target)
@@ -77,17 +77,17 @@
 func byteOf(v, most float64) byte { return byte(min(max(math.Round(v), 0), most)) }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (s *Sightings) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (s *TargetReports) DecodeMsgpack(dec *msgpack.Decoder) error {
 	raw, err := dec.DecodeBytes()
 	if err != nil {
 		return err
 	}
 	if len(raw)%sightingBytes != 0 {
-		return ErrSightings
+		return ErrTruncatedTargetReports
 	}
-	*s = make(Sightings, 0, len(raw)/sightingBytes)
+	*s = make(TargetReports, 0, len(raw)/sightingBytes)
 	for ; len(raw) > 0; raw = raw[sightingBytes:] {
-		seen := Sighting{Target: binary.BigEndian.Uint32(raw), Down: raw[4] == downByte, Age: time.Duration(raw[5]) * ageUnit}
+		seen := TargetReport{Target: binary.BigEndian.Uint32(raw), Down: raw[4] == downByte, Age: time.Duration(raw[5]) * ageUnit}
 		if !seen.Down {
 			seen.PerSlot = float64(raw[4]) * loadUnit
 		}
@@ -111,12 +111,12 @@
 	}
 }
 
-// Sightings returns what to pass on to other instances of the region: the reports of busy
+// TargetReports returns what to pass on to other instances of the region: the reports of busy
 // targets, and of targets that were busy a moment ago, and which targets are down. An
 // instance that can't reach more targets than it gets answers from says nothing of that: the
 // fault may be its own.
-func (p *Pool) Sightings(now time.Time) Sightings {
-	var busy, down Sightings
+func (p *Pool) TargetReports(now time.Time) TargetReports {
+	var busy, down TargetReports
 	answering := 0
 	for _, t := range p.touched {
 		c := t.contact
@@ -127,12 +127,12 @@
 			continue
 		}
 		if age := now.Sub(c.downAt); age < sightingLife && c.suspicion > 0 {
-			down = append(down, Sighting{Target: shortID(t.hash), Down: true, Age: age})
+			down = append(down, TargetReport{Target: shortID(t.hash), Down: true, Age: age})
 			continue
 		}
 		age := now.Sub(c.last.at)
 		if age < sightingLife && now.Sub(c.last.busyAt) < busyFor {
-			busy = append(busy, Sighting{Target: shortID(t.hash), PerSlot: c.last.perSlot, Age: age})
+			busy = append(busy, TargetReport{Target: shortID(t.hash), PerSlot: c.last.perSlot, Age: age})
 		}
 	}
 	if len(down) > answering {
@@ -141,9 +141,9 @@
 	return append(down, busy...)
 }
 
-// Hear takes in what other instances have seen. Targets of other services are
+// ApplyTargetReports takes in what other instances have seen. Targets of other services are
 // passed over.
-func (p *Pool) Hear(now time.Time, seen Sightings) {
+func (p *Pool) ApplyTargetReports(now time.Time, seen TargetReports) {
 	for _, s := range seen {
 		t := p.byShortID[s.Target]
 		at := now.Add(-s.Age)
@@ -184,7 +184,7 @@
 func shortID(hash uint64) uint32 { return uint32(hash >> 32) }
 
 // Sample returns at most n of the sightings, drawn at random.
-func (s Sightings) Sample(n int, rnd *rand.Rand) Sightings {
+func (s TargetReports) Sample(n int, rnd *rand.Rand) TargetReports {
 	if len(s) <= n {
 		return s
 	}
--- a/upstream/sighting_test.go
+++ b/upstream/sighting_test.go
@@ -28,27 +28,27 @@
 		require.Equal(t, first, there.Acquire(start, request("k")).Target.ID)
 	}
 	answer := func(now time.Time, running, waiting int) {
-		there.Release(now, first, upstream.Result{Report: &upstream.Report{Running: running, Waiting: waiting, Slots: 3}, Took: time.Second})
+		there.Release(now, first, upstream.Result{LoadReport: &upstream.LoadReport{Running: running, Waiting: waiting, Slots: 3}, Latency: time.Second})
 	}
-	require.Empty(t, there.Sightings(start))
+	require.Empty(t, there.TargetReports(start))
 
 	answer(start, 3, 4)
-	seen := there.Sightings(start)
+	seen := there.TargetReports(start)
 	require.Len(t, seen, 1)
-	here.Hear(start.Add(50*time.Millisecond), seen)
+	here.ApplyTargetReports(start.Add(50*time.Millisecond), seen)
 	now := start.Add(100 * time.Millisecond)
 	require.NotEqual(t, first, target(here, now).Target.ID)
 	require.Equal(t, upstream.ReasonLoad, target(here, now).Reason)
-	require.Len(t, here.Sightings(now), 1, "what was heard is passed on")
-	require.Empty(t, here.Sightings(start.Add(2*time.Second)), "while it is new")
+	require.Len(t, here.TargetReports(now), 1, "what was heard is passed on")
+	require.Empty(t, here.TargetReports(start.Add(2*time.Second)), "while it is new")
 	require.Equal(t, first, target(here, start.Add(4*time.Second)).Target.ID)
 
 	now = start.Add(200 * time.Millisecond)
 	answer(now, 1, 0)
-	over := there.Sightings(now)
+	over := there.TargetReports(now)
 	require.Len(t, over, 1, "that a target is no longer busy is told too")
-	here.Hear(now, over)
-	here.Hear(now, seen)
+	here.ApplyTargetReports(now, over)
+	here.ApplyTargetReports(now, seen)
 	require.Equal(t, first, target(here, now).Target.ID, "older reports change nothing")
 }
 
@@ -62,30 +62,30 @@
 	}
 	end := func(p *upstream.Pool, now time.Time, key string, outcome upstream.Outcome) string {
 		d := p.Acquire(now, request(key))
-		p.Release(now, d.Target.ID, upstream.Result{Outcome: outcome, Took: time.Second})
+		p.Release(now, d.Target.ID, upstream.Result{Outcome: outcome, Latency: time.Second})
 		return d.Target.ID
 	}
 	first := end(there, start, "k", upstream.Unreachable)
-	require.Empty(t, there.Sightings(start), "no target answers there")
+	require.Empty(t, there.TargetReports(start), "no target answers there")
 	for _, key := range []string{"l", "m", "n"} {
 		end(there, start, key, upstream.Answered)
 	}
-	seen := there.Sightings(start)
+	seen := there.TargetReports(start)
 	require.Len(t, seen, 1)
 
 	require.Equal(t, first, end(here, start, "k", upstream.Abandoned))
-	here.Hear(start, seen)
+	here.ApplyTargetReports(start, seen)
 	require.NotEqual(t, first, end(here, start.Add(time.Second), "k", upstream.Abandoned))
 	now := start.Add(2 * time.Second)
 	require.Equal(t, first, end(here, now, "k", upstream.Answered))
-	here.Hear(now.Add(time.Second), seen)
+	here.ApplyTargetReports(now.Add(time.Second), seen)
 	require.Equal(t, first, end(here, now.Add(time.Second), "k", upstream.Abandoned), "it has answered of late")
 }
 
 // TestSightingsOnTheWire checks that sightings arrive as they were but for their rounding,
 // in six bytes each, and that ones that are cut short are refused.
 func TestSightingsOnTheWire(t *testing.T) {
-	seen := upstream.Sightings{
+	seen := upstream.TargetReports{
 		{Target: 1 << 31, PerSlot: 1.5, Age: 730 * time.Millisecond},
 		{Target: 7, PerSlot: 100, Age: time.Hour},
 		{Target: 9, Down: true},
@@ -93,12 +93,12 @@
 	raw, err := msgpack.Marshal(seen)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(raw), 2+3*6)
-	var got upstream.Sightings
+	var got upstream.TargetReports
 	require.NoError(t, msgpack.Unmarshal(raw, &got))
 	require.Equal(t, seen[0], got[0])
-	require.Equal(t, upstream.Sighting{Target: 7, PerSlot: 254.0 / 32, Age: 2550 * time.Millisecond}, got[1])
+	require.Equal(t, upstream.TargetReport{Target: 7, PerSlot: 254.0 / 32, Age: 2550 * time.Millisecond}, got[1])
 	require.Equal(t, seen[2], got[2])
 	cut, err := msgpack.Marshal([]byte("12345"))
 	require.NoError(t, err)
-	require.ErrorIs(t, msgpack.Unmarshal(cut, &got), upstream.ErrSightings)
+	require.ErrorIs(t, msgpack.Unmarshal(cut, &got), upstream.ErrTruncatedTargetReports)
 }
--- a/upstream/target.go
+++ b/upstream/target.go
@@ -203,11 +203,11 @@
 	full := t.load(now) >= float64(t.spec.Slots)
 	t.inFlight--
 	t.contact.probing = false
-	if r.Report != nil {
-		t.report(now, *r.Report)
-		t.region.usage.hear(now, *r.Report)
+	if r.LoadReport != nil {
+		t.report(now, *r.LoadReport)
+		t.region.usage.hear(now, *r.LoadReport)
 	}
-	t.take(now, r.Word)
+	t.take(now, r.SelfReport)
 	switch r.Outcome {
 	case Answered:
 		t.contact.failures, t.contact.suspicion, t.contact.rejections = 0, 0, 0
@@ -224,7 +224,7 @@
 	case Unreachable:
 		t.contact.downAt = now
 		t.suspect(now)
-	case Silent:
+	case TimedOut:
 		t.suspect(now)
 	case Broken:
 		t.contact.failures++
@@ -255,7 +255,7 @@
 
 // report takes in what the target told of its load with an answer. Requests at a slow
 // target count for more, as what comes next waits longer for them; others are told the same.
-func (t *target) report(now time.Time, r Report) {
+func (t *target) report(now time.Time, r LoadReport) {
 	requests := t.contact.slow.factor() * float64(r.Running+r.Waiting)
 	t.contact.last.take(now, requests/float64(max(r.Slots, 1)))
 	t.count(now, requests)
--- a/upstream/unavailable.go
+++ b/upstream/unavailable.go
@@ -8,21 +8,21 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// Unavailable is a target that is sent nothing now, with what is in the way.
-type Unavailable struct {
+// UnavailableTarget is a target that is sent nothing now, with what is in the way.
+type UnavailableTarget struct {
 	ID, Hall string
 	availability.Verdict
 }
 
-// Unavailable returns the targets that are sent nothing now, in the order of their IDs.
-func (p *Pool) Unavailable(now time.Time) []Unavailable {
-	var out []Unavailable
+// UnavailableTargets returns the targets that are sent nothing now, in the order of their IDs.
+func (p *Pool) UnavailableTargets(now time.Time) []UnavailableTarget {
+	var out []UnavailableTarget
 	for _, t := range p.byID {
 		verdict := t.judge(now)
 		if !verdict.OK() {
-			out = append(out, Unavailable{ID: t.spec.ID, Hall: t.spec.Hall, Verdict: verdict})
+			out = append(out, UnavailableTarget{ID: t.spec.ID, Hall: t.spec.Hall, Verdict: verdict})
 		}
 	}
-	slices.SortFunc(out, func(a, b Unavailable) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b UnavailableTarget) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
--- a/upstream/usage.go
+++ b/upstream/usage.go
@@ -15,7 +15,7 @@
 }
 
 // hear takes in a report.
-func (u *usage) hear(now time.Time, r Report) {
+func (u *usage) hear(now time.Time, r LoadReport) {
 	perSlot := float64(r.Running+r.Waiting) / float64(max(r.Slots, 1))
 	if now.Sub(u.heardAt) >= othersGone {
 		u.perSlot = perSlot
--- a/upstream/usage_test.go
+++ b/upstream/usage_test.go
@@ -22,22 +22,22 @@
 		specs = append(specs, &catalog.Target{ID: fmt.Sprint("a1-", i), Service: "s", Addr: "x", Hall: "a1", Slots: 4})
 	}
 	p.SetTargets(start, specs, nil)
-	overloaded := upstream.Report{Running: 4, Waiting: 8, Slots: 4}
+	overloaded := upstream.LoadReport{Running: 4, Waiting: 8, Slots: 4}
 	now := start
 	for i := range 40 {
 		d := p.Acquire(now, request(fmt.Sprint("k", i)))
-		if d.Verdict == upstream.Send {
-			p.Release(now, d.Target.ID, upstream.Result{Report: &overloaded, Took: time.Second})
+		if d.Action == upstream.Send {
+			p.Release(now, d.Target.ID, upstream.Result{LoadReport: &overloaded, Latency: time.Second})
 		}
 		now = now.Add(10 * time.Millisecond)
 	}
 	sent := 0
 	for i := range 100 {
-		if p.Acquire(now, request(fmt.Sprint("n", i))).Verdict == upstream.Send {
+		if p.Acquire(now, request(fmt.Sprint("n", i))).Action == upstream.Send {
 			sent++
 		}
 	}
 	require.Zero(t, sent, "all are taken to be as full as those heard of")
 	later := now.Add(4 * time.Second)
-	require.Equal(t, upstream.Send, p.Acquire(later, request("x")).Verdict, "old reports count for nothing")
+	require.Equal(t, upstream.Send, p.Acquire(later, request("x")).Action, "old reports count for nothing")
 }
--- a/upstream/versions.go
+++ b/upstream/versions.go
@@ -155,7 +155,7 @@
 		return false
 	}
 	ordered := version == p.split.Version
-	return !p.config.HoldsNew || ordered || !p.versions.isLater(version) || !p.versions.holds(now, version)
+	return !p.config.HoldNewVersions || ordered || !p.versions.isLater(version) || !p.versions.holds(now, version)
 }
 
 // endHold places targets anew once some are no longer held back.
@@ -230,7 +230,7 @@
 		return newSide
 	case p.split.Over || !p.splitUntil.IsZero() && !now.Before(p.splitUntil):
 		return oldSide
-	case len(r.Avoid) > 0 && !p.split.All():
+	case len(r.Tried) > 0 && !p.split.All():
 		return oldSide
 	}
 	key := mix.Unit(mix.Pair(r.Key, p.split.Version))
@@ -272,21 +272,21 @@
 	return oldSide
 }
 
-// Versions are the targets of a service by version, while a rollout goes on.
-type Versions struct {
+// VersionStats are the targets of a service by version, while a rollout goes on.
+type VersionStats struct {
 	// OldSlots and NewSlots are those of the targets that are meant to serve.
 	OldSlots, NewSlots float64
-	// AtOld is the number of requests of this instance at old targets, and Usage the part of the
+	// OldInFlight is the number of requests of this instance at old targets, and Usage the part of the
 	// slots that is in use, by what targets have told of late.
-	AtOld int
-	Usage float64
-	// Rate is the number of requests that this instance sends a second.
-	Rate float64
+	OldInFlight    int
+	OldUtilization float64
+	// SendRate is the number of requests that this instance sends a second.
+	SendRate float64
 }
 
-// Versions returns what there is of the targets of both versions.
-func (p *Pool) Versions(now time.Time) Versions {
-	v := Versions{Rate: p.returns.sentRate(now)}
+// VersionStats returns what there is of the targets of both versions.
+func (p *Pool) VersionStats(now time.Time) VersionStats {
+	v := VersionStats{SendRate: p.returns.sentRate(now)}
 	used := 0.0
 	for _, r := range p.inOrder {
 		v.NewSlots += r.serving[newSide].slots
@@ -295,11 +295,11 @@
 	}
 	for _, t := range p.touched {
 		if t.side == oldSide {
-			v.AtOld += t.inFlight
+			v.OldInFlight += t.inFlight
 		}
 	}
 	if v.OldSlots > 0 {
-		v.Usage = used / v.OldSlots
+		v.OldUtilization = used / v.OldSlots
 	}
 	return v
 }
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -21,7 +21,7 @@
 // of version v1.
 func versionedPool(now time.Time, old int) (*Pool, []*catalog.Target) {
 	p := NewPool(Config{Service: "s", Self: "n1", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a", "a2": "a", "b1": "b"},
-		ShiftStep: 0.1, ShiftWindow: 2 * time.Second, HoldsNew: true})
+		ShiftStep: 0.1, ShiftWindow: 2 * time.Second, HoldNewVersions: true})
 	var specs []*catalog.Target
 	for i := range old {
 		specs = append(specs, versioned(fmt.Sprint("old", i), []string{"a1", "a2"}[i%2], "v1"))
@@ -43,14 +43,14 @@
 func sendMany(t require.TestingT, now time.Time, p *Pool, requests int, change ...func(*Request)) map[string]int {
 	sent := make(map[string]int)
 	for i := range requests {
-		r := Request{ID: uint64(i + 1), Key: fmt.Sprint("k", i%200), Sticky: true, Deadline: now.Add(time.Minute), Patience: time.Second}
+		r := Request{ID: uint64(i + 1), Key: fmt.Sprint("k", i%200), Sticky: true, Deadline: now.Add(time.Minute), QueueTimeout: time.Second}
 		for _, f := range change {
 			f(&r)
 		}
 		d := p.Acquire(now, r)
-		require.Equal(t, Send, d.Verdict, d.Reason)
+		require.Equal(t, Send, d.Action, d.Reason)
 		sent[d.Target.ID]++
-		p.Release(now, d.Target.ID, Result{Outcome: Answered, Took: time.Millisecond, Sent: d.Sent})
+		p.Release(now, d.Target.ID, Result{Outcome: Answered, Latency: time.Millisecond, SendState: d.SendState})
 	}
 	return sent
 }
@@ -136,7 +136,7 @@
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
-	repeat := func(r *Request) { r.Avoid = []string{"new0"} }
+	repeat := func(r *Request) { r.Tried = []string{"new0"} }
 	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.9, Targets: 1}, time.Time{})
 	n, _ := atNew(sendMany(t, now, p, 500, repeat))
 	require.Zero(t, n)
@@ -158,8 +158,8 @@
 	for _, spec := range old {
 		p.byID[spec.ID].suspect(now)
 	}
-	d := p.Acquire(now, Request{ID: 1, Key: "k", Sticky: true, Deadline: now.Add(time.Minute), Patience: time.Second})
-	require.NotEqual(t, Send, d.Verdict, "old ones serve, though none can be used for a moment")
+	d := p.Acquire(now, Request{ID: 1, Key: "k", Sticky: true, Deadline: now.Add(time.Minute), QueueTimeout: time.Second})
+	require.NotEqual(t, Send, d.Action, "old ones serve, though none can be used for a moment")
 	var leaving []*catalog.Target
 	for _, spec := range old {
 		left := *spec
--- a/upstream/warmth.go
+++ b/upstream/warmth.go
@@ -25,22 +25,22 @@
 	pauseTime = 0.020
 )
 
-// Sent is what was believed when a request was sent: a Decision tells it and the Result
+// SendState is what was believed when a request was sent: a Decision tells it and the Result
 // brings it back.
-type Sent struct {
-	// New says that the target is of the version that a rollout brings in.
-	New bool
-	// Known says that the target has had the object from this instance.
-	Known bool
-	// First says that the target was the first one of the key.
-	First bool
+type SendState struct {
+	// NewVersion says that the target is of the version that a rollout brings in.
+	NewVersion bool
+	// KeyKnown says that the target has had the object from this instance.
+	KeyKnown bool
+	// FirstChoice says that the target was the first one of the key.
+	FirstChoice bool
 	// Load is the requests expected at the target, over its slots.
 	Load float64
-	// At is when the target was granted.
-	At time.Time
-	// PermitUntil is how long the request may be sent by the target's limit, zero if the
+	// GrantedAt is when the target was granted.
+	GrantedAt time.Time
+	// PermitExpiry is how long the request may be sent by the target's limit, zero if the
 	// target had none.
-	PermitUntil time.Time
+	PermitExpiry time.Time
 }
 
 // warmth is what a pool has learned of the times of warm and cold objects. The zero value
@@ -68,16 +68,16 @@
 
 // learn takes in the time of an answer. It returns how many usual times it took, 0 if
 // that says nothing of the target: a cold object is no fault of it.
-func (w *warmth) learn(sent Sent, took time.Duration) float64 {
+func (w *warmth) learn(sent SendState, took time.Duration) float64 {
 	unloaded := took.Seconds() / max(1, sent.Load)
-	if sent.Known && w.usual == 0 {
+	if sent.KeyKnown && w.usual == 0 {
 		w.usual = unloaded
 	}
 	if w.usual == 0 {
 		return 0
 	}
 	times := unloaded / w.usual
-	if sent.Known {
+	if sent.KeyKnown {
 		slow := unloaded / max(w.usual, pauseTime)
 		w.usual += learnWeight * (min(times, cutTimes) - 1) * w.usual
 		return slow
@@ -87,7 +87,7 @@
 		fast = 1
 	}
 	part := &w.other
-	if sent.First {
+	if sent.FirstChoice {
 		part = &w.first
 	}
 	*part += learnWeight * (fast - *part)
--- a/upstream/warmth_test.go
+++ b/upstream/warmth_test.go
@@ -13,9 +13,9 @@
 	var w warmth
 	require.Zero(t, w.expects(false, true))
 	require.Equal(t, 1.0, w.expects(true, true))
-	first, other := Sent{First: true}, Sent{}
+	first, other := SendState{FirstChoice: true}, SendState{}
 	require.Zero(t, w.learn(first, time.Second), "nothing to compare it with")
-	require.InDelta(t, 1, w.learn(Sent{Known: true, Load: 2}, 200*time.Millisecond), 1e-9, "the wait is taken off")
+	require.InDelta(t, 1, w.learn(SendState{KeyKnown: true, Load: 2}, 200*time.Millisecond), 1e-9, "the wait is taken off")
 	for range 200 {
 		w.learn(first, 120*time.Millisecond)
 		w.learn(other, 300*time.Millisecond)
@@ -48,7 +48,7 @@
 // TestOneSlowTargetIsNotUsual checks that slow answers hardly change what is usual.
 func TestOneSlowTargetIsNotUsual(t *testing.T) {
 	var w warmth
-	known := Sent{Known: true}
+	known := SendState{KeyKnown: true}
 	w.learn(known, 100*time.Millisecond)
 	for i := range 200 {
 		took := 100 * time.Millisecond
@@ -64,7 +64,7 @@
 // not taken for slow, and so for full, since one answer was held up for a moment.
 func TestFastTargetIsNotTakenForSlow(t *testing.T) {
 	var w warmth
-	sent := Sent{Known: true, Load: 1}
+	sent := SendState{KeyKnown: true, Load: 1}
 	w.learn(sent, 300*time.Microsecond)
 	var s slowness
 	for range 3 {
--- a/upstream/word_test.go
+++ b/upstream/word_test.go
@@ -22,13 +22,13 @@
 
 // spoken returns the result of an attempt whose answer holds a target's word.
 func spoken(outcome upstream.Outcome, w availability.SelfReport) upstream.Result {
-	return upstream.Result{Outcome: outcome, Word: w, Took: time.Millisecond}
+	return upstream.Result{Outcome: outcome, SelfReport: w, Latency: time.Millisecond}
 }
 
 // firstOf returns the target of a key, which is free again.
 func firstOf(p *upstream.Pool, now time.Time, key string) string {
 	d := p.Acquire(now, request(key))
-	if d.Verdict != upstream.Send {
+	if d.Action != upstream.Send {
 		return ""
 	}
 	p.Release(now, d.Target.ID, upstream.Result{Outcome: upstream.Abandoned})
@@ -44,9 +44,9 @@
 				p := newPool()
 				p.SetTargets(start, spread(3), nil)
 				first := p.Acquire(start, request("k")).Target.ID
-				require.True(t, p.May(start, first, upstream.Sent{}))
+				require.True(t, p.MaySend(start, first, upstream.SendState{}))
 				p.Release(start, first, spoken(outcome, word))
-				require.False(t, p.May(start, first, upstream.Sent{}), "a request that was granted it before")
+				require.False(t, p.MaySend(start, first, upstream.SendState{}), "a request that was granted it before")
 				second := firstOf(p, start, "k")
 				require.NotEqual(t, first, second)
 				require.NotEmpty(t, second)
@@ -89,13 +89,13 @@
 	again := altered(specs[0], func(s *catalog.Target) { s.ID += "#2" })
 	for name, tell := range map[string]func(p *upstream.Pool){
 		"before the list": func(p *upstream.Pool) {
-			p.HearDepartures(start, departed, availability.SourcePeer)
+			p.ApplyDepartures(start, departed, availability.SourcePeer)
 			p.SetTargets(start, specs, nil)
 		},
 		"after the list": func(p *upstream.Pool) {
 			p.SetTargets(start, specs, nil)
-			require.Equal(t, []string{specs[0].ID}, p.HearDepartures(start, departed, availability.SourcePeer))
-			require.Empty(t, p.HearDepartures(start, departed, availability.SourcePeer), "known")
+			require.Equal(t, []string{specs[0].ID}, p.ApplyDepartures(start, departed, availability.SourcePeer))
+			require.Empty(t, p.ApplyDepartures(start, departed, availability.SourcePeer), "known")
 		},
 		"by an answer": func(p *upstream.Pool) {
 			p.SetTargets(start, specs, nil)
@@ -129,10 +129,10 @@
 			departed = append(departed, availability.Departure{ID: availability.IDOf(spec.ID)})
 		}
 	}
-	p.HearDepartures(start, departed, availability.SourcePeer)
+	p.ApplyDepartures(start, departed, availability.SourcePeer)
 	for _, key := range []string{"k1", "k2", "k3", "k4"} {
 		d := p.Acquire(start, request(key))
-		require.Equal(t, upstream.Send, d.Verdict)
+		require.Equal(t, upstream.Send, d.Action)
 		require.NotEqual(t, "a", d.Target.Region)
 	}
 }
@@ -146,7 +146,7 @@
 	p.SetTargets(start, specs, nil)
 	for i, spec := range specs {
 		rest := time.Duration(2+i) * time.Second
-		for p.May(start, spec.ID, upstream.Sent{}) {
+		for p.MaySend(start, spec.ID, upstream.SendState{}) {
 			d := p.Acquire(start, request("k"))
 			p.Release(start, d.Target.ID, spoken(upstream.Rejected, availability.SelfReport{Backoff: rest}))
 		}
@@ -156,8 +156,8 @@
 		r := request("k")
 		r.ID = id
 		d := p.Acquire(start, r)
-		require.Equal(t, upstream.Refuse, d.Verdict)
-		require.Equal(t, upstream.ReasonResting, d.Reason)
+		require.Equal(t, upstream.Refuse, d.Action)
+		require.Equal(t, upstream.ReasonBackoff, d.Reason)
 		require.Greater(t, d.RetryAfter, 2*time.Second, "not before the first is back")
 		require.Less(t, d.RetryAfter, 3*time.Second+latestUsual, "at most half of what is left, and the usual time to come back")
 		told[d.RetryAfter] = true
@@ -165,10 +165,10 @@
 	require.Greater(t, len(told), 25)
 	require.Zero(t, p.Waiting())
 	almost := start.Add(2*time.Second - 50*time.Millisecond)
-	require.Equal(t, upstream.Wait, p.Acquire(almost, request("k")).Verdict)
+	require.Equal(t, upstream.Wait, p.Acquire(almost, request("k")).Action)
 	grants := p.Tick(start.Add(2 * time.Second))
 	require.Len(t, grants, 1)
-	require.Equal(t, upstream.Send, grants[0].Decision.Verdict)
+	require.Equal(t, upstream.Send, grants[0].Decision.Action)
 }
 
 // TestRefusedWhileAllLeave checks that a request is refused at once when all its targets leave.
@@ -177,10 +177,10 @@
 	specs := spread(1)[:2]
 	p.SetTargets(start, specs, nil)
 	for _, spec := range specs {
-		p.HearDepartures(start, availability.DepartureList{{ID: availability.IDOf(spec.ID)}}, availability.SourcePeer)
+		p.ApplyDepartures(start, availability.DepartureList{{ID: availability.IDOf(spec.ID)}}, availability.SourcePeer)
 	}
 	d := p.Acquire(start, request("k"))
-	require.Equal(t, upstream.Refuse, d.Verdict)
+	require.Equal(t, upstream.Refuse, d.Action)
 	require.Equal(t, upstream.ReasonNoTarget, d.Reason)
 	require.NotZero(t, d.RetryAfter)
 }
@@ -195,21 +195,21 @@
 			p.SetTargets(start, specs, nil)
 			open := specs[0].ID
 			queued := request("full")
-			queued.ID, queued.Patience = 1, time.Minute
-			for p.Acquire(start, queued).Verdict != upstream.Wait {
+			queued.ID, queued.QueueTimeout = 1, time.Minute
+			for p.Acquire(start, queued).Action != upstream.Wait {
 			}
 			// Fill each target, and let each of the others speak with its last request.
 			for _, spec := range specs[1:] {
 				p.Release(start, spec.ID, spoken(upstream.Abandoned, word))
 			}
 			alone := request("alone")
-			alone.Alone = true
+			alone.Isolated = true
 			plain := request("plain")
 			plain.Sticky = false
 			for _, r := range []upstream.Request{request("k1"), request("k2"), alone, plain} {
 				for {
 					d := p.Acquire(start, r)
-					if d.Verdict != upstream.Send {
+					if d.Action != upstream.Send {
 						break
 					}
 					require.Equal(t, open, d.Target.ID)
