--- a/fleet/absence_test.go
+++ b/fleet/absence_test.go
@@ -9,9 +9,9 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// TestAbsences checks who is taken for lost: members of the region that were silent for
+// TestAbsenceTracker checks who is taken for lost: members of the region that were silent for
 // long without a break, and nobody while most are.
-func TestAbsences(t *testing.T) {
+func TestAbsenceTracker(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	member := func(name, region string, state fleet.State) fleet.Status {
 		return fleet.Status{Member: fleet.Member{Name: name, Region: region}, State: state}
@@ -19,16 +19,16 @@
 	look := func(b, c fleet.State) []fleet.Status {
 		return []fleet.Status{member("a", "r", fleet.Alive), member("b", "r", b), member("c", "r", c), member("d", "far", fleet.Unknown)}
 	}
-	var a fleet.Absences
-	a.Note(start, "r", look(fleet.Suspect, fleet.Alive))
-	require.Empty(t, a.Lost(start.Add(time.Minute-1), time.Minute))
-	require.Equal(t, []string{"b"}, a.Lost(start.Add(time.Minute), time.Minute))
-	a.Note(start.Add(30*time.Second), "r", look(fleet.Alive, fleet.Alive))
-	a.Note(start.Add(31*time.Second), "r", look(fleet.Unknown, fleet.Alive))
-	require.Empty(t, a.Lost(start.Add(time.Minute), time.Minute), "it was there meanwhile")
-	require.Equal(t, []string{"b"}, a.Lost(start.Add(91*time.Second), time.Minute))
-	a.Note(start.Add(32*time.Second), "r", look(fleet.Suspect, fleet.Suspect))
-	require.Empty(t, a.Lost(start.Add(time.Hour), time.Minute), "most are silent")
-	a.Note(start.Add(33*time.Second), "r", []fleet.Status{member("a", "r", fleet.Alive)})
-	require.Empty(t, a.Lost(start.Add(time.Hour), time.Minute), "they are not listed any more")
+	var a fleet.AbsenceTracker
+	a.Update(start, "r", look(fleet.Suspect, fleet.Alive))
+	require.Empty(t, a.AbsentFor(start.Add(time.Minute-1), time.Minute))
+	require.Equal(t, []string{"b"}, a.AbsentFor(start.Add(time.Minute), time.Minute))
+	a.Update(start.Add(30*time.Second), "r", look(fleet.Alive, fleet.Alive))
+	a.Update(start.Add(31*time.Second), "r", look(fleet.Unknown, fleet.Alive))
+	require.Empty(t, a.AbsentFor(start.Add(time.Minute), time.Minute), "it was there meanwhile")
+	require.Equal(t, []string{"b"}, a.AbsentFor(start.Add(91*time.Second), time.Minute))
+	a.Update(start.Add(32*time.Second), "r", look(fleet.Suspect, fleet.Suspect))
+	require.Empty(t, a.AbsentFor(start.Add(time.Hour), time.Minute), "most are silent")
+	a.Update(start.Add(33*time.Second), "r", []fleet.Status{member("a", "r", fleet.Alive)})
+	require.Empty(t, a.AbsentFor(start.Add(time.Hour), time.Minute), "they are not listed any more")
 }
--- a/fleet/broadcast_test.go
+++ b/fleet/broadcast_test.go
@@ -13,10 +13,10 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// TestSpread draws fleets and checks that a change reaches each living member of a region
+// TestBroadcast draws fleets and checks that a change reaches each living member of a region
 // once, in few steps, that nobody sends it more than a few times, and that it does not go
 // back and forth between halls.
-func TestSpread(t *testing.T) {
+func TestBroadcast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 130).Draw(t, "members")
 		halls := rapid.IntRange(1, 4).Draw(t, "halls")
@@ -34,13 +34,13 @@
 		for _, name := range names {
 			v := fleet.NewView(members[name], 1, fleet.DefaultSettings)
 			v.Add(slices.Collect(maps.Values(members))...)
-			var beats fleet.Beats
+			var beats fleet.Heartbeats
 			for _, other := range names {
 				if alive[other] && other != name {
-					beats = append(beats, fleet.Beat{Member: fleet.IDOf(other), Number: 2, Flags: fleet.Ready})
+					beats = append(beats, fleet.Heartbeat{Member: fleet.IDOf(other), Sequence: 2, Flags: fleet.Ready})
 				}
 			}
-			v.Hear(now, beats)
+			v.MergeHeartbeats(now, beats)
 			views[name] = v
 		}
 		type step struct {
@@ -55,9 +55,9 @@
 			at := queue[0]
 			queue = queue[1:]
 			require.LessOrEqual(t, at.depth, 4)
-			branches := views[at.name].SpreadUntil(now, at.until)
+			branches := views[at.name].BranchesUntil(now, at.until)
 			if at.depth == 0 {
-				branches = views[at.name].Spread(now)
+				branches = views[at.name].Branches(now)
 			}
 			require.LessOrEqual(t, len(branches), 4)
 			for _, b := range branches {
@@ -80,15 +80,15 @@
 	})
 }
 
-// TestSpreadUnknownEnd checks that nothing is passed on towards a member that is not known,
+// TestBranchesUntilUnknownMember checks that nothing is passed on towards a member that is not known,
 // as when the sender has just heard of it: gossip makes up for it.
-func TestSpreadUnknownEnd(t *testing.T) {
+func TestBranchesUntilUnknownMember(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	v := fleet.NewView(fleet.Member{Name: "a", Region: "r"}, 1, fleet.DefaultSettings)
 	v.Add(fleet.Member{Name: "b", Region: "r"})
-	v.Hear(now, fleet.Beats{{Member: fleet.IDOf("b"), Number: 1}})
-	require.Len(t, v.Spread(now), 1)
-	require.Len(t, v.SpreadUntil(now, fleet.IDOf("b")), 1)
-	require.Empty(t, v.SpreadUntil(now, fleet.IDOf("a")))
-	require.Empty(t, v.SpreadUntil(now, fleet.IDOf("stranger")))
+	v.MergeHeartbeats(now, fleet.Heartbeats{{Member: fleet.IDOf("b"), Sequence: 1}})
+	require.Len(t, v.Branches(now), 1)
+	require.Len(t, v.BranchesUntil(now, fleet.IDOf("b")), 1)
+	require.Empty(t, v.BranchesUntil(now, fleet.IDOf("a")))
+	require.Empty(t, v.BranchesUntil(now, fleet.IDOf("stranger")))
 }
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -16,33 +16,33 @@
 // IDOf returns the ID of a name.
 func IDOf(name string) ID { return ID(mix.Hash(name) >> 32) }
 
-// Number orders the heartbeats of a member over all its processes. It follows the time
+// Sequence orders the heartbeats of a member over all its processes. It follows the time
 // of day, so that the numbers of a fleet lie close together, and rises with each
 // heartbeat whatever the clock does.
-type Number uint32
+type Sequence uint32
 
-// numberUnit is the time between two numbers: that between two heartbeats. The numbers
+// sequenceInterval is the time between two numbers: that between two heartbeats. The numbers
 // last for 68 years from numberEpoch.
-const numberUnit = RoundTime
+const sequenceInterval = RoundTime
 
-var numberEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var sequenceEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// NumberAt returns the number that belongs to a time.
-func NumberAt(at time.Time) Number { return Number(at.Sub(numberEpoch) / numberUnit) }
+// SequenceAt returns the number that belongs to a time.
+func SequenceAt(at time.Time) Sequence { return Sequence(at.Sub(sequenceEpoch) / sequenceInterval) }
 
-// Beat is the latest heartbeat that is known of a member. It is passed on often, so it
+// Heartbeat is the latest heartbeat that is known of a member. It is passed on often, so it
 // is small.
-type Beat struct {
-	Member ID
-	Number Number
-	Flags  Flags
+type Heartbeat struct {
+	Member   ID
+	Sequence Sequence
+	Flags    Flags
 }
 
-// Beats are heartbeats as a message carries them.
-type Beats []Beat
+// Heartbeats are heartbeats as a message carries them.
+type Heartbeats []Heartbeat
 
-// ErrBeats is returned for beats that are cut short.
-var ErrBeats = errors.New("fleet: beats cut short")
+// ErrTruncated is returned for beats that are cut short.
+var ErrTruncated = errors.New("fleet: beats cut short")
 
 const (
 	// idBytes is the length of an ID in a message.
@@ -50,45 +50,45 @@
 	// flagBits is the number of bits that flags take.
 	flagBits = 4
 	flagMask = 1<<flagBits - 1
-	// maxNumber is the highest number.
-	maxNumber = 1<<32 - 1
+	// maxSequence is the highest number.
+	maxSequence = 1<<32 - 1
 )
 
 // EncodeMsgpack implements msgpack.CustomEncoder: one string of bytes. A beat is its
 // member's ID and one integer, the difference of its number to that of the beat before
 // it and the flags. Members that are alive have about the same number, so that the
 // integer is of one byte.
-func (b Beats) EncodeMsgpack(enc *msgpack.Encoder) error {
+func (b Heartbeats) EncodeMsgpack(enc *msgpack.Encoder) error {
 	raw := make([]byte, 0, len(b)*(idBytes+1)+binary.MaxVarintLen64)
-	before := Number(0)
+	before := Sequence(0)
 	for _, beat := range b {
 		raw = binary.BigEndian.AppendUint32(raw, uint32(beat.Member))
-		difference := int64(beat.Number) - int64(before)
+		difference := int64(beat.Sequence) - int64(before)
 		raw = binary.AppendVarint(raw, difference<<flagBits|int64(beat.Flags&flagMask))
-		before = beat.Number
+		before = beat.Sequence
 	}
 	return enc.EncodeBytes(raw)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (b *Beats) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (b *Heartbeats) DecodeMsgpack(dec *msgpack.Decoder) error {
 	raw, err := dec.DecodeBytes()
 	if err != nil {
 		return err
 	}
-	*b = make(Beats, 0, len(raw)/(idBytes+1))
+	*b = make(Heartbeats, 0, len(raw)/(idBytes+1))
 	before := int64(0)
 	for len(raw) > 0 {
 		if len(raw) <= idBytes {
-			return ErrBeats
+			return ErrTruncated
 		}
 		member := ID(binary.BigEndian.Uint32(raw))
 		packed, n := binary.Varint(raw[idBytes:])
 		before += packed >> flagBits
-		if n <= 0 || before < 0 || before > maxNumber {
-			return ErrBeats
+		if n <= 0 || before < 0 || before > maxSequence {
+			return ErrTruncated
 		}
-		*b = append(*b, Beat{Member: member, Number: Number(before), Flags: Flags(packed & flagMask)})
+		*b = append(*b, Heartbeat{Member: member, Sequence: Sequence(before), Flags: Flags(packed & flagMask)})
 		raw = raw[idBytes+n:]
 	}
 	return nil
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -20,8 +20,8 @@
 	Ready Flags = 1 << iota
 	// Leaving processes have begun their planned stop.
 	Leaving
-	// Deaf processes do not reach the store.
-	Deaf
+	// StoreUnreachable processes do not reach the store.
+	StoreUnreachable
 	// Watching processes watch the store now.
 	Watching
 )
@@ -35,8 +35,8 @@
 	Alive State = "alive"
 	// Suspect members should have been heard of and were not, or refuse connections.
 	Suspect State = "suspect"
-	// Gone members have begun their planned stop.
-	Gone State = "leaving"
+	// Stopping members have begun their planned stop.
+	Stopping State = "leaving"
 	// Unknown members were not heard of and need not have been: they have just been
 	// named, or they are of another region of a fleet too large to follow them all.
 	Unknown State = "unknown"
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -12,15 +12,15 @@
 const RoundTime = 500 * time.Millisecond
 
 const (
-	// farChoices is the number of members of another region among which an instance
+	// remoteChoices is the number of members of another region among which an instance
 	// changes from round to round, so that one that is down does not cut it off.
-	farChoices = 4
+	remoteChoices = 4
 	// maxProbes bounds the members that are asked directly in a round: most of the
 	// silent ones of a lost hall need not be.
 	maxProbes = 8
-	// refusedFor is how long a member of another region that refused a connection is
+	// refusalBackoff is how long a member of another region that refused a connection is
 	// passed over.
-	refusedFor = 5 * time.Second
+	refusalBackoff = 5 * time.Second
 )
 
 // ringLess orders the members of a region so that neighbours are of one hall.
@@ -33,7 +33,7 @@
 
 // nextRound counts the rounds so that instances whose clocks agree are in the same one.
 func (v *View) nextRound(now time.Time) {
-	byClock := int64(NumberAt(now))
+	byClock := int64(SequenceAt(now))
 	v.round++
 	if off := v.round - byClock; off < -1 || off > 1 {
 		v.round = byClock
@@ -47,7 +47,7 @@
 	v.nextRound(now)
 	var near, silent []Member
 	before := 0
-	for _, r := range v.near {
+	for _, r := range v.local {
 		if v.state(now, r) != Alive {
 			silent = append(silent, r.member)
 			continue
@@ -57,8 +57,8 @@
 		}
 		near = append(near, r.member)
 	}
-	out := v.neighbours(near, before)
-	if m, ok := v.farPartner(now, before, len(near)+1); ok {
+	out := v.localPartners(near, before)
+	if m, ok := v.remotePartner(now, before, len(near)+1); ok {
 		out = append(out, m)
 	}
 	if len(silent) > 0 {
@@ -67,15 +67,15 @@
 	return out
 }
 
-// neighbours picks the partners of this round on the ring of a region's living members,
+// localPartners picks the partners of this round on the ring of a region's living members,
 // of which before stand ahead of the own one. All members take partners at the same
 // distances, which change with the round as if drawn, so that each hears from as many
 // others in each round, where partners that each draws for itself leave some out.
-func (v *View) neighbours(ring []Member, before int) []Member {
+func (v *View) localPartners(ring []Member, before int) []Member {
 	n := len(ring) + 1
 	var out []Member
-	taken := make(map[int]bool, v.settings.Near)
-	for draw := uint64(0); len(out) < min(v.settings.Near, n-1); draw++ {
+	taken := make(map[int]bool, v.settings.LocalFanout)
+	for draw := uint64(0); len(out) < min(v.settings.LocalFanout, n-1); draw++ {
 		distance := 1 + int(mix.Join(uint64(v.round), draw)%uint64(n-1))
 		if taken[distance] {
 			continue
@@ -90,19 +90,19 @@
 	return out
 }
 
-// farPartner returns the partner of another region in this round: the regions take
+// remotePartner returns the partner of another region in this round: the regions take
 // turns, and in each the instance has a few partners that others do not have, at the
 // place of the other ring that corresponds to its own.
-func (v *View) farPartner(now time.Time, before, n int) (Member, bool) {
-	if len(v.farRegions) == 0 {
+func (v *View) remotePartner(now time.Time, before, n int) (Member, bool) {
+	if len(v.remoteRegions) == 0 {
 		return Member{}, false
 	}
-	turn := int(v.round % int64(len(v.farRegions)))
-	ring := v.far[v.farRegions[turn]]
-	at := before*len(ring)/n + int(v.round/int64(len(v.farRegions)))%farChoices
+	turn := int(v.round % int64(len(v.remoteRegions)))
+	ring := v.remote[v.remoteRegions[turn]]
+	at := before*len(ring)/n + int(v.round/int64(len(v.remoteRegions)))%remoteChoices
 	for i := range ring {
 		r := ring[(at+i)%len(ring)]
-		if now.Sub(r.refusedAt) >= refusedFor {
+		if now.Sub(r.refusedAt) >= refusalBackoff {
 			return r.member, true
 		}
 	}
@@ -115,7 +115,7 @@
 	var doubtful []*record
 	for _, r := range v.members {
 		silence := now.Sub(r.heardAt)
-		if v.follows(r) && v.state(now, r) == Alive && silence >= v.settings.ProbeAfter {
+		if v.tracks(r) && v.state(now, r) == Alive && silence >= v.settings.ProbeAfter {
 			doubtful = append(doubtful, r)
 		}
 	}
--- a/fleet/suspicion_test.go
+++ b/fleet/suspicion_test.go
@@ -9,13 +9,13 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// calmRounds are the rounds of gossip in a minute.
-const calmRounds = 120
+// roundsPerMinute are the rounds of gossip in a minute.
+const roundsPerMinute = 120
 
-// TestCalmMinute checks that in a minute without faults no instance holds one that is
+// TestNoFalseSuspicions checks that in a minute without faults no instance holds one that is
 // alive and reachable to be suspect, at the sizes of today's sites and of the one to
 // come, in its own region and in others. One message in fifty is lost.
-func TestCalmMinute(t *testing.T) {
+func TestNoFalseSuspicions(t *testing.T) {
 	for _, size := range []struct{ members, regions int }{{12, 3}, {74, 3}, {295, 3}, {730, 7}} {
 		if size.members > 300 && !*large {
 			continue
@@ -26,9 +26,9 @@
 				m.round()
 			}
 			wrong := 0
-			for range calmRounds {
+			for range roundsPerMinute {
 				m.round()
-				wrong += m.suspicions()
+				wrong += m.falseSuspicions()
 			}
 			t.Logf("%d instances: %d views of a living instance that suspect it in a minute", size.members, wrong)
 			require.Zero(t, wrong)
@@ -36,8 +36,8 @@
 	}
 }
 
-// suspicions counts the views that suspect a living instance, in all regions.
-func (m *model) suspicions() int {
+// falseSuspicions counts the views that suspect a living instance, in all regions.
+func (m *model) falseSuspicions() int {
 	wrong := 0
 	for _, name := range m.names() {
 		for _, s := range m.views[name].All(m.now) {
@@ -49,21 +49,21 @@
 	return wrong
 }
 
-// cutRounds are the rounds after which a cut is known everywhere: the last heartbeats
+// settleRounds are the rounds after which a cut is known everywhere: the last heartbeats
 // from the other side are passed on for a while before they grow old.
-const cutRounds = 10
+const settleRounds = 10
 
-// TestHallCut cuts a hall off from all others. On both sides those that can be reached
+// TestHallPartition cuts a hall off from all others. On both sides those that can be reached
 // stay alive and the others are suspected, and all are alive again soon after the cut.
-func TestHallCut(t *testing.T) {
+func TestHallPartition(t *testing.T) {
 	m := newModel(74, 3, 1)
 	for range 16 {
 		m.round()
 	}
 	hall := m.members["edge-000"].Hall
 	inside := func(name string) bool { return m.members[name].Hall == hall }
-	m.cut = func(a, b string) bool { return inside(a) != inside(b) }
-	for range cutRounds {
+	m.partitioned = func(a, b string) bool { return inside(a) != inside(b) }
+	for range settleRounds {
 		m.round()
 	}
 	for _, name := range m.names() {
@@ -78,9 +78,9 @@
 			require.Equal(t, want, s.State, "%s of %s", name, s.Name)
 		}
 	}
-	m.cut = nil
-	for range cutRounds {
+	m.partitioned = nil
+	for range settleRounds {
 		m.round()
 	}
-	require.Zero(t, m.suspicions())
+	require.Zero(t, m.falseSuspicions())
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -15,9 +15,9 @@
 	ProbeAfter, SuspectAfter time.Duration
 	// Watchers is the number of watchers in each region.
 	Watchers int
-	// Near is the number of members of the own region that a round of gossip goes
+	// LocalFanout is the number of members of the own region that a round of gossip goes
 	// to.
-	Near int
+	LocalFanout int
 }
 
 // DefaultSettings suit a round of gossip each RoundTime. With three partners news of a
@@ -28,30 +28,30 @@
 	ProbeAfter:   2 * RoundTime,
 	SuspectAfter: 4 * RoundTime,
 	Watchers:     2,
-	Near:         3,
+	LocalFanout:  3,
 }
 
 // View is one instance's view of the fleet. It is not safe for concurrent use.
 type View struct {
-	settings Settings
-	self     Member
-	beat     Beat
-	members  map[string]*record
-	byID     map[ID]*record
-	// order holds the members in the order of their names.
-	order []*record
-	// near are the members of the own region and far those of the others, by region,
+	settings  Settings
+	self      Member
+	heartbeat Heartbeat
+	members   map[string]*record
+	byID      map[ID]*record
+	// byName holds the members in the byName of their names.
+	byName []*record
+	// local are the members of the own region and far those of the others, by region,
 	// in the order of ringLess. farRegions are the regions of far in order.
-	near       []*record
-	far        map[string][]*record
-	farRegions []string
+	local         []*record
+	remote        map[string][]*record
+	remoteRegions []string
 	// round counts the rounds of gossip.
 	round int64
 }
 
 type record struct {
-	member Member
-	beat   Beat
+	member    Member
+	heartbeat Heartbeat
 	// heardAt is when the beat last rose, zero if none was heard.
 	heardAt time.Time
 	// refusedAt is when the member's peer address last refused a connection.
@@ -60,20 +60,20 @@
 
 // NewView returns the view of a member's process that knows only itself. Number is that
 // of its first heartbeat.
-func NewView(self Member, number Number, settings Settings) *View {
+func NewView(self Member, number Sequence, settings Settings) *View {
 	return &View{
-		settings: settings,
-		self:     self,
-		beat:     Beat{Member: IDOf(self.Name), Number: number},
-		members:  make(map[string]*record),
-		byID:     make(map[ID]*record),
-		far:      make(map[string][]*record),
+		settings:  settings,
+		self:      self,
+		heartbeat: Heartbeat{Member: IDOf(self.Name), Sequence: number},
+		members:   make(map[string]*record),
+		byID:      make(map[ID]*record),
+		remote:    make(map[string][]*record),
 	}
 }
 
 // Member returns the member of an ID, the own one too.
 func (v *View) Member(id ID) (Member, bool) {
-	if id == v.beat.Member {
+	if id == v.heartbeat.Member {
 		return v.self, true
 	}
 	r := v.byID[id]
@@ -87,7 +87,7 @@
 func (v *View) Self() Member { return v.self }
 
 // SetFlags sets what the own process says of itself.
-func (v *View) SetFlags(flags Flags) { v.beat.Flags = flags }
+func (v *View) SetFlags(flags Flags) { v.heartbeat.Flags = flags }
 
 // Add takes in members that the store or a peer named.
 func (v *View) Add(members ...Member) {
@@ -105,25 +105,25 @@
 		}
 	}
 	if changed {
-		v.arrange()
+		v.reindex()
 	}
 }
 
-func (v *View) arrange() {
-	v.order, v.near, v.farRegions = v.order[:0], v.near[:0], v.farRegions[:0]
+func (v *View) reindex() {
+	v.byName, v.local, v.remoteRegions = v.byName[:0], v.local[:0], v.remoteRegions[:0]
 	clear(v.byID)
-	clear(v.far)
+	clear(v.remote)
 	for name, r := range v.members {
-		v.order = append(v.order, r)
+		v.byName = append(v.byName, r)
 		v.byID[IDOf(name)] = r
 	}
-	slices.SortFunc(v.order, func(a, b *record) int { return strings.Compare(a.member.Name, b.member.Name) })
-	for _, r := range v.order {
+	slices.SortFunc(v.byName, func(a, b *record) int { return strings.Compare(a.member.Name, b.member.Name) })
+	for _, r := range v.byName {
 		if r.member.Region == v.self.Region {
-			v.near = append(v.near, r)
+			v.local = append(v.local, r)
 			continue
 		}
-		v.far[r.member.Region] = append(v.far[r.member.Region], r)
+		v.remote[r.member.Region] = append(v.remote[r.member.Region], r)
 	}
 	byRing := func(a, b *record) int {
 		if ringLess(a.member, b.member) {
@@ -131,12 +131,12 @@
 		}
 		return 1
 	}
-	slices.SortFunc(v.near, byRing)
-	for region, ring := range v.far {
-		v.farRegions = append(v.farRegions, region)
+	slices.SortFunc(v.local, byRing)
+	for region, ring := range v.remote {
+		v.remoteRegions = append(v.remoteRegions, region)
 		slices.SortFunc(ring, byRing)
 	}
-	sort.Strings(v.farRegions)
+	sort.Strings(v.remoteRegions)
 }
 
 // Remove drops a member that is known from the store alone and not alive.
@@ -144,87 +144,89 @@
 	r := v.members[name]
 	if r != nil && v.state(now, r) != Alive {
 		delete(v.members, name)
-		v.arrange()
+		v.reindex()
 	}
 }
 
-// Beat counts one heartbeat of the own process.
-func (v *View) Beat(now time.Time) { v.beat.Number = max(v.beat.Number+1, NumberAt(now)) }
+// AdvanceHeartbeat counts one heartbeat of the own process.
+func (v *View) AdvanceHeartbeat(now time.Time) {
+	v.heartbeat.Sequence = max(v.heartbeat.Sequence+1, SequenceAt(now))
+}
 
-// fullView is the number of members up to which beats of all are passed on. In a
+// fullViewSize is the number of members up to which beats of all are passed on. In a
 // larger fleet an instance follows its own region and the others' watchers.
-const fullView = 32
+const fullViewSize = 32
 
-// Beats returns the beats to pass on to a member of a region, the own one first.
-func (v *View) Beats(now time.Time, region string) Beats {
-	out := make(Beats, 0, len(v.order)+1)
-	out = append(out, v.beat)
-	for _, r := range v.order {
-		if now.Sub(r.heardAt) < v.settings.SuspectAfter && v.concerns(r, region) {
-			out = append(out, r.beat)
+// HeartbeatsFor returns the beats to pass on to a member of a region, the own one first.
+func (v *View) HeartbeatsFor(now time.Time, region string) Heartbeats {
+	out := make(Heartbeats, 0, len(v.byName)+1)
+	out = append(out, v.heartbeat)
+	for _, r := range v.byName {
+		if now.Sub(r.heardAt) < v.settings.SuspectAfter && v.gossipsTo(r, region) {
+			out = append(out, r.heartbeat)
 		}
 	}
 	return out
 }
 
-// concerns tells whether members of a region are told of a member: of all in a small
+// gossipsTo tells whether members of a region are told of a member: of all in a small
 // fleet, else by their own region of its members and by others of the watchers alone.
-func (v *View) concerns(r *record, region string) bool {
-	if len(v.members) < fullView || r.beat.Flags&Watching != 0 {
+func (v *View) gossipsTo(r *record, region string) bool {
+	if len(v.members) < fullViewSize || r.heartbeat.Flags&Watching != 0 {
 		return true
 	}
 	return region == v.self.Region && r.member.Region == region
 }
 
-// follows tells whether the heartbeats of a member are expected to arrive.
-func (v *View) follows(r *record) bool {
-	return len(v.members) < fullView || r.member.Region == v.self.Region
+// tracks tells whether the heartbeats of a member are expected to arrive.
+func (v *View) tracks(r *record) bool {
+	return len(v.members) < fullViewSize || r.member.Region == v.self.Region
 }
 
-// Hear takes in beats.
-func (v *View) Hear(now time.Time, beats Beats) {
+// MergeHeartbeats takes in beats.
+func (v *View) MergeHeartbeats(now time.Time, beats Heartbeats) {
 	for _, b := range beats {
-		if b.Member == v.beat.Member {
-			v.outlive(b)
+		if b.Member == v.heartbeat.Member {
+			v.advancePast(b)
 			continue
 		}
 		r := v.byID[b.Member]
-		if r == nil || b.Number <= r.beat.Number {
+		if r == nil || b.Sequence <= r.heartbeat.Sequence {
 			continue
 		}
-		r.beat = b
+		r.heartbeat = b
 		r.heardAt = now
 	}
 }
 
-// outlive raises the own number above that of an earlier process, which may have had
+// advancePast raises the own number above that of an earlier process, which may have had
 // a clock that was ahead.
-func (v *View) outlive(b Beat) {
-	if b.Number > v.beat.Number {
-		v.beat.Number = b.Number + 1
+func (v *View) advancePast(b Heartbeat) {
+	if b.Sequence > v.heartbeat.Sequence {
+		v.heartbeat.Sequence = b.Sequence + 1
 	}
 }
 
-// OwnBeat returns the heartbeat of the own process.
-func (v *View) OwnBeat() Beat { return v.beat }
+// OwnHeartbeat returns the heartbeat of the own process.
+func (v *View) OwnHeartbeat() Heartbeat { return v.heartbeat }
 
-// Outlived returns a heartbeat of the sender's member that is newer than all that the
+// NewerHeartbeat returns a heartbeat of the sender's member that is newer than all that the
 // sender itself knows: an earlier process had a clock that was ahead. The sender has
 // to be told, or its own heartbeats would count for nothing.
-func (v *View) Outlived(beats Beats) (Beat, bool) {
+func (v *View) NewerHeartbeat(beats Heartbeats) (Heartbeat, bool) {
 	if len(beats) == 0 {
-		return Beat{}, false
+		return Heartbeat{}, false
 	}
 	r := v.byID[beats[0].Member]
-	if r == nil || r.beat.Number <= beats[0].Number {
-		return Beat{}, false
+	if r == nil || r.heartbeat.Sequence <= beats[0].Sequence {
+		return Heartbeat{}, false
 	}
-	return r.beat, true
+	return r.heartbeat, true
 }
 
-// Refused takes in that a peer address refused a connection, which shows that
+// MarkRefused takes in that a peer address refused a connection, which shows that
 // its process has ended.
-func (v *View) Refused(now time.Time, peerAddr string) {
+func (v *View) MarkRefused(now time.Time, peerAddr string) {
 	for _, r := range v.members {
 		if r.member.PeerAddr == peerAddr {
 			r.refusedAt = now
@@ -237,21 +239,21 @@
 	silent := now.Sub(r.heardAt) >= v.settings.SuspectAfter
 	refused := r.refusedAt.After(r.heardAt)
 	switch {
-	case heard && r.beat.Flags&Leaving != 0:
-		return Gone
+	case heard && r.heartbeat.Flags&Leaving != 0:
+		return Stopping
 	case heard && !silent && !refused:
 		return Alive
-	case v.follows(r) && (heard || refused):
+	case v.tracks(r) && (heard || refused):
 		return Suspect
 	default:
 		return Unknown
 	}
 }
 
-// Misses tells whether a member whose heartbeats are expected is not heard.
-func (v *View) Misses(now time.Time, name string) bool {
+// IsMissing tells whether a member whose heartbeats are expected is not heard.
+func (v *View) IsMissing(now time.Time, name string) bool {
 	r := v.members[name]
-	if r == nil || !v.follows(r) {
+	if r == nil || !v.tracks(r) {
 		return false
 	}
 	state := v.state(now, r)
@@ -260,9 +262,9 @@
 
 // All returns every member, the own one too, in the order of names.
 func (v *View) All(now time.Time) []Status {
-	own := Status{Member: v.self, State: Alive, Flags: v.beat.Flags}
-	if v.beat.Flags&Leaving != 0 {
-		own.State = Gone
+	own := Status{Member: v.self, State: Alive, Flags: v.heartbeat.Flags}
+	if v.heartbeat.Flags&Leaving != 0 {
+		own.State = Stopping
 	}
 	out := v.Others(now)
 	at := sort.Search(len(out), func(i int) bool { return out[i].Name > v.self.Name })
@@ -271,12 +273,12 @@
 
 // Others returns every member but the own one, in the order of names.
 func (v *View) Others(now time.Time) []Status {
-	out := make([]Status, 0, len(v.order)+1)
-	for _, r := range v.order {
-		out = append(out, Status{Member: r.member, State: v.state(now, r), Flags: r.beat.Flags})
+	out := make([]Status, 0, len(v.byName)+1)
+	for _, r := range v.byName {
+		out = append(out, Status{Member: r.member, State: v.state(now, r), Flags: r.heartbeat.Flags})
 	}
 	return out
 }
 
 // Len returns the number of members, the own one too.
-func (v *View) Len() int { return len(v.order) + 1 }
+func (v *View) Len() int { return len(v.byName) + 1 }
--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Watches tells whether the own process is to watch the store: it is among the
+// ShouldWatch tells whether the own process is to watch the store: it is among the
 // first of its region, by name, that are alive, not leaving, and reach the
 // store. Instances whose views differ may choose more watchers than needed,
 // never none: an instance that hears of no watcher is the first in its own view.
-func (v *View) Watches(now time.Time) bool {
+func (v *View) ShouldWatch(now time.Time) bool {
 	before := 0
-	for _, r := range v.order {
+	for _, r := range v.byName {
 		if r.member.Name > v.self.Name {
 			return true
 		}
-		if r.member.Region == v.self.Region && v.state(now, r) == Alive && r.beat.Flags&Deaf == 0 {
+		if r.member.Region == v.self.Region && v.state(now, r) == Alive && r.heartbeat.Flags&StoreUnreachable == 0 {
 			before++
 		}
 		if before >= v.settings.Watchers {
@@ -22,25 +22,25 @@
 	return true
 }
 
-// WatchesFirst tells whether the own process is the first watcher of its region.
-func (v *View) WatchesFirst(now time.Time) bool {
-	for _, r := range v.order {
+// IsFirstWatcher tells whether the own process is the first watcher of its region.
+func (v *View) IsFirstWatcher(now time.Time) bool {
+	for _, r := range v.byName {
 		if r.member.Name > v.self.Name {
 			break
 		}
-		if r.member.Region == v.self.Region && v.state(now, r) == Alive && r.beat.Flags&Deaf == 0 {
+		if r.member.Region == v.self.Region && v.state(now, r) == Alive && r.heartbeat.Flags&StoreUnreachable == 0 {
 			return false
 		}
 	}
-	return v.beat.Flags&Deaf == 0
+	return v.heartbeat.Flags&StoreUnreachable == 0
 }
 
-// Leads tells whether the own process is the first by name of all watchers of the fleet that are known
+// IsLeader tells whether the own process is the first by name of all watchers of the fleet that are known
 // to be alive. If none is, as while the store is away, one that has led until now goes on.
-func (v *View) Leads(now time.Time, hasLed bool) bool {
-	watches := v.beat.Flags&Watching != 0
-	for _, r := range v.order {
-		if r.beat.Flags&Watching == 0 || v.state(now, r) != Alive {
+func (v *View) IsLeader(now time.Time, hasLed bool) bool {
+	watches := v.heartbeat.Flags&Watching != 0
+	for _, r := range v.byName {
+		if r.heartbeat.Flags&Watching == 0 || v.state(now, r) != Alive {
 			continue
 		}
 		return watches && r.member.Name > v.self.Name
@@ -48,11 +48,11 @@
 	return watches || hasLed
 }
 
-// FarWatchers returns the watchers of the other regions that are alive.
-func (v *View) FarWatchers(now time.Time) []Member {
+// RemoteWatchers returns the watchers of the other regions that are alive.
+func (v *View) RemoteWatchers(now time.Time) []Member {
 	var out []Member
-	for _, r := range v.order {
-		if r.member.Region != v.self.Region && r.beat.Flags&Watching != 0 && v.state(now, r) == Alive {
+	for _, r := range v.byName {
+		if r.member.Region != v.self.Region && r.heartbeat.Flags&Watching != 0 && v.state(now, r) == Alive {
 			out = append(out, r.member)
 		}
 	}
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -19,7 +19,7 @@
 func (g *Gateway) passOn(d feed.Delta, source string) {
 	now := g.clock.Now()
 	fromStore := source == sourceStore
-	if !urgent(d.Kind) && !g.view.WatchesFirst(now) {
+	if !urgent(d.Kind) && !g.view.IsFirstWatcher(now) {
 		return
 	}
 	if !fromStore && !g.watch.isWatching() {
@@ -31,13 +31,13 @@
 		return
 	}
 	message.Lapse = g.held[KindTargets].lapse.Remaining(now)
-	for _, branch := range g.view.Spread(now) {
+	for _, branch := range g.view.Branches(now) {
 		g.mesh.Send(branch.PeerAddr, message.RelayTo(branch))
 	}
 	if !fromStore || !urgent(d.Kind) {
 		return
 	}
-	for _, m := range g.view.FarWatchers(now) {
+	for _, m := range g.view.RemoteWatchers(now) {
 		g.mesh.Send(m.PeerAddr, message)
 	}
 }
@@ -64,7 +64,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, branch := range g.view.SpreadUntil(g.clock.Now(), m.Until) {
+	for _, branch := range g.view.BranchesUntil(g.clock.Now(), m.Until) {
 		g.mesh.Send(branch.PeerAddr, m.RelayTo(branch))
 	}
 }
--- a/gateway/delta_test.go
+++ b/gateway/delta_test.go
@@ -96,14 +96,14 @@
 // a heartbeat of its own that is newer than the one before.
 func TestProbeIsAnswered(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
-	before := g.view.OwnBeat()
+	before := g.view.OwnHeartbeat()
 	g.Receive("", &peer.Probe{ReplyTo: in.addr})
 	answer, ok := in.next(t).(*peer.Gossip)
 	require.True(t, ok)
 	require.True(t, answer.Reply)
 	require.Len(t, answer.Beats, 1)
 	require.Equal(t, fleet.IDOf("n0"), answer.Beats[0].Member)
-	require.Greater(t, answer.Beats[0].Number, before.Number)
+	require.Greater(t, answer.Beats[0].Sequence, before.Sequence)
 }
 
 // TestDeltaIsRelayed checks that a delta is passed on, as it came, to those that its sender
@@ -116,7 +116,7 @@
 		{Name: "n2", Hall: "a1", Region: "a", PeerAddr: "127.0.0.1:1"},
 	} {
 		g.view.Add(m)
-		g.view.Hear(now, fleet.Beats{{Member: fleet.IDOf(m.Name), Number: fleet.NumberAt(now)}})
+		g.view.MergeHeartbeats(now, fleet.Heartbeats{{Member: fleet.IDOf(m.Name), Sequence: fleet.SequenceAt(now)}})
 	}
 	message, err := peer.NewDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2)})
 	require.NoError(t, err)
--- a/gateway/forget.go
+++ b/gateway/forget.go
@@ -29,12 +29,12 @@
 func (g *Gateway) lost(now time.Time) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.watch.isWatching() || !g.view.WatchesFirst(now) {
-		g.absences = fleet.Absences{}
+	if !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
+		g.absences = fleet.AbsenceTracker{}
 		return "", false
 	}
-	g.absences.Note(now, g.config.Region, g.view.All(now))
-	for _, name := range g.absences.Lost(now, g.config.ForgetAfter) {
+	g.absences.Update(now, g.config.Region, g.view.All(now))
+	for _, name := range g.absences.AbsentFor(now, g.config.ForgetAfter) {
 		if _, listed := g.registered[name]; listed {
 			return name, true
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -78,7 +78,7 @@
 	// instancesAt is when this instance came to know which are registered.
 	instancesAt time.Time
 	// absences are the members of the own region that are not alive.
-	absences fleet.Absences
+	absences fleet.AbsenceTracker
 	// unregistered has an element when the own entry has gone from the store.
 	unregistered chan struct{}
 	// registered are the instances that the store lists.
@@ -156,7 +156,7 @@
 		FrontAddr: orElse(config.AdvertiseFront, g.listeners.front.Addr().String()),
 		PeerAddr:  orElse(config.AdvertisePeer, g.listeners.peer.Addr().String()),
 	}
-	g.view = fleet.NewView(self, fleet.NumberAt(g.clock.Now()), fleet.DefaultSettings)
+	g.view = fleet.NewView(self, fleet.SequenceAt(g.clock.Now()), fleet.DefaultSettings)
 	g.mesh = peer.NewMesh(self.PeerAddr, "", g, g.log)
 	g.limitOwner = newLimitOwner(config, g.mesh, g.startedAt, &g.targetLimits)
 	g.limitOwner.hear = g.receiveLimitIssue
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -70,7 +70,7 @@
 		g.log.Warn(logStoreLost, "error", "others hear changes that the own watch does not bring")
 	}
 	g.view.SetFlags(g.flags())
-	g.view.Beat(now)
+	g.view.AdvanceHeartbeat(now)
 	g.rounds++
 	partners := g.partners(now, wide)
 	settled := now.Sub(g.startedAt) >= hearTime
@@ -80,7 +80,7 @@
 		if m.Region == g.config.Region {
 			message.Busy = busy
 		}
-		message.Unheard = settled && g.view.Misses(now, m.Name)
+		message.Unheard = settled && g.view.IsMissing(now, m.Name)
 		g.mesh.Send(m.PeerAddr, message)
 	}
 	g.probe(g.view.Probes(now))
@@ -110,7 +110,7 @@
 
 // message returns what this instance tells one of a region. The caller holds mu.
 func (g *Gateway) message(now time.Time, region string) *peer.Gossip {
-	m := &peer.Gossip{Beats: g.view.Beats(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), NewsSum: g.newsSum(), DeparturesSum: g.departures.sum(now), LimitsSum: g.targetLimits.sum(now)}
+	m := &peer.Gossip{Beats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), NewsSum: g.newsSum(), DeparturesSum: g.departures.sum(now), LimitsSum: g.targetLimits.sum(now)}
 	for _, kind := range g.kinds {
 		m.Positions = append(m.Positions, g.replicas[kind].At())
 	}
@@ -130,7 +130,7 @@
 		flags |= fleet.Leaving
 	}
 	if g.watch.isDeaf() {
-		flags |= fleet.Deaf
+		flags |= fleet.StoreUnreachable
 	}
 	if g.watch.isWatching() {
 		flags |= fleet.Watching
@@ -145,7 +145,7 @@
 	}
 	var out []fleet.Member
 	for _, s := range g.view.All(now) {
-		if (s.State == fleet.Alive || s.State == fleet.Gone) && s.Name != g.config.Name {
+		if (s.State == fleet.Alive || s.State == fleet.Stopping) && s.Name != g.config.Name {
 			out = append(out, s.Member)
 		}
 	}
@@ -183,11 +183,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.view.SetFlags(g.flags())
-	g.view.Beat(g.clock.Now())
+	g.view.AdvanceHeartbeat(g.clock.Now())
 	if m.Again {
 		g.renewFor(g.clock.Now(), m.ReplyTo)
 	}
-	g.mesh.Send(m.ReplyTo, &peer.Gossip{Beats: fleet.Beats{g.view.OwnBeat()}, Reply: true})
+	g.mesh.Send(m.ReplyTo, &peer.Gossip{Beats: fleet.Heartbeats{g.view.OwnHeartbeat()}, Reply: true})
 }
 
 // renewFor opens another connection to an instance that says that it does not hear this one.
@@ -232,7 +232,7 @@
 func (g *Gateway) refused(addr string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.view.Refused(g.clock.Now(), addr)
+	g.view.MarkRefused(g.clock.Now(), addr)
 }
 
 // hear takes in gossip and asks for what the sender is ahead with. A sender that is
@@ -249,7 +249,7 @@
 	if m.Member != nil {
 		g.view.Add(*m.Member)
 	}
-	g.view.Hear(now, m.Beats)
+	g.view.MergeHeartbeats(now, m.Beats)
 	g.pools.hear(now, m.Busy)
 	g.relayNews(now, m)
 	g.hearNews(now, m.News)
@@ -268,7 +268,7 @@
 		g.renewFor(now, sender.PeerAddr)
 	}
 	ahead := g.compare(now, sender, m.Positions)
-	outlived, behindItself := g.view.Outlived(m.Beats)
+	outlived, behindItself := g.view.NewerHeartbeat(m.Beats)
 	var missed quarantine.Updates
 	var left availability.DepartureList
 	var limits availability.RateLimitList
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -110,7 +110,7 @@
 func (g *Gateway) overKept(now time.Time) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.watch.isWatching() || !g.view.WatchesFirst(now) {
+	if !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
 		return "", false
 	}
 	over := ""
--- a/gateway/limit_owners.go
+++ b/gateway/limit_owners.go
@@ -87,7 +87,7 @@
 		if o.awaySince[s.Name].IsZero() {
 			o.awaySince[s.Name] = now
 		}
-		if s.State == fleet.Gone || now.Sub(o.awaySince[s.Name]) >= awayAfter {
+		if s.State == fleet.Stopping || now.Sub(o.awaySince[s.Name]) >= awayAfter {
 			delete(present, s.Name)
 		}
 	}
--- a/gateway/limit_owners_test.go
+++ b/gateway/limit_owners_test.go
@@ -68,7 +68,7 @@
 		{fleet.Suspect, awayAfter - time.Millisecond, true},
 		{fleet.Suspect, awayAfter, false},
 		{fleet.Unknown, time.Minute, true},
-		{fleet.Gone, 0, false},
+		{fleet.Stopping, 0, false},
 	} {
 		w := newOwnersWorld(self, 4)
 		require.Equal(t, first, ownerOf(w.review(nil)))
--- a/gateway/logs.go
+++ b/gateway/logs.go
@@ -148,7 +148,7 @@
 		}
 	}
 	g.log.Log(context.Background(), memberLevel(changes[0].State), logMembers, "changes", len(changes),
-		"alive", counts[fleet.Alive], "suspect", counts[fleet.Suspect], "leaving", counts[fleet.Gone], "named", named)
+		"alive", counts[fleet.Alive], "suspect", counts[fleet.Suspect], "leaving", counts[fleet.Stopping], "named", named)
 }
 
 func memberLevel(s fleet.State) slog.Level {
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -17,16 +17,16 @@
 // viewOf returns the view of an instance that has heard of the first heard of count
 // others of its region.
 func viewOf(now time.Time, count, heard int) *fleet.View {
-	view := fleet.NewView(fleet.Member{Name: "n0", Hall: "a1", Region: "a"}, fleet.NumberAt(now), fleet.DefaultSettings)
-	var beats fleet.Beats
+	view := fleet.NewView(fleet.Member{Name: "n0", Hall: "a1", Region: "a"}, fleet.SequenceAt(now), fleet.DefaultSettings)
+	var beats fleet.Heartbeats
 	for i := range count {
 		name := fmt.Sprintf("n%d", i+1)
 		view.Add(fleet.Member{Name: name, Hall: "a1", Region: "a"})
 		if i < heard {
-			beats = append(beats, fleet.Beat{Member: fleet.IDOf(name), Number: fleet.NumberAt(now), Flags: fleet.Ready})
+			beats = append(beats, fleet.Heartbeat{Member: fleet.IDOf(name), Sequence: fleet.SequenceAt(now), Flags: fleet.Ready})
 		}
 	}
-	view.Hear(now, beats)
+	view.MergeHeartbeats(now, beats)
 	return view
 }
 
--- a/gateway/lookup_test.go
+++ b/gateway/lookup_test.go
@@ -43,7 +43,7 @@
 		{"two that are all", join(members("a1", 2, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 2}},
 		{"few of the hall are left", join(members("a1", 4, fleet.Alive, fleet.Ready), members("a1", 6, fleet.Suspect, fleet.Ready), near, far), false,
 			map[string]int{"a1": 4, "a2": 10}},
-		{"others not ready or leaving", join(members("a1", 3, fleet.Alive, fleet.Ready), members("a1", 1, fleet.Alive, 0), members("a1", 1, fleet.Gone, fleet.Ready), near), false,
+		{"others not ready or leaving", join(members("a1", 3, fleet.Alive, fleet.Ready), members("a1", 1, fleet.Alive, 0), members("a1", 1, fleet.Stopping, fleet.Ready), near), false,
 			map[string]int{"a1": 3}},
 		{"no region", far, false, map[string]int{"b1": 10}},
 		{"just started", join(members("a1", 1, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), members("a1", 2, fleet.Alive, 0), members("a1", 1, fleet.Suspect, 0), near), true,
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -26,8 +26,8 @@
 	g.departures.add(g.clock.Now(), "i-1")
 	late := newNeighbour(t, "n0")
 	word := func(m peer.Gossip) {
-		late.beat.Number++
-		m.Beats, m.Member = fleet.Beats{late.beat}, &late.member
+		late.beat.Sequence++
+		m.Beats, m.Member = fleet.Heartbeats{late.beat}, &late.member
 		g.Receive(late.addr, &m)
 	}
 	word(peer.Gossip{})
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -33,7 +33,7 @@
 func (g *Gateway) broadcast(now time.Time, message peer.Gossip) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	message.Beats, message.Reply = fleet.Beats{g.view.OwnBeat()}, true
+	message.Beats, message.Reply = fleet.Heartbeats{g.view.OwnHeartbeat()}, true
 	if g.view.Len() <= directMembers {
 		for _, m := range g.partners(now, true) {
 			g.mesh.Send(m.PeerAddr, &message)
@@ -42,14 +42,14 @@
 	}
 	g.spreadNews(now, message)
 	message.Enter = true
-	for _, m := range g.view.FarWatchers(now) {
+	for _, m := range g.view.RemoteWatchers(now) {
 		g.mesh.Send(m.PeerAddr, &message)
 	}
 }
 
 // spreadNews sends news to the own region by way of a few instances. The caller holds mu.
 func (g *Gateway) spreadNews(now time.Time, message peer.Gossip) {
-	for _, branch := range g.view.Spread(now) {
+	for _, branch := range g.view.Branches(now) {
 		message.Until = branch.Until
 		g.mesh.Send(branch.PeerAddr, &message)
 	}
@@ -63,7 +63,7 @@
 	case m.Enter:
 		g.spreadNews(now, message)
 	case m.Until != 0:
-		for _, branch := range g.view.SpreadUntil(now, m.Until) {
+		for _, branch := range g.view.BranchesUntil(now, m.Until) {
 			message.Until = branch.Until
 			g.mesh.Send(branch.PeerAddr, &message)
 		}
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -25,8 +25,8 @@
 	g.holds.note()
 	late := newNeighbour(t, "n0")
 	word := func(sum uint32) {
-		late.beat.Number++
-		g.Receive(late.addr, &peer.Gossip{Beats: fleet.Beats{late.beat}, Member: &late.member, NewsSum: sum})
+		late.beat.Sequence++
+		g.Receive(late.addr, &peer.Gossip{Beats: fleet.Heartbeats{late.beat}, Member: &late.member, NewsSum: sum})
 	}
 	word(0)
 	reply, ok := late.next(t).(*peer.Gossip)
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -89,7 +89,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	names := g.missing(now)
-	if len(names) == 0 || g.lostOwn.writing || !g.watch.isWatching() || !g.view.WatchesFirst(now) {
+	if len(names) == 0 || g.lostOwn.writing || !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
 		return
 	}
 	batch := make(map[string][]byte, maxRewrites)
--- a/gateway/question_test.go
+++ b/gateway/question_test.go
@@ -20,7 +20,7 @@
 type neighbour struct {
 	*inbox
 	member fleet.Member
-	beat   fleet.Beat
+	beat   fleet.Heartbeat
 }
 
 func newNeighbour(t *testing.T, name string) *neighbour {
@@ -28,14 +28,14 @@
 	return &neighbour{
 		inbox:  in,
 		member: fleet.Member{Name: name, Hall: "a1", Region: "a", PeerAddr: in.addr},
-		beat:   fleet.Beat{Member: fleet.IDOf(name), Number: fleet.NumberAt(time.Now())},
+		beat:   fleet.Heartbeat{Member: fleet.IDOf(name), Sequence: fleet.SequenceAt(time.Now())},
 	}
 }
 
 // gossip has the neighbour tell an instance how far its targets are.
 func (n *neighbour) gossip(g *Gateway, targets int64) {
-	n.beat.Number++
-	m := &peer.Gossip{Beats: fleet.Beats{n.beat}, Member: &n.member, Positions: make([]feed.Position, len(kinds)), Reply: true}
+	n.beat.Sequence++
+	m := &peer.Gossip{Beats: fleet.Heartbeats{n.beat}, Member: &n.member, Positions: make([]feed.Position, len(kinds)), Reply: true}
 	for i, kind := range kinds {
 		if kind == KindTargets {
 			m.Positions[i] = feed.At(0, targets)
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -255,7 +255,7 @@
 			members++
 		}
 	}
-	return g.view.Leads(now, hasLed), members
+	return g.view.IsLeader(now, hasLed), members
 }
 
 // writeState has the store hold what has become of an order. The caller holds the rollout's mu.
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -100,7 +100,7 @@
 func (g *Gateway) away(now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for _, s := range g.view.Others(now) {
-		if s.State == fleet.Suspect || s.State == fleet.Gone {
+		if s.State == fleet.Suspect || s.State == fleet.Stopping {
 			out[s.Name] = true
 		}
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -71,7 +71,7 @@
 // knows of nobody and is the first in its own view, as all are that start with it, so it
 // leaves that to the seeds for a while. The caller holds mu.
 func (g *Gateway) watches(now time.Time) bool {
-	return (g.isSeed() || g.hasSettled(now)) && g.view.Watches(now)
+	return (g.isSeed() || g.hasSettled(now)) && g.view.ShouldWatch(now)
 }
 
 // hasSettled tells whether the instance has had the time to hear of the others. The caller
--- a/peer/message.go
+++ b/peer/message.go
@@ -99,7 +99,7 @@
 // reflect.
 type Gossip struct {
 	// Beats begin with the sender's own, which names it.
-	Beats fleet.Beats `msgpack:"b"`
+	Beats fleet.Heartbeats `msgpack:"b"`
 	// Member is the sender itself, for receivers that may not know it; nil in most
 	// messages.
 	Member *fleet.Member `msgpack:"m,omitempty"`
