--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -72,7 +72,7 @@
 	return ids
 }
 
-func TestRankingFollowsItsDefinition(t *testing.T) {
+func TestRankingMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := targets(rapid.IntRange(0, 30).Draw(t, "targets"))
 		key := rapid.StringN(0, 8, 8).Draw(t, "key")
--- a/affinity/rank.go
+++ b/affinity/rank.go
@@ -17,13 +17,13 @@
 // are -1.
 type Ranking [Depth]int
 
-// place is a target with its score.
-type place struct {
+// scored is a target with its score.
+type scored struct {
 	index int
 	score float64
 }
 
-var nobody = place{index: -1}
+var noTarget = scored{index: -1}
 
 // Ranker collects the ranking of one key over targets in groups (halls) without
 // an allocation.
@@ -31,7 +31,7 @@
 	key    uint64
 	groups int
 	// best are the two best targets of each group.
-	best [MaxGroups][Depth]place
+	best [MaxGroups][Depth]scored
 }
 
 // NewRanker returns a ranker for a key.
@@ -47,10 +47,10 @@
 func (r *Ranker) Add(index, group int, id uint64, weight float64) {
 	group = min(group, MaxGroups-1)
 	for r.groups <= group {
-		r.best[r.groups] = [Depth]place{nobody, nobody}
+		r.best[r.groups] = [Depth]scored{noTarget, noTarget}
 		r.groups++
 	}
-	p := place{index: index, score: mix.Weighted(mix.Join(r.key, id), weight)}
+	p := scored{index: index, score: mix.Weighted(mix.Join(r.key, id), weight)}
 	held := &r.best[group]
 	switch {
 	case held[0].index < 0 || p.score > held[0].score:
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -58,11 +58,11 @@
 	}
 }
 
-// TestNeverOverSlots drives a pool through arrivals, answers, refusals, broken
+// TestSlotsAreNeverExceeded drives a pool through arrivals, answers, refusals, broken
 // exchanges, drains and changes of the shares. No target may get more than its
 // share at the time, none new work while it leaves, every queued request ends
 // in one grant, and a request of another region stays off the floor.
-func TestNeverOverSlots(t *testing.T) {
+func TestSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rand"), 1))})
 		floor := rapid.IntRange(0, 100).Draw(t, "floor")
@@ -81,7 +81,7 @@
 					next = append(next, balance.Spec{ID: id, Addr: id, Slots: n})
 					m.slots[id] = n
 				}
-				m.granted(p.SetTargets(now, next))
+				m.checkGrants(p.SetTargets(now, next))
 			case 1, 2, 3:
 				r := balance.Request{
 					ID:              uint64(step + 1),
@@ -94,15 +94,15 @@
 				if d.Action == balance.Run && r.FromOtherRegion {
 					require.Less(t, before.InFlight, before.Limit-before.Limit*floor/100+1)
 				}
-				m.decided(r.ID, d)
+				m.checkDecision(r.ID, d)
 			default:
 				if id := m.anyInFlight(); id != "" {
 					m.inFlight[id]--
 					result := balance.Result(rapid.IntRange(0, 4).Draw(t, "result"))
-					m.granted(p.Release(now, id, result, time.Duration(rapid.IntRange(1, 50).Draw(t, "latency"))*time.Millisecond))
+					m.checkGrants(p.Release(now, id, result, time.Duration(rapid.IntRange(1, 50).Draw(t, "latency"))*time.Millisecond))
 				}
 			}
-			m.granted(p.Tick(now))
+			m.checkGrants(p.Tick(now))
 			require.Equal(t, len(m.waiting), p.Load(now).Queued)
 		}
 	})
@@ -116,10 +116,10 @@
 	waiting  map[uint64]bool
 }
 
-func (m *poolModel) decided(id uint64, d balance.Decision) {
+func (m *poolModel) checkDecision(id uint64, d balance.Decision) {
 	switch d.Action {
 	case balance.Run:
-		m.ran(d)
+		m.checkRun(d)
 	case balance.Wait:
 		m.waiting[id] = true
 	case balance.Refuse:
@@ -127,19 +127,19 @@
 	}
 }
 
-func (m *poolModel) ran(d balance.Decision) {
+func (m *poolModel) checkRun(d balance.Decision) {
 	slots, named := m.slots[d.Target.ID]
 	require.True(m.t, named, "a leaving target got new work")
 	m.inFlight[d.Target.ID]++
 	require.LessOrEqual(m.t, m.inFlight[d.Target.ID], slots)
 }
 
-func (m *poolModel) granted(grants []balance.Grant) {
+func (m *poolModel) checkGrants(grants []balance.Grant) {
 	for _, g := range grants {
 		require.True(m.t, m.waiting[g.ID], "a grant for nobody")
 		delete(m.waiting, g.ID)
 		require.NotEqual(m.t, balance.Wait, g.Decision.Action)
-		m.decided(g.ID, g.Decision)
+		m.checkDecision(g.ID, g.Decision)
 	}
 }
 
@@ -169,8 +169,8 @@
 	require.Equal(t, []int{2, 4, 8}, limits)
 }
 
-// TestOneCutPerCooldown checks that a burst of refusals halves the limit once.
-func TestOneCutPerCooldown(t *testing.T) {
+// TestOneHalvingPerCooldown checks that a burst of refusals halves the limit once.
+func TestOneHalvingPerCooldown(t *testing.T) {
 	p := newPool(t, 8)
 	warmUp(p, 8)
 	for i := range 8 {
@@ -182,7 +182,7 @@
 	require.Equal(t, 4, p.Load(epoch).Limit)
 }
 
-func TestColdTargetRisesSlowlyAndNeverFoldsUp(t *testing.T) {
+func TestColdTargetLimitGrowsSlowly(t *testing.T) {
 	p := newPool(t, 8, 8)
 	warmUp(p, 16)
 	p.SetTargets(epoch, []balance.Spec{{ID: "t0", Addr: "t0", Slots: 8}, {ID: "cold", Addr: "cold", Slots: 8}})
@@ -200,9 +200,9 @@
 	require.Greater(t, last, 9)
 }
 
-// TestGivenUpAtOnce checks that a queued request is refused when its place says
+// TestLateRequestIsRefusedEarly checks that a queued request is refused when its place says
 // that it will be late, not when it is.
-func TestGivenUpAtOnce(t *testing.T) {
+func TestLateRequestIsRefusedEarly(t *testing.T) {
 	p := newPool(t, 1)
 	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Action)
 	late := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), QueueTimeout: time.Hour}
@@ -238,9 +238,9 @@
 	require.InDelta(t, 2, refused[4].Seconds(), 0.1)
 }
 
-// TestNoShareIsNoQueue checks that nobody waits at an instance whose share of
+// TestNoSlotsNoQueue checks that nobody waits at an instance whose share of
 // the slots is nothing, as after it gave its seats back.
-func TestNoShareIsNoQueue(t *testing.T) {
+func TestNoSlotsNoQueue(t *testing.T) {
 	p := newPool(t, 0, 0)
 	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second})
 	require.Equal(t, balance.Refuse, d.Action)
@@ -254,7 +254,7 @@
 	require.EqualValues(t, 3, grants[0].ID)
 }
 
-func TestBrokenTargetIsLeftOutAfterThreeInARow(t *testing.T) {
+func TestTargetSuspectedAfterThreeBroken(t *testing.T) {
 	p := newPool(t, 1)
 	r := request(1)
 	r.QueueTimeout = 0
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -67,28 +67,28 @@
 
 const (
 	defaultMaxQueue = 256
-	// firstServiceTime is the service time assumed before any was seen.
-	firstServiceTime = 20 * time.Millisecond
-	minRetryAfter    = 50 * time.Millisecond
-	maxRetryAfter    = 10 * time.Second
+	// initialLatency is the service time assumed before any was seen.
+	initialLatency = 20 * time.Millisecond
+	minRetryAfter  = 50 * time.Millisecond
+	maxRetryAfter  = 10 * time.Second
 )
 
 // Pool chooses targets for the requests of one service at one instance. It is
 // not safe for concurrent use.
 type Pool struct {
 	config  Config
-	floor   int
+	reserve int
 	targets map[string]*target
 	// order holds the IDs sorted, so that decisions do not depend on the
 	// order of a map.
-	order    []string
-	inFlight int
-	queue    []queued
-	service  time.Duration
-	// lastFree is when a slot last came free, and interval the usual time
+	order       []string
+	inFlight    int
+	queue       []queued
+	meanLatency time.Duration
+	// lastRelease is when a slot last came free, and interval the usual time
 	// between two such moments while requests wait.
-	lastFree time.Time
-	interval time.Duration
+	lastRelease     time.Time
+	releaseInterval time.Duration
 }
 
 // queued is a request that waits.
@@ -113,7 +113,7 @@
 
 // SetReserve sets the percentage of the slots kept for the region's own
 // requests.
-func (p *Pool) SetReserve(percent int) { p.floor = percent }
+func (p *Pool) SetReserve(percent int) { p.reserve = percent }
 
 // SetTargets replaces the targets that get new work. One that is no longer
 // named gets none; what it has in flight goes on.
@@ -157,27 +157,27 @@
 // undo that, unless it names the target at another address.
 func (p *Pool) ApplySelfReport(now time.Time, id string, w availability.SelfReport) {
 	if t := p.targets[id]; t != nil {
-		t.hear(now, w)
+		t.applySelfReport(now, w)
 	}
 }
 
 // Acquire decides on a request. After Run the caller must call Release; after
 // Wait it gets a Grant from a later call, or calls Cancel.
 func (p *Pool) Acquire(now time.Time, req Request) Decision {
-	p.creep(now)
+	p.growFull(now)
 	if !p.queuedAhead(req) {
 		if spec, ok := p.pick(now, req); ok {
 			return Decision{Action: Run, Target: spec}
 		}
 	}
 	wait := p.expectedWait(now)
-	left := req.Deadline.Sub(now) - p.serviceTime()
+	left := req.Deadline.Sub(now) - p.expectedLatency()
 	if len(p.queue) >= p.config.MaxQueue || wait > min(left, req.QueueTimeout) {
 		return p.refuse(wait)
 	}
-	if len(p.queue) == 0 && p.lastFree.Before(now) {
+	if len(p.queue) == 0 && p.lastRelease.Before(now) {
 		// Time that passed before anyone waited says nothing.
-		p.lastFree = now
+		p.lastRelease = now
 	}
 	p.queue = append(p.queue, queued{Request: req, since: now})
 	return Decision{Action: Wait}
@@ -205,20 +205,20 @@
 	}
 	t.inFlight--
 	p.inFlight--
-	p.noteFree(now)
+	p.recordRelease(now)
 	switch result {
 	case Answered:
 		if latency > 0 {
 			t.observe(latency)
 			p.observe(latency)
 		}
-		t.grow(p.warm(t))
+		t.growOnAnswer(p.isWarm(t))
 	case Refused:
-		t.cut(now)
+		t.halveLimit(now)
 	case Unreachable:
-		t.setAside(now)
+		t.suspect(now)
 	case Broken:
-		t.breaks(now)
+		t.recordBroken(now)
 	case Abandoned:
 	}
 	if t.state.Gone() && t.inFlight == 0 {
@@ -242,13 +242,13 @@
 // Tick gives up the queued requests that can't make their deadline any more,
 // and serves others if targets have come back.
 func (p *Pool) Tick(now time.Time) []Grant {
-	p.creep(now)
+	p.growFull(now)
 	return p.dispatch(now)
 }
 
-func (p *Pool) creep(now time.Time) {
+func (p *Pool) growFull(now time.Time) {
 	for _, t := range p.targets {
-		t.creep(now)
+		t.growFull(now)
 	}
 }
 
@@ -264,7 +264,7 @@
 			continue
 		}
 		wait := p.waitAt(now, len(kept))
-		late := now.Add(wait + p.serviceTime()).After(q.Deadline)
+		late := now.Add(wait + p.expectedLatency()).After(q.Deadline)
 		if late || now.Sub(q.since) >= q.QueueTimeout {
 			out = append(out, Grant{ID: q.ID, Decision: p.refuse(wait)})
 			continue
@@ -277,7 +277,7 @@
 
 // pick takes a slot for the request.
 func (p *Pool) pick(now time.Time, req Request) (Spec, bool) {
-	if req.FromOtherRegion && !p.aboveFloor(now) {
+	if req.FromOtherRegion && !p.leavesReserve(now) {
 		return Spec{}, false
 	}
 	candidates := p.candidates(now, req.Tried)
@@ -306,31 +306,31 @@
 	return out
 }
 
-// aboveFloor tells whether a request from another region leaves the floor
+// leavesReserve tells whether a request from another region leaves the floor
 // untouched.
-func (p *Pool) aboveFloor(now time.Time) bool {
+func (p *Pool) leavesReserve(now time.Time) bool {
 	limit := p.Load(now).Limit
-	kept := (limit*p.floor + 99) / 100
+	kept := (limit*p.reserve + 99) / 100
 	return p.inFlight < limit-kept
 }
 
 func (p *Pool) observe(latency time.Duration) {
-	if p.service == 0 {
-		p.service = latency
+	if p.meanLatency == 0 {
+		p.meanLatency = latency
 		return
 	}
-	p.service += time.Duration(latencyWeight * float64(latency-p.service))
+	p.meanLatency += time.Duration(latencyWeight * float64(latency-p.meanLatency))
 }
 
-func (p *Pool) serviceTime() time.Duration {
-	if p.service == 0 {
-		return firstServiceTime
+func (p *Pool) expectedLatency() time.Duration {
+	if p.meanLatency == 0 {
+		return initialLatency
 	}
-	return p.service
+	return p.meanLatency
 }
 
-// warm compares a target's latency with the lowest of the pool.
-func (p *Pool) warm(t *target) bool {
+// isWarm compares a target's latency with the lowest of the pool.
+func (p *Pool) isWarm(t *target) bool {
 	best := t.latency
 	for _, other := range p.targets {
 		if other.latency > 0 && other.latency < best {
--- a/balance/self_report_test.go
+++ b/balance/self_report_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/balance"
 )
 
-// wordPool returns a pool of two targets, each with four slots, and its targets.
-func wordPool(now time.Time) (*balance.Pool, []balance.Spec) {
+// twoTargets returns a pool of two targets, each with four slots, and its targets.
+func twoTargets(now time.Time) (*balance.Pool, []balance.Spec) {
 	p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(1, 2))})
 	specs := []balance.Spec{{ID: "t-1", Addr: "a", Slots: 4}, {ID: "t-2", Addr: "b", Slots: 4}}
 	p.SetTargets(now, specs)
@@ -29,13 +29,13 @@
 	return d.Target.ID
 }
 
-// TestWordOutlivesTheList checks that a target that said that it drains gets no new work,
+// TestDrainOutlivesTargetList checks that a target that said that it drains gets no new work,
 // although the list goes on naming it and is taken in each time that anything changes; that it
 // does as soon as the list names it at another address; and that it is asked again, by one
 // request, after a minute, since the list does not tell when it started again.
-func TestWordOutlivesTheList(t *testing.T) {
+func TestDrainOutlivesTargetList(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p, specs := wordPool(start)
+	p, specs := twoTargets(start)
 	p.ApplySelfReport(start, "t-1", availability.SelfReport{Leaving: true})
 	now := start
 	for ; now.Before(start.Add(time.Minute)); now = now.Add(500 * time.Millisecond) {
@@ -52,18 +52,18 @@
 	}
 	require.Equal(t, 1, tries, "requests that ask a target again that said that it drains")
 
-	p, specs = wordPool(start)
+	p, specs = twoTargets(start)
 	p.ApplySelfReport(start, "t-1", availability.SelfReport{Leaving: true})
 	specs[0].Addr = "c"
 	p.SetTargets(start, specs[:1])
 	require.Equal(t, "t-1", runOn(p, start), "another address")
 }
 
-// TestRefusalIsKept checks that a target that refused a request and asked for some time gets
+// TestRequestedBackoffIsKept checks that a target that refused a request and asked for some time gets
 // nothing until then, and that requests are refused with that time if both have.
-func TestRefusalIsKept(t *testing.T) {
+func TestRequestedBackoffIsKept(t *testing.T) {
 	start := time.Unix(1000, 0)
-	p, specs := wordPool(start)
+	p, specs := twoTargets(start)
 	p.ApplySelfReport(start, "t-1", availability.SelfReport{Backoff: 3 * time.Second})
 	for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		require.Equal(t, "t-2", runOn(p, now))
--- a/balance/target.go
+++ b/balance/target.go
@@ -34,31 +34,31 @@
 
 // Settings of a target's limit.
 const (
-	// firstLimit is the limit of a target that has not answered yet.
-	firstLimit = 1
-	// cutCooldown is the time within which further refusals do not cut the
+	// initialLimit is the limit of a target that has not answered yet.
+	initialLimit = 1
+	// halveCooldown is the time within which further refusals do not cut the
 	// limit again.
-	cutCooldown = time.Second
+	halveCooldown = time.Second
 	// warmFactor bounds a warm target's latency against the pool's usual.
 	warmFactor = 2
 	// warmSlack keeps latencies of a few milliseconds from counting as cold.
 	warmSlack = 5 * time.Millisecond
-	// growEvery is the time after which a target that is at its limit and
+	// growInterval is the time after which a target that is at its limit and
 	// refuses nothing gets one more, whether or not it has answered: long
 	// uploads would else hold a new target at one request.
-	growEvery = 100 * time.Millisecond
+	growInterval = 100 * time.Millisecond
 	// latencyWeight is the weight of a new latency in the average.
 	latencyWeight = 0.2
-	firstBackoff  = 500 * time.Millisecond
-	// wordLife is how long a target that said that it drains gets nothing. The list does not
+	minBackoff    = 500 * time.Millisecond
+	// drainBackoff is how long a target that said that it drains gets nothing. The list does not
 	// tell when a target has started again, so after that it is asked by one request, which
 	// it refuses if it still drains.
-	wordLife   = time.Minute
-	maxBackoff = 10 * time.Second
-	// brokenLimit is the number of exchanges in a row that break before a
+	drainBackoff = time.Minute
+	maxBackoff   = 10 * time.Second
+	// maxBroken is the number of exchanges in a row that break before a
 	// target is left out. Below that a part of good answers is better than
 	// none.
-	brokenLimit = 3
+	maxBroken = 3
 )
 
 // target is one target's state.
@@ -70,9 +70,9 @@
 	inFlight int
 	limit    int
 	// slowStart is true until the first cut.
-	slowStart bool
-	successes int
-	lastCut   time.Time
+	slowStart  bool
+	successes  int
+	lastHalved time.Time
 	// fullSince is when the target reached its limit, or the zero time.
 	fullSince time.Time
 	latency   time.Duration
@@ -82,7 +82,7 @@
 }
 
 func newTarget(spec Spec) *target {
-	return &target{spec: spec, limit: firstLimit, slowStart: true}
+	return &target{spec: spec, limit: initialLimit, slowStart: true}
 }
 
 // allowed returns the requests that the target may have in flight.
@@ -94,11 +94,11 @@
 	return t.state.Available(now)
 }
 
-// hear takes in what the target said of itself.
-func (t *target) hear(now time.Time, w availability.SelfReport) {
+// applySelfReport takes in what the target said of itself.
+func (t *target) applySelfReport(now time.Time, w availability.SelfReport) {
 	if w.Leaving {
-		t.state.BackOff(now, wordLife)
-		t.beginAnew()
+		t.state.BackOff(now, drainBackoff)
+		t.resetLimit()
 	}
 	if w.Backoff > 0 {
 		t.state.BackOff(now, w.Backoff)
@@ -120,8 +120,8 @@
 	t.latency += time.Duration(latencyWeight * float64(latency-t.latency))
 }
 
-// grow raises the limit after an answer.
-func (t *target) grow(warm bool) {
+// growOnAnswer raises the limit after an answer.
+func (t *target) growOnAnswer(warm bool) {
 	t.backoff = 0
 	t.broken = 0
 	t.successes++
@@ -134,58 +134,58 @@
 	} else {
 		t.limit++
 	}
-	t.limit = min(t.limit, max(t.spec.Slots, firstLimit))
+	t.limit = min(t.limit, max(t.spec.Slots, initialLimit))
 }
 
-// creep raises the limit of a target that has been at it for growEvery.
-func (t *target) creep(now time.Time) {
+// growFull raises the limit of a target that has been at it for growEvery.
+func (t *target) growFull(now time.Time) {
 	switch {
 	case t.inFlight < t.limit || t.limit >= t.spec.Slots || !t.usable(now):
 		t.fullSince = time.Time{}
 	case t.fullSince.IsZero():
 		t.fullSince = now
-	case now.Sub(t.fullSince) >= growEvery:
+	case now.Sub(t.fullSince) >= growInterval:
 		t.limit++
 		t.fullSince = now
 	}
 }
 
-// cut halves the limit, once per cooldown.
-func (t *target) cut(now time.Time) {
+// halveLimit halves the limit, once per cooldown.
+func (t *target) halveLimit(now time.Time) {
 	t.successes = 0
 	t.slowStart = false
 	t.fullSince = now
-	if !t.lastCut.IsZero() && now.Sub(t.lastCut) < cutCooldown {
+	if !t.lastHalved.IsZero() && now.Sub(t.lastHalved) < halveCooldown {
 		return
 	}
-	t.lastCut = now
-	t.limit = max(t.limit/2, firstLimit)
+	t.lastHalved = now
+	t.limit = max(t.limit/2, initialLimit)
 }
 
-// breaks takes in an exchange that broke.
-func (t *target) breaks(now time.Time) {
+// recordBroken takes in an exchange that broke.
+func (t *target) recordBroken(now time.Time) {
 	t.broken++
-	if t.broken < brokenLimit {
-		t.cut(now)
+	if t.broken < maxBroken {
+		t.halveLimit(now)
 		return
 	}
-	t.setAside(now)
+	t.suspect(now)
 }
 
-// setAside leaves the target out for a while. Failures of requests that were
+// suspect leaves the target out for a while. Failures of requests that were
 // in flight together count once.
-func (t *target) setAside(now time.Time) {
+func (t *target) suspect(now time.Time) {
 	if now.Before(t.state.SuspectedUntil()) {
 		return
 	}
-	t.backoff = min(max(2*t.backoff, firstBackoff), maxBackoff)
+	t.backoff = min(max(2*t.backoff, minBackoff), maxBackoff)
 	t.state.Suspect(now, now.Add(t.backoff))
-	t.beginAnew()
+	t.resetLimit()
 }
 
-// beginAnew has the target begin with one request, as a new one does.
-func (t *target) beginAnew() {
-	t.limit = firstLimit
+// resetLimit has the target begin with one request, as a new one does.
+func (t *target) resetLimit() {
+	t.limit = initialLimit
 	t.slowStart = true
 	t.successes = 0
 }
--- a/balance/wait.go
+++ b/balance/wait.go
@@ -16,13 +16,13 @@
 	if limit == 0 {
 		return p.untilRetry(now)
 	}
-	interval := p.interval
+	interval := p.releaseInterval
 	if interval == 0 {
-		interval = p.serviceTime() / time.Duration(limit)
+		interval = p.expectedLatency() / time.Duration(limit)
 	}
 	next := interval
 	if len(p.queue) > 0 {
-		next = max(next, now.Sub(p.lastFree))
+		next = max(next, now.Sub(p.lastRelease))
 	}
 	return next + time.Duration(before)*interval
 }
@@ -33,21 +33,21 @@
 	wait := maxRetryAfter
 	for _, t := range p.targets {
 		if t.state.InService() && t.spec.Slots > 0 {
-			wait = min(wait, max(t.state.Verdict(now).Until.Sub(now), 0)+p.serviceTime())
+			wait = min(wait, max(t.state.Verdict(now).Until.Sub(now), 0)+p.expectedLatency())
 		}
 	}
 	return wait
 }
 
-// noteFree takes in that a slot came free.
-func (p *Pool) noteFree(now time.Time) {
+// recordRelease takes in that a slot came free.
+func (p *Pool) recordRelease(now time.Time) {
 	if len(p.queue) > 0 {
-		gap := now.Sub(p.lastFree)
-		if p.interval == 0 {
-			p.interval = gap
+		gap := now.Sub(p.lastRelease)
+		if p.releaseInterval == 0 {
+			p.releaseInterval = gap
 		} else {
-			p.interval += time.Duration(latencyWeight * float64(gap-p.interval))
+			p.releaseInterval += time.Duration(latencyWeight * float64(gap-p.releaseInterval))
 		}
 	}
-	p.lastFree = now
+	p.lastRelease = now
 }
--- a/locality/calibrate.go
+++ b/locality/calibrate.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// pointLife is how long a key that is not seen again counts.
-	pointLife = 30 * time.Second
+	// pointTTL is how long a key that is not seen again counts.
+	pointTTL = 30 * time.Second
 	// maxPoints bounds the keys that are counted. Of more keys chance gives each
 	// region its part closely enough.
 	maxPoints = 1024
@@ -33,7 +33,7 @@
 func (p *Points) Sorted(now time.Time) []float64 {
 	out := make([]float64, 0, len(p.seen))
 	for point, at := range p.seen {
-		if now.Sub(at) >= pointLife {
+		if now.Sub(at) >= pointTTL {
 			delete(p.seen, point)
 			continue
 		}
--- a/locality/calibrate_test.go
+++ b/locality/calibrate_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestPointsAreForgotten(t *testing.T) {
+func TestPointsExpire(t *testing.T) {
 	var points locality.Points
 	now := time.Unix(0, 0)
 	points.Add(now, 0.25)
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestRowsGoFirst(t *testing.T) {
+func TestSharesFromRows(t *testing.T) {
 	rows := []table.Row{
 		{Service: "s", From: "a", To: "a", Weight: 60},
 		{Service: "s", From: "a", To: "b", Weight: 40},
@@ -105,11 +105,11 @@
 	return float64(n) / points
 }
 
-// TestMoverIsBounded checks that the shares in force change by no more than the
+// TestRampIsBounded checks that the shares in force change by no more than the
 // bound in any window, however what is wanted changes, as long as each region
 // keeps some slots, and that they arrive. A region may well be wanted for
 // nothing while it has slots.
-func TestMoverIsBounded(t *testing.T) {
+func TestRampIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 		slots := map[string]float64{}
@@ -145,9 +145,9 @@
 	})
 }
 
-// TestRestEarnsNoStep checks that a long time without a change does not make the
+// TestIdleTimeDoesNotEnlargeStep checks that a long time without a change does not make the
 // first step larger.
-func TestRestEarnsNoStep(t *testing.T) {
+func TestIdleTimeDoesNotEnlargeStep(t *testing.T) {
 	m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 	slots := map[string]float64{"a": 1, "b": 1}
 	before := []locality.Share{{Region: "a", Fraction: 1}}
@@ -161,7 +161,7 @@
 	require.InDelta(t, 0.05, moved(before, got), 0.005)
 }
 
-func TestMoverLeavesEmptyRegionsAtOnce(t *testing.T) {
+func TestRampLeavesEmptyRegionsAtOnce(t *testing.T) {
 	m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 	m.Advance(time.Unix(0, 0), []locality.Share{{Region: "a", Fraction: 0.5}, {Region: "b", Fraction: 0.5}}, map[string]float64{"a": 1, "b": 1})
 	got := m.Advance(time.Unix(1, 0), []locality.Share{{Region: "a", Fraction: 1}}, map[string]float64{"a": 1})
--- a/locality/ramp.go
+++ b/locality/ramp.go
@@ -49,7 +49,7 @@
 // Settled tells whether the shares in force are those last wanted.
 func (m *Ramp) Settled(want []Share) bool { return m.distance(want) < 1e-9 }
 
-func parts(shares []Share) map[string]float64 {
+func byRegion(shares []Share) map[string]float64 {
 	out := make(map[string]float64, len(shares))
 	for _, s := range shares {
 		out[s.Region] = s.Fraction
@@ -60,7 +60,7 @@
 // leaveEmpty gives the parts of regions without slots to the others, in
 // proportion to want.
 func (m *Ramp) leaveEmpty(want []Share, slots map[string]float64) {
-	held := parts(m.shares)
+	held := byRegion(m.shares)
 	freed := 0.0
 	for region, part := range held {
 		if slots[region] <= 0 {
@@ -71,7 +71,7 @@
 	if freed == 0 {
 		return
 	}
-	for region, part := range parts(want) {
+	for region, part := range byRegion(want) {
 		held[region] += freed * part
 	}
 	m.shares = sorted(held)
@@ -79,7 +79,7 @@
 
 // distance is the part of the requests that would change its region.
 func (m *Ramp) distance(want []Share) float64 {
-	held := parts(m.shares)
+	held := byRegion(m.shares)
 	moved := 0.0
 	for _, s := range want {
 		if s.Fraction > held[s.Region] {
@@ -90,13 +90,13 @@
 }
 
 func (m *Ramp) blend(want []Share, weight float64) {
-	held := parts(m.shares)
-	for region := range parts(want) {
+	held := byRegion(m.shares)
+	for region := range byRegion(want) {
 		if _, ok := held[region]; !ok {
 			held[region] = 0
 		}
 	}
-	wanted := parts(want)
+	wanted := byRegion(want)
 	for region := range held {
 		held[region] += weight * (wanted[region] - held[region])
 	}
--- a/locality/share.go
+++ b/locality/share.go
@@ -101,7 +101,7 @@
 	last := ""
 	for _, s := range shares {
 		if s.Region == from {
-			last = orElse(last, s.Region)
+			last = firstNonEmpty(last, s.Region)
 			continue
 		}
 		last = s.Region
@@ -113,7 +113,7 @@
 	return last
 }
 
-func orElse(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
--- a/upstream/backoff_model_test.go
+++ b/upstream/backoff_model_test.go
@@ -16,9 +16,9 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// restModel plays the requests of clients to instances before targets of which some turn away
+// backoffModel plays the requests of clients to instances before targets of which some turn away
 // all they get for a while, and ask for rest. All is in the model's own time.
-type restModel struct {
+type backoffModel struct {
 	rnd    *rand.Rand
 	now    time.Time
 	events eventHeap
@@ -40,10 +40,10 @@
 	obedient bool
 
 	sent, inTime, refused int
-	// flush, if it is set, is called after each change of a pool.
-	flush func(pool int)
-	// word, if it is set, returns what a target says of itself in an answer.
-	word func(t *modelTarget) availability.SelfReport
+	// onPoolChange, if it is set, is called after each change of a pool.
+	onPoolChange func(pool int)
+	// selfReport, if it is set, returns what a target says of itself in an answer.
+	selfReport func(t *modelTarget) availability.SelfReport
 	// onArrival, if it is set, is told of each arrival at a target.
 	onArrival func(t *modelTarget)
 
@@ -59,28 +59,28 @@
 	modelDeadline  = 3 * time.Second
 	modelSlots     = 9
 	modelKeys      = 300
-	// modelKept is the number of objects that a target keeps.
-	modelKept = 32
-	modelWay  = time.Millisecond
-	modelTick = 20 * time.Millisecond
-	// modelUse is the part of the slots that warm requests fill.
-	modelUse = 0.4
+	// modelCacheSize is the number of objects that a target keeps.
+	modelCacheSize = 32
+	modelHallDelay = time.Millisecond
+	modelTick      = 20 * time.Millisecond
+	// modelUtilization is the part of the slots that warm requests fill.
+	modelUtilization = 0.4
 	// modelRound, modelPartners and modelSightings are those of the instances' gossip.
-	modelRound     = 500 * time.Millisecond
-	modelPartners  = 3
-	modelSightings = 24
+	modelRound         = 500 * time.Millisecond
+	modelFanout        = 3
+	modelTargetReports = 24
 )
 
 // modelTarget works on requests in its slots and queues as many as three times its slots.
 type modelTarget struct {
-	id       string
-	busy     int
-	queue    []func()
-	recent   []string
-	restFrom time.Time
-	restTo   time.Time
-	// asks is the rest that it asks for.
-	asks time.Duration
+	id          string
+	busy        int
+	queue       []func()
+	recent      []string
+	backoffFrom time.Time
+	backoffTo   time.Time
+	// backoff is the rest that it backoff for.
+	backoff time.Duration
 }
 
 // modelRequest is one request of a client, with its attempts at an instance.
@@ -120,13 +120,13 @@
 	threeRegions = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 )
 
-func newRestModel(seed uint64, instances, targets int) *restModel {
-	return newRestModelIn(oneRegion, seed, instances, targets)
+func newBackoffModel(seed uint64, instances, targets int) *backoffModel {
+	return newBackoffModelIn(oneRegion, seed, instances, targets)
 }
 
-// newRestModelIn returns a model with instances and targets in the halls of regions.
-func newRestModelIn(regionOf map[string]string, seed uint64, instances, targets int) *restModel {
-	m := &restModel{rnd: rand.New(rand.NewPCG(seed, 7)), now: start, targets: make(map[string]*modelTarget), hallOf: make(map[string]string), regionOf: regionOf, keys: modelKeys * len(oneRegion) / len(regionOf)}
+// newBackoffModelIn returns a model with instances and targets in the halls of regions.
+func newBackoffModelIn(regionOf map[string]string, seed uint64, instances, targets int) *backoffModel {
+	m := &backoffModel{rnd: rand.New(rand.NewPCG(seed, 7)), now: start, targets: make(map[string]*modelTarget), hallOf: make(map[string]string), regionOf: regionOf, keys: modelKeys * len(oneRegion) / len(regionOf)}
 	var specs []*catalog.Target
 	hallNames := slices.Sorted(maps.Keys(regionOf))
 	for i := range targets {
@@ -148,32 +148,32 @@
 	return m
 }
 
-// modelFarWay is the way between regions.
-const modelFarWay = 35 * time.Millisecond
+// modelRegionDelay is the way between regions.
+const modelRegionDelay = 35 * time.Millisecond
 
-// way is the time from a hall to another.
-func (m *restModel) way(from, to string) time.Duration {
+// delay is the time from a hall to another.
+func (m *backoffModel) delay(from, to string) time.Duration {
 	if m.regionOf[from] != m.regionOf[to] {
-		return modelFarWay
+		return modelRegionDelay
 	}
-	return modelWay
+	return modelHallDelay
 }
 
-func (m *restModel) after(d time.Duration, do func()) {
+func (m *backoffModel) after(d time.Duration, do func()) {
 	m.serial++
 	heap.Push(&m.events, modelEvent{at: m.now.Add(d), serial: m.serial, do: do})
 }
 
-// rests has the first targets turn requests away from a time on, and ask for a rest each time.
-func (m *restModel) rests(targets int, from, to time.Time, asks time.Duration) {
+// requestBackoff has the first targets turn requests away from a time on, and ask for a rest each time.
+func (m *backoffModel) requestBackoff(targets int, from, to time.Time, asks time.Duration) {
 	for i := range targets {
 		t := m.targets[fmt.Sprint("t-", i)]
-		t.restFrom, t.restTo, t.asks = from, to, asks
+		t.backoffFrom, t.backoffTo, t.backoff = from, to, asks
 	}
 }
 
 // load has clients send requests at a rate until a time.
-func (m *restModel) load(perS float64, until time.Time) {
+func (m *backoffModel) load(perS float64, until time.Time) {
 	if !m.now.Before(until) {
 		return
 	}
@@ -183,7 +183,7 @@
 	m.after(time.Duration(m.rnd.ExpFloat64()/perS*float64(time.Second)), func() { m.load(perS, until) })
 }
 
-func (m *restModel) run(until time.Time) {
+func (m *backoffModel) run(until time.Time) {
 	for len(m.events) > 0 && m.events[0].at.Before(until) {
 		e := heap.Pop(&m.events).(modelEvent)
 		m.now = e.at
@@ -191,29 +191,29 @@
 	}
 }
 
-func (m *restModel) tick(pool int) {
+func (m *backoffModel) tick(pool int) {
 	m.grant(pool, m.pools[pool].Tick(m.now))
 	m.after(modelTick, func() { m.tick(pool) })
 }
 
 // arrive has a request reach some instance.
-func (m *restModel) arrive(r *modelRequest) {
+func (m *backoffModel) arrive(r *modelRequest) {
 	r.pool, r.attempts = m.rnd.IntN(len(m.pools)), 0
 	r.request = upstream.Request{Key: r.key, Sticky: true, Priority: r.priority, Deadline: r.began.Add(modelDeadline), QueueTimeout: modelObjective / 8}
 	m.acquire(r)
 }
 
-func (m *restModel) acquire(r *modelRequest) {
+func (m *backoffModel) acquire(r *modelRequest) {
 	m.nextID++
 	r.request.ID = m.nextID
 	m.decide(r, m.pools[r.pool].Acquire(m.now, r.request))
-	m.flushed(r.pool)
+	m.poolChanged(r.pool)
 }
 
-func (m *restModel) decide(r *modelRequest, d upstream.Decision) {
+func (m *backoffModel) decide(r *modelRequest, d upstream.Decision) {
 	switch d.Action {
 	case upstream.Send:
-		m.after(m.way(m.poolHall[r.pool], d.Target.Hall), func() { m.reach(r, m.targets[d.Target.ID], d.SendState) })
+		m.after(m.delay(m.poolHall[r.pool], d.Target.Hall), func() { m.reach(r, m.targets[d.Target.ID], d.SendState) })
 	case upstream.Wait:
 		m.waiting[r.pool][r.request.ID] = r
 	case upstream.Refuse:
@@ -221,32 +221,32 @@
 	}
 }
 
-func (m *restModel) grant(pool int, grants []upstream.Grant) {
+func (m *backoffModel) grant(pool int, grants []upstream.Grant) {
 	for _, g := range grants {
 		r := m.waiting[pool][g.ID]
 		delete(m.waiting[pool], g.ID)
 		m.decide(r, g.Decision)
 	}
-	m.flushed(pool)
+	m.poolChanged(pool)
 }
 
-func (m *restModel) flushed(pool int) {
-	if m.flush != nil {
-		m.flush(pool)
+func (m *backoffModel) poolChanged(pool int) {
+	if m.onPoolChange != nil {
+		m.onPoolChange(pool)
 	}
 }
 
-// says returns what a target says of itself.
-func (m *restModel) says(t *modelTarget) availability.SelfReport {
-	if m.word == nil {
+// reportOf returns what a target reportOf of itself.
+func (m *backoffModel) reportOf(t *modelTarget) availability.SelfReport {
+	if m.selfReport == nil {
 		return availability.SelfReport{}
 	}
-	return m.word(t)
+	return m.selfReport(t)
 }
 
 // refuse has the client come back when told, or, unless it is obedient, after a third of the time
 // that it has left if that is sooner.
-func (m *restModel) refuse(r *modelRequest, after time.Duration) {
+func (m *backoffModel) refuse(r *modelRequest, after time.Duration) {
 	left := modelDeadline - m.now.Sub(r.began)
 	if r.retries == 0 || left <= 0 {
 		m.refused++
@@ -264,18 +264,18 @@
 }
 
 // reach has a request reach a target.
-func (m *restModel) reach(r *modelRequest, t *modelTarget, sent upstream.SendState) {
+func (m *backoffModel) reach(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	m.arrivals = append(m.arrivals, m.now)
 	if m.onArrival != nil {
 		m.onArrival(t)
 	}
-	if t.asks > 0 && !m.now.Before(t.restFrom) && m.now.Before(t.restTo) {
-		m.turnAway(r, t, availability.SelfReport{Backoff: t.asks})
+	if t.backoff > 0 && !m.now.Before(t.backoffFrom) && m.now.Before(t.backoffTo) {
+		m.reject(r, t, availability.SelfReport{Backoff: t.backoff})
 		return
 	}
 	if t.busy >= modelSlots {
 		if len(t.queue) >= 3*modelSlots {
-			m.turnAway(r, t, availability.SelfReport{})
+			m.reject(r, t, availability.SelfReport{})
 			return
 		}
 		t.queue = append(t.queue, func() { m.work(r, t, sent) })
@@ -284,8 +284,8 @@
 	m.work(r, t, sent)
 }
 
-func (m *restModel) turnAway(r *modelRequest, t *modelTarget, w availability.SelfReport) {
-	m.after(m.way(m.poolHall[r.pool], m.hallOf[t.id]), func() {
+func (m *backoffModel) reject(r *modelRequest, t *modelTarget, w availability.SelfReport) {
+	m.after(m.delay(m.poolHall[r.pool], m.hallOf[t.id]), func() {
 		m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, SelfReport: w}))
 		r.attempts++
 		if r.attempts >= 2 {
@@ -297,10 +297,10 @@
 	})
 }
 
-func (m *restModel) work(r *modelRequest, t *modelTarget, sent upstream.SendState) {
+func (m *backoffModel) work(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	t.busy++
 	began := m.now
-	back := m.way(m.hallOf[t.id], m.poolHall[r.pool]) - modelWay
+	back := m.delay(m.hallOf[t.id], m.poolHall[r.pool]) - modelHallDelay
 	m.after(t.timeFor(r.key), func() {
 		t.busy--
 		if len(t.queue) > 0 {
@@ -312,7 +312,7 @@
 			m.inTime++
 		}
 		report := &upstream.LoadReport{Running: t.busy, Waiting: len(t.queue), Slots: modelSlots}
-		word := m.says(t)
+		word := m.reportOf(t)
 		m.after(back, func() {
 			m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Answered, LoadReport: report, SelfReport: word, Latency: m.now.Sub(began), SendState: sent}))
 		})
@@ -328,24 +328,24 @@
 		}
 	}
 	t.recent = append(t.recent, key)
-	if len(t.recent) > modelKept {
+	if len(t.recent) > modelCacheSize {
 		t.recent = t.recent[1:]
 	}
 	return modelCold
 }
 
 // gossip has an instance tell a few others what it has seen, round after round.
-func (m *restModel) gossip(pool int) {
-	seen := m.pools[pool].TargetReports(m.now).Sample(modelSightings, m.rnd)
-	for range modelPartners {
+func (m *backoffModel) gossip(pool int) {
+	seen := m.pools[pool].TargetReports(m.now).Sample(modelTargetReports, m.rnd)
+	for range modelFanout {
 		other := m.rnd.IntN(len(m.pools))
-		m.after(m.way(m.poolHall[pool], m.poolHall[other]), func() { m.pools[other].ApplyTargetReports(m.now, seen) })
+		m.after(m.delay(m.poolHall[pool], m.poolHall[other]), func() { m.pools[other].ApplyTargetReports(m.now, seen) })
 	}
 	m.after(modelRound, func() { m.gossip(pool) })
 }
 
-// restOutcome is what became of the requests from the beginning of a rest on, for ten seconds.
-type restOutcome struct {
+// backoffOutcome is what became of the requests from the beginning of a rest on, for ten seconds.
+type backoffOutcome struct {
 	// served are those that were not refused in the end, and inTime those that were answered
 	// within the objective.
 	served, inTime float64
@@ -353,22 +353,22 @@
 	atEnd float64
 }
 
-// playRest has some targets rest for three seconds.
-func playRest(seed uint64, instances, targets, resting int, change ...func(*restModel)) restOutcome {
+// simulateBackoff has some targets rest for three seconds.
+func simulateBackoff(seed uint64, instances, targets, resting int, change ...func(*backoffModel)) backoffOutcome {
 	const rest, settle, watched, window = 3 * time.Second, 20 * time.Second, 10 * time.Second, 200 * time.Millisecond
-	m := newRestModel(seed, instances, targets)
+	m := newBackoffModel(seed, instances, targets)
 	for _, f := range change {
 		f(m)
 	}
-	rate := modelUse * float64(targets) * modelSlots / modelWarm.Seconds()
+	rate := modelUtilization * float64(targets) * modelSlots / modelWarm.Seconds()
 	from := start.Add(settle)
-	m.rests(resting, from, from.Add(rest), rest)
+	m.requestBackoff(resting, from, from.Add(rest), rest)
 	m.load(rate, from.Add(2*watched))
 	m.run(from)
 	sent, refused, inTime := m.sent, m.refused, m.inTime
 	m.run(from.Add(watched))
 	all := float64(m.sent - sent)
-	return restOutcome{
+	return backoffOutcome{
 		served: 1 - float64(m.refused-refused)/all,
 		inTime: float64(m.inTime-inTime) / all,
 		atEnd:  float64(m.within(from.Add(rest), window)) / (rate * window.Seconds()),
@@ -376,7 +376,7 @@
 }
 
 // within returns the number of arrivals in a span that begins at a time.
-func (m *restModel) within(from time.Time, length time.Duration) int {
+func (m *backoffModel) within(from time.Time, length time.Duration) int {
 	n := 0
 	for _, at := range m.arrivals {
 		if !at.Before(from) && at.Before(from.Add(length)) {
@@ -389,26 +389,26 @@
 // modelSizes are the numbers of instances of a small and of a grown site.
 var modelSizes = []int{12, 74}
 
-// TestOthersServeWhileSomeRest has seven of 24 targets rest, and checks that the others serve
+// TestServiceDuringPartialBackoff has seven of 24 targets rest, and checks that the others serve
 // their requests.
-func TestOthersServeWhileSomeRest(t *testing.T) {
+func TestServiceDuringPartialBackoff(t *testing.T) {
 	for _, n := range modelSizes {
 		for seed := range uint64(3) {
-			got := playRest(seed, n, 24, 7)
+			got := simulateBackoff(seed, n, 24, 7)
 			t.Logf("%d instances: %+v", n, got)
 			require.GreaterOrEqual(t, got.served, 0.99)
 		}
 	}
 }
 
-// TestReturnFromRest has all targets of a service rest, before clients that come back when they
+// TestRetriesAfterBackoffAreSpread has all targets of a service rest, before clients that come back when they
 // are told, and checks that their return is no rush: at most twice the mean of arrivals in the
 // first 200 ms after the rest.
-func TestReturnFromRest(t *testing.T) {
+func TestRetriesAfterBackoffAreSpread(t *testing.T) {
 	for _, n := range modelSizes {
 		for seed := range uint64(3) {
-			obedient := playRest(seed, n, 24, 24, func(m *restModel) { m.obedient = true })
-			early := playRest(seed, n, 24, 24)
+			obedient := simulateBackoff(seed, n, 24, 24, func(m *backoffModel) { m.obedient = true })
+			early := simulateBackoff(seed, n, 24, 24)
 			t.Logf("%d instances: %+v, clients that come back within a third of their time %+v", n, obedient, early)
 			require.LessOrEqual(t, obedient.atEnd, 2.0)
 		}
--- a/upstream/choose.go
+++ b/upstream/choose.go
@@ -30,19 +30,19 @@
 	found  bool
 	target *target
 	reason Reason
-	// first says that the target is the first one of the key.
-	first bool
+	// firstChoice says that the target is the firstChoice one of the key.
+	firstChoice bool
 }
 
 // choose picks the target of a request among those of its version, or of the other one if these
 // can't be used.
 func (p *Pool) choose(now time.Time, r *Request) candidate {
 	c := p.chooseAnywhere(now, r)
-	if c.found || !p.mayChangeSide(r, c.reason) {
+	if c.found || !p.mayChangeCohort(r, c.reason) {
 		return c
 	}
 	other := *r
-	other.side = r.side.other()
+	other.cohort = r.cohort.other()
 	return p.chooseAnywhere(now, &other)
 }
 
@@ -52,13 +52,13 @@
 // limits send it only where nobody else waits for its place.
 func (p *Pool) chooseAnywhere(now time.Time, r *Request) candidate {
 	pl := p.planFor(now, r)
-	drawn := p.draw(pl, r)
+	drawn := p.drawRegion(pl, r)
 	c := p.chooseIn(now, r, drawn)
 	if c.found || c.reason == ReasonFull || c.reason == ReasonLimited {
 		return c
 	}
 	chooseIn := p.chooseIn
-	if !r.Isolated && p.limitsBindIn(now, r, drawn) {
+	if !r.Isolated && p.blockedByLimitIn(now, r, drawn) {
 		chooseIn = p.chooseSpare
 	}
 	for _, region := range pl.regions {
@@ -78,9 +78,9 @@
 // knows the object. Only if neither can be used is the ranking made anew over those that can.
 func (p *Pool) chooseIn(now time.Time, r *Request, region string) candidate {
 	if r.Isolated {
-		return p.chooseAlone(now, r, region)
+		return p.chooseIsolated(now, r, region)
 	}
-	ranking := p.rank(r, region, p.holding(now))
+	ranking := p.rank(r, region, p.keyFilter(now))
 	c := p.cheapest(now, r, region, ranking)
 	if c.reason != ReasonNoTarget {
 		return c
@@ -91,29 +91,29 @@
 // chooseSpare picks a target in a region that takes the request without keeping those of its own
 // keys from it.
 func (p *Pool) chooseSpare(now time.Time, r *Request, region string) candidate {
-	usable := func(t *target) bool { return t.otherwiseUsable(now) && t.spares(now) }
+	usable := func(t *target) bool { return t.usableIgnoringLimit(now) && t.hasSparePermit(now) }
 	return p.cheapest(now, r, region, p.rank(r, region, usable))
 }
 
-// holding returns what tells whether a target holds its keys. Most of the time none rests, and
+// keyFilter returns what tells whether a target holds its keys. Most of the time none rests, and
 // those that serve do.
-func (p *Pool) holding(now time.Time) func(*target) bool {
-	if !now.Before(p.restsUntil) {
-		return (*target).serves
+func (p *Pool) keyFilter(now time.Time) func(*target) bool {
+	if !now.Before(p.backoffUntil) {
+		return (*target).inService
 	}
-	return func(t *target) bool { return t.holds(now) }
+	return func(t *target) bool { return t.keepsKeys(now) }
 }
 
-// aloneWants bounds the targets for which a request that is sent alone asks for permits.
-const aloneWants = 3
+// maxIsolatedPermits bounds the targets for which a request that is sent alone asks for permits.
+const maxIsolatedPermits = 3
 
-// chooseAlone picks the target of a request that may end it: the one with the fewest requests,
+// chooseIsolated picks the target of a request that may end it: the one with the fewest requests,
 // which would be lost with it.
-func (p *Pool) chooseAlone(now time.Time, r *Request, region string) candidate {
-	usable := func(t *target) bool { return !r.avoids(t.spec.ID) && t.usable(now) }
+func (p *Pool) chooseIsolated(now time.Time, r *Request, region string) candidate {
+	usable := func(t *target) bool { return !r.wasTried(t.spec.ID) && t.usable(now) }
 	targets := p.targetsOf(r, region)
 	if !slices.ContainsFunc(targets, usable) {
-		p.wantAny(now, targets[:min(aloneWants, len(targets))])
+		p.requestPermits(now, targets[:min(maxIsolatedPermits, len(targets))])
 		return candidate{reason: ReasonNoTarget}
 	}
 	return p.leastLoaded(now, r, region)
@@ -124,11 +124,11 @@
 func (p *Pool) rank(r *Request, region string, eligible func(*target) bool) affinity.Ranking {
 	ranker := affinity.NewRanker(r.Key)
 	for i, t := range p.targetsOf(r, region) {
-		if !r.avoids(t.spec.ID) && eligible(t) {
+		if !r.wasTried(t.spec.ID) && eligible(t) {
 			ranker.Add(i, t.group, t.hash, t.weight)
 		}
 	}
-	return ranker.Ranking(p.preferred(r, region))
+	return ranker.Ranking(p.preferredGroup(r, region))
 }
 
 // cheapest picks the target of a ranking that costs least among those that can be used
@@ -138,7 +138,7 @@
 	bestCost := 0.0
 	targets := p.targetsOf(r, region)
 	for place, index := range ranking {
-		if index < 0 || !targets[index].otherwiseUsable(now) {
+		if index < 0 || !targets[index].usableIgnoringLimit(now) {
 			continue
 		}
 		t := targets[index]
@@ -146,22 +146,22 @@
 			if best.found {
 				continue
 			}
-			p.want(now, t)
-			if p.awaits(now, r, t) {
+			p.requestPermit(now, t)
+			if p.waitsForPermit(now, r, t) {
 				return candidate{reason: ReasonLimited}
 			}
 			continue
 		}
-		warm := p.warm(now, r, t, place == 0)
+		warm := p.warmProbability(now, r, t, place == 0)
 		if full(now, r, t, warm) {
 			if !best.found {
 				best.reason = ReasonFull
 			}
 			continue
 		}
-		cost := wait(now, t) + missPenalty*(1-warm) + rankPenalty*float64(place)
+		cost := expectedWait(now, t) + missPenalty*(1-warm) + rankPenalty*float64(place)
 		if !best.found || cost < bestCost {
-			best, bestCost = candidate{found: true, target: t, reason: reasonOf(place), first: place == 0}, cost
+			best, bestCost = candidate{found: true, target: t, reason: reasonOf(place), firstChoice: place == 0}, cost
 		}
 	}
 	if best.reason == ReasonFull && !r.Sticky {
@@ -178,10 +178,10 @@
 	return ReasonFirstChoice
 }
 
-// preferred returns the group of the own hall, if it is in the region, for requests that
+// preferredGroup returns the group of the own hall, if it is in the region, for requests that
 // gain nothing from a target that others have made warm: those without an object, and
 // those that move many bytes.
-func (p *Pool) preferred(r *Request, region string) int {
+func (p *Pool) preferredGroup(r *Request, region string) int {
 	if region != p.config.Region || (r.Sticky && !r.Heavy) {
 		return affinity.NoGroup
 	}
@@ -191,13 +191,13 @@
 	return affinity.NoGroup
 }
 
-// warm returns how likely a target is to have the object of a request, 1 for requests
+// warmProbability returns how likely a target is to have the object of a request, 1 for requests
 // without one.
-func (p *Pool) warm(now time.Time, r *Request, t *target, first bool) float64 {
+func (p *Pool) warmProbability(now time.Time, r *Request, t *target, first bool) float64 {
 	if !r.Sticky {
 		return 1
 	}
-	return p.warmth.expects(t.knows(now, r.Key), first)
+	return p.cacheModel.hitProbability(t.hasKey(now, r.Key), first)
 }
 
 // full tells whether a target takes no more requests that are as likely to find their
@@ -210,8 +210,8 @@
 	return t.load(now) >= limit*float64(max(t.spec.Slots, 1))
 }
 
-// wait is the wait expected at a target, in usual times.
-func wait(now time.Time, t *target) float64 {
+// expectedWait is the expectedWait expected at a target, in usual times.
+func expectedWait(now time.Time, t *target) float64 {
 	slots := float64(max(t.spec.Slots, 1))
 	return max(0, t.load(now)+1-slots) / slots
 }
@@ -222,7 +222,7 @@
 	var best *target
 	bestLoad := 0.0
 	for _, t := range p.targetsOf(r, region) {
-		if r.avoids(t.spec.ID) || !t.usable(now) || full(now, r, t, 0) {
+		if r.wasTried(t.spec.ID) || !t.usable(now) || full(now, r, t, 0) {
 			continue
 		}
 		load := t.load(now) / float64(max(t.spec.Slots, 1))
--- a/upstream/event.go
+++ b/upstream/event.go
@@ -46,10 +46,10 @@
 	return events
 }
 
-// note keeps what has changed in the belief on t since before.
-func (p *Pool) note(t *target, before belief, cause Outcome) {
-	after := t.belief()
-	event := Event{Target: t.spec.ID, Cause: cause, InFlight: t.inFlight, Failures: t.contact.failures}
+// recordEvent keeps what has changed in the belief on t since before.
+func (p *Pool) recordEvent(t *target, before eventState, cause Outcome) {
+	after := t.eventState()
+	event := Event{Target: t.spec.ID, Cause: cause, InFlight: t.inFlight, Failures: t.stats.failures}
 	switch {
 	case after.replaced && !before.replaced:
 		event.Kind = EventReplaced
@@ -73,17 +73,17 @@
 	}
 }
 
-// belief is the part of a target's state that events tell of.
-type belief struct {
+// eventState is the part of a target's state that events tell of.
+type eventState struct {
 	replaced, leaves, suspected                     bool
 	restUntil, suspectUntil, coldUntil, pausedUntil time.Time
 }
 
-func (t *target) belief() belief {
-	return belief{
+func (t *target) eventState() eventState {
+	return eventState{
 		replaced:     t.state.Replaced(),
 		leaves:       t.state.AnnouncedLeaving(),
-		suspected:    t.contact.suspicion > 0,
+		suspected:    t.stats.suspectBackoff > 0,
 		restUntil:    t.state.BackoffUntil(),
 		suspectUntil: t.state.SuspectedUntil(),
 		coldUntil:    t.coldUntil,
--- a/upstream/memory_test.go
+++ b/upstream/memory_test.go
@@ -17,11 +17,11 @@
 	return int64(stats.HeapAlloc)
 }
 
-// TestMemoryOfTargets guards against memory for what is known of no target. Of 10,000 targets an instance
+// TestMemoryPerTarget guards against memory for what is known of no target. Of 10,000 targets an instance
 // sends requests to a few hundred, but it held 1,200 bytes for each: 10.6 of the 16.4 MB that were in use
 // in a fleet of 9,996. In two years 14,280 are to fit, with all else, into 32 MB: 6 MB of these are for
 // what pools hold.
-func TestMemoryOfTargets(t *testing.T) {
+func TestMemoryPerTarget(t *testing.T) {
 	const (
 		targets = 10_000
 		bound   = 6 << 20 / 14_280
@@ -38,21 +38,21 @@
 	runtime.KeepAlive(p)
 }
 
-// TestIdleTargetsAreForgotten checks that what is known of a target goes when nothing was heard of it for
+// TestIdleTargetStatsExpire checks that what is known of a target goes when nothing was heard of it for
 // long, but for faults, so that memory does not grow with all targets that requests were ever sent to.
-func TestIdleTargetsAreForgotten(t *testing.T) {
+func TestIdleTargetStatsExpire(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := placedPool(now, 100)
 	sent := sendMany(t, now, p, 200)
 	require.NotEmpty(t, sent)
-	require.Len(t, p.touched, len(sent))
+	require.Len(t, p.activeTargets, len(sent))
 	held := p.Acquire(now, Request{ID: 1, Key: "held", Sticky: true, Deadline: now.Add(time.Minute)})
 	broken := p.Acquire(now, Request{ID: 2, Key: "broken", Sticky: true, Deadline: now.Add(time.Minute), Tried: []string{held.Target.ID}})
 	p.Release(now, broken.Target.ID, Result{Outcome: Broken, SendState: broken.SendState})
-	now = now.Add(keyLife)
+	now = now.Add(keyTTL)
 	p.Expire(now)
-	require.Len(t, p.touched, 2)
+	require.Len(t, p.activeTargets, 2)
 	require.Equal(t, 1, p.byID[held.Target.ID].inFlight)
-	require.Equal(t, 1, p.byID[broken.Target.ID].contact.failures)
-	require.Zero(t, p.none)
+	require.Equal(t, 1, p.byID[broken.Target.ID].stats.failures)
+	require.Zero(t, p.emptyStats)
 }
--- a/upstream/next_available.go
+++ b/upstream/next_available.go
@@ -7,46 +7,46 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// away is when the first of a request's targets will be back, when none can be used.
-type away struct {
+// nextAvailable is when the first of a request's targets will be back, when none can be used.
+type nextAvailable struct {
 	// any says that there is a target that is meant to serve.
 	any   bool
 	cause availability.Cause
 	until time.Time
 }
 
-// awayFor returns when the first of the request's targets will be back. It returns false if
+// nextAvailableFor returns when the first of the request's targets will be back. It returns false if
 // one may be back within the request's patience. One that the request was sent to already can't
 // be used by it again, and counts for when its caller should come back.
-func (p *Pool) awayFor(now time.Time, r *Request) (away, bool) {
-	var first away
+func (p *Pool) nextAvailableFor(now time.Time, r *Request) (nextAvailable, bool) {
+	var first nextAvailable
 	if held := p.versions.heldUntil; !held.IsZero() && held.Sub(now) <= r.QueueTimeout {
-		return away{}, false
+		return nextAvailable{}, false
 	}
 	soon := false
-	p.each(func(t *target) {
-		if soon || !t.serves() || !r.allows(t.region.name) {
+	p.forEachListed(func(t *target) {
+		if soon || !t.inService() || !r.allows(t.region.name) {
 			return
 		}
-		cause, until := t.back(now)
-		soon = !r.avoids(t.spec.ID) && until.Sub(now) <= r.QueueTimeout
+		cause, until := t.availableAt(now)
+		soon = !r.wasTried(t.spec.ID) && until.Sub(now) <= r.QueueTimeout
 		if !first.any || until.Before(first.until) {
-			first = away{any: true, cause: cause, until: until}
+			first = nextAvailable{any: true, cause: cause, until: until}
 		}
 	})
 	if soon {
-		return away{}, false
+		return nextAvailable{}, false
 	}
 	return first, true
 }
 
-// back returns when a target that is meant to serve may be sent a request, and what is in the
-// way. That may be at any moment, so now, if a request is finding out whether it is back, or if
+// availableAt returns when a target that is meant to serve may be sent a request, and what is in the
+// way. That may be at any moment, so now, if a request is finding out whether it is availableAt, or if
 // it is cold and has had what it bears.
-func (t *target) back(now time.Time) (availability.Cause, time.Time) {
+func (t *target) availableAt(now time.Time) (availability.Cause, time.Time) {
 	verdict := t.judge(now)
 	if verdict.OK() && !t.permitted(now) {
-		return availability.CauseRateLimited, later(now, t.permits.DeniedUntil(t.limited.name))
+		return availability.CauseRateLimited, later(now, t.permits.DeniedUntil(t.rateLimit.name))
 	}
 	switch verdict.Cause {
 	case availability.CauseNone, availability.CauseProbing, availability.CauseCold:
@@ -68,24 +68,24 @@
 // these is back, and a drawn time more, so that they do not all come at once: a part of the rest
 // that is left, less for the most urgent ones.
 const (
-	restSpread   = 1.0
-	urgentSpread = 0.5
+	backoffSpread       = 1.0
+	urgentBackoffSpread = 0.5
 )
 
-// spreadFor returns the time over which the callers of requests of a priority come back after a
+// retrySpread returns the time over which the callers of requests of a priority come back after a
 // rest of which some is left.
-func spreadFor(priority int, left time.Duration) time.Duration {
+func retrySpread(priority int, left time.Duration) time.Duration {
 	if priority == 0 {
-		return time.Duration(urgentSpread * float64(left))
+		return time.Duration(urgentBackoffSpread * float64(left))
 	}
-	return time.Duration(restSpread * float64(left))
+	return time.Duration(backoffSpread * float64(left))
 }
 
 // RefuseIfUnavailable refuses a request none of whose targets will be back before its patience is over, and
 // tells its caller when the first of them will be. To hold the request until then would only keep
 // the caller from trying elsewhere.
 func (p *Pool) RefuseIfUnavailable(now time.Time, r Request) (Decision, bool) {
-	first, known := p.awayFor(now, &r)
+	first, known := p.nextAvailableFor(now, &r)
 	if !known {
 		return Decision{}, false
 	}
@@ -103,6 +103,6 @@
 	}
 	drawn := mix.Unit(mix.Join(r.ID, mix.Join(p.salt, p.salt)))
 	refusal.Reason = ReasonBackoff
-	refusal.RetryAfter += left + time.Duration(drawn*float64(spreadFor(r.Priority, left)))
+	refusal.RetryAfter += left + time.Duration(drawn*float64(retrySpread(r.Priority, left)))
 	return refusal, true
 }
--- a/upstream/placement.go
+++ b/upstream/placement.go
@@ -11,13 +11,13 @@
 // in a large fleet that happens several times a second at each instance, and to list all of them anew
 // for each would take more of a processor than anything else.
 type regionTargets struct {
-	name  string
-	usage usage
+	name        string
+	utilization utilization
 	// listed are the targets that may get requests, by side, in the order of IDs.
-	listed sides
-	// open are those of the new side that get requests while not all of them do, nil if they have to
+	listed targetsByCohort
+	// canaries are those of the new side that get requests while not all of them do, nil if they have to
 	// be chosen anew.
-	open []*target
+	canaries []*target
 	// serving count the listed targets that are meant to serve, by side.
 	serving [2]serving
 }
@@ -30,9 +30,9 @@
 
 // placement is where a target is listed, and as what it counts there. The zero value is nowhere.
 type placement struct {
-	in      *regionTargets
-	serving bool
-	slots   float64
+	listedIn *regionTargets
+	serving  bool
+	slots    float64
 }
 
 // regionFor returns the targets of a region.
@@ -41,15 +41,15 @@
 	if r == nil {
 		r = &regionTargets{name: name}
 		p.regions[name] = r
-		p.inOrder = append(p.inOrder, r)
-		slices.SortFunc(p.inOrder, func(a, b *regionTargets) int { return strings.Compare(a.name, b.name) })
+		p.sortedRegions = append(p.sortedRegions, r)
+		slices.SortFunc(p.sortedRegions, func(a, b *regionTargets) int { return strings.Compare(a.name, b.name) })
 	}
 	return r
 }
 
-// each calls a function for each listed target, in the order of regions, sides and IDs.
-func (p *Pool) each(do func(*target)) {
-	for _, r := range p.inOrder {
+// forEachListed calls a function for forEachListed listed target, in the order of regions, sides and IDs.
+func (p *Pool) forEachListed(do func(*target)) {
+	for _, r := range p.sortedRegions {
 		for _, listed := range r.listed {
 			for _, t := range listed {
 				do(t)
@@ -60,13 +60,13 @@
 
 // place lists a target where it belongs as things stand, and counts it there.
 func (p *Pool) place(now time.Time, t *target) {
-	side, in := p.sideOf(t), (*regionTargets)(nil)
+	side, in := p.cohortOf(t), (*regionTargets)(nil)
 	if p.mayList(now, t) {
 		in = t.region
 	}
-	if in != t.placement.in || side != t.side {
+	if in != t.placement.listedIn || side != t.cohort {
 		p.unplace(t)
-		t.side = side
+		t.cohort = side
 		if in != nil {
 			in.insert(t)
 		}
@@ -76,7 +76,7 @@
 
 // unplace takes a target out of its list.
 func (p *Pool) unplace(t *target) {
-	in := t.placement.in
+	in := t.placement.listedIn
 	if in == nil {
 		return
 	}
@@ -86,8 +86,8 @@
 
 // count counts a target as one that is meant to serve, or no longer.
 func (p *Pool) count(t *target) {
-	now := placement{in: t.placement.in}
-	if now.in != nil && t.serves() {
+	now := placement{listedIn: t.placement.listedIn}
+	if now.listedIn != nil && t.inService() {
 		now.serving, now.slots = true, float64(t.spec.Slots)
 	}
 	p.countAs(t, now)
@@ -101,33 +101,33 @@
 		return
 	}
 	if before.serving {
-		n := &before.in.serving[t.side]
+		n := &before.listedIn.serving[t.cohort]
 		n.targets--
 		n.slots -= before.slots
 	}
 	if after.serving {
-		n := &after.in.serving[t.side]
+		n := &after.listedIn.serving[t.cohort]
 		n.targets++
 		n.slots += after.slots
 	}
-	p.replan()
+	p.invalidatePlans()
 }
 
 func byID(t *target, id string) int { return cmp.Compare(t.spec.ID, id) }
 
 func (r *regionTargets) insert(t *target) {
-	listed := r.listed[t.side]
+	listed := r.listed[t.cohort]
 	at, _ := slices.BinarySearchFunc(listed, t.spec.ID, byID)
-	r.listed[t.side] = slices.Insert(listed, at, t)
-	r.open = nil
-	t.placement.in = r
+	r.listed[t.cohort] = slices.Insert(listed, at, t)
+	r.canaries = nil
+	t.placement.listedIn = r
 }
 
 func (r *regionTargets) remove(t *target) {
-	listed := r.listed[t.side]
+	listed := r.listed[t.cohort]
 	at, found := slices.BinarySearchFunc(listed, t.spec.ID, byID)
 	if found {
-		r.listed[t.side] = slices.Delete(listed, at, at+1)
+		r.listed[t.cohort] = slices.Delete(listed, at, at+1)
 	}
-	r.open = nil
+	r.canaries = nil
 }
--- a/upstream/placement_test.go
+++ b/upstream/placement_test.go
@@ -51,30 +51,30 @@
 	return least, result.AllocedBytesPerOp()
 }
 
-// TestChangeCostsTheSameInALargeFleet guards against work for all targets at each change of one. In a
+// TestChangeCostIndependentOfFleetSize guards against work for all targets at each change of one. In a
 // fleet of 10,000 targets, of 6,500 in one service, an instance hears of five to seven changes a second
 // on a calm day. All targets were listed anew for each: 0.5 ms at 1,000 targets and 9.3 ms at 10,000, and
 // 18 and 301 KB allocated, which was most of an instance's processor time.
-func TestChangeCostsTheSameInALargeFleet(t *testing.T) {
+func TestChangeCostIndependentOfFleetSize(t *testing.T) {
 	smallTime, smallBytes := changeCost(1_000)
 	largeTime, largeBytes := changeCost(10_000)
 	require.Less(t, largeBytes, smallBytes+smallBytes/2)
 	require.Less(t, largeTime, 4*smallTime)
 }
 
-// listedNaive returns the IDs of the targets that are listed, by region and side, and what serves there,
+// expectedPlacement returns the IDs of the targets that are listed, by region and side, and what serves there,
 // by their definitions.
-func listedNaive(now time.Time, p *Pool) (map[string][2][]string, map[string][2]serving) {
+func expectedPlacement(now time.Time, p *Pool) (map[string][2][]string, map[string][2]serving) {
 	listed, counts := make(map[string][2][]string), make(map[string][2]serving)
 	for _, id := range slices.Sorted(maps.Keys(p.byID)) {
 		t := p.byID[id]
 		if !p.mayList(now, t) {
 			continue
 		}
-		side := p.sideOf(t)
+		side := p.cohortOf(t)
 		lists, serves := listed[t.region.name], counts[t.region.name]
 		lists[side] = append(lists[side], id)
-		if t.serves() {
+		if t.inService() {
 			serves[side].targets++
 			serves[side].slots += float64(t.spec.Slots)
 		}
@@ -83,29 +83,29 @@
 	return listed, counts
 }
 
-func requirePlaced(t require.TestingT, now time.Time, p *Pool) {
-	listed, counts := listedNaive(now, p)
+func requireConsistent(t require.TestingT, now time.Time, p *Pool) {
+	listed, counts := expectedPlacement(now, p)
 	limited := 0
-	for _, r := range p.inOrder {
+	for _, r := range p.sortedRegions {
 		for side := range r.listed {
 			var ids []string
 			for _, target := range r.listed[side] {
 				ids = append(ids, target.spec.ID)
-				require.Same(t, r, target.placement.in)
+				require.Same(t, r, target.placement.listedIn)
 			}
 			require.Equal(t, listed[r.name][side], ids)
 		}
 		require.Equal(t, counts[r.name], r.serving)
 	}
-	require.True(t, slices.IsSortedFunc(p.limited, func(a, b *target) int { return cmp.Compare(a.spec.ID, b.spec.ID) }))
+	require.True(t, slices.IsSortedFunc(p.limitedTargets, func(a, b *target) int { return cmp.Compare(a.spec.ID, b.spec.ID) }))
 	for _, target := range p.byID {
-		if target.limited != nil {
+		if target.rateLimit != nil {
 			limited++
 		}
 	}
-	require.Len(t, p.limited, limited)
+	require.Len(t, p.limitedTargets, limited)
 	require.Len(t, p.byHash, len(p.byID))
-	require.Zero(t, p.none, "what all targets share that nothing is known of")
+	require.Zero(t, p.emptyStats, "what all targets share that nothing is known of")
 	versions := make(map[string]int)
 	for _, target := range p.byID {
 		versions[target.spec.Version]++
@@ -113,9 +113,9 @@
 	require.True(t, maps.Equal(versions, p.versions.targets))
 }
 
-// TestPlacementFollowsItsDefinition draws changes of all kinds, and checks the lists that are kept
+// TestPlacementMatchesDefinition draws changes of all kinds, and checks the lists that are kept
 // against those made anew from all targets.
-func TestPlacementFollowsItsDefinition(t *testing.T) {
+func TestPlacementMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		p, _ := placedPool(now, 3)
@@ -163,10 +163,10 @@
 				p.Release(now, d.Target.ID, Result{Outcome: outcome, SelfReport: word, SendState: d.SendState, Latency: time.Millisecond})
 			},
 			"wait": func(*rapid.T) {
-				now = now.Add(unorderedTime / 2)
+				now = now.Add(unorderedHold / 2)
 				p.endHold(now)
 			},
-			"": func(t *rapid.T) { requirePlaced(t, now, p) },
+			"": func(t *rapid.T) { requireConsistent(t, now, p) },
 		})
 	})
 }
--- a/upstream/plan.go
+++ b/upstream/plan.go
@@ -10,35 +10,35 @@
 	"github.com/rainford/rainford/locality"
 )
 
-// calibrateEvery is the time between two fits of the shares to the keys seen. All keys of
+// calibrateInterval is the time between two fits of the shares to the keys seen. All keys of
 // a small site are seen within a few seconds.
-const calibrateEvery = time.Second
+const calibrateInterval = time.Second
 
-// planLife is how long shares that are still moving are used.
-const planLife = 100 * time.Millisecond
+// planTTL is how long shares that are still moving are used.
+const planTTL = 100 * time.Millisecond
 
 // plan is the division of requests between regions for one set of home regions.
 type plan struct {
-	mover locality.Ramp
+	ramp  locality.Ramp
 	slots map[string]float64
-	// parts are the wanted parts of the keys, and want the shares of the hashes that
+	// keyShares are the wanted keyShares of the keys, and want the shares of the hashes that
 	// give them.
-	parts  []locality.Share
-	want   []locality.Share
-	shares []locality.Share
+	keyShares    []locality.Share
+	wantedShares []locality.Share
+	shares       []locality.Share
 	// regions are all regions with slots, in an order of the own region's.
-	regions []string
-	madeAt  time.Time
-	settled bool
-	stale   bool
+	regions   []string
+	updatedAt time.Time
+	settled   bool
+	stale     bool
 	// points are the keys of the plan's requests, and calibratedAt is when want was
 	// last fitted to them.
 	points       locality.Points
 	calibratedAt time.Time
 }
 
-// replan has the plans computed anew with the next request.
-func (p *Pool) replan() {
+// invalidatePlans has the plans computed anew with the next request.
+func (p *Pool) invalidatePlans() {
 	for _, pl := range p.plans {
 		pl.stale = true
 	}
@@ -52,19 +52,19 @@
 	}
 	pl := p.plans[key]
 	if pl == nil {
-		pl = &plan{mover: locality.Ramp{Step: p.config.ShiftStep, Window: p.config.ShiftWindow}, stale: true}
+		pl = &plan{ramp: locality.Ramp{Step: p.config.ShiftStep, Window: p.config.ShiftWindow}, stale: true}
 		p.plans[key] = pl
 	}
 	if pl.stale {
 		p.compute(pl, r)
 	}
-	if pl.stale || now.Sub(pl.calibratedAt) >= calibrateEvery {
+	if pl.stale || now.Sub(pl.calibratedAt) >= calibrateInterval {
 		p.calibrate(now, pl)
 	}
-	if pl.stale || (!pl.settled && now.Sub(pl.madeAt) >= planLife) {
-		pl.shares = pl.mover.Advance(now, pl.want, pl.slots)
-		pl.settled = pl.mover.Settled(pl.want)
-		pl.madeAt, pl.stale = now, false
+	if pl.stale || (!pl.settled && now.Sub(pl.updatedAt) >= planTTL) {
+		pl.shares = pl.ramp.Advance(now, pl.wantedShares, pl.slots)
+		pl.settled = pl.ramp.Settled(pl.wantedShares)
+		pl.updatedAt, pl.stale = now, false
 	}
 	return pl
 }
@@ -72,18 +72,18 @@
 // calibrate fits the shares of the hashes to the keys seen, so that each region gets its
 // part of them.
 func (p *Pool) calibrate(now time.Time, pl *plan) {
-	fitted := locality.Calibrate(p.config.Region, pl.parts, pl.points.Sorted(now))
-	pl.settled = pl.settled && slices.Equal(fitted, pl.want)
-	pl.want, pl.calibratedAt = fitted, now
+	fitted := locality.Calibrate(p.config.Region, pl.keyShares, pl.points.Sorted(now))
+	pl.settled = pl.settled && slices.Equal(fitted, pl.wantedShares)
+	pl.wantedShares, pl.calibratedAt = fitted, now
 }
 
 // compute finds the parts to be wanted: the operators' rows, or else what
 // follows from the slots.
 func (p *Pool) compute(pl *plan, r *Request) {
 	pl.slots = p.regionSlots(r)
-	pl.parts = locality.FromRows(p.config.Service, p.config.Region, p.rows, pl.slots)
-	if len(pl.parts) == 0 {
-		pl.parts = locality.FromSlots(p.config.Region, p.freeSlots(r, pl.slots), p.regionCount)
+	pl.keyShares = locality.FromRows(p.config.Service, p.config.Region, p.rows, pl.slots)
+	if len(pl.keyShares) == 0 {
+		pl.keyShares = locality.FromSlots(p.config.Region, p.freeSlots(r, pl.slots), p.regionCount)
 	}
 	pl.regions = pl.regions[:0]
 	for region := range pl.slots {
@@ -95,11 +95,11 @@
 }
 
 const (
-	// homeWork is the work of a request that has to run in a region, over that of one that
+	// homeWorkFactor is the work of a request that has to run in a region, over that of one that
 	// may run anywhere: its object is seldom asked for there, and mostly cold.
-	homeWork = 2.0
-	// leastFree is the part of a region's slots that are free whatever has to run there.
-	leastFree = 0.02
+	homeWorkFactor = 2.0
+	// minFreePart is the part of a region's slots that are free whatever has to run there.
+	minFreePart = 0.02
 )
 
 // freeSlots returns the slots of each region that are left for requests that may run
@@ -113,17 +113,17 @@
 		total += n
 		bound += p.homeShares[region]
 	}
-	work := 1 - bound + homeWork*bound
+	work := 1 - bound + homeWorkFactor*bound
 	free := make(map[string]float64, len(slots))
 	for region, n := range slots {
-		free[region] = max(leastFree*n, n-total*homeWork*p.homeShares[region]/work)
+		free[region] = max(minFreePart*n, n-total*homeWorkFactor*p.homeShares[region]/work)
 	}
 	return free
 }
 
-// draw returns the region of the request.
-func (p *Pool) draw(pl *plan, r *Request) string {
-	return locality.Draw(p.config.Region, pl.shares, r.point)
+// drawRegion returns the region of the request.
+func (p *Pool) drawRegion(pl *plan, r *Request) string {
+	return locality.Draw(p.config.Region, pl.shares, r.keyPoint)
 }
 
 // regionSlots returns the slots of each region whose targets are meant to serve:
@@ -131,17 +131,17 @@
 // limit count for what that lets them use. Of two versions of a service the one that runs most
 // requests counts.
 func (p *Pool) regionSlots(r *Request) map[string]float64 {
-	slots := make(map[string]float64, len(p.inOrder))
-	most := p.mostSide()
-	for _, in := range p.inOrder {
+	slots := make(map[string]float64, len(p.sortedRegions))
+	most := p.majorityCohort()
+	for _, in := range p.sortedRegions {
 		counts := in.serving[most]
 		if counts.targets > 0 && r.allows(in.name) {
 			slots[in.name] = counts.slots
 		}
 	}
-	for _, t := range p.limited {
-		if t.placement.serving && t.side == most && r.allows(t.region.name) {
-			slots[t.region.name] -= t.placement.slots - t.capacity(p.typical)
+	for _, t := range p.limitedTargets {
+		if t.placement.serving && t.cohort == most && r.allows(t.region.name) {
+			slots[t.region.name] -= t.placement.slots - t.capacity(p.typicalLatency)
 		}
 	}
 	return slots
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -47,8 +47,8 @@
 	byShortID map[uint32]*target
 	// regions hold the same targets by the names of their regions, but for those that are to get
 	// nothing yet, and inOrder the regions in the order of names.
-	regions map[string]*regionTargets
-	inOrder []*regionTargets
+	regions       map[string]*regionTargets
+	sortedRegions []*regionTargets
 	// split is the part of the requests that goes to targets of a new version, until a time if that
 	// is not zero.
 	split      rollout.Split
@@ -63,48 +63,48 @@
 	// departures are the targets that have said themselves that they leave, those too that
 	// the pool does not have: what the list says of them, later or not, does not undo that.
 	departures availability.Departures
-	// touched are the targets with a contact of their own, and none is that of all others. It stays
+	// activeTargets are the targets with a contact of their own, and none is that of all others. It stays
 	// empty.
-	touched []*target
-	none    contact
-	// limits are those that targets have named, those too that the pool does not have.
-	limits map[availability.ID]availability.RateLimit
-	// limited are the targets that have named one, in the order of IDs.
-	limited []*target
+	activeTargets []*target
+	emptyStats    stats
+	// rateLimits are those that targets have named, those too that the pool does not have.
+	rateLimits map[availability.ID]availability.RateLimit
+	// limitedTargets are the targets that have named one, in the order of IDs.
+	limitedTargets []*target
 	// permits are those of targets' limits, asks the questions for more that are to be sent
 	// to their owners, and silent the owners that do not answer.
-	permits *ratelimit.Holder
-	asks    []ratelimit.PermitRequest
-	silent  []string
-	returns returns
-	// restsUntil is when the last of the targets that rest is back.
-	restsUntil time.Time
-	events     []Event
-	// typical is the usual time of an answer from a target that is not full.
-	typical time.Duration
-	warmth  warmth
+	permits        *ratelimit.Holder
+	permitRequests []ratelimit.PermitRequest
+	unresponsive   []string
+	retryForecast  retryForecast
+	// backoffUntil is when the last of the targets that rest is back.
+	backoffUntil time.Time
+	events       []Event
+	// typicalLatency is the usual time of an answer from a target that is not full.
+	typicalLatency time.Duration
+	cacheModel     cacheModel
 	// salt tells the instances' drawn times apart.
 	salt uint64
 }
 
-// firstTypical is assumed before any answer was seen.
-const firstTypical = 200 * time.Millisecond
+// initialTypicalLatency is assumed before any answer was seen.
+const initialTypicalLatency = 200 * time.Millisecond
 
 // NewPool returns a pool without targets.
 func NewPool(config Config) *Pool {
 	p := &Pool{
-		config:    config,
-		quotas:    &quotas{self: config.Self, version: 1},
-		byID:      make(map[string]*target),
-		byHash:    make(map[availability.ID]*target),
-		byShortID: make(map[uint32]*target),
-		regions:   make(map[string]*regionTargets),
-		groups:    numberHalls(config.RegionOf),
-		plans:     make(map[string]*plan),
-		limits:    make(map[availability.ID]availability.RateLimit),
-		permits:   ratelimit.NewHallHolder(config.Self),
-		typical:   firstTypical,
-		salt:      mix.Hash(config.Self),
+		config:         config,
+		quotas:         &quotas{self: config.Self, generation: 1},
+		byID:           make(map[string]*target),
+		byHash:         make(map[availability.ID]*target),
+		byShortID:      make(map[uint32]*target),
+		regions:        make(map[string]*regionTargets),
+		groups:         numberHalls(config.RegionOf),
+		plans:          make(map[string]*plan),
+		rateLimits:     make(map[availability.ID]availability.RateLimit),
+		permits:        ratelimit.NewHallHolder(config.Self),
+		typicalLatency: initialTypicalLatency,
+		salt:           mix.Hash(config.Self),
 	}
 	for _, region := range config.RegionOf {
 		p.regionFor(region)
@@ -131,7 +131,7 @@
 }
 
 // TypicalLatency returns the usual time of an answer.
-func (p *Pool) TypicalLatency() time.Duration { return p.typical }
+func (p *Pool) TypicalLatency() time.Duration { return p.typicalLatency }
 
 // SetService takes in what the configuration says of the service.
 func (p *Pool) SetService(s catalog.Service) {
@@ -146,14 +146,14 @@
 		return
 	}
 	p.homeShares = shares
-	p.replan()
+	p.invalidatePlans()
 }
 
 // SetRows takes in the operators' rows for requests that enter in the own region.
 // Without any the shares of the regions are computed from slots.
 func (p *Pool) SetRows(rows []table.Row) {
 	p.rows = rows
-	p.replan()
+	p.invalidatePlans()
 }
 
 // SetMembers takes in the names of the instances known in each hall, which
@@ -164,12 +164,12 @@
 
 // Acquire chooses a target for a request, queues the request, or refuses it.
 func (p *Pool) Acquire(now time.Time, r Request) Decision {
-	r.since = now
-	r.point = mix.Unit(mix.Pair(r.Key, "region"))
+	r.arrivedAt = now
+	r.keyPoint = mix.Unit(mix.Pair(r.Key, "region"))
 	if r.Sticky {
-		p.planFor(now, &r).points.Add(now, r.point)
+		p.planFor(now, &r).points.Add(now, r.keyPoint)
 	}
-	r.side = p.sideFor(now, &r)
+	r.cohort = p.cohortFor(now, &r)
 	c := p.choose(now, &r)
 	if c.found {
 		return p.send(now, &r, c)
@@ -180,7 +180,7 @@
 			return refusal
 		}
 	}
-	if now.Add(p.typical).After(r.Deadline) {
+	if now.Add(p.typicalLatency).After(r.Deadline) {
 		return Decision{Action: Refuse, Reason: ReasonLate, RetryAfter: p.retryAfter(r.ID)}
 	}
 	if !p.queue.add(r) {
@@ -191,13 +191,13 @@
 
 func (p *Pool) send(now time.Time, r *Request, c candidate) Decision {
 	t := c.target
-	sent := SendState{NewVersion: t.side == newSide, KeyKnown: t.knows(now, r.Key), FirstChoice: c.first, Load: t.load(now) / float64(max(t.spec.Slots, 1))}
+	sent := SendState{NewVersion: t.cohort == newCohort, KeyKnown: t.hasKey(now, r.Key), FirstChoice: c.firstChoice, Load: t.load(now) / float64(max(t.spec.Slots, 1))}
 	cold := t.cold(now)
-	sent.GrantedAt, sent.PermitExpiry = now, p.spend(now, t)
-	p.returns.sent(now)
-	p.touch(now, t)
-	t.begin(now)
-	t.learn(now, r.Key)
+	sent.GrantedAt, sent.PermitExpiry = now, p.spendPermit(now, t)
+	p.retryForecast.countSend(now)
+	p.markActive(now, t)
+	t.startRequest(now)
+	t.rememberKey(now, r.Key)
 	return Decision{
 		Action:    Send,
 		Reason:    c.reason,
@@ -210,18 +210,18 @@
 	// A refused request is told to come back after between so many usual times of an
 	// answer: by then the requests that filled its targets are done, and spread out so
 	// that those refused together do not come back together.
-	earliestReturn = 1.5
-	latestReturn   = 3.5
-	// leastTypical bounds what is taken for the usual time here from below: a client
+	minRetryFactor = 1.5
+	maxRetryFactor = 3.5
+	// minTypicalLatency bounds what is taken for the usual time here from below: a client
 	// needs about that to come back at all.
-	leastTypical = 100 * time.Millisecond
+	minTypicalLatency = 100 * time.Millisecond
 )
 
 // retryAfter is when a refused request should come back. The ID of a request spreads
 // those of one instance evenly.
 func (p *Pool) retryAfter(id uint64) time.Duration {
-	times := earliestReturn + (latestReturn-earliestReturn)*mix.Unit(mix.Join(id, p.salt))
-	return time.Duration(times * float64(max(p.typical, leastTypical)))
+	times := minRetryFactor + (maxRetryFactor-minRetryFactor)*mix.Unit(mix.Join(id, p.salt))
+	return time.Duration(times * float64(max(p.typicalLatency, minTypicalLatency)))
 }
 
 // Release ends an attempt and returns the grants that this makes possible.
@@ -230,27 +230,27 @@
 	if t == nil {
 		return nil
 	}
-	p.touch(now, t)
+	p.markActive(now, t)
 	full := t.load(now) > float64(t.spec.Slots)
-	before := t.belief()
+	before := t.eventState()
 	if r.SelfReport.Leaving {
 		p.departures.Add(now, availability.ID(t.hash))
 	}
-	p.learn(t, r)
+	p.observeLatency(t, r)
 	p.returnPermit(now, t, r)
-	t.end(now, r)
-	if until := t.state.BackoffUntil(); until.After(p.restsUntil) {
-		p.restsUntil = until
+	t.finishRequest(now, r)
+	if until := t.state.BackoffUntil(); until.After(p.backoffUntil) {
+		p.backoffUntil = until
 	}
-	p.note(t, before, r.Outcome)
+	p.recordEvent(t, before, r.Outcome)
 	if r.Outcome == Answered && !full {
-		p.observe(r.Latency)
+		p.updateTypicalLatency(r.Latency)
 	}
 	switch {
 	case t.state.Gone() && t.inFlight == 0:
-		p.forget(t)
-		if p.noteVersions(now) {
-			p.arrange(now)
+		p.removeTarget(t)
+		if p.updateVersions(now) {
+			p.placeAll(now)
 		}
 	default:
 		p.count(t)
@@ -266,7 +266,7 @@
 	if t == nil || !t.state.Available(now) {
 		return false
 	}
-	return t.limited == nil || now.Before(sent.PermitExpiry)
+	return t.rateLimit == nil || now.Before(sent.PermitExpiry)
 }
 
 // ApplyDepartures takes in that targets said, to this or to another instance, that they leave.
@@ -280,32 +280,32 @@
 		if t == nil {
 			continue
 		}
-		before := t.belief()
+		before := t.eventState()
 		if t.state.SetLeaving(now.Add(-d.Age), source) {
 			fresh = append(fresh, t.spec.ID)
-			p.note(t, before, Answered)
+			p.recordEvent(t, before, Answered)
 			p.count(t)
 		}
 	}
 	return fresh
 }
 
-// learn takes in the time of an answer for what it says of objects and of the target.
-func (p *Pool) learn(t *target, r Result) {
+// observeLatency takes in the time of an answer for what it says of objects and of the target.
+func (p *Pool) observeLatency(t *target, r Result) {
 	if r.Outcome != Answered {
 		return
 	}
-	times := p.warmth.learn(r.SendState, r.Latency)
+	times := p.cacheModel.observe(r.SendState, r.Latency)
 	if times > 0 {
-		t.contact.slow.take(times)
+		t.stats.slow.observe(times)
 	}
 }
 
 // typicalWeight is the weight of a new answer in the usual time.
 const typicalWeight = 0.02
 
-func (p *Pool) observe(took time.Duration) {
-	p.typical += time.Duration(typicalWeight * float64(took-p.typical))
+func (p *Pool) updateTypicalLatency(took time.Duration) {
+	p.typicalLatency += time.Duration(typicalWeight * float64(took-p.typicalLatency))
 }
 
 // Cancel takes a request out of the queue. It reports whether it was there.
@@ -332,7 +332,7 @@
 		switch {
 		case c.found:
 			grants = append(grants, Grant{ID: w.ID, Decision: p.send(now, &w, c)})
-		case now.Sub(w.since) >= w.QueueTimeout || now.Add(p.typical).After(w.Deadline):
+		case now.Sub(w.arrivedAt) >= w.QueueTimeout || now.Add(p.typicalLatency).After(w.Deadline):
 			grants = append(grants, Grant{ID: w.ID, Decision: p.refuse(now, &w, c.reason)})
 		default:
 			kept = append(kept, w)
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -135,10 +135,10 @@
 	require.Equal(t, "a2", p.Acquire(start, heavyRequest("k")).Target.Hall)
 }
 
-// TestSecondTargetStandsIn checks that a key whose first target can't be used for a
+// TestSecondTargetTakesOver checks that a key whose first target can't be used for a
 // moment goes to its second one, which is warm, and only if that can't be used either
 // to a target that has not seen the object.
-func TestSecondTargetStandsIn(t *testing.T) {
+func TestSecondTargetTakesOver(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
 	first := p.Acquire(start, heavyRequest("k")).Target
@@ -194,10 +194,10 @@
 	})
 }
 
-// TestChangesEqualTheWhole draws changes of targets, some of a target that goes in
+// TestIncrementalChangesMatchFullList draws changes of targets, some of a target that goes in
 // the same step, and checks that a pool that takes them one step after the other
 // sends the same requests to the same targets as one that takes the whole list.
-func TestChangesEqualTheWhole(t *testing.T) {
+func TestIncrementalChangesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stepwise := newPool()
 		held := map[string]*catalog.Target{}
@@ -399,9 +399,9 @@
 	}
 }
 
-// TestSlowTargetIsLeft checks that the requests for an object go to its second target while
+// TestSlowTargetIsAvoided checks that the requests for an object go to its second target while
 // the first one answers slowly, that other instances are told, and that they come back.
-func TestSlowTargetIsLeft(t *testing.T) {
+func TestSlowTargetIsAvoided(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(6), nil)
 	now := start
--- a/upstream/quotas.go
+++ b/upstream/quotas.go
@@ -11,35 +11,35 @@
 	rate float64
 	// members are the names of the instances known in each hall.
 	members map[string][]string
-	// version counts the changes.
-	version int
+	// generation counts the changes.
+	generation int
 }
 
 func (q *quotas) setRate(rate float64) {
 	q.rate = rate
-	q.version++
+	q.generation++
 }
 
 func (q *quotas) setMembers(members map[string][]string) {
 	q.members = members
-	q.version++
+	q.generation++
 }
 
 // quota is what this instance may send to a target in any second while it is cold.
 type quota struct {
 	requests int
-	// version and hall are those for which requests was computed.
-	version int
-	hall    string
+	// generation and hall are those for which requests was computed.
+	generation int
+	hall       string
 }
 
-// quotaNow returns the quota of the target as things stand.
-func (t *target) quotaNow() int {
-	if t.quota == nil || t.quota.version != t.quotas.version || t.quota.hall != t.spec.Hall {
+// currentQuota returns the quota of the target as things stand.
+func (t *target) currentQuota() int {
+	if t.quota == nil || t.quota.generation != t.quotas.generation || t.quota.hall != t.spec.Hall {
 		t.quota = &quota{
-			requests: warmup.Quota(t.quotas.self, t.spec.ID, t.quotas.members[t.spec.Hall], t.quotas.rate),
-			version:  t.quotas.version,
-			hall:     t.spec.Hall,
+			requests:   warmup.Quota(t.quotas.self, t.spec.ID, t.quotas.members[t.spec.Hall], t.quotas.rate),
+			generation: t.quotas.generation,
+			hall:       t.spec.Hall,
 		}
 	}
 	return t.quota.requests
--- a/upstream/rate_limit.go
+++ b/upstream/rate_limit.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// permitPatience is how long a request waits for a permit of its key's first target while
+	// permitTimeout is how long a request waits for a permit of its key's first target while
 	// an owner of the own region is asked, before it goes to the second: the answer comes
 	// within milliseconds, and a run without the object costs hundreds.
-	permitPatience = 60 * time.Millisecond
-	// sendsTime is the time over which the rate of sends is averaged, for forecasts, and
+	permitTimeout = 60 * time.Millisecond
+	// sendRateWindow is the time over which the rate of sends is averaged, for forecasts, and
 	// leastSends bounds that rate from below, in 1/s.
-	sendsTime  = 2 * time.Second
-	leastSends = 0.5
-	// longestReturn bounds what a refused caller is told to wait for room.
-	longestReturn = 5 * time.Second
+	sendRateWindow = 2 * time.Second
+	minSendRate    = 0.5
+	// maxForecast bounds what a refused caller is told to wait for room.
+	maxForecast = 5 * time.Second
 )
 
-// limited is that a target has named how many requests a second it takes from all instances
+// rateLimit is that a target has named how many requests a second it takes from all instances
 // together. Each request to it takes a permit, which one instance issues for all.
-type limited struct {
+type rateLimit struct {
 	perSecond float64
 	// name is that of its permits.
 	name   string
@@ -46,23 +46,23 @@
 
 // permitted tells whether a request may be sent as far as the target's limit is concerned.
 func (t *target) permitted(now time.Time) bool {
-	return t.limited == nil || t.permits.Available(now, t.limited.name) > 0
+	return t.rateLimit == nil || t.permits.Available(now, t.rateLimit.name) > 0
 }
 
-// spares tells whether a request that any other target could serve as well may be sent: one that
+// hasSparePermit tells whether a request that any other target could serve as well may be sent: one that
 // takes the permit of a request whose object the target has would run without its own.
-func (t *target) spares(now time.Time) bool {
-	return t.limited == nil || t.permits.HasSpare(now, t.limited.name)
+func (t *target) hasSparePermit(now time.Time) bool {
+	return t.rateLimit == nil || t.permits.HasSpare(now, t.rateLimit.name)
 }
 
 // capacity is the number of slots that the target's limit lets it use, at the usual time of an
 // answer.
 func (t *target) capacity(typical time.Duration) float64 {
 	slots := float64(t.spec.Slots)
-	if t.limited == nil {
+	if t.rateLimit == nil {
 		return slots
 	}
-	return min(slots, t.limited.perSecond*typical.Seconds())
+	return min(slots, t.rateLimit.perSecond*typical.Seconds())
 }
 
 // SetLimitOwners takes in who issues the permits of targets' limits.
@@ -75,101 +75,101 @@
 	var changed []string
 	for _, limit := range limits {
 		if limit.Removed {
-			delete(p.limits, limit.ID)
+			delete(p.rateLimits, limit.ID)
 		} else {
-			p.limits[limit.ID] = limit
+			p.rateLimits[limit.ID] = limit
 		}
 		t := p.byHash[limit.ID]
-		if t != nil && p.limit(now, t, source) {
+		if t != nil && p.applyRateLimit(now, t, source) {
 			changed = append(changed, t.spec.ID)
 		}
 	}
 	if len(changed) == 0 {
 		return nil, nil
 	}
-	p.replan()
+	p.invalidatePlans()
 	return changed, p.dispatch(now)
 }
 
-// limit puts in force what is known of a target's limit. It reports whether that is a change.
-func (p *Pool) limit(now time.Time, t *target, source availability.Source) bool {
-	known, ok := p.limits[availability.ID(t.hash)]
+// applyRateLimit puts in force what is known of a target's applyRateLimit. It reports whether that is a change.
+func (p *Pool) applyRateLimit(now time.Time, t *target, source availability.Source) bool {
+	known, ok := p.rateLimits[availability.ID(t.hash)]
 	switch {
 	case !ok:
-		had := t.limited != nil
-		p.setLimited(t, nil)
+		had := t.rateLimit != nil
+		p.setRateLimit(t, nil)
 		return had
-	case t.limited == nil:
+	case t.rateLimit == nil:
 		name := ratelimit.HallLimitName(t.spec.Hall, t.spec.ID)
-		p.setLimited(t, &limited{perSecond: known.PerSecond, name: name, source: source, since: now.Add(-known.Age)})
+		p.setRateLimit(t, &rateLimit{perSecond: known.PerSecond, name: name, source: source, since: now.Add(-known.Age)})
 		return true
-	case t.limited.perSecond == known.PerSecond:
+	case t.rateLimit.perSecond == known.PerSecond:
 		return false
 	default:
-		t.limited.perSecond, t.limited.source = known.PerSecond, source
+		t.rateLimit.perSecond, t.rateLimit.source = known.PerSecond, source
 		return true
 	}
 }
 
-// setLimited puts a limit of a target in force, nil for none.
-func (p *Pool) setLimited(t *target, limit *limited) {
-	if (t.limited == nil) != (limit == nil) {
-		at, _ := slices.BinarySearchFunc(p.limited, t.spec.ID, byID)
+// setRateLimit puts a limit of a target in force, nil for none.
+func (p *Pool) setRateLimit(t *target, limit *rateLimit) {
+	if (t.rateLimit == nil) != (limit == nil) {
+		at, _ := slices.BinarySearchFunc(p.limitedTargets, t.spec.ID, byID)
 		if limit == nil {
-			p.limited = slices.Delete(p.limited, at, at+1)
+			p.limitedTargets = slices.Delete(p.limitedTargets, at, at+1)
 		} else {
-			p.limited = slices.Insert(p.limited, at, t)
+			p.limitedTargets = slices.Insert(p.limitedTargets, at, t)
 		}
 	}
-	t.limited = limit
+	t.rateLimit = limit
 }
 
 // LimitedTargets returns the targets that have named a limit, in the order of their IDs.
 func (p *Pool) LimitedTargets(now time.Time) []LimitedTarget {
 	var out []LimitedTarget
-	for _, t := range p.limited {
-		got, used, owner := p.permits.Rates(now, t.limited.name)
-		out = append(out, LimitedTarget{ID: t.spec.ID, Hall: t.spec.Hall, PerSecond: t.limited.perSecond, Source: t.limited.source,
-			Since: t.limited.since, Owner: owner, PermitRate: got, UsedRate: used})
+	for _, t := range p.limitedTargets {
+		got, used, owner := p.permits.Rates(now, t.rateLimit.name)
+		out = append(out, LimitedTarget{ID: t.spec.ID, Hall: t.spec.Hall, PerSecond: t.rateLimit.perSecond, Source: t.rateLimit.source,
+			Since: t.rateLimit.since, Owner: owner, PermitRate: got, UsedRate: used})
 	}
 	return out
 }
 
-// want asks for a permit of a target that a request would be sent to if there were one.
-func (p *Pool) want(now time.Time, t *target) {
-	p.asks = append(p.asks, p.permits.Request(now, t.limited.name)...)
+// requestPermit asks for a permit of a target that a request would be sent to if there were one.
+func (p *Pool) requestPermit(now time.Time, t *target) {
+	p.permitRequests = append(p.permitRequests, p.permits.Request(now, t.rateLimit.name)...)
 }
 
-// wantAny asks for permits of those of some targets that only their limits keep from a request.
-func (p *Pool) wantAny(now time.Time, targets []*target) {
+// requestPermits asks for permits of those of some targets that only their limits keep from a request.
+func (p *Pool) requestPermits(now time.Time, targets []*target) {
 	for _, t := range targets {
-		if t.limited != nil && t.otherwiseUsable(now) && !t.permitted(now) {
-			p.want(now, t)
+		if t.rateLimit != nil && t.usableIgnoringLimit(now) && !t.permitted(now) {
+			p.requestPermit(now, t)
 		}
 	}
 }
 
-// awaits tells whether a request waits for a permit of its key's first target in place of going to
+// waitsForPermit tells whether a request waits for a permit of its key's first target in place of going to
 // another one.
-func (p *Pool) awaits(now time.Time, r *Request, t *target) bool {
-	return now.Sub(r.since) < min(permitPatience, r.QueueTimeout) && p.permits.AwaitsSameRegion(t.limited.name)
+func (p *Pool) waitsForPermit(now time.Time, r *Request, t *target) bool {
+	return now.Sub(r.arrivedAt) < min(permitTimeout, r.QueueTimeout) && p.permits.AwaitsSameRegion(t.rateLimit.name)
 }
 
-// spend takes the permit of a request that is sent to a target, and returns until when it may be
+// spendPermit takes the permit of a request that is sent to a target, and returns until when it may be
 // used, zero if the target has no limit.
-func (p *Pool) spend(now time.Time, t *target) time.Time {
-	if t.limited == nil {
+func (p *Pool) spendPermit(now time.Time, t *target) time.Time {
+	if t.rateLimit == nil {
 		return time.Time{}
 	}
-	until, asks, _ := p.permits.TryAcquire(now, t.limited.name)
-	p.asks = append(p.asks, asks...)
+	until, asks, _ := p.permits.TryAcquire(now, t.rateLimit.name)
+	p.permitRequests = append(p.permitRequests, asks...)
 	return until
 }
 
 // returnPermit gives back the permit of a request that was not sent.
 func (p *Pool) returnPermit(now time.Time, t *target, r Result) {
-	if r.NotSent && t.limited != nil {
-		p.permits.Release(now, t.limited.name, r.SendState.PermitExpiry)
+	if r.NotSent && t.rateLimit != nil {
+		p.permits.Release(now, t.rateLimit.name, r.SendState.PermitExpiry)
 	}
 }
 
@@ -177,27 +177,27 @@
 // and returns the grants that this makes possible.
 func (p *Pool) ReceivePermits(now, askedAt time.Time, name, from string, issue ratelimit.Grant) []Grant {
 	_, asks := p.permits.HandleReply(now, askedAt, name, from, issue)
-	p.asks = append(p.asks, asks...)
+	p.permitRequests = append(p.permitRequests, asks...)
 	return p.dispatch(now)
 }
 
 // OwnerUnreachable takes in that no connection to an instance could be had.
 func (p *Pool) OwnerUnreachable(now time.Time, owner string) {
 	_, asks := p.permits.OwnerUnreachable(now, owner)
-	p.asks = append(p.asks, asks...)
+	p.permitRequests = append(p.permitRequests, asks...)
 }
 
 // TakePermitRequests returns the questions for permits since the last call.
 func (p *Pool) TakePermitRequests() []ratelimit.PermitRequest {
-	asks := p.asks
-	p.asks = nil
+	asks := p.permitRequests
+	p.permitRequests = nil
 	return asks
 }
 
 // TakeUnresponsiveOwners returns the owners that have been found not to answer since the last call.
 func (p *Pool) TakeUnresponsiveOwners() []string {
-	silent := p.silent
-	p.silent = nil
+	silent := p.unresponsive
+	p.unresponsive = nil
 	return silent
 }
 
@@ -210,73 +210,75 @@
 		return
 	}
 	_, asks, silent := p.permits.Tick(now)
-	p.asks = append(p.asks, asks...)
-	p.silent = append(p.silent, silent...)
+	p.permitRequests = append(p.permitRequests, asks...)
+	p.unresponsive = append(p.unresponsive, silent...)
 }
 
-// returns forecasts when refused callers find room: those told before come first, as fast as
+// retryForecast forecasts when refused callers find room: those told before come first, as fast as
 // requests are sent.
-type returns struct {
-	// owed is the number of refused callers that have not found room.
-	owed float64
-	// sends counts those sent of late.
-	sends float64
-	at    time.Time
+type retryForecast struct {
+	// pendingRetries is the number of refused callers that have not found room.
+	pendingRetries float64
+	// recentSends counts those sent of late.
+	recentSends float64
+	at          time.Time
 }
 
-// pass has time pass.
-func (f *returns) pass(now time.Time) {
+// advance has time advance.
+func (f *retryForecast) advance(now time.Time) {
 	elapsed := now.Sub(f.at).Seconds()
 	if f.at.IsZero() || elapsed < 0 {
 		elapsed = 0
 	}
-	f.owed = max(0, f.owed-elapsed*f.rate())
-	f.sends = max(0, f.sends*(1-min(1, elapsed/sendsTime.Seconds())))
+	f.pendingRetries = max(0, f.pendingRetries-elapsed*f.rate())
+	f.recentSends = max(0, f.recentSends*(1-min(1, elapsed/sendRateWindow.Seconds())))
 	f.at = now
 }
 
 // rate is the number of requests sent a second.
-func (f *returns) rate() float64 { return max(leastSends, f.sends/sendsTime.Seconds()) }
+func (f *retryForecast) rate() float64 {
+	return max(minSendRate, f.recentSends/sendRateWindow.Seconds())
+}
 
-// sentRate is the number of requests sent a second of late.
-func (f *returns) sentRate(now time.Time) float64 {
-	f.pass(now)
-	return f.sends / sendsTime.Seconds()
+// sendRate is the number of requests sent a second of late.
+func (f *retryForecast) sendRate(now time.Time) float64 {
+	f.advance(now)
+	return f.recentSends / sendRateWindow.Seconds()
 }
 
-// sent counts a request that is sent.
-func (f *returns) sent(now time.Time) {
-	f.pass(now)
-	f.sends++
+// countSend counts a request that is countSend.
+func (f *retryForecast) countSend(now time.Time) {
+	f.advance(now)
+	f.recentSends++
 }
 
-// refuse returns when a caller that is refused now finds room.
-func (f *returns) refuse(now time.Time) time.Duration {
-	f.pass(now)
-	f.owed++
-	return min(longestReturn, time.Duration(f.owed/f.rate()*float64(time.Second)))
+// nextRetry returns when a caller that is refused now finds room.
+func (f *retryForecast) nextRetry(now time.Time) time.Duration {
+	f.advance(now)
+	f.pendingRetries++
+	return min(maxForecast, time.Duration(f.pendingRetries/f.rate()*float64(time.Second)))
 }
 
-// limitsBind tells whether a target of a request is kept from it by its limit alone.
-func (p *Pool) limitsBind(now time.Time, r *Request) bool {
-	return slices.ContainsFunc(p.limited, func(t *target) bool { return r.allows(t.region.name) && t.otherwiseUsable(now) })
+// blockedByLimit tells whether a target of a request is kept from it by its limit alone.
+func (p *Pool) blockedByLimit(now time.Time, r *Request) bool {
+	return slices.ContainsFunc(p.limitedTargets, func(t *target) bool { return r.allows(t.region.name) && t.usableIgnoringLimit(now) })
 }
 
-// limitsBindIn tells whether a target of a region is kept from requests by its limit alone.
-func (p *Pool) limitsBindIn(now time.Time, r *Request, region string) bool {
-	if len(p.limits) == 0 {
+// blockedByLimitIn tells whether a target of a region is kept from requests by its limit alone.
+func (p *Pool) blockedByLimitIn(now time.Time, r *Request, region string) bool {
+	if len(p.rateLimits) == 0 {
 		return false
 	}
-	return slices.ContainsFunc(p.targetsOf(r, region), func(t *target) bool { return t.limited != nil && t.otherwiseUsable(now) })
+	return slices.ContainsFunc(p.targetsOf(r, region), func(t *target) bool { return t.rateLimit != nil && t.usableIgnoringLimit(now) })
 }
 
 // refuse is the refusal of a request that has no target.
 func (p *Pool) refuse(now time.Time, r *Request, reason Reason) Decision {
 	d := Decision{Action: Refuse, Reason: reason, RetryAfter: p.retryAfter(r.ID)}
-	if reason != ReasonNoTarget && reason != ReasonLimited || len(p.limits) == 0 || !p.limitsBind(now, r) {
+	if reason != ReasonNoTarget && reason != ReasonLimited || len(p.rateLimits) == 0 || !p.blockedByLimit(now, r) {
 		return d
 	}
 	d.Reason = ReasonLimited
-	d.RetryAfter = max(d.RetryAfter, p.returns.refuse(now))
+	d.RetryAfter = max(d.RetryAfter, p.retryForecast.nextRetry(now))
 	return d
 }
--- a/upstream/rate_limit_model_test.go
+++ b/upstream/rate_limit_model_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// modelToldAfter is how long it takes until all instances know of a limit.
-	modelToldAfter = 100 * time.Millisecond
+	// modelLimitDelay is how long it takes until all instances know of a limit.
+	modelLimitDelay = 100 * time.Millisecond
 	// limitWindow is the span in which arrivals are counted, and limitFrom the time from the
 	// first word of a limit on from which it is kept.
 	limitWindow = 4 * time.Second
@@ -22,21 +22,21 @@
 
 // limitModel plays targets that name how much they take, and the instances that issue permits.
 type limitModel struct {
-	*restModel
+	*backoffModel
 	issuers []*ratelimit.Issuer
 	names   map[string]int
 	limits  map[availability.ID]float64
-	// named are the limits that targets name now, by target.
-	named map[string]float64
-	// came are the times of arrivals by target.
-	came map[string][]time.Time
+	// advertised are the limits that targets name now, by target.
+	advertised map[string]float64
+	// arrivedAt are the times of arrivals by target.
+	arrivedAt map[string][]time.Time
 	// messages are the questions and answers between instances.
 	messages int
 }
 
 func newLimitModel(regionOf map[string]string, seed uint64, instances, targets int) *limitModel {
-	m := &limitModel{restModel: newRestModelIn(regionOf, seed, instances, targets), names: make(map[string]int), limits: make(map[availability.ID]float64),
-		named: make(map[string]float64), came: make(map[string][]time.Time)}
+	m := &limitModel{backoffModel: newBackoffModelIn(regionOf, seed, instances, targets), names: make(map[string]int), limits: make(map[availability.ID]float64),
+		advertised: make(map[string]float64), arrivedAt: make(map[string][]time.Time)}
 	var places []ratelimit.Instance
 	for i := range instances {
 		name := fmt.Sprint("n-", i)
@@ -51,9 +51,9 @@
 		m.issuers = append(m.issuers, issuer)
 		m.issue(i)
 	}
-	m.flush = m.ask
-	m.word = m.says
-	m.onArrival = func(t *modelTarget) { m.came[t.id] = append(m.came[t.id], m.now) }
+	m.onPoolChange = m.sendPermitRequests
+	m.selfReport = m.limitOfTarget
+	m.onArrival = func(t *modelTarget) { m.arrivedAt[t.id] = append(m.arrivedAt[t.id], m.now) }
 	return m
 }
 
@@ -65,9 +65,9 @@
 	m.after(10*time.Millisecond, func() { m.issue(i) })
 }
 
-// says has all instances know of a target's limit, or of its end, a moment after it is said.
-func (m *limitModel) says(t *modelTarget) availability.SelfReport {
-	perSecond, limited := m.named[t.id]
+// limitOfTarget has all instances know of a target's limit, or of its end, a moment after it is said.
+func (m *limitModel) limitOfTarget(t *modelTarget) availability.SelfReport {
+	perSecond, limited := m.advertised[t.id]
 	id := availability.IDOf(t.id)
 	known, had := m.limits[id]
 	if had != limited || known != perSecond {
@@ -77,7 +77,7 @@
 		}
 		told := availability.RateLimitList{{ID: id, PerSecond: perSecond, Removed: !limited}}
 		for i := range m.pools {
-			m.after(modelToldAfter, func() {
+			m.after(modelLimitDelay, func() {
 				_, grants := m.pools[i].ApplyRateLimits(m.now, told, availability.SourcePeer)
 				m.grant(i, grants)
 			})
@@ -86,13 +86,13 @@
 	return availability.SelfReport{HasLimit: limited, RateLimit: perSecond}
 }
 
-// ask sends the questions of an instance.
-func (m *limitModel) ask(i int) {
+// sendPermitRequests sends the questions of an instance.
+func (m *limitModel) sendPermitRequests(i int) {
 	for _, ask := range m.pools[i].TakePermitRequests() {
 		to := m.names[ask.To.Name]
 		claim := ratelimit.IssueRequest{From: fmt.Sprint("n-", i), At: m.now.UnixNano(), N: ask.N}
 		m.messages++
-		m.after(m.way(m.poolHall[i], m.poolHall[to]), func() {
+		m.after(m.delay(m.poolHall[i], m.poolHall[to]), func() {
 			limit, ok := m.limitOf(ask.Account)
 			if !ok {
 				return
@@ -117,7 +117,7 @@
 func (m *limitModel) reply(from int, r ratelimit.Reply) {
 	m.messages++
 	to := m.names[r.To]
-	m.after(m.way(m.poolHall[from], m.poolHall[to]), func() {
+	m.after(m.delay(m.poolHall[from], m.poolHall[to]), func() {
 		m.grant(to, m.pools[to].ReceivePermits(m.now, time.Unix(0, r.At), r.Account, fmt.Sprint("n-", from), r.Grant))
 	})
 }
@@ -131,19 +131,19 @@
 	served, inTime, messages float64
 }
 
-// playLimits has the first targets name a limit each for ten seconds, a share of their usual part.
-func playLimits(regionOf map[string]string, seed uint64, instances, targets, limited int, share float64) limitOutcome {
+// simulateLimits has the first targets name a limit each for ten seconds, a share of their usual part.
+func simulateLimits(regionOf map[string]string, seed uint64, instances, targets, limited int, share float64) limitOutcome {
 	const settle, lasts = 10 * time.Second, 12 * time.Second
 	m := newLimitModel(regionOf, seed, instances, targets)
-	usual := modelUse * modelSlots / modelWarm.Seconds()
+	usual := modelUtilization * modelSlots / modelWarm.Seconds()
 	from := start.Add(settle)
 	m.load(usual*float64(targets), from.Add(lasts))
 	m.run(from)
 	for i := range limited {
-		m.named[fmt.Sprint("t-", i)] = share * usual
+		m.advertised[fmt.Sprint("t-", i)] = share * usual
 	}
 	m.run(from.Add(limitFrom))
-	m.came = make(map[string][]time.Time)
+	m.arrivedAt = make(map[string][]time.Time)
 	sent, refused, inTime, messages := m.sent, m.refused, m.inTime, m.messages
 	m.run(from.Add(lasts))
 	all := float64(m.sent - sent)
@@ -152,7 +152,7 @@
 		messages: float64(m.messages-messages) / seconds / float64(instances)}
 	sum := 0
 	for i := range limited {
-		came := m.came[fmt.Sprint("t-", i)]
+		came := m.arrivedAt[fmt.Sprint("t-", i)]
 		sum += len(came)
 		out.most = max(out.most, float64(mostIn(came, limitWindow))/(1.5*share*usual*limitWindow.Seconds()+5))
 	}
@@ -185,7 +185,7 @@
 		for _, instances := range place.instances {
 			for _, limited := range []int{1, 7, 24} {
 				for _, share := range []float64{0.1, 0.5, 0.9} {
-					got := playLimits(place.regionOf, 1, instances, 24, limited, share)
+					got := simulateLimits(place.regionOf, 1, instances, 24, limited, share)
 					t.Logf("%s, %d instances, %d targets limited to %.1f: %+v", place.name, instances, limited, share, got)
 					require.LessOrEqual(t, got.most, 1.0)
 					if limited == 24 {
--- a/upstream/rate_limit_test.go
+++ b/upstream/rate_limit_test.go
@@ -35,9 +35,9 @@
 	return p
 }
 
-// TestAloneLeavesLimitedRegion checks that a request that may end its target, and whose own region
+// TestIsolatedRequestLeavesLimitedRegion checks that a request that may end its target, and whose own region
 // is limited, goes to the target of another region that has the fewest requests.
-func TestAloneLeavesLimitedRegion(t *testing.T) {
+func TestIsolatedRequestLeavesLimitedRegion(t *testing.T) {
 	free := newPool()
 	var specs []*catalog.Target
 	for _, hall := range []string{"a1", "b1"} {
--- a/upstream/region_test.go
+++ b/upstream/region_test.go
@@ -70,10 +70,10 @@
 	})
 }
 
-// TestSharesLeaveRoomForHomes checks that a region that has to run some requests because it
+// TestSharesReserveHomeCapacity checks that a region that has to run some requests because it
 // is their account's home is left fewer of the others, by as much as these take, and that
 // operators' rows are not changed by that.
-func TestSharesLeaveRoomForHomes(t *testing.T) {
+func TestSharesReserveHomeCapacity(t *testing.T) {
 	// A region of a tenth of the slots, and two alike.
 	var specs []*catalog.Target
 	for hall, n := range map[string]int{"a1": 2, "b1": 9, "c1": 9} {
--- a/upstream/rejection_test.go
+++ b/upstream/rejection_test.go
@@ -50,9 +50,9 @@
 	require.NotEqual(t, first, p.Acquire(start, request("k")).Target.ID)
 }
 
-// TestReturnsAreSpread checks that requests that are refused together are told different
+// TestRetryAfterIsSpread checks that requests that are refused together are told different
 // times to come back, from one and a half to three and a half usual times.
-func TestReturnsAreSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(1)[:1], nil)
 	for p.Acquire(start, request("k")).Action == upstream.Send {
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -32,15 +32,15 @@
 	// Tried are the targets that the request was sent to already.
 	Tried []string
 
-	// since is when the request came.
-	since time.Time
-	// point is the place of the key among the shares of regions, in [0, 1).
-	point float64
-	// side is that of the targets that the request may go to.
-	side side
+	// arrivedAt is when the request came.
+	arrivedAt time.Time
+	// keyPoint is the place of the key among the shares of regions, in [0, 1).
+	keyPoint float64
+	// cohort is that of the targets that the request may go to.
+	cohort cohort
 }
 
-func (r *Request) avoids(id string) bool {
+func (r *Request) wasTried(id string) bool {
 	for _, a := range r.Tried {
 		if a == id {
 			return true
--- a/upstream/self_report_test.go
+++ b/upstream/self_report_test.go
@@ -12,16 +12,16 @@
 )
 
 var (
-	leaves = availability.SelfReport{Leaving: true}
-	rests  = availability.SelfReport{Backoff: 3 * time.Second}
+	leavingReport = availability.SelfReport{Leaving: true}
+	backoffReport = availability.SelfReport{Backoff: 3 * time.Second}
 )
 
-// latestUsual is the longest time after which a refused request is told to come back where no
+// maxTypicalRetryAfter is the longest time after which a refused request is told to come back where no
 // target rests: three and a half usual times of 200 ms.
-const latestUsual = 700 * time.Millisecond
+const maxTypicalRetryAfter = 700 * time.Millisecond
 
-// spoken returns the result of an attempt whose answer holds a target's word.
-func spoken(outcome upstream.Outcome, w availability.SelfReport) upstream.Result {
+// withSelfReport returns the result of an attempt whose answer holds a target's word.
+func withSelfReport(outcome upstream.Outcome, w availability.SelfReport) upstream.Result {
 	return upstream.Result{Outcome: outcome, SelfReport: w, Latency: time.Millisecond}
 }
 
@@ -35,17 +35,17 @@
 	return d.Target.ID
 }
 
-// TestWordCountsWhateverBecameOfTheRequest checks that a target's word keeps requests from it
+// TestSelfReportAppliesToEveryOutcome checks that a target's word keeps requests from it
 // however the attempt ended that brought it.
-func TestWordCountsWhateverBecameOfTheRequest(t *testing.T) {
+func TestSelfReportAppliesToEveryOutcome(t *testing.T) {
 	for _, outcome := range []upstream.Outcome{upstream.Answered, upstream.Rejected, upstream.Broken, upstream.Abandoned} {
-		for name, word := range map[string]availability.SelfReport{"leaves": leaves, "rests": rests} {
+		for name, word := range map[string]availability.SelfReport{"leaves": leavingReport, "rests": backoffReport} {
 			t.Run(outcome.String()+" "+name, func(t *testing.T) {
 				p := newPool()
 				p.SetTargets(start, spread(3), nil)
 				first := p.Acquire(start, request("k")).Target.ID
 				require.True(t, p.MaySend(start, first, upstream.SendState{}))
-				p.Release(start, first, spoken(outcome, word))
+				p.Release(start, first, withSelfReport(outcome, word))
 				require.False(t, p.MaySend(start, first, upstream.SendState{}), "a request that was granted it before")
 				second := firstOf(p, start, "k")
 				require.NotEqual(t, first, second)
@@ -55,35 +55,35 @@
 	}
 }
 
-// TestKeysReturnAfterRest checks that the keys of a target that rests go to one other target
+// TestKeysReturnAfterBackoff checks that the keys of a target that rests go to one other target
 // meanwhile, and back as soon as the rest is over.
-func TestKeysReturnAfterRest(t *testing.T) {
+func TestKeysReturnAfterBackoff(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
 	first := p.Acquire(start, request("k")).Target.ID
-	p.Release(start, first, spoken(upstream.Rejected, rests))
+	p.Release(start, first, withSelfReport(upstream.Rejected, backoffReport))
 	second := firstOf(p, start, "k")
-	for at := start; at.Before(start.Add(rests.Backoff)); at = at.Add(50 * time.Millisecond) {
+	for at := start; at.Before(start.Add(backoffReport.Backoff)); at = at.Add(50 * time.Millisecond) {
 		require.Equal(t, second, firstOf(p, at, "k"))
 	}
-	require.Equal(t, first, firstOf(p, start.Add(rests.Backoff), "k"))
+	require.Equal(t, first, firstOf(p, start.Add(backoffReport.Backoff), "k"))
 }
 
-// TestAnswerDoesNotEndRest checks that the answer to a request that was on its way does not
+// TestAnswerDoesNotEndBackoff checks that the answer to a request that was on its way does not
 // bring the next ones to a target that rests.
-func TestAnswerDoesNotEndRest(t *testing.T) {
+func TestAnswerDoesNotEndBackoff(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
 	first := p.Acquire(start, request("k")).Target.ID
 	require.Equal(t, first, p.Acquire(start, request("k")).Target.ID)
-	p.Release(start, first, spoken(upstream.Rejected, rests))
-	p.Release(start, first, spoken(upstream.Answered, availability.SelfReport{}))
+	p.Release(start, first, withSelfReport(upstream.Rejected, backoffReport))
+	p.Release(start, first, withSelfReport(upstream.Answered, availability.SelfReport{}))
 	require.NotEqual(t, first, firstOf(p, start.Add(time.Second), "k"))
 }
 
-// TestOwnWordAndTheList checks that a list that says that a target serves, before or after its
+// TestSelfReportOverridesTargetList checks that a list that says that a target serves, before or after its
 // own word, does not bring it back, and that its next incarnation is used.
-func TestOwnWordAndTheList(t *testing.T) {
+func TestSelfReportOverridesTargetList(t *testing.T) {
 	specs := spread(1)[:1]
 	departed := availability.DepartureList{{ID: availability.IDOf(specs[0].ID)}}
 	again := altered(specs[0], func(s *catalog.Target) { s.ID += "#2" })
@@ -99,7 +99,7 @@
 		},
 		"by an answer": func(p *upstream.Pool) {
 			p.SetTargets(start, specs, nil)
-			p.Release(start, p.Acquire(start, request("k")).Target.ID, spoken(upstream.Answered, leaves))
+			p.Release(start, p.Acquire(start, request("k")).Target.ID, withSelfReport(upstream.Answered, leavingReport))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestRefusedWhileAllRest checks that a request is refused at once while all its targets rest,
+// TestRefusedWhileAllBackOff checks that a request is refused at once while all its targets rest,
 // that its caller is told when the first one is back, and others other times; and that one
 // waits whose targets are back soon enough for it.
-func TestRefusedWhileAllRest(t *testing.T) {
+func TestRefusedWhileAllBackOff(t *testing.T) {
 	p := newPool()
 	specs := spread(1)[:2]
 	p.SetTargets(start, specs, nil)
@@ -148,7 +148,7 @@
 		rest := time.Duration(2+i) * time.Second
 		for p.MaySend(start, spec.ID, upstream.SendState{}) {
 			d := p.Acquire(start, request("k"))
-			p.Release(start, d.Target.ID, spoken(upstream.Rejected, availability.SelfReport{Backoff: rest}))
+			p.Release(start, d.Target.ID, withSelfReport(upstream.Rejected, availability.SelfReport{Backoff: rest}))
 		}
 	}
 	told := make(map[time.Duration]bool)
@@ -159,7 +159,7 @@
 		require.Equal(t, upstream.Refuse, d.Action)
 		require.Equal(t, upstream.ReasonBackoff, d.Reason)
 		require.Greater(t, d.RetryAfter, 2*time.Second, "not before the first is back")
-		require.Less(t, d.RetryAfter, 3*time.Second+latestUsual, "at most half of what is left, and the usual time to come back")
+		require.Less(t, d.RetryAfter, 3*time.Second+maxTypicalRetryAfter, "at most half of what is left, and the usual time to come back")
 		told[d.RetryAfter] = true
 	}
 	require.Greater(t, len(told), 25)
@@ -185,10 +185,10 @@
 	require.NotZero(t, d.RetryAfter)
 }
 
-// TestEveryChoicePassesTheWord checks that no way to a target passes by what it said: the first
+// TestEveryChoiceHonorsSelfReport checks that no way to a target passes by what it said: the first
 // place of a key, the second, the least loaded target, a request sent alone, the queue.
-func TestEveryChoicePassesTheWord(t *testing.T) {
-	for name, word := range map[string]availability.SelfReport{"leaves": leaves, "rests": rests} {
+func TestEveryChoiceHonorsSelfReport(t *testing.T) {
+	for name, word := range map[string]availability.SelfReport{"leaves": leavingReport, "rests": backoffReport} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool()
 			specs := spread(3)[:3]
@@ -200,7 +200,7 @@
 			}
 			// Fill each target, and let each of the others speak with its last request.
 			for _, spec := range specs[1:] {
-				p.Release(start, spec.ID, spoken(upstream.Abandoned, word))
+				p.Release(start, spec.ID, withSelfReport(upstream.Abandoned, word))
 			}
 			alone := request("alone")
 			alone.Isolated = true
--- a/upstream/state.go
+++ b/upstream/state.go
@@ -43,7 +43,7 @@
 func (p *Pool) TargetCounts(now time.Time) map[HallState]StateCount {
 	census := make(map[HallState]StateCount)
 	for _, t := range p.byID {
-		group := HallState{Hall: t.spec.Hall, State: t.standing(now)}
+		group := HallState{Hall: t.spec.Hall, State: t.currentState(now)}
 		n := census[group]
 		n.Targets++
 		n.InFlight += t.inFlight
@@ -52,8 +52,8 @@
 	return census
 }
 
-// standing returns what keeps requests from the target, the most lasting first.
-func (t *target) standing(now time.Time) State {
+// currentState returns what keeps requests from the target, the most lasting first.
+func (t *target) currentState(now time.Time) State {
 	switch t.state.Verdict(now).Cause {
 	case availability.CauseReplaced:
 		return StateReplaced
@@ -67,7 +67,7 @@
 		return StateSuspect
 	}
 	switch {
-	case t.contact.suspicion > 0:
+	case t.stats.suspectBackoff > 0:
 		return StateSuspect
 	case t.cold(now):
 		return StateCold
--- a/upstream/target_list.go
+++ b/upstream/target_list.go
@@ -19,11 +19,11 @@
 	}
 	for _, t := range p.byID {
 		if t.state.Gone() && t.inFlight == 0 {
-			p.forget(t)
+			p.removeTarget(t)
 		}
 	}
-	p.noteVersions(now)
-	p.arrange(now)
+	p.updateVersions(now)
+	p.placeAll(now)
 	return p.dispatch(now)
 }
 
@@ -43,14 +43,14 @@
 		touched = append(touched, t)
 		t.state.SetUnlisted(now)
 		if t.inFlight == 0 {
-			p.forget(t)
+			p.removeTarget(t)
 		}
 	}
 	if len(touched) == 0 {
 		return nil
 	}
-	if p.noteVersions(now) {
-		p.arrange(now)
+	if p.updateVersions(now) {
+		p.placeAll(now)
 	}
 	for _, t := range touched {
 		if p.byID[t.spec.ID] == t {
@@ -60,21 +60,21 @@
 	return p.dispatch(now)
 }
 
-// arrange places all targets anew.
-func (p *Pool) arrange(now time.Time) {
+// placeAll places all targets anew.
+func (p *Pool) placeAll(now time.Time) {
 	p.versions.heldUntil = time.Time{}
 	for _, t := range p.byID {
 		p.place(now, t)
 	}
-	for _, r := range p.inOrder {
-		r.open = nil
+	for _, r := range p.sortedRegions {
+		r.canaries = nil
 	}
 }
 
-// noteVersions takes in the versions of the targets that there are now. It reports whether that
+// updateVersions takes in the versions of the targets that there are now. It reports whether that
 // may change what other targets get.
-func (p *Pool) noteVersions(now time.Time) bool {
-	return p.config.HoldNewVersions && p.versions.note(now)
+func (p *Pool) updateVersions(now time.Time) bool {
+	return p.config.HoldNewVersions && p.versions.update(now)
 }
 
 // setTarget takes in what is listed of a target. It is to be placed after that.
@@ -88,40 +88,40 @@
 		listedCold = t.spec.ColdFor
 		p.versions.remove(t.spec.Version)
 	}
-	before := t.belief()
+	before := t.eventState()
 	if spec.ColdFor > listedCold {
-		t.chill(now, spec.ColdFor)
+		t.markCold(now, spec.ColdFor)
 	}
 	if t.state.Evacuated() && !evacuated {
 		// Servers may have turned cold while nothing was sent to them.
-		t.chill(now, p.warmup)
+		t.markCold(now, p.warmup)
 	}
 	t.group, t.weight = p.groups[spec.Hall], float64(max(spec.Slots, 1))
 	t.spec, t.region = spec, p.regionFor(p.config.RegionOf[spec.Hall])
 	t.state.SetListed(now, spec.Leaves)
 	t.state.SetDrained(now, spec.Drained)
 	t.state.SetEvacuated(now, evacuated)
-	p.limit(now, t, availability.SourcePeer)
+	p.applyRateLimit(now, t, availability.SourcePeer)
 	if at, ok := p.departures.FirstHeard(availability.ID(t.hash)); ok {
 		t.state.SetLeaving(at, availability.SourcePeer)
 	}
-	p.note(t, before, Answered)
+	p.recordEvent(t, before, Answered)
 	return t
 }
 
 func (p *Pool) newTarget(now time.Time, id string) *target {
-	t := &target{hash: affinity.Hash(id), coldUntil: now, quotas: p.quotas, permits: p.permits, contact: &p.none}
+	t := &target{hash: affinity.Hash(id), coldUntil: now, quotas: p.quotas, permits: p.permits, stats: &p.emptyStats}
 	p.byID[id] = t
 	p.byHash[availability.ID(t.hash)] = t
 	p.byShortID[shortID(t.hash)] = t
 	return t
 }
 
-// forget drops a target that is gone and has no requests left.
-func (p *Pool) forget(t *target) {
+// removeTarget drops a target that is gone and has no requests left.
+func (p *Pool) removeTarget(t *target) {
 	p.unplace(t)
 	p.versions.remove(t.spec.Version)
-	p.setLimited(t, nil)
+	p.setRateLimit(t, nil)
 	delete(p.byID, t.spec.ID)
 	if p.byHash[availability.ID(t.hash)] == t {
 		delete(p.byHash, availability.ID(t.hash))
@@ -131,11 +131,11 @@
 	}
 }
 
-// chill counts the target as cold from now on for a while. What was sent of late
+// markCold counts the target as cold from now on for a while. What was sent of late
 // counts against the quota, so the window begins full.
-func (t *target) chill(now time.Time, length time.Duration) {
+func (t *target) markCold(now time.Time, length time.Duration) {
 	if until := now.Add(length); until.After(t.coldUntil) {
 		t.coldUntil = until
 	}
-	clear(t.contact.known)
+	clear(t.stats.known)
 }
--- a/upstream/target_report.go
+++ b/upstream/target_report.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// busyFrom is the load, in slots, from which on a target's report is passed on: a
+	// busyThreshold is the load, in slots, from which on a target's report is passed on: a
 	// request that comes next has to wait.
-	busyFrom = 0.9
-	// busyFor is how long after a target was busy its reports are passed on whatever
+	busyThreshold = 0.9
+	// busyReportPeriod is how long after a target was busy its reports are passed on whatever
 	// they say, so that the others learn that it no longer is.
-	busyFor = 3 * time.Second
-	// sightingLife is how old a report may be to be passed on: with another round of
+	busyReportPeriod = 3 * time.Second
+	// targetReportTTL is how old a report may be to be passed on: with another round of
 	// gossip on its way it still counts.
-	sightingLife = 1500 * time.Millisecond
+	targetReportTTL = 1500 * time.Millisecond
 	// downPause is how long after another instance could not reach a target it gets
 	// nothing: until gossip would have told whether that goes on.
 	downPause = 1500 * time.Millisecond
@@ -50,10 +50,10 @@
 // Units of a sighting in a message: a byte each for the load and the age. The highest load
 // stands for a target that is down.
 const (
-	sightingBytes = 4 + 1 + 1
-	loadUnit      = 1.0 / 32
-	ageUnit       = 10 * time.Millisecond
-	downByte      = math.MaxUint8
+	targetReportBytes = 4 + 1 + 1
+	loadUnit          = 1.0 / 32
+	ageUnit           = 10 * time.Millisecond
+	downByte          = math.MaxUint8
 )
 
 // ErrTruncatedTargetReports is returned for sightings that are cut short.
@@ -61,20 +61,20 @@
 
 // EncodeMsgpack implements msgpack.CustomEncoder: one string of bytes.
 func (s TargetReports) EncodeMsgpack(enc *msgpack.Encoder) error {
-	raw := make([]byte, 0, len(s)*sightingBytes)
+	raw := make([]byte, 0, len(s)*targetReportBytes)
 	for _, seen := range s {
 		raw = binary.BigEndian.AppendUint32(raw, seen.Target)
-		load := byteOf(seen.PerSlot/loadUnit, downByte-1)
+		load := clampToByte(seen.PerSlot/loadUnit, downByte-1)
 		if seen.Down {
 			load = downByte
 		}
-		raw = append(raw, load, byteOf(float64(seen.Age/ageUnit), math.MaxUint8))
+		raw = append(raw, load, clampToByte(float64(seen.Age/ageUnit), math.MaxUint8))
 	}
 	return enc.EncodeBytes(raw)
 }
 
-// byteOf rounds a value to a byte of at most most.
-func byteOf(v, most float64) byte { return byte(min(max(math.Round(v), 0), most)) }
+// clampToByte rounds a value to a byte of at most most.
+func clampToByte(v, most float64) byte { return byte(min(max(math.Round(v), 0), most)) }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (s *TargetReports) DecodeMsgpack(dec *msgpack.Decoder) error {
@@ -82,11 +82,11 @@
 	if err != nil {
 		return err
 	}
-	if len(raw)%sightingBytes != 0 {
+	if len(raw)%targetReportBytes != 0 {
 		return ErrTruncatedTargetReports
 	}
-	*s = make(TargetReports, 0, len(raw)/sightingBytes)
-	for ; len(raw) > 0; raw = raw[sightingBytes:] {
+	*s = make(TargetReports, 0, len(raw)/targetReportBytes)
+	for ; len(raw) > 0; raw = raw[targetReportBytes:] {
 		seen := TargetReport{Target: binary.BigEndian.Uint32(raw), Down: raw[4] == downByte, Age: time.Duration(raw[5]) * ageUnit}
 		if !seen.Down {
 			seen.PerSlot = float64(raw[4]) * loadUnit
@@ -104,9 +104,9 @@
 	busyAt time.Time
 }
 
-func (l *lastReport) take(at time.Time, perSlot float64) {
+func (l *lastReport) record(at time.Time, perSlot float64) {
 	l.perSlot, l.at = perSlot, at
-	if perSlot >= busyFrom {
+	if perSlot >= busyThreshold {
 		l.busyAt = at
 	}
 }
@@ -118,20 +118,20 @@
 func (p *Pool) TargetReports(now time.Time) TargetReports {
 	var busy, down TargetReports
 	answering := 0
-	for _, t := range p.touched {
-		c := t.contact
-		if now.Sub(c.answeredAt) < sightingLife {
+	for _, t := range p.activeTargets {
+		c := t.stats
+		if now.Sub(c.answeredAt) < targetReportTTL {
 			answering++
 		}
-		if !t.serves() {
+		if !t.inService() {
 			continue
 		}
-		if age := now.Sub(c.downAt); age < sightingLife && c.suspicion > 0 {
+		if age := now.Sub(c.downAt); age < targetReportTTL && c.suspectBackoff > 0 {
 			down = append(down, TargetReport{Target: shortID(t.hash), Down: true, Age: age})
 			continue
 		}
 		age := now.Sub(c.last.at)
-		if age < sightingLife && now.Sub(c.last.busyAt) < busyFor {
+		if age < targetReportTTL && now.Sub(c.last.busyAt) < busyReportPeriod {
 			busy = append(busy, TargetReport{Target: shortID(t.hash), PerSlot: c.last.perSlot, Age: age})
 		}
 	}
@@ -150,34 +150,34 @@
 		switch {
 		case t == nil:
 		case s.Down:
-			p.hearDown(t, at)
-		case at.After(t.contact.last.at):
-			p.touch(now, t)
-			t.contact.last.take(at, s.PerSlot)
-			p.hearLoad(now, t, at, s.PerSlot)
+			p.applyPeerDown(t, at)
+		case at.After(t.stats.last.at):
+			p.markActive(now, t)
+			t.stats.last.record(at, s.PerSlot)
+			p.applyPeerLoad(now, t, at, s.PerSlot)
 		}
 	}
 }
 
-// hearLoad takes in a load that another instance has told of. It counts for nothing while
+// applyPeerLoad takes in a load that another instance has told of. It counts for nothing while
 // all targets of the region are busy: requests that leave one of them wait elsewhere too,
 // and for a target that does not have their object.
-func (p *Pool) hearLoad(now time.Time, t *target, at time.Time, perSlot float64) {
-	if t.region.usage.at(now) < busyFrom {
-		t.count(at, perSlot*float64(max(t.spec.Slots, 1)))
+func (p *Pool) applyPeerLoad(now time.Time, t *target, at time.Time, perSlot float64) {
+	if t.region.utilization.at(now) < busyThreshold {
+		t.recordLoad(at, perSlot*float64(max(t.spec.Slots, 1)))
 	}
 }
 
-// hearDown takes in that another instance could not reach a target. It counts only if
+// applyPeerDown takes in that another instance could not reach a target. It counts only if
 // this instance has had no answer from it for a while: one that knows a target by itself is
 // not moved off it by the bad luck of another.
-func (p *Pool) hearDown(t *target, at time.Time) {
-	if at.Sub(t.contact.answeredAt) < othersGone {
+func (p *Pool) applyPeerDown(t *target, at time.Time) {
+	if at.Sub(t.stats.answeredAt) < reportExpiry {
 		return
 	}
-	before := t.belief()
+	before := t.eventState()
 	t.state.Pause(at, at.Add(downPause), availability.SourcePeer)
-	p.note(t, before, Unreachable)
+	p.recordEvent(t, before, Unreachable)
 }
 
 // shortID is the form of a target's ID in sightings.
--- a/upstream/target_report_test.go
+++ b/upstream/target_report_test.go
@@ -10,10 +10,10 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestBusyTargetIsHeardOf checks that a request goes to its key's second target when
+// TestPeersLearnOfBusyTarget checks that a request goes to its key's second target when
 // another instance has told that the first has more requests than it can work on, and to
 // the first again when it has told that this is over, or nothing for a while.
-func TestBusyTargetIsHeardOf(t *testing.T) {
+func TestPeersLearnOfBusyTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
 		p.SetTargets(start, spread(6), nil)
@@ -52,10 +52,10 @@
 	require.Equal(t, first, target(here, now).Target.ID, "older reports change nothing")
 }
 
-// TestDownTargetIsHeardOf checks that a request goes to its key's second target when another
+// TestPeersLearnOfDownTarget checks that a request goes to its key's second target when another
 // instance could not reach the first, for a moment only, and not when the first has answered
 // here of late, or the other instance reaches hardly any.
-func TestDownTargetIsHeardOf(t *testing.T) {
+func TestPeersLearnOfDownTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
 		p.SetTargets(start, spread(6), nil)
@@ -82,9 +82,9 @@
 	require.Equal(t, first, end(here, now.Add(time.Second), "k", upstream.Abandoned), "it has answered of late")
 }
 
-// TestSightingsOnTheWire checks that sightings arrive as they were but for their rounding,
+// TestTargetReportsEncoding checks that sightings arrive as they were but for their rounding,
 // in six bytes each, and that ones that are cut short are refused.
-func TestSightingsOnTheWire(t *testing.T) {
+func TestTargetReportsEncoding(t *testing.T) {
 	seen := upstream.TargetReports{
 		{Target: 1 << 31, PerSlot: 1.5, Age: 730 * time.Millisecond},
 		{Target: 7, PerSlot: 100, Age: time.Hour},
--- a/upstream/utilization_test.go
+++ b/upstream/utilization_test.go
@@ -11,11 +11,11 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestUnheardTargetsCountAsTheirRegion checks that an instance of a large fleet, which
+// TestUnreportedTargetsUseRegionUtilization checks that an instance of a large fleet, which
 // hears of each target seldom, does not take those that it has not heard of for idle
 // while all that it hears of in their region are overloaded, and that it does again once
 // nothing was heard for a while.
-func TestUnheardTargetsCountAsTheirRegion(t *testing.T) {
+func TestUnreportedTargetsUseRegionUtilization(t *testing.T) {
 	p := newPool()
 	var specs []*catalog.Target
 	for i := range 100 {
--- a/upstream/versions.go
+++ b/upstream/versions.go
@@ -8,32 +8,32 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// side is which of a service's targets a request goes to while a rollout brings in a new version.
-type side int
+// cohort is which of a service's targets a request goes to while a rollout brings in a new version.
+type cohort int
 
 // Without a rollout all targets are on the old side.
 const (
-	oldSide side = iota
-	newSide
+	oldCohort cohort = iota
+	newCohort
 )
 
-func (s side) other() side {
-	if s == oldSide {
-		return newSide
+func (s cohort) other() cohort {
+	if s == oldCohort {
+		return newCohort
 	}
-	return oldSide
+	return oldCohort
 }
 
-// sides are a region's targets that may get requests, by side.
-type sides [2][]*target
+// targetsByCohort are a region's targets that may get requests, by side.
+type targetsByCohort [2][]*target
 
 const (
-	// leastOpen is the number of new targets in each region that get requests at least, once any
+	// minCanaries is the number of new targets in each region that get requests at least, once any
 	// do: one may be at fault by itself.
-	leastOpen = 2
-	// unorderedTime is how long targets of a new version get nothing where no order for it is
+	minCanaries = 2
+	// unorderedHold is how long targets of a new version get nothing where no order for it is
 	// known. An order and the targets that start with it may become known in either order.
-	unorderedTime = 3 * time.Second
+	unorderedHold = 3 * time.Second
 )
 
 // versions are those of the service's targets, with when each was first seen.
@@ -45,8 +45,8 @@
 	seen    map[string]time.Time
 	// heldUntil is when targets may be used that are held back, zero if there are none.
 	heldUntil time.Time
-	// barred are those of orders that another one took the place of before they were brought in.
-	barred map[string]bool
+	// superseded are those of orders that another one took the place of before they were brought in.
+	superseded map[string]bool
 }
 
 // add counts a target of a version.
@@ -67,9 +67,9 @@
 	}
 }
 
-// note takes in the versions of the targets there are now, and reports whether any came or went. Those
+// update takes in the versions of the targets there are now, and reports whether any came or went. Those
 // of a pool's first targets have been there before.
-func (v *versions) note(now time.Time) bool {
+func (v *versions) update(now time.Time) bool {
 	if !v.changed {
 		return false
 	}
@@ -77,7 +77,7 @@
 	since := now
 	if v.seen == nil {
 		v.seen = make(map[string]time.Time)
-		since = now.Add(-unorderedTime)
+		since = now.Add(-unorderedHold)
 	}
 	for version := range v.targets {
 		if _, ok := v.seen[version]; !ok {
@@ -87,29 +87,29 @@
 	for version := range v.seen {
 		if v.targets[version] == 0 {
 			delete(v.seen, version)
-			delete(v.barred, version)
+			delete(v.superseded, version)
 		}
 	}
 	return true
 }
 
-// replace takes in that an order for a version takes the place of one for another version.
-func (v *versions) replace(before rollout.Split, version string) {
-	delete(v.barred, version)
+// supersede takes in that an order for a version takes the place of one for another version.
+func (v *versions) supersede(before rollout.Split, version string) {
+	delete(v.superseded, version)
 	if before.Version == "" || before.Version == version || before.Over && before.All() {
 		return
 	}
-	if v.barred == nil {
-		v.barred = make(map[string]bool)
+	if v.superseded == nil {
+		v.superseded = make(map[string]bool)
 	}
-	v.barred[before.Version] = true
+	v.superseded[before.Version] = true
 }
 
 // isAfter tells whether a version was first seen later than another one.
 func (v *versions) isAfter(version, other string) bool { return v.seen[version].After(v.seen[other]) }
 
-// isLater tells whether a version was first seen later than any other.
-func (v *versions) isLater(version string) bool {
+// isNewest tells whether a version was first seen later than any other.
+func (v *versions) isNewest(version string) bool {
 	for other := range v.seen {
 		if v.isAfter(version, other) {
 			return true
@@ -118,9 +118,9 @@
 	return false
 }
 
-// holds tells whether the targets of a version are held back for now.
-func (v *versions) holds(now time.Time, version string) bool {
-	until := v.seen[version].Add(unorderedTime)
+// holdsBack tells whether the targets of a version are held back for now.
+func (v *versions) holdsBack(now time.Time, version string) bool {
+	until := v.seen[version].Add(unorderedHold)
 	if !now.Before(until) {
 		return false
 	}
@@ -137,13 +137,13 @@
 	if split == p.split {
 		return nil
 	}
-	p.versions.replace(p.split, split.Version)
+	p.versions.supersede(p.split, split.Version)
 	again := split.Version != p.split.Version || split.Targets != p.split.Targets || split.Over != p.split.Over
 	p.split = split
 	if again {
-		p.arrange(now)
+		p.placeAll(now)
 	}
-	p.replan()
+	p.invalidatePlans()
 	return p.dispatch(now)
 }
 
@@ -151,57 +151,57 @@
 // get nothing may not, unless there are no others.
 func (p *Pool) mayList(now time.Time, t *target) bool {
 	version := t.spec.Version
-	if p.versions.barred[version] && len(p.versions.seen) > len(p.versions.barred) {
+	if p.versions.superseded[version] && len(p.versions.seen) > len(p.versions.superseded) {
 		return false
 	}
 	ordered := version == p.split.Version
-	return !p.config.HoldNewVersions || ordered || !p.versions.isLater(version) || !p.versions.holds(now, version)
+	return !p.config.HoldNewVersions || ordered || !p.versions.isNewest(version) || !p.versions.holdsBack(now, version)
 }
 
 // endHold places targets anew once some are no longer held back.
 func (p *Pool) endHold(now time.Time) {
 	if until := p.versions.heldUntil; !until.IsZero() && !now.Before(until) {
-		p.arrange(now)
+		p.placeAll(now)
 	}
 }
 
-// sideOf returns the side of a target. Once a version has been brought in, those that come after it
+// cohortOf returns the side of a target. Once a version has been brought in, those that come after it
 // take part like it.
-func (p *Pool) sideOf(t *target) side {
+func (p *Pool) cohortOf(t *target) cohort {
 	switch {
 	case p.split.Version == "":
-		return oldSide
+		return oldCohort
 	case t.spec.Version == p.split.Version:
-		return newSide
+		return newCohort
 	case p.split.Over && p.split.All() && p.versions.isAfter(t.spec.Version, p.split.Version):
-		return newSide
+		return newCohort
 	default:
-		return oldSide
+		return oldCohort
 	}
 }
 
-// open returns the new targets of a region that get requests: a part of them, the same at all
+// canaries returns the new targets of a region that get requests: a part of them, the same at all
 // instances.
-func (p *Pool) open(targets []*target) []*target {
-	place := func(t *target) float64 { return mix.Unit(mix.Join(t.hash, openSalt)) }
+func (p *Pool) canaries(targets []*target) []*target {
+	place := func(t *target) float64 { return mix.Unit(mix.Join(t.hash, canarySalt)) }
 	var out []*target
 	for _, t := range targets {
 		if p.split.Opens(place(t)) {
 			out = append(out, t)
 		}
 	}
-	if len(out) >= min(leastOpen, len(targets)) {
+	if len(out) >= min(minCanaries, len(targets)) {
 		return out
 	}
 	out = append(out[:0:0], targets...)
 	sort.Slice(out, func(i, j int) bool { return place(out[i]) < place(out[j]) })
-	return out[:min(leastOpen, len(out))]
+	return out[:min(minCanaries, len(out))]
 }
 
-// openSalt and drawSalt tell draws apart that are made with the same hashes.
+// canarySalt and drawSalt tell draws apart that are made with the same hashes.
 const (
-	openSalt = 0x6f70656e
-	drawSalt = 0x64726177
+	canarySalt = 0x6f70656e
+	drawSalt   = 0x64726177
 )
 
 // targetsOf returns the targets of a region that a request may go to.
@@ -210,53 +210,53 @@
 	switch {
 	case in == nil:
 		return nil
-	case r.side == oldSide || p.split.Over:
-		return in.listed[r.side]
+	case r.cohort == oldCohort || p.split.Over:
+		return in.listed[r.cohort]
 	}
-	if in.open == nil {
-		in.open = p.open(in.listed[newSide])
+	if in.canaries == nil {
+		in.canaries = p.canaries(in.listed[newCohort])
 	}
-	return in.open
+	return in.canaries
 }
 
-// sideFor draws the side of a request. One that was sent before goes to old targets, as long as most
+// cohortFor draws the side of a request. One that was sent before goes to old targets, as long as most
 // do.
-func (p *Pool) sideFor(now time.Time, r *Request) side {
+func (p *Pool) cohortFor(now time.Time, r *Request) cohort {
 	p.endHold(now)
 	switch {
 	case p.split.Version == "":
-		return oldSide
+		return oldCohort
 	case p.split.Over && p.split.All():
-		return newSide
+		return newCohort
 	case p.split.Over || !p.splitUntil.IsZero() && !now.Before(p.splitUntil):
-		return oldSide
+		return oldCohort
 	case len(r.Tried) > 0 && !p.split.All():
-		return oldSide
+		return oldCohort
 	}
 	key := mix.Unit(mix.Pair(r.Key, p.split.Version))
 	draw := mix.Unit(mix.Join(r.ID, mix.Join(p.salt, drawSalt)))
 	if p.split.ToNew(key, draw) {
-		return newSide
+		return newCohort
 	}
-	return oldSide
+	return oldCohort
 }
 
-// mayChangeSide tells whether a request that has no target among those of its version may go to one
+// mayChangeCohort tells whether a request that has no target among those of its version may go to one
 // of the other: to an old one as long as these serve, but to a new one only if no old one does.
-func (p *Pool) mayChangeSide(r *Request, reason Reason) bool {
+func (p *Pool) mayChangeCohort(r *Request, reason Reason) bool {
 	switch {
 	case p.split.Version == "":
 		return false
-	case r.side == newSide:
+	case r.cohort == newCohort:
 		return !p.split.All() || reason == ReasonNoTarget
 	default:
-		return reason == ReasonNoTarget && !p.serves(oldSide)
+		return reason == ReasonNoTarget && !p.hasServing(oldCohort)
 	}
 }
 
-// serves tells whether a target of a side is meant to serve.
-func (p *Pool) serves(s side) bool {
-	for _, r := range p.inOrder {
+// hasServing tells whether a target of a side is meant to serve.
+func (p *Pool) hasServing(s cohort) bool {
+	for _, r := range p.sortedRegions {
 		if r.serving[s].targets > 0 {
 			return true
 		}
@@ -264,12 +264,12 @@
 	return false
 }
 
-// mostSide returns the side whose slots count for the shares of regions, if a rollout goes on.
-func (p *Pool) mostSide() side {
-	if p.split.All() && p.serves(newSide) || !p.serves(oldSide) {
-		return newSide
+// majorityCohort returns the side whose slots count for the shares of regions, if a rollout goes on.
+func (p *Pool) majorityCohort() cohort {
+	if p.split.All() && p.hasServing(newCohort) || !p.hasServing(oldCohort) {
+		return newCohort
 	}
-	return oldSide
+	return oldCohort
 }
 
 // VersionStats are the targets of a service by version, while a rollout goes on.
@@ -286,15 +286,15 @@
 
 // VersionStats returns what there is of the targets of both versions.
 func (p *Pool) VersionStats(now time.Time) VersionStats {
-	v := VersionStats{SendRate: p.returns.sentRate(now)}
+	v := VersionStats{SendRate: p.retryForecast.sendRate(now)}
 	used := 0.0
-	for _, r := range p.inOrder {
-		v.NewSlots += r.serving[newSide].slots
-		v.OldSlots += r.serving[oldSide].slots
-		used += r.serving[oldSide].slots * r.usage.at(now)
+	for _, r := range p.sortedRegions {
+		v.NewSlots += r.serving[newCohort].slots
+		v.OldSlots += r.serving[oldCohort].slots
+		used += r.serving[oldCohort].slots * r.utilization.at(now)
 	}
-	for _, t := range p.touched {
-		if t.side == oldSide {
+	for _, t := range p.activeTargets {
+		if t.cohort == oldCohort {
 			v.OldInFlight += t.inFlight
 		}
 	}
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -55,8 +55,8 @@
 	return sent
 }
 
-// atNew returns the number of requests sent to new targets, and the number of those that got any.
-func atNew(sent map[string]int) (requests, targets int) {
+// countNew returns the number of requests sent to new targets, and the number of those that got any.
+func countNew(sent map[string]int) (requests, targets int) {
 	for id, n := range sent {
 		if id[:3] == "new" {
 			requests += n
@@ -66,17 +66,17 @@
 	return requests, targets
 }
 
-// TestNewVersionWaitsForItsOrder checks that targets of a version that nobody has ordered get nothing at
+// TestNewVersionWaitsForOrder checks that targets of a version that nobody has ordered get nothing at
 // first: their order may be on its way.
-func TestNewVersionWaitsForItsOrder(t *testing.T) {
+func TestNewVersionWaitsForOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
 	p.ChangeTargets(now.Add(time.Minute), newTargets(6), nil, nil)
 	now = now.Add(time.Minute)
-	n, _ := atNew(sendMany(t, now, p, 1000))
+	n, _ := countNew(sendMany(t, now, p, 1000))
 	require.Zero(t, n)
 	p.SetSplit(now, rollout.Split{Version: "v2"}, time.Time{})
-	n, _ = atNew(sendMany(t, now.Add(2*unorderedTime), p, 1000))
+	n, _ = countNew(sendMany(t, now.Add(2*unorderedHold), p, 1000))
 	require.Zero(t, n, "ordered, and not to get anything yet")
 }
 
@@ -87,7 +87,7 @@
 	p, _ := versionedPool(now, 6)
 	now = now.Add(time.Minute)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
-	n, targets := atNew(sendMany(t, now.Add(unorderedTime), p, 1000))
+	n, targets := countNew(sendMany(t, now.Add(unorderedHold), p, 1000))
 	require.NotZero(t, n)
 	require.Equal(t, 6, targets)
 	p, old := versionedPool(now, 6)
@@ -96,7 +96,7 @@
 		gone = append(gone, spec.ID)
 	}
 	p.ChangeTargets(now, newTargets(6), gone, nil)
-	n, _ = atNew(sendMany(t, now, p, 100))
+	n, _ = countNew(sendMany(t, now, p, 100))
 	require.Equal(t, 100, n)
 }
 
@@ -111,47 +111,47 @@
 		p.SetSplit(now, split, time.Time{})
 		p.ChangeTargets(now, newTargets(30), nil, nil)
 		const requests = 4000
-		n, targets := atNew(sendMany(t, now, p, requests))
+		n, targets := countNew(sendMany(t, now, p, requests))
 		require.InDelta(t, split.Keys*split.Draw, float64(n)/requests, 0.12)
-		require.LessOrEqual(t, targets, max(2*leastOpen, int(split.Targets*30+12)))
+		require.LessOrEqual(t, targets, max(2*minCanaries, int(split.Targets*30+12)))
 	})
 }
 
-// TestSplitEndsByItself checks that a split that is not told again ends.
-func TestSplitEndsByItself(t *testing.T) {
+// TestSplitExpires checks that a split that is not told again ends.
+func TestSplitExpires(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	until := now.Add(time.Second)
 	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.5, Targets: 1}, until)
-	n, _ := atNew(sendMany(t, now, p, 1000))
+	n, _ := countNew(sendMany(t, now, p, 1000))
 	require.NotZero(t, n)
-	n, _ = atNew(sendMany(t, until, p, 1000))
+	n, _ = countNew(sendMany(t, until, p, 1000))
 	require.Zero(t, n)
 }
 
-// TestRepeatsGoToOldTargets checks that a request that was sent before goes to an old target, until all do
+// TestRetriesGoToOldTargets checks that a request that was sent before goes to an old target, until all do
 // go to new ones.
-func TestRepeatsGoToOldTargets(t *testing.T) {
+func TestRetriesGoToOldTargets(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	repeat := func(r *Request) { r.Tried = []string{"new0"} }
 	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.9, Targets: 1}, time.Time{})
-	n, _ := atNew(sendMany(t, now, p, 500, repeat))
+	n, _ := countNew(sendMany(t, now, p, 500, repeat))
 	require.Zero(t, n)
 	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 1, Targets: 1}, time.Time{})
-	n, _ = atNew(sendMany(t, now, p, 500, repeat))
+	n, _ = countNew(sendMany(t, now, p, 500, repeat))
 	require.Equal(t, 500, n)
 }
 
-// TestOldTargetsServeForNewOnes checks that requests that were to go to new targets go to old ones if no new
+// TestFallbackBetweenCohorts checks that requests that were to go to new targets go to old ones if no new
 // one can take them, and not the other way round as long as an old one serves.
-func TestOldTargetsServeForNewOnes(t *testing.T) {
+func TestFallbackBetweenCohorts(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, old := versionedPool(now, 6)
 	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.5, Targets: 1}, time.Time{})
-	n, _ := atNew(sendMany(t, now, p, 100))
+	n, _ := countNew(sendMany(t, now, p, 100))
 	require.Zero(t, n, "there are no new ones")
 	p.ChangeTargets(now, newTargets(2), nil, nil)
 	p.SetSplit(now, rollout.Split{Version: "v2"}, time.Time{})
@@ -167,32 +167,32 @@
 		leaving = append(leaving, &left)
 	}
 	p.ChangeTargets(now, leaving, nil, nil)
-	n, _ = atNew(sendMany(t, now, p, 100))
+	n, _ = countNew(sendMany(t, now, p, 100))
 	require.Equal(t, 100, n, "no old one serves any more")
 }
 
-// TestAfterTheVerdict checks what gets requests after a version was brought in, and after a rollback.
-func TestAfterTheVerdict(t *testing.T) {
+// TestTargetsAfterRollout checks what gets requests after a version was brought in, and after a rollback.
+func TestTargetsAfterRollout(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
 	now = now.Add(time.Minute)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	p.SetSplit(now, rollout.Split{Version: "v2", Over: true}, time.Time{})
-	n, _ := atNew(sendMany(t, now, p, 500))
+	n, _ := countNew(sendMany(t, now, p, 500))
 	require.Zero(t, n)
 	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 1, Targets: 1, Over: true}, time.Time{})
-	n, _ = atNew(sendMany(t, now, p, 500))
+	n, _ = countNew(sendMany(t, now, p, 500))
 	require.Equal(t, 500, n)
 	later := versioned("later", "a1", "v3")
 	p.ChangeTargets(now.Add(time.Minute), []*catalog.Target{later}, nil, nil)
-	sent := sendMany(t, now.Add(time.Minute+unorderedTime), p, 500)
+	sent := sendMany(t, now.Add(time.Minute+unorderedHold), p, 500)
 	require.NotZero(t, sent["later"], "versions that come later without an order take part")
-	n, _ = atNew(sent)
+	n, _ = countNew(sent)
 	require.Equal(t, 500, n+sent["later"], "the version before does not come back")
 }
 
-// TestOrderInPlaceOfAnother checks that a version whose order another one has taken the place of gets nothing.
-func TestOrderInPlaceOfAnother(t *testing.T) {
+// TestSupersededOrder checks that a version whose order another one has taken the place of gets nothing.
+func TestSupersededOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
 	now = now.Add(time.Minute)
@@ -202,10 +202,10 @@
 	p.SetSplit(now, rollout.Split{Version: "v3", Keys: 1, Draw: 0.1, Targets: 1}, time.Time{})
 	p.ChangeTargets(now, []*catalog.Target{versioned("third", "a1", "v3")}, nil, nil)
 	sent := sendMany(t, now, p, 1000)
-	n, _ := atNew(sent)
+	n, _ := countNew(sent)
 	require.Zero(t, n)
 	require.NotZero(t, sent["third"])
 	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.5, Targets: 1}, time.Time{})
-	n, _ = atNew(sendMany(t, now, p, 1000))
+	n, _ = countNew(sendMany(t, now, p, 1000))
 	require.NotZero(t, n, "ordered again")
 }
