--- a/feed/catchup_test.go
+++ b/feed/catchup_test.go
@@ -14,8 +14,8 @@
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 const (
-	askEvery = 300 * time.Millisecond
-	round    = 500 * time.Millisecond
+	askEvery    = 300 * time.Millisecond
+	gossipRound = 500 * time.Millisecond
 )
 
 // TestCatchUp plays what a replica at revision 10 hears and checks whom it asks. An event
@@ -92,62 +92,62 @@
 			revision := int64(10)
 			for _, e := range c.events {
 				now := noon.Add(time.Duration(e.at) * time.Millisecond)
-				source := feed.Source{Addr: e.from, Position: feed.At(0, e.claims), After: time.Duration(e.after) * time.Millisecond}
+				source := feed.Source{Addr: e.from, Position: feed.At(0, e.claims), Delay: time.Duration(e.after) * time.Millisecond}
 				switch {
 				case e.reached > 0:
 					revision = e.reached
-					catchUp.Answered()
+					catchUp.Received()
 				case e.gap:
-					catchUp.Gap(now, feed.At(0, revision), source)
+					catchUp.AddSourceAfterGap(now, feed.At(0, revision), source)
 				default:
-					catchUp.Ahead(now, feed.At(0, revision), source)
+					catchUp.AddSource(now, feed.At(0, revision), source)
 				}
-				addr, ok := catchUp.Next(now, feed.At(0, revision))
+				addr, ok := catchUp.NextRequest(now, feed.At(0, revision))
 				require.Equal(t, e.asks, addr, "at %d ms", e.at)
 				require.Equal(t, e.asks != "", ok)
 				if ok {
-					question, open := catchUp.Open()
+					question, open := catchUp.Pending()
 					require.True(t, open)
-					require.Equal(t, feed.Question{To: addr, At: now}, question)
+					require.Equal(t, feed.Request{To: addr, SentAt: now}, question)
 				}
 			}
 		})
 	}
 }
 
-// TestCatchUpAsksOneThatAnswers has any number of sources gossip once a round, each at its
+// TestCatchUpReachesResponsiveSource has any number of sources gossip once a round, each at its
 // own moment, of which some never answer, and checks that one that does is asked before
 // long: each silent one costs a round at most.
-func TestCatchUpAsksOneThatAnswers(t *testing.T) {
+func TestCatchUpReachesResponsiveSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const after = 700 * time.Millisecond
 		n := rapid.IntRange(1, 8).Draw(t, "sources")
 		silent := rapid.IntRange(0, n-1).Draw(t, "silent")
 		phases := make([]time.Duration, n)
 		for i := range phases {
-			phases[i] = time.Duration(rapid.IntRange(0, int(round/time.Millisecond)-1).Draw(t, "phase")) * time.Millisecond
+			phases[i] = time.Duration(rapid.IntRange(0, int(gossipRound/time.Millisecond)-1).Draw(t, "phase")) * time.Millisecond
 		}
 		var catchUp feed.CatchUp
 		gap := rapid.Bool().Draw(t, "gap")
 		if gap {
-			catchUp.Gap(noon, feed.At(0, 1), feed.Source{Addr: "0", Position: feed.At(0, 2)})
-			addr, ok := catchUp.Next(noon, feed.At(0, 1))
+			catchUp.AddSourceAfterGap(noon, feed.At(0, 1), feed.Source{Addr: "0", Position: feed.At(0, 2)})
+			addr, ok := catchUp.NextRequest(noon, feed.At(0, 1))
 			require.True(t, ok)
 			require.Equal(t, "0", addr)
 			if silent == 0 {
 				return
 			}
 		}
-		bound := after + round + time.Duration(silent+1)*round
+		bound := after + gossipRound + time.Duration(silent+1)*gossipRound
 		asked := make(map[string]time.Time)
 		for at := time.Duration(0); at <= bound; at += time.Millisecond {
 			now := noon.Add(at)
 			for i, phase := range phases {
-				if at%round != phase {
+				if at%gossipRound != phase {
 					continue
 				}
-				catchUp.Ahead(now, feed.At(0, 1), feed.Source{Addr: fmt.Sprint(i), Position: feed.At(0, 2), After: after})
-				addr, ok := catchUp.Next(now, feed.At(0, 1))
+				catchUp.AddSource(now, feed.At(0, 1), feed.Source{Addr: fmt.Sprint(i), Position: feed.At(0, 2), Delay: after})
+				addr, ok := catchUp.NextRequest(now, feed.At(0, 1))
 				if !ok {
 					continue
 				}
--- a/feed/position_test.go
+++ b/feed/position_test.go
@@ -10,9 +10,9 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestPositionsOrder checks the order of positions: by era, then by revision, with all that stand before all
+// TestPositionOrder checks the order of positions: by era, then by revision, with all that stand before all
 // history first and alike.
-func TestPositionsOrder(t *testing.T) {
+func TestPositionOrder(t *testing.T) {
 	ordered := [][]feed.Position{
 		{{}, feed.At(0, 0), feed.At(4, 0), feed.At(1, -7)},
 		{feed.At(0, 1)}, {feed.At(0, 90)}, {feed.At(1, 1)}, {feed.At(1, 2)}, {feed.At(7, 1)},
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestPositionArrives checks that a position arrives as it was, in few bytes, and that values of another form
+// TestPositionEncoding checks that a position arrives as it was, in few bytes, and that values of another form
 // are refused.
-func TestPositionArrives(t *testing.T) {
+func TestPositionEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := feed.At(rapid.Int64().Draw(t, "era"), rapid.Int64().Draw(t, "revision"))
 		raw, err := msgpack.Marshal(want)
--- a/feed/removal_hold.go
+++ b/feed/removal_hold.go
@@ -6,57 +6,57 @@
 )
 
 const (
-	// lapseOutage is the length of an outage of the store from which on objects
+	// minOutage is the length of an outage of the store from which on objects
 	// that are kept alive by writes may have lapsed meanwhile.
-	lapseOutage = 3 * time.Second
-	// lapseGrace is how long after it their owners may take to write them again.
-	lapseGrace = 2 * time.Second
+	minOutage = 3 * time.Second
+	// removalGrace is how long after it their owners may take to write them again.
+	removalGrace = 2 * time.Second
 )
 
-// Lapse holds back removals that follow an outage of the store, or its return from a copy.
+// RemovalHold holds back removals that follow an outage of the store, or its return from a copy.
 // Objects that their owners keep alive by writing them lapse while the store is away, and
 // what was written after the copy is gone; both are back soon after it: a removal that an
 // instance learns of in that time counts only if the object is still missing when it is
-// over. Lapse is not safe for concurrent use; the zero value is ready.
-type Lapse struct {
-	heardAt time.Time
-	lost    bool
-	until   time.Time
-	held    map[string]bool
+// over. RemovalHold is not safe for concurrent use; the zero value is ready.
+type RemovalHold struct {
+	answeredAt time.Time
+	failed     bool
+	until      time.Time
+	held       map[string]bool
 }
 
-// Lost takes in that a call to the store failed.
-func (l *Lapse) Lost() { l.lost = true }
+// StoreFailed takes in that a call to the store failed.
+func (l *RemovalHold) StoreFailed() { l.failed = true }
 
-// Heard takes in that the store answered.
-func (l *Lapse) Heard(now time.Time) {
-	if l.lost && !l.heardAt.IsZero() && now.Sub(l.heardAt) >= lapseOutage {
-		l.until = now.Add(lapseGrace)
+// StoreAnswered takes in that the store answered.
+func (l *RemovalHold) StoreAnswered(now time.Time) {
+	if l.failed && !l.answeredAt.IsZero() && now.Sub(l.answeredAt) >= minOutage {
+		l.until = now.Add(removalGrace)
 	}
-	l.lost = false
-	l.heardAt = now
+	l.failed = false
+	l.answeredAt = now
 }
 
-// Restored takes in that the store has come back from a copy: removals are held back for a time.
-func (l *Lapse) Restored(now time.Time, hold time.Duration) { l.extend(now, hold) }
+// StoreRestored takes in that the store has come back from a copy: removals are held back for a time.
+func (l *RemovalHold) StoreRestored(now time.Time, hold time.Duration) { l.extend(now, hold) }
 
-// Learned takes in that another instance, from which removals come, holds them back
+// Inherit takes in that another instance, from which removals come, holds them back
 // for a while.
-func (l *Lapse) Learned(now time.Time, remaining time.Duration) {
-	l.extend(now, min(remaining, lapseGrace))
+func (l *RemovalHold) Inherit(now time.Time, remaining time.Duration) {
+	l.extend(now, min(remaining, removalGrace))
 }
 
-func (l *Lapse) extend(now time.Time, hold time.Duration) {
+func (l *RemovalHold) extend(now time.Time, hold time.Duration) {
 	if until := now.Add(hold); hold > 0 && until.After(l.until) {
 		l.until = until
 	}
 }
 
 // Remaining is how long removals are held back from now on.
-func (l *Lapse) Remaining(now time.Time) time.Duration { return max(0, l.until.Sub(now)) }
+func (l *RemovalHold) Remaining(now time.Time) time.Duration { return max(0, l.until.Sub(now)) }
 
 // Hold tells whether the removal of an object is held back, and notes it.
-func (l *Lapse) Hold(now time.Time, name string) bool {
+func (l *RemovalHold) Hold(now time.Time, name string) bool {
 	if l.Remaining(now) == 0 {
 		return false
 	}
@@ -67,15 +67,15 @@
 	return true
 }
 
-// Back takes in that an object is there.
-func (l *Lapse) Back(name string) { delete(l.held, name) }
+// Cancel takes in that an object is there.
+func (l *RemovalHold) Cancel(name string) { delete(l.held, name) }
 
 // Holding tells whether the removal of any object is held back.
-func (l *Lapse) Holding() bool { return len(l.held) > 0 }
+func (l *RemovalHold) Holding() bool { return len(l.held) > 0 }
 
 // Expired returns the objects whose removal counts from now on, in the order of
 // names. Each is returned once.
-func (l *Lapse) Expired(now time.Time) []string {
+func (l *RemovalHold) Expired(now time.Time) []string {
 	if len(l.held) == 0 || l.Remaining(now) > 0 {
 		return nil
 	}
--- a/feed/removal_hold_test.go
+++ b/feed/removal_hold_test.go
@@ -10,15 +10,15 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestLapse draws outages, removals and returns and checks that a removal is held
+// TestRemovalHold draws outages, removals and returns and checks that a removal is held
 // back only for two seconds after an outage of three or more, that what is back is
 // never removed, and that each removal that was held back counts once, in the end.
-func TestLapse(t *testing.T) {
+func TestRemovalHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l feed.Lapse
+		var l feed.RemovalHold
 		now := time.Unix(1000, 0)
 		heard, until := now, time.Time{}
-		l.Heard(now)
+		l.StoreAnswered(now)
 		missing := map[string]bool{}
 		names := []string{"a", "b", "c"}
 		for range 60 {
@@ -31,7 +31,7 @@
 			name := rapid.SampledFrom(names).Draw(t, "name")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				l.Heard(now)
+				l.StoreAnswered(now)
 				heard = now
 			case 1:
 				away := time.Duration(rapid.IntRange(0, 8).Draw(t, "away")) * time.Second
@@ -39,8 +39,8 @@
 				for _, name := range l.Expired(now) {
 					delete(missing, name)
 				}
-				l.Lost()
-				l.Heard(now)
+				l.StoreFailed()
+				l.StoreAnswered(now)
 				if now.Sub(heard) >= 3*time.Second {
 					until = now.Add(2 * time.Second)
 				}
@@ -52,7 +52,7 @@
 					missing[name] = true
 				}
 			case 3:
-				l.Back(name)
+				l.Cancel(name)
 				delete(missing, name)
 			}
 		}
@@ -62,16 +62,16 @@
 	})
 }
 
-// TestLapseLearned checks that an instance without an outage of its own holds back
+// TestRemovalHoldInherited checks that an instance without an outage of its own holds back
 // as long as the one that the removals come from.
-func TestLapseLearned(t *testing.T) {
-	var l feed.Lapse
+func TestRemovalHoldInherited(t *testing.T) {
+	var l feed.RemovalHold
 	now := time.Unix(1000, 0)
 	require.False(t, l.Hold(now, "a"))
-	l.Learned(now, time.Second)
+	l.Inherit(now, time.Second)
 	require.True(t, l.Hold(now, "a"))
 	require.Empty(t, l.Expired(now.Add(999*time.Millisecond)))
 	require.Equal(t, []string{"a"}, l.Expired(now.Add(time.Second)))
-	l.Learned(now, time.Hour)
+	l.Inherit(now, time.Hour)
 	require.Equal(t, 2*time.Second, l.Remaining(now), "no longer than the bound")
 }
--- a/feed/replica.go
+++ b/feed/replica.go
@@ -20,7 +20,7 @@
 // Change is the new state of an object, or its removal.
 type Change struct {
 	Object
-	Gone bool `msgpack:"g,omitempty"`
+	Removed bool `msgpack:"g,omitempty"`
 }
 
 // Delta carries all changes of a kind after the position From up to the position To, which is of
@@ -41,9 +41,9 @@
 
 // Replica holds the objects of one kind. It is not safe for concurrent use.
 type Replica struct {
-	kind    Kind
-	at      Position
-	objects map[string][]byte
+	kind     Kind
+	position Position
+	objects  map[string][]byte
 	// digest is that of the objects.
 	digest uint64
 	// history holds the latest deltas, which join without a gap.
@@ -55,8 +55,8 @@
 	return &Replica{kind: kind, objects: make(map[string][]byte)}
 }
 
-// At returns the position that the replica reflects, zero before the first delta.
-func (r *Replica) At() Position { return r.at }
+// Position returns the position that the replica reflects, zero before the first delta.
+func (r *Replica) Position() Position { return r.position }
 
 // Digest returns a value that two replicas share if they hold the same objects, whatever
 // positions they reflect: one that was read anew reflects a later one than those that
@@ -78,8 +78,8 @@
 	return value, ok
 }
 
-// Objects calls f with each object.
-func (r *Replica) Objects(f func(Object)) {
+// Range calls f with each object.
+func (r *Replica) Range(f func(Object)) {
 	for name, value := range r.objects {
 		f(Object{Name: name, Value: value})
 	}
@@ -89,85 +89,85 @@
 // replica now reflects at least the delta's end; if not, the delta left a gap
 // and the difference has to be asked for.
 func (r *Replica) Apply(d Delta) (changes []Change, ok bool) {
-	if !d.To.After(r.at) {
+	if !d.To.After(r.position) {
 		return nil, true
 	}
-	if !r.continues(d) {
+	if !r.canApply(d) {
 		return nil, false
 	}
 	if d.Full {
-		changes = r.replace(d)
-		d = Difference(d.Kind, r.at, d.To, changes)
+		changes = r.replaceAll(d)
+		d = ExactDelta(d.Kind, r.position, d.To, changes)
 	} else {
-		changes = r.update(d)
+		changes = r.applyChanges(d)
 	}
-	r.remember(d)
-	r.at = d.To
+	r.appendHistory(d)
+	r.position = d.To
 	return changes, true
 }
 
-// continues tells whether a delta leads on from the replica's state.
-func (r *Replica) continues(d Delta) bool {
+// canApply tells whether a delta leads on from the replica's state.
+func (r *Replica) canApply(d Delta) bool {
 	switch {
 	case d.Full:
 		return true
 	case d.Exact:
-		return !r.at.IsZero() && d.From == r.at
+		return !r.position.IsZero() && d.From == r.position
 	default:
-		return !r.at.IsZero() && d.From.Era == r.at.Era && d.To.Era == r.at.Era && !d.From.After(r.at)
+		return !r.position.IsZero() && d.From.Era == r.position.Era && d.To.Era == r.position.Era && !d.From.After(r.position)
 	}
 }
 
-// Difference returns the exact delta between two states, of which changes are all that
+// ExactDelta returns the exact delta between two states, of which changes are all that
 // they differ in.
-func Difference(kind Kind, from, to Position, changes []Change) Delta {
+func ExactDelta(kind Kind, from, to Position, changes []Change) Delta {
 	return Delta{Kind: kind, From: from, To: to, Exact: true, Changes: changes}
 }
 
-func (r *Replica) update(d Delta) []Change {
+func (r *Replica) applyChanges(d Delta) []Change {
 	var made []Change
 	for _, c := range d.Changes {
 		held, known := r.objects[c.Name]
 		switch {
-		case c.Gone && known:
+		case c.Removed && known:
 			delete(r.objects, c.Name)
-		case !c.Gone && (!known || string(held) != string(c.Value)):
+		case !c.Removed && (!known || string(held) != string(c.Value)):
 			r.objects[c.Name] = c.Value
-			r.digest ^= digestOf(c.Name, c.Value)
+			r.digest ^= objectDigest(c.Name, c.Value)
 		default:
 			continue
 		}
 		if known {
-			r.digest ^= digestOf(c.Name, held)
+			r.digest ^= objectDigest(c.Name, held)
 		}
 		made = append(made, c)
 	}
 	return made
 }
 
-func (r *Replica) replace(d Delta) []Change {
+func (r *Replica) replaceAll(d Delta) []Change {
 	named := make(map[string]bool, len(d.Changes))
 	for _, c := range d.Changes {
-		named[c.Name] = !c.Gone
+		named[c.Name] = !c.Removed
 	}
 	var all []Change
 	for name := range r.objects {
 		if !named[name] {
-			all = append(all, Change{Object: Object{Name: name}, Gone: true})
+			all = append(all, Change{Object: Object{Name: name}, Removed: true})
 		}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Name < all[j].Name })
-	return r.update(Delta{Changes: append(all, d.Changes...)})
+	return r.applyChanges(Delta{Changes: append(all, d.Changes...)})
 }
 
-// remember keeps a delta that begins at or before the replica's position, unless the
+// appendHistory keeps a delta that begins at or before the replica's position, unless the
 // replica held nothing. An empty delta only moves the end of the one before it, except that
 // an exact one, in which something may have come and gone, leaves one that is not as it is.
-func (r *Replica) remember(d Delta) {
-	if r.at.IsZero() {
+func (r *Replica) appendHistory(d Delta) {
+	if r.position.IsZero() {
 		return
 	}
-	d.From = r.at
+	d.From = r.position
 	last := len(r.history) - 1
 	if len(d.Changes) == 0 && last >= 0 && (!d.Exact || r.history[last].Exact) {
 		r.history[last].To = d.To
@@ -179,23 +179,23 @@
 	}
 }
 
-// digestOf returns the part of an object in a digest.
-func digestOf(name string, value []byte) uint64 { return mix.Pair(name, string(value)) }
+// objectDigest returns the part of an object in a digest.
+func objectDigest(name string, value []byte) uint64 { return mix.Pair(name, string(value)) }
 
-// Since returns what leads from position from, at which there are the objects of a digest,
+// DeltaSince returns what leads from position from, at which there are the objects of a digest,
 // to the replica's own: a delta if they are the same or the history reaches back that far,
 // else the whole kind.
-func (r *Replica) Since(from Position, digest uint64) Delta {
-	start := r.startOf(from)
+func (r *Replica) DeltaSince(from Position, digest uint64) Delta {
+	start := r.historyIndex(from)
 	switch {
-	case from == r.at && !r.at.IsZero():
-		return Delta{Kind: r.kind, From: from, To: r.at}
+	case from == r.position && !r.position.IsZero():
+		return Delta{Kind: r.kind, From: from, To: r.position}
 	case !from.IsZero() && digest != 0 && digest == r.digest:
-		return Difference(r.kind, from, r.at, nil)
+		return ExactDelta(r.kind, from, r.position, nil)
 	case start < 0 || from.IsZero():
-		return r.whole()
+		return r.fullDelta()
 	}
-	d := Delta{Kind: r.kind, From: from, To: r.at}
+	d := Delta{Kind: r.kind, From: from, To: r.position}
 	for _, h := range r.history[start:] {
 		d.Exact = d.Exact || h.Exact
 		d.Changes = append(d.Changes, h.Changes...)
@@ -203,9 +203,9 @@
 	return d
 }
 
-// startOf returns the index of the delta of the history from which a replica at a position
+// historyIndex returns the index of the delta of the history from which a replica at a position
 // can go on, or -1. One whose position lies within an exact delta can't.
-func (r *Replica) startOf(from Position) int {
+func (r *Replica) historyIndex(from Position) int {
 	start := -1
 	for i, h := range r.history {
 		switch {
@@ -220,8 +220,8 @@
 	return start
 }
 
-func (r *Replica) whole() Delta {
-	d := Delta{Kind: r.kind, To: r.at, Full: true}
+func (r *Replica) fullDelta() Delta {
+	d := Delta{Kind: r.kind, To: r.position, Full: true}
 	for name, value := range r.objects {
 		d.Changes = append(d.Changes, Change{Object: Object{Name: name, Value: value}})
 	}
--- a/feed/replica_test.go
+++ b/feed/replica_test.go
@@ -31,7 +31,7 @@
 	}
 	s.at.Revision++
 	s.states[s.at] = next
-	s.changes[s.at] = feed.Change{Object: feed.Object{Name: name, Value: []byte(value)}, Gone: gone}
+	s.changes[s.at] = feed.Change{Object: feed.Object{Name: name, Value: []byte(value)}, Removed: gone}
 }
 
 // restore has the store come back from a copy that lacks the latest writes.
@@ -46,8 +46,8 @@
 	s.states[s.at] = state
 }
 
-// since is what a watch from a position of the same era brings.
-func (s *store) since(from feed.Position) feed.Delta {
+// deltaSince is what a watch from a position of the same era brings.
+func (s *store) deltaSince(from feed.Position) feed.Delta {
 	d := feed.Delta{From: from, To: s.at}
 	for r := from.Revision + 1; r <= s.at.Revision; r++ {
 		d.Changes = append(d.Changes, s.changes[feed.At(s.at.Era, r)])
@@ -55,7 +55,7 @@
 	return d
 }
 
-func (s *store) whole() feed.Delta {
+func (s *store) fullDelta() feed.Delta {
 	d := feed.Delta{To: s.at, Full: true}
 	for name, value := range s.states[s.at] {
 		d.Changes = append(d.Changes, feed.Change{Object: feed.Object{Name: name, Value: []byte(value)}})
@@ -63,9 +63,9 @@
 	return d
 }
 
-func held(r *feed.Replica) map[string]string {
+func objectsOf(r *feed.Replica) map[string]string {
 	out := map[string]string{}
-	r.Objects(func(o feed.Object) { out[o.Name] = string(o.Value) })
+	r.Range(func(o feed.Object) { out[o.Name] = string(o.Value) })
 	return out
 }
 
@@ -83,50 +83,50 @@
 		}
 		var wire []feed.Delta
 		check := func(r *feed.Replica, before feed.Position) {
-			require.False(t, before.After(r.At()))
-			if !r.At().IsZero() {
-				require.Equal(t, s.states[r.At()], held(r))
+			require.False(t, before.After(r.Position()))
+			if !r.Position().IsZero() {
+				require.Equal(t, s.states[r.Position()], objectsOf(r))
 			}
 			for _, other := range replicas {
-				require.Equal(t, maps.Equal(held(r), held(other)), r.Digest() == other.Digest())
+				require.Equal(t, maps.Equal(objectsOf(r), objectsOf(other)), r.Digest() == other.Digest())
 			}
 		}
 		take := func(r *feed.Replica, d feed.Delta) {
-			before := r.At()
+			before := r.Position()
 			_, ok := r.Apply(d)
-			require.Equal(t, ok, !d.To.After(r.At()))
+			require.Equal(t, ok, !d.To.After(r.Position()))
 			check(r, before)
 		}
 		watch := func(r *feed.Replica) {
-			if r.At().IsZero() || r.At().Era != s.at.Era {
+			if r.Position().IsZero() || r.Position().Era != s.at.Era {
 				return
 			}
-			d := s.since(r.At())
+			d := s.deltaSince(r.Position())
 			wire = append(wire, d)
 			take(r, d)
 		}
 		list := func(r *feed.Replica) {
-			d := s.whole()
-			before := r.At()
+			d := s.fullDelta()
+			before := r.Position()
 			changes, ok := r.Apply(d)
 			require.True(t, ok)
 			check(r, before)
 			wire = append(wire, d)
-			if !before.IsZero() && r.At().After(before) {
-				wire = append(wire, feed.Difference("k", before, r.At(), changes))
+			if !before.IsZero() && r.Position().After(before) {
+				wire = append(wire, feed.ExactDelta("k", before, r.Position(), changes))
 			}
 		}
 		ask := func(r, other *feed.Replica) {
-			if !other.At().After(r.At()) {
+			if !other.Position().After(r.Position()) {
 				return
 			}
-			d := other.Since(r.At(), r.Digest())
+			d := other.DeltaSince(r.Position(), r.Digest())
 			if r.Digest() == other.Digest() && r.Len() > 0 {
 				require.Empty(t, d.Changes)
 			}
 			wire = append(wire, d)
 			take(r, d)
-			require.Equal(t, other.At(), r.At())
+			require.Equal(t, other.Position(), r.Position())
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			r := replicas[rapid.IntRange(0, 4).Draw(t, "replica")]
@@ -152,12 +152,12 @@
 		list(replicas[0])
 		for _, r := range replicas[1:] {
 			ask(r, replicas[0])
-			require.Equal(t, s.states[s.at], held(r))
+			require.Equal(t, s.states[s.at], objectsOf(r))
 		}
 	})
 }
 
-func TestGapIsRefused(t *testing.T) {
+func TestGapIsRejected(t *testing.T) {
 	r := feed.NewReplica("k")
 	_, ok := r.Apply(feed.Delta{From: feed.At(0, 0), To: feed.At(0, 3)})
 	require.False(t, ok, "a delta does not start a replica")
@@ -165,34 +165,34 @@
 	require.True(t, ok)
 	_, ok = r.Apply(feed.Delta{From: feed.At(0, 4), To: feed.At(0, 6)})
 	require.False(t, ok)
-	require.Equal(t, feed.At(0, 3), r.At())
+	require.Equal(t, feed.At(0, 3), r.Position())
 }
 
-// TestSameObjectsNeedNothing checks that a replica that was read anew, and so reflects a
+// TestEqualReplicasExchangeNoObjects checks that a replica that was read anew, and so reflects a
 // later revision than those of its neighbours, brings them to its own revision without
 // sending them what they hold, and that a change goes on from there without a gap.
-func TestSameObjectsNeedNothing(t *testing.T) {
+func TestEqualReplicasExchangeNoObjects(t *testing.T) {
 	object := feed.Change{Object: feed.Object{Name: "o", Value: []byte("1")}}
 	follower, anew := feed.NewReplica("k"), feed.NewReplica("k")
 	follower.Apply(feed.Delta{Kind: "k", To: feed.At(0, 126), Full: true, Changes: []feed.Change{object}})
 	anew.Apply(feed.Delta{Kind: "k", To: feed.At(0, 128), Full: true, Changes: []feed.Change{object}})
-	d := anew.Since(follower.At(), follower.Digest())
-	require.Equal(t, feed.Difference("k", feed.At(0, 126), feed.At(0, 128), nil), d)
+	d := anew.DeltaSince(follower.Position(), follower.Digest())
+	require.Equal(t, feed.ExactDelta("k", feed.At(0, 126), feed.At(0, 128), nil), d)
 	_, ok := follower.Apply(d)
 	require.True(t, ok)
 	object.Value = []byte("2")
 	_, ok = follower.Apply(feed.Delta{Kind: "k", From: feed.At(0, 128), To: feed.At(0, 129), Changes: []feed.Change{object}})
 	require.True(t, ok)
-	require.Equal(t, feed.At(0, 129), follower.At())
-	require.True(t, anew.Since(feed.At(0, 126), follower.Digest()).Full, "another object is held")
+	require.Equal(t, feed.At(0, 129), follower.Position())
+	require.True(t, anew.DeltaSince(feed.At(0, 126), follower.Digest()).Full, "another object is held")
 }
 
-// TestWithinAnExactDelta checks that a replica that holds something which came and went
+// TestPositionInsideExactDelta checks that a replica that holds something which came and went
 // between the two states of an exact delta is brought on by the whole kind, whether or not
 // the delta is empty and whatever was remembered before it.
-func TestWithinAnExactDelta(t *testing.T) {
+func TestPositionInsideExactDelta(t *testing.T) {
 	object := func(name string, gone bool) feed.Change {
-		return feed.Change{Object: feed.Object{Name: name, Value: []byte("1")}, Gone: gone}
+		return feed.Change{Object: feed.Object{Name: name, Value: []byte("1")}, Removed: gone}
 	}
 	whole := func(to int64, names ...string) feed.Delta {
 		d := feed.Delta{To: feed.At(0, to), Full: true}
@@ -218,10 +218,10 @@
 				require.True(t, ok)
 			}
 			within.Apply(whole(3, "came and went"))
-			_, ok := within.Apply(r.Since(within.At(), within.Digest()))
+			_, ok := within.Apply(r.DeltaSince(within.Position(), within.Digest()))
 			require.True(t, ok)
-			require.Equal(t, held(r), held(within))
-			require.Equal(t, r.At(), within.At())
+			require.Equal(t, objectsOf(r), objectsOf(within))
+			require.Equal(t, r.Position(), within.Position())
 		})
 	}
 }
--- a/feed/tombstones.go
+++ b/feed/tombstones.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// copyAge is how old the copy may be from which the store comes back: some seconds, and as much
+// maxBackupAge is how old the copy may be from which the store comes back: some seconds, and as much
 // again for the outage before and for what an instance learns late.
-const copyAge = 30 * time.Second
+const maxBackupAge = 30 * time.Second
 
-// Relisted holds back objects that had been removed and that a store which came back from a copy
+// Tombstones holds back objects that had been removed and that a store which came back from a copy
 // lists again: their removal had been confirmed, and whoever removed them does so again before long.
-// An object counts again if it is written anew, or is still listed when the time is over. Relisted is
+// An object counts again if it is written anew, or is still listed when the time is over. Tombstones is
 // not safe for concurrent use; the zero value is ready.
-type Relisted struct {
+type Tombstones struct {
 	// removed is when objects were removed, for copyAge.
 	removed map[string]time.Time
 	until   time.Time
 	held    map[string]bool
 }
 
-// Removed takes in that the removal of an object counts.
-func (r *Relisted) Removed(now time.Time, name string) {
+// Add takes in that the removal of an object counts.
+func (r *Tombstones) Add(now time.Time, name string) {
 	delete(r.held, name)
 	if r.removed == nil {
 		r.removed = make(map[string]time.Time)
@@ -29,17 +29,17 @@
 	r.removed[name] = now
 }
 
-// Restored takes in that the store has come back from a copy: what it lists again is held back for a
+// StoreRestored takes in that the store has come back from a copy: what it lists again is held back for a
 // time.
-func (r *Relisted) Restored(now time.Time, hold time.Duration) { r.until = now.Add(hold) }
+func (r *Tombstones) StoreRestored(now time.Time, hold time.Duration) { r.until = now.Add(hold) }
 
 // Remaining is how long objects are held back from now on.
-func (r *Relisted) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
+func (r *Tombstones) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
 
 // Hold tells whether an object that the restored store lists is held back, and notes it.
-func (r *Relisted) Hold(now time.Time, name string) bool {
+func (r *Tombstones) Hold(now time.Time, name string) bool {
 	at, known := r.removed[name]
-	if !known || now.Sub(at) > copyAge || r.Remaining(now) == 0 {
+	if !known || now.Sub(at) > maxBackupAge || r.Remaining(now) == 0 {
 		return false
 	}
 	if r.held == nil {
@@ -49,18 +49,18 @@
 	return true
 }
 
-// Written takes in that an object was written anew: it counts.
-func (r *Relisted) Written(name string) {
+// Rewritten takes in that an object was written anew: it counts.
+func (r *Tombstones) Rewritten(name string) {
 	delete(r.held, name)
 	delete(r.removed, name)
 }
 
 // Holding tells whether any object is held back.
-func (r *Relisted) Holding() bool { return len(r.held) > 0 }
+func (r *Tombstones) Holding() bool { return len(r.held) > 0 }
 
 // Expired returns the objects that count from now on if they are still listed, in the order of names.
 // Each is returned once.
-func (r *Relisted) Expired(now time.Time) []string {
+func (r *Tombstones) Expired(now time.Time) []string {
 	if len(r.held) == 0 || r.Remaining(now) > 0 {
 		return nil
 	}
@@ -74,10 +74,10 @@
 	return names
 }
 
-// Forget drops removals that no copy can lack any more.
-func (r *Relisted) Forget(now time.Time) {
+// Prune drops removals that no copy can lack any more.
+func (r *Tombstones) Prune(now time.Time) {
 	for name, at := range r.removed {
-		if now.Sub(at) > copyAge {
+		if now.Sub(at) > maxBackupAge {
 			delete(r.removed, name)
 		}
 	}
--- a/feed/tombstones_test.go
+++ b/feed/tombstones_test.go
@@ -10,14 +10,14 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestRelisted draws removals, restores of the store, lists and writes, and checks against a naive
+// TestTombstones draws removals, restores of the store, lists and writes, and checks against a naive
 // reference that an object is held back exactly if it was removed within the age of a copy and not
 // written since, for as long as is asked, and that each that was held back and is still there counts
 // once, in the end.
-func TestRelisted(t *testing.T) {
+func TestTombstones(t *testing.T) {
 	const hold, copyAge = 2 * time.Second, 30 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		var r feed.Relisted
+		var r feed.Tombstones
 		now := time.Unix(1000, 0)
 		until := now
 		removed := map[string]time.Time{}
@@ -37,11 +37,11 @@
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				r.Removed(now, name)
+				r.Add(now, name)
 				removed[name] = now
 				delete(held, name)
 			case 1:
-				r.Restored(now, hold)
+				r.StoreRestored(now, hold)
 				until = now.Add(hold)
 			case 2:
 				at, known := removed[name]
@@ -52,11 +52,11 @@
 					delete(held, name)
 				}
 			case 3:
-				r.Written(name)
+				r.Rewritten(name)
 				delete(removed, name)
 				delete(held, name)
 			case 4:
-				r.Forget(now)
+				r.Prune(now)
 			}
 		}
 		now = now.Add(time.Minute)
--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -43,16 +43,16 @@
 	if replica == nil {
 		return false
 	}
-	before := replica.At()
+	before := replica.Position()
 	own := g.ownObjects(d)
 	changes, ok := replica.Apply(d)
 	if !ok {
 		return false
 	}
-	if source != sourceStore && g.catchUp[d.Kind].Answered() {
+	if source != sourceStore && g.catchUp[d.Kind].Received() {
 		g.metrics.question(d.Kind, questionAnswered)
 	}
-	at := replica.At()
+	at := replica.Position()
 	if at == before {
 		return true
 	}
@@ -78,7 +78,7 @@
 	g.noteReady()
 	if !before.IsZero() && (len(changes) > 0 || from.restored) {
 		if d.Full {
-			d = feed.Difference(d.Kind, before, d.To, changes)
+			d = feed.ExactDelta(d.Kind, before, d.To, changes)
 		}
 		g.passOn(d, source)
 	}
@@ -133,11 +133,11 @@
 // applyEvacuations has halls be emptied or taken back. The caller holds mu.
 func (g *Gateway) applyEvacuations(now time.Time, changes []feed.Change, from provenance) {
 	for _, c := range g.held[KindEvacuations].counting(now, changes, from.restored) {
-		g.evacuated[c.Name] = !c.Gone
-		if c.Gone {
+		g.evacuated[c.Name] = !c.Removed
+		if c.Removed {
 			delete(g.evacuated, c.Name)
 		}
-		g.log.Info(logEvacuation, "hall", c.Name, "evacuated", !c.Gone, "source", from.source, "revision", from.revision)
+		g.log.Info(logEvacuation, "hall", c.Name, "evacuated", !c.Removed, "source", from.source, "revision", from.revision)
 	}
 	g.pools.setTargets(now, g.listed.specs, g.evacuated)
 	g.awaitHeld(now, KindEvacuations)
@@ -146,7 +146,7 @@
 // applyConfig puts a configuration in force unless it is older than the one
 // that is.
 func (g *Gateway) applyConfig(c feed.Change, from provenance) {
-	if c.Gone {
+	if c.Removed {
 		return
 	}
 	config, err := g.codec.Config(c.Name, c.Value)
@@ -186,7 +186,7 @@
 		g.log.Error(logTableRefused, "error", err.Error(), "source", from.source, "revision", from.revision)
 		return
 	}
-	if c.Gone {
+	if c.Removed {
 		doc = &config.Document{}
 	}
 	plan := table.Compile(&doc.Table, doc.Number)
@@ -198,7 +198,7 @@
 func (g *Gateway) applyInstances(now time.Time, changes []feed.Change, from provenance) {
 	var named []fleet.Member
 	for _, c := range g.held[KindInstances].counting(now, changes, from.restored) {
-		if c.Gone {
+		if c.Removed {
 			named = slices.DeleteFunc(named, func(m fleet.Member) bool { return m.Name == c.Name })
 			delete(g.registered, c.Name)
 			g.noteUnregistered(c.Name)
@@ -247,7 +247,7 @@
 // has no part: those that it happens to know are fewer than the others divide by, and the parts
 // would add up to more than there is. The caller holds mu.
 func (g *Gateway) shareOut(now time.Time) {
-	if g.replicas[KindInstances].At().IsZero() {
+	if g.replicas[KindInstances].Position().IsZero() {
 		return
 	}
 	members := make(map[string][]string)
--- a/gateway/apply_test.go
+++ b/gateway/apply_test.go
@@ -43,7 +43,7 @@
 }
 
 func change(name string, gone bool) feed.Change {
-	return feed.Change{Object: feed.Object{Name: name, Value: []byte(fmt.Sprint(time.Now().UnixNano()))}, Gone: gone}
+	return feed.Change{Object: feed.Object{Name: name, Value: []byte(fmt.Sprint(time.Now().UnixNano()))}, Removed: gone}
 }
 
 // TestOrderWithinADelta checks that the last change of a target in a delta counts:
@@ -70,7 +70,7 @@
 	learn := func(remaining time.Duration) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.held[KindTargets].lapse.Learned(time.Now(), remaining)
+		g.held[KindTargets].lapse.Inherit(time.Now(), remaining)
 	}
 	held := func(name string) bool {
 		g.mu.Lock()
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -79,8 +79,8 @@
 		return
 	}
 	now := g.clock.Now()
-	g.log.Info(logGap, "kind", d.Kind, "source", from, "begins", d.From.Revision, "revision", replica.At().Revision)
-	g.catchUp[d.Kind].Gap(now, replica.At(), feed.Source{Addr: from, Position: d.To})
+	g.log.Info(logGap, "kind", d.Kind, "source", from, "begins", d.From.Revision, "revision", replica.Position().Revision)
+	g.catchUp[d.Kind].AddSourceAfterGap(now, replica.Position(), feed.Source{Addr: from, Position: d.To})
 	g.ask(now, d.Kind)
 }
 
@@ -91,7 +91,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held[KindTargets].lapse.Learned(g.clock.Now(), m.Lapse)
+	g.held[KindTargets].lapse.Inherit(g.clock.Now(), m.Lapse)
 }
 
 // answer sends the changes that another instance asks for, at once or when this instance
@@ -102,9 +102,9 @@
 	replica := g.replicas[m.Kind]
 	switch {
 	case replica == nil:
-	case replica.At().IsZero() && len(g.askers[m.Kind]) < maxAskers:
+	case replica.Position().IsZero() && len(g.askers[m.Kind]) < maxAskers:
 		g.askers[m.Kind] = append(g.askers[m.Kind], m)
-	case replica.At().After(m.Position):
+	case replica.Position().After(m.Position):
 		g.sendSince(replica, m)
 	}
 }
@@ -144,12 +144,12 @@
 // since returns the message that leads from what an asker holds to what the replica does.
 func (a answers) since(replica *feed.Replica, m *peer.Since) (peer.Delta, error) {
 	held, ok := a[m.Kind]
-	if !ok || held.from != m.Position || held.digest != m.Digest || held.to != replica.At() {
-		message, err := peer.NewDelta(replica.Since(m.Position, m.Digest))
+	if !ok || held.from != m.Position || held.digest != m.Digest || held.to != replica.Position() {
+		message, err := peer.NewDelta(replica.DeltaSince(m.Position, m.Digest))
 		if err != nil {
 			return peer.Delta{}, err
 		}
-		held = packedDelta{from: m.Position, digest: m.Digest, to: replica.At(), message: message}
+		held = packedDelta{from: m.Position, digest: m.Digest, to: replica.Position(), message: message}
 		a[m.Kind] = held
 	}
 	return *held.message, nil
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -173,7 +173,7 @@
 	defer g.mu.Unlock()
 	g.listed.expire(now)
 	for _, h := range g.held {
-		h.relisted.Forget(now)
+		h.relisted.Prune(now)
 	}
 }
 
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -112,7 +112,7 @@
 func (g *Gateway) message(now time.Time, region string) *peer.Gossip {
 	m := &peer.Gossip{Beats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), NewsSum: g.newsSum(), DeparturesSum: g.departures.sum(now), LimitsSum: g.targetLimits.sum(now)}
 	for _, kind := range g.kinds {
-		m.Positions = append(m.Positions, g.replicas[kind].At())
+		m.Positions = append(m.Positions, g.replicas[kind].Position())
 	}
 	if now.Sub(g.startedAt) < introduceFor || g.rounds%introduceEvery == 0 {
 		self := g.view.Self()
@@ -299,14 +299,14 @@
 		if i >= len(positions) {
 			break
 		}
-		at := g.replicas[kind].At()
+		at := g.replicas[kind].Position()
 		if kind == KindRollouts && positions[i] == at && sender.Region == g.config.Region {
 			g.knowRollouts()
 		}
 		switch position := positions[i]; {
 		case position.After(at):
 			after := g.patience(now, kind, !at.IsZero(), sender.Region == g.config.Region)
-			g.catchUp[kind].Ahead(now, at, feed.Source{Addr: sender.PeerAddr, Position: position, After: after})
+			g.catchUp[kind].AddSource(now, at, feed.Source{Addr: sender.PeerAddr, Position: position, Delay: after})
 		case at.After(position) && (position.IsZero() || urgent(kind)):
 			ahead = true
 		}
@@ -337,15 +337,15 @@
 // ask asks an instance that is ahead with a kind for the changes since the own revision, if
 // it is time. The caller holds mu.
 func (g *Gateway) ask(now time.Time, kind feed.Kind) {
-	at := g.replicas[kind].At()
-	last, open := g.catchUp[kind].Open()
-	addr, ok := g.catchUp[kind].Next(now, at)
+	at := g.replicas[kind].Position()
+	last, open := g.catchUp[kind].Pending()
+	addr, ok := g.catchUp[kind].NextRequest(now, at)
 	if !ok {
 		return
 	}
 	if open {
 		g.metrics.question(kind, questionUnanswered)
-		g.log.Warn(logUnanswered, "kind", kind, "asked", last.To, "for_ms", now.Sub(last.At).Milliseconds(), "revision", at.Revision)
+		g.log.Warn(logUnanswered, "kind", kind, "asked", last.To, "for_ms", now.Sub(last.SentAt).Milliseconds(), "revision", at.Revision)
 	}
 	g.mesh.Send(addr, &peer.Since{Kind: kind, Position: at, Digest: g.replicas[kind].Digest(), ReplyTo: g.view.Self().PeerAddr})
 }
--- a/gateway/held.go
+++ b/gateway/held.go
@@ -11,8 +11,8 @@
 // confirmed after the copy was made holds until those who wrote it have written again: lapse holds back
 // the removal of what the copy lacks, and relisted the return of what had been removed.
 type held struct {
-	lapse    feed.Lapse
-	relisted feed.Relisted
+	lapse    feed.RemovalHold
+	relisted feed.Tombstones
 }
 
 // holdTime is for how long changes of a kind are held back after the store came back from a copy.
@@ -53,8 +53,8 @@
 	if h == nil {
 		return
 	}
-	h.lapse.Restored(now, holdTimes[kind].removals)
-	h.relisted.Restored(now, holdTimes[kind].returns)
+	h.lapse.StoreRestored(now, holdTimes[kind].removals)
+	h.relisted.StoreRestored(now, holdTimes[kind].returns)
 }
 
 // counting returns those of a delta's changes that count now. Restored says that the delta is the first
@@ -65,11 +65,11 @@
 		if restored && h.holds(now, c) {
 			continue
 		}
-		h.lapse.Back(c.Name)
-		if c.Gone {
-			h.relisted.Removed(now, c.Name)
+		h.lapse.Cancel(c.Name)
+		if c.Removed {
+			h.relisted.Add(now, c.Name)
 		} else {
-			h.relisted.Written(c.Name)
+			h.relisted.Rewritten(c.Name)
 		}
 		out = append(out, c)
 	}
@@ -78,7 +78,7 @@
 
 // holds tells whether a change that comes of a restore of the store is held back, and notes it.
 func (h *held) holds(now time.Time, c feed.Change) bool {
-	if c.Gone {
+	if c.Removed {
 		return h.lapse.Hold(now, c.Name)
 	}
 	return h.relisted.Hold(now, c.Name)
@@ -89,7 +89,7 @@
 func (h *held) expired(now time.Time, replica *feed.Replica) []feed.Change {
 	var out []feed.Change
 	for _, name := range h.lapse.Expired(now) {
-		out = append(out, feed.Change{Object: feed.Object{Name: name}, Gone: true})
+		out = append(out, feed.Change{Object: feed.Object{Name: name}, Removed: true})
 	}
 	for _, name := range h.relisted.Expired(now) {
 		if value, listed := replica.Get(name); listed {
@@ -132,5 +132,5 @@
 		g.awaitHeld(now, kind)
 		return
 	}
-	g.putInForce(now, kind, changes, provenance{source: sourceLapse, revision: replica.At().Revision})
+	g.putInForce(now, kind, changes, provenance{source: sourceLapse, revision: replica.Position().Revision})
 }
--- a/gateway/incarnation_model_test.go
+++ b/gateway/incarnation_model_test.go
@@ -41,7 +41,7 @@
 }
 
 func (s *modelStore) write(e *bornEntry) {
-	c := feed.Change{Object: feed.Object{Name: "i-1"}, Gone: e == nil}
+	c := feed.Change{Object: feed.Object{Name: "i-1"}, Removed: e == nil}
 	if e != nil {
 		raw, err := json.Marshal(e)
 		if err != nil {
@@ -63,7 +63,7 @@
 // list is what a list brings.
 func (s *modelStore) list() feed.Delta {
 	d := feed.Delta{Kind: KindTargets, To: s.at(), Full: true}
-	if last := s.changes[len(s.changes)-1]; !last.Gone {
+	if last := s.changes[len(s.changes)-1]; !last.Removed {
 		d.Changes = append(d.Changes, last)
 	}
 	return d
@@ -92,7 +92,7 @@
 	for _, c := range d.Changes {
 		var e bornEntry
 		switch {
-		case c.Gone:
+		case c.Removed:
 			r.used = nil
 			continue
 		case json.Unmarshal(c.Value, &e) != nil || e.Foreign:
@@ -113,8 +113,8 @@
 
 // bring has the instance take in a delta, and its reference if it was news.
 func (in *modelInstance) bring(d feed.Delta, source string) {
-	before := in.replicas[KindTargets].At()
-	if in.take(d, source) && in.replicas[KindTargets].At().After(before) {
+	before := in.replicas[KindTargets].Position()
+	if in.take(d, source) && in.replicas[KindTargets].Position().After(before) {
 		in.reference.bring(d)
 	}
 }
@@ -209,13 +209,13 @@
 				store.write(&bornEntry{Foreign: true})
 			case "watch":
 				in := pick("instance")
-				in.bring(store.since(in.replicas[KindTargets].At()), sourceStore)
+				in.bring(store.since(in.replicas[KindTargets].Position()), sourceStore)
 			case "list":
 				pick("instance").bring(store.list(), sourceStore)
 			case "delta":
 				from, to := pick("from"), pick("to")
 				replica := to.replicas[KindTargets]
-				to.bring(from.replicas[KindTargets].Since(replica.At(), replica.Digest()), "other")
+				to.bring(from.replicas[KindTargets].DeltaSince(replica.Position(), replica.Digest()), "other")
 			case "answer":
 				pick("instance").answer()
 			case "tell":
@@ -228,7 +228,7 @@
 		newest++
 		store.write(&bornEntry{Born: newest})
 		for _, in := range instances {
-			in.bring(store.since(in.replicas[KindTargets].At()), sourceStore)
+			in.bring(store.since(in.replicas[KindTargets].Position()), sourceStore)
 			in.check(rt)
 			require.Equal(rt, newest, in.listed.specs["i-1"].Born)
 		}
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -68,7 +68,7 @@
 
 // applyKept takes in what the store keeps of a held request. The caller holds mu.
 func (g *Gateway) applyKept(c feed.Change, from provenance) {
-	if c.Gone {
+	if c.Removed {
 		return
 	}
 	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
@@ -114,7 +114,7 @@
 		return "", false
 	}
 	over := ""
-	g.replicas[KindTable].Objects(func(o feed.Object) {
+	g.replicas[KindTable].Range(func(o feed.Object) {
 		kept, err := quarantine.ParseStoredRecord(o.Name, o.Value)
 		if err == nil && kept.Expired(time.Now()) {
 			over = o.Name
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -199,7 +199,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for kind, replica := range g.replicas {
-		observe(float64(replica.At().Revision), string(kind))
+		observe(float64(replica.Position().Revision), string(kind))
 	}
 }
 
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -72,7 +72,7 @@
 		if said {
 			g.heardLeaving("i-1")
 		}
-		g.held[KindTargets].lapse.Learned(g.clock.Now(), time.Minute)
+		g.held[KindTargets].lapse.Inherit(g.clock.Now(), time.Minute)
 		g.take(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("i-1", true)}}, sourceStore)
 		_, listed := g.listed.specs["i-1"]
 		require.Equal(t, !said, listed)
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -34,11 +34,11 @@
 // store, which may lack some of them. The caller holds mu.
 func (g *Gateway) ownObjects(d feed.Delta) map[string][]byte {
 	replica := g.replicas[KindTable]
-	if d.Kind != KindTable || d.To.Era == replica.At().Era {
+	if d.Kind != KindTable || d.To.Era == replica.Position().Era {
 		return nil
 	}
 	out := make(map[string][]byte, replica.Len())
-	replica.Objects(func(o feed.Object) { out[o.Name] = o.Value })
+	replica.Range(func(o feed.Object) { out[o.Name] = o.Value })
 	return out
 }
 
@@ -50,7 +50,7 @@
 		if !known {
 			continue
 		}
-		if !c.Gone && !config.Supersedes(c.Name, held, c.Value) {
+		if !c.Removed && !config.Supersedes(c.Name, held, c.Value) {
 			g.tellOverwritten(c, held)
 			continue
 		}
--- a/gateway/question_test.go
+++ b/gateway/question_test.go
@@ -184,7 +184,7 @@
 	require.True(t, g.take(whole, sourceStore))
 	whole.To, whole.Changes = feed.At(0, 5), []feed.Change{whole.Changes[0], leaves("i-2")}
 	require.True(t, g.take(whole, sourceStore))
-	require.Equal(t, feed.Difference(KindTargets, feed.At(0, 1), feed.At(0, 5), []feed.Change{leaves("i-2")}), other.delta(t))
+	require.Equal(t, feed.ExactDelta(KindTargets, feed.At(0, 1), feed.At(0, 5), []feed.Change{leaves("i-2")}), other.delta(t))
 }
 
 // TestWhatAWatcherIsToldIsPassedOn checks that the first watcher of a region pushes also
--- a/gateway/restore_model_test.go
+++ b/gateway/restore_model_test.go
@@ -108,7 +108,7 @@
 }
 
 func (w storeWrite) change() feed.Change {
-	return feed.Change{Object: feed.Object{Name: w.name, Value: []byte(w.value)}, Gone: w.gone}
+	return feed.Change{Object: feed.Object{Name: w.name, Value: []byte(w.value)}, Removed: w.gone}
 }
 
 func (s *restoreModel) list(kind feed.Kind) feed.Delta {
@@ -132,7 +132,7 @@
 
 // read has an instance watch a kind, or list it if the store has another history.
 func (in *restoredInstance) read(s *restoreModel, kind feed.Kind) {
-	d, ok := s.since(kind, in.replicas[kind].At())
+	d, ok := s.since(kind, in.replicas[kind].Position())
 	if !ok {
 		d = s.list(kind)
 	}
@@ -230,8 +230,8 @@
 				pick("instance").read(store, pickKind())
 			case "delta":
 				from, to, kind := pick("from"), pick("to"), pickKind()
-				if from.replicas[kind].At().After(to.replicas[kind].At()) {
-					to.take(from.replicas[kind].Since(to.replicas[kind].At(), to.replicas[kind].Digest()), "other")
+				if from.replicas[kind].Position().After(to.replicas[kind].Position()) {
+					to.take(from.replicas[kind].DeltaSince(to.replicas[kind].Position(), to.replicas[kind].Digest()), "other")
 				}
 			}
 			for _, in := range instances {
@@ -254,7 +254,7 @@
 			in.read(store, KindConfig)
 			in.read(store, KindTargets)
 			require.EqualValues(rt, version, in.router.Load().Config().Version)
-			require.Equal(rt, store.at, in.replicas[KindConfig].At())
+			require.Equal(rt, store.at, in.replicas[KindConfig].Position())
 			in.settle()
 			require.Equal(rt, want, in.used())
 		}
--- a/gateway/restored_orders_test.go
+++ b/gateway/restored_orders_test.go
@@ -37,7 +37,7 @@
 		version string
 		verdict rollout.State
 	}
-	withdrawn := feed.Change{Object: feed.Object{Name: "s"}, Gone: true}
+	withdrawn := feed.Change{Object: feed.Object{Name: "s"}, Removed: true}
 	cases := []struct {
 		name string
 		// before comes in the first era, restored is the copy as listed, and after comes then.
--- a/gateway/restored_targets_test.go
+++ b/gateway/restored_targets_test.go
@@ -38,7 +38,9 @@
 	return feed.Change{Object: feed.Object{Name: name, Value: raw}}
 }
 
-func gone(name string) feed.Change { return feed.Change{Object: feed.Object{Name: name}, Gone: true} }
+func gone(name string) feed.Change {
+	return feed.Change{Object: feed.Object{Name: name}, Removed: true}
+}
 
 // list is what a list of targets at a position brings, and event what a watch does at the next one.
 func list(at feed.Position, changes ...feed.Change) feed.Delta {
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -80,7 +80,7 @@
 // applyRollout takes in an order, or what has become of it.
 func (g *Gateway) applyRollout(now time.Time, c feed.Change, from provenance) {
 	known := g.rollouts.of(c.Name)
-	if c.Gone {
+	if c.Removed {
 		if known != nil {
 			known.withdraw()
 			g.log.Info(logRollout, "service", c.Name, "withdrawn", true, "source", from.source, "revision", from.revision)
@@ -101,7 +101,7 @@
 	default:
 		if known != nil {
 			// The order before may be listed again by a store that has lost this one.
-			g.held[KindRollouts].relisted.Removed(now, c.Name)
+			g.held[KindRollouts].relisted.Add(now, c.Name)
 		}
 		known = &serviceRollout{follower: rollout.NewFollower(now, g.config.Name, record.Order)}
 	}
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -207,5 +207,5 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[KindInstances]
-	return !g.watch.isOver(replica.At()) && replica.Has(g.config.Name)
+	return !g.watch.isOver(replica.Position()) && replica.Has(g.config.Name)
 }
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -142,14 +142,14 @@
 		if _, ok := before[c.Name]; !ok {
 			before[c.Name] = g.listed.specs[c.Name]
 		}
-		if c.Gone && !g.leaves(c.Name) && held.lapse.Hold(now, c.Name) {
+		if c.Removed && !g.leaves(c.Name) && held.lapse.Hold(now, c.Name) {
 			g.log.Log(ctx, level, logTargetLapsed, "target", c.Name, "for_ms", held.lapse.Remaining(now).Milliseconds(), "source", from.source, "revision", from.revision)
 			continue
 		}
-		held.lapse.Back(c.Name)
-		if c.Gone {
+		held.lapse.Cancel(c.Name)
+		if c.Removed {
 			g.listed.drop(now, c.Name)
-			held.relisted.Removed(now, c.Name)
+			held.relisted.Add(now, c.Name)
 			g.log.Log(ctx, level, logTargetGone, "target", c.Name, "source", from.source, "revision", from.revision)
 			continue
 		}
@@ -167,7 +167,7 @@
 			g.log.Log(ctx, level, logTargetOfCopy, "target", c.Name, "sequence", spec.Sequence, "source", from.source, "revision", from.revision)
 			continue
 		}
-		held.relisted.Written(c.Name)
+		held.relisted.Rewritten(c.Name)
 		g.listed.put(spec)
 		g.log.Log(ctx, level, logTarget, "target", spec.ID, "service", spec.Service, "version", spec.Version, "hall", spec.Hall, "addr", spec.Addr,
 			"leaves", spec.Leaves, "cold_ms", spec.ColdFor.Milliseconds(), "source", from.source, "revision", from.revision)
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -208,7 +208,7 @@
 func (g *Gateway) position(kind feed.Kind) feed.Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.replicas[kind].At()
+	return g.replicas[kind].Position()
 }
 
 // watchLoop keeps the replica of a kind up to date from the store while this
@@ -366,10 +366,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err == nil || errors.Is(err, ErrHistoryGone) {
-		g.held[KindTargets].lapse.Heard(g.clock.Now())
+		g.held[KindTargets].lapse.StoreAnswered(g.clock.Now())
 		return
 	}
-	g.held[KindTargets].lapse.Lost()
+	g.held[KindTargets].lapse.StoreFailed()
 }
 
 func (g *Gateway) heardStore() {
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -13,7 +13,7 @@
 	for _, d := range []feed.Delta{
 		entries(3),
 		{Kind: "targets", To: feed.At(0, 9), Full: true, Changes: entries(2).Changes},
-		feed.Difference("targets", feed.At(0, 5), feed.At(0, 9), entries(1).Changes),
+		feed.ExactDelta("targets", feed.At(0, 5), feed.At(0, 9), entries(1).Changes),
 		{Kind: "targets", From: feed.At(0, -1), To: feed.At(0, -7)},
 	} {
 		m, err := peer.NewDelta(d)
@@ -30,9 +30,9 @@
 		r := feed.NewReplica("targets")
 		r.Apply(feed.Delta{Kind: "targets", To: feed.At(0, 5), Full: true})
 		_, ok := r.Apply(d)
-		if feed.At(0, 5).After(r.At()) || (ok && d.To.After(r.At())) {
-			t.Fatalf("at %v after %v to %v", r.At(), d.From, d.To)
+		if feed.At(0, 5).After(r.Position()) || (ok && d.To.After(r.Position())) {
+			t.Fatalf("at %v after %v to %v", r.Position(), d.From, d.To)
 		}
-		r.Since(feed.At(0, 5), 0)
+		r.DeltaSince(feed.At(0, 5), 0)
 	})
 }
