--- a/cmd/rainford/rollout.go
+++ b/cmd/rainford/rollout.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	if found && !held.State.IsVerdict() {
+	if found && !held.State.IsFinal() {
 		return fmt.Errorf("version %s of %s is being brought in: wait for its end, or say rainford rollout abort %s first", held.Version, o.Service, o.Service)
 	}
 	if found {
@@ -117,7 +117,7 @@
 			return err
 		case !found:
 			return fmt.Errorf("no version of %s is ordered", args[0])
-		case held.State.IsVerdict():
+		case held.State.IsFinal():
 			return fmt.Errorf("the rollout of version %s of %s has ended: %s", held.Version, held.Service, stateName(held.State))
 		}
 		if err := store.Remove(ctx, gateway.KindRollouts, args[0]); err != nil {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -50,7 +50,7 @@
 	Limits ratelimit.Bound
 	// Rollouts is what is promised of versions that are brought in by order and turn out to be bad.
 	// Where its share is 0 there are no such orders, and all versions get requests alike.
-	Rollouts rollout.Bound
+	Rollouts rollout.ExposureBound
 	// DefaultDeadline is the deadline of a request that gives none.
 	DefaultDeadline time.Duration
 
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -16,7 +16,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.goesOn() {
-		r.follower.Sent(d.SendState.NewVersion)
+		r.follower.RecordSent(d.SendState.NewVersion)
 	}
 }
 
@@ -35,7 +35,7 @@
 		Route:   uint16(mix.Hash(ex.route.Name)),
 		Key:     uint32(mix.Hash(want.Key)),
 		Target:  uint32(mix.Hash(d.Target.ID)),
-		Took:    rollout.TimeOf(a.Target.Latency),
+		Latency: rollout.BucketOf(a.Target.Latency),
 		Outcome: outcome,
 		Cold:    d.Target.Cold,
 	}
@@ -44,9 +44,9 @@
 	switch {
 	case !r.goesOn():
 	case d.SendState.NewVersion:
-		r.follower.EndedNew(o)
+		r.follower.RecordNew(o)
 	default:
-		r.follower.EndedOld(o)
+		r.follower.RecordOld(o)
 	}
 }
 
--- a/gateway/restored_orders_test.go
+++ b/gateway/restored_orders_test.go
@@ -21,7 +21,7 @@
 
 // ordered is the change by which the store holds an order.
 func ordered(version string, made int64, state rollout.State) feed.Change {
-	record := rollout.Record{Order: rollout.Order{Service: "s", Version: version, Duration: time.Minute, Made: made}, State: state, Revision: made}
+	record := rollout.Record{Order: rollout.Order{Service: "s", Version: version, Duration: time.Minute, Generation: made}, State: state, Revision: made}
 	raw, err := json.Marshal(record)
 	if err != nil {
 		panic(err)
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -19,7 +19,7 @@
 	// rolloutTick is how often a rollout that goes on is looked at.
 	rolloutTick = 100 * time.Millisecond
 	// leaderSilence is how long nothing is heard of a leader before another instance takes over.
-	leaderSilence = 3 * rollout.BeatTime
+	leaderSilence = 3 * rollout.HeartbeatInterval
 	// statePause is the time between two tries to write what has become of an order.
 	statePause = 400 * time.Millisecond
 )
@@ -69,12 +69,12 @@
 }
 
 // goesOn tells whether the store does not hold a verdict yet, or no longer.
-func (r *serviceRollout) goesOn() bool { return !r.record.State.IsVerdict() }
+func (r *serviceRollout) goesOn() bool { return !r.record.State.IsFinal() }
 
 // lost returns the verdict that all act on if the store has lost it.
 func (r *serviceRollout) lost() (rollout.State, bool) {
 	verdict := r.follower.Verdict()
-	return verdict, verdict.IsVerdict() && r.goesOn()
+	return verdict, verdict.IsFinal() && r.goesOn()
 }
 
 // applyRollout takes in an order, or what has become of it.
@@ -96,7 +96,7 @@
 	}
 	switch {
 	case known != nil && known.order().ID() == record.Order.ID():
-	case known != nil && known.order().IsSame(record.Order) && g.mayBeGivenAgain(now, from):
+	case known != nil && known.order().Equivalent(record.Order) && g.mayBeGivenAgain(now, from):
 		known.givenAgain(record.Order)
 	default:
 		if known != nil {
@@ -146,9 +146,9 @@
 func (r *serviceRollout) givenAgain(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.follower.GivenAgain(order)
+	r.follower.Reissue(order)
 	if r.leader != nil {
-		r.leader.GivenAgain(order)
+		r.leader.Reissue(order)
 	}
 }
 
@@ -164,8 +164,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.record = record
-	r.follower.Learn(record.State)
-	if record.State.IsVerdict() {
+	r.follower.SetState(record.State)
+	if record.State.IsFinal() {
 		r.leader = nil
 	}
 }
@@ -230,14 +230,14 @@
 		r.leader = rollout.NewLeader(now, g.view.Self().PeerAddr, r.follower, g.config.Rollouts)
 		g.log.Info(logRolloutLeads, "service", r.record.Service, "version", r.record.Version, "stage", r.leader.Stage().Phase.String())
 	}
-	stage, tell := r.leader.Decide(now, rollout.Situation{
-		Members:  members,
-		Rate:     versions.SendRate * float64(members),
-		OldSlots: versions.OldSlots,
-		NewSlots: versions.NewSlots,
-		Usage:    versions.OldUtilization,
+	stage, tell := r.leader.Decide(now, rollout.FleetState{
+		Instances:   members,
+		Rate:        versions.SendRate * float64(members),
+		OldSlots:    versions.OldSlots,
+		NewSlots:    versions.NewSlots,
+		Utilization: versions.OldUtilization,
 	})
-	if r.follower.Hear(now, stage) {
+	if r.follower.HandleStage(now, stage) {
 		g.logStage(r, stage)
 	}
 	if tell {
@@ -286,14 +286,14 @@
 // rollout's mu.
 func (g *Gateway) logStage(r *serviceRollout, stage rollout.Stage) {
 	attrs := []slog.Attr{slog.String("service", r.record.Service), slog.String("version", r.record.Version),
-		slog.String("stage", stage.Phase.String()), slog.Float64("keys", stage.Keys), slog.Float64("draw", stage.Draw),
-		slog.Float64("targets", stage.Targets), slog.Float64("senders", stage.Senders), slog.String("reason", string(stage.Reason)),
+		slog.String("stage", stage.Phase.String()), slog.Float64("keys", stage.KeyShare), slog.Float64("draw", stage.RequestShare),
+		slog.Float64("targets", stage.TargetShare), slog.Float64("senders", stage.InstanceShare), slog.String("reason", string(stage.Reason)),
 		slog.Int64("age_ms", stage.Age.Milliseconds()), slog.String("leader", stage.Leader)}
 	if r.leader != nil {
-		opinion := r.leader.Opinion()
+		opinion := r.leader.Assessment()
 		sent, sentNew := r.leader.Counts()
-		attrs = append(attrs, slog.Int("sent", sent), slog.Int("sent_new", sentNew), slog.Float64("odds_failing", opinion.Failing),
-			slog.Float64("odds_slow", opinion.Slow), slog.Bool("suspect", opinion.Suspect))
+		attrs = append(attrs, slog.Int("sent", sent), slog.Int("sent_new", sentNew), slog.Float64("odds_failing", opinion.FailureLLR),
+			slog.Float64("odds_slow", opinion.SlowLLR), slog.Bool("suspect", opinion.Suspect))
 	}
 	g.log.LogAttrs(context.Background(), slog.LevelInfo, logRolloutStage, attrs...)
 }
@@ -303,7 +303,7 @@
 	for _, stage := range stages {
 		for _, r := range g.rollouts.all() {
 			r.mu.Lock()
-			if r.follower.Hear(now, stage) {
+			if r.follower.HandleStage(now, stage) {
 				g.logStage(r, stage)
 			}
 			if r.follower.Stage() == stage && stage.Leader != g.view.Self().PeerAddr {
@@ -320,7 +320,7 @@
 	for _, r := range g.rollouts.all() {
 		r.mu.Lock()
 		if r.leader != nil {
-			r.leader.Hear(now, m.Report)
+			r.leader.HandleReport(now, m.Report)
 		}
 		r.mu.Unlock()
 	}
--- a/gateway/rollouts_test.go
+++ b/gateway/rollouts_test.go
@@ -37,7 +37,7 @@
 	}
 	for i := range instances {
 		v.instances = append(v.instances, v.instance(fmt.Sprint("n", i), "a1", func(c *gateway.Config) {
-			c.Rollouts = rollout.DefaultBound
+			c.Rollouts = rollout.DefaultExposureBound
 			if i > 0 {
 				c.Seeds = []string{v.instances[0].config.PeerListen}
 			}
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -204,12 +204,12 @@
 	defer r.mu.Unlock()
 	order, stage := r.follower.Order(), r.follower.Stage()
 	split, _ := r.follower.Split(now)
-	s := RolloutStatus{Service: order.Service, Version: order.Version, State: r.record.State, Stage: stage.Phase.String(), Share: split.Keys * split.Draw,
-		Why: stage.Reason, ForMs: now.Sub(r.follower.Since()).Milliseconds(), OfMs: order.Duration.Milliseconds(), Leader: stage.Leader, Leads: r.leader != nil}
+	s := RolloutStatus{Service: order.Service, Version: order.Version, State: r.record.State, Stage: stage.Phase.String(), Share: split.KeyShare * split.RequestShare,
+		Why: stage.Reason, ForMs: now.Sub(r.follower.StartedAt()).Milliseconds(), OfMs: order.Duration.Milliseconds(), Leader: stage.Leader, Leads: r.leader != nil}
 	if r.leader != nil {
-		opinion := r.leader.Opinion()
+		opinion := r.leader.Assessment()
 		s.Sent, s.SentNew = r.leader.Counts()
-		s.Failing, s.Slow = opinion.Failing, opinion.Slow
+		s.Failing, s.Slow = opinion.FailureLLR, opinion.SlowLLR
 	}
 	return s
 }
--- a/rollout/analyzer.go
+++ b/rollout/analyzer.go
@@ -25,214 +25,214 @@
 // sum is far enough from 0. A version may turn bad at any time, so the sum is taken over the last
 // seconds too, and by itself on each route, since a version may be bad on one alone.
 const (
-	// badOdds and goodOdds are the logarithms of the odds at which a version is judged to be bad
+	// badLLR and goodOdds are the logarithms of the odds at which a version is judged to be bad
 	// and to be good. The first is the higher one, as it is looked at again and again.
-	badOdds  = 11.0
-	goodOdds = 4.6
+	badLLR  = 11.0
+	goodLLR = 4.6
 
-	// leastFailing is the part of the answers that is taken to fail at a good version at least,
+	// minFailureRate is the part of the answers that is taken to fail at a good version at least,
 	// and moreFailing the additional part at a bad one.
-	leastFailing = 0.01
-	moreFailing  = 0.06
-	// leastSlow and moreSlow are the same for slow answers.
-	leastSlow = 0.05
-	moreSlow  = 0.25
-	// slowTimes is how many usual times of the old targets a slow answer takes.
-	slowTimes = 2.5
-	// relativelyMore is the additional part, as a multiple of that of the old version, if that
+	minFailureRate      = 0.01
+	failureRateIncrease = 0.06
+	// minSlowRate and moreSlow are the same for slow answers.
+	minSlowRate      = 0.05
+	slowRateIncrease = 0.25
+	// slowFactor is how many usual times of the old targets a slow answer takes.
+	slowFactor = 2.5
+	// relativeIncrease is the additional part, as a multiple of that of the old version, if that
 	// has many failures or slow answers itself.
-	relativelyMore = 0.75
+	relativeIncrease = 0.75
 
-	// leastReference is the number of answers of the old targets in the last seconds below which
+	// minReference is the number of answers of the old targets in the last seconds below which
 	// all answers since the order are the reference.
-	leastReference = 50
+	minReference = 50
 )
 
-// suspectOdds is the logarithm of the odds from which on the last seconds speak against a version.
-const suspectOdds = 2.0
+// suspectLLR is the logarithm of the odds from which on the last seconds speak against a version.
+const suspectLLR = 2.0
 
 const (
 	// windowSlots is the number of windowSlotTime that make up the last seconds.
-	windowSlots    = 6
-	windowSlotTime = 500 * time.Millisecond
+	windowSlots        = 6
+	windowSlotDuration = 500 * time.Millisecond
 )
 
-// Judge decides whether a version is good or bad.
-type Judge struct {
-	// all are those since the judge has begun, and stage those of the stage.
-	all, stage stats
-	// slots are those of the last seconds, of which the one at the index began at slotAt.
-	slots  [windowSlots]stats
-	index  int
-	slotAt time.Time
-	// seen are the places where new targets have had a key, and when that was first told.
-	seen map[place]time.Time
+// Analyzer decides whether a version is good or bad.
+type Analyzer struct {
+	// total are those since the judge has begun, and stage those of the stage.
+	total, stage statsByRoute
+	// window are those of the last seconds, of which the one at the index began at slotAt.
+	window    [windowSlots]statsByRoute
+	slot      int
+	slotStart time.Time
+	// firstSeen are the places where new targets have had a key, and when that was first told.
+	firstSeen map[targetKey]time.Time
 	// observed is the number of observations of new targets.
 	observed int
 }
 
-// place is where an observation was made.
-type place struct {
+// targetKey is where an observation was made.
+type targetKey struct {
 	target, key uint32
 }
 
-// maxPlaces bounds the places that are remembered: 1 MB.
-const maxPlaces = 20_000
+// maxTargetKeys bounds the places that are remembered: 1 MB.
+const maxTargetKeys = 20_000
 
-// NewJudge returns a judge that has seen nothing.
-func NewJudge() *Judge {
-	j := &Judge{all: make(stats), stage: make(stats), seen: make(map[place]time.Time)}
-	for i := range j.slots {
-		j.slots[i] = make(stats)
+// NewAnalyzer returns a judge that has seen nothing.
+func NewAnalyzer() *Analyzer {
+	j := &Analyzer{total: make(statsByRoute), stage: make(statsByRoute), firstSeen: make(map[targetKey]time.Time)}
+	for i := range j.window {
+		j.window[i] = make(statsByRoute)
 	}
 	return j
 }
 
 // Observed returns the number of observations of new targets.
-func (j *Judge) Observed() int { return j.observed }
+func (j *Analyzer) Observed() int { return j.observed }
 
-// Hear takes in what an instance has observed.
-func (j *Judge) Hear(now time.Time, r Report) {
+// AddReport takes in what an instance has observed.
+func (j *Analyzer) AddReport(now time.Time, r Report) {
 	j.advance(now)
 	for _, t := range r.Old {
-		j.all.route(t.Route).addOld(t)
-		j.slots[j.index].route(t.Route).addOld(t)
+		j.total.route(t.Route).addOld(t)
+		j.window[j.slot].route(t.Route).addOld(t)
 	}
 	for _, o := range r.New {
 		j.observed++
-		o.Cold = o.Cold || j.isFirst(now, o)
-		limit, known := slowFrom(j.all.route(o.Route).old.Times)
-		j.all.route(o.Route).addNew(o, limit, known)
-		j.slots[j.index].route(o.Route).addNew(o, limit, known)
+		o.Cold = o.Cold || j.mayBeFirst(now, o)
+		limit, known := slowThreshold(j.total.route(o.Route).old.Latencies)
+		j.total.route(o.Route).addNew(o, limit, known)
+		j.window[j.slot].route(o.Route).addNew(o, limit, known)
 		j.stage.route(o.Route).addNew(o, limit, known)
 	}
 }
 
-// isFirst tells whether the target may not have had the key when the request was sent: then it is
+// mayBeFirst tells whether the target may not have had the key when the request was sent: then it is
 // slower for that reason.
-func (j *Judge) isFirst(now time.Time, o Observation) bool {
-	at := place{target: o.Target, key: o.Key}
-	since, ok := j.seen[at]
-	if !ok && len(j.seen) < maxPlaces {
-		j.seen[at] = now
+func (j *Analyzer) mayBeFirst(now time.Time, o Observation) bool {
+	at := targetKey{target: o.Target, key: o.Key}
+	since, ok := j.firstSeen[at]
+	if !ok && len(j.firstSeen) < maxTargetKeys {
+		j.firstSeen[at] = now
 	}
-	sentAt := now.Add(-o.Took.Duration() - reportTime)
+	sentAt := now.Add(-o.Latency.Duration() - reportInterval)
 	return !ok || sentAt.Before(since)
 }
 
 // advance begins new slots as time passes.
-func (j *Judge) advance(now time.Time) {
-	if j.slotAt.IsZero() || now.Sub(j.slotAt) >= 2*windowSlots*windowSlotTime {
-		j.slotAt = now
+func (j *Analyzer) advance(now time.Time) {
+	if j.slotStart.IsZero() || now.Sub(j.slotStart) >= 2*windowSlots*windowSlotDuration {
+		j.slotStart = now
 	}
-	for now.Sub(j.slotAt) >= windowSlotTime {
-		j.index = (j.index + 1) % windowSlots
-		j.slots[j.index] = make(stats)
-		j.slotAt = j.slotAt.Add(windowSlotTime)
+	for now.Sub(j.slotStart) >= windowSlotDuration {
+		j.slot = (j.slot + 1) % windowSlots
+		j.window[j.slot] = make(statsByRoute)
+		j.slotStart = j.slotStart.Add(windowSlotDuration)
 	}
 }
 
-// Opinion is what a judge thinks of a version.
-type Opinion struct {
+// Assessment is what a judge thinks of a version.
+type Assessment struct {
 	// Bad is why the version is bad, ReasonNone if it is not.
 	Bad Reason
 	// Good says that enough was seen to take it for good, and Suspect that the observations on a
 	// route, or of the last seconds, speak rather against it.
 	Good, Suspect bool
-	// Worst is the highest of the logarithms of the odds by all observations on a route.
-	Worst float64
-	// Failing and Slow are the logarithms of the odds that it fails more often and is slower, by
+	// MaxLLR is the highest of the logarithms of the odds by all observations on a route.
+	MaxLLR float64
+	// FailureLLR and SlowLLR are the logarithms of the odds that it fails more often and is slower, by
 	// all observations, and StageFailing and StageSlow the same by those of the stage alone.
-	Failing, Slow           float64
-	StageFailing, StageSlow float64
+	FailureLLR, SlowLLR           float64
+	StageFailureLLR, StageSlowLLR float64
 }
 
-// Opinion returns what the judge thinks now.
-func (j *Judge) Opinion(now time.Time) Opinion {
+// Assess returns what the judge thinks now.
+func (j *Analyzer) Assess(now time.Time) Assessment {
 	j.advance(now)
-	o := Opinion{Worst: math.Inf(-1)}
-	for hash, all := range j.all {
+	o := Assessment{MaxLLR: math.Inf(-1)}
+	for hash, all := range j.total {
 		if len(all.targets) == 0 {
 			continue
 		}
-		last := j.last(hash)
+		last := j.windowStats(hash)
 		reference := all.old
-		if last.old.Answered+last.old.Failed >= leastReference {
+		if last.old.Answered+last.old.Failed >= minReference {
 			reference = last.old
 		}
-		whole, recent := weigh(all, all.old, all.old), weigh(last, reference, all.old)
-		o.Failing += whole.failing
-		o.Slow += whole.slow
-		o.Worst = max(o.Worst, whole.failing, whole.slow)
-		o.take(whole)
-		o.take(recent)
-		stage := weigh(j.stage.route(hash), all.old, all.old)
-		o.StageFailing += stage.failing
-		o.StageSlow += stage.slow
+		whole, recent := compare(all, all.old, all.old), compare(last, reference, all.old)
+		o.FailureLLR += whole.failureLLR
+		o.SlowLLR += whole.slowLLR
+		o.MaxLLR = max(o.MaxLLR, whole.failureLLR, whole.slowLLR)
+		o.add(whole)
+		o.add(recent)
+		stage := compare(j.stage.route(hash), all.old, all.old)
+		o.StageFailureLLR += stage.failureLLR
+		o.StageSlowLLR += stage.slowLLR
 	}
 	switch {
 	case o.Bad != ReasonNone:
-	case o.Failing >= badOdds:
+	case o.FailureLLR >= badLLR:
 		o.Bad = ReasonFailures
-	case o.Slow >= badOdds:
+	case o.SlowLLR >= badLLR:
 		o.Bad = ReasonSlow
 	}
-	o.Good = o.Bad == ReasonNone && !o.Suspect && o.Worst <= 0 && o.Failing <= -goodOdds && o.Slow <= -goodOdds
+	o.Good = o.Bad == ReasonNone && !o.Suspect && o.MaxLLR <= 0 && o.FailureLLR <= -goodLLR && o.SlowLLR <= -goodLLR
 	return o
 }
 
-// take takes in what some of the observations on a route say.
-func (o *Opinion) take(w weight) {
-	o.Suspect = o.Suspect || max(w.failing, w.slow) > suspectOdds
+// add takes in what some of the observations on a route say.
+func (o *Assessment) add(w evidence) {
+	o.Suspect = o.Suspect || max(w.failureLLR, w.slowLLR) > suspectLLR
 	switch {
 	case o.Bad != ReasonNone:
-	case w.failing >= badOdds && !w.fewFailing:
+	case w.failureLLR >= badLLR && !w.fewFailures:
 		o.Bad = ReasonFailures
-	case w.slow >= badOdds && !w.fewSlow:
+	case w.slowLLR >= badLLR && !w.fewSlow:
 		o.Bad = ReasonSlow
 	}
 }
 
 // BeginStage forgets the observations of the stage that has ended.
-func (j *Judge) BeginStage() { j.stage = make(stats) }
+func (j *Analyzer) BeginStage() { j.stage = make(statsByRoute) }
 
-// last joins the observations of a route of the last seconds.
-func (j *Judge) last(hash uint16) *routeStats {
+// windowStats joins the observations of a route of the windowStats seconds.
+func (j *Analyzer) windowStats(hash uint16) *routeStats {
 	joined := &routeStats{}
-	for _, slot := range j.slots {
+	for _, slot := range j.window {
 		if r := slot[hash]; r != nil {
-			joined.join(r)
+			joined.merge(r)
 		}
 	}
 	return joined
 }
 
-// weight is what observations say: the logarithms of the odds, and whether they are of too few
+// evidence is what observations say: the logarithms of the odds, and whether they are of too few
 // targets or keys.
-type weight struct {
-	failing, slow       float64
-	fewFailing, fewSlow bool
+type evidence struct {
+	failureLLR, slowLLR  float64
+	fewFailures, fewSlow bool
 }
 
-// weigh returns what the observations of new targets say against those of the old ones of a
+// compare returns what the observations of new targets say against those of the old ones of a
 // reference. Usual tells the usual time of these.
-func weigh(r *routeStats, reference, usual Tally) weight {
+func compare(r *routeStats, reference, usual Tally) evidence {
 	failures := r.failures()
-	w := weight{failing: odds(failures, failedPart(reference), leastFailing, moreFailing), fewFailing: failures.few}
-	limit, known := slowFrom(usual.Times)
+	w := evidence{failureLLR: logLikelihoodRatio(failures, failureRate(reference), minFailureRate, failureRateIncrease), fewFailures: failures.tooFew}
+	limit, known := slowThreshold(usual.Latencies)
 	if !known {
 		return w
 	}
 	slow := r.slowness()
-	w.slow, w.fewSlow = odds(slow, slowPart(reference.Times, limit), leastSlow, moreSlow), slow.few
+	w.slowLLR, w.fewSlow = logLikelihoodRatio(slow, slowRate(reference.Latencies, limit), minSlowRate, slowRateIncrease), slow.tooFew
 	return w
 }
 
-// odds returns the logarithm of how much more likely the counts are if a part of more than usual of
+// logLikelihoodRatio returns the logarithm of how much more likely the counts are if a part of more than usual of
 // the observations are bad than if only as many as usual are.
-func odds(c counts, usual, least, more float64) float64 {
+func logLikelihoodRatio(c counts, usual, least, more float64) float64 {
 	usual = max(usual, least)
-	worse := min(usual+max(more, relativelyMore*usual), 0.98)
+	worse := min(usual+max(more, relativeIncrease*usual), 0.98)
 	usual = min(usual, 0.9*worse)
 	return float64(c.bad)*math.Log(worse/usual) + float64(c.good)*math.Log((1-worse)/(1-usual))
 }
--- a/rollout/leader.go
+++ b/rollout/leader.go
@@ -5,136 +5,136 @@
 	"time"
 )
 
-// Bound is what is promised of a version that turns out to be bad.
-type Bound struct {
+// ExposureBound is what is promised of a version that turns out to be bad.
+type ExposureBound struct {
 	// Share is the part of a service's requests that may reach it from the order to the end of
 	// the order's duration, and Slack the number on top of that.
 	Share, Slack float64
 }
 
-// DefaultBound is what is promised where nothing else is set.
-var DefaultBound = Bound{Share: 0.1, Slack: 50}
+// DefaultExposureBound is what is promised where nothing else is set.
+var DefaultExposureBound = ExposureBound{Share: 0.1, Slack: 50}
 
-// Situation is what the leader knows of the fleet.
-type Situation struct {
-	// Members is the number of instances that take requests, as far as is known.
-	Members int
+// FleetState is what the leader knows of the fleet.
+type FleetState struct {
+	// Instances is the number of instances that take requests, as far as is known.
+	Instances int
 	// Rate is the number of requests for the service at all instances, in 1/s.
 	Rate float64
-	// OldSlots and NewSlots are those of the targets that serve, and Usage the part of the old
+	// OldSlots and NewSlots are those of the targets that serve, and Utilization the part of the old
 	// ones that is in use.
-	OldSlots, NewSlots, Usage float64
+	OldSlots, NewSlots, Utilization float64
 }
 
 // The times of a rollout, as parts of its duration: canaryEnd and bakeEnd are when the stages of a few
-// requests end at the earliest, moveBy and movedBy are when the moving begins and goes on though enough
-// was not seen, if nothing speaks against the version, and endBy is when the verdict is written, which
+// requests end at the earliest, moveStartDeadline and moveStepDeadline are when the moving begins and goes on though enough
+// was not seen, if nothing speaks against the version, and verdictDeadline is when the verdict is written, which
 // leaves time for a store that is slow.
 const (
-	canaryEnd = 0.25
-	bakeEnd   = 0.5
-	moveBy    = 0.6
-	movedBy   = 0.75
-	endBy     = 0.85
-	// leastStep and mostStep bound how long a moving stage has to last.
-	leastStep = 300 * time.Millisecond
-	mostStep  = time.Minute
+	canaryEnd         = 0.25
+	bakeEnd           = 0.5
+	moveStartDeadline = 0.6
+	moveStepDeadline  = 0.75
+	verdictDeadline   = 0.85
+	// minStepTime and mostStep bound how long a moving stage has to last.
+	minStepTime = 300 * time.Millisecond
+	maxStepTime = time.Minute
 )
 
 const (
-	// BeatTime is the time in which a leader tells the stage again.
-	BeatTime = 500 * time.Millisecond
-	// wantedRate is the number of requests a second that are wanted at new targets before requests
+	// HeartbeatInterval is the time in which a leader tells the stage again.
+	HeartbeatInterval = 500 * time.Millisecond
+	// sampleRate is the number of requests a second that are wanted at new targets before requests
 	// move, and mostShare the largest part of all requests that are sent there for it.
-	wantedRate = 60.0
-	mostShare  = 0.5
-	// leastRate is the number of requests a second that is taken for a service without any.
-	leastRate = 0.1
-	// canaryPart and canarySlackPart are the parts of the bound that are used before requests
+	sampleRate     = 60.0
+	maxCanaryShare = 0.5
+	// minRate is the number of requests a second that is taken for a service without any.
+	minRate = 0.1
+	// canaryShareFraction and canarySlackFraction are the parts of the bound that are used before requests
 	// move. The rest is for a version that turns bad then.
-	canaryPart, canarySlackPart = 0.2, 0.3
-	// keysOverShare is how many times the part of the keys is that of the requests in the canary
+	canaryShareFraction, canarySlackFraction = 0.2, 0.3
+	// canaryKeyFactor is how many times the part of the keys is that of the requests in the canary
 	// stage: of each of its keys, some requests stay at the old targets, so that one key that is
 	// asked for often does not exceed the bound before that is known.
-	keysOverShare = 4.0
-	// mostReports is the number of reports a second that a leader takes.
-	mostReports = 128.0
-	// roomPart is the part of the new targets' slots that may be filled by moving requests.
-	roomPart = 0.85
-	// leastUsage is taken for the usage of the old targets' slots if less is seen.
-	leastUsage = 0.2
-	// stageOdds is the logarithm of the odds that a stage of moving requests has to show. Where fewer
+	canaryKeyFactor = 4.0
+	// maxReportRate is the number of reports a second that a leader takes.
+	maxReportRate = 128.0
+	// maxFill is the part of the new targets' slots that may be filled by moving requests.
+	maxFill = 0.85
+	// minUtilization is taken for the usage of the old targets' slots if less is seen.
+	minUtilization = 0.2
+	// stageLLR is the logarithm of the odds that a stage of moving requests has to show. Where fewer
 	// observations than fewSeen are to be expected, leastSeen of them are enough.
-	stageOdds = 2.0
-	fewSeen   = 30
-	leastSeen = 0.5
+	stageLLR            = 2.0
+	smallSample         = 30
+	smallSampleFraction = 0.5
 )
 
-// movingSteps are the parts of the requests that go to new targets in the moving stages, and stepParts
+// movingShares are the parts of the requests that go to new targets in the moving stages, and movingStepFractions
 // how long each stage has to last, as parts of the order's duration. In the first the new targets
 // get to know most objects while most requests for them still run at old ones. It lasts for longer
 // than a request that is not answered, so that a version that has turned bad shows in it.
 var (
-	movingSteps = [...]float64{0.1, 0.3, 1}
-	stepParts   = [...]float64{0.12, 0.08, 0.05}
+	movingShares        = [...]float64{0.1, 0.3, 1}
+	movingStepFractions = [...]float64{0.12, 0.08, 0.05}
 )
 
 // Leader decides on the stages of a rollout. It is not safe for concurrent use.
 type Leader struct {
-	bound Bound
-	order Order
-	since time.Time
-	judge *Judge
-	stage Stage
-	// stageAt is when the stage began, seenBefore the number of observations then, and toldAt when
+	bound     ExposureBound
+	order     Order
+	startedAt time.Time
+	analyzer  *Analyzer
+	stage     Stage
+	// stageStart is when the stage began, seenBefore the number of observations then, and announcedAt when
 	// it was last told.
-	stageAt, toldAt time.Time
-	seenBefore      int
-	step            int
-	told            bool
-	verdict         State
-	senders         map[string]sender
-	// share is the part of the requests that new targets are to get before requests move.
-	share   float64
-	opinion Opinion
-	rate    rate
+	stageStart, announcedAt time.Time
+	observedBefore          int
+	step                    int
+	announced               bool
+	verdict                 State
+	lastReports             map[string]lastReport
+	// canaryShare is the part of the requests that new targets are to get before requests move.
+	canaryShare float64
+	assessment  Assessment
+	rate        rateEstimator
 }
 
-// sender is what an instance has reported last.
-type sender struct {
+// lastReport is what an instance has reported last.
+type lastReport struct {
 	sent, sentNew uint32
 	stage         uint32
-	atOld         int
+	inFlightOld   int
 }
 
 // NewLeader returns a leader that goes on with what an instance knows of a rollout. Addr is the peer
 // address that is told reports.
-func NewLeader(now time.Time, addr string, f *Follower, bound Bound) *Leader {
+func NewLeader(now time.Time, addr string, f *Follower, bound ExposureBound) *Leader {
 	l := &Leader{
-		bound:   bound,
-		order:   f.order,
-		since:   f.since,
-		judge:   NewJudge(),
-		stage:   f.stage,
-		stageAt: now,
-		verdict: Running,
-		senders: make(map[string]sender),
+		bound:       bound,
+		order:       f.order,
+		startedAt:   f.startedAt,
+		analyzer:    NewAnalyzer(),
+		stage:       f.stage,
+		stageStart:  now,
+		verdict:     Running,
+		lastReports: make(map[string]lastReport),
 	}
 	l.stage.Order, l.stage.Leader = f.order.ID(), addr
 	l.stage.Number++
 	l.stage.Term++
 	if l.stage.Phase == Moving {
-		l.step = max(0, slices.Index(movingSteps[:], l.stage.Draw))
+		l.step = max(0, slices.Index(movingShares[:], l.stage.RequestShare))
 	}
-	l.share = l.stage.share()
-	if l.stage.Phase == Back {
+	l.canaryShare = l.stage.totalShare()
+	if l.stage.Phase == Reverted {
 		l.verdict = RolledBack
 	}
 	return l
 }
 
-// GivenAgain takes in that the store holds the same order as given at another time.
-func (l *Leader) GivenAgain(order Order) { l.order, l.stage.Order = order, order.ID() }
+// Reissue takes in that the store holds the same order as given at another time.
+func (l *Leader) Reissue(order Order) { l.order, l.stage.Order = order, order.ID() }
 
 // Stage returns the stage that is decided.
 func (l *Leader) Stage() Stage { return l.stage }
@@ -143,196 +143,198 @@
 // as soon as the leader tells it, but on a success only once the store holds it.
 func (l *Leader) Verdict() State { return l.verdict }
 
-// Opinion returns what the leader last thought of the version.
-func (l *Leader) Opinion() Opinion { return l.opinion }
+// Assessment returns what the leader last thought of the version.
+func (l *Leader) Assessment() Assessment { return l.assessment }
 
 // Counts returns the numbers of requests that the reports tell of: all, and those sent to new
 // targets.
 func (l *Leader) Counts() (sent, sentNew int) {
-	for _, s := range l.senders {
+	for _, s := range l.lastReports {
 		sent += int(s.sent)
 		sentNew += int(s.sentNew)
 	}
 	return sent, sentNew
 }
 
-// Hear takes in a report.
-func (l *Leader) Hear(now time.Time, r Report) {
+// HandleReport takes in a report.
+func (l *Leader) HandleReport(now time.Time, r Report) {
 	if r.Order != l.order.ID() {
 		return
 	}
-	l.senders[r.From] = sender{sent: r.Sent, sentNew: r.SentNew, stage: r.Stage, atOld: r.AtOld}
-	l.judge.Hear(now, r)
+	l.lastReports[r.From] = lastReport{sent: r.Sent, sentNew: r.SentNew, stage: r.Stage, inFlightOld: r.InFlightOld}
+	l.analyzer.AddReport(now, r)
 }
 
 // Decide decides on the stage, and reports whether all instances are to be told of it now.
-func (l *Leader) Decide(now time.Time, s Situation) (Stage, bool) {
-	l.opinion = l.judge.Opinion(now)
+func (l *Leader) Decide(now time.Time, s FleetState) (Stage, bool) {
+	l.assessment = l.analyzer.Assess(now)
 	sent, _ := l.Counts()
-	l.rate.note(now, sent)
-	if reported, ok := l.rate.perSecond(); ok && l.stage.Senders > 0 {
-		s.Rate = reported / l.stage.Senders
+	l.rate.add(now, sent)
+	if reported, ok := l.rate.perSecond(); ok && l.stage.InstanceShare > 0 {
+		s.Rate = reported / l.stage.InstanceShare
 	}
 	before := l.stage
 	if l.verdict == Running {
 		l.decide(now, s)
 	}
-	changed := before.Phase != l.stage.Phase || before.Draw != l.stage.Draw || before.Keys != l.stage.Keys || before.Targets != l.stage.Targets ||
-		before.Senders != l.stage.Senders
+	changed := before.Phase != l.stage.Phase || before.RequestShare != l.stage.RequestShare || before.KeyShare != l.stage.KeyShare || before.TargetShare != l.stage.TargetShare ||
+		before.InstanceShare != l.stage.InstanceShare
 	if changed {
 		l.stage.Number++
-		l.stageAt, l.seenBefore = now, l.judge.Observed()
-		l.judge.BeginStage()
+		l.stageStart, l.observedBefore = now, l.analyzer.Observed()
+		l.analyzer.BeginStage()
 	}
-	tell := changed || !l.told || now.Sub(l.toldAt) >= BeatTime
+	tell := changed || !l.announced || now.Sub(l.announcedAt) >= HeartbeatInterval
 	if tell {
-		l.told, l.toldAt = true, now
-		l.stage.Beat++
+		l.announced, l.announcedAt = true, now
+		l.stage.Heartbeat++
 	}
-	l.stage.Age = now.Sub(l.since)
+	l.stage.Age = now.Sub(l.startedAt)
 	return l.stage, tell
 }
 
 // decide goes on to the next phase if it is time.
-func (l *Leader) decide(now time.Time, s Situation) {
-	elapsed := now.Sub(l.since)
-	if l.opinion.Bad != ReasonNone {
-		l.rollBack(l.opinion.Bad)
+func (l *Leader) decide(now time.Time, s FleetState) {
+	elapsed := now.Sub(l.startedAt)
+	if l.assessment.Bad != ReasonNone {
+		l.rollBack(l.assessment.Bad)
 		return
 	}
 	switch l.stage.Phase {
 	case Waiting:
-		l.wait(elapsed, s)
+		l.waitForTargets(elapsed, s)
 	case Canary, Baking:
 		l.bake(elapsed, s)
 	case Moving:
-		l.move(now, elapsed, s)
+		l.advanceMove(now, elapsed, s)
 	case Moved:
 		l.finish(now, elapsed, s)
 	}
 }
 
-// part returns a part of the order's duration.
-func (l *Leader) part(x float64) time.Duration { return time.Duration(x * float64(l.order.Duration)) }
+// fraction returns a fraction of the order's duration.
+func (l *Leader) fraction(x float64) time.Duration {
+	return time.Duration(x * float64(l.order.Duration))
+}
 
 func (l *Leader) rollBack(reason Reason) {
 	l.verdict = RolledBack
-	l.stage.Phase, l.stage.Reason = Back, reason
-	l.stage.Keys, l.stage.Draw, l.stage.Targets = 0, 0, 0
+	l.stage.Phase, l.stage.Reason = Reverted, reason
+	l.stage.KeyShare, l.stage.RequestShare, l.stage.TargetShare = 0, 0, 0
 }
 
-// wait begins the canary once there are new targets.
-func (l *Leader) wait(elapsed time.Duration, s Situation) {
+// waitForTargets begins the canary once there are new targets.
+func (l *Leader) waitForTargets(elapsed time.Duration, s FleetState) {
 	switch {
 	case s.NewSlots > 0:
 		l.beginCanary(s)
-	case elapsed >= l.part(moveBy):
+	case elapsed >= l.fraction(moveStartDeadline):
 		l.rollBack(ReasonNoTargets)
 	}
 }
 
 // beginCanary chooses who sends what where at first.
-func (l *Leader) beginCanary(s Situation) {
-	reports := min(2*float64(s.Members), s.Rate)
-	l.stage.Senders = min(1, mostReports/max(reports, 1))
-	l.share = l.smallShare(s)
+func (l *Leader) beginCanary(s FleetState) {
+	reports := min(2*float64(s.Instances), s.Rate)
+	l.stage.InstanceShare = min(1, maxReportRate/max(reports, 1))
+	l.canaryShare = l.computeCanaryShare(s)
 	l.stage.Phase = Canary
-	l.stage.Keys = min(1, keysOverShare*l.share/l.stage.Senders)
-	l.stage.Draw = l.share / (l.stage.Senders * l.stage.Keys)
-	l.stage.Targets = l.stage.Keys
+	l.stage.KeyShare = min(1, canaryKeyFactor*l.canaryShare/l.stage.InstanceShare)
+	l.stage.RequestShare = l.canaryShare / (l.stage.InstanceShare * l.stage.KeyShare)
+	l.stage.TargetShare = l.stage.KeyShare
 }
 
-// smallShare is the part of the requests that new targets are to get before requests move: enough to
+// computeCanaryShare is the part of the requests that new targets are to get before requests move: enough to
 // judge the version by, and no more than leaves most of the bound for later.
-func (l *Leader) smallShare(s Situation) float64 {
-	rate := max(s.Rate, leastRate)
+func (l *Leader) computeCanaryShare(s FleetState) float64 {
+	rate := max(s.Rate, minRate)
 	baked := rate * bakeEnd * l.order.Duration.Seconds()
-	most := canaryPart/bakeEnd*l.bound.Share + canarySlackPart*l.bound.Slack/max(baked, 1)
-	return min(wantedRate/rate, most, mostShare*l.stage.Senders)
+	most := canaryShareFraction/bakeEnd*l.bound.Share + canarySlackFraction*l.bound.Slack/max(baked, 1)
+	return min(sampleRate/rate, most, maxCanaryShare*l.stage.InstanceShare)
 }
 
 // bake ends the stages of a few requests when it is time and enough was seen.
-func (l *Leader) bake(elapsed time.Duration, s Situation) {
-	late := elapsed >= l.part(moveBy)
-	idle := l.judge.Observed() == 0 && s.Rate*l.order.Duration.Seconds() > 1
-	ready := l.opinion.Good || late && !l.opinion.Suspect && !idle && max(l.opinion.Failing, l.opinion.Slow) <= suspectOdds
+func (l *Leader) bake(elapsed time.Duration, s FleetState) {
+	late := elapsed >= l.fraction(moveStartDeadline)
+	idle := l.analyzer.Observed() == 0 && s.Rate*l.order.Duration.Seconds() > 1
+	ready := l.assessment.Good || late && !l.assessment.Suspect && !idle && max(l.assessment.FailureLLR, l.assessment.SlowLLR) <= suspectLLR
 	switch {
-	case elapsed >= l.part(bakeEnd) && ready && l.hasRoom(movingSteps[0], s):
+	case elapsed >= l.fraction(bakeEnd) && ready && l.hasCapacity(movingShares[0], s):
 		l.stage.Phase, l.step = Moving, 0
-		l.stage.Keys, l.stage.Draw, l.stage.Targets = 1, movingSteps[0], 1
-	case elapsed >= l.part(endBy):
+		l.stage.KeyShare, l.stage.RequestShare, l.stage.TargetShare = 1, movingShares[0], 1
+	case elapsed >= l.fraction(verdictDeadline):
 		l.rollBack(ReasonNoTime)
-	case l.stage.Phase == Canary && elapsed >= l.part(canaryEnd) && !l.opinion.Suspect:
+	case l.stage.Phase == Canary && elapsed >= l.fraction(canaryEnd) && !l.assessment.Suspect:
 		l.stage.Phase = Baking
-		l.share = l.smallShare(s)
-		l.stage.Keys = l.share / l.stage.Senders
-		l.stage.Draw, l.stage.Targets = 1, l.share
+		l.canaryShare = l.computeCanaryShare(s)
+		l.stage.KeyShare = l.canaryShare / l.stage.InstanceShare
+		l.stage.RequestShare, l.stage.TargetShare = 1, l.canaryShare
 	default:
-		l.keepToBound()
+		l.enforceBound()
 	}
 }
 
-// keepToBound sends fewer requests if more than meant to have gone to new targets.
-func (l *Leader) keepToBound() {
+// enforceBound sends fewer requests if more than meant to have gone to new targets.
+func (l *Leader) enforceBound() {
 	sent, sentNew := l.Counts()
-	meant := l.share / l.stage.Senders
-	over := float64(sentNew) - 1.5*meant*float64(sent) - canarySlackPart*l.bound.Slack
-	full := min(1, meant/max(l.stage.Keys, meant))
+	meant := l.canaryShare / l.stage.InstanceShare
+	over := float64(sentNew) - 1.5*meant*float64(sent) - canarySlackFraction*l.bound.Slack
+	full := min(1, meant/max(l.stage.KeyShare, meant))
 	switch {
 	case over > 0:
-		l.stage.Draw = 0
-	case over < -1 && l.stage.Draw == 0:
-		l.stage.Draw = full
+		l.stage.RequestShare = 0
+	case over < -1 && l.stage.RequestShare == 0:
+		l.stage.RequestShare = full
 	}
 }
 
-// hasRoom tells whether the new targets can take a part of the requests.
-func (l *Leader) hasRoom(part float64, s Situation) bool {
-	needed := part * max(s.Usage, leastUsage) * s.OldSlots
-	return s.NewSlots > 0 && needed <= roomPart*s.NewSlots
+// hasCapacity tells whether the new targets can take a part of the requests.
+func (l *Leader) hasCapacity(part float64, s FleetState) bool {
+	needed := part * max(s.Utilization, minUtilization) * s.OldSlots
+	return s.NewSlots > 0 && needed <= maxFill*s.NewSlots
 }
 
-// move goes on to the next of the moving stages.
-func (l *Leader) move(now time.Time, elapsed time.Duration, s Situation) {
+// advanceMove goes on to the next of the moving stages.
+func (l *Leader) advanceMove(now time.Time, elapsed time.Duration, s FleetState) {
 	switch {
-	case elapsed >= l.part(endBy):
+	case elapsed >= l.fraction(verdictDeadline):
 		l.rollBack(ReasonNoTime)
-	case !l.stageShown(now, elapsed, s) || !l.hasRoom(movingSteps[l.step+1], s):
+	case !l.stagePassed(now, elapsed, s) || !l.hasCapacity(movingShares[l.step+1], s):
 	default:
 		l.step++
-		l.stage.Draw = movingSteps[l.step]
-		if l.stage.Draw >= 1 {
+		l.stage.RequestShare = movingShares[l.step]
+		if l.stage.RequestShare >= 1 {
 			l.stage.Phase = Moved
 		}
 	}
 }
 
-// stageShown tells whether a stage of moving requests has lasted for long enough and has shown that
+// stagePassed tells whether a stage of moving requests has lasted for long enough and has shown that
 // nothing speaks against the version, or may not last longer.
-func (l *Leader) stageShown(now time.Time, elapsed time.Duration, s Situation) bool {
-	lasted := now.Sub(l.stageAt)
-	if lasted < min(max(l.part(stepParts[l.step]), leastStep), mostStep) || l.opinion.Suspect {
+func (l *Leader) stagePassed(now time.Time, elapsed time.Duration, s FleetState) bool {
+	lasted := now.Sub(l.stageStart)
+	if lasted < min(max(l.fraction(movingStepFractions[l.step]), minStepTime), maxStepTime) || l.assessment.Suspect {
 		return false
 	}
-	if l.opinion.StageFailing <= -stageOdds && l.opinion.StageSlow <= 0 || elapsed >= l.part(movedBy) {
+	if l.assessment.StageFailureLLR <= -stageLLR && l.assessment.StageSlowLLR <= 0 || elapsed >= l.fraction(moveStepDeadline) {
 		return true
 	}
-	expected := l.stage.Draw * l.stage.Senders * s.Rate * lasted.Seconds()
-	return expected < fewSeen && l.judge.Observed()-l.seenBefore >= int(leastSeen*expected)
+	expected := l.stage.RequestShare * l.stage.InstanceShare * s.Rate * lasted.Seconds()
+	return expected < smallSample && l.analyzer.Observed()-l.observedBefore >= int(smallSampleFraction*expected)
 }
 
 // finish ends the rollout once no request is at an old target any more.
-func (l *Leader) finish(now time.Time, elapsed time.Duration, s Situation) {
+func (l *Leader) finish(now time.Time, elapsed time.Duration, s FleetState) {
 	moved := 0
-	for _, one := range l.senders {
-		if one.stage == l.stage.Number && one.atOld == 0 {
+	for _, one := range l.lastReports {
+		if one.stage == l.stage.Number && one.inFlightOld == 0 {
 			moved++
 		}
 	}
-	last := elapsed >= l.part(endBy)
+	last := elapsed >= l.fraction(verdictDeadline)
 	switch {
-	case l.opinion.Suspect:
-	case moved >= s.Members && (last || l.stageShown(now, elapsed, s)), last && 2*moved >= s.Members:
+	case l.assessment.Suspect:
+	case moved >= s.Instances && (last || l.stagePassed(now, elapsed, s)), last && 2*moved >= s.Instances:
 		l.verdict = Succeeded
 		return
 	}
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -14,9 +14,9 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-var drawn = flag.Int("drawn", 4, "number of rollouts of each kind that the model draws")
+var runs = flag.Int("drawn", 4, "number of rollouts of each kind that the model draws")
 
-var told = flag.Bool("told", false, "each rollout that did not go as it should is told")
+var logWrong = flag.Bool("told", false, "each rollout that did not go as it should is told")
 
 // fault is what is wrong with a version.
 type fault struct {
@@ -31,35 +31,35 @@
 	underLoad float64
 }
 
-// world is a fleet with one service in which a rollout goes on.
-type world struct {
-	rnd *rand.Rand
-	// sickness is whether a target of a version is sick.
-	sickness  map[[2]int]bool
-	instances int
-	rate      float64
-	keys      int
-	targets   int
-	duration  time.Duration
-	// newFrom is when the new targets are there.
-	newFrom time.Duration
-	fault   fault
-	// oldFailing is the part of the old version's answers that fail, and sick the part of the
+// simulation is a fleet with one service in which a rollout goes on.
+type simulation struct {
+	rng *rand.Rand
+	// faultyTargets is whether a target of a version is sick.
+	faultyTargets map[[2]int]bool
+	instances     int
+	rate          float64
+	keys          int
+	targets       int
+	duration      time.Duration
+	// newTargetsAt is when the new targets are there.
+	newTargetsAt time.Duration
+	fault        fault
+	// oldFailing is the part of the old version's answers that fail, and faultyShare the part of the
 	// targets of both versions at which 0.4 fail.
-	oldFailing, sick float64
+	oldFailing, faultyShare float64
 	// lead is killed at a time, if that is not 0, and lost are messages.
-	killLeader time.Duration
-	lost       float64
-
-	now       time.Time
-	start     time.Time
-	followers []*rollout.Follower
-	leader    *rollout.Leader
-	leaderAt  int
-	atOld     []int
-	events    events
-	known     map[[3]int]bool
-	loads     map[int][]time.Time
+	killLeader  time.Duration
+	messageLoss float64
+
+	now         time.Time
+	start       time.Time
+	followers   []*rollout.Follower
+	leader      *rollout.Leader
+	leaderAt    int
+	inFlightOld []int
+	events      events
+	warm        map[[3]int]bool
+	loads       map[int][]time.Time
 
 	sent, sentNew, bad int
 	badAt              time.Time
@@ -88,7 +88,7 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now.Add(d), do}) }
+func (w *simulation) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now.Add(d), do}) }
 
 const (
 	routes   = 3
@@ -97,27 +97,27 @@
 	linkTime = 40 * time.Millisecond
 )
 
-func (w *world) run() {
+func (w *simulation) run() {
 	w.now = time.Unix(1_000_000, 0)
 	w.start = w.now
-	order := rollout.Order{Service: "s", Version: "v2", Duration: w.duration, Made: int64(w.rnd.Int32())}
-	w.atOld = make([]int, w.instances)
-	w.known, w.loads = make(map[[3]int]bool), make(map[int][]time.Time)
+	order := rollout.Order{Service: "s", Version: "v2", Duration: w.duration, Generation: int64(w.rng.Int32())}
+	w.inFlightOld = make([]int, w.instances)
+	w.warm, w.loads = make(map[[3]int]bool), make(map[int][]time.Time)
 	for key := range w.keys {
 		for route := range routes {
-			w.known[[3]int{0, w.target(key*routes+route, w.targets), key*routes + route}] = true
+			w.warm[[3]int{0, w.target(key*routes+route, w.targets), key*routes + route}] = true
 		}
 	}
 	for i := range w.instances {
 		w.followers = append(w.followers, rollout.NewFollower(w.now, fmt.Sprint("n", i), order))
 	}
-	w.lead(0)
+	w.startLeader(0)
 	w.after(0, w.arrive)
 	w.after(0, w.tick)
 	if w.killLeader > 0 {
 		w.after(w.killLeader, func() {
 			w.leader = nil
-			w.after(2500*time.Millisecond, func() { w.lead(1) })
+			w.after(2500*time.Millisecond, func() { w.startLeader(1) })
 		})
 	}
 	end := w.start.Add(w.duration + 3*time.Second)
@@ -131,77 +131,77 @@
 	}
 }
 
-func (w *world) lead(at int) {
+func (w *simulation) startLeader(at int) {
 	w.leaderAt = at
-	w.leader = rollout.NewLeader(w.now, fmt.Sprint("leader", at), w.followers[at], rollout.DefaultBound)
+	w.leader = rollout.NewLeader(w.now, fmt.Sprint("leader", at), w.followers[at], rollout.DefaultExposureBound)
 }
 
 // tick has the leader decide and the instances report.
-func (w *world) tick() {
+func (w *simulation) tick() {
 	w.after(100*time.Millisecond, w.tick)
 	if w.leader != nil {
-		situation := rollout.Situation{Members: w.instances, Rate: w.rate, OldSlots: float64(w.targets), Usage: 0.4}
-		if w.now.Sub(w.start) >= w.newFrom {
+		situation := rollout.FleetState{Instances: w.instances, Rate: w.rate, OldSlots: float64(w.targets), Utilization: 0.4}
+		if w.now.Sub(w.start) >= w.newTargetsAt {
 			situation.NewSlots = float64(w.targets)
 		}
 		stage, tell := w.leader.Decide(w.now, situation)
 		if tell {
 			for _, f := range w.followers {
-				w.deliver(func() { f.Hear(w.now, stage) })
+				w.deliver(func() { f.HandleStage(w.now, stage) })
 			}
 		}
-		if verdict := w.leader.Verdict(); verdict.IsVerdict() && w.verdict == "" {
+		if verdict := w.leader.Verdict(); verdict.IsFinal() && w.verdict == "" {
 			w.verdict, w.verdictAt, w.reason = verdict, w.now.Sub(w.start), stage.Reason
 			for _, f := range w.followers {
-				w.deliver(func() { f.Learn(verdict) })
+				w.deliver(func() { f.SetState(verdict) })
 			}
 		}
 	}
 	for i, f := range w.followers {
-		report, _, ok := f.Report(w.now, w.atOld[i])
+		report, _, ok := f.Report(w.now, w.inFlightOld[i])
 		if ok {
 			w.deliver(func() {
 				if w.leader != nil {
-					w.leader.Hear(w.now, report)
+					w.leader.HandleReport(w.now, report)
 				}
 			})
 		}
 	}
 }
 
-func (w *world) deliver(do func()) {
-	if w.rnd.Float64() >= w.lost {
-		w.after(linkTime+time.Duration(w.rnd.Int64N(int64(200*time.Millisecond))), do)
+func (w *simulation) deliver(do func()) {
+	if w.rng.Float64() >= w.messageLoss {
+		w.after(linkTime+time.Duration(w.rng.Int64N(int64(200*time.Millisecond))), do)
 	}
 }
 
 // target returns the target of a key among so many.
-func (w *world) target(key, among int) int {
+func (w *simulation) target(key, among int) int {
 	return int((uint64(key)*0x9e3779b97f4a7c15 + 12345) >> 33 % uint64(among))
 }
 
 // arrive has one request come, and the next one after a drawn time.
-func (w *world) arrive() {
-	w.after(time.Duration(w.rnd.ExpFloat64()/w.rate*float64(time.Second)), w.arrive)
-	in := w.rnd.IntN(w.instances)
-	route := [10]int{0, 0, 0, 0, 0, 0, 0, 1, 1, 2}[w.rnd.IntN(10)]
+func (w *simulation) arrive() {
+	w.after(time.Duration(w.rng.ExpFloat64()/w.rate*float64(time.Second)), w.arrive)
+	in := w.rng.IntN(w.instances)
+	route := [10]int{0, 0, 0, 0, 0, 0, 0, 1, 1, 2}[w.rng.IntN(10)]
 	// Some keys are asked for more often than others.
-	key := int(float64(w.keys)*math.Pow(w.rnd.Float64(), 1.5))*routes + route
+	key := int(float64(w.keys)*math.Pow(w.rng.Float64(), 1.5))*routes + route
 	f := w.followers[in]
 	split, _ := f.Split(w.now)
 	point := float64(uint32(key*2654435761)) / (1 << 32)
-	toNew := split.ToNew(point, w.rnd.Float64()) && w.now.Sub(w.start) >= w.newFrom
+	toNew := split.ToNew(point, w.rng.Float64()) && w.now.Sub(w.start) >= w.newTargetsAt
 	w.sent++
-	f.Sent(toNew)
+	f.RecordSent(toNew)
 	if !toNew {
-		w.atOld[in]++
+		w.inFlightOld[in]++
 	}
 	version, among := 0, w.targets
 	if toNew {
-		version, among = 1, max(2, int(split.Targets*float64(w.targets)))
+		version, among = 1, max(2, int(split.TargetShare*float64(w.targets)))
 	}
 	target := w.target(key, among)
-	o, took := w.work(version, target, key, route)
+	o, took := w.serve(version, target, key, route)
 	if toNew {
 		w.sentNew++
 		if !w.badAt.IsZero() && w.now.Sub(w.badAt) > 5*time.Second {
@@ -210,32 +210,32 @@
 	}
 	w.after(took, func() {
 		if !toNew {
-			w.atOld[in]--
-			f.EndedOld(o)
+			w.inFlightOld[in]--
+			f.RecordOld(o)
 			return
 		}
-		f.EndedNew(o)
+		f.RecordNew(o)
 	})
 }
 
-// work returns what becomes of a request.
-func (w *world) work(version, target, key, route int) (rollout.Observation, time.Duration) {
+// serve returns what becomes of a request.
+func (w *simulation) serve(version, target, key, route int) (rollout.Observation, time.Duration) {
 	at := [3]int{version, target, key}
 	took := warmTime
-	if !w.known[at] {
+	if !w.warm[at] {
 		took = coldTime
-		w.known[at] = true
+		w.warm[at] = true
 	}
-	took = time.Duration(float64(took) * (0.7 + 0.6*w.rnd.Float64()))
+	took = time.Duration(float64(took) * (0.7 + 0.6*w.rng.Float64()))
 	failing, isBad := w.oldFailing, false
-	if w.isSick(version, target) {
+	if w.isFaultyTarget(version, target) {
 		failing = 0.4
 	}
-	if version == 1 && w.isFaulty(target, route) {
-		if w.rnd.Float64() < w.fault.slow {
+	if version == 1 && w.versionFaulty(target, route) {
+		if w.rng.Float64() < w.fault.slow {
 			took, isBad = time.Duration(float64(took)*w.fault.times), true
 		}
-		if w.rnd.Float64() < w.fault.failing {
+		if w.rng.Float64() < w.fault.failing {
 			failing, isBad = 1, true
 		}
 	}
@@ -243,10 +243,10 @@
 	switch {
 	case took > 2*time.Second:
 		took, o.Outcome = 2*time.Second, rollout.Unanswered
-	case w.rnd.Float64() < failing:
+	case w.rng.Float64() < failing:
 		o.Outcome = rollout.Failed
 	}
-	o.Took = rollout.TimeOf(took)
+	o.Latency = rollout.BucketOf(took)
 	if isBad {
 		w.bad++
 		if w.bad == 50 {
@@ -256,18 +256,18 @@
 	return o, took
 }
 
-func (w *world) isSick(version, target int) bool {
+func (w *simulation) isFaultyTarget(version, target int) bool {
 	at := [2]int{version, target}
-	sick, drawn := w.sickness[at]
+	sick, drawn := w.faultyTargets[at]
 	if !drawn {
-		sick = w.rnd.Float64() < w.sick
-		w.sickness[at] = sick
+		sick = w.rng.Float64() < w.faultyShare
+		w.faultyTargets[at] = sick
 	}
 	return sick
 }
 
-// isFaulty tells whether the new version's fault shows on a route at a target now.
-func (w *world) isFaulty(target, route int) bool {
+// versionFaulty tells whether the new version's fault shows on a route at a target now.
+func (w *simulation) versionFaulty(target, route int) bool {
 	recent := w.loads[target][:0]
 	for _, at := range w.loads[target] {
 		if w.now.Sub(at) < time.Second {
@@ -281,26 +281,26 @@
 }
 
 // exceeds tells whether more requests have gone to a bad version than are allowed.
-func (w *world) exceeds() bool { return float64(w.sentNew) > 0.1*float64(w.sent)+50 }
+func (w *simulation) exceeds() bool { return float64(w.sentNew) > 0.1*float64(w.sent)+50 }
 
-func (w *world) String() string {
+func (w *simulation) String() string {
 	return fmt.Sprintf("%s at %v (%s); %d of %d to the new version, %d bad, %d late; fault %+v", w.verdict, w.verdictAt.Round(100*time.Millisecond), w.reason, w.sentNew, w.sent, w.bad, w.lateNew, w.fault)
 }
 
-// newWorld draws a fleet of some size.
-func newWorld(seed uint64, instances int, rate float64) *world {
+// newSimulation draws a fleet of some size.
+func newSimulation(seed uint64, instances int, rate float64) *simulation {
 	rnd := rand.New(rand.NewPCG(seed, 77))
-	return &world{
-		rnd:        rnd,
-		sickness:   make(map[[2]int]bool),
-		instances:  instances,
-		rate:       rate,
-		keys:       40 + rnd.IntN(200),
-		targets:    max(6, int(rate/5)),
-		duration:   time.Duration(10+rnd.IntN(10)) * time.Second,
-		newFrom:    time.Duration(rnd.Int64N(int64(2 * time.Second))),
-		fault:      fault{route: -1},
-		oldFailing: 0.004,
+	return &simulation{
+		rng:           rnd,
+		faultyTargets: make(map[[2]int]bool),
+		instances:     instances,
+		rate:          rate,
+		keys:          40 + rnd.IntN(200),
+		targets:       max(6, int(rate/5)),
+		duration:      time.Duration(10+rnd.IntN(10)) * time.Second,
+		newTargetsAt:  time.Duration(rnd.Int64N(int64(2 * time.Second))),
+		fault:         fault{route: -1},
+		oldFailing:    0.004,
 	}
 }
 
@@ -314,11 +314,11 @@
 // these rollouts only the exposure is promised.
 const smallRate = 100
 
-// mostWrong is the number of so many rollouts of which one may go wrong, and mostWrongBeside that beside troubles
+// runsPerError is the number of so many rollouts of which one may go wrong, and runsPerErrorWithTrouble that beside troubles
 // that look like a bad version, or take the time to judge it.
 const (
-	mostWrong       = 50
-	mostWrongBeside = 5
+	runsPerError            = 50
+	runsPerErrorWithTrouble = 5
 )
 
 // TestGoodVersions draws rollouts of good versions beside other troubles, and counts those that are
@@ -327,32 +327,32 @@
 	for _, size := range sizes {
 		for _, c := range []struct {
 			name    string
-			trouble func(w *world)
+			trouble func(w *simulation)
 			most    int
 		}{
-			{"none", func(*world) {}, *drawn / mostWrong},
-			{"messages lost", func(w *world) { w.lost = 0.1 }, *drawn / mostWrong},
-			{"old one fails", func(w *world) { w.oldFailing = 0.1 + 0.2*w.rnd.Float64() }, *drawn / mostWrong},
-			{"sick targets", func(w *world) { w.sick = 0.15 }, 1 + *drawn/mostWrongBeside},
-			{"leader is lost", func(w *world) { w.killLeader = time.Duration(w.rnd.Int64N(int64(w.duration / 2))) }, 1 + *drawn/mostWrongBeside},
+			{"none", func(*simulation) {}, *runs / runsPerError},
+			{"messages lost", func(w *simulation) { w.messageLoss = 0.1 }, *runs / runsPerError},
+			{"old one fails", func(w *simulation) { w.oldFailing = 0.1 + 0.2*w.rng.Float64() }, *runs / runsPerError},
+			{"sick targets", func(w *simulation) { w.faultyShare = 0.15 }, 1 + *runs/runsPerErrorWithTrouble},
+			{"leader is lost", func(w *simulation) { w.killLeader = time.Duration(w.rng.Int64N(int64(w.duration / 2))) }, 1 + *runs/runsPerErrorWithTrouble},
 		} {
 			t.Run(fmt.Sprintf("instances=%d,rate=%g,%s", size.instances, size.rate, c.name), func(t *testing.T) {
 				outcomes := make(map[string]int)
 				succeeded := 0
-				for seed := range uint64(*drawn) {
-					w := newWorld(seed, size.instances, size.rate)
+				for seed := range uint64(*runs) {
+					w := newSimulation(seed, size.instances, size.rate)
 					c.trouble(w)
 					w.run()
 					outcomes[string(w.verdict)+" "+string(w.reason)]++
 					if w.verdict == rollout.Succeeded {
 						succeeded++
-					} else if *told {
+					} else if *logWrong {
 						t.Logf("seed %d: %v", seed, w)
 					}
 				}
 				t.Log(t.Name(), outcomes)
 				if size.rate >= smallRate {
-					require.LessOrEqual(t, *drawn-succeeded, c.most)
+					require.LessOrEqual(t, *runs-succeeded, c.most)
 				}
 			})
 		}
@@ -362,28 +362,28 @@
 // TestBadVersions draws rollouts of bad versions, and counts those that are let through and those
 // that get more requests than is promised.
 func TestBadVersions(t *testing.T) {
-	failing := func(w *world) { w.fault.failing = 0.2 + 0.5*w.rnd.Float64() }
-	slow := func(w *world) { w.fault.slow, w.fault.times = 0.3+0.7*w.rnd.Float64(), 3+5*w.rnd.Float64() }
-	later := func(w *world) { w.fault.from = 0.5 * w.rnd.Float64() }
-	underLoad := func(w *world) { w.fault.underLoad = 0.2 + 0.6*w.rnd.Float64() }
-	onARoute := func(w *world) { w.fault.route = w.rnd.IntN(routes) }
+	failing := func(w *simulation) { w.fault.failing = 0.2 + 0.5*w.rng.Float64() }
+	slow := func(w *simulation) { w.fault.slow, w.fault.times = 0.3+0.7*w.rng.Float64(), 3+5*w.rng.Float64() }
+	later := func(w *simulation) { w.fault.from = 0.5 * w.rng.Float64() }
+	underLoad := func(w *simulation) { w.fault.underLoad = 0.2 + 0.6*w.rng.Float64() }
+	onARoute := func(w *simulation) { w.fault.route = w.rng.IntN(routes) }
 	for _, size := range sizes {
 		for _, c := range []struct {
 			name   string
-			faults []func(w *world)
+			faults []func(w *simulation)
 		}{
-			{"fails", []func(w *world){failing}},
-			{"slow", []func(w *world){slow}},
-			{"fails later", []func(w *world){failing, later}},
-			{"slow later", []func(w *world){slow, later}},
-			{"fails on a route", []func(w *world){failing, onARoute}},
-			{"fails under load", []func(w *world){failing, underLoad}},
-			{"slow under load", []func(w *world){slow, underLoad}},
+			{"fails", []func(w *simulation){failing}},
+			{"slow", []func(w *simulation){slow}},
+			{"fails later", []func(w *simulation){failing, later}},
+			{"slow later", []func(w *simulation){slow, later}},
+			{"fails on a route", []func(w *simulation){failing, onARoute}},
+			{"fails under load", []func(w *simulation){failing, underLoad}},
+			{"slow under load", []func(w *simulation){slow, underLoad}},
 		} {
 			t.Run(fmt.Sprintf("instances=%d,rate=%g,%s", size.instances, size.rate, c.name), func(t *testing.T) {
 				through, exceeded, late := 0, 0, 0
-				for seed := range uint64(*drawn) {
-					w := newWorld(seed, size.instances, size.rate)
+				for seed := range uint64(*runs) {
+					w := newSimulation(seed, size.instances, size.rate)
 					for _, fault := range c.faults {
 						fault(w)
 					}
@@ -391,15 +391,15 @@
 					count(&through, w.verdict != rollout.RolledBack)
 					count(&exceeded, w.exceeds())
 					count(&late, w.lateNew > 0 && w.verdict == rollout.RolledBack)
-					if *told && (w.verdict != rollout.RolledBack || w.exceeds() || w.lateNew > 0) {
+					if *logWrong && (w.verdict != rollout.RolledBack || w.exceeds() || w.lateNew > 0) {
 						t.Logf("seed %d: %v", seed, w)
 					}
 				}
 				t.Logf("%s: let through %d, exceeded %d, late %d", t.Name(), through, exceeded, late)
-				require.LessOrEqual(t, exceeded, *drawn/mostWrong)
+				require.LessOrEqual(t, exceeded, *runs/runsPerError)
 				require.Zero(t, late)
 				if size.rate >= smallRate {
-					require.LessOrEqual(t, through, *drawn/mostWrong)
+					require.LessOrEqual(t, through, *runs/runsPerError)
 				}
 			})
 		}
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -14,9 +14,9 @@
 	Version string `json:"version"`
 	// Duration is the time from the order within which the requests are to be moved.
 	Duration time.Duration `json:"duration"`
-	// Made tells orders apart that are given one after the other for a service: the later one has
+	// Generation tells orders apart that are given one after the other for a service: the later one has
 	// the higher number.
-	Made int64 `json:"made"`
+	Generation int64 `json:"made"`
 }
 
 // ID stands for an order in messages.
@@ -24,12 +24,12 @@
 
 // ID returns what stands for the order in messages.
 func (o Order) ID() ID {
-	return ID(mix.Hash(o.Service, o.Version, strconv.FormatInt(o.Made, 10), o.Duration.String()))
+	return ID(mix.Hash(o.Service, o.Version, strconv.FormatInt(o.Generation, 10), o.Duration.String()))
 }
 
-// IsSame tells whether an order asks for the same as another one, whenever they were given.
-func (o Order) IsSame(other Order) bool {
-	o.Made = other.Made
+// Equivalent tells whether an order asks for the same as another one, whenever they were given.
+func (o Order) Equivalent(other Order) bool {
+	o.Generation = other.Generation
 	return o == other
 }
 
@@ -43,8 +43,8 @@
 	RolledBack State = "rolled-back"
 )
 
-// IsVerdict tells whether a state ends the rollout.
-func (s State) IsVerdict() bool { return s == Succeeded || s == RolledBack }
+// IsFinal tells whether a state ends the rollout.
+func (s State) IsFinal() bool { return s == Succeeded || s == RolledBack }
 
 // Record is an order as the store holds it.
 type Record struct {
--- a/rollout/rate.go
+++ b/rollout/rate.go
@@ -5,21 +5,21 @@
 const (
 	// rateSamples and rateTime are the number of counts that a rate is taken from and the time
 	// between two of them, and leastSamples the number below which there is none.
-	rateSamples  = 6
-	rateTime     = 500 * time.Millisecond
-	leastSamples = 3
+	rateSamples    = 6
+	rateInterval   = 500 * time.Millisecond
+	minRateSamples = 3
 )
 
-// rate is how fast a count has risen of late.
-type rate struct {
+// rateEstimator is how fast a count has risen of late.
+type rateEstimator struct {
 	at     [rateSamples]time.Time
 	counts [rateSamples]int
 	n      int
 }
 
-// note takes in a count, if it is time for one.
-func (r *rate) note(now time.Time, count int) {
-	if r.n > 0 && now.Sub(r.at[r.n-1]) < rateTime {
+// add takes in a count, if it is time for one.
+func (r *rateEstimator) add(now time.Time, count int) {
+	if r.n > 0 && now.Sub(r.at[r.n-1]) < rateInterval {
 		return
 	}
 	if r.n == rateSamples {
@@ -32,8 +32,8 @@
 }
 
 // perSecond returns the rate, false if too little is known.
-func (r *rate) perSecond() (float64, bool) {
-	if r.n < leastSamples || r.counts[r.n-1] == 0 {
+func (r *rateEstimator) perSecond() (float64, bool) {
+	if r.n < minRateSamples || r.counts[r.n-1] == 0 {
 		return 0, false
 	}
 	elapsed := r.at[r.n-1].Sub(r.at[0])
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -26,60 +26,60 @@
 // Observation is a request that was sent to a new target, once it has ended.
 type Observation struct {
 	// Route, Key and Target are hashes of what they name.
-	Route  uint16
-	Key    uint32
-	Target uint32
-	Took   Time
+	Route   uint16
+	Key     uint32
+	Target  uint32
+	Latency LatencyBucket
 	// Outcome is what became of it. Cold says that the target had just started.
 	Outcome Outcome
 	Cold    bool
 }
 
-// Time is the time of an answer, by the logarithm: four steps double it.
-type Time uint8
+// LatencyBucket is the time of an answer, by the logarithm: four steps double it.
+type LatencyBucket uint8
 
-// timeSteps is the number of steps in which a Time doubles, and maxTime the longest.
+// bucketsPerDoubling is the number of steps in which a Time doubles, and maxBucket the longest.
 const (
-	timeSteps = 4
-	maxTime   = 79
+	bucketsPerDoubling = 4
+	maxBucket          = 79
 )
 
-// TimeOf returns the step of a time.
-func TimeOf(took time.Duration) Time {
+// BucketOf returns the step of a time.
+func BucketOf(took time.Duration) LatencyBucket {
 	ms := max(1, float64(took)/float64(time.Millisecond))
-	return Time(min(maxTime, timeSteps*math.Log2(ms)))
+	return LatencyBucket(min(maxBucket, bucketsPerDoubling*math.Log2(ms)))
 }
 
 // Duration returns the time in the middle of the step.
-func (t Time) Duration() time.Duration {
-	return time.Duration(math.Exp2((float64(t)+0.5)/timeSteps) * float64(time.Millisecond))
+func (t LatencyBucket) Duration() time.Duration {
+	return time.Duration(math.Exp2((float64(t)+0.5)/bucketsPerDoubling) * float64(time.Millisecond))
 }
 
-// times returns the step of the time that is so many times as long.
-func (t Time) times(x float64) Time {
-	return Time(min(maxTime, float64(t)+timeSteps*math.Log2(x)))
+// scale returns the step of the time that is so many scale as long.
+func (t LatencyBucket) scale(x float64) LatencyBucket {
+	return LatencyBucket(min(maxBucket, float64(t)+bucketsPerDoubling*math.Log2(x)))
 }
 
-// Times counts answers by the step of their times.
-type Times map[Time]uint32
+// LatencyHistogram counts answers by the step of their times.
+type LatencyHistogram map[LatencyBucket]uint32
 
 // Tally counts the requests of a route that were sent to old targets and have ended.
 type Tally struct {
 	Route            uint16
 	Answered, Failed uint32
-	// Times are those of the ones answered.
-	Times Times
+	// Latencies are those of the ones answered.
+	Latencies LatencyHistogram
 }
 
 // add adds the requests of another tally.
 func (t *Tally) add(other Tally) {
 	t.Answered += other.Answered
 	t.Failed += other.Failed
-	if t.Times == nil {
-		t.Times = make(Times, len(other.Times))
+	if t.Latencies == nil {
+		t.Latencies = make(LatencyHistogram, len(other.Latencies))
 	}
-	for step, n := range other.Times {
-		t.Times[step] += n
+	for step, n := range other.Latencies {
+		t.Latencies[step] += n
 	}
 }
 
@@ -96,8 +96,8 @@
 	SentNew uint32       `msgpack:"w"`
 	Old     Tallies      `msgpack:"t,omitempty"`
 	New     Observations `msgpack:"b,omitempty"`
-	// AtOld is the number of the instance's requests that are at old targets.
-	AtOld int `msgpack:"a,omitempty"`
+	// InFlightOld is the number of the instance's requests that are at old targets.
+	InFlightOld int `msgpack:"a,omitempty"`
 }
 
 // Observations are observations as a message carries them.
@@ -106,8 +106,8 @@
 // Tallies are tallies as a message carries them.
 type Tallies []Tally
 
-// errReport is returned for reports that are cut short.
-var errReport = errors.New("rollout: report cut short")
+// errTruncated is returned for reports that are cut short.
+var errTruncated = errors.New("rollout: report cut short")
 
 // observationBytes is the length of an observation in a message.
 const observationBytes = 12
@@ -128,7 +128,7 @@
 		if one.Cold {
 			flags |= coldBit
 		}
-		raw = append(raw, byte(one.Took), flags)
+		raw = append(raw, byte(one.Latency), flags)
 	}
 	return enc.EncodeBytes(raw)
 }
@@ -140,7 +140,7 @@
 		return err
 	}
 	if len(raw)%observationBytes != 0 {
-		return errReport
+		return errTruncated
 	}
 	*o = make(Observations, 0, len(raw)/observationBytes)
 	for ; len(raw) > 0; raw = raw[observationBytes:] {
@@ -148,7 +148,7 @@
 			Route:   binary.BigEndian.Uint16(raw),
 			Key:     binary.BigEndian.Uint32(raw[2:]),
 			Target:  binary.BigEndian.Uint32(raw[6:]),
-			Took:    min(Time(raw[10]), maxTime),
+			Latency: min(LatencyBucket(raw[10]), maxBucket),
 			Outcome: Outcome(raw[11] & outcomeMask),
 			Cold:    raw[11]&coldBit != 0,
 		})
@@ -163,8 +163,8 @@
 		raw = binary.BigEndian.AppendUint16(raw, one.Route)
 		raw = binary.AppendUvarint(raw, uint64(one.Answered))
 		raw = binary.AppendUvarint(raw, uint64(one.Failed))
-		raw = binary.AppendUvarint(raw, uint64(len(one.Times)))
-		for step, n := range one.Times {
+		raw = binary.AppendUvarint(raw, uint64(len(one.Latencies)))
+		for step, n := range one.Latencies {
 			raw = append(raw, byte(step))
 			raw = binary.AppendUvarint(raw, uint64(n))
 		}
@@ -179,33 +179,33 @@
 		return err
 	}
 	r := reader{raw: raw}
-	for len(r.raw) > 0 && !r.short {
-		one := Tally{Route: r.uint16(), Answered: r.number(), Failed: r.number()}
-		steps := r.number()
-		for range min(steps, maxTime+1) {
-			if one.Times == nil {
-				one.Times = make(Times)
+	for len(r.raw) > 0 && !r.truncated {
+		one := Tally{Route: r.uint16(), Answered: r.uvarint(), Failed: r.uvarint()}
+		steps := r.uvarint()
+		for range min(steps, maxBucket+1) {
+			if one.Latencies == nil {
+				one.Latencies = make(LatencyHistogram)
 			}
-			step := min(Time(r.byte()), maxTime)
-			one.Times[step] += r.number()
+			step := min(LatencyBucket(r.byte()), maxBucket)
+			one.Latencies[step] += r.uvarint()
 		}
 		*t = append(*t, one)
 	}
-	if r.short {
-		return errReport
+	if r.truncated {
+		return errTruncated
 	}
 	return nil
 }
 
 // reader reads numbers from bytes, and notes if there are too few.
 type reader struct {
-	raw   []byte
-	short bool
+	raw       []byte
+	truncated bool
 }
 
 func (r *reader) byte() byte {
 	if len(r.raw) == 0 {
-		r.short = true
+		r.truncated = true
 		return 0
 	}
 	b := r.raw[0]
@@ -215,10 +215,10 @@
 
 func (r *reader) uint16() uint16 { return uint16(r.byte())<<8 | uint16(r.byte()) }
 
-func (r *reader) number() uint32 {
+func (r *reader) uvarint() uint32 {
 	n, length := binary.Uvarint(r.raw)
 	if length <= 0 || n > math.MaxUint32 {
-		r.short, r.raw = true, nil
+		r.truncated, r.raw = true, nil
 		return 0
 	}
 	r.raw = r.raw[length:]
--- a/rollout/report_test.go
+++ b/rollout/report_test.go
@@ -17,7 +17,7 @@
 		Route:   rapid.Uint16().Draw(t, "route"),
 		Key:     rapid.Uint32().Draw(t, "key"),
 		Target:  rapid.Uint32().Draw(t, "target"),
-		Took:    rollout.TimeOf(time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "took"))),
+		Latency: rollout.BucketOf(time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "took"))),
 		Outcome: rollout.Outcome(rapid.IntRange(0, 2).Draw(t, "outcome")),
 		Cold:    rapid.Bool().Draw(t, "cold"),
 	}
@@ -29,13 +29,13 @@
 		Answered: rapid.Uint32().Draw(t, "answered"),
 		Failed:   rapid.Uint32().Draw(t, "failed"),
 	}
-	for _, ms := range rapid.SliceOfNDistinct(rapid.IntRange(1, 100_000), 0, 9, func(ms int) rollout.Time {
-		return rollout.TimeOf(time.Duration(ms) * time.Millisecond)
+	for _, ms := range rapid.SliceOfNDistinct(rapid.IntRange(1, 100_000), 0, 9, func(ms int) rollout.LatencyBucket {
+		return rollout.BucketOf(time.Duration(ms) * time.Millisecond)
 	}).Draw(t, "times") {
-		if tally.Times == nil {
-			tally.Times = make(rollout.Times)
+		if tally.Latencies == nil {
+			tally.Latencies = make(rollout.LatencyHistogram)
 		}
-		tally.Times[rollout.TimeOf(time.Duration(ms)*time.Millisecond)] = rapid.Uint32().Draw(t, "n")
+		tally.Latencies[rollout.BucketOf(time.Duration(ms)*time.Millisecond)] = rapid.Uint32().Draw(t, "n")
 	}
 	return tally
 }
@@ -43,7 +43,7 @@
 // TestReportRoundTrip checks that what a report carries arrives as it was.
 func TestReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := rollout.Report{Order: 7, From: "n1", Stage: 3, Sent: 1000, SentNew: 17, AtOld: 4}
+		r := rollout.Report{Order: 7, From: "n1", Stage: 3, Sent: 1000, SentNew: 17, InFlightOld: 4}
 		r.New = rapid.SliceOfN(rapid.Custom(drawObservation), 1, 70).Draw(t, "new")
 		r.Old = rapid.SliceOfN(rapid.Custom(drawTally), 1, 5).Draw(t, "old")
 		raw, err := msgpack.Marshal(&r)
@@ -58,8 +58,8 @@
 func FuzzReport(f *testing.F) {
 	for _, r := range []rollout.Report{
 		{},
-		{From: "n1", New: rollout.Observations{{Route: 1, Key: 2, Target: 3, Took: 30, Outcome: rollout.Failed, Cold: true}}},
-		{Old: rollout.Tallies{{Route: 1, Answered: 3, Times: rollout.Times{30: 2, 31: 1}}}},
+		{From: "n1", New: rollout.Observations{{Route: 1, Key: 2, Target: 3, Latency: 30, Outcome: rollout.Failed, Cold: true}}},
+		{Old: rollout.Tallies{{Route: 1, Answered: 3, Latencies: rollout.LatencyHistogram{30: 2, 31: 1}}}},
 	} {
 		raw, err := msgpack.Marshal(&r)
 		if err != nil {
@@ -72,20 +72,20 @@
 		if msgpack.Unmarshal(raw, &r) != nil {
 			return
 		}
-		judge := rollout.NewJudge()
+		judge := rollout.NewAnalyzer()
 		now := time.Unix(1_000_000, 0)
-		judge.Hear(now, r)
-		judge.Opinion(now)
+		judge.AddReport(now, r)
+		judge.Assess(now)
 	})
 }
 
-// TestTimes checks the steps of times against the times themselves.
-func TestTimes(t *testing.T) {
+// TestLatencyBuckets checks the steps of times against the times themselves.
+func TestLatencyBuckets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		took := time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(10*time.Minute)).Draw(t, "took"))
-		step := rollout.TimeOf(took)
+		step := rollout.BucketOf(took)
 		require.InDelta(t, 1, float64(step.Duration())/float64(took), 0.2, "%v as %v", took, step.Duration())
 	})
-	require.Equal(t, rollout.TimeOf(0), rollout.TimeOf(time.Microsecond))
-	require.Equal(t, rollout.TimeOf(time.Hour), rollout.TimeOf(2*time.Hour))
+	require.Equal(t, rollout.BucketOf(0), rollout.BucketOf(time.Microsecond))
+	require.Equal(t, rollout.BucketOf(time.Hour), rollout.BucketOf(2*time.Hour))
 }
--- a/rollout/stage.go
+++ b/rollout/stage.go
@@ -17,8 +17,8 @@
 	Moving
 	// Moved rollouts have all requests at the new targets, while those at the old ones end.
 	Moved
-	// Back rollouts have no requests at the new targets any more.
-	Back
+	// Reverted rollouts have no requests at the new targets any more.
+	Reverted
 )
 
 var phaseNames = [...]string{"waiting", "canary", "baking", "moving", "moved", "rolled-back"}
@@ -35,16 +35,16 @@
 type Stage struct {
 	Order ID `msgpack:"o"`
 	// Number rises with each change of the stage, and Beat each time that the leader tells it.
-	Number uint32 `msgpack:"n"`
-	Beat   uint32 `msgpack:"b"`
-	Phase  Phase  `msgpack:"p"`
-	// Senders is the part of the instances that take part before the requests move, Keys that of the keys
+	Number    uint32 `msgpack:"n"`
+	Heartbeat uint32 `msgpack:"b"`
+	Phase     Phase  `msgpack:"p"`
+	// InstanceShare is the part of the instances that take part before the requests move, Keys that of the keys
 	// whose requests may go to new targets, Draw that of these requests that do, and Targets that
 	// of the new targets that get any.
-	Senders float64 `msgpack:"s"`
-	Keys    float64 `msgpack:"k"`
-	Draw    float64 `msgpack:"d"`
-	Targets float64 `msgpack:"t"`
+	InstanceShare float64 `msgpack:"s"`
+	KeyShare      float64 `msgpack:"k"`
+	RequestShare  float64 `msgpack:"d"`
+	TargetShare   float64 `msgpack:"t"`
 	// Age is the time since the order was first known.
 	Age time.Duration `msgpack:"a"`
 	// Leader is the peer address of the instance that decides, and Term rises each time that an
@@ -55,23 +55,23 @@
 	Reason Reason `msgpack:"r,omitempty"`
 }
 
-// share is the part of all requests that the stage sends to new targets, if keys are alike.
-func (s Stage) share() float64 { return s.Senders * s.Keys * s.Draw }
+// totalShare is the part of all requests that the stage sends to new targets, if keys are alike.
+func (s Stage) totalShare() float64 { return s.InstanceShare * s.KeyShare * s.RequestShare }
 
-// overrides tells whether a stage takes the place of another one of the same order. A rollback
+// supersedes tells whether a stage takes the place of another one of the same order. A rollback
 // takes that of all others.
-func (s Stage) overrides(held Stage) bool {
-	if held.Phase == Back {
+func (s Stage) supersedes(held Stage) bool {
+	if held.Phase == Reverted {
 		return false
 	}
-	if s.Phase == Back || s.Number != held.Number {
-		return s.Phase == Back || s.Number > held.Number
+	if s.Phase == Reverted || s.Number != held.Number {
+		return s.Phase == Reverted || s.Number > held.Number
 	}
 	if s.Leader != held.Leader {
 		// Of two that lead at once all follow the same one.
 		return s.Leader < held.Leader
 	}
-	return s.Beat > held.Beat
+	return s.Heartbeat > held.Heartbeat
 }
 
 // Split is the part of a service's requests that an instance sends to new targets. The zero value
@@ -79,19 +79,19 @@
 type Split struct {
 	// Version is that of the new targets.
 	Version string
-	// Keys, Draw and Targets are as in a Stage.
-	Keys, Draw, Targets float64
-	// Over says that the rollout has ended: the targets of the other version are not used any
+	// KeyShare, RequestShare and TargetShare are as in a Stage.
+	KeyShare, RequestShare, TargetShare float64
+	// Ended says that the rollout has ended: the targets of the other version are not used any
 	// more, as long as any other is there.
-	Over bool
+	Ended bool
 }
 
-// All tells whether all requests go to new targets.
-func (s Split) All() bool { return s.Keys >= 1 && s.Draw >= 1 }
+// AllNew tells whether all requests go to new targets.
+func (s Split) AllNew() bool { return s.KeyShare >= 1 && s.RequestShare >= 1 }
 
 // ToNew tells whether a request goes to a new target. Key and draw lie in [0, 1): key is the same
 // for all requests of a key, draw differs from request to request.
-func (s Split) ToNew(key, draw float64) bool { return key < s.Keys && draw < s.Draw }
+func (s Split) ToNew(key, draw float64) bool { return key < s.KeyShare && draw < s.RequestShare }
 
-// Opens tells whether a new target gets requests. Point is the same at all instances, in [0, 1).
-func (s Split) Opens(point float64) bool { return point < s.Targets }
+// UsesTarget tells whether a new target gets requests. Point is the same at all instances, in [0, 1).
+func (s Split) UsesTarget(point float64) bool { return point < s.TargetShare }
--- a/rollout/stats.go
+++ b/rollout/stats.go
@@ -5,8 +5,8 @@
 	"sort"
 )
 
-// targetCount counts the observations of one new target on one route.
-type targetCount struct {
+// targetStats counts the observations of one new target on one route.
+type targetStats struct {
 	answered, failed int
 	// fast and slow are those of requests for objects that the target has.
 	fast, slow int
@@ -15,16 +15,16 @@
 // routeStats are the observations on one route.
 type routeStats struct {
 	old     Tally
-	targets map[uint32]*targetCount
+	targets map[uint32]*targetStats
 	// keys are those that new targets were asked for, failedKeys and slowKeys those whose
 	// requests failed and were slow there.
 	keys, failedKeys, slowKeys keySet
 }
 
-// stats are observations by route.
-type stats map[uint16]*routeStats
+// statsByRoute are observations by route.
+type statsByRoute map[uint16]*routeStats
 
-func (s stats) route(hash uint16) *routeStats {
+func (s statsByRoute) route(hash uint16) *routeStats {
 	r := s[hash]
 	if r == nil {
 		r = &routeStats{}
@@ -38,7 +38,7 @@
 
 // addNew counts a request at a new target. Answers that take the time limit and more are slow, if
 // that is known.
-func (r *routeStats) addNew(o Observation, limit Time, known bool) {
+func (r *routeStats) addNew(o Observation, limit LatencyBucket, known bool) {
 	t := r.target(o.Target)
 	r.keys.add(o.Key)
 	if o.Outcome == Answered {
@@ -49,7 +49,7 @@
 	}
 	switch {
 	case !known || o.Outcome == Failed:
-	case o.Outcome == Unanswered || !o.Cold && o.Took >= limit:
+	case o.Outcome == Unanswered || !o.Cold && o.Latency >= limit:
 		t.slow++
 		r.slowKeys.add(o.Key)
 	case !o.Cold:
@@ -57,20 +57,20 @@
 	}
 }
 
-func (r *routeStats) target(id uint32) *targetCount {
+func (r *routeStats) target(id uint32) *targetStats {
 	if r.targets == nil {
-		r.targets = make(map[uint32]*targetCount)
+		r.targets = make(map[uint32]*targetStats)
 	}
 	t := r.targets[id]
 	if t == nil {
-		t = &targetCount{}
+		t = &targetStats{}
 		r.targets[id] = t
 	}
 	return t
 }
 
-// join adds the observations of another.
-func (r *routeStats) join(other *routeStats) {
+// merge adds the observations of another.
+func (r *routeStats) merge(other *routeStats) {
 	r.addOld(other.old)
 	for id, n := range other.targets {
 		t := r.target(id)
@@ -79,45 +79,45 @@
 		t.fast += n.fast
 		t.slow += n.slow
 	}
-	r.keys.join(other.keys)
-	r.failedKeys.join(other.failedKeys)
-	r.slowKeys.join(other.slowKeys)
+	r.keys.merge(other.keys)
+	r.failedKeys.merge(other.failedKeys)
+	r.slowKeys.merge(other.slowKeys)
 }
 
 // failures returns the numbers of answers and failures of new targets that count.
 func (r *routeStats) failures() counts {
-	return r.counted(r.failedKeys, func(t *targetCount) (int, int) { return t.answered, t.failed })
+	return r.aggregate(r.failedKeys, func(t *targetStats) (int, int) { return t.answered, t.failed })
 }
 
 // slowness returns the numbers of fast and slow answers of new targets that count.
 func (r *routeStats) slowness() counts {
-	return r.counted(r.slowKeys, func(t *targetCount) (int, int) { return t.fast, t.slow })
+	return r.aggregate(r.slowKeys, func(t *targetStats) (int, int) { return t.fast, t.slow })
 }
 
 // counts are the numbers of good and bad observations that count. Few says that the bad ones are of
 // too few targets or keys to say by themselves that a version is bad.
 type counts struct {
 	good, bad int
-	few       bool
+	tooFew    bool
 }
 
 const (
-	// spareTargets is the part of the new targets whose observations do not count against the
+	// outlierFraction is the part of the new targets whose observations do not count against the
 	// version, those that speak most against it: a target may have a fault of its own.
-	spareTargets = 0.4
-	// leastPlaces is the number of targets, and of keys, at which something has to have been seen
+	outlierFraction = 0.4
+	// minSources is the number of targets, and of keys, at which something has to have been seen
 	// if there were as many: one of each may be at fault by itself. Of fewer, mostOfFew bad
 	// observations count.
-	leastPlaces = 3
-	mostOfFew   = 2
-	// fewTargets is the number of targets up to which something has to have been seen at mostTargets
+	minSources  = 3
+	maxBadOfFew = 2
+	// smallTargetCount is the number of targets up to which something has to have been seen at mostTargets
 	// of them: two of three may be at fault by chance.
-	fewTargets  = 8
-	mostTargets = 0.6
+	smallTargetCount = 8
+	minBadTargets    = 0.6
 )
 
-// counted adds up the good and bad observations of the targets, but for the worst of them.
-func (r *routeStats) counted(badKeys keySet, of func(*targetCount) (good, bad int)) counts {
+// aggregate adds up the good and bad observations of the targets, but for the worst of them.
+func (r *routeStats) aggregate(badKeys keySet, of func(*targetStats) (good, bad int)) counts {
 	var list []counts
 	badTargets := 0
 	for _, t := range r.targets {
@@ -136,28 +136,28 @@
 		}
 		return list[i].good < list[k].good
 	})
-	least := min(leastPlaces, len(list))
-	if len(list) <= fewTargets {
-		least = max(least, int(math.Ceil(mostTargets*float64(len(list)))))
+	least := min(minSources, len(list))
+	if len(list) <= smallTargetCount {
+		least = max(least, int(math.Ceil(minBadTargets*float64(len(list)))))
 	}
-	sum := counts{few: badTargets < least || badKeys.len() < min(leastPlaces, r.keys.len())}
-	spared := int(spareTargets * float64(len(list)))
-	if sum.few {
+	sum := counts{tooFew: badTargets < least || badKeys.len() < min(minSources, r.keys.len())}
+	spared := int(outlierFraction * float64(len(list)))
+	if sum.tooFew {
 		spared = 0
 	}
 	for _, c := range list[spared:] {
 		sum.good += c.good
 		sum.bad += c.bad
 	}
-	if sum.few {
-		sum.bad = min(sum.bad, mostOfFew)
+	if sum.tooFew {
+		sum.bad = min(sum.bad, maxBadOfFew)
 	}
 	return sum
 }
 
 // keySet is a set of keys as far as it takes to tell whether there are several.
 type keySet struct {
-	keys [leastPlaces]uint32
+	keys [minSources]uint32
 	n    int
 }
 
@@ -175,44 +175,44 @@
 	}
 }
 
-func (s *keySet) join(other keySet) {
+func (s *keySet) merge(other keySet) {
 	for _, key := range other.keys[:other.n] {
 		s.add(key)
 	}
 }
 
-// failedPart returns the part of a tally's requests that failed, 0 of none.
-func failedPart(t Tally) float64 {
+// failureRate returns the part of a tally's requests that failed, 0 of none.
+func failureRate(t Tally) float64 {
 	if t.Answered+t.Failed == 0 {
 		return 0
 	}
 	return float64(t.Failed) / float64(t.Answered+t.Failed)
 }
 
-// leastUsual is the number of answers of old targets below which their usual time is not known.
-const leastUsual = 8
+// minLatencySamples is the number of answers of old targets below which their usual time is not known.
+const minLatencySamples = 8
 
-// slowFrom returns the time from which on answers are slow: a multiple of the median.
-func slowFrom(times Times) (Time, bool) {
+// slowThreshold returns the time from which on answers are slow: a multiple of the median.
+func slowThreshold(times LatencyHistogram) (LatencyBucket, bool) {
 	total := uint32(0)
 	for _, n := range times {
 		total += n
 	}
-	if total < leastUsual {
+	if total < minLatencySamples {
 		return 0, false
 	}
 	below := uint32(0)
-	for step := Time(0); step < maxTime; step++ {
+	for step := LatencyBucket(0); step < maxBucket; step++ {
 		below += times[step]
 		if 2*below >= total {
-			return step.times(slowTimes), true
+			return step.scale(slowFactor), true
 		}
 	}
-	return maxTime, true
+	return maxBucket, true
 }
 
-// slowPart returns the part of the answers that take the time limit and more.
-func slowPart(times Times, limit Time) float64 {
+// slowRate returns the part of the answers that take the time limit and more.
+func slowRate(times LatencyHistogram, limit LatencyBucket) float64 {
 	total, slow := 0.0, 0.0
 	for step, n := range times {
 		total += float64(n)
--- a/upstream/placement_test.go
+++ b/upstream/placement_test.go
@@ -141,9 +141,9 @@
 				p.ApplyRateLimits(now, availability.RateLimitList{{ID: hash(), PerSecond: 1, Removed: rapid.Bool().Draw(t, "ended")}}, availability.SourcePeer)
 			},
 			"split": func(t *rapid.T) {
-				split := rollout.Split{Version: rapid.SampledFrom([]string{"v2", "v3"}).Draw(t, "version"), Over: rapid.Bool().Draw(t, "over")}
-				split.Keys = float64(rapid.IntRange(0, 1).Draw(t, "part"))
-				split.Draw, split.Targets = split.Keys, split.Keys
+				split := rollout.Split{Version: rapid.SampledFrom([]string{"v2", "v3"}).Draw(t, "version"), Ended: rapid.Bool().Draw(t, "over")}
+				split.KeyShare = float64(rapid.IntRange(0, 1).Draw(t, "part"))
+				split.RequestShare, split.TargetShare = split.KeyShare, split.KeyShare
 				p.SetSplit(now, split, time.Time{})
 			},
 			"send": func(*rapid.T) {
--- a/upstream/versions.go
+++ b/upstream/versions.go
@@ -96,7 +96,7 @@
 // supersede takes in that an order for a version takes the place of one for another version.
 func (v *versions) supersede(before rollout.Split, version string) {
 	delete(v.superseded, version)
-	if before.Version == "" || before.Version == version || before.Over && before.All() {
+	if before.Version == "" || before.Version == version || before.Ended && before.AllNew() {
 		return
 	}
 	if v.superseded == nil {
@@ -138,7 +138,7 @@
 		return nil
 	}
 	p.versions.supersede(p.split, split.Version)
-	again := split.Version != p.split.Version || split.Targets != p.split.Targets || split.Over != p.split.Over
+	again := split.Version != p.split.Version || split.TargetShare != p.split.TargetShare || split.Ended != p.split.Ended
 	p.split = split
 	if again {
 		p.placeAll(now)
@@ -173,7 +173,7 @@
 		return oldCohort
 	case t.spec.Version == p.split.Version:
 		return newCohort
-	case p.split.Over && p.split.All() && p.versions.isAfter(t.spec.Version, p.split.Version):
+	case p.split.Ended && p.split.AllNew() && p.versions.isAfter(t.spec.Version, p.split.Version):
 		return newCohort
 	default:
 		return oldCohort
@@ -186,7 +186,7 @@
 	place := func(t *target) float64 { return mix.Unit(mix.Join(t.hash, canarySalt)) }
 	var out []*target
 	for _, t := range targets {
-		if p.split.Opens(place(t)) {
+		if p.split.UsesTarget(place(t)) {
 			out = append(out, t)
 		}
 	}
@@ -210,7 +210,7 @@
 	switch {
 	case in == nil:
 		return nil
-	case r.cohort == oldCohort || p.split.Over:
+	case r.cohort == oldCohort || p.split.Ended:
 		return in.listed[r.cohort]
 	}
 	if in.canaries == nil {
@@ -226,11 +226,11 @@
 	switch {
 	case p.split.Version == "":
 		return oldCohort
-	case p.split.Over && p.split.All():
+	case p.split.Ended && p.split.AllNew():
 		return newCohort
-	case p.split.Over || !p.splitUntil.IsZero() && !now.Before(p.splitUntil):
+	case p.split.Ended || !p.splitUntil.IsZero() && !now.Before(p.splitUntil):
 		return oldCohort
-	case len(r.Tried) > 0 && !p.split.All():
+	case len(r.Tried) > 0 && !p.split.AllNew():
 		return oldCohort
 	}
 	key := mix.Unit(mix.Pair(r.Key, p.split.Version))
@@ -248,7 +248,7 @@
 	case p.split.Version == "":
 		return false
 	case r.cohort == newCohort:
-		return !p.split.All() || reason == ReasonNoTarget
+		return !p.split.AllNew() || reason == ReasonNoTarget
 	default:
 		return reason == ReasonNoTarget && !p.hasServing(oldCohort)
 	}
@@ -266,7 +266,7 @@
 
 // majorityCohort returns the side whose slots count for the shares of regions, if a rollout goes on.
 func (p *Pool) majorityCohort() cohort {
-	if p.split.All() && p.hasServing(newCohort) || !p.hasServing(oldCohort) {
+	if p.split.AllNew() && p.hasServing(newCohort) || !p.hasServing(oldCohort) {
 		return newCohort
 	}
 	return oldCohort
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -106,14 +106,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		p, _ := versionedPool(now, 30)
-		split := rollout.Split{Version: "v2", Keys: rapid.Float64Range(0, 1).Draw(t, "keys"),
-			Draw: rapid.Float64Range(0, 1).Draw(t, "draw"), Targets: rapid.Float64Range(0, 1).Draw(t, "targets")}
+		split := rollout.Split{Version: "v2", KeyShare: rapid.Float64Range(0, 1).Draw(t, "keys"),
+			RequestShare: rapid.Float64Range(0, 1).Draw(t, "draw"), TargetShare: rapid.Float64Range(0, 1).Draw(t, "targets")}
 		p.SetSplit(now, split, time.Time{})
 		p.ChangeTargets(now, newTargets(30), nil, nil)
 		const requests = 4000
 		n, targets := countNew(sendMany(t, now, p, requests))
-		require.InDelta(t, split.Keys*split.Draw, float64(n)/requests, 0.12)
-		require.LessOrEqual(t, targets, max(2*minCanaries, int(split.Targets*30+12)))
+		require.InDelta(t, split.KeyShare*split.RequestShare, float64(n)/requests, 0.12)
+		require.LessOrEqual(t, targets, max(2*minCanaries, int(split.TargetShare*30+12)))
 	})
 }
 
@@ -123,7 +123,7 @@
 	p, _ := versionedPool(now, 6)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	until := now.Add(time.Second)
-	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.5, Targets: 1}, until)
+	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.5, TargetShare: 1}, until)
 	n, _ := countNew(sendMany(t, now, p, 1000))
 	require.NotZero(t, n)
 	n, _ = countNew(sendMany(t, until, p, 1000))
@@ -137,10 +137,10 @@
 	p, _ := versionedPool(now, 6)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	repeat := func(r *Request) { r.Tried = []string{"new0"} }
-	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.9, Targets: 1}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.9, TargetShare: 1}, time.Time{})
 	n, _ := countNew(sendMany(t, now, p, 500, repeat))
 	require.Zero(t, n)
-	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 1, Targets: 1}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 1, TargetShare: 1}, time.Time{})
 	n, _ = countNew(sendMany(t, now, p, 500, repeat))
 	require.Equal(t, 500, n)
 }
@@ -150,7 +150,7 @@
 func TestFallbackBetweenCohorts(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, old := versionedPool(now, 6)
-	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.5, Targets: 1}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.5, TargetShare: 1}, time.Time{})
 	n, _ := countNew(sendMany(t, now, p, 100))
 	require.Zero(t, n, "there are no new ones")
 	p.ChangeTargets(now, newTargets(2), nil, nil)
@@ -177,10 +177,10 @@
 	p, _ := versionedPool(now, 6)
 	now = now.Add(time.Minute)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
-	p.SetSplit(now, rollout.Split{Version: "v2", Over: true}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v2", Ended: true}, time.Time{})
 	n, _ := countNew(sendMany(t, now, p, 500))
 	require.Zero(t, n)
-	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 1, Targets: 1, Over: true}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 1, TargetShare: 1, Ended: true}, time.Time{})
 	n, _ = countNew(sendMany(t, now, p, 500))
 	require.Equal(t, 500, n)
 	later := versioned("later", "a1", "v3")
@@ -196,16 +196,16 @@
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
 	now = now.Add(time.Minute)
-	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.1, Targets: 1}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.1, TargetShare: 1}, time.Time{})
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	now = now.Add(time.Minute)
-	p.SetSplit(now, rollout.Split{Version: "v3", Keys: 1, Draw: 0.1, Targets: 1}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v3", KeyShare: 1, RequestShare: 0.1, TargetShare: 1}, time.Time{})
 	p.ChangeTargets(now, []*catalog.Target{versioned("third", "a1", "v3")}, nil, nil)
 	sent := sendMany(t, now, p, 1000)
 	n, _ := countNew(sent)
 	require.Zero(t, n)
 	require.NotZero(t, sent["third"])
-	p.SetSplit(now, rollout.Split{Version: "v2", Keys: 1, Draw: 0.5, Targets: 1}, time.Time{})
+	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.5, TargetShare: 1}, time.Time{})
 	n, _ = countNew(sendMany(t, now, p, 1000))
 	require.NotZero(t, n, "ordered again")
 }
