--- a/fleet/model_test.go
+++ b/fleet/model_test.go
@@ -97,9 +97,9 @@
 		v.AdvanceHeartbeat(m.now)
 		for _, partner := range v.Partners(m.now, m.rng) {
 			beats := v.HeartbeatsFor(m.now, partner.Region)
-			message := &peer.Gossip{Beats: beats, Positions: positions}
+			message := &peer.Gossip{Heartbeats: beats, Positions: positions}
 			if partner.Region == v.Self().Region {
-				message.Busy = busyLoads
+				message.Overloaded = busyLoads
 			}
 			if m.rounds%introduceEvery == 0 {
 				self := v.Self()
@@ -139,7 +139,7 @@
 			continue
 		}
 		answer := fleet.Heartbeats{m.views[asked.Name].OwnHeartbeat()}
-		m.countBytes(&peer.Gossip{Beats: answer, Reply: true})
+		m.countBytes(&peer.Gossip{Heartbeats: answer, Reply: true})
 		v.MergeHeartbeats(m.now, answer)
 	}
 }
--- a/gateway/answered.go
+++ b/gateway/answered.go
@@ -168,7 +168,7 @@
 	if len(digests) == 0 {
 		return
 	}
-	message := &peer.Answers{Account: account, Digests: digests}
+	message := &peer.AnsweredRequests{Account: account, Digests: digests}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := g.view.Len() <= directMembers
@@ -180,7 +180,7 @@
 }
 
 // receiveAnswers takes in which requests of an account another instance has had answered.
-func (g *Gateway) receiveAnswers(m *peer.Answers) {
+func (g *Gateway) receiveAnswers(m *peer.AnsweredRequests) {
 	for _, digest := range m.Digests[:min(len(m.Digests), maxToldAnswers)] {
 		g.holds.answers.add(answeredRequest{account: m.Account, digest: digest})
 	}
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -30,7 +30,7 @@
 		g.log.Error(logDeltaRefused, "kind", d.Kind, "error", err.Error())
 		return
 	}
-	message.Lapse = g.held[KindTargets].lapse.Remaining(now)
+	message.RemovalHold = g.held[KindTargets].lapse.Remaining(now)
 	for _, branch := range g.view.Branches(now) {
 		g.mesh.Send(branch.PeerAddr, message.RelayTo(branch))
 	}
@@ -64,7 +64,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, branch := range g.view.BranchesUntil(g.clock.Now(), m.Until) {
+	for _, branch := range g.view.BranchesUntil(g.clock.Now(), m.RelayUntil) {
 		g.mesh.Send(branch.PeerAddr, m.RelayTo(branch))
 	}
 }
@@ -86,17 +86,17 @@
 
 // learnLapse has removals held back as long as the sender of the delta does.
 func (g *Gateway) learnLapse(m *peer.Delta) {
-	if m.Kind != KindTargets || m.Lapse <= 0 {
+	if m.Kind != KindTargets || m.RemovalHold <= 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held[KindTargets].lapse.Inherit(g.clock.Now(), m.Lapse)
+	g.held[KindTargets].lapse.Inherit(g.clock.Now(), m.RemovalHold)
 }
 
 // answer sends the changes that another instance asks for, at once or when this instance
 // has them itself.
-func (g *Gateway) answer(m *peer.Since) {
+func (g *Gateway) answer(m *peer.DeltaRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[m.Kind]
@@ -119,13 +119,13 @@
 }
 
 // sendSince sends the changes that another instance asks for. The caller holds mu.
-func (g *Gateway) sendSince(replica *feed.Replica, m *peer.Since) {
+func (g *Gateway) sendSince(replica *feed.Replica, m *peer.DeltaRequest) {
 	answer, err := g.answers.since(replica, m)
 	if err != nil {
 		g.log.Error(logDeltaRefused, "kind", m.Kind, "error", err.Error())
 		return
 	}
-	answer.Lapse = g.held[KindTargets].lapse.Remaining(g.clock.Now())
+	answer.RemovalHold = g.held[KindTargets].lapse.Remaining(g.clock.Now())
 	g.mesh.Send(m.ReplyTo, &answer)
 }
 
@@ -142,7 +142,7 @@
 }
 
 // since returns the message that leads from what an asker holds to what the replica does.
-func (a answers) since(replica *feed.Replica, m *peer.Since) (peer.Delta, error) {
+func (a answers) since(replica *feed.Replica, m *peer.DeltaRequest) (peer.Delta, error) {
 	held, ok := a[m.Kind]
 	if !ok || held.from != m.Position || held.digest != m.Digest || held.to != replica.Position() {
 		message, err := peer.NewDelta(replica.DeltaSince(m.Position, m.Digest))
--- a/gateway/delta_test.go
+++ b/gateway/delta_test.go
@@ -55,7 +55,7 @@
 		config:   Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: log},
 		log:      log,
 		replicas: make(map[feed.Kind]*feed.Replica),
-		askers:   make(map[feed.Kind][]*peer.Since),
+		askers:   make(map[feed.Kind][]*peer.DeltaRequest),
 		answers:  make(answers),
 		view:     viewOf(time.Now(), 0, 0),
 
@@ -77,10 +77,10 @@
 // answers once it has, and the next one at once.
 func TestAskersAreAnswered(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
-	g.Receive("", &peer.Since{Kind: KindInstances, ReplyTo: in.addr})
+	g.Receive("", &peer.DeltaRequest{Kind: KindInstances, ReplyTo: in.addr})
 	whole := feed.Delta{Kind: KindInstances, To: feed.At(0, 7), Full: true, Changes: []feed.Change{{Object: feed.Object{Name: "n1", Value: []byte(`{"name":"n1","hall":"a1","region":"a","front_addr":"10.0.0.1:1","peer_addr":"10.0.0.1:2"}`)}}}}
 	require.True(t, g.take(whole, sourceStore))
-	g.Receive("", &peer.Since{Kind: KindInstances, ReplyTo: in.addr})
+	g.Receive("", &peer.DeltaRequest{Kind: KindInstances, ReplyTo: in.addr})
 	for range 2 {
 		answer, ok := in.next(t).(*peer.Delta)
 		require.True(t, ok)
@@ -101,9 +101,9 @@
 	answer, ok := in.next(t).(*peer.Gossip)
 	require.True(t, ok)
 	require.True(t, answer.Reply)
-	require.Len(t, answer.Beats, 1)
-	require.Equal(t, fleet.IDOf("n0"), answer.Beats[0].Member)
-	require.Greater(t, answer.Beats[0].Sequence, before.Sequence)
+	require.Len(t, answer.Heartbeats, 1)
+	require.Equal(t, fleet.IDOf("n0"), answer.Heartbeats[0].Member)
+	require.Greater(t, answer.Heartbeats[0].Sequence, before.Sequence)
 }
 
 // TestDeltaIsRelayed checks that a delta is passed on, as it came, to those that its sender
@@ -125,6 +125,6 @@
 	relayed, ok := in.next(t).(*peer.Delta)
 	require.True(t, ok)
 	require.Equal(t, message.Packed, relayed.Packed)
-	require.Equal(t, fleet.IDOf("n1"), relayed.Until)
+	require.Equal(t, fleet.IDOf("n1"), relayed.RelayUntil)
 	require.Empty(t, in.messages, "a delta that is not to be relayed was not")
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -84,7 +84,7 @@
 	// registered are the instances that the store lists.
 	registered map[string]fleet.Member
 	// askers are instances that asked for a kind that this one does not have yet.
-	askers map[feed.Kind][]*peer.Since
+	askers map[feed.Kind][]*peer.DeltaRequest
 	// held are the changes that do not count yet, after an outage of the store or its return from
 	// a copy.
 	held map[feed.Kind]*held
@@ -132,7 +132,7 @@
 		readiness:  readiness{reached: make(chan struct{})},
 		catchUp:    make(map[feed.Kind]*feed.CatchUp),
 		answers:    make(answers),
-		askers:     make(map[feed.Kind][]*peer.Since),
+		askers:     make(map[feed.Kind][]*peer.DeltaRequest),
 		renewedAt:  make(map[string]time.Time),
 		registered: make(map[string]fleet.Member),
 		held:       newHeld(),
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -78,9 +78,9 @@
 	for _, m := range partners {
 		message := g.message(now, m.Region)
 		if m.Region == g.config.Region {
-			message.Busy = busy
+			message.Overloaded = busy
 		}
-		message.Unheard = settled && g.view.IsMissing(now, m.Name)
+		message.NotReceiving = settled && g.view.IsMissing(now, m.Name)
 		g.mesh.Send(m.PeerAddr, message)
 	}
 	g.probe(g.view.Probes(now))
@@ -100,7 +100,7 @@
 	for _, m := range doubtful {
 		probed[m.Name] = true
 		if g.probed[m.Name] {
-			g.mesh.RenewBoth(m.PeerAddr)
+			g.mesh.ReconnectBoth(m.PeerAddr)
 			continue
 		}
 		g.mesh.Send(m.PeerAddr, &peer.Probe{ReplyTo: g.view.Self().PeerAddr})
@@ -110,7 +110,7 @@
 
 // message returns what this instance tells one of a region. The caller holds mu.
 func (g *Gateway) message(now time.Time, region string) *peer.Gossip {
-	m := &peer.Gossip{Beats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), NewsSum: g.newsSum(), DeparturesSum: g.departures.sum(now), LimitsSum: g.targetLimits.sum(now)}
+	m := &peer.Gossip{Heartbeats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), QuarantineChecksum: g.newsSum(), DeparturesChecksum: g.departures.sum(now), LimitsChecksum: g.targetLimits.sum(now)}
 	for _, kind := range g.kinds {
 		m.Positions = append(m.Positions, g.replicas[kind].Position())
 	}
@@ -159,19 +159,19 @@
 		g.hear(m)
 	case *peer.Delta:
 		g.receiveDelta(from, m)
-	case *peer.Since:
+	case *peer.DeltaRequest:
 		g.answer(m)
 	case *peer.Probe:
 		g.answerProbe(m)
-	case *peer.PermitAsk:
+	case *peer.PermitRequest:
 		g.receivePermitAsk(m)
-	case *peer.PermitIssue:
+	case *peer.PermitGrant:
 		g.receivePermitIssue(m)
-	case *peer.TrialAsk:
+	case *peer.TrialRequest:
 		g.receiveTrialAsk(m)
-	case *peer.TrialAnswer:
+	case *peer.TrialReply:
 		g.receiveTrialAnswer(m)
-	case *peer.Answers:
+	case *peer.AnsweredRequests:
 		g.receiveAnswers(m)
 	case *peer.RolloutReport:
 		g.receiveRolloutReport(m)
@@ -184,10 +184,10 @@
 	defer g.mu.Unlock()
 	g.view.SetFlags(g.flags())
 	g.view.AdvanceHeartbeat(g.clock.Now())
-	if m.Again {
+	if m.Reconnect {
 		g.renewFor(g.clock.Now(), m.ReplyTo)
 	}
-	g.mesh.Send(m.ReplyTo, &peer.Gossip{Beats: fleet.Heartbeats{g.view.OwnHeartbeat()}, Reply: true})
+	g.mesh.Send(m.ReplyTo, &peer.Gossip{Heartbeats: fleet.Heartbeats{g.view.OwnHeartbeat()}, Reply: true})
 }
 
 // renewFor opens another connection to an instance that says that it does not hear this one.
@@ -200,7 +200,7 @@
 		return
 	}
 	g.renewedAt[addr] = now
-	g.mesh.Renew(addr)
+	g.mesh.Reconnect(addr)
 	g.log.Info(logNotHeard, "addr", addr)
 }
 
@@ -212,8 +212,8 @@
 }
 
 // receivePermitAsk answers a question for permits of an account's or a target's limit.
-func (g *Gateway) receivePermitAsk(m *peer.PermitAsk) {
-	if m.Target {
+func (g *Gateway) receivePermitAsk(m *peer.PermitRequest) {
+	if m.ForTarget {
 		g.receiveLimitAsk(m)
 		return
 	}
@@ -221,8 +221,8 @@
 }
 
 // receivePermitIssue takes in the answer to such a question.
-func (g *Gateway) receivePermitIssue(m *peer.PermitIssue) {
-	if m.Target {
+func (g *Gateway) receivePermitIssue(m *peer.PermitGrant) {
+	if m.ForTarget {
 		g.receiveLimitIssue(m)
 		return
 	}
@@ -238,7 +238,7 @@
 // hear takes in gossip and asks for what the sender is ahead with. A sender that is
 // behind is told so, and will ask.
 func (g *Gateway) hear(m *peer.Gossip) {
-	if len(m.Beats) == 0 {
+	if len(m.Heartbeats) == 0 {
 		return
 	}
 	now := g.clock.Now()
@@ -249,40 +249,40 @@
 	if m.Member != nil {
 		g.view.Add(*m.Member)
 	}
-	g.view.MergeHeartbeats(now, m.Beats)
-	g.pools.hear(now, m.Busy)
+	g.view.MergeHeartbeats(now, m.Heartbeats)
+	g.pools.hear(now, m.Overloaded)
 	g.relayNews(now, m)
-	g.hearNews(now, m.News)
+	g.hearNews(now, m.Quarantine)
 	g.hearDepartures(now, m.Departures)
 	g.hearLimits(now, m.Limits)
 	g.hearStages(now, m.Stages)
 	if g.view.Len() != known {
 		g.shareOut(now)
 	}
-	sender, ok := g.view.Member(m.Beats[0].Member)
+	sender, ok := g.view.Member(m.Heartbeats[0].Member)
 	if !ok {
 		// It introduces itself before long.
 		return
 	}
-	if m.Unheard {
+	if m.NotReceiving {
 		g.renewFor(now, sender.PeerAddr)
 	}
 	ahead := g.compare(now, sender, m.Positions)
-	outlived, behindItself := g.view.NewerHeartbeat(m.Beats)
+	outlived, behindItself := g.view.NewerHeartbeat(m.Heartbeats)
 	var missed quarantine.Updates
 	var left availability.DepartureList
 	var limits availability.RateLimitList
 	if !m.Reply {
-		missed = g.newsFor(now, m.NewsSum)
-		left = g.departures.missing(now, m.DeparturesSum, g.rand.Uint64())
-		limits = g.targetLimits.missing(now, m.LimitsSum, g.rand.Uint64())
+		missed = g.newsFor(now, m.QuarantineChecksum)
+		left = g.departures.missing(now, m.DeparturesChecksum, g.rand.Uint64())
+		limits = g.targetLimits.missing(now, m.LimitsChecksum, g.rand.Uint64())
 	}
-	if (ahead || behindItself || m.Unheard || len(missed)+len(left)+len(limits) > 0) && !m.Reply {
+	if (ahead || behindItself || m.NotReceiving || len(missed)+len(left)+len(limits) > 0) && !m.Reply {
 		reply := g.message(now, sender.Region)
 		reply.Reply = true
-		reply.News, reply.Departures, reply.Limits = missed, left, limits
+		reply.Quarantine, reply.Departures, reply.Limits = missed, left, limits
 		if behindItself {
-			reply.Beats = append(reply.Beats, outlived)
+			reply.Heartbeats = append(reply.Heartbeats, outlived)
 		}
 		g.mesh.Send(sender.PeerAddr, reply)
 	}
@@ -347,5 +347,5 @@
 		g.metrics.question(kind, questionUnanswered)
 		g.log.Warn(logUnanswered, "kind", kind, "asked", last.To, "for_ms", now.Sub(last.SentAt).Milliseconds(), "revision", at.Revision)
 	}
-	g.mesh.Send(addr, &peer.Since{Kind: kind, Position: at, Digest: g.replicas[kind].Digest(), ReplyTo: g.view.Self().PeerAddr})
+	g.mesh.Send(addr, &peer.DeltaRequest{Kind: kind, Position: at, Digest: g.replicas[kind].Digest(), ReplyTo: g.view.Self().PeerAddr})
 }
--- a/gateway/limit_owners.go
+++ b/gateway/limit_owners.go
@@ -33,7 +33,7 @@
 	mesh   *peer.Mesh
 	limits *targetLimits
 	// hear takes in an answer to a question of this instance.
-	hear  func(m *peer.PermitIssue)
+	hear  func(m *peer.PermitGrant)
 	began time.Time
 	clock *clock.Clock
 
@@ -113,7 +113,7 @@
 // heard at once.
 func (o *limitOwner) ask(now time.Time, asks []ratelimit.PermitRequest) {
 	for _, ask := range asks {
-		m := &peer.PermitAsk{Account: ask.Account, From: o.name, At: o.stamp(ask.At), N: ask.N, Target: true, Limits: o.limits.about(now, targetOf(ask.Account))}
+		m := &peer.PermitRequest{Account: ask.Account, From: o.name, SentAt: o.stamp(ask.At), N: ask.N, ForTarget: true, Limits: o.limits.about(now, targetOf(ask.Account))}
 		if ask.To.Name == o.name {
 			o.issue(now, m)
 			continue
@@ -126,12 +126,12 @@
 }
 
 // issue answers a question.
-func (o *limitOwner) issue(now time.Time, m *peer.PermitAsk) {
+func (o *limitOwner) issue(now time.Time, m *peer.PermitRequest) {
 	limit, ok := o.limits.of(targetOf(m.Account))
-	reply := ratelimit.Reply{To: m.From, At: m.At, Account: m.Account, Grant: ratelimit.Grant{NotOwner: true}}
+	reply := ratelimit.Reply{To: m.From, At: m.SentAt, Account: m.Account, Grant: ratelimit.Grant{NotOwner: true}}
 	if ok {
 		o.mu.Lock()
-		reply, _ = o.issuer.Issue(now, m.Account, o.rate(limit), ratelimit.IssueRequest{From: m.From, At: m.At, N: m.N})
+		reply, _ = o.issuer.Issue(now, m.Account, o.rate(limit), ratelimit.IssueRequest{From: m.From, At: m.SentAt, N: m.N})
 		o.tick()
 		o.mu.Unlock()
 	}
@@ -153,7 +153,7 @@
 // reply sends answers.
 func (o *limitOwner) reply(now time.Time, replies ...ratelimit.Reply) {
 	for _, r := range replies {
-		m := &peer.PermitIssue{Account: r.Account, From: o.name, At: r.At, Issue: r.Grant, Target: true, Limits: o.limits.about(now, targetOf(r.Account))}
+		m := &peer.PermitGrant{Account: r.Account, From: o.name, RequestSentAt: r.At, Grant: r.Grant, ForTarget: true, Limits: o.limits.about(now, targetOf(r.Account))}
 		if r.To == o.name {
 			// The caller may hold what the answer changes.
 			go o.hear(m)
@@ -206,16 +206,16 @@
 }
 
 // receiveLimitAsk answers a question for permits of a target's limit.
-func (g *Gateway) receiveLimitAsk(m *peer.PermitAsk) {
+func (g *Gateway) receiveLimitAsk(m *peer.PermitRequest) {
 	now := g.clock.Now()
 	g.hearLimits(now, m.Limits)
 	g.limitOwner.issue(now, m)
 }
 
 // receiveLimitIssue takes in the answer of an owner of a target's limit.
-func (g *Gateway) receiveLimitIssue(m *peer.PermitIssue) {
+func (g *Gateway) receiveLimitIssue(m *peer.PermitGrant) {
 	now := g.clock.Now()
-	askedAt := g.limitOwner.moment(m.At)
+	askedAt := g.limitOwner.moment(m.RequestSentAt)
 	if askedAt.After(now) {
 		// The question was asked by the process before this one.
 		return
@@ -236,7 +236,7 @@
 		o.mu.Lock()
 		addr := o.addrs[name]
 		o.mu.Unlock()
-		o.mesh.RenewBoth(addr)
+		o.mesh.ReconnectBoth(addr)
 	}
 }
 
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -27,7 +27,7 @@
 	late := newNeighbour(t, "n0")
 	word := func(m peer.Gossip) {
 		late.beat.Sequence++
-		m.Beats, m.Member = fleet.Heartbeats{late.beat}, &late.member
+		m.Heartbeats, m.Member = fleet.Heartbeats{late.beat}, &late.member
 		g.Receive(late.addr, &m)
 	}
 	word(peer.Gossip{})
@@ -36,8 +36,8 @@
 	require.True(t, reply.Reply)
 	var known availability.Departures
 	require.Len(t, known.Merge(g.clock.Now(), reply.Departures), 1)
-	require.Equal(t, reply.DeparturesSum, known.Checksum(g.clock.Now()))
-	word(peer.Gossip{DeparturesSum: reply.DeparturesSum})
+	require.Equal(t, reply.DeparturesChecksum, known.Checksum(g.clock.Now()))
+	word(peer.Gossip{DeparturesChecksum: reply.DeparturesChecksum})
 	select {
 	case m := <-late.messages:
 		require.Fail(t, "told what it knows", "%+v", m)
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -26,14 +26,14 @@
 	if len(news) == 0 {
 		return
 	}
-	g.broadcast(now, peer.Gossip{News: news})
+	g.broadcast(now, peer.Gossip{Quarantine: news})
 }
 
 // broadcast sends news to all instances.
 func (g *Gateway) broadcast(now time.Time, message peer.Gossip) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	message.Beats, message.Reply = fleet.Heartbeats{g.view.OwnHeartbeat()}, true
+	message.Heartbeats, message.Reply = fleet.Heartbeats{g.view.OwnHeartbeat()}, true
 	if g.view.Len() <= directMembers {
 		for _, m := range g.partners(now, true) {
 			g.mesh.Send(m.PeerAddr, &message)
@@ -41,7 +41,7 @@
 		return
 	}
 	g.spreadNews(now, message)
-	message.Enter = true
+	message.RelayToRegion = true
 	for _, m := range g.view.RemoteWatchers(now) {
 		g.mesh.Send(m.PeerAddr, &message)
 	}
@@ -50,7 +50,7 @@
 // spreadNews sends news to the own region by way of a few instances. The caller holds mu.
 func (g *Gateway) spreadNews(now time.Time, message peer.Gossip) {
 	for _, branch := range g.view.Branches(now) {
-		message.Until = branch.Until
+		message.RelayUntil = branch.Until
 		g.mesh.Send(branch.PeerAddr, &message)
 	}
 }
@@ -58,13 +58,13 @@
 // relayNews passes news on to those that the sender has left to this instance. The caller
 // holds mu.
 func (g *Gateway) relayNews(now time.Time, m *peer.Gossip) {
-	message := peer.Gossip{Beats: m.Beats, News: m.News, Departures: m.Departures, Limits: m.Limits, Stages: m.Stages, Reply: true}
+	message := peer.Gossip{Heartbeats: m.Heartbeats, Quarantine: m.Quarantine, Departures: m.Departures, Limits: m.Limits, Stages: m.Stages, Reply: true}
 	switch {
-	case m.Enter:
+	case m.RelayToRegion:
 		g.spreadNews(now, message)
-	case m.Until != 0:
-		for _, branch := range g.view.BranchesUntil(now, m.Until) {
-			message.Until = branch.Until
+	case m.RelayUntil != 0:
+		for _, branch := range g.view.BranchesUntil(now, m.RelayUntil) {
+			message.RelayUntil = branch.Until
 			g.mesh.Send(branch.PeerAddr, &message)
 		}
 	}
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -26,16 +26,16 @@
 	late := newNeighbour(t, "n0")
 	word := func(sum uint32) {
 		late.beat.Sequence++
-		g.Receive(late.addr, &peer.Gossip{Beats: fleet.Heartbeats{late.beat}, Member: &late.member, NewsSum: sum})
+		g.Receive(late.addr, &peer.Gossip{Heartbeats: fleet.Heartbeats{late.beat}, Member: &late.member, QuarantineChecksum: sum})
 	}
 	word(0)
 	reply, ok := late.next(t).(*peer.Gossip)
 	require.True(t, ok)
 	require.True(t, reply.Reply)
 	var table quarantine.Table
-	table.Merge(now, reply.News)
+	table.Merge(now, reply.Quarantine)
 	require.Equal(t, quarantine.Held, table.Status(now, d).Verdict)
-	require.Equal(t, reply.NewsSum, table.Checksum())
+	require.Equal(t, reply.QuarantineChecksum, table.Checksum())
 	word(table.Checksum())
 	select {
 	case m := <-late.messages:
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -155,7 +155,7 @@
 			p.issue(now, ask.Account, claim)
 			continue
 		}
-		p.mesh.Send(p.addrs[ask.To.Name], &peer.PermitAsk{Account: ask.Account, From: claim.From, At: claim.At, N: claim.N})
+		p.mesh.Send(p.addrs[ask.To.Name], &peer.PermitRequest{Account: ask.Account, From: claim.From, SentAt: claim.At, N: claim.N})
 	}
 }
 
@@ -174,7 +174,7 @@
 // borrow sends questions to owners of other domains. The caller holds mu.
 func (p *permits) borrow(now time.Time, loans []ratelimit.LoanRequest) {
 	for _, loan := range loans {
-		p.mesh.Send(p.addrs[loan.Lender.Name], &peer.PermitAsk{Account: loan.Account, From: p.name, At: p.stamp(now), N: loan.N, Lend: true})
+		p.mesh.Send(p.addrs[loan.Lender.Name], &peer.PermitRequest{Account: loan.Account, From: p.name, SentAt: p.stamp(now), N: loan.N, Borrow: true})
 	}
 }
 
@@ -185,7 +185,7 @@
 			p.hear(now, r.At, r.Account, p.name, r.Grant)
 			continue
 		}
-		p.mesh.Send(p.addrs[r.To], &peer.PermitIssue{Account: r.Account, From: p.name, At: r.At, Issue: r.Grant})
+		p.mesh.Send(p.addrs[r.To], &peer.PermitGrant{Account: r.Account, From: p.name, RequestSentAt: r.At, Grant: r.Grant})
 	}
 }
 
@@ -202,7 +202,7 @@
 func (p *permits) moment(stamp int64) time.Time { return p.began.Add(time.Duration(stamp)) }
 
 // receiveAsk answers a question of another instance.
-func (p *permits) receiveAsk(m *peer.PermitAsk) {
+func (p *permits) receiveAsk(m *peer.PermitRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	addr, ok := p.addrs[m.From]
@@ -211,33 +211,33 @@
 		return
 	}
 	now := p.clock.Now()
-	if !m.Lend {
-		p.issue(now, m.Account, ratelimit.IssueRequest{From: m.From, At: m.At, N: m.N})
+	if !m.Borrow {
+		p.issue(now, m.Account, ratelimit.IssueRequest{From: m.From, At: m.SentAt, N: m.N})
 		p.tick()
 		return
 	}
-	answer := &peer.PermitIssue{Account: m.Account, From: p.name, At: m.At, Lend: true, Issue: ratelimit.Grant{NotOwner: true}}
+	answer := &peer.PermitGrant{Account: m.Account, From: p.name, RequestSentAt: m.SentAt, Borrow: true, Grant: ratelimit.Grant{NotOwner: true}}
 	if limit, ok := p.limitOf(m.Account); ok {
-		answer.Issue = p.issuer.Lend(now, m.Account, limit, m.N)
+		answer.Grant = p.issuer.Lend(now, m.Account, limit, m.N)
 	}
 	p.mesh.Send(addr, answer)
 }
 
 // receiveIssue takes in the answer of another instance.
-func (p *permits) receiveIssue(m *peer.PermitIssue) {
+func (p *permits) receiveIssue(m *peer.PermitGrant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if m.At > p.stamp(now) {
+	if m.RequestSentAt > p.stamp(now) {
 		// The question was asked by the process before this one.
 		return
 	}
-	if m.Lend {
-		replies, loans := p.issuer.HandleLoan(now, p.moment(m.At), m.Account, m.From, m.Issue)
+	if m.Borrow {
+		replies, loans := p.issuer.HandleLoan(now, p.moment(m.RequestSentAt), m.Account, m.From, m.Grant)
 		p.borrow(now, loans)
 		p.reply(now, replies...)
 	} else {
-		p.hear(now, m.At, m.Account, m.From, m.Issue)
+		p.hear(now, m.RequestSentAt, m.Account, m.From, m.Grant)
 	}
 	p.tick()
 }
@@ -269,7 +269,7 @@
 	now := p.clock.Now()
 	answers, asks, silent := p.holder.Tick(now)
 	for _, owner := range silent {
-		p.mesh.RenewBoth(p.addrs[owner])
+		p.mesh.ReconnectBoth(p.addrs[owner])
 	}
 	p.wake(answers)
 	p.send(now, asks)
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -265,11 +265,11 @@
 }
 
 // hearPermits takes in the answer of an owner to a question for permits that was asked at a time.
-func (ps *pools) hearPermits(now, askedAt time.Time, m *peer.PermitIssue) {
+func (ps *pools) hearPermits(now, askedAt time.Time, m *peer.PermitGrant) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	ps.each(func(u *upstream.Pool) []upstream.Grant {
-		return u.ReceivePermits(now, askedAt, m.Account, m.From, m.Issue)
+		return u.ReceivePermits(now, askedAt, m.Account, m.From, m.Grant)
 	})
 }
 
--- a/gateway/question_test.go
+++ b/gateway/question_test.go
@@ -35,7 +35,7 @@
 // gossip has the neighbour tell an instance how far its targets are.
 func (n *neighbour) gossip(g *Gateway, targets int64) {
 	n.beat.Sequence++
-	m := &peer.Gossip{Beats: fleet.Heartbeats{n.beat}, Member: &n.member, Positions: make([]feed.Position, len(kinds)), Reply: true}
+	m := &peer.Gossip{Heartbeats: fleet.Heartbeats{n.beat}, Member: &n.member, Positions: make([]feed.Position, len(kinds)), Reply: true}
 	for i, kind := range kinds {
 		if kind == KindTargets {
 			m.Positions[i] = feed.At(0, targets)
@@ -85,12 +85,12 @@
 }
 
 // asked returns the last question for targets that the neighbour has been sent, or nil.
-func (n *neighbour) asked() *peer.Since {
-	var last *peer.Since
+func (n *neighbour) asked() *peer.DeltaRequest {
+	var last *peer.DeltaRequest
 	for {
 		select {
 		case m := <-n.messages:
-			if since, ok := m.(*peer.Since); ok && since.Kind == KindTargets {
+			if since, ok := m.(*peer.DeltaRequest); ok && since.Kind == KindTargets {
 				last = since
 			}
 		default:
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -101,7 +101,7 @@
 		if !g.position(KindTargets).IsZero() {
 			return
 		}
-		g.mesh.Send(reader.PeerAddr, &peer.Since{Kind: KindTargets, ReplyTo: g.view.Self().PeerAddr})
+		g.mesh.Send(reader.PeerAddr, &peer.DeltaRequest{Kind: KindTargets, ReplyTo: g.view.Self().PeerAddr})
 		g.awaitKind(ctx, KindTargets, readerTime)
 	}
 }
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -46,14 +46,14 @@
 	news := g.holds.table.Updates(now, d)
 	g.holds.mu.Unlock()
 	defer g.endQuestion(d)
-	g.mesh.Send(warden.PeerAddr, &peer.TrialAsk{Digest: d, From: g.config.Name, ReplyTo: g.view.Self().PeerAddr, For: until.Sub(now), News: news})
+	g.mesh.Send(warden.PeerAddr, &peer.TrialRequest{Digest: d, From: g.config.Name, ReplyTo: g.view.Self().PeerAddr, Timeout: until.Sub(now), Updates: news})
 	select {
 	case answer := <-wait:
 		return answer.granted, now.Add(answer.wait)
 	case <-ex.ctx.Done():
 	case <-time.After(trialPatience):
 		g.passOver(warden.Name)
-		g.mesh.RenewBoth(warden.PeerAddr)
+		g.mesh.ReconnectBoth(warden.PeerAddr)
 	}
 	return false, now.Add(defaultRetryAfter)
 }
@@ -122,7 +122,7 @@
 		return
 	}
 	if ex.warden.Name != g.config.Name {
-		g.mesh.Send(ex.warden.PeerAddr, &peer.TrialAsk{Digest: ex.trial, From: g.config.Name, Done: true, Answered: ex.answered})
+		g.mesh.Send(ex.warden.PeerAddr, &peer.TrialRequest{Digest: ex.trial, From: g.config.Name, Done: true, Answered: ex.answered})
 		return
 	}
 	g.trialDone(ex.trial, g.config.Name, ex.answered)
@@ -147,7 +147,7 @@
 }
 
 // receiveTrialAsk answers another instance as the warden of a request.
-func (g *Gateway) receiveTrialAsk(m *peer.TrialAsk) {
+func (g *Gateway) receiveTrialAsk(m *peer.TrialRequest) {
 	if m.Done {
 		g.trialDone(m.Digest, m.From, m.Answered)
 		return
@@ -155,18 +155,18 @@
 	now := g.clock.Now()
 	g.holds.mu.Lock()
 	defer g.holds.mu.Unlock()
-	g.holds.table.Merge(now, m.News)
+	g.holds.table.Merge(now, m.Updates)
 	g.holds.note()
-	granted, next := g.holds.warden.Acquire(now, &g.holds.table, m.Digest, m.From, now.Add(m.For))
-	answer := &peer.TrialAnswer{Digest: m.Digest, Granted: granted}
+	granted, next := g.holds.warden.Acquire(now, &g.holds.table, m.Digest, m.From, now.Add(m.Timeout))
+	answer := &peer.TrialReply{Digest: m.Digest, Granted: granted}
 	if !granted {
-		answer.Wait = next.Sub(now)
+		answer.RetryAfter = next.Sub(now)
 	}
 	g.mesh.Send(m.ReplyTo, answer)
 }
 
 // receiveTrialAnswer takes in the answer of a warden.
-func (g *Gateway) receiveTrialAnswer(m *peer.TrialAnswer) {
+func (g *Gateway) receiveTrialAnswer(m *peer.TrialReply) {
 	g.holds.mu.Lock()
 	defer g.holds.mu.Unlock()
 	wait := g.holds.trials[m.Digest]
@@ -174,7 +174,7 @@
 		return
 	}
 	select {
-	case wait <- trialAnswer{granted: m.Granted, wait: m.Wait}:
+	case wait <- trialAnswer{granted: m.Granted, wait: m.RetryAfter}:
 	default:
 	}
 }
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -17,7 +17,7 @@
 	for {
 		select {
 		case m := <-n.messages:
-			if probe, ok := m.(*peer.Probe); ok && probe.Again {
+			if probe, ok := m.(*peer.Probe); ok && probe.Reconnect {
 				return
 			}
 		case <-deadline:
--- a/node/beat.go
+++ b/node/beat.go
@@ -117,7 +117,7 @@
 		if i%askCount == 0 {
 			n.rand.Shuffle(len(lenders), func(a, b int) { lenders[a], lenders[b] = lenders[b], lenders[a] })
 		}
-		out = append(out, outgoing{lenders[i%len(lenders)], &peer.Ask{LoanRequest: ask}})
+		out = append(out, outgoing{lenders[i%len(lenders)], &peer.LoanRequest{LoanRequest: ask}})
 	}
 	return out
 }
@@ -127,7 +127,7 @@
 	switch msg := m.(type) {
 	case *peer.Heartbeat:
 		n.hear(msg.Heartbeat)
-	case *peer.Ask:
+	case *peer.LoanRequest:
 		n.lend(from, msg)
 	case *peer.Loan:
 		n.mu.Lock()
@@ -212,7 +212,7 @@
 	return s.PeerAddr
 }
 
-func (n *Node) lend(from string, msg *peer.Ask) {
+func (n *Node) lend(from string, msg *peer.LoanRequest) {
 	n.mu.Lock()
 	loan, ok := n.ledger.Lend(time.Now(), msg.LoanRequest)
 	addr := n.addrOf(from)
--- a/node/claims.go
+++ b/node/claims.go
@@ -134,7 +134,7 @@
 	writer := c.writers[shard.Number]
 	c.mu.Unlock()
 	if writer.id != "" && writer.id != c.self {
-		c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, For: writerPatience})
+		c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, Timeout: writerPatience})
 		reply, ok := await(ctx, replies, writerPatience)
 		if ok && reply.Answer != claim.Unwritten {
 			return reply, nil
@@ -212,7 +212,7 @@
 	c.mu.Lock()
 	c.waiting[endName(op)] = &claimWait{op: op, reply: func(claim.Reply) {}}
 	c.mu.Unlock()
-	c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, For: writerPatience})
+	c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, Timeout: writerPatience})
 	time.AfterFunc(writerPatience, func() {
 		c.mu.Lock()
 		_, open := c.waiting[endName(op)]
--- a/peer/delta.go
+++ b/peer/delta.go
@@ -27,31 +27,31 @@
 	Kind feed.Kind `msgpack:"k"`
 	// Packed is a feed.Delta in msgpack, compressed: entries of targets are much alike.
 	Packed []byte `msgpack:"p"`
-	// Lapse is how long the sender holds removals back after an outage of the
+	// RemovalHold is how long the sender holds removals back after an outage of the
 	// store.
-	Lapse time.Duration `msgpack:"l,omitempty"`
+	RemovalHold time.Duration `msgpack:"l,omitempty"`
 	// Relay says that the receiver has to pass the delta on, up to the member Until.
-	Relay bool     `msgpack:"r,omitempty"`
-	Until fleet.ID `msgpack:"u,omitempty"`
+	Relay      bool     `msgpack:"r,omitempty"`
+	RelayUntil fleet.ID `msgpack:"u,omitempty"`
 }
 
-// packers and unpackers keep the buffers of the compression, which are large.
+// compressors and decompressors keep the buffers of the compression, which are large.
 var (
-	packers = sync.Pool{New: func() any {
+	compressors = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(nil, flate.BestSpeed)
 		if err != nil {
 			panic(err) // The level is a constant.
 		}
 		return w
 	}}
-	unpackers = sync.Pool{New: func() any { return flate.NewReader(nil) }}
+	decompressors = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
 // NewDelta packs a delta.
 func NewDelta(d feed.Delta) (*Delta, error) {
 	var buf bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	w.Reset(&buf)
 	enc := msgpack.NewEncoder(w)
 	enc.UseCompactInts(true)
@@ -67,8 +67,8 @@
 // Unpack returns the changes. It returns an error that wraps ErrDelta if they can't be
 // read or are of another kind than the message says.
 func (m *Delta) Unpack() (feed.Delta, error) {
-	r := unpackers.Get().(io.ReadCloser)
-	defer unpackers.Put(r)
+	r := decompressors.Get().(io.ReadCloser)
+	defer decompressors.Put(r)
 	var d feed.Delta
 	if err := r.(flate.Resetter).Reset(bytes.NewReader(m.Packed), nil); err != nil {
 		return d, fmt.Errorf("%w: %w", ErrDelta, err)
@@ -85,6 +85,6 @@
 // RelayTo returns the message for a branch, which has to pass it on.
 func (m *Delta) RelayTo(b fleet.Branch) *Delta {
 	relayed := *m
-	relayed.Relay, relayed.Until = true, b.Until
+	relayed.Relay, relayed.RelayUntil = true, b.Until
 	return &relayed
 }
--- a/peer/delta_test.go
+++ b/peer/delta_test.go
@@ -12,8 +12,8 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// entries returns a delta of n new targets, as alike as those of a site.
-func entries(n int) feed.Delta {
+// targetDelta returns a delta of n new targets, as alike as those of a site.
+func targetDelta(n int) feed.Delta {
 	d := feed.Delta{Kind: "targets", From: feed.At(0, 1), To: feed.At(0, int64(n)+1)}
 	for i := range n {
 		value := fmt.Sprintf(`{"service":"listings","address":"10.7.%d.%d:8045","zone":"accra-a","version":"v2","slots":9,"state":"ready","warmupRemaining":"%dms","sequence":%d}`,
@@ -26,7 +26,7 @@
 // TestDelta checks that a delta arrives as it was, relayed or not, in a sixth of its
 // length.
 func TestDelta(t *testing.T) {
-	want := entries(366)
+	want := targetDelta(366)
 	message, err := peer.NewDelta(want)
 	require.NoError(t, err)
 	message = message.RelayTo(fleet.Branch{Until: 7})
@@ -42,16 +42,16 @@
 	got, ok := arrived.(*peer.Delta)
 	require.True(t, ok)
 	require.True(t, got.Relay)
-	require.EqualValues(t, 7, got.Until)
+	require.EqualValues(t, 7, got.RelayUntil)
 	unpacked, err := got.Unpack()
 	require.NoError(t, err)
 	require.Equal(t, want, unpacked)
 }
 
-// TestBrokenDelta checks that a delta that can't be unpacked, or is not of the kind that
+// TestMalformedDelta checks that a delta that can't be unpacked, or is not of the kind that
 // the message says, is an error.
-func TestBrokenDelta(t *testing.T) {
-	message, err := peer.NewDelta(entries(3))
+func TestMalformedDelta(t *testing.T) {
+	message, err := peer.NewDelta(targetDelta(3))
 	require.NoError(t, err)
 	cut := *message
 	cut.Packed = cut.Packed[:len(cut.Packed)/2]
@@ -69,7 +69,7 @@
 // a large site.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{366, 1617} {
-		d := entries(n)
+		d := targetDelta(n)
 		b.Run(fmt.Sprintf("pack/changes=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -67,7 +67,7 @@
 	if len(body) < n {
 		return nil, io.ErrUnexpectedEOF
 	}
-	m := empty(kind(body[0]))
+	m := newMessage(kind(body[0]))
 	if m == nil {
 		return nil, fmt.Errorf("%w: kind %d", ErrFrame, body[0])
 	}
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -11,9 +11,9 @@
 // unpacked or refuses it, and is then where it says.
 func FuzzDelta(f *testing.F) {
 	for _, d := range []feed.Delta{
-		entries(3),
-		{Kind: "targets", To: feed.At(0, 9), Full: true, Changes: entries(2).Changes},
-		feed.ExactDelta("targets", feed.At(0, 5), feed.At(0, 9), entries(1).Changes),
+		targetDelta(3),
+		{Kind: "targets", To: feed.At(0, 9), Full: true, Changes: targetDelta(2).Changes},
+		feed.ExactDelta("targets", feed.At(0, 5), feed.At(0, 9), targetDelta(1).Changes),
 		{Kind: "targets", From: feed.At(0, -1), To: feed.At(0, -7)},
 	} {
 		m, err := peer.NewDelta(d)
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	queueFrames = 64
-	dialTimeout = 2 * time.Second
+	queueCapacity = 64
+	dialTimeout   = 2 * time.Second
 	// unackedTimeout ends a connection whose bytes the other side does not acknowledge: it
 	// may be silent for good while new ones work. Frames on the way are lost by that, as
 	// they are anyway. The way between regions and back takes a tenth of it.
@@ -26,10 +26,10 @@
 	writeTimeout   = 5 * time.Second
 	helloTimeout   = 5 * time.Second
 	// idleTimeout ends a connection that carries nothing, on both sides.
-	idleTimeout = time.Minute
-	redialPause = 500 * time.Millisecond
-	maxInbound  = 4096
-	readBuffer  = 2 << 10
+	idleTimeout     = time.Minute
+	redialBackoff   = 500 * time.Millisecond
+	maxInboundConns = 4096
+	readBufferBytes = 2 << 10
 )
 
 // Receiver takes the messages that arrive. It is called from many goroutines.
@@ -50,11 +50,11 @@
 	receivedBytes atomic.Int64
 	dropped       atomic.Int64
 
-	mu    sync.Mutex
-	links map[string]*link
-	conns map[net.Conn]bool
-	done  bool
-	wg    sync.WaitGroup
+	mu     sync.Mutex
+	links  map[string]*link
+	conns  map[net.Conn]bool
+	closed bool
+	wg     sync.WaitGroup
 }
 
 // NewMesh returns the mesh of an instance. Secret is shared by all instances.
@@ -98,7 +98,7 @@
 func (m *Mesh) track(conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.done || len(m.conns) >= maxInbound {
+	if m.closed || len(m.conns) >= maxInboundConns {
 		return false
 	}
 	m.conns[conn] = true
@@ -120,12 +120,12 @@
 	first, err := readFrame(conn, maxHelloBytes)
 	hello, ok := first.(*Hello)
 	if err != nil || !ok || subtle.ConstantTimeCompare([]byte(hello.Secret), []byte(m.secret)) != 1 {
-		m.log.Warn("peer refused", "addr", conn.RemoteAddr().String(), "error", errText(err))
+		m.log.Warn("peer refused", "addr", conn.RemoteAddr().String(), "error", refusalReason(err))
 		return
 	}
 	counted := &countingReader{r: conn, n: &m.receivedBytes}
 	// A frame is read in one call of the system instead of two or more.
-	buffered := bufio.NewReaderSize(counted, readBuffer)
+	buffered := bufio.NewReaderSize(counted, readBufferBytes)
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		msg, err := ReadFrame(buffered)
@@ -139,7 +139,7 @@
 	}
 }
 
-func errText(err error) string {
+func refusalReason(err error) string {
 	if err == nil {
 		return "bad hello"
 	}
@@ -179,13 +179,13 @@
 func (m *Mesh) link(addr string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.done {
+	if m.closed {
 		return nil
 	}
 	l := m.links[addr]
 	if l == nil {
 		ctx, cancel := context.WithCancel(context.Background())
-		l = &link{mesh: m, addr: addr, queue: make(chan []byte, queueFrames), cancel: cancel}
+		l = &link{mesh: m, addr: addr, queue: make(chan []byte, queueCapacity), cancel: cancel}
 		m.links[addr] = l
 		m.wg.Add(1)
 		go l.run(ctx)
@@ -193,28 +193,28 @@
 	return l
 }
 
-// Renew ends the connection to a peer that has not answered what was sent to it: it may
+// Reconnect ends the connection to a peer that has not answered what was sent to it: it may
 // carry nothing any more without a sign of it. The next frame opens another one.
-func (m *Mesh) Renew(addr string) {
+func (m *Mesh) Reconnect(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if l := m.links[addr]; l != nil {
-		l.renew.Store(true)
+		l.reconnect.Store(true)
 	}
 }
 
-// RenewBoth ends the connection to a peer that has not answered, and asks the peer to open
+// ReconnectBoth ends the connection to a peer that has not answered, and asks the peer to open
 // another one too: its answers may go over one that carries nothing, of which only this side
 // can know. That the peer is heard of says nothing of it, as others pass on what it says.
-func (m *Mesh) RenewBoth(addr string) {
-	m.Renew(addr)
-	m.Send(addr, &Probe{ReplyTo: m.self, Again: true})
+func (m *Mesh) ReconnectBoth(addr string) {
+	m.Reconnect(addr)
+	m.Send(addr, &Probe{ReplyTo: m.self, Reconnect: true})
 }
 
 // Close ends all connections and waits for their goroutines.
 func (m *Mesh) Close() {
 	m.mu.Lock()
-	m.done = true
+	m.closed = true
 	for _, l := range m.links {
 		l.cancel()
 	}
@@ -233,13 +233,13 @@
 	queue  chan []byte
 	cancel context.CancelFunc
 	conn   net.Conn
-	// renew asks for another connection.
-	renew atomic.Bool
+	// reconnect asks for another connection.
+	reconnect atomic.Bool
 }
 
 func (l *link) run(ctx context.Context) {
 	defer l.mesh.wg.Done()
-	defer l.forget()
+	defer l.remove()
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
@@ -255,7 +255,7 @@
 	}
 }
 
-func (l *link) forget() {
+func (l *link) remove() {
 	l.close()
 	l.cancel()
 	l.mesh.mu.Lock()
@@ -273,7 +273,7 @@
 // deliver writes one frame, over a new connection if need be. A frame that
 // can't be written is dropped.
 func (l *link) deliver(ctx context.Context, frame []byte) {
-	if l.renew.Swap(false) || (l.conn != nil && !sockopt.Quiet(l.conn)) {
+	if l.reconnect.Swap(false) || (l.conn != nil && !sockopt.Quiet(l.conn)) {
 		// The peer sends nothing on it, so that anything there is its end: written to it,
 		// the first message to a peer that has started again would be lost, and those
 		// after it until the next write fails.
@@ -284,8 +284,8 @@
 		if ctx.Err() == nil {
 			l.mesh.receiver.Unreachable(l.addr)
 		}
-		pause.For(ctx, redialPause)
-		l.discard()
+		pause.For(ctx, redialBackoff)
+		l.drainQueue()
 		return
 	}
 	if !l.write(frame) {
@@ -293,9 +293,9 @@
 	}
 }
 
-// discard drops what has queued up while the peer could not be reached: old
+// drainQueue drops what has queued up while the peer could not be reached: old
 // heartbeats would only pretend that all is well.
-func (l *link) discard() {
+func (l *link) drainQueue() {
 	for {
 		select {
 		case <-l.queue:
--- a/peer/message.go
+++ b/peer/message.go
@@ -23,7 +23,7 @@
 const (
 	kindHello kind = iota + 1
 	kindHeartbeat
-	kindAsk
+	kindLoanRequest
 	kindLoan
 	kindPull
 	kindObject
@@ -31,13 +31,13 @@
 	kindClaimReply
 	kindGossip
 	kindDelta
-	kindSince
+	kindDeltaRequest
 	kindProbe
-	kindPermitAsk
-	kindPermitIssue
-	kindTrialAsk
-	kindTrialAnswer
-	kindAnswers
+	kindPermitRequest
+	kindPermitGrant
+	kindTrialRequest
+	kindTrialReply
+	kindAnsweredRequests
 	kindRolloutReport
 )
 
@@ -57,8 +57,8 @@
 	member.Heartbeat
 }
 
-// Ask asks for a loan.
-type Ask struct {
+// LoanRequest asks for a loan.
+type LoanRequest struct {
 	share.LoanRequest
 }
 
@@ -85,8 +85,8 @@
 type Claim struct {
 	Shard claim.ShardID `msgpack:"s"`
 	Op    claim.Op      `msgpack:"o"`
-	// For is how long the sender waits for the reply.
-	For time.Duration `msgpack:"d"`
+	// Timeout is how long the sender waits for the reply.
+	Timeout time.Duration `msgpack:"d"`
 }
 
 // ClaimReply answers a Claim once the claim is in force.
@@ -98,67 +98,67 @@
 // Gossip tells of the beats that the sender knows and the positions that its replicas
 // reflect.
 type Gossip struct {
-	// Beats begin with the sender's own, which names it.
-	Beats fleet.Heartbeats `msgpack:"b"`
+	// Heartbeats begin with the sender's own, which names it.
+	Heartbeats fleet.Heartbeats `msgpack:"b"`
 	// Member is the sender itself, for receivers that may not know it; nil in most
 	// messages.
 	Member *fleet.Member `msgpack:"m,omitempty"`
 	// Positions are those of the sender's replicas, in an order of kinds that all
 	// instances share. New kinds come last.
 	Positions []feed.Position `msgpack:"p,omitempty"`
-	// Busy are the loads of targets that have more requests than they can work on.
-	Busy upstream.TargetReports `msgpack:"l,omitempty"`
+	// Overloaded are the loads of targets that have more requests than they can work on.
+	Overloaded upstream.TargetReports `msgpack:"l,omitempty"`
 	// Reply marks an answer to gossip, which is not answered again.
 	Reply bool `msgpack:"a,omitempty"`
-	// Unheard says that the sender should hear the receiver and does not.
-	Unheard bool `msgpack:"h,omitempty"`
-	// News are of requests under which targets have ended, and NewsSum is the same for
+	// NotReceiving says that the sender should hear the receiver and does not.
+	NotReceiving bool `msgpack:"h,omitempty"`
+	// Quarantine are of requests under which targets have ended, and NewsSum is the same for
 	// instances that know the same of those that are held back.
-	News    quarantine.Updates `msgpack:"e,omitempty"`
-	NewsSum uint32             `msgpack:"s,omitempty"`
+	Quarantine         quarantine.Updates `msgpack:"e,omitempty"`
+	QuarantineChecksum uint32             `msgpack:"s,omitempty"`
 	// Departures are targets that have said themselves that they leave, and DeparturesSum
 	// is the same for instances that know of the same ones.
-	Departures    availability.DepartureList `msgpack:"d,omitempty"`
-	DeparturesSum uint32                     `msgpack:"c,omitempty"`
+	Departures         availability.DepartureList `msgpack:"d,omitempty"`
+	DeparturesChecksum uint32                     `msgpack:"c,omitempty"`
 	// Limits are what targets have named of how much they take, and LimitsSum is the same for
 	// instances that know the same.
-	Limits    availability.RateLimitList `msgpack:"t,omitempty"`
-	LimitsSum uint32                     `msgpack:"q,omitempty"`
+	Limits         availability.RateLimitList `msgpack:"t,omitempty"`
+	LimitsChecksum uint32                     `msgpack:"q,omitempty"`
 	// Stages are those of rollouts that go on.
 	Stages []rollout.Stage `msgpack:"g,omitempty"`
-	// Until is the last member of the region that the receiver has to pass News, Departures, Limits
+	// RelayUntil is the last member of the region that the receiver has to pass News, Departures, Limits
 	// and Stages on to, 0 for none, and Enter has it pass them on to its whole region.
-	Until fleet.ID `msgpack:"u,omitempty"`
-	Enter bool     `msgpack:"w,omitempty"`
+	RelayUntil    fleet.ID `msgpack:"u,omitempty"`
+	RelayToRegion bool     `msgpack:"w,omitempty"`
 }
 
-// TrialAsk asks the warden of a request under which targets have ended whether it may be
+// TrialRequest asks the warden of a request under which targets have ended whether it may be
 // sent.
-type TrialAsk struct {
+type TrialRequest struct {
 	Digest quarantine.Digest `msgpack:"d"`
 	// From is the asker's name and ReplyTo its peer address.
 	From    string `msgpack:"f"`
 	ReplyTo string `msgpack:"a"`
-	// For is how long the trial takes at most.
-	For time.Duration `msgpack:"t"`
-	// News are what the asker knows of the request.
-	News quarantine.Updates `msgpack:"e,omitempty"`
+	// Timeout is how long the trial takes at most.
+	Timeout time.Duration `msgpack:"t"`
+	// Updates are what the asker knows of the request.
+	Updates quarantine.Updates `msgpack:"e,omitempty"`
 	// Done says that the asker's trial has ended, and Answered that a target has answered.
 	Done     bool `msgpack:"o,omitempty"`
 	Answered bool `msgpack:"w,omitempty"`
 }
 
-// TrialAnswer answers a TrialAsk.
-type TrialAnswer struct {
+// TrialReply answers a TrialAsk.
+type TrialReply struct {
 	Digest  quarantine.Digest `msgpack:"d"`
 	Granted bool              `msgpack:"g"`
-	// Wait is when to ask again if it was not granted.
-	Wait time.Duration `msgpack:"t"`
+	// RetryAfter is when to ask again if it was not granted.
+	RetryAfter time.Duration `msgpack:"t"`
 }
 
-// Answers tells which requests of an account the sender has had answered, by the first parts of
+// AnsweredRequests tells which requests of an account the sender has had answered, by the first parts of
 // their digests.
-type Answers struct {
+type AnsweredRequests struct {
 	// Account is the hash of the account's name.
 	Account uint32   `msgpack:"c"`
 	Digests []uint64 `msgpack:"d"`
@@ -169,8 +169,8 @@
 	rollout.Report
 }
 
-// Since asks for the changes of a kind after a position.
-type Since struct {
+// DeltaRequest asks for the changes of a kind after a position.
+type DeltaRequest struct {
 	Kind     feed.Kind     `msgpack:"k"`
 	Position feed.Position `msgpack:"p"`
 	// Digest is that of the objects that the asker holds at the position.
@@ -184,36 +184,36 @@
 type Probe struct {
 	// ReplyTo is the asker's peer address.
 	ReplyTo string `msgpack:"a"`
-	// Again says that the Probe before was not answered.
-	Again bool `msgpack:"g,omitempty"`
+	// Reconnect says that the Probe before was not answered.
+	Reconnect bool `msgpack:"g,omitempty"`
 }
 
-// PermitAsk asks the owner of a part of an account's limit, or of a target's limit, for permits.
-type PermitAsk struct {
+// PermitRequest asks the owner of a part of an account's limit, or of a target's limit, for permits.
+type PermitRequest struct {
 	// Account and From are the names of the account, or of the target's permits, and of the
 	// asker.
 	Account string `msgpack:"c"`
 	From    string `msgpack:"f"`
-	// At is the asker's own time, which the answer brings back.
-	At int64 `msgpack:"t"`
-	N  int   `msgpack:"n"`
-	// Lend says that the asker owns the part of another domain.
-	Lend bool `msgpack:"l,omitempty"`
-	// Target says that it is about a target's limit, and Limits is what the asker knows of it.
-	Target bool                       `msgpack:"g,omitempty"`
-	Limits availability.RateLimitList `msgpack:"v,omitempty"`
+	// SentAt is the asker's own time, which the answer brings back.
+	SentAt int64 `msgpack:"t"`
+	N      int   `msgpack:"n"`
+	// Borrow says that the asker owns the part of another domain.
+	Borrow bool `msgpack:"l,omitempty"`
+	// ForTarget says that it is about a target's limit, and Limits is what the asker knows of it.
+	ForTarget bool                       `msgpack:"g,omitempty"`
+	Limits    availability.RateLimitList `msgpack:"v,omitempty"`
 }
 
-// PermitIssue answers a PermitAsk.
-type PermitIssue struct {
-	Account string          `msgpack:"c"`
-	From    string          `msgpack:"f"`
-	At      int64           `msgpack:"t"`
-	Issue   ratelimit.Grant `msgpack:"i"`
-	Lend    bool            `msgpack:"l,omitempty"`
-	// Target says that it is about a target's limit, and Limits is what the owner knows of it.
-	Target bool                       `msgpack:"g,omitempty"`
-	Limits availability.RateLimitList `msgpack:"v,omitempty"`
+// PermitGrant answers a PermitAsk.
+type PermitGrant struct {
+	Account       string          `msgpack:"c"`
+	From          string          `msgpack:"f"`
+	RequestSentAt int64           `msgpack:"t"`
+	Grant         ratelimit.Grant `msgpack:"i"`
+	Borrow        bool            `msgpack:"l,omitempty"`
+	// ForTarget says that it is about a target's limit, and Limits is what the owner knows of it.
+	ForTarget bool                       `msgpack:"g,omitempty"`
+	Limits    availability.RateLimitList `msgpack:"v,omitempty"`
 }
 
 // NewObject returns the message that passes obj on.
@@ -221,35 +221,35 @@
 	return &Object{Key: obj.Key, Version: obj.Version, Value: obj.Value}
 }
 
-func (*Hello) kind() kind       { return kindHello }
-func (*Heartbeat) kind() kind   { return kindHeartbeat }
-func (*Ask) kind() kind         { return kindAsk }
-func (*Loan) kind() kind        { return kindLoan }
-func (*Pull) kind() kind        { return kindPull }
-func (*Object) kind() kind      { return kindObject }
-func (*Claim) kind() kind       { return kindClaim }
-func (*ClaimReply) kind() kind  { return kindClaimReply }
-func (*Gossip) kind() kind      { return kindGossip }
-func (*Delta) kind() kind       { return kindDelta }
-func (*Since) kind() kind       { return kindSince }
-func (*Probe) kind() kind       { return kindProbe }
-func (*PermitAsk) kind() kind   { return kindPermitAsk }
-func (*PermitIssue) kind() kind { return kindPermitIssue }
-func (*TrialAsk) kind() kind    { return kindTrialAsk }
-func (*TrialAnswer) kind() kind { return kindTrialAnswer }
-func (*Answers) kind() kind     { return kindAnswers }
+func (*Hello) kind() kind            { return kindHello }
+func (*Heartbeat) kind() kind        { return kindHeartbeat }
+func (*LoanRequest) kind() kind      { return kindLoanRequest }
+func (*Loan) kind() kind             { return kindLoan }
+func (*Pull) kind() kind             { return kindPull }
+func (*Object) kind() kind           { return kindObject }
+func (*Claim) kind() kind            { return kindClaim }
+func (*ClaimReply) kind() kind       { return kindClaimReply }
+func (*Gossip) kind() kind           { return kindGossip }
+func (*Delta) kind() kind            { return kindDelta }
+func (*DeltaRequest) kind() kind     { return kindDeltaRequest }
+func (*Probe) kind() kind            { return kindProbe }
+func (*PermitRequest) kind() kind    { return kindPermitRequest }
+func (*PermitGrant) kind() kind      { return kindPermitGrant }
+func (*TrialRequest) kind() kind     { return kindTrialRequest }
+func (*TrialReply) kind() kind       { return kindTrialReply }
+func (*AnsweredRequests) kind() kind { return kindAnsweredRequests }
 
 func (*RolloutReport) kind() kind { return kindRolloutReport }
 
-// empty returns a new message of a kind, or nil for an unknown one.
-func empty(k kind) Message {
+// newMessage returns a new message of a kind, or nil for an unknown one.
+func newMessage(k kind) Message {
 	switch k {
 	case kindHello:
 		return &Hello{}
 	case kindHeartbeat:
 		return &Heartbeat{}
-	case kindAsk:
-		return &Ask{}
+	case kindLoanRequest:
+		return &LoanRequest{}
 	case kindLoan:
 		return &Loan{}
 	case kindPull:
@@ -264,20 +264,20 @@
 		return &Gossip{}
 	case kindDelta:
 		return &Delta{}
-	case kindSince:
-		return &Since{}
+	case kindDeltaRequest:
+		return &DeltaRequest{}
 	case kindProbe:
 		return &Probe{}
-	case kindPermitAsk:
-		return &PermitAsk{}
-	case kindPermitIssue:
-		return &PermitIssue{}
-	case kindTrialAsk:
-		return &TrialAsk{}
-	case kindTrialAnswer:
-		return &TrialAnswer{}
-	case kindAnswers:
-		return &Answers{}
+	case kindPermitRequest:
+		return &PermitRequest{}
+	case kindPermitGrant:
+		return &PermitGrant{}
+	case kindTrialRequest:
+		return &TrialRequest{}
+	case kindTrialReply:
+		return &TrialReply{}
+	case kindAnsweredRequests:
+		return &AnsweredRequests{}
 	case kindRolloutReport:
 		return &RolloutReport{}
 	default:
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -24,7 +24,7 @@
 	return []Message{
 		&Hello{From: "a", Secret: "s"},
 		&Heartbeat{member.Heartbeat{From: member.Instance{ID: "a"}, Seat: seat.Heartbeat{Seq: 3, Released: []seat.SeatTerm{{Seat: 1, Term: 2}}}, Loads: []member.Load{{Service: "s", Free: 2}}, Heard: []string{"b"}}},
-		&Ask{share.LoanRequest{Row: table.RowKey{Service: "s", From: "a", To: "b"}, Units: 3, Nonce: 9}},
+		&LoanRequest{share.LoanRequest{Row: table.RowKey{Service: "s", From: "a", To: "b"}, Units: 3, Nonce: 9}},
 		&Loan{share.Loan{Units: 3, For: time.Second, Nonce: 9, Version: 4}},
 		&Pull{Key: "config/table", Version: 3},
 		&Object{Key: "config/table", Version: 3, Value: []byte("{}")},
@@ -60,9 +60,9 @@
 }
 
 type recorder struct {
-	mu   sync.Mutex
-	got  []Message
-	lost []string
+	mu          sync.Mutex
+	got         []Message
+	unreachable []string
 }
 
 func (r *recorder) Receive(_ string, m Message) {
@@ -74,13 +74,13 @@
 func (r *recorder) Unreachable(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lost = append(r.lost, addr)
+	r.unreachable = append(r.unreachable, addr)
 }
 
-func (r *recorder) losses() int {
+func (r *recorder) unreachableCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.lost)
+	return len(r.unreachable)
 }
 
 func (r *recorder) count() int {
@@ -104,9 +104,9 @@
 	return m, ln.Addr().String()
 }
 
-// TestStrangersAndMalformedFrames checks that each closes its own connection
+// TestInvalidConnectionsAreClosed checks that each closes its own connection
 // and nothing else.
-func TestStrangersAndMalformedFrames(t *testing.T) {
+func TestInvalidConnectionsAreClosed(t *testing.T) {
 	r := &recorder{}
 	_, addr := startMesh(t, "a", "secret", r)
 	friend, _ := startMesh(t, "b", "secret", &recorder{})
@@ -156,7 +156,7 @@
 	r := &recorder{}
 	m, _ := startMesh(t, "a", "s", r)
 	m.Send("127.0.0.1:1", &Pull{Key: "k"})
-	require.Eventually(t, func() bool { return r.losses() > 0 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return r.unreachableCount() > 0 }, 10*time.Second, 5*time.Millisecond)
 }
 
 // TestSendNeverBlocks checks that a peer that does not read loses frames and
@@ -167,7 +167,7 @@
 	defer func() { _ = ln.Close() }()
 	m := NewMesh("a", "s", &recorder{}, slog.New(slog.DiscardHandler))
 	big := &Object{Value: make([]byte, 512<<10)}
-	for range 4 * queueFrames {
+	for range 4 * queueCapacity {
 		m.Send(ln.Addr().String(), big)
 	}
 	_, _, dropped := m.Traffic()
@@ -175,9 +175,9 @@
 	m.Close()
 }
 
-// TestRenew has the connection to a peer go silent for good, and checks that frames arrive
+// TestReconnect has the connection to a peer go silent for good, and checks that frames arrive
 // again once it is renewed.
-func TestRenew(t *testing.T) {
+func TestReconnect(t *testing.T) {
 	r := &recorder{}
 	_, addr := startMesh(t, "b", "", r)
 	network, err := relay.Start(addr)
@@ -189,7 +189,7 @@
 	network.Silence()
 	mesh.Send(network.Addr(), &Probe{ReplyTo: "a"})
 	require.Never(t, func() bool { return r.count() > 1 }, 100*time.Millisecond, time.Millisecond)
-	mesh.Renew(network.Addr())
+	mesh.Reconnect(network.Addr())
 	mesh.Send(network.Addr(), &Probe{ReplyTo: "a"})
 	require.Eventually(t, func() bool { return r.count() == 2 }, 10*time.Second, time.Millisecond)
 }
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -228,7 +228,7 @@
 			n.issue(ask.Account, ratelimit.IssueRequest{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
 			continue
 		}
-		n.send(ask.To.Name, &peer.PermitAsk{Account: ask.Account, From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N}, func(owner *node) {
+		n.send(ask.To.Name, &peer.PermitRequest{Account: ask.Account, From: n.place.Name, SentAt: int64(askedAt.Sub(epoch)), N: ask.N}, func(owner *node) {
 			owner.issue(ask.Account, ratelimit.IssueRequest{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
 		})
 	}
@@ -255,9 +255,9 @@
 	w := n.world
 	for _, loan := range loans {
 		askedAt, process := w.now, n.epoch
-		n.send(loan.Lender.Name, &peer.PermitAsk{Account: loan.Account, From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: loan.N, Lend: true}, func(lender *node) {
+		n.send(loan.Lender.Name, &peer.PermitRequest{Account: loan.Account, From: n.place.Name, SentAt: int64(askedAt.Sub(epoch)), N: loan.N, Borrow: true}, func(lender *node) {
 			lent := lender.issuer.Lend(w.now, loan.Account, w.limits[loan.Account], loan.N)
-			lender.send(n.place.Name, &peer.PermitIssue{Account: loan.Account, From: lender.place.Name, At: int64(askedAt.Sub(epoch)), Issue: lent, Lend: true}, func(n *node) {
+			lender.send(n.place.Name, &peer.PermitGrant{Account: loan.Account, From: lender.place.Name, RequestSentAt: int64(askedAt.Sub(epoch)), Grant: lent, Borrow: true}, func(n *node) {
 				if n.epoch != process {
 					return
 				}
@@ -279,7 +279,7 @@
 			continue
 		}
 		process := n.world.byName[r.To].epoch
-		n.send(r.To, &peer.PermitIssue{Account: r.Account, From: n.place.Name, At: r.At, Issue: r.Grant}, func(to *node) {
+		n.send(r.To, &peer.PermitGrant{Account: r.Account, From: n.place.Name, RequestSentAt: r.At, Grant: r.Grant}, func(to *node) {
 			if to.epoch == process && !to.startedAt.After(askedAt) {
 				to.handleReply(askedAt, r.Account, n.place.Name, r.Grant)
 			}
