--- a/quarantine/account_model_test.go
+++ b/quarantine/account_model_test.go
@@ -81,40 +81,40 @@
 func (m *accountModel) arrive(i int) {
 	m.sent++
 	d := Content{Account: crashingAccount, URI: fmt.Sprint(m.sent)}.Digest()
-	good := m.rnd.Float64() < m.harmlessShare
-	if good {
+	harmless := m.rnd.Float64() < m.harmlessShare
+	if harmless {
 		m.harmlessSent++
 	}
 	account := AccountDigest(crashingAccount)
-	standing := m.tables[i].Status(m.clock(), account)
+	status := m.tables[i].Status(m.clock(), account)
 	switch {
-	case standing.Verdict == Allowed:
-		m.send(i, d, good, modelAttempts, false)
-	case standing.Verdict == Held && !m.noLocalBackoff:
+	case status.Verdict == Allowed:
+		m.send(i, d, harmless, modelAttempts, false)
+	case status.Verdict == Held && !m.noLocalBackoff:
 	case m.noCoordinator:
-		m.send(i, d, good, 1, true)
+		m.send(i, d, harmless, 1, true)
 	default:
-		m.at(m.delay(), func() { m.acquire(i, d, account, good) })
+		m.at(m.delay(), func() { m.acquire(i, d, account, harmless) })
 	}
 }
 
 // acquire asks the warden of the account whether a request may be sent.
-func (m *accountModel) acquire(i int, d, account Digest, good bool) {
+func (m *accountModel) acquire(i int, d, account Digest, harmless bool) {
 	name := fmt.Sprint(i)
 	granted, _ := m.coordinator.Acquire(m.clock(), &m.tables[0], account, name, after(m.now+3*time.Second))
 	if granted {
-		m.at(m.delay(), func() { m.send(i, d, good, 1, true) })
+		m.at(m.delay(), func() { m.send(i, d, harmless, 1, true) })
 	}
 }
 
 // send has some target run a request, and another one if that ends and attempts are left.
-func (m *accountModel) send(i int, d Digest, good bool, attempts int, trial bool) {
+func (m *accountModel) send(i int, d Digest, harmless bool, attempts int, trial bool) {
 	target := m.pickTarget()
 	if target < 0 {
 		return
 	}
 	m.at(modelServiceTime, func() {
-		if good {
+		if harmless {
 			m.answered++
 			m.tables[i].RecordAnswer(m.clock(), d)
 			m.release(i, trial)
@@ -127,7 +127,7 @@
 		}
 		m.recordCrash(i, d, TargetIDOf(fmt.Sprint(target, "#", m.downUntil[target])), trial)
 		if attempts > 1 {
-			m.send(i, d, good, attempts-1, trial)
+			m.send(i, d, harmless, attempts-1, trial)
 		}
 	})
 }
@@ -160,21 +160,21 @@
 func (m *accountModel) recordCrash(i int, d Digest, target TargetID, trial bool) {
 	t := &m.tables[i]
 	t.RecordCrash(m.clock(), d, crashingAccount, target, false)
-	told := []Digest{d}
+	changed := []Digest{d}
 	if trial {
 		t.RecordCrash(m.clock(), AccountDigest(crashingAccount), crashingAccount, target, true)
-		told = append(told, AccountDigest(crashingAccount))
+		changed = append(changed, AccountDigest(crashingAccount))
 	}
 	if !m.noFlagging && (m.flaggedAt[i] == 0 || m.now-m.flaggedAt[i] >= accountModelFlagInterval) {
 		m.flaggedAt[i] = m.now
-		told = append(told, t.FlagAccounts(m.clock(), trustNone)...)
+		changed = append(changed, t.FlagAccounts(m.clock(), trustNone)...)
 	}
-	m.broadcast(i, told...)
+	m.broadcast(i, changed...)
 }
 
 func (m *accountModel) broadcast(i int, digests ...Digest) {
-	news := m.tables[i].Updates(m.clock(), digests...)
-	raw, err := news.MarshalBinary()
+	updates := m.tables[i].Updates(m.clock(), digests...)
+	raw, err := updates.MarshalBinary()
 	if err != nil {
 		panic(err)
 	}
@@ -183,41 +183,41 @@
 			continue
 		}
 		m.updateBytes += len(raw)
-		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), news) })
+		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), updates) })
 	}
 }
 
 // TestAccountModel plays 14 s of floods at fleets of several sizes, and checks that few targets end.
 // Each way is switched off in turn, for what it is worth.
 func TestAccountModel(t *testing.T) {
-	const far, most = 60 * time.Millisecond, 30
+	const regionDelay, limit = 60 * time.Millisecond, 30
 	for _, c := range []struct {
 		name string
 		accountModelCase
-		most int
+		limit int
 	}{
-		{"12 instances", accountModelCase{instances: 12, messageDelay: far, perSecond: 10}, most},
-		{"300 instances", accountModelCase{instances: 300, messageDelay: 2 * far, perSecond: 10}, most},
-		{"730 instances", accountModelCase{instances: 730, messageDelay: 2 * far, perSecond: 10}, most},
-		{"12, half of them good", accountModelCase{instances: 12, messageDelay: far, perSecond: 20, harmlessShare: 0.5}, 0},
-		{"12, 50 a second", accountModelCase{instances: 12, messageDelay: far, perSecond: 50}, 0},
-		{"12, no account flagged", accountModelCase{instances: 12, messageDelay: far, perSecond: 10, noFlagging: true}, 0},
-		{"12, no warden", accountModelCase{instances: 12, messageDelay: far, perSecond: 10, noCoordinator: true}, 0},
-		{"12, no pauses kept by who asks", accountModelCase{instances: 12, messageDelay: far, perSecond: 10, noLocalBackoff: true}, 0},
+		{"12 instances", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10}, limit},
+		{"300 instances", accountModelCase{instances: 300, messageDelay: 2 * regionDelay, perSecond: 10}, limit},
+		{"730 instances", accountModelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 10}, limit},
+		{"12, half of them good", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, harmlessShare: 0.5}, 0},
+		{"12, 50 a second", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 50}, 0},
+		{"12, no account flagged", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noFlagging: true}, 0},
+		{"12, no warden", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noCoordinator: true}, 0},
+		{"12, no pauses kept by who asks", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noLocalBackoff: true}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ends, worst, bytes, goodSent, answered := 0, 0, 0, 0, 0
+			crashes, worst, bytes, harmlessSent, answered := 0, 0, 0, 0, 0
 			const seeds = 5
 			for seed := range uint64(seeds) {
 				m := &accountModel{accountModelCase: c.accountModelCase, rnd: rand.New(rand.NewPCG(seed, 13))}
 				m.run()
-				ends += m.crashes
-				goodSent, answered = goodSent+m.harmlessSent, answered+m.answered
+				crashes += m.crashes
+				harmlessSent, answered = harmlessSent+m.harmlessSent, answered+m.answered
 				worst, bytes = max(worst, m.crashes), max(bytes, m.updateBytes/c.instances)
 			}
-			t.Logf("%.1f targets ended, %d at worst; %d of %d good ones answered; %d bytes of news an instance", float64(ends)/seeds, worst, answered, goodSent, bytes)
-			if c.most > 0 {
-				require.LessOrEqual(t, worst, c.most)
+			t.Logf("%.1f targets ended, %d at worst; %d of %d good ones answered; %d bytes of news an instance", float64(crashes)/seeds, worst, answered, harmlessSent, bytes)
+			if c.limit > 0 {
+				require.LessOrEqual(t, worst, c.limit)
 			}
 		})
 	}
--- a/quarantine/accounts.go
+++ b/quarantine/accounts.go
@@ -66,27 +66,27 @@
 // those that are newly flagged. The ends of targets that accounts explain which are flagged
 // already count against no other one. IsSound tells of which accounts the requests are answered
 // as a rule: nothing is held against these, who are at most targets that end.
-func (t *Table) FlagAccounts(now time.Time, isSound func(account uint32) bool) []Digest {
-	seen := t.evidence(now, isSound)
+func (t *Table) FlagAccounts(now time.Time, isTrusted func(account uint32) bool) []Digest {
+	ev := t.evidence(now, isTrusted)
 	var flagged []Digest
-	for _, account := range seen.flagged {
-		seen.attribute(account)
+	for _, account := range ev.flagged {
+		ev.attribute(account)
 	}
 	for {
-		account, ok := seen.topAccount()
+		account, ok := ev.topAccount()
 		if !ok {
 			return flagged
 		}
-		if d, ok := t.flagAccount(now, account, seen); ok {
+		if d, ok := t.flagAccount(now, account, ev); ok {
 			flagged = append(flagged, d)
 		}
-		seen.attribute(account)
+		ev.attribute(account)
 	}
 }
 
 // flagAccount makes the record of a flagged account. There is no room if the table is full of records
 // that say more.
-func (t *Table) flagAccount(now time.Time, account uint32, seen *evidence) (Digest, bool) {
+func (t *Table) flagAccount(now time.Time, account uint32, ev *evidence) (Digest, bool) {
 	d := accountDigest(account)
 	if t.records[d] == nil {
 		if !t.makeRoom(now, account) {
@@ -96,8 +96,8 @@
 	}
 	r := t.records[d]
 	t.modify(r, func() {
-		for _, e := range seen.crashes[account] {
-			r.addCrash(crash{target: e.target, at: e.at})
+		for _, c := range ev.crashes[account] {
+			r.addCrash(crash{target: c.target, at: c.at})
 		}
 	})
 	return d, r.isSuspect()
@@ -117,29 +117,29 @@
 	clearedAt map[uint32]time.Time
 }
 
-func (t *Table) evidence(now time.Time, isSound func(uint32) bool) *evidence {
-	seen := &evidence{crashes: make(map[uint32]map[TargetID]crash), requests: make(map[uint32]int), clearedAt: make(map[uint32]time.Time), crashedIn: make(map[int64]int)}
+func (t *Table) evidence(now time.Time, isTrusted func(uint32) bool) *evidence {
+	ev := &evidence{crashes: make(map[uint32]map[TargetID]crash), requests: make(map[uint32]int), clearedAt: make(map[uint32]time.Time), crashedIn: make(map[int64]int)}
 	for _, at := range t.crashedAt {
 		if now.Sub(at) < flagWindow {
-			seen.crashed++
-			seen.crashedIn[intervalOf(at)]++
+			ev.crashed++
+			ev.crashedIn[intervalOf(at)]++
 		}
 	}
 	for d, r := range t.records {
 		if !d.IsAccount() {
 			continue
 		}
-		seen.clearedAt[r.account] = r.answeredAt
+		ev.clearedAt[r.account] = r.answeredAt
 		if r.isSuspect() {
-			seen.flagged = append(seen.flagged, r.account)
+			ev.flagged = append(ev.flagged, r.account)
 		}
 	}
 	for d, r := range t.records {
-		if !d.IsAccount() && r.account != anonymous && !isSound(r.account) {
-			seen.addRecord(now, r)
+		if !d.IsAccount() && r.account != anonymous && !isTrusted(r.account) {
+			ev.addRecord(now, r)
 		}
 	}
-	return seen
+	return ev
 }
 
 // anonymous stands for requests without a client account. Their callers can't be told apart, so
@@ -147,34 +147,34 @@
 var anonymous = AccountHash("")
 
 // addRecord takes in a record of a request.
-func (s *evidence) addRecord(now time.Time, r *record) {
+func (ev *evidence) addRecord(now time.Time, r *record) {
 	counts := false
-	for _, e := range r.crashes {
-		if now.Sub(e.at) >= flagWindow || !e.at.After(s.clearedAt[r.account]) {
+	for _, c := range r.crashes {
+		if now.Sub(c.at) >= flagWindow || !c.at.After(ev.clearedAt[r.account]) {
 			continue
 		}
 		counts = true
-		if s.crashes[r.account] == nil {
-			s.crashes[r.account] = make(map[TargetID]crash)
+		if ev.crashes[r.account] == nil {
+			ev.crashes[r.account] = make(map[TargetID]crash)
 		}
-		s.crashes[r.account][e.target] = e
+		ev.crashes[r.account][c.target] = c
 	}
 	if counts {
-		s.requests[r.account]++
+		ev.requests[r.account]++
 	}
 }
 
 // topAccount returns the account that explains the most ended targets, of those with enough of
 // them to be flagged.
-func (s *evidence) topAccount() (uint32, bool) {
+func (ev *evidence) topAccount() (uint32, bool) {
 	var best uint32
 	found := false
-	for account, ends := range s.crashes {
-		few := len(ends) < flagMinTargets || float64(len(ends)) < flagMinShare*float64(s.crashed)
-		if few || s.requests[account] < flagMinRequests || s.intervals(account) < flagMinIntervals {
+	for account, crashes := range ev.crashes {
+		tooFew := len(crashes) < flagMinTargets || float64(len(crashes)) < flagMinShare*float64(ev.crashed)
+		if tooFew || ev.requests[account] < flagMinRequests || ev.intervals(account) < flagMinIntervals {
 			continue
 		}
-		if !found || s.ranksAbove(account, best) {
+		if !found || ev.ranksAbove(account, best) {
 			best, found = account, true
 		}
 	}
@@ -186,14 +186,14 @@
 
 // intervals returns the number of spans in which an account explains enough of the targets that
 // ended.
-func (s *evidence) intervals(account uint32) int {
-	explained := make(map[int64]int)
-	for _, e := range s.crashes[account] {
-		explained[intervalOf(e.at)]++
+func (ev *evidence) intervals(account uint32) int {
+	attributed := make(map[int64]int)
+	for _, c := range ev.crashes[account] {
+		attributed[intervalOf(c.at)]++
 	}
 	n := 0
-	for moment, count := range explained {
-		if float64(count) >= flagIntervalShare*float64(s.crashedIn[moment]) {
+	for interval, count := range attributed {
+		if float64(count) >= flagIntervalShare*float64(ev.crashedIn[interval]) {
 			n++
 		}
 	}
@@ -202,26 +202,26 @@
 
 // ranksAbove orders accounts by the targets that ended under their requests, then by the
 // requests, and then by name, so that all instances find the same one.
-func (s *evidence) ranksAbove(a, b uint32) bool {
-	order := cmp.Or(cmp.Compare(len(s.crashes[a]), len(s.crashes[b])), cmp.Compare(s.requests[a], s.requests[b]), cmp.Compare(a, b))
+func (ev *evidence) ranksAbove(a, b uint32) bool {
+	order := cmp.Or(cmp.Compare(len(ev.crashes[a]), len(ev.crashes[b])), cmp.Compare(ev.requests[a], ev.requests[b]), cmp.Compare(a, b))
 	return order > 0
 }
 
 // attribute takes the ends that an account explains away from all others, and the account itself.
-func (s *evidence) attribute(account uint32) {
-	for target := range s.crashes[account] {
-		for other, ends := range s.crashes {
+func (ev *evidence) attribute(account uint32) {
+	for target := range ev.crashes[account] {
+		for other, crashes := range ev.crashes {
 			if other != account {
-				delete(ends, target)
+				delete(crashes, target)
 			}
 		}
 	}
-	delete(s.crashes, account)
+	delete(ev.crashes, account)
 }
 
 // trialCrashes returns the ends of trials, the oldest first.
 func (r *record) trialCrashes() []crash {
-	return slices.DeleteFunc(slices.Clone(r.crashes), func(e crash) bool { return !e.trial })
+	return slices.DeleteFunc(slices.Clone(r.crashes), func(c crash) bool { return !c.trial })
 }
 
 // nextAccountTrial returns when there may be another trial of a flagged account.
@@ -230,6 +230,6 @@
 	if len(failed) == 0 {
 		return time.Time{}
 	}
-	pause := min(accountTrialBackoff<<(len(failed)-1), maxAccountTrialBackoff)
-	return failed[len(failed)-1].at.Add(pause)
+	backoff := min(accountTrialBackoff<<(len(failed)-1), maxAccountTrialBackoff)
+	return failed[len(failed)-1].at.Add(backoff)
 }
--- a/quarantine/accounts_test.go
+++ b/quarantine/accounts_test.go
@@ -29,7 +29,7 @@
 func TestFlagAccounts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		bring func(t *Table)
+		setUp func(t *Table)
 		want  []string
 	}{
 		{"a flood", func(t *Table) {
@@ -97,7 +97,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var table Table
-			c.bring(&table)
+			c.setUp(&table)
 			now := after(3 * time.Second)
 			flagged := table.FlagAccounts(now, trustNone)
 			var want []Digest
@@ -115,32 +115,32 @@
 // row free the account at all instances, and what ended before does not count again.
 func TestFlaggedAccountTrials(t *testing.T) {
 	var table Table
-	var warden TrialCoordinator
+	var coordinator TrialCoordinator
 	for i := range 5 {
 		addCrashes(&table, after(time.Duration(i)*300*time.Millisecond), i, "ada")
 	}
 	now := after(2 * time.Second)
 	table.FlagAccounts(now, trustNone)
 	d := AccountDigest("ada")
-	for i, pause := range []time.Duration{1, 2, 4, 8, 16, 30, 30} {
-		granted, _ := warden.Acquire(now, &table, d, "n1", now.Add(time.Second))
+	for i, backoff := range []time.Duration{1, 2, 4, 8, 16, 30, 30} {
+		granted, _ := coordinator.Acquire(now, &table, d, "n1", now.Add(time.Second))
 		require.True(t, granted)
 		table.RecordCrash(now, d, "ada", TargetID(100+i), true)
-		granted, next := warden.Acquire(now, &table, d, "n1", now.Add(time.Second))
+		granted, next := coordinator.Acquire(now, &table, d, "n1", now.Add(time.Second))
 		require.False(t, granted)
 		if i >= maxCrashes {
 			// No more are remembered than that.
 			require.Equal(t, maxAccountTrialBackoff, next.Sub(now))
 			break
 		}
-		require.Equal(t, pause*time.Second, next.Sub(now))
+		require.Equal(t, backoff*time.Second, next.Sub(now))
 		now = next
 	}
 	now = now.Add(maxAccountTrialBackoff)
 	for i := range answersToClear {
-		granted, _ := warden.Acquire(now, &table, d, "n1", now.Add(time.Second))
+		granted, _ := coordinator.Acquire(now, &table, d, "n1", now.Add(time.Second))
 		require.True(t, granted)
-		require.Equal(t, i == answersToClear-1, warden.Release(&table, now, d, "n1", true))
+		require.Equal(t, i == answersToClear-1, coordinator.Release(&table, now, d, "n1", true))
 		now = now.Add(time.Second)
 	}
 	require.Equal(t, Allowed, table.Status(now, d).Verdict)
@@ -163,25 +163,25 @@
 		rnd := rand.New(rand.NewPCG(seed, 11))
 		var table Table
 		flagged := make(map[Digest]bool)
-		sound := func(account uint32) bool { return busiest[account] }
+		trusted := func(account uint32) bool { return busiest[account] }
 		target := 0
 		for ms := 0; ms < 10_000; ms += 100 {
-			for flooder := range 3 {
+			for flooding := range 3 {
 				target++
-				accounts := []string{fmt.Sprint("flood-", flooder)}
+				accounts := []string{fmt.Sprint("flood-", flooding)}
 				for i := range 97 {
 					if rnd.Float64() < busiestShare/float64(1+i/4) {
 						accounts = append(accounts, fmt.Sprint("account-", i))
 					}
 				}
-				addCrashes(&table, after(time.Duration(ms)*time.Millisecond+time.Duration(flooder)), target, accounts...)
+				addCrashes(&table, after(time.Duration(ms)*time.Millisecond+time.Duration(flooding)), target, accounts...)
 			}
-			for _, d := range table.FlagAccounts(after(time.Duration(ms)*time.Millisecond), sound) {
+			for _, d := range table.FlagAccounts(after(time.Duration(ms)*time.Millisecond), trusted) {
 				flagged[d] = true
 			}
 			if ms == 3_000 {
-				for flooder := range 3 {
-					require.True(t, flagged[AccountDigest(fmt.Sprint("flood-", flooder))], "seed %d", seed)
+				for flooding := range 3 {
+					require.True(t, flagged[AccountDigest(fmt.Sprint("flood-", flooding))], "seed %d", seed)
 				}
 			}
 		}
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -36,58 +36,58 @@
 
 // Acquire decides whether an instance may send a request as a trial, which takes at most until
 // a time. If not, it returns when there may be another one.
-func (w *TrialCoordinator) Acquire(now time.Time, t *Table, d Digest, from string, until time.Time) (granted bool, next time.Time) {
-	s := t.Status(now, d)
-	if s.Verdict == Held {
-		return false, s.Until
+func (c *TrialCoordinator) Acquire(now time.Time, t *Table, d Digest, instance string, until time.Time) (granted bool, next time.Time) {
+	status := t.Status(now, d)
+	if status.Verdict == Held {
+		return false, status.Until
 	}
-	if g, ok := w.leases[d]; ok && s.Verdict == Suspect && now.Before(g.expiresAt) && s.FailedTrials == g.failedTrials {
+	if lease, ok := c.leases[d]; ok && status.Verdict == Suspect && now.Before(lease.expiresAt) && status.FailedTrials == lease.failedTrials {
 		return false, now.Add(leaseRetryDelay)
 	}
-	if w.leases == nil {
-		w.leases = make(map[Digest]trialLease)
+	if c.leases == nil {
+		c.leases = make(map[Digest]trialLease)
 	}
-	w.leases[d] = trialLease{holder: from, expiresAt: until, failedTrials: s.FailedTrials}
+	c.leases[d] = trialLease{holder: instance, expiresAt: until, failedTrials: status.FailedTrials}
 	return true, time.Time{}
 }
 
 // Release ends a trial that did not end its target, and tells whether it was answered. It reports
 // whether that frees an account.
-func (w *TrialCoordinator) Release(t *Table, now time.Time, d Digest, from string, answered bool) bool {
-	if w.leases[d].holder != from {
+func (c *TrialCoordinator) Release(t *Table, now time.Time, d Digest, instance string, answered bool) bool {
+	if c.leases[d].holder != instance {
 		return false
 	}
-	failed := w.leases[d].failedTrials
-	delete(w.leases, d)
+	failed := c.leases[d].failedTrials
+	delete(c.leases, d)
 	if !answered || !d.IsAccount() {
 		return false
 	}
-	if w.streaks == nil {
-		w.streaks = make(map[Digest]answerStreak)
+	if c.streaks == nil {
+		c.streaks = make(map[Digest]answerStreak)
 	}
-	a := w.streaks[d]
-	if a.failedTrials != failed {
-		a = answerStreak{failedTrials: failed}
+	streak := c.streaks[d]
+	if streak.failedTrials != failed {
+		streak = answerStreak{failedTrials: failed}
 	}
-	a.count, a.last = a.count+1, now
-	w.streaks[d] = a
-	if a.count < answersToClear {
+	streak.count, streak.last = streak.count+1, now
+	c.streaks[d] = streak
+	if streak.count < answersToClear {
 		return false
 	}
-	delete(w.streaks, d)
+	delete(c.streaks, d)
 	return t.RecordAnswer(now, d)
 }
 
 // Expire forgets trials that have ended.
-func (w *TrialCoordinator) Expire(now time.Time) {
-	for d, g := range w.leases {
-		if !now.Before(g.expiresAt) {
-			delete(w.leases, d)
+func (c *TrialCoordinator) Expire(now time.Time) {
+	for d, lease := range c.leases {
+		if !now.Before(lease.expiresAt) {
+			delete(c.leases, d)
 		}
 	}
-	for d, a := range w.streaks {
-		if now.Sub(a.last) >= flagTTL {
-			delete(w.streaks, d)
+	for d, streak := range c.streaks {
+		if now.Sub(streak.last) >= flagTTL {
+			delete(c.streaks, d)
 		}
 	}
 }
--- a/quarantine/correlator.go
+++ b/quarantine/correlator.go
@@ -41,52 +41,52 @@
 
 // RequestInterrupted notes that a request was broken off at a target. It returns those that are known to
 // have been there when the target ended, and whether it has to be found out if it has.
-func (w *CrashCorrelator) RequestInterrupted(now time.Time, target string, b InterruptedRequest) (ended []InterruptedRequest, ask bool) {
-	d := w.pending[target]
-	if d == nil || now.Sub(d.since) >= correlationWindow {
-		if w.pending == nil {
-			w.pending = make(map[string]*pendingTarget)
+func (c *CrashCorrelator) RequestInterrupted(now time.Time, target string, r InterruptedRequest) (crashed []InterruptedRequest, check bool) {
+	p := c.pending[target]
+	if p == nil || now.Sub(p.since) >= correlationWindow {
+		if c.pending == nil {
+			c.pending = make(map[string]*pendingTarget)
 		}
-		d = &pendingTarget{since: now}
-		w.pending[target] = d
+		p = &pendingTarget{since: now}
+		c.pending[target] = p
 	}
-	if d.crashed {
-		return []InterruptedRequest{b}, false
+	if p.crashed {
+		return []InterruptedRequest{r}, false
 	}
-	ask, d.checkRequested = !d.checkRequested, true
-	if len(d.interrupted) < maxInterrupted && !slices.Contains(d.interrupted, b) {
-		d.interrupted = append(d.interrupted, b)
+	check, p.checkRequested = !p.checkRequested, true
+	if len(p.interrupted) < maxInterrupted && !slices.Contains(p.interrupted, r) {
+		p.interrupted = append(p.interrupted, r)
 	}
-	return nil, ask
+	return nil, check
 }
 
 // TargetCrashed takes in that a target has ended. It returns the requests that were there.
-func (w *CrashCorrelator) TargetCrashed(now time.Time, target string) []InterruptedRequest {
-	d := w.pending[target]
-	if d == nil || d.crashed || now.Sub(d.since) >= correlationWindow {
+func (c *CrashCorrelator) TargetCrashed(now time.Time, target string) []InterruptedRequest {
+	p := c.pending[target]
+	if p == nil || p.crashed || now.Sub(p.since) >= correlationWindow {
 		return nil
 	}
-	broken := d.interrupted
-	d.crashed, d.interrupted = true, nil
-	return broken
+	interrupted := p.interrupted
+	p.crashed, p.interrupted = true, nil
+	return interrupted
 }
 
 // TargetAnswered takes in that a target has answered a request that was sent at a time.
-func (w *CrashCorrelator) TargetAnswered(sent time.Time, target string) {
-	if d := w.pending[target]; d != nil && !d.crashed && d.since.Before(sent) {
-		delete(w.pending, target)
+func (c *CrashCorrelator) TargetAnswered(sent time.Time, target string) {
+	if p := c.pending[target]; p != nil && !p.crashed && p.since.Before(sent) {
+		delete(c.pending, target)
 	}
 }
 
 // TargetLeaving takes in that a target leaves: what it breaks off is its planned end.
-func (w *CrashCorrelator) TargetLeaving(target string) { delete(w.pending, target) }
+func (c *CrashCorrelator) TargetLeaving(target string) { delete(c.pending, target) }
 
 // PendingFor returns the number of targets that may have ended under a request, of which nothing
 // is known for certain.
-func (w *CrashCorrelator) PendingFor(digest Digest) int {
+func (c *CrashCorrelator) PendingFor(digest Digest) int {
 	n := 0
-	for _, d := range w.pending {
-		if slices.ContainsFunc(d.interrupted, func(b InterruptedRequest) bool { return b.Digest == digest }) {
+	for _, p := range c.pending {
+		if slices.ContainsFunc(p.interrupted, func(r InterruptedRequest) bool { return r.Digest == digest }) {
 			n++
 		}
 	}
@@ -94,19 +94,19 @@
 }
 
 // IsPending tells whether requests have broken at a target of which nothing is known.
-func (w *CrashCorrelator) IsPending(target string) bool {
-	d := w.pending[target]
-	return d != nil && !d.crashed
+func (c *CrashCorrelator) IsPending(target string) bool {
+	p := c.pending[target]
+	return p != nil && !p.crashed
 }
 
 // Len returns the number of targets in doubt.
-func (w *CrashCorrelator) Len() int { return len(w.pending) }
+func (c *CrashCorrelator) Len() int { return len(c.pending) }
 
 // Expire forgets what counts no more.
-func (w *CrashCorrelator) Expire(now time.Time) {
-	for target, d := range w.pending {
-		if now.Sub(d.since) >= correlationWindow {
-			delete(w.pending, target)
+func (c *CrashCorrelator) Expire(now time.Time) {
+	for target, p := range c.pending {
+		if now.Sub(p.since) >= correlationWindow {
+			delete(c.pending, target)
 		}
 	}
 }
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -91,18 +91,18 @@
 
 // arrive has an instance decide on an attempt. Broken is the number of attempts that ended
 // their target before.
-func (m *model) arrive(i, sent, broken int) {
+func (m *model) arrive(i, sent, crashedAttempts int) {
 	s := m.tables[i].Status(m.clock(), m.digest)
 	switch {
-	case broken > 0 && s.Crashes >= suspectCrashes, s.Verdict == Held, sent >= modelAttempts:
+	case crashedAttempts > 0 && s.Crashes >= suspectCrashes, s.Verdict == Held, sent >= modelAttempts:
 		return
 	case s.Verdict == Allowed || m.noCoordinator:
-		m.send(i, sent, broken, false)
+		m.send(i, sent, crashedAttempts, false)
 	default:
 		m.at(m.delay(), func() {
 			granted, _ := m.coordinator.Acquire(m.clock(), &m.tables[0], m.digest, fmt.Sprint(i), after(m.now+3*time.Second))
 			if granted {
-				m.at(m.delay(), func() { m.send(i, sent, broken, true) })
+				m.at(m.delay(), func() { m.send(i, sent, crashedAttempts, true) })
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 }
 
 // send has the first target that is there run the request, or any.
-func (m *model) send(i, sent, broken int, trial bool) {
+func (m *model) send(i, sent, crashedAttempts int, trial bool) {
 	target := m.pickTarget()
 	if target < 0 {
 		return
@@ -122,10 +122,10 @@
 	if m.thirdCrashAt > 0 && m.now > m.thirdCrashAt+4*time.Second {
 		m.lateSends++
 	}
-	until, there := m.downUntil[target]
+	until, hadCrashed := m.downUntil[target]
 	generation := until
 	m.at(modelServiceTime, func() {
-		if now, again := m.downUntil[target]; again != there || now != generation {
+		if latest, hasCrashed := m.downUntil[target]; hasCrashed != hadCrashed || latest != generation {
 			// It has ended under another copy meanwhile.
 			m.recordCrash(i, target, generation, trial)
 		} else {
@@ -137,7 +137,7 @@
 			m.recordCrash(i, target, generation, trial)
 		}
 		if !trial {
-			m.arrive(i, sent+1, broken+1)
+			m.arrive(i, sent+1, crashedAttempts+1)
 		}
 	})
 }
@@ -162,8 +162,8 @@
 	if !m.tables[i].RecordCrash(m.clock(), m.digest, "", id, trial) || m.noGossip {
 		return
 	}
-	news := m.tables[i].Updates(m.clock(), m.digest)
-	raw, err := news.MarshalBinary()
+	updates := m.tables[i].Updates(m.clock(), m.digest)
+	raw, err := updates.MarshalBinary()
 	if err != nil {
 		panic(err)
 	}
@@ -172,7 +172,7 @@
 			continue
 		}
 		m.updateBytes += len(raw)
-		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), news) })
+		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), updates) })
 	}
 }
 
@@ -180,35 +180,35 @@
 // few targets end and that nothing is sent late, where news take as long as between regions.
 // Each way is switched off in turn, for what it is worth.
 func TestRepeatModel(t *testing.T) {
-	const far = 60 * time.Millisecond
+	const regionDelay = 60 * time.Millisecond
 	cases := []struct {
 		name string
 		modelCase
-		most int
+		limit int
 	}{
-		{"12 instances", modelCase{instances: 12, messageDelay: far, perSecond: 20, sticky: true}, maxCrashes},
-		{"300 instances", modelCase{instances: 300, messageDelay: 2 * far, perSecond: 20, sticky: true}, maxCrashes},
-		{"730 instances", modelCase{instances: 730, messageDelay: 2 * far, perSecond: 20, sticky: true}, maxCrashes},
-		{"12, without an object", modelCase{instances: 12, messageDelay: far, perSecond: 20}, maxCrashes + 2},
-		{"730, without an object", modelCase{instances: 730, messageDelay: 2 * far, perSecond: 20}, maxCrashes + 4},
-		{"12, 200 a second", modelCase{instances: 12, messageDelay: far, perSecond: 200, sticky: true}, maxCrashes + 2},
+		{"12 instances", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true}, maxCrashes},
+		{"300 instances", modelCase{instances: 300, messageDelay: 2 * regionDelay, perSecond: 20, sticky: true}, maxCrashes},
+		{"730 instances", modelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 20, sticky: true}, maxCrashes},
+		{"12, without an object", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20}, maxCrashes + 2},
+		{"730, without an object", modelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 20}, maxCrashes + 4},
+		{"12, 200 a second", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 200, sticky: true}, maxCrashes + 2},
 		{"12, gossip alone", modelCase{instances: 12, messageDelay: 700 * time.Millisecond, perSecond: 20, sticky: true}, 0},
-		{"12, told nothing", modelCase{instances: 12, messageDelay: far, perSecond: 20, sticky: true, noGossip: true}, 0},
-		{"12, no warden", modelCase{instances: 12, messageDelay: far, perSecond: 20, sticky: true, noCoordinator: true}, 0},
+		{"12, told nothing", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noGossip: true}, 0},
+		{"12, no warden", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noCoordinator: true}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ends, worst, late, bytes := 0, 0, 0, 0
+			crashes, worst, late, bytes := 0, 0, 0, 0
 			const seeds = 10
 			for seed := range uint64(seeds) {
 				m := &model{modelCase: c.modelCase, rnd: rand.New(rand.NewPCG(seed, 9)), digest: digest("/ends/")}
 				m.run()
-				ends += m.crashes
+				crashes += m.crashes
 				worst, late, bytes = max(worst, m.crashes), max(late, m.lateSends), max(bytes, m.updateBytes/c.instances)
 			}
-			t.Logf("%.1f targets ended, %d at worst; %d sends late at worst; %d bytes of news an instance", float64(ends)/seeds, worst, late, bytes)
-			if c.most > 0 {
-				require.LessOrEqual(t, worst, c.most)
+			t.Logf("%.1f targets ended, %d at worst; %d sends late at worst; %d bytes of news an instance", float64(crashes)/seeds, worst, late, bytes)
+			if c.limit > 0 {
+				require.LessOrEqual(t, worst, c.limit)
 				require.LessOrEqual(t, late, maxFailedTrials)
 			}
 		})
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -83,26 +83,26 @@
 }
 
 // addCrash takes in an end. It reports whether it is new.
-func (r *record) addCrash(e crash) bool {
-	if !e.at.After(r.answeredAt) {
+func (r *record) addCrash(c crash) bool {
+	if !c.at.After(r.answeredAt) {
 		return false
 	}
-	i := slices.IndexFunc(r.crashes, func(known crash) bool { return known.target == e.target })
+	i := slices.IndexFunc(r.crashes, func(existing crash) bool { return existing.target == c.target })
 	if i >= 0 {
-		known := &r.crashes[i]
-		fresh := e.trial && !known.trial
-		known.trial = known.trial || e.trial
-		if e.at.Before(known.at) {
+		existing := &r.crashes[i]
+		changed := c.trial && !existing.trial
+		existing.trial = existing.trial || c.trial
+		if c.at.Before(existing.at) {
 			// Each step of the way to here has made it look younger.
-			known.at = e.at
+			existing.at = c.at
 			r.sort()
 		}
-		return fresh
+		return changed
 	}
-	if r.isRedundant(e) {
+	if r.isRedundant(c) {
 		return false
 	}
-	r.crashes = append(r.crashes, e)
+	r.crashes = append(r.crashes, c)
 	r.sort()
 	if r.isAccount {
 		r.crashes = r.crashes[max(0, len(r.crashes)-maxCrashes):]
@@ -113,14 +113,14 @@
 
 // isRedundant tells whether an end says nothing more: of a request the first ones count, of an account
 // the last ones.
-func (r *record) isRedundant(e crash) bool {
+func (r *record) isRedundant(c crash) bool {
 	if len(r.crashes) < maxCrashes {
 		return false
 	}
 	if r.isAccount {
-		return e.at.Before(r.crashes[0].at)
+		return c.at.Before(r.crashes[0].at)
 	}
-	return e.at.After(r.crashes[len(r.crashes)-1].at)
+	return c.at.After(r.crashes[len(r.crashes)-1].at)
 }
 
 func (r *record) sort() {
@@ -135,7 +135,7 @@
 	}
 	r.answeredAt = at
 	before := len(r.crashes)
-	r.crashes = slices.DeleteFunc(r.crashes, func(e crash) bool { return !e.at.After(at) })
+	r.crashes = slices.DeleteFunc(r.crashes, func(c crash) bool { return !c.at.After(at) })
 	return len(r.crashes) < before
 }
 
@@ -181,8 +181,8 @@
 // failedTrials returns the number of trials that have ended their target.
 func (r *record) failedTrials() int {
 	n := 0
-	for _, e := range r.crashes {
-		if e.trial {
+	for _, c := range r.crashes {
+		if c.trial {
 			n++
 		}
 	}
--- a/quarantine/stored.go
+++ b/quarantine/stored.go
@@ -38,32 +38,32 @@
 
 // StoredRecord returns what is to be kept of a request, false if nothing is: no trial of it has
 // failed. Day is the time of day at now.
-func (t *Table) StoredRecord(now, day time.Time, d Digest) (StoredRecord, bool) {
+func (t *Table) StoredRecord(now, wallTime time.Time, d Digest) (StoredRecord, bool) {
 	r := t.records[d]
 	if r == nil || r.failedTrials() == 0 {
 		return StoredRecord{}, false
 	}
-	k := StoredRecord{Digest: d, Account: r.account}
-	for _, e := range r.crashes {
-		k.Crashes = append(k.Crashes, StoredCrash{Target: e.target, At: day.Add(e.at.Sub(now)).UnixMilli(), Trial: e.trial})
+	s := StoredRecord{Digest: d, Account: r.account}
+	for _, c := range r.crashes {
+		s.Crashes = append(s.Crashes, StoredCrash{Target: c.target, At: wallTime.Add(c.at.Sub(now)).UnixMilli(), Trial: c.trial})
 	}
-	return k, true
+	return s, true
 }
 
 // Key returns the key of the object: the same for what several instances keep of a failed
 // trial.
-func (k StoredRecord) Key() string {
-	what := "released-" + strconv.FormatInt(k.Released, 10)
-	if k.Released == 0 {
-		what = strconv.Itoa(k.failedTrials())
+func (s StoredRecord) Key() string {
+	suffix := "released-" + strconv.FormatInt(s.Released, 10)
+	if s.Released == 0 {
+		suffix = strconv.Itoa(s.failedTrials())
 	}
-	return StoredPrefix + hex.EncodeToString(k.Digest[:]) + "/" + what
+	return StoredPrefix + hex.EncodeToString(s.Digest[:]) + "/" + suffix
 }
 
-func (k StoredRecord) failedTrials() int {
+func (s StoredRecord) failedTrials() int {
 	n := 0
-	for _, e := range k.Crashes {
-		if e.Trial {
+	for _, c := range s.Crashes {
+		if c.Trial {
 			n++
 		}
 	}
@@ -73,46 +73,48 @@
 // ParseStoredRecord reads an object by its key and value.
 func ParseStoredRecord(key string, value []byte) (StoredRecord, error) {
 	rest, ok := strings.CutPrefix(key, StoredPrefix)
-	digits, _, cut := strings.Cut(rest, "/")
-	raw, err := hex.DecodeString(digits)
+	hexDigest, _, cut := strings.Cut(rest, "/")
+	raw, err := hex.DecodeString(hexDigest)
 	if !ok || !cut || err != nil || len(raw) != len(Digest{}) {
 		return StoredRecord{}, fmt.Errorf("quarantine: %q is no key of a held request", key)
 	}
-	k := StoredRecord{}
-	err = json.Unmarshal(value, &k)
+	s := StoredRecord{}
+	err = json.Unmarshal(value, &s)
 	if err != nil {
 		return StoredRecord{}, fmt.Errorf("quarantine: %s: %w", key, err)
 	}
-	if len(k.Crashes) > maxCrashes {
-		return StoredRecord{}, fmt.Errorf("quarantine: %s has %d ends", key, len(k.Crashes))
+	if len(s.Crashes) > maxCrashes {
+		return StoredRecord{}, fmt.Errorf("quarantine: %s has %d ends", key, len(s.Crashes))
 	}
-	k.Digest = Digest(raw)
-	return k, nil
+	s.Digest = Digest(raw)
+	return s, nil
 }
 
 // LastEvent returns the time of the last that the object tells of.
-func (k StoredRecord) LastEvent() time.Time {
-	last := k.Released
-	for _, e := range k.Crashes {
-		last = max(last, e.At)
+func (s StoredRecord) LastEvent() time.Time {
+	last := s.Released
+	for _, c := range s.Crashes {
+		last = max(last, c.At)
 	}
 	return time.UnixMilli(last)
 }
 
 // Expired tells whether the object says nothing any more at a time of day.
-func (k StoredRecord) Expired(day time.Time) bool { return day.Sub(k.LastEvent()) >= suspectTTL }
+func (s StoredRecord) Expired(wallTime time.Time) bool {
+	return wallTime.Sub(s.LastEvent()) >= suspectTTL
+}
 
 // Update returns what the object tells at a time of day, false if that is over.
-func (k StoredRecord) Update(day time.Time) (Update, bool) {
-	f := Update{Digest: k.Digest, Account: k.Account, AnswerAge: -1}
-	if k.Expired(day) {
-		return f, false
+func (s StoredRecord) Update(wallTime time.Time) (Update, bool) {
+	u := Update{Digest: s.Digest, Account: s.Account, AnswerAge: -1}
+	if s.Expired(wallTime) {
+		return u, false
 	}
-	if k.Released > 0 {
-		f.AnswerAge = max(0, day.Sub(time.UnixMilli(k.Released)))
+	if s.Released > 0 {
+		u.AnswerAge = max(0, wallTime.Sub(time.UnixMilli(s.Released)))
 	}
-	for _, e := range k.Crashes {
-		f.Crashes = append(f.Crashes, CrashUpdate{Target: e.Target, Age: max(0, day.Sub(time.UnixMilli(e.At))), Trial: e.Trial})
+	for _, c := range s.Crashes {
+		u.Crashes = append(u.Crashes, CrashUpdate{Target: c.Target, Age: max(0, wallTime.Sub(time.UnixMilli(c.At))), Trial: c.Trial})
 	}
-	return f, true
+	return u, true
 }
--- a/quarantine/stored_test.go
+++ b/quarantine/stored_test.go
@@ -18,30 +18,30 @@
 	require.False(t, ok, "no trial has failed")
 	table.RecordCrash(after(time.Second), d, "ada", 1<<63+5, false)
 	table.RecordCrash(after(2*time.Second), d, "ada", 3, true)
-	day := time.Date(2026, 12, 3, 1, 0, 0, 0, time.UTC)
-	kept, ok := table.StoredRecord(after(2*time.Second), day, d)
+	wallTime := time.Date(2026, 12, 3, 1, 0, 0, 0, time.UTC)
+	stored, ok := table.StoredRecord(after(2*time.Second), wallTime, d)
 	require.True(t, ok)
-	raw, err := json.Marshal(kept)
+	raw, err := json.Marshal(stored)
 	require.NoError(t, err)
-	read, err := ParseStoredRecord(kept.Key(), raw)
+	parsed, err := ParseStoredRecord(stored.Key(), raw)
 	require.NoError(t, err)
-	require.Equal(t, kept, read)
+	require.Equal(t, stored, parsed)
 
 	other := after(500 * time.Hour)
-	facts, ok := read.Update(day.Add(4 * time.Second))
+	update, ok := parsed.Update(wallTime.Add(4 * time.Second))
 	require.True(t, ok)
-	var again Table
-	again.Merge(other, Updates{facts})
-	require.Equal(t, Status{Verdict: Held, Crashes: 3, FailedTrials: 1, Until: other.Add(firstTrialBackoff - 4*time.Second)}, again.Status(other, d))
+	var restored Table
+	restored.Merge(other, Updates{update})
+	require.Equal(t, Status{Verdict: Held, Crashes: 3, FailedTrials: 1, Until: other.Add(firstTrialBackoff - 4*time.Second)}, restored.Status(other, d))
 
-	release := StoredRecord{Digest: d, Released: day.Add(3 * time.Second).UnixMilli(), ReleasedBy: "ama"}
-	facts, ok = release.Update(day.Add(4 * time.Second))
+	release := StoredRecord{Digest: d, Released: wallTime.Add(3 * time.Second).UnixMilli(), ReleasedBy: "ama"}
+	update, ok = release.Update(wallTime.Add(4 * time.Second))
 	require.True(t, ok)
-	again.Merge(other, Updates{facts})
-	require.Equal(t, Allowed, again.Status(other, d).Verdict)
-	_, ok = read.Update(day.Add(suspectTTL))
+	restored.Merge(other, Updates{update})
+	require.Equal(t, Allowed, restored.Status(other, d).Verdict)
+	_, ok = parsed.Update(wallTime.Add(suspectTTL))
 	require.False(t, ok)
-	require.NotEqual(t, kept.Key(), release.Key())
+	require.NotEqual(t, stored.Key(), release.Key())
 }
 
 // TestParseRejectsForeignObjects checks that objects that are none of a held request are refused.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -91,7 +91,7 @@
 	return t.add(now, d, AccountHash(account), crash{target: target, at: now, trial: trial})
 }
 
-func (t *Table) add(now time.Time, d Digest, account uint32, e crash) bool {
+func (t *Table) add(now time.Time, d Digest, account uint32, c crash) bool {
 	r := t.records[d]
 	if r == nil {
 		r = newRecord(d, account)
@@ -100,25 +100,25 @@
 		}
 		t.put(d, r)
 	}
-	t.noteCrash(e)
-	var fresh bool
-	t.modify(r, func() { fresh = r.addCrash(e) })
-	return fresh
+	t.noteCrash(c)
+	var changed bool
+	t.modify(r, func() { changed = r.addCrash(c) })
+	return changed
 }
 
 // maxCrashedTargets bounds the ended targets that are remembered for a minute.
 const maxCrashedTargets = 4096
 
 // noteCrash remembers when a target ended.
-func (t *Table) noteCrash(e crash) {
-	known, ok := t.crashedAt[e.target]
-	if (ok && !e.at.Before(known)) || (!ok && len(t.crashedAt) >= maxCrashedTargets) {
+func (t *Table) noteCrash(c crash) {
+	known, ok := t.crashedAt[c.target]
+	if (ok && !c.at.Before(known)) || (!ok && len(t.crashedAt) >= maxCrashedTargets) {
 		return
 	}
 	if t.crashedAt == nil {
 		t.crashedAt = make(map[TargetID]time.Time)
 	}
-	t.crashedAt[e.target] = e.at
+	t.crashedAt[c.target] = c.at
 }
 
 // RecordAnswer notes that a request was answered. It reports whether that frees a suspect one.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -127,34 +127,34 @@
 func TestMergeInAnyOrder(t *testing.T) {
 	digests := []Digest{digest("/a/"), digest("/b/"), digest("/c/")}
 	rapid.Check(t, func(t *rapid.T) {
-		facts := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
-			f := event{
+		events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
+			e := event{
 				digest:   rapid.IntRange(0, len(digests)-1).Draw(t, "digest"),
 				target:   rapid.IntRange(0, 4).Draw(t, "target"),
 				at:       time.Duration(rapid.IntRange(0, 50).Draw(t, "at")) * ageUnit,
 				trial:    rapid.Bool().Draw(t, "trial"),
 				answered: rapid.IntRange(0, 4).Draw(t, "kind") == 0,
 			}
-			if !f.answered {
+			if !e.answered {
 				// A target ends once.
-				f.at = time.Duration(f.target) * 10 * ageUnit
+				e.at = time.Duration(e.target) * 10 * ageUnit
 			}
-			return f
+			return e
 		}), 1, 20).Draw(t, "facts")
 		// Answers count only for requests of which an end is known.
 		for d := range digests {
-			facts = append(facts, event{digest: d, target: 9, at: -ageUnit})
+			events = append(events, event{digest: d, target: 9, at: -ageUnit})
 		}
 		now := after(100 * ageUnit)
 		tables := make([]Table, 3)
 		for i := range tables {
-			for _, f := range facts[len(facts)-len(digests):] {
-				tables[i].Merge(now, updatesOf(now, digests, f))
+			for _, e := range events[len(events)-len(digests):] {
+				tables[i].Merge(now, updatesOf(now, digests, e))
 			}
 		}
-		for _, f := range facts {
+		for _, e := range events {
 			i := rapid.IntRange(0, 2).Draw(t, "instance")
-			tables[i].Merge(now, updatesOf(now, digests, f))
+			tables[i].Merge(now, updatesOf(now, digests, e))
 			if rapid.Bool().Draw(t, "tell") {
 				sendAll(t, now, &tables[i], &tables[rapid.IntRange(0, 2).Draw(t, "to")], digests)
 			}
@@ -168,7 +168,7 @@
 			}
 		}
 		for n, d := range digests {
-			want := referenceCrashes(facts, n)
+			want := referenceCrashes(events, n)
 			for i := range tables {
 				got := tables[i].Status(now, d)
 				require.Equal(t, want, got.Crashes, "digest %d at instance %d", n, i)
@@ -181,35 +181,35 @@
 }
 
 // updatesOf is the news of one fact.
-func updatesOf(now time.Time, digests []Digest, f event) Updates {
-	age := now.Sub(after(f.at))
-	if f.answered {
-		return Updates{{Digest: digests[f.digest], AnswerAge: age}}
+func updatesOf(now time.Time, digests []Digest, e event) Updates {
+	age := now.Sub(after(e.at))
+	if e.answered {
+		return Updates{{Digest: digests[e.digest], AnswerAge: age}}
 	}
-	return Updates{{Digest: digests[f.digest], AnswerAge: -1, Crashes: []CrashUpdate{{Target: TargetID(f.target), Age: age, Trial: f.trial}}}}
+	return Updates{{Digest: digests[e.digest], AnswerAge: -1, Crashes: []CrashUpdate{{Target: TargetID(e.target), Age: age, Trial: e.trial}}}}
 }
 
 // sendAll passes all that a table knows on to another one, through the form of messages.
 func sendAll(t *rapid.T, now time.Time, from, to *Table, digests []Digest) {
 	raw, err := from.Updates(now, digests...).MarshalBinary()
 	require.NoError(t, err)
-	var news Updates
-	require.NoError(t, news.UnmarshalBinary(raw))
-	to.Merge(now, news)
+	var updates Updates
+	require.NoError(t, updates.UnmarshalBinary(raw))
+	to.Merge(now, updates)
 }
 
 // referenceCrashes counts the targets that ended after the last answer.
-func referenceCrashes(facts []event, digest int) int {
+func referenceCrashes(events []event, digest int) int {
 	answered := -time.Hour
-	for _, f := range facts {
-		if f.digest == digest && f.answered {
-			answered = max(answered, f.at)
+	for _, e := range events {
+		if e.digest == digest && e.answered {
+			answered = max(answered, e.at)
 		}
 	}
 	targets := make(map[int]bool)
-	for _, f := range facts {
-		if f.digest == digest && !f.answered && f.at > answered {
-			targets[f.target] = true
+	for _, e := range events {
+		if e.digest == digest && !e.answered && e.at > answered {
+			targets[e.target] = true
 		}
 	}
 	return len(targets)
@@ -219,25 +219,25 @@
 // was learned from or has taken its time.
 func TestTrialCoordinator(t *testing.T) {
 	var table Table
-	var warden TrialCoordinator
+	var coordinator TrialCoordinator
 	d := digest("/ends/")
 	table.RecordCrash(begin, d, "", 1, false)
 	table.RecordCrash(begin, d, "", 2, false)
-	granted, _ := warden.Acquire(begin, &table, d, "n1", after(3*time.Second))
+	granted, _ := coordinator.Acquire(begin, &table, d, "n1", after(3*time.Second))
 	require.True(t, granted)
-	granted, next := warden.Acquire(begin, &table, d, "n2", after(3*time.Second))
+	granted, next := coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
 	require.False(t, granted)
 	require.Equal(t, after(leaseRetryDelay), next)
-	warden.Release(&table, begin, d, "n2", false)
-	granted, _ = warden.Acquire(begin, &table, d, "n2", after(3*time.Second))
+	coordinator.Release(&table, begin, d, "n2", false)
+	granted, _ = coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
 	require.False(t, granted, "only who has the trial ends it")
-	warden.Release(&table, begin, d, "n1", false)
-	granted, _ = warden.Acquire(begin, &table, d, "n2", after(3*time.Second))
+	coordinator.Release(&table, begin, d, "n1", false)
+	granted, _ = coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
 	require.True(t, granted)
-	granted, _ = warden.Acquire(after(3*time.Second), &table, d, "n3", after(6*time.Second))
+	granted, _ = coordinator.Acquire(after(3*time.Second), &table, d, "n3", after(6*time.Second))
 	require.True(t, granted, "the time of the trial is over")
 	table.RecordCrash(after(4*time.Second), d, "", 3, true)
-	granted, next = warden.Acquire(after(5*time.Second), &table, d, "n1", after(8*time.Second))
+	granted, next = coordinator.Acquire(after(5*time.Second), &table, d, "n1", after(8*time.Second))
 	require.False(t, granted)
 	require.Equal(t, after(4*time.Second+firstTrialBackoff), next)
 }
@@ -270,32 +270,32 @@
 	f.Add(raw[:len(raw)-1])
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var news Updates
-		if news.UnmarshalBinary(data) != nil {
+		var updates Updates
+		if updates.UnmarshalBinary(data) != nil {
 			return
 		}
-		again, err := news.MarshalBinary()
+		again, err := updates.MarshalBinary()
 		require.NoError(t, err)
 		require.Equal(t, len(data), len(again))
 		if len(data) > 0 {
 			require.Equal(t, data, again)
 		}
 		var table Table
-		table.Merge(begin, news)
-		require.LessOrEqual(t, table.Len(), len(news))
+		table.Merge(begin, updates)
+		require.LessOrEqual(t, table.Len(), len(updates))
 	})
 }
 
 // TestFullTableMemory checks that a table that is full, each record with all its ends, takes
 // less than 1 MB.
 func TestFullTableMemory(t *testing.T) {
-	held := func() uint64 {
+	heapBytes := func() uint64 {
 		runtime.GC()
 		var stats runtime.MemStats
 		runtime.ReadMemStats(&stats)
 		return stats.HeapAlloc
 	}
-	before := held()
+	before := heapBytes()
 	var table Table
 	for i := range maxRecords {
 		d := digest(fmt.Sprint(i))
@@ -304,8 +304,8 @@
 		}
 	}
 	require.Equal(t, maxRecords, table.Len())
-	taken := held() - before
-	t.Logf("%d bytes", taken)
-	require.Less(t, taken, uint64(1<<20))
+	used := heapBytes() - before
+	t.Logf("%d bytes", used)
+	require.Less(t, used, uint64(1<<20))
 	runtime.KeepAlive(&table)
 }
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -43,14 +43,14 @@
 
 // update returns what is told of a record.
 func (r *record) update(now time.Time, d Digest) Update {
-	f := Update{Digest: d, Account: r.account, AnswerAge: -1}
-	for _, e := range r.crashes {
-		f.Crashes = append(f.Crashes, CrashUpdate{Target: e.target, Age: now.Sub(e.at), Trial: e.trial})
+	u := Update{Digest: d, Account: r.account, AnswerAge: -1}
+	for _, c := range r.crashes {
+		u.Crashes = append(u.Crashes, CrashUpdate{Target: c.target, Age: now.Sub(c.at), Trial: c.trial})
 	}
 	if !r.answeredAt.IsZero() {
-		f.AnswerAge = now.Sub(r.answeredAt)
+		u.AnswerAge = now.Sub(r.answeredAt)
 	}
-	return f
+	return u
 }
 
 // Updates returns what is known of some requests, for a message.
@@ -86,41 +86,41 @@
 		if !r.isSuspect() {
 			continue
 		}
-		one := binary.BigEndian.Uint64(d[:])
-		for _, e := range r.crashes {
-			one = mix.Join(one, 0) ^ uint64(e.target)
+		hash := binary.BigEndian.Uint64(d[:])
+		for _, c := range r.crashes {
+			hash = mix.Join(hash, 0) ^ uint64(c.target)
 		}
-		sum ^= mix.Join(one, uint64(len(r.crashes)))
+		sum ^= mix.Join(hash, uint64(len(r.crashes)))
 	}
 	return uint32(sum)
 }
 
 // Merge takes in what another instance knows. It returns the digests of which something new
 // was learned.
-func (t *Table) Merge(now time.Time, news Updates) []Digest {
-	var learned []Digest
-	for _, f := range news {
-		fresh := false
-		if f.AnswerAge >= 0 && f.AnswerAge < answeredTTL && t.records[f.Digest] == nil && t.makeRoom(now, f.Account) {
+func (t *Table) Merge(now time.Time, updates Updates) []Digest {
+	var digests []Digest
+	for _, update := range updates {
+		changed := false
+		if update.AnswerAge >= 0 && update.AnswerAge < answeredTTL && t.records[update.Digest] == nil && t.makeRoom(now, update.Account) {
 			// Its ends may come later than the news that they do not count.
-			t.put(f.Digest, newRecord(f.Digest, f.Account))
+			t.put(update.Digest, newRecord(update.Digest, update.Account))
 		}
-		if f.AnswerAge >= 0 && t.records[f.Digest] != nil {
-			r := t.records[f.Digest]
-			t.modify(r, func() { fresh = r.addAnswer(now.Add(-f.AnswerAge)) })
+		if update.AnswerAge >= 0 && t.records[update.Digest] != nil {
+			r := t.records[update.Digest]
+			t.modify(r, func() { changed = r.addAnswer(now.Add(-update.AnswerAge)) })
 		}
-		for _, e := range f.Crashes {
-			at := now.Add(-e.Age)
-			if f.AnswerAge >= 0 && e.Age >= f.AnswerAge {
+		for _, c := range update.Crashes {
+			at := now.Add(-c.Age)
+			if update.AnswerAge >= 0 && c.Age >= update.AnswerAge {
 				continue
 			}
-			fresh = t.add(now, f.Digest, f.Account, crash{target: e.Target, at: at, trial: e.Trial}) || fresh
+			changed = t.add(now, update.Digest, update.Account, crash{target: c.Target, at: at, trial: c.Trial}) || changed
 		}
-		if fresh {
-			learned = append(learned, f.Digest)
+		if changed {
+			digests = append(digests, update.Digest)
 		}
 	}
-	return learned
+	return digests
 }
 
 // Sizes of facts in a message, and the unit of ages there.
@@ -139,17 +139,17 @@
 )
 
 // MarshalBinary implements encoding.BinaryMarshaler, by which messages carry news.
-func (n Updates) MarshalBinary() ([]byte, error) {
-	raw := make([]byte, 0, len(n)*(headerBytes+2*crashBytes))
-	for _, f := range n {
-		raw = append(raw, f.Digest[:]...)
-		raw = binary.BigEndian.AppendUint32(raw, f.Account)
-		raw = binary.BigEndian.AppendUint16(raw, encodeAnswerAge(f.AnswerAge))
-		ends := f.Crashes[:min(len(f.Crashes), maxCrashes)]
-		raw = append(raw, byte(len(ends)))
-		for _, e := range ends {
-			raw = binary.BigEndian.AppendUint64(raw, uint64(e.Target))
-			raw = binary.BigEndian.AppendUint16(raw, encodeCrashAge(e))
+func (u Updates) MarshalBinary() ([]byte, error) {
+	raw := make([]byte, 0, len(u)*(headerBytes+2*crashBytes))
+	for _, update := range u {
+		raw = append(raw, update.Digest[:]...)
+		raw = binary.BigEndian.AppendUint32(raw, update.Account)
+		raw = binary.BigEndian.AppendUint16(raw, encodeAnswerAge(update.AnswerAge))
+		crashes := update.Crashes[:min(len(update.Crashes), maxCrashes)]
+		raw = append(raw, byte(len(crashes)))
+		for _, c := range crashes {
+			raw = binary.BigEndian.AppendUint64(raw, uint64(c.Target))
+			raw = binary.BigEndian.AppendUint16(raw, encodeCrashAge(c))
 		}
 	}
 	return raw, nil
@@ -162,26 +162,26 @@
 	return uint16(min(age/ageUnit, maxAnswerAge))
 }
 
-func encodeCrashAge(e CrashUpdate) uint16 {
-	age := uint16(min(max(e.Age, 0)/ageUnit, maxCrashAge))
-	if e.Trial {
+func encodeCrashAge(c CrashUpdate) uint16 {
+	age := uint16(min(max(c.Age, 0)/ageUnit, maxCrashAge))
+	if c.Trial {
 		age |= trialBit
 	}
 	return age
 }
 
 // UnmarshalBinary implements encoding.BinaryUnmarshaler.
-func (n *Updates) UnmarshalBinary(raw []byte) error {
-	*n = nil
+func (u *Updates) UnmarshalBinary(raw []byte) error {
+	*u = nil
 	for len(raw) > 0 {
 		if len(raw) < headerBytes {
 			return ErrTruncated
 		}
-		f := Update{Digest: Digest(raw), AnswerAge: -1}
-		raw = raw[len(f.Digest):]
-		f.Account = binary.BigEndian.Uint32(raw)
+		update := Update{Digest: Digest(raw), AnswerAge: -1}
+		raw = raw[len(update.Digest):]
+		update.Account = binary.BigEndian.Uint32(raw)
 		if age := binary.BigEndian.Uint16(raw[4:]); age != noAnswer {
-			f.AnswerAge = time.Duration(age) * ageUnit
+			update.AnswerAge = time.Duration(age) * ageUnit
 		}
 		count := int(raw[6])
 		raw = raw[7:]
@@ -190,14 +190,14 @@
 		}
 		for range count {
 			age := binary.BigEndian.Uint16(raw[8:])
-			f.Crashes = append(f.Crashes, CrashUpdate{
+			update.Crashes = append(update.Crashes, CrashUpdate{
 				Target: TargetID(binary.BigEndian.Uint64(raw)),
 				Age:    time.Duration(age&^trialBit) * ageUnit,
 				Trial:  age&trialBit != 0,
 			})
 			raw = raw[crashBytes:]
 		}
-		*n = append(*n, f)
+		*u = append(*u, update)
 	}
 	return nil
 }
