--- a/quarantine/account_model_test.go
+++ b/quarantine/account_model_test.go
@@ -10,21 +10,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// accountModelCase is one setting of the model of floods: one account sends requests that are all
-// different, each of which ends the target that runs it, to instances that tell each other.
+// accountModelCase is a setting of the simulation of one account. The account sends requests that
+// all differ and each crash their target. The instances exchange updates.
 type accountModelCase struct {
 	instances    int
 	messageDelay time.Duration
 	perSecond    float64
-	// harmlessShare is the part of the requests that are answered instead, none of them before.
+	// harmlessShare is the fraction of the requests that are answered instead of crashing their
+	// target.
 	harmlessShare float64
-	// noFlagging has no account flagged, noCoordinator has its requests sent as trials without a
-	// warden's leave, and noLocalBackoff has instances ask the warden during the pause after a
-	// failed trial.
+	// With noFlagging the instances do not flag the account. With noCoordinator they send its
+	// requests as trials without asking the coordinator. With noLocalBackoff they ask the
+	// coordinator also during the back-off after a failed trial.
 	noFlagging, noCoordinator, noLocalBackoff bool
 }
 
-// accountModel plays one setting and counts the targets that end.
+// accountModel simulates one setting and counts the targets that crash.
 type accountModel struct {
 	accountModelCase
 	rnd          *rand.Rand
@@ -41,8 +42,8 @@
 	updateBytes  int
 }
 
-// accountModelTime is how long a flood lasts in the model, and accountModelFlagInterval the time between two
-// looks of an instance for accounts to flag.
+// accountModelTime is the simulated time, and accountModelFlagInterval the least time between two
+// calls of FlagAccounts at an instance.
 const (
 	accountModelTime         = 14 * time.Second
 	accountModelFlagInterval = 250 * time.Millisecond
@@ -77,7 +78,7 @@
 	}
 }
 
-// arrive has an instance decide on a request that nobody has sent before.
+// arrive lets an instance decide on a new request of the account.
 func (m *accountModel) arrive(i int) {
 	m.sent++
 	d := Content{Account: crashingAccount, URI: fmt.Sprint(m.sent)}.Digest()
@@ -98,7 +99,7 @@
 	}
 }
 
-// acquire asks the warden of the account whether a request may be sent.
+// acquire asks the coordinator of the account whether the request may be sent as a trial.
 func (m *accountModel) acquire(i int, d, account Digest, harmless bool) {
 	name := fmt.Sprint(i)
 	granted, _ := m.coordinator.Acquire(m.clock(), &m.tables[0], account, name, after(m.now+3*time.Second))
@@ -107,7 +108,8 @@
 	}
 }
 
-// send has some target run a request, and another one if that ends and attempts are left.
+// send runs a request at a target that is up. If the target crashes, it sends the request again
+// until no attempts are left.
 func (m *accountModel) send(i int, d Digest, harmless bool, attempts int, trial bool) {
 	target := m.pickTarget()
 	if target < 0 {
@@ -132,7 +134,7 @@
 	})
 }
 
-// release tells the warden that a trial was answered.
+// release reports an answered trial to the coordinator.
 func (m *accountModel) release(i int, trial bool) {
 	if !trial {
 		return
@@ -156,7 +158,8 @@
 	return -1
 }
 
-// recordCrash has an instance note an end, look for accounts to flag, and tell all others.
+// recordCrash records a crash at an instance, flags accounts there, and sends the changes to all
+// other instances.
 func (m *accountModel) recordCrash(i int, d Digest, target TargetID, trial bool) {
 	t := &m.tables[i]
 	t.RecordCrash(m.clock(), d, crashingAccount, target, false)
@@ -187,8 +190,9 @@
 	}
 }
 
-// TestAccountModel plays 14 s of floods at fleets of several sizes, and checks that few targets end.
-// Each way is switched off in turn, for what it is worth.
+// TestAccountModel simulates 14 s of an account whose requests crash their targets, for several
+// numbers of instances, and checks the number of crashed targets. Settings without a limit show the
+// effect of single mechanisms by switching them off.
 func TestAccountModel(t *testing.T) {
 	const regionDelay, limit = 60 * time.Millisecond, 30
 	for _, c := range []struct {
@@ -199,11 +203,11 @@
 		{"12 instances", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10}, limit},
 		{"300 instances", accountModelCase{instances: 300, messageDelay: 2 * regionDelay, perSecond: 10}, limit},
 		{"730 instances", accountModelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 10}, limit},
-		{"12, half of them good", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, harmlessShare: 0.5}, 0},
-		{"12, 50 a second", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 50}, 0},
-		{"12, no account flagged", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noFlagging: true}, 0},
-		{"12, no warden", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noCoordinator: true}, 0},
-		{"12, no pauses kept by who asks", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noLocalBackoff: true}, 0},
+		{"12 instances, half of the requests harmless", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, harmlessShare: 0.5}, 0},
+		{"12 instances, 50 requests a second", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 50}, 0},
+		{"12 instances, no account flagged", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noFlagging: true}, 0},
+		{"12 instances, no coordinator", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noCoordinator: true}, 0},
+		{"12 instances, no back-off at the sender", accountModelCase{instances: 12, messageDelay: regionDelay, perSecond: 10, noLocalBackoff: true}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			crashes, worst, bytes, harmlessSent, answered := 0, 0, 0, 0, 0
@@ -215,7 +219,7 @@
 				harmlessSent, answered = harmlessSent+m.harmlessSent, answered+m.answered
 				worst, bytes = max(worst, m.crashes), max(bytes, m.updateBytes/c.instances)
 			}
-			t.Logf("%.1f targets ended, %d at worst; %d of %d good ones answered; %d bytes of news an instance", float64(crashes)/seeds, worst, answered, harmlessSent, bytes)
+			t.Logf("crashed targets: %.1f on average, at most %d; %d of %d harmless requests answered; %d bytes of updates per instance", float64(crashes)/seeds, worst, answered, harmlessSent, bytes)
 			if c.limit > 0 {
 				require.LessOrEqual(t, worst, c.limit)
 			}
--- a/quarantine/accounts.go
+++ b/quarantine/accounts.go
@@ -8,43 +8,46 @@
 )
 
 const (
-	// flagMinTargets is the number of targets that have to end under different requests of an
-	// account for it to be flagged, and floodRequests the number of these requests. An
-	// innocent account has a request at some of the targets that end under those of another
-	// one; those that the other one explains do not count.
+	// flagMinTargets is the number of targets that must have crashed under different requests of an
+	// account for it to be flagged, and flagMinRequests the number of these requests. Innocent
+	// accounts have requests at some of the targets that crash under another account's requests;
+	// crashes that are attributed to that other account do not count for them.
 	flagMinTargets  = 4
 	flagMinRequests = 3
-	// flagMinShare is the least part of all targets that ended in that time that has to do so
-	// under them. An account that was at some of many targets that crashed for another reason
-	// is not flagged; three that flood at the same time are. Without it and momentShare 1,645
-	// requests were refused in 90 s of targets that crash in waves, at 74 instances, and 7 with
-	// both.
+	// flagMinShare is the least fraction of all targets crashed within flagWindow that must have
+	// crashed under the account's requests. An account with requests at some of many targets that
+	// crash for another reason is not flagged, while three accounts whose requests crash targets at
+	// the same time are. In 90 s during which targets crashed in waves, 74 instances refused 1,645
+	// requests without flagMinShare and flagIntervalShare, and 7 requests with them.
 	flagMinShare = 0.25
-	// flagWindow is the time within which they have to end, and floodMoments the number of
-	// spans of floodMoment in which they do. A span counts if a third of the targets that ended
-	// in it did so under the account's requests: targets that are lost together are no flood.
+	// flagWindow is the time within which these crashes must happen. They must fall into at least
+	// flagMinIntervals intervals of length flagInterval. An interval counts if at least
+	// flagIntervalShare of the targets that crashed in it crashed under the account's requests.
+	// Targets that fail together, as in a power failure, are thus not held against the account.
 	flagWindow        = time.Minute
 	flagMinIntervals  = 4
 	flagInterval      = 250 * time.Millisecond
 	flagIntervalShare = 1.0 / 3
-	// flagTTL is how long an account stays flagged after the last end.
+	// flagTTL is how long an account stays flagged after the last crash.
 	flagTTL = 10 * time.Minute
-	// accountTrialBackoff is the time after the first failed trial until the next one, twice as long
-	// after each further one, up to longFloodPause: with it a flood of ten requests a second
-	// ends less than 30 targets in 14 s (TestFloodOfEndingRequests, TestFloodModel).
+	// accountTrialBackoff is the time from the first failed trial to the next one. It doubles with
+	// each further failed trial, up to maxAccountTrialBackoff. An account that sends ten crashing
+	// requests a second thus crashes fewer than 30 targets in 14 s (TestAccountModel, and
+	// TestFloodOfEndingRequests of package gateway).
 	accountTrialBackoff    = time.Second
 	maxAccountTrialBackoff = 30 * time.Second
-	// answersToClear is the number of trials of an account that have to be answered one after the
-	// other for it to be free: a flood has good requests between.
+	// answersToClear is the number of consecutive trials of an account that must be answered for it
+	// to be Allowed again. One answer is not enough, since an account may send harmless requests
+	// among those that crash targets.
 	answersToClear = 3
 )
 
-// accountDigestPrefix begins the digests that stand for accounts. A digest of content begins so once in
-// 2^64.
+// accountDigestPrefix is the prefix of digests that stand for accounts. The digest of a content
+// begins with it with a probability of 2^-64.
 const accountDigestPrefix = "account\x00"
 
-// AccountDigest returns what stands for all unknown requests of an account, where requests have
-// the digest of their content.
+// AccountDigest returns the digest that stands for an account, and thereby for all of its requests
+// that have not been answered before.
 func AccountDigest(account string) Digest { return accountDigest(AccountHash(account)) }
 
 func accountDigest(account uint32) Digest {
@@ -54,18 +57,20 @@
 	return d
 }
 
-// Account returns the hash of the account that a digest stands for, false if it stands for content.
+// Account returns the hash of the account that a digest stands for, and false if the digest is that
+// of a content.
 func (d Digest) Account() (uint32, bool) {
 	return binary.BigEndian.Uint32(d[len(accountDigestPrefix):]), d.IsAccount()
 }
 
-// IsAccount tells whether a digest stands for an account.
+// IsAccount reports whether the digest stands for an account.
 func (d Digest) IsAccount() bool { return string(d[:len(accountDigestPrefix)]) == accountDigestPrefix }
 
-// FlagAccounts finds the accounts under whose different requests targets end, and returns the digests of
-// those that are newly flagged. The ends of targets that accounts explain which are flagged
-// already count against no other one. IsSound tells of which accounts the requests are answered
-// as a rule: nothing is held against these, who are at most targets that end.
+// FlagAccounts flags the accounts under whose different requests targets crash, and returns the
+// digests of the newly flagged ones. Crashes that are attributed to a flagged account do not count
+// for other accounts. The function isTrusted reports whether the requests of an account are usually
+// answered. Trusted accounts are not flagged: they have so many requests that one is at most
+// targets that crash.
 func (t *Table) FlagAccounts(now time.Time, isTrusted func(account uint32) bool) []Digest {
 	ev := t.evidence(now, isTrusted)
 	var flagged []Digest
@@ -84,8 +89,8 @@
 	}
 }
 
-// flagAccount makes the record of a flagged account. There is no room if the table is full of records
-// that say more.
+// flagAccount creates the record of a flagged account. It returns false if the table has no room
+// for it, or if the account is not suspect by its record.
 func (t *Table) flagAccount(now time.Time, account uint32, ev *evidence) (Digest, bool) {
 	d := accountDigest(account)
 	if t.records[d] == nil {
@@ -103,17 +108,18 @@
 	return d, r.isSuspect()
 }
 
-// evidence is what speaks against accounts.
+// evidence holds the recent crashes that count for accounts.
 type evidence struct {
-	// crashes are the latest crashes under requests of an account that were not answered since, one
-	// of each target, and requests the number of these requests.
+	// crashes holds, by account and target, the latest crashes under requests of the account that
+	// have not been answered since. requests holds the number of these requests.
 	crashes  map[uint32]map[TargetID]crash
 	requests map[uint32]int
-	// crashed is the number of all targets that crashed, and endedIn those that crashed in a span.
+	// crashed is the number of all crashed targets, and crashedIn the number of those that crashed
+	// in an interval.
 	crashed   int
 	crashedIn map[int64]int
 	flagged   []uint32
-	// clearedAt is until when what was said against an account does not count.
+	// clearedAt holds the time before which crashes do not count for an account.
 	clearedAt map[uint32]time.Time
 }
 
@@ -142,11 +148,11 @@
 	return ev
 }
 
-// anonymous stands for requests without a client account. Their callers can't be told apart, so
-// nothing is held against them together.
+// anonymous is the hash of requests without a client account. Their callers cannot be told apart
+// and are not flagged as one account.
 var anonymous = AccountHash("")
 
-// addRecord takes in a record of a request.
+// addRecord adds the recent crashes in the record of a request.
 func (ev *evidence) addRecord(now time.Time, r *record) {
 	counts := false
 	for _, c := range r.crashes {
@@ -164,8 +170,8 @@
 	}
 }
 
-// topAccount returns the account that explains the most ended targets, of those with enough of
-// them to be flagged.
+// topAccount returns the first account in the order of ranksAbove among those that have enough
+// crashes to be flagged, and false if there is none.
 func (ev *evidence) topAccount() (uint32, bool) {
 	var best uint32
 	found := false
@@ -181,11 +187,11 @@
 	return best, found
 }
 
-// intervalOf returns the number of the span that a time lies in.
+// intervalOf returns the index of the interval that contains the time.
 func intervalOf(at time.Time) int64 { return at.UnixNano() / int64(flagInterval) }
 
-// intervals returns the number of spans in which an account explains enough of the targets that
-// ended.
+// intervals returns the number of intervals in which the account has a sufficient fraction of the
+// crashed targets.
 func (ev *evidence) intervals(account uint32) int {
 	attributed := make(map[int64]int)
 	for _, c := range ev.crashes[account] {
@@ -200,14 +206,15 @@
 	return n
 }
 
-// ranksAbove orders accounts by the targets that ended under their requests, then by the
-// requests, and then by name, so that all instances find the same one.
+// ranksAbove orders accounts by the number of targets that crashed under their requests, then by
+// the number of these requests, then by hash. All instances thus find the same account.
 func (ev *evidence) ranksAbove(a, b uint32) bool {
 	order := cmp.Or(cmp.Compare(len(ev.crashes[a]), len(ev.crashes[b])), cmp.Compare(ev.requests[a], ev.requests[b]), cmp.Compare(a, b))
 	return order > 0
 }
 
-// attribute takes the ends that an account explains away from all others, and the account itself.
+// attribute attributes all crashes of an account to it: it removes them from the other accounts,
+// and the account itself.
 func (ev *evidence) attribute(account uint32) {
 	for target := range ev.crashes[account] {
 		for other, crashes := range ev.crashes {
@@ -219,12 +226,12 @@
 	delete(ev.crashes, account)
 }
 
-// trialCrashes returns the ends of trials, the oldest first.
+// trialCrashes returns the crashes during trials, the oldest first.
 func (r *record) trialCrashes() []crash {
 	return slices.DeleteFunc(slices.Clone(r.crashes), func(c crash) bool { return !c.trial })
 }
 
-// nextAccountTrial returns when there may be another trial of a flagged account.
+// nextAccountTrial returns the earliest time of the next trial of a flagged account.
 func (r *record) nextAccountTrial() time.Time {
 	failed := r.trialCrashes()
 	if len(failed) == 0 {
--- a/quarantine/accounts_test.go
+++ b/quarantine/accounts_test.go
@@ -9,8 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// addCrashes has a target end under different requests of some accounts, which come again
-// unanswered or are answered.
+// addCrashes records the crash of a target under a new request of each of the accounts.
 func addCrashes(t *Table, at time.Time, target int, accounts ...string) {
 	for _, account := range accounts {
 		d := Content{Account: account, URI: fmt.Sprint("/", account, "/", target, "/", at.UnixNano())}.Digest()
@@ -18,21 +17,23 @@
 	}
 }
 
-// busiestShare is the part of the ended targets at which the busiest innocent account has a request.
+// busiestShare is the fraction of the crashed targets at which the busiest innocent accounts have a
+// request.
 const busiestShare = 0.6
 
-// trustNone is sound.
+// trustNone is a predicate for FlagAccounts that trusts no account.
 func trustNone(uint32) bool { return false }
 
-// TestFlagAccounts checks what flags an account: enough targets that end under enough of its different
-// requests, at enough moments, of which none was answered.
+// TestFlagAccounts checks the conditions under which an account is flagged: enough targets must
+// have crashed under enough of its different requests, in enough intervals, and none of these
+// requests may have been answered.
 func TestFlagAccounts(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		setUp func(t *Table)
 		want  []string
 	}{
-		{"a flood", func(t *Table) {
+		{"four targets under different requests", func(t *Table) {
 			for i := range 4 {
 				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, "ada")
 			}
@@ -42,18 +43,18 @@
 				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, "ada")
 			}
 		}, nil},
-		{"together", func(t *Table) {
+		{"targets that crash at the same time", func(t *Table) {
 			for i := range 20 {
 				addCrashes(t, after(time.Duration(i)*5*time.Millisecond), i, "ada")
 			}
 		}, nil},
-		{"one request", func(t *Table) {
+		{"only one request", func(t *Table) {
 			d := Content{Account: "ada", URI: "/"}.Digest()
 			for i := range 6 {
 				t.RecordCrash(after(time.Duration(i)*300*time.Millisecond), d, "ada", TargetID(i), false)
 			}
 		}, nil},
-		{"answered", func(t *Table) {
+		{"requests answered later", func(t *Table) {
 			for i := range 6 {
 				at := after(time.Duration(i) * 300 * time.Millisecond)
 				d := Content{Account: "ada", URI: fmt.Sprint(i)}.Digest()
@@ -61,17 +62,17 @@
 				t.RecordAnswer(at.Add(time.Millisecond), d)
 			}
 		}, nil},
-		{"long ago", func(t *Table) {
+		{"crashes before the window", func(t *Table) {
 			for i := range 6 {
 				addCrashes(t, after(time.Duration(i)*300*time.Millisecond-2*flagWindow), i, "ada")
 			}
 		}, nil},
-		{"without an account", func(t *Table) {
+		{"requests without an account", func(t *Table) {
 			for i := range 6 {
 				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, "")
 			}
 		}, nil},
-		{"another account at most of them", func(t *Table) {
+		{"another account at most of the targets", func(t *Table) {
 			for i := range 8 {
 				accounts := []string{"ada"}
 				if i != 3 {
@@ -89,7 +90,7 @@
 				addCrashes(t, after(time.Duration(i/16)*1500*time.Millisecond+time.Duration(i%16)*40*time.Millisecond), i, append(accounts, fmt.Sprint("account-", i))...)
 			}
 		}, nil},
-		{"two floods", func(t *Table) {
+		{"two accounts at the same time", func(t *Table) {
 			for i := range 8 {
 				addCrashes(t, after(time.Duration(i)*300*time.Millisecond), i, []string{"ada", "cem"}[i%2])
 			}
@@ -111,8 +112,9 @@
 	}
 }
 
-// TestFlaggedAccountTrials checks the pauses after failed trials, and that three answered ones in a
-// row free the account at all instances, and what ended before does not count again.
+// TestFlaggedAccountTrials checks the back-off after failed trials. It checks as well that three
+// consecutive answered trials clear the account at all instances, and that crashes before that do
+// not count again.
 func TestFlaggedAccountTrials(t *testing.T) {
 	var table Table
 	var coordinator TrialCoordinator
@@ -129,7 +131,7 @@
 		granted, next := coordinator.Acquire(now, &table, d, "n1", now.Add(time.Second))
 		require.False(t, granted)
 		if i >= maxCrashes {
-			// No more are remembered than that.
+			// The record holds no more crashes, so that the back-off stays the same.
 			require.Equal(t, maxAccountTrialBackoff, next.Sub(now))
 			break
 		}
@@ -150,10 +152,10 @@
 	require.Equal(t, Allowed, other.Status(now, d).Verdict)
 }
 
-// TestFlagAmongManyAccounts has three of a hundred accounts flood, each target's end also
-// breaking off unanswered requests of some of the others, more of the busier ones, of which the
-// busiest are known to be answered as a rule. It checks that just the three are flagged, within a
-// few seconds.
+// TestFlagAmongManyAccounts simulates a hundred accounts, three of which send requests that crash
+// their targets. Each crash also interrupts requests of other accounts, more of the busier ones;
+// the busiest accounts are trusted. The test checks that exactly the three accounts are flagged,
+// within a few seconds.
 func TestFlagAmongManyAccounts(t *testing.T) {
 	busiest := make(map[uint32]bool)
 	for i := range 12 {
@@ -189,7 +191,8 @@
 	}
 }
 
-// BenchmarkFlagAccounts measures a look for accounts to flag at a full table of a hundred accounts.
+// BenchmarkFlagAccounts measures FlagAccounts on a full table with the records of a hundred
+// accounts.
 func BenchmarkFlagAccounts(b *testing.B) {
 	var table Table
 	rnd := rand.New(rand.NewPCG(1, 2))
--- a/quarantine/coordinator.go
+++ b/quarantine/coordinator.go
@@ -6,36 +6,39 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// TrialCoordinator grants the trials of the requests that one instance looks after, one at a time for
-// each. It is not safe for concurrent use.
+// TrialCoordinator grants the trials of the digests that one instance coordinates, by leases: at
+// most one trial of a digest runs at a time. The zero value is ready to use. A TrialCoordinator is
+// not safe for concurrent use.
 type TrialCoordinator struct {
 	leases map[Digest]trialLease
-	// streaks are the trials of accounts that were answered one after the other.
+	// streaks counts the consecutive answered trials of accounts.
 	streaks map[Digest]answerStreak
 }
 
-// answerStreak are answered trials since the last failed one.
+// answerStreak counts the answered trials of an account since its last failed trial.
 type answerStreak struct {
 	count        int
 	failedTrials int
 	last         time.Time
 }
 
-// trialLease is a trial that is under way.
+// trialLease is the right of an instance to run a trial.
 type trialLease struct {
 	holder string
-	// expiresAt is when it has ended at the latest.
+	// expiresAt is the time by which the trial has ended at the latest.
 	expiresAt time.Time
-	// failedTrials is the number of failedTrials trials before it.
+	// failedTrials is the number of failed trials before this one. If there are more by now, this
+	// trial has failed and its lease has ended.
 	failedTrials int
 }
 
-// leaseRetryDelay is when another instance is told to ask again while a trial is under way: an
-// answer mostly comes within that time.
+// leaseRetryDelay is the time after which an instance is to ask again if another one holds the
+// lease. Most trials are answered within that time.
 const leaseRetryDelay = 500 * time.Millisecond
 
-// Acquire decides whether an instance may send a request as a trial, which takes at most until
-// a time. If not, it returns when there may be another one.
+// Acquire decides whether an instance may send a request as a trial, under a lease that lasts until
+// the given time. If not, it returns the time at which the instance may ask again. Acquire grants
+// requests that are Allowed without regard to other leases.
 func (c *TrialCoordinator) Acquire(now time.Time, t *Table, d Digest, instance string, until time.Time) (granted bool, next time.Time) {
 	status := t.Status(now, d)
 	if status.Verdict == Held {
@@ -51,8 +54,9 @@
 	return true, time.Time{}
 }
 
-// Release ends a trial that did not end its target, and tells whether it was answered. It reports
-// whether that frees an account.
+// Release ends the lease of a trial during which the target did not crash. The argument answered
+// states whether the trial was answered. Release reports whether an account becomes Allowed by
+// that.
 func (c *TrialCoordinator) Release(t *Table, now time.Time, d Digest, instance string, answered bool) bool {
 	if c.leases[d].holder != instance {
 		return false
@@ -78,7 +82,7 @@
 	return t.RecordAnswer(now, d)
 }
 
-// Expire forgets trials that have ended.
+// Expire removes expired leases, and streaks that have not grown for flagTTL.
 func (c *TrialCoordinator) Expire(now time.Time) {
 	for d, lease := range c.leases {
 		if !now.Before(lease.expiresAt) {
@@ -92,8 +96,9 @@
 	}
 }
 
-// CoordinatorFor returns the warden of a request among the instances that can be asked, "" if there
-// are none. All that know the same instances choose the same one.
+// CoordinatorFor returns the instance that coordinates the trials of a digest, "" if there are no
+// instances. It chooses by rendezvous hashing: all callers with the same set of instances get the
+// same result.
 func CoordinatorFor(d Digest, instances []string) string {
 	best, bestHash := "", uint64(0)
 	for _, name := range instances {
--- a/quarantine/correlator.go
+++ b/quarantine/correlator.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// InterruptedRequest is a request that was at a target, unanswered, when its connection ended.
+// InterruptedRequest is a request that was unanswered at a target when its connection broke.
 type InterruptedRequest struct {
 	Digest  Digest
 	Account string
-	// Trial says that it was a trial of its content, and AccountTrial that it was one of the
-	// unknown requests of its account.
+	// Trial reports whether the request was a trial of its content, and AccountTrial whether it was
+	// a trial of its account.
 	Trial, AccountTrial bool
 }
 
 const (
-	// correlationWindow is how long after a broken connection news of the target's end count for
-	// the requests that it had: an entry is gone five seconds after the target, when
-	// three heartbeats are missing.
+	// correlationWindow is the time after the first broken connection within which the crash of the
+	// target counts for its interrupted requests. The list drops the entry of a crashed target 5 s
+	// after the crash, when three heartbeats are missing.
 	correlationWindow = 10 * time.Second
-	// maxInterrupted bounds the broken requests kept for one target.
+	// maxInterrupted bounds the interrupted requests that are kept for one target.
 	maxInterrupted = 64
 )
 
-// CrashCorrelator finds out under which requests targets have ended. A connection that ends says
-// little: it may have been reset, cut off or forgotten. What was broken off counts once it
-// is known that the target has ended, and not at all if it answers again. The zero value is
-// ready. It is not safe for concurrent use.
+// CrashCorrelator finds out which requests were at a target when it crashed. A broken connection
+// alone is weak evidence of a crash: it may have been reset, timed out or partitioned. An
+// interrupted request counts once the target is known to have crashed, and does not count if the
+// target answers again. The zero value is ready to use. A CrashCorrelator is not safe for
+// concurrent use.
 type CrashCorrelator struct {
 	pending map[string]*pendingTarget
 }
 
-// pendingTarget is what is known of one target at which requests have broken.
+// pendingTarget holds the requests interrupted at one target within correlationWindow from since
+// on.
 type pendingTarget struct {
 	since          time.Time
 	interrupted    []InterruptedRequest
@@ -39,8 +41,10 @@
 	checkRequested bool
 }
 
-// RequestInterrupted notes that a request was broken off at a target. It returns those that are known to
-// have been there when the target ended, and whether it has to be found out if it has.
+// RequestInterrupted records that the connection of a request to a target broke. If the target is
+// known to have crashed, RequestInterrupted returns the request as one that was there. Otherwise,
+// check reports whether the caller has to find out whether the target has crashed; it is true only
+// for the first request interrupted at the target.
 func (c *CrashCorrelator) RequestInterrupted(now time.Time, target string, r InterruptedRequest) (crashed []InterruptedRequest, check bool) {
 	p := c.pending[target]
 	if p == nil || now.Sub(p.since) >= correlationWindow {
@@ -60,7 +64,7 @@
 	return nil, check
 }
 
-// TargetCrashed takes in that a target has ended. It returns the requests that were there.
+// TargetCrashed records that a target has crashed. It returns the requests that were at the target.
 func (c *CrashCorrelator) TargetCrashed(now time.Time, target string) []InterruptedRequest {
 	p := c.pending[target]
 	if p == nil || p.crashed || now.Sub(p.since) >= correlationWindow {
@@ -71,18 +75,20 @@
 	return interrupted
 }
 
-// TargetAnswered takes in that a target has answered a request that was sent at a time.
+// TargetAnswered records that a target has answered a request that was sent at the given time. A
+// request sent after the first interruption shows that the target has not crashed.
 func (c *CrashCorrelator) TargetAnswered(sent time.Time, target string) {
 	if p := c.pending[target]; p != nil && !p.crashed && p.since.Before(sent) {
 		delete(c.pending, target)
 	}
 }
 
-// TargetLeaving takes in that a target leaves: what it breaks off is its planned end.
+// TargetLeaving records that a target shuts down as planned: the requests that it interrupts do not
+// count.
 func (c *CrashCorrelator) TargetLeaving(target string) { delete(c.pending, target) }
 
-// PendingFor returns the number of targets that may have ended under a request, of which nothing
-// is known for certain.
+// PendingFor returns the number of targets at which a request with the digest was interrupted and
+// that may have crashed.
 func (c *CrashCorrelator) PendingFor(digest Digest) int {
 	n := 0
 	for _, p := range c.pending {
@@ -93,16 +99,17 @@
 	return n
 }
 
-// IsPending tells whether requests have broken at a target of which nothing is known.
+// IsPending reports whether requests were interrupted at a target that is not known to have
+// crashed.
 func (c *CrashCorrelator) IsPending(target string) bool {
 	p := c.pending[target]
 	return p != nil && !p.crashed
 }
 
-// Len returns the number of targets in doubt.
+// Len returns the number of targets at which requests were interrupted within correlationWindow.
 func (c *CrashCorrelator) Len() int { return len(c.pending) }
 
-// Expire forgets what counts no more.
+// Expire removes targets whose correlationWindow has passed.
 func (c *CrashCorrelator) Expire(now time.Time) {
 	for target, p := range c.pending {
 		if now.Sub(p.since) >= correlationWindow {
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -6,21 +6,21 @@
 	"encoding/hex"
 )
 
-// Digest stands for the content of a request: requests with the same digest make a target do
-// the same. It is the first half of a SHA-256, so that nobody can make a request that has
-// the digest of another one.
+// Digest identifies the content of a request: requests with the same digest make a target do the
+// same work. It is the first half of a SHA-256 hash, so that nobody can construct a request with
+// the digest of another one. Some digests stand for a client account, see AccountDigest.
 type Digest [16]byte
 
-// Content is what a target is given to work on. Headers are not part of it: repeats of a
-// request differ in them.
+// Content holds the parts of a request that determine a target's work. Headers are left out, since
+// they differ between repetitions of a request.
 type Content struct {
-	// Account is the name of the client account, "" where there is none: then all callers
-	// count as one. The name is part of the digest, so that what one account sends holds
-	// back no other.
+	// Account is the name of the client account. It is "" for requests without an account, whose
+	// callers count as one. The name is part of the digest, so that one account's requests do not
+	// cause another account's requests to be held.
 	Account string
 	Method  string
 	Host    string
-	// URI is the path with the query.
+	// URI is the path including the query.
 	URI  string
 	Body []byte
 }
@@ -29,7 +29,8 @@
 func (c Content) Digest() Digest {
 	h := sha256.New()
 	for _, field := range []string{c.Account, c.Method, c.Host, c.URI} {
-		// With its length before it no field can be taken for part of another.
+		// The length prefix prevents that contents with other field boundaries have the same
+		// digest.
 		h.Write(binary.BigEndian.AppendUint32(nil, uint32(len(field))))
 		h.Write([]byte(field))
 	}
@@ -38,11 +39,11 @@
 	return Digest(h.Sum(sum[:0])[:len(Digest{})])
 }
 
-// printedBytes is how much of a digest is shown: enough to see which requests are alike, and
-// too little to confirm a guess at a short body.
+// printedBytes is the number of bytes that String prints. They are enough to recognize equal
+// requests, and too few to confirm a guess at a short body.
 const printedBytes = 4
 
-// String returns the form of the digest in logs.
+// String returns the abbreviated hexadecimal form of the digest for logs.
 func (d Digest) String() string {
 	if d.IsAccount() {
 		return accountStringPrefix + hex.EncodeToString(d[len(accountDigestPrefix):][:printedBytes])
@@ -50,5 +51,5 @@
 	return hex.EncodeToString(d[:printedBytes])
 }
 
-// accountStringPrefix begins the form of digests that stand for accounts.
+// accountStringPrefix is the prefix of the printed form of digests that stand for accounts.
 const accountStringPrefix = "account-"
--- a/quarantine/digest_test.go
+++ b/quarantine/digest_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDigest checks that contents that differ in one field have different digests, also where
-// the fields put one after another read the same.
+// TestDigest checks that contents that differ in one field have different digests, also if the
+// concatenation of their fields is the same.
 func TestDigest(t *testing.T) {
 	base := Content{Account: "ada", Method: "POST", Host: "h.example", URI: "/a/?b=1", Body: []byte("body")}
 	seen := map[Digest]Content{base.Digest(): base}
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,25 +1,33 @@
-// Package quarantine decides which requests are held back because targets end under them.
+// Package quarantine decides which requests to hold because targets crash while running them.
 //
-// A request that makes a target end comes again, under another ID, at any instance. What is
-// remembered is therefore kept by the digest of its content, and by all instances together.
-// The fact that is kept is an end: a request with a digest was at a target, unanswered, when
-// the target ended. Whatever else was at the target has the same end noted, so that an end
-// says little; several at different targets say more. An answer says that a request does not
-// end targets, and clears it of all ends before: a request that does is never answered.
+// A request that crashes its target, also known as a query of death, usually comes again: under
+// another request ID, and through any instance. The state is therefore keyed by a digest of the
+// request's content and replicated to all instances.
 //
-// A request with fewer ends than suspectEnds is free. One with more is suspect: it is sent
-// only as a trial, one at a time over all instances. A trial that is answered frees it; one
-// that ends its target holds the request back for a while, longer each time. A request on
-// which nothing was learned for long is forgotten.
+// A crash is the unplanned end of a target. A request's record holds the crashes of the targets
+// at which the request was, unanswered, when they crashed. A crash is recorded for each request
+// that was at the target. One crash is therefore weak evidence against a request, and crashes
+// of several targets are strong evidence. An answer shows that the request does not crash its
+// targets, and clears all earlier crashes from its record: a request that crashes its targets is
+// never answered.
 //
-// Ends and answers are facts with an age, and a table of them is merged with that of another
-// instance in any order, late and more than once, with the same result. The trials of a
-// request are granted by one instance, its warden; where instances are cut off from each
-// other there may be one on each side, and the number of ends bounds them all.
+// A request with fewer than suspectCrashes crashes is Allowed. With more crashes it is Suspect:
+// instances send it only as a trial, one trial at a time over all instances. A trial that is
+// answered clears the request. A trial during which the target crashes has failed: the request is
+// then Held, that is refused, for a back-off that grows with the number of failed trials. Records
+// expire if nothing new is learned for some time.
 //
-// Accounts are judged by the same facts: one under whose different requests targets end, again
-// and again, is flagged, and those of its requests that were not answered before are trials. See
-// Table.Flag.
+// Crashes and answers carry their ages when instances exchange them. Merging updates into a Table
+// gives the same result in any order, also if updates arrive late or more than once. The trials
+// of a request are granted by one instance, its coordinator. During a network partition each
+// side may have a coordinator of its own; the limits on the crashes and failed trials of a
+// record hold for all sides together as soon as they exchange updates.
 //
-// Table and Warden are pure: time comes in as an argument.
+// Client accounts are judged by the same crashes. An account is flagged if targets crash again
+// and again under different requests of it. The requests of a flagged account that have not been
+// answered before are sent as trials only. See Table.FlagAccounts.
+//
+// A CrashCorrelator finds out which requests were at a target when it crashed.
+//
+// No type of the package reads the clock or does I/O: callers pass the current time.
 package quarantine
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model: instances that each hold a table, one caller that repeats a request under which
-// targets end, and news that take a while from instance to instance.
+// Constants of the simulation of one client that repeats a request that crashes its targets. Each
+// instance has a table, and updates between instances are delayed.
 const (
 	modelServiceTime = 50 * time.Millisecond
 	modelRestartTime = 3 * time.Second
@@ -20,16 +20,17 @@
 	modelTime        = 60 * time.Second
 )
 
-// modelCase is one setting of the model.
+// modelCase is a setting of the simulation.
 type modelCase struct {
 	instances int
-	// messageDelay is the mean time that messageDelay take, and perSecond the rate of the repeats.
+	// messageDelay is the mean delay of a message between instances, and perSecond the rate of the
+	// client's requests.
 	messageDelay time.Duration
 	perSecond    float64
-	// sticky requests go to the same targets at all instances.
+	// With sticky, all instances send the request to the same targets first.
 	sticky bool
-	// noGossip has instances tell each other nothing, and noCoordinator has suspect requests sent
-	// without a warden's leave.
+	// With noGossip the instances exchange no updates. With noCoordinator they send suspect
+	// requests without asking the coordinator.
 	noGossip, noCoordinator bool
 }
 
@@ -50,7 +51,7 @@
 	return last
 }
 
-// model plays one setting and counts the targets that end.
+// model simulates one setting and counts the targets that crash.
 type model struct {
 	modelCase
 	rnd         *rand.Rand
@@ -61,7 +62,7 @@
 	downUntil   map[int]time.Duration
 	digest      Digest
 	crashes     int
-	// lateSends are those later than four seconds after the third end.
+	// lateSends counts the sends later than 4 s after the third crash.
 	thirdCrashAt time.Duration
 	lateSends    int
 	updateBytes  int
@@ -89,8 +90,8 @@
 
 func (m *model) clock() time.Time { return after(m.now) }
 
-// arrive has an instance decide on an attempt. Broken is the number of attempts that ended
-// their target before.
+// arrive lets an instance decide on the next attempt of a request. The argument crashedAttempts is
+// the number of earlier attempts during which the target crashed.
 func (m *model) arrive(i, sent, crashedAttempts int) {
 	s := m.tables[i].Status(m.clock(), m.digest)
 	switch {
@@ -108,12 +109,13 @@
 	}
 }
 
-// delay is how long a message takes.
+// delay draws the delay of a message.
 func (m *model) delay() time.Duration {
 	return time.Duration((0.5 + m.rnd.Float64()) * float64(m.messageDelay))
 }
 
-// send has the first target that is there run the request, or any.
+// send runs the request at the first target that is up, or at a random one if requests are not
+// sticky.
 func (m *model) send(i, sent, crashedAttempts int, trial bool) {
 	target := m.pickTarget()
 	if target < 0 {
@@ -126,7 +128,7 @@
 	generation := until
 	m.at(modelServiceTime, func() {
 		if latest, hasCrashed := m.downUntil[target]; hasCrashed != hadCrashed || latest != generation {
-			// It has ended under another copy meanwhile.
+			// The target has crashed under another copy of the request meanwhile.
 			m.recordCrash(i, target, generation, trial)
 		} else {
 			m.crashes++
@@ -156,7 +158,7 @@
 	return -1
 }
 
-// recordCrash has an instance note an end and tell all others.
+// recordCrash records a crash at an instance and sends the change to all other instances.
 func (m *model) recordCrash(i, target int, generation time.Duration, trial bool) {
 	id := TargetIDOf(fmt.Sprint(target, "#", generation))
 	if !m.tables[i].RecordCrash(m.clock(), m.digest, "", id, trial) || m.noGossip {
@@ -176,9 +178,10 @@
 	}
 }
 
-// TestRepeatModel plays a minute of one caller's repeats at fleets of several sizes, and checks that
-// few targets end and that nothing is sent late, where news take as long as between regions.
-// Each way is switched off in turn, for what it is worth.
+// TestRepeatModel simulates a minute of one client that repeats a request that crashes its targets,
+// for several numbers of instances and with message delays as between regions. It checks the number
+// of crashed targets and the number of late sends. Settings without a limit show the effect of
+// single mechanisms by switching them off.
 func TestRepeatModel(t *testing.T) {
 	const regionDelay = 60 * time.Millisecond
 	cases := []struct {
@@ -189,12 +192,12 @@
 		{"12 instances", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true}, maxCrashes},
 		{"300 instances", modelCase{instances: 300, messageDelay: 2 * regionDelay, perSecond: 20, sticky: true}, maxCrashes},
 		{"730 instances", modelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 20, sticky: true}, maxCrashes},
-		{"12, without an object", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20}, maxCrashes + 2},
-		{"730, without an object", modelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 20}, maxCrashes + 4},
-		{"12, 200 a second", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 200, sticky: true}, maxCrashes + 2},
-		{"12, gossip alone", modelCase{instances: 12, messageDelay: 700 * time.Millisecond, perSecond: 20, sticky: true}, 0},
-		{"12, told nothing", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noGossip: true}, 0},
-		{"12, no warden", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noCoordinator: true}, 0},
+		{"12 instances, not sticky", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20}, maxCrashes + 2},
+		{"730 instances, not sticky", modelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 20}, maxCrashes + 4},
+		{"12 instances, 200 requests a second", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 200, sticky: true}, maxCrashes + 2},
+		{"12 instances, slow messages", modelCase{instances: 12, messageDelay: 700 * time.Millisecond, perSecond: 20, sticky: true}, 0},
+		{"12 instances, no updates", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noGossip: true}, 0},
+		{"12 instances, no coordinator", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noCoordinator: true}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -206,7 +209,7 @@
 				crashes += m.crashes
 				worst, late, bytes = max(worst, m.crashes), max(late, m.lateSends), max(bytes, m.updateBytes/c.instances)
 			}
-			t.Logf("%.1f targets ended, %d at worst; %d sends late at worst; %d bytes of news an instance", float64(crashes)/seeds, worst, late, bytes)
+			t.Logf("crashed targets: %.1f on average, at most %d; at most %d late sends; %d bytes of updates per instance", float64(crashes)/seeds, worst, late, bytes)
 			if c.limit > 0 {
 				require.LessOrEqual(t, worst, c.limit)
 				require.LessOrEqual(t, late, maxFailedTrials)
@@ -215,8 +218,8 @@
 	}
 }
 
-// BenchmarkDigest measures what a request costs while anything is known of any, by the length
-// of its body.
+// BenchmarkDigest measures the cost of a digest by the length of the body. Instances compute
+// digests only while their table has records.
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{0, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -7,38 +7,41 @@
 )
 
 const (
-	// suspectCrashes is the number of ends from which on a request is sent as a trial only.
-	// One end is what any request has that was at a target when that ended; with two at
-	// different targets a request was twice where a target ended, which happens to few.
+	// suspectCrashes is the number of crashes from which on a request is sent only as a trial.
+	// Every request at a crashing target has one crash. Few requests are by chance at two different
+	// targets when these crash.
 	suspectCrashes = 2
-	// maxCrashes is the number of ends from which on there are no more trials.
+	// maxCrashes is the number of crashes from which on there are no more trials. It also bounds
+	// the number of crashes in a record.
 	maxCrashes = 6
-	// firstTrialBackoff and longTrialPause are how long after the first and the second failed
-	// trial there is another one. After the third there is none: with the two targets
-	// before the first trial, five have ended then.
+	// firstTrialBackoff and secondTrialBackoff are the times from the first and the second failed
+	// trial to the next trial. After maxFailedTrials there is no other trial: five targets have
+	// crashed by then, including the two that made the request suspect.
 	firstTrialBackoff  = 10 * time.Second
 	secondTrialBackoff = time.Minute
 	maxFailedTrials    = 3
 
-	// singleCrashTTL is how long a request with one end is remembered, suspectLife one with
-	// more, both from the last end on: what held back a request for nothing ends by
-	// itself, and what does end targets costs a few of them an hour. It is less than
-	// longestEnd, the highest age that a message can tell.
+	// singleCrashTTL is how long a record with one crash is kept, and suspectTTL how long a record
+	// with more crashes is kept, both from the last crash on. A request that is held by mistake is
+	// thus released without intervention. A request that does crash its targets costs a few targets
+	// an hour. Both constants are less than maxCrashAge, the largest age that a message can carry.
 	singleCrashTTL = 10 * time.Minute
 	suspectTTL     = 50 * time.Minute
-	// answeredTTL is how long it is remembered that a request was answered, so that
-	// news of ends before that, which come late, do not count.
+	// answeredTTL is how long an answer is remembered, so that crashes before the answer do not
+	// count if an update on them arrives late.
 	answeredTTL = 30 * time.Second
-	// minRemainingTTL is how much longer a record has to be remembered for it to be passed
-	// on. Its age grows a little shorter with each step on its way; without this margin
-	// a record could be passed around for good.
+	// minRemainingTTL is the remaining time to live below which a record is no longer sent to other
+	// instances. Each hop makes a record look slightly younger, since ages in messages are rounded
+	// down and leave out the time in transit. Without this margin instances could pass a record
+	// back and forth forever.
 	minRemainingTTL = 10 * time.Second
 )
 
-// TargetID stands for one incarnation of a target: the hash of its ID.
+// TargetID identifies one incarnation of a target by the hash of its ID.
 type TargetID uint64
 
-// MarshalText implements encoding.TextMarshaler. JSON numbers have no room for all targets.
+// MarshalText implements encoding.TextMarshaler. It returns hexadecimal digits, because JSON
+// numbers cannot represent all 64-bit values exactly.
 func (t TargetID) MarshalText() ([]byte, error) {
 	return []byte(strconv.FormatUint(uint64(t), 16)), nil
 }
@@ -50,23 +53,23 @@
 	return err
 }
 
-// crash is the crash of a target under a request.
+// crash is the crash of a target at which a request, or some request of an account, was unanswered.
 type crash struct {
 	target TargetID
 	at     time.Time
-	// trial says that the request was a trial.
+	// trial reports whether the request was sent as a trial.
 	trial bool
 }
 
-// record is what is known of the requests with one digest, or of an account.
+// record holds the crashes of the requests with one digest, or those of a flagged account.
 type record struct {
-	// account is the hash of the client account's name, and whole says that the record is of
-	// all its unknown requests.
+	// account is the hash of the client account's name. isAccount reports whether the record is
+	// that of an account and covers all of its requests that have not been answered before.
 	account   uint32
 	isAccount bool
-	// crashes are those after answeredAt, the oldest first, of different targets.
+	// crashes holds the crashes since answeredAt, at most one of each target, the oldest first.
 	crashes []crash
-	// answeredAt is when such a request was last answered, zero if it was not.
+	// answeredAt is the time of the last answer, zero if there was none.
 	answeredAt time.Time
 }
 
@@ -74,7 +77,8 @@
 	return &record{account: account, isAccount: d.IsAccount()}
 }
 
-// isSuspect tells whether what it is of is sent as trials only.
+// isSuspect reports whether the requests of the record are not Allowed: they are sent as trials
+// only, or held.
 func (r *record) isSuspect() bool {
 	if r.isAccount {
 		return len(r.crashes) >= flagMinTargets
@@ -82,7 +86,8 @@
 	return len(r.crashes) >= suspectCrashes
 }
 
-// addCrash takes in an end. It reports whether it is new.
+// addCrash adds a crash. It reports whether the crash, or the fact that it happened during a trial,
+// is new.
 func (r *record) addCrash(c crash) bool {
 	if !c.at.After(r.answeredAt) {
 		return false
@@ -93,7 +98,8 @@
 		changed := c.trial && !existing.trial
 		existing.trial = existing.trial || c.trial
 		if c.at.Before(existing.at) {
-			// Each step of the way to here has made it look younger.
+			// Each hop of an update makes a crash look younger, so the earliest time is the most
+			// accurate.
 			existing.at = c.at
 			r.sort()
 		}
@@ -111,8 +117,8 @@
 	return true
 }
 
-// isRedundant tells whether an end says nothing more: of a request the first ones count, of an account
-// the last ones.
+// isRedundant reports whether a full record has no place for the crash. The record of a request
+// keeps the earliest crashes, that of an account the latest.
 func (r *record) isRedundant(c crash) bool {
 	if len(r.crashes) < maxCrashes {
 		return false
@@ -127,8 +133,8 @@
 	slices.SortFunc(r.crashes, func(a, b crash) int { return a.at.Compare(b.at) })
 }
 
-// addAnswer takes in that a request was answered at a time. It reports whether that clears it
-// of ends.
+// addAnswer records that a request was answered at the given time. It reports whether this clears
+// any crashes.
 func (r *record) addAnswer(at time.Time) bool {
 	if !at.After(r.answeredAt) {
 		return false
@@ -139,7 +145,7 @@
 	return len(r.crashes) < before
 }
 
-// lastCrash returns when the last of the ends was, zero if there is none.
+// lastCrash returns the time of the latest crash, zero if there is none.
 func (r *record) lastCrash() time.Time {
 	if len(r.crashes) == 0 {
 		return time.Time{}
@@ -147,7 +153,7 @@
 	return r.crashes[len(r.crashes)-1].at
 }
 
-// expiresAt returns when the record is forgotten.
+// expiresAt returns the time at which the record expires.
 func (r *record) expiresAt() time.Time {
 	switch n := len(r.crashes); {
 	case n == 0:
@@ -161,7 +167,8 @@
 	}
 }
 
-// nextTrial returns when there may be a trial, false if there is none any more.
+// nextTrial returns the earliest time of the next trial, and false if there is no further trial.
+// The zero time allows a trial at once.
 func (r *record) nextTrial() (time.Time, bool) {
 	failed := r.failedTrials()
 	switch {
@@ -178,7 +185,7 @@
 	}
 }
 
-// failedTrials returns the number of trials that have ended their target.
+// failedTrials returns the number of trials during which the target crashed.
 func (r *record) failedTrials() int {
 	n := 0
 	for _, c := range r.crashes {
--- a/quarantine/stored.go
+++ b/quarantine/stored.go
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// StoredPrefix is the prefix of the keys under which the platform's store keeps what all
-// instances would forget if they ended at once. Each object is written once: one for each
-// failed trial of a request, with the ends known by then, and one for each release.
+// StoredPrefix is the prefix of the keys under which the platform's store holds the state that
+// would be lost if all instances stopped at once. Objects are immutable. There is one for each
+// failed trial of a request, with the crashes known by then, and one for each release.
 const StoredPrefix = "held/"
 
-// StoredRecord is one of these objects.
+// StoredRecord is an object in the store: the crashes of a request, or its release.
 type StoredRecord struct {
 	Digest Digest `json:"-"`
-	// Account is the hash of the name of the request's client account.
+	// Account is the hash of the client account's name, see AccountHash.
 	Account uint32        `json:"account,omitempty"`
 	Route   string        `json:"route,omitempty"`
 	Crashes []StoredCrash `json:"ends,omitempty"`
-	// Released is when the request was released, in Unix milliseconds, 0 if this object
-	// holds ends, and Who has released it: an operator, or the instance at which it was
-	// answered.
+	// Released is the time of the request's release in Unix milliseconds, 0 if the object holds
+	// crashes. ReleasedBy names who released it: an operator, or the instance at which the request
+	// was answered.
 	Released   int64  `json:"released_ms,omitempty"`
 	ReleasedBy string `json:"who,omitempty"`
 }
 
-// StoredCrash is an end of a target.
+// StoredCrash is the crash of a target in a StoredRecord.
 type StoredCrash struct {
 	Target TargetID `json:"target"`
-	// At is when it was, in Unix milliseconds: clocks of a process end with it.
+	// At is the time of the crash in Unix milliseconds. Monotonic clock readings would have no
+	// meaning after a restart of the process.
 	At    int64 `json:"at_ms"`
 	Trial bool  `json:"trial,omitempty"`
 }
 
-// StoredRecord returns what is to be kept of a request, false if nothing is: no trial of it has
-// failed. Day is the time of day at now.
+// StoredRecord returns the object to store for a digest, and false if there is none, because no
+// trial has failed. The argument wallTime is the wall-clock time at now.
 func (t *Table) StoredRecord(now, wallTime time.Time, d Digest) (StoredRecord, bool) {
 	r := t.records[d]
 	if r == nil || r.failedTrials() == 0 {
@@ -50,8 +51,7 @@
 	return s, true
 }
 
-// Key returns the key of the object: the same for what several instances keep of a failed
-// trial.
+// Key returns the key of the object. Instances that store the same failed trial use the same key.
 func (s StoredRecord) Key() string {
 	suffix := "released-" + strconv.FormatInt(s.Released, 10)
 	if s.Released == 0 {
@@ -70,27 +70,27 @@
 	return n
 }
 
-// ParseStoredRecord reads an object by its key and value.
+// ParseStoredRecord decodes an object from its key and value.
 func ParseStoredRecord(key string, value []byte) (StoredRecord, error) {
 	rest, ok := strings.CutPrefix(key, StoredPrefix)
 	hexDigest, _, cut := strings.Cut(rest, "/")
 	raw, err := hex.DecodeString(hexDigest)
 	if !ok || !cut || err != nil || len(raw) != len(Digest{}) {
-		return StoredRecord{}, fmt.Errorf("quarantine: %q is no key of a held request", key)
+		return StoredRecord{}, fmt.Errorf("quarantine: %q is not the key of a held request", key)
 	}
 	s := StoredRecord{}
 	err = json.Unmarshal(value, &s)
 	if err != nil {
-		return StoredRecord{}, fmt.Errorf("quarantine: %s: %w", key, err)
+		return StoredRecord{}, fmt.Errorf("quarantine: decoding held request %s: %w", key, err)
 	}
 	if len(s.Crashes) > maxCrashes {
-		return StoredRecord{}, fmt.Errorf("quarantine: %s has %d ends", key, len(s.Crashes))
+		return StoredRecord{}, fmt.Errorf("quarantine: held request %s has too many crashes: %d", key, len(s.Crashes))
 	}
 	s.Digest = Digest(raw)
 	return s, nil
 }
 
-// LastEvent returns the time of the last that the object tells of.
+// LastEvent returns the wall-clock time of the latest crash or of the release.
 func (s StoredRecord) LastEvent() time.Time {
 	last := s.Released
 	for _, c := range s.Crashes {
@@ -99,12 +99,13 @@
 	return time.UnixMilli(last)
 }
 
-// Expired tells whether the object says nothing any more at a time of day.
+// Expired reports whether the object no longer counts at the given wall-clock time.
 func (s StoredRecord) Expired(wallTime time.Time) bool {
 	return wallTime.Sub(s.LastEvent()) >= suspectTTL
 }
 
-// Update returns what the object tells at a time of day, false if that is over.
+// Update returns the object in the form of a message at the given wall-clock time, and false if the
+// object has expired.
 func (s StoredRecord) Update(wallTime time.Time) (Update, bool) {
 	u := Update{Digest: s.Digest, Account: s.Account, AnswerAge: -1}
 	if s.Expired(wallTime) {
--- a/quarantine/stored_test.go
+++ b/quarantine/stored_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStoredRecordRoundTrip checks that a table that reads what another one has kept holds the same requests,
-// after all clocks have begun anew, until that is over.
+// TestStoredRecordRoundTrip checks that a table that reads the stored objects of another one holds
+// the same requests until these objects expire, also if the clocks of the two tables have different
+// origins.
 func TestStoredRecordRoundTrip(t *testing.T) {
 	var table Table
 	d := digest("/ends/")
@@ -44,7 +45,8 @@
 	require.NotEqual(t, stored.Key(), release.Key())
 }
 
-// TestParseRejectsForeignObjects checks that objects that are none of a held request are refused.
+// TestParseRejectsForeignObjects checks that ParseStoredRecord rejects keys and values that are not
+// those of a held request.
 func TestParseRejectsForeignObjects(t *testing.T) {
 	good := StoredRecord{Digest: digest("/x/"), Crashes: []StoredCrash{{Target: 1, At: 5, Trial: true}}}
 	for key, value := range map[string]string{
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -7,53 +7,58 @@
 )
 
 const (
-	// maxRecords bounds the table: with six ends each it takes less than 1 MB.
+	// maxRecords bounds the number of records. A full table with maxCrashes crashes in each record
+	// takes less than 1 MB.
 	maxRecords = 2048
-	// maxRecordsPerAccount bounds the records of one client account, where there are several.
+	// maxRecordsPerAccount bounds the records of one client account if the table holds records of
+	// several accounts.
 	maxRecordsPerAccount = 256
 )
 
-// Verdict says what is done with a request.
+// Verdict states how instances treat a request.
 type Verdict int
 
-// The verdicts.
+// The verdicts of a Table.
 const (
 	// Allowed requests are sent like any other.
 	Allowed Verdict = iota
-	// Suspect requests are sent if a trial is granted.
+	// Suspect requests are sent only if their coordinator grants a trial.
 	Suspect
 	// Held requests are refused.
 	Held
 )
 
-// Status is what the table says of a request.
+// Status is the state of a request or of an account in a Table.
 type Status struct {
 	Verdict Verdict
-	// Crashes is the number of targets that have ended under it since it was last answered.
+	// Crashes is the number of targets that have crashed under it since its last answer.
 	Crashes int
-	// FailedTrials is the number of trials among them.
+	// FailedTrials is the number of these crashes that happened during trials.
 	FailedTrials int
-	// Until is when a held request may be tried again or is forgotten.
+	// Until is the time from which on a held request may have another trial, or at which its record
+	// expires. It is zero for the other verdicts.
 	Until time.Time
 }
 
-// Table holds what is known of the requests under which targets have ended. The zero value
-// is ready. It is not safe for concurrent use.
+// Table holds the records of requests and accounts under which targets have crashed. The zero value
+// is an empty table, ready to use. A Table is not safe for concurrent use.
 type Table struct {
 	records map[Digest]*record
-	// suspectCount is the number of records with suspectEnds and more.
+	// suspectCount is the number of records for which isSuspect holds.
 	suspectCount int
-	// crashedAt is when targets crashedAt, also under requests that were answered since.
+	// crashedAt maps targets to the times of their crashes. It includes crashes that answers have
+	// cleared from all records.
 	crashedAt map[TargetID]time.Time
 }
 
-// Len returns the number of digests of which anything is known.
+// Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// SuspectCount returns the number of digests that are not free.
+// SuspectCount returns the number of records of requests and accounts that are not Allowed.
 func (t *Table) SuspectCount() int { return t.suspectCount }
 
-// Status returns what is to be done with a request.
+// Status returns the state of a digest. The state of a digest without a record is the zero Status,
+// whose verdict is Allowed.
 func (t *Table) Status(now time.Time, d Digest) Status {
 	r := t.records[d]
 	if r == nil || !now.Before(r.expiresAt()) {
@@ -75,7 +80,7 @@
 	return s
 }
 
-// ForEachSuspect calls f with all that is not free.
+// ForEachSuspect calls f for each digest whose verdict is not Allowed, in no particular order.
 func (t *Table) ForEachSuspect(now time.Time, f func(Digest, Status)) {
 	for d := range t.records {
 		s := t.Status(now, d)
@@ -85,8 +90,9 @@
 	}
 }
 
-// RecordCrash notes that a target has ended under a request of an account. Trial says that the
-// request was a trial. It reports whether that is new.
+// RecordCrash records that a target crashed under a request of an account. The argument trial
+// states whether the request was sent as a trial. RecordCrash reports whether the crash, or the
+// fact that it happened during a trial, is new.
 func (t *Table) RecordCrash(now time.Time, d Digest, account string, target TargetID, trial bool) bool {
 	return t.add(now, d, AccountHash(account), crash{target: target, at: now, trial: trial})
 }
@@ -106,10 +112,10 @@
 	return changed
 }
 
-// maxCrashedTargets bounds the ended targets that are remembered for a minute.
+// maxCrashedTargets bounds the crashed targets that the table remembers for flagWindow.
 const maxCrashedTargets = 4096
 
-// noteCrash remembers when a target ended.
+// noteCrash records the earliest known time of a target's crash.
 func (t *Table) noteCrash(c crash) {
 	known, ok := t.crashedAt[c.target]
 	if (ok && !c.at.Before(known)) || (!ok && len(t.crashedAt) >= maxCrashedTargets) {
@@ -121,7 +127,8 @@
 	t.crashedAt[c.target] = c.at
 }
 
-// RecordAnswer notes that a request was answered. It reports whether that frees a suspect one.
+// RecordAnswer records that a request was answered. It reports whether the request becomes Allowed
+// by that.
 func (t *Table) RecordAnswer(now time.Time, d Digest) bool {
 	r := t.records[d]
 	if r == nil {
@@ -132,7 +139,7 @@
 	return before && !r.isSuspect()
 }
 
-// modify changes a record and counts the suspects anew.
+// modify calls f, which may modify the record, and updates suspectCount.
 func (t *Table) modify(r *record, f func()) {
 	before := r.isSuspect()
 	f()
@@ -159,7 +166,7 @@
 	}
 }
 
-// Expire forgets what is no longer remembered.
+// Expire removes expired records, and the crashes of targets that are older than flagWindow.
 func (t *Table) Expire(now time.Time) {
 	for d, r := range t.records {
 		if !now.Before(r.expiresAt()) {
@@ -173,10 +180,10 @@
 	}
 }
 
-// makeRoom drops a record if the table is full, of the account or in all: one with the
-// fewest ends, and of those the oldest. An account that has filled its part loses one of its
-// own, so that no account's requests make those of another forgotten. It reports whether
-// there is room.
+// makeRoom evicts a record if the table is full, or if the account has filled its share of it. It
+// evicts a record with the fewest crashes, and among these the one whose last crash is the oldest.
+// An account that has filled its share loses one of its own records, so that its requests do not
+// evict the records of other accounts. makeRoom reports whether there is room for another record.
 func (t *Table) makeRoom(now time.Time, account uint32) bool {
 	own := 0
 	accounts := make(map[uint32]bool)
@@ -199,7 +206,7 @@
 	return len(t.records) < maxRecords
 }
 
-// evictLeast drops, of the records that f picks, the one that says least.
+// evictLeast removes, among the records that f selects, the first one in the order of carriesLess.
 func (t *Table) evictLeast(f func(*record) bool) {
 	var least Digest
 	var found *record
@@ -211,8 +218,8 @@
 	t.remove(least)
 }
 
-// carriesLess orders records by what they say: their ends, the time of the last, and, so that all
-// instances drop the same one, their digests.
+// carriesLess orders records by the information that they carry: by the number of crashes, then by
+// the time of the last crash, then by digest. All instances thus evict the same record.
 func carriesLess(d Digest, r *record, other Digest, o *record) bool {
 	order := cmp.Or(cmp.Compare(len(r.crashes), len(o.crashes)), r.lastCrash().Compare(o.lastCrash()), slices.Compare(d[:], other[:]))
 	return order < 0
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -16,7 +16,8 @@
 
 func digest(text string) Digest { return Content{URI: text}.Digest() }
 
-// TestStatusAfterEachCrash walks a request that ends each target through its life.
+// TestStatusAfterEachCrash checks the status of a request after each crash until its record
+// expires.
 func TestStatusAfterEachCrash(t *testing.T) {
 	var table Table
 	d := digest("/ends/")
@@ -50,7 +51,8 @@
 	require.Zero(t, table.SuspectCount())
 }
 
-// TestTrialAfterBackoff checks that a held request is tried again once its pause is over.
+// TestTrialAfterBackoff checks that a held request may have another trial once its back-off is
+// over.
 func TestTrialAfterBackoff(t *testing.T) {
 	var table Table
 	d := digest("/ends/")
@@ -61,8 +63,8 @@
 	require.Equal(t, Suspect, table.Status(after(firstTrialBackoff), d).Verdict)
 }
 
-// TestAnswerClearsCrashes checks that an answer clears a request of the ends before it and of no
-// others, and that news of ends before it count no more.
+// TestAnswerClearsCrashes checks that an answer clears the crashes before it and no later ones, and
+// that crashes before it do not count if an update on them arrives late.
 func TestAnswerClearsCrashes(t *testing.T) {
 	var table Table
 	d := digest("/hot/")
@@ -77,12 +79,12 @@
 	require.Equal(t, 0, table.Status(after(2*time.Second), d).Crashes)
 	require.True(t, table.RecordCrash(after(3*time.Second), d, "", 10, false))
 	require.Equal(t, 1, table.Status(after(3*time.Second), d).Crashes)
-	require.False(t, table.RecordAnswer(begin, digest("/other/")), "of others nothing is kept")
+	require.False(t, table.RecordAnswer(begin, digest("/other/")), "digest without a record")
 	require.Equal(t, 1, table.Len())
 }
 
-// TestSameTargetCountsOnce checks that several requests that were at a target when it ended
-// count as one.
+// TestSameTargetCountsOnce checks that several requests with one digest that were at a crashing
+// target count as one crash.
 func TestSameTargetCountsOnce(t *testing.T) {
 	var table Table
 	d := digest("/ends/")
@@ -91,8 +93,8 @@
 	require.Equal(t, 1, table.Status(begin, d).Crashes)
 }
 
-// TestTableIsBounded checks that an account that fills its part of the table loses records of
-// its own, those with the fewest ends first, and leaves another's alone.
+// TestTableIsBounded checks that an account that has filled its share of the table loses its own
+// records, those with the fewest crashes first, and none of another account.
 func TestTableIsBounded(t *testing.T) {
 	var table Table
 	other, kept := digest("/other/"), digest("/kept/")
@@ -112,7 +114,7 @@
 	require.LessOrEqual(t, open.Len(), maxRecords)
 }
 
-// event is an end or an answer that an instance has seen.
+// event is a crash or an answer that an instance observes.
 type event struct {
 	digest   int
 	target   int
@@ -121,9 +123,8 @@
 	answered bool
 }
 
-// TestMergeInAnyOrder has instances note facts and tell each other of them in any order, late
-// and more than once, and checks that all come to the same as one that was told of all facts
-// at once.
+// TestMergeInAnyOrder lets instances observe events and exchange updates in any order, late and
+// more than once. It checks that all tables end up equal to a reference that knows all events.
 func TestMergeInAnyOrder(t *testing.T) {
 	digests := []Digest{digest("/a/"), digest("/b/"), digest("/c/")}
 	rapid.Check(t, func(t *rapid.T) {
@@ -136,12 +137,12 @@
 				answered: rapid.IntRange(0, 4).Draw(t, "kind") == 0,
 			}
 			if !e.answered {
-				// A target ends once.
+				// A target crashes only once.
 				e.at = time.Duration(e.target) * 10 * ageUnit
 			}
 			return e
 		}), 1, 20).Draw(t, "facts")
-		// Answers count only for requests of which an end is known.
+		// Answers count only for digests of which a crash is known.
 		for d := range digests {
 			events = append(events, event{digest: d, target: 9, at: -ageUnit})
 		}
@@ -159,7 +160,7 @@
 				sendAll(t, now, &tables[i], &tables[rapid.IntRange(0, 2).Draw(t, "to")], digests)
 			}
 		}
-		// Whoever knows everything has told everybody in the end.
+		// Two rounds between all pairs spread every event to all tables.
 		for range 2 {
 			for i := range tables {
 				for j := range tables {
@@ -180,7 +181,7 @@
 	})
 }
 
-// updatesOf is the news of one fact.
+// updatesOf returns the updates that carry one event.
 func updatesOf(now time.Time, digests []Digest, e event) Updates {
 	age := now.Sub(after(e.at))
 	if e.answered {
@@ -189,7 +190,7 @@
 	return Updates{{Digest: digests[e.digest], AnswerAge: -1, Crashes: []CrashUpdate{{Target: TargetID(e.target), Age: age, Trial: e.trial}}}}
 }
 
-// sendAll passes all that a table knows on to another one, through the form of messages.
+// sendAll merges the encoded state of one table into another one.
 func sendAll(t *rapid.T, now time.Time, from, to *Table, digests []Digest) {
 	raw, err := from.Updates(now, digests...).MarshalBinary()
 	require.NoError(t, err)
@@ -198,7 +199,7 @@
 	to.Merge(now, updates)
 }
 
-// referenceCrashes counts the targets that ended after the last answer.
+// referenceCrashes returns the number of targets that crashed after the last answer.
 func referenceCrashes(events []event, digest int) int {
 	answered := -time.Hour
 	for _, e := range events {
@@ -215,8 +216,8 @@
 	return len(targets)
 }
 
-// TestTrialCoordinator checks that trials of a request are granted one at a time, and again once one
-// was learned from or has taken its time.
+// TestTrialCoordinator checks that trials of a digest are granted one at a time, and that the next
+// one is granted after the release, failure or expiry of the previous one.
 func TestTrialCoordinator(t *testing.T) {
 	var table Table
 	var coordinator TrialCoordinator
@@ -230,20 +231,20 @@
 	require.Equal(t, after(leaseRetryDelay), next)
 	coordinator.Release(&table, begin, d, "n2", false)
 	granted, _ = coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
-	require.False(t, granted, "only who has the trial ends it")
+	require.False(t, granted, "released by an instance that does not hold the lease")
 	coordinator.Release(&table, begin, d, "n1", false)
 	granted, _ = coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
 	require.True(t, granted)
 	granted, _ = coordinator.Acquire(after(3*time.Second), &table, d, "n3", after(6*time.Second))
-	require.True(t, granted, "the time of the trial is over")
+	require.True(t, granted, "the lease has expired")
 	table.RecordCrash(after(4*time.Second), d, "", 3, true)
 	granted, next = coordinator.Acquire(after(5*time.Second), &table, d, "n1", after(8*time.Second))
 	require.False(t, granted)
 	require.Equal(t, after(4*time.Second+firstTrialBackoff), next)
 }
 
-// TestCoordinatorFor checks that the wardens of many requests are spread over the instances, and that
-// the order in which they are known does not matter.
+// TestCoordinatorFor checks that digests are distributed over the instances as coordinators,
+// independently of the order of the instances.
 func TestCoordinatorFor(t *testing.T) {
 	require.Empty(t, CoordinatorFor(digest("/a/"), nil))
 	counts := make(map[string]int)
@@ -258,7 +259,8 @@
 	}
 }
 
-// FuzzUpdates has any bytes read as news, and checks that what was read is written the same.
+// FuzzUpdates decodes arbitrary bytes as updates and checks that encoding them again returns the
+// same bytes.
 func FuzzUpdates(f *testing.F) {
 	var table Table
 	for i := range 4 {
@@ -286,8 +288,8 @@
 	})
 }
 
-// TestFullTableMemory checks that a table that is full, each record with all its ends, takes
-// less than 1 MB.
+// TestFullTableMemory checks that a full table with the maximal number of crashes in each record
+// takes less than 1 MB.
 func TestFullTableMemory(t *testing.T) {
 	heapBytes := func() uint64 {
 		runtime.GC()
@@ -305,7 +307,7 @@
 	}
 	require.Equal(t, maxRecords, table.Len())
 	used := heapBytes() - before
-	t.Logf("%d bytes", used)
+	t.Logf("full table: %d bytes", used)
 	require.Less(t, used, uint64(1<<20))
 	runtime.KeepAlive(&table)
 }
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -11,37 +11,39 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Update are what a message tells of one request: its ends and its last answer, with their
-// ages at the time of sending.
+// Update is the state of one digest in a message: its crashes and its last answer, with their ages
+// at the time of sending.
 type Update struct {
 	Digest Digest
-	// Account is the hash of the name of its client account.
+	// Account is the hash of the client account's name, see AccountHash.
 	Account uint32
 	Crashes []CrashUpdate
-	// AnswerAge is the time since it was last answered, negative if it was not.
+	// AnswerAge is the time since the last answer, negative if there was none.
 	AnswerAge time.Duration
 }
 
-// CrashUpdate is an end in a message.
+// CrashUpdate is the crash of a target in an Update.
 type CrashUpdate struct {
 	Target TargetID
 	Age    time.Duration
 	Trial  bool
 }
 
-// Updates are facts as a message carries them.
+// Updates are the updates of one message.
 type Updates []Update
 
-// ErrTruncated is returned for news that are cut short.
-var ErrTruncated = errors.New("quarantine: news cut short")
+// ErrTruncated is returned for encoded updates that are truncated or hold more crashes than a
+// record may have.
+var ErrTruncated = errors.New("quarantine: updates truncated or with too many crashes")
 
-// AccountHash is the form of the name of a client account in facts.
+// AccountHash returns the hash that stands for the name of a client account in records and
+// messages.
 func AccountHash(name string) uint32 { return uint32(mix.Hash(name) >> 32) }
 
-// TargetIDOf returns what stands for the target with an ID.
+// TargetIDOf returns the TargetID of the target incarnation with the given ID.
 func TargetIDOf(id string) TargetID { return TargetID(mix.Hash(id)) }
 
-// update returns what is told of a record.
+// update returns the state of the record for a message.
 func (r *record) update(now time.Time, d Digest) Update {
 	u := Update{Digest: d, Account: r.account, AnswerAge: -1}
 	for _, c := range r.crashes {
@@ -53,7 +55,8 @@
 	return u
 }
 
-// Updates returns what is known of some requests, for a message.
+// Updates returns the states of the given digests for a message. It leaves out digests without a
+// record, and records that expire within minRemainingTTL.
 func (t *Table) Updates(now time.Time, digests ...Digest) Updates {
 	var out Updates
 	for _, d := range digests {
@@ -64,7 +67,8 @@
 	return out
 }
 
-// LatestSuspects returns what is known of at most n suspect requests, those with the latest ends.
+// LatestSuspects returns the states of at most n digests that are not Allowed, those with the
+// latest crashes.
 func (t *Table) LatestSuspects(now time.Time, n int) Updates {
 	var digests []Digest
 	for d, r := range t.records {
@@ -78,8 +82,8 @@
 	return t.Updates(now, digests[:min(n, len(digests))]...)
 }
 
-// Checksum returns a number that is the same for tables that know the same of suspect requests,
-// 0 if there are none.
+// Checksum returns a checksum of the suspect records, by which instances detect that their tables
+// differ. It covers digests and crashed targets, but no times. It is 0 if no record is suspect.
 func (t *Table) Checksum() uint32 {
 	sum := uint64(0)
 	for d, r := range t.records {
@@ -95,14 +99,13 @@
 	return uint32(sum)
 }
 
-// Merge takes in what another instance knows. It returns the digests of which something new
-// was learned.
+// Merge applies the updates of another instance. It returns the digests whose crashes have changed.
 func (t *Table) Merge(now time.Time, updates Updates) []Digest {
 	var digests []Digest
 	for _, update := range updates {
 		changed := false
 		if update.AnswerAge >= 0 && update.AnswerAge < answeredTTL && t.records[update.Digest] == nil && t.makeRoom(now, update.Account) {
-			// Its ends may come later than the news that they do not count.
+			// Updates on crashes before this answer may arrive later, and must not count.
 			t.put(update.Digest, newRecord(update.Digest, update.Account))
 		}
 		if update.AnswerAge >= 0 && t.records[update.Digest] != nil {
@@ -123,22 +126,23 @@
 	return digests
 }
 
-// Sizes of facts in a message, and the unit of ages there.
+// Sizes of encoded updates, and the unit of the ages in them.
 const (
 	headerBytes = len(Digest{}) + 4 + 2 + 1
 	crashBytes  = 8 + 2
 	ageUnit     = 100 * time.Millisecond
-	// noAnswer stands for an answer that there was not; the highest age is below it.
+	// noAnswer encodes that there was no answer. It is greater than all encoded ages.
 	noAnswer = math.MaxUint16
-	// trialBit is the highest bit of an end's age.
+	// trialBit is the highest bit of a crash's encoded age, set if the crash happened during a
+	// trial.
 	trialBit = 1 << 15
-	// maxCrashAge is the highest age of an end in a message, and longestAnswer that of
-	// an answer: what is older is long forgotten.
+	// maxCrashAge is the largest encoded age of a crash, and maxAnswerAge that of an answer, in
+	// units of ageUnit. Records of older crashes and answers have expired.
 	maxCrashAge  = trialBit - 1
 	maxAnswerAge = noAnswer - 1
 )
 
-// MarshalBinary implements encoding.BinaryMarshaler, by which messages carry news.
+// MarshalBinary implements encoding.BinaryMarshaler. It is the encoding of updates in messages.
 func (u Updates) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, len(u)*(headerBytes+2*crashBytes))
 	for _, update := range u {
@@ -170,7 +174,7 @@
 	return age
 }
 
-// UnmarshalBinary implements encoding.BinaryUnmarshaler.
+// UnmarshalBinary implements encoding.BinaryUnmarshaler. It returns ErrTruncated for invalid data.
 func (u *Updates) UnmarshalBinary(raw []byte) error {
 	*u = nil
 	for len(raw) > 0 {
