--- a/gateway/client.go
+++ b/gateway/client.go
@@ -13,7 +13,7 @@
 
 // aheadLimits bound the requests that are run before those ahead of them on their connections
 // have been answered. Each takes about 30 kB beside its answer.
-var aheadLimits = pipelining.Limits{PerConn: 16, Total: 512, Held: 8 << 20}
+var aheadLimits = pipelining.Limits{PerConn: 16, Total: 512, HeldBytes: 8 << 20}
 
 // awaitTurn has a request wait for those that its client has sent ahead of it, unless all of them
 // may run more than once. The client may leave meanwhile. The HTTP server notices that by itself a
@@ -21,8 +21,8 @@
 // longer than its client: without the last look such a request is sent to a target first and
 // cancelled then.
 func (ex *exchange) awaitTurn() (verdict, bool) {
-	err := pipelining.Start(ex.r, ex.route.Kind == catalog.Idempotent)
-	if err != nil || pipelining.HasLeft(ex.r) {
+	err := pipelining.AwaitStart(ex.r, ex.route.Kind == catalog.Idempotent)
+	if err != nil || pipelining.ClientGone(ex.r) {
 		return verdict{reason: reasonClientLeft}, false
 	}
 	return verdict{}, true
--- a/pipelining/bench_test.go
+++ b/pipelining/bench_test.go
@@ -18,7 +18,7 @@
 	for _, ahead := range []bool{false, true} {
 		b.Run(fmt.Sprint("ahead=", ahead), func(b *testing.B) {
 			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if pipelining.Start(r, true) != nil || pipelining.HasLeft(r) {
+				if pipelining.AwaitStart(r, true) != nil || pipelining.ClientGone(r) {
 					panic(http.ErrAbortHandler)
 				}
 				_, _ = io.WriteString(w, "ok")
@@ -29,7 +29,7 @@
 			}
 			addr := ln.Addr().String()
 			if ahead {
-				ln = pipelining.NewListener(server, ln, usualLimits)
+				ln = pipelining.NewListener(server, ln, defaultLimits)
 			}
 			go func() { _ = server.Serve(ln) }()
 			defer func() { _ = server.Close() }()
--- a/pipelining/close.go
+++ b/pipelining/close.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// endTime is how long the rest of what a client sends is read after the last answer, so that
+// lingerTime is how long the rest of what a client sends is read after the last answer, so that
 // the answer is not lost by a reset.
-const endTime = 500 * time.Millisecond
+const lingerTime = 500 * time.Millisecond
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	return c.write(&c.own, p)
+	return c.write(&c.current, p)
 }
 
 // write writes a part of the answer to the request of a turn.
-func (c *conn) write(t *turn, p []byte) (int, error) {
-	at, closes := announcesClose(p)
+func (c *conn) write(t *entry, p []byte) (int, error) {
+	at, closes := findConnectionClose(p)
 	if !closes {
 		return c.Conn.Write(p)
 	}
 	c.mu.Lock()
-	isLast := c.turns.isLast(t)
-	c.last = c.last || isLast
+	isLast := c.queue.isLast(t)
+	c.draining = c.draining || isLast
 	c.mu.Unlock()
 	if isLast {
 		return c.Conn.Write(p)
@@ -39,58 +39,58 @@
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closed = true
+	c.serverClosed = true
 	if c.serving {
 		c.serving = false
-		c.closeTurn(&c.own)
+		c.closeEntry(&c.current)
 	}
 	c.closing = true
-	c.endIfClosing()
-	c.wake()
-	if !c.ended {
-		go c.watch()
+	c.closeIfDone()
+	c.interruptRead()
+	if !c.connClosed {
+		go c.watchClient()
 	}
 	return nil
 }
 
-// endTurn takes in that the request of a lane has been answered. The caller holds mu.
-func (c *conn) endTurn(t *turn) {
-	c.turns.end(t)
-	c.endIfClosing()
-	c.wake()
+// finishEntry takes in that the request of a lane has been answered. The caller holds mu.
+func (c *conn) finishEntry(t *entry) {
+	c.queue.finish(t)
+	c.closeIfDone()
+	c.interruptRead()
 }
 
-// closeTurn takes in that the server has closed the connection of a request: with the last
+// closeEntry takes in that the server has closed the connection of a request: with the last
 // answer, or without one, in which case none behind it may be answered either. The caller holds
 // mu.
-func (c *conn) closeTurn(t *turn) {
-	if t.answered {
-		c.turns.end(t)
+func (c *conn) closeEntry(t *entry) {
+	if t.handled {
+		c.queue.finish(t)
 	} else {
-		c.last = true
-		c.turns.dropFrom(t)
+		c.draining = true
+		c.queue.abortFrom(t)
 	}
-	c.closing = c.closing || c.last
+	c.closing = c.closing || c.draining
 }
 
-// endIfClosing ends the client's connection if it is to end and no turn is left. The caller holds
+// closeIfDone ends the client's connection if it is to end and no turn is left. The caller holds
 // mu.
-func (c *conn) endIfClosing() {
-	if !c.closing || c.ended || len(c.turns.waiting) > 0 {
+func (c *conn) closeIfDone() {
+	if !c.closing || c.connClosed || len(c.queue.entries) > 0 {
 		return
 	}
-	c.ended = true
+	c.connClosed = true
 	half, ok := c.Conn.(interface{ CloseWrite() error })
-	if !ok || c.gone != nil || len(c.unread) == 0 || half.CloseWrite() != nil {
+	if !ok || c.readErr != nil || len(c.readAhead) == 0 || half.CloseWrite() != nil {
 		_ = c.Conn.Close()
 		return
 	}
 	go c.linger()
 }
 
-// watch notices that the client leaves while requests run that were read before the server closed
+// watchClient notices that the client leaves while requests run that were read before the server closed
 // the connection.
-func (c *conn) watch() {
+func (c *conn) watchClient() {
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	var ignored [512]byte
 	for {
@@ -99,8 +99,8 @@
 			continue
 		}
 		c.mu.Lock()
-		c.lose(err)
-		c.endIfClosing()
+		c.fail(err)
+		c.closeIfDone()
 		c.mu.Unlock()
 		return
 	}
@@ -108,7 +108,7 @@
 
 // linger reads what the client still sends, and closes the connection then.
 func (c *conn) linger() {
-	_ = c.Conn.SetReadDeadline(time.Now().Add(endTime))
+	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
 	var rest [512]byte
 	for {
 		_, err := c.Conn.Read(rest[:])
--- a/pipelining/close_test.go
+++ b/pipelining/close_test.go
@@ -9,66 +9,66 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAnswerThatCloses checks that nothing is answered behind an answer that ends the connection,
+// TestResponseClosesConnection checks that nothing is answered behind an answer that ends the connection,
 // and that it does not end while requests run that were read before.
-func TestAnswerThatCloses(t *testing.T) {
+func TestResponseClosesConnection(t *testing.T) {
 	t.Run("last", func(t *testing.T) {
-		s := newServed(t, usualLimits)
+		s := newTestServer(t, defaultLimits)
 		c := s.dial()
 		c.send(get("/1"), get("/close2"))
 		s.awaitRuns("/1", "/close2")
-		s.goOn("/close2", "/1")
+		s.finish("/close2", "/1")
 		require.True(t, c.expect("/1", "/close2"))
 		c.expectEnd()
 	})
 	for _, first := range []string{"/close1", "/now-close1"} {
 		t.Run("before others", func(t *testing.T) {
-			s := newServed(t, usualLimits)
+			s := newTestServer(t, defaultLimits)
 			c := s.dial()
 			c.send(get("/0"), get(first), get("/2"), get("/3"))
 			s.awaitRuns("/0", "/2", "/3")
 			if s.runs(first) {
-				s.goOn(first)
+				s.finish(first)
 			}
-			s.goOn("/0")
+			s.finish("/0")
 			require.False(t, c.expect("/0", first))
-			s.goOn("/3", "/2")
+			s.finish("/3", "/2")
 			c.expect("/2", "/3")
 		})
 	}
 	t.Run("by the first", func(t *testing.T) {
-		s := newServed(t, usualLimits)
+		s := newTestServer(t, defaultLimits)
 		c := s.dial()
 		c.send(get("/close1"), get("/2"))
 		s.awaitRuns("/close1", "/2")
-		s.goOn("/close1")
+		s.finish("/close1")
 		require.False(t, c.expect("/close1"))
-		s.goOn("/2")
+		s.finish("/2")
 		c.expect("/2")
 		c.expectEnd()
 	})
 	t.Run("asked for by the client", func(t *testing.T) {
-		s := newServed(t, usualLimits)
+		s := newTestServer(t, defaultLimits)
 		c := s.dial()
 		c.send(get("/1"), "GET /now2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", get("/3"))
 		s.awaitRuns("/1")
-		s.goOn("/1")
+		s.finish("/1")
 		require.True(t, c.expect("/1", "/now2"))
 		c.expectEnd()
 		require.False(t, s.runs("/3"))
 	})
 }
 
-// TestHandlerEndsWithoutAnswer checks that the requests ahead of one that ends without an answer are
+// TestHandlerAborts checks that the requests ahead of one that ends without an answer are
 // answered, and those behind it not.
-func TestHandlerEndsWithoutAnswer(t *testing.T) {
-	s := newServed(t, usualLimits)
+func TestHandlerAborts(t *testing.T) {
+	s := newTestServer(t, defaultLimits)
 	c := s.dial()
 	c.send(get("/1"), get("/panic2"), get("/3"))
 	s.awaitRuns("/1", "/panic2", "/3")
-	s.goOn("/panic2")
-	s.awaitLeft("/3")
-	s.goOn("/1")
+	s.finish("/panic2")
+	s.awaitDisconnected("/3")
+	s.finish("/1")
 	c.expect("/1")
 	c.expectEnd()
 }
@@ -77,12 +77,12 @@
 func TestShutdown(t *testing.T) {
 	for _, firstDone := range []bool{false, true} {
 		t.Run(fmt.Sprint("first done=", firstDone), func(t *testing.T) {
-			s := newServed(t, usualLimits)
+			s := newTestServer(t, defaultLimits)
 			c := s.dial()
 			c.send(get("/1"), get("/2"), get("/3"))
 			s.awaitRuns("/1", "/2", "/3")
 			if firstDone {
-				s.goOn("/1")
+				s.finish("/1")
 				c.expect("/1")
 			}
 			stopped := make(chan error, 1)
@@ -94,9 +94,9 @@
 				}
 				return err != nil
 			}, wait, poll)
-			s.goOn("/3", "/2")
+			s.finish("/3", "/2")
 			if !firstDone {
-				s.goOn("/1")
+				s.finish("/1")
 				c.expect("/1")
 			}
 			require.True(t, c.expect("/2", "/3"))
--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// maxUnread bounds the bytes that are read ahead on one connection and belong to no request
+	// maxReadAhead bounds the bytes that are read ahead on one connection and belong to no request
 	// that runs yet.
-	maxUnread = 32 << 10
-	// readStep is the number of bytes that are read ahead at once: about a head. Each connection
+	maxReadAhead = 32 << 10
+	// chunkBytes is the number of bytes that are read ahead at once: about a head. Each connection
 	// holds as many, since most have nothing more to read ahead.
-	readStep = 512
-	// lookEvery is how often a connection on which no more is read ahead is looked at for its
+	chunkBytes = 512
+	// hangUpPollInterval is how often a connection on which no more is read ahead is looked at for its
 	// end.
-	lookEvery = 100 * time.Millisecond
+	hangUpPollInterval = 100 * time.Millisecond
 )
 
 // phase is what the bytes that come next on a connection are.
@@ -31,16 +31,16 @@
 	inHead phase = iota
 	// inBody: those of the body of a request whose length is known.
 	inBody
-	// beyond: those behind the request that is served.
-	beyond
-	// raw: it is not known where requests end. All is passed on as it comes.
-	raw
-	// rawBeyond: as beyond, where it was not known before where the request ends.
-	rawBeyond
+	// afterRequest: those behind the request that is served.
+	afterRequest
+	// passThrough: it is not known where requests end. All is passed on as it comes.
+	passThrough
+	// afterPassThrough: as beyond, where it was not known before where the request ends.
+	afterPassThrough
 )
 
-// longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
 // conn is the connection of a client. The server reads one request after the other from it, those
 // excepted that get a lane.
@@ -50,9 +50,9 @@
 
 	// The server reads from one goroutine at a time. Only that one uses what follows.
 
-	// unread are bytes that were read ahead, and step is what they are read into.
-	unread []byte
-	step   [readStep]byte
+	// readAhead are bytes that were read ahead, and step is what they are read into.
+	readAhead []byte
+	chunk     [chunkBytes]byte
 	// head is the part of a head that has come, if it comes in pieces.
 	head []byte
 	// bodyLeft is what has not come of the body, in bytes.
@@ -60,27 +60,27 @@
 
 	mu    sync.Mutex
 	phase phase
-	turns turns
-	// own is the turn of the request that the server has read from this connection.
-	own turn
+	queue responseQueue
+	// current is the turn of the request that the server has read from this connection.
+	current entry
 	// serving says that there is one.
 	serving bool
-	// gone is why nothing more can be read, nil while it can.
-	gone error
-	// last says that nothing more is run ahead, as an answer says that the connection ends.
-	last bool
-	// closing says that the connection ends when no turn is left, closed that the server has
-	// closed it besides, and ended that the client's connection was closed.
-	closing, closed, ended bool
-	// reading is set during a read, poked when it was ended by one for whom it has to look
+	// readErr is why nothing more can be read, nil while it can.
+	readErr error
+	// draining says that nothing more is run ahead, as an answer says that the connection ends.
+	draining bool
+	// closing says that the connection ends when no turn is left, serverClosed that the server has
+	// serverClosed it besides, and connClosed that the client's connection was serverClosed.
+	closing, serverClosed, connClosed bool
+	// reading is set during a read, interrupted when it was ended by one for whom it has to look
 	// again, and deadline is what the server has set for it.
-	reading, poked bool
-	deadline       time.Time
-	poke           chan struct{}
+	reading, interrupted bool
+	readDeadline         time.Time
+	wakeUp               chan struct{}
 }
 
 func newConn(c net.Conn, l *Listener) *conn {
-	return &conn{Conn: c, listener: l, poke: make(chan struct{}, 1)}
+	return &conn{Conn: c, listener: l, wakeUp: make(chan struct{}, 1)}
 }
 
 // Read implements net.Conn. While a request is served the server reads one byte ahead, to notice
@@ -90,32 +90,32 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
-		if c.closed || c.ended {
+		if c.serverClosed || c.connClosed {
 			return 0, net.ErrClosed
 		}
-		if c.gone != nil {
-			return 0, c.gone
+		if c.readErr != nil {
+			return 0, c.readErr
 		}
-		if isPast(c.deadline) {
+		if isPast(c.readDeadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if c.readsAhead() {
-			c.openLanes()
-			if err := c.readAhead(); err != nil {
+		if c.mustReadAhead() {
+			c.dispatchAhead()
+			if err := c.readMore(); err != nil {
 				return 0, err
 			}
 			continue
 		}
-		if len(c.unread) > 0 {
-			n := copy(p, c.unread)
-			n = c.pass(c.unread[:n])
-			c.unread = c.unread[n:]
+		if len(c.readAhead) > 0 {
+			n := copy(p, c.readAhead)
+			n = c.consume(c.readAhead[:n])
+			c.readAhead = c.readAhead[n:]
 			return n, nil
 		}
 		n, err := c.readInto(p)
 		if n > 0 {
-			passed := c.pass(p[:n])
-			c.unread = append(c.unread, p[passed:n]...)
+			passed := c.consume(p[:n])
+			c.readAhead = append(c.readAhead, p[passed:n]...)
 			return passed, nil
 		}
 		if err != nil {
@@ -124,13 +124,13 @@
 	}
 }
 
-// readsAhead tells whether the server is to get nothing more for now: it serves a request, or
+// mustReadAhead tells whether the server is to get nothing more for now: it serves a request, or
 // others that were read ahead have not been answered. The caller holds mu.
-func (c *conn) readsAhead() bool {
-	if c.phase == beyond || c.phase == rawBeyond {
+func (c *conn) mustReadAhead() bool {
+	if c.phase == afterRequest || c.phase == afterPassThrough {
 		return true
 	}
-	return c.phase == inHead && len(c.turns.waiting) > 0
+	return c.phase == inHead && len(c.queue.entries) > 0
 }
 
 // readInto reads from the client while mu, which the caller holds, is released. It returns neither
@@ -141,83 +141,83 @@
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	c.reading = false
-	if c.poked {
-		c.poked = false
+	if c.interrupted {
+		c.interrupted = false
 		c.restoreDeadline()
-		if errors.Is(err, os.ErrDeadlineExceeded) && !isPast(c.deadline) {
+		if errors.Is(err, os.ErrDeadlineExceeded) && !isPast(c.readDeadline) {
 			return n, nil
 		}
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.lose(err)
+		c.fail(err)
 	}
 	return n, err
 }
 
-func isPast(t time.Time) bool { return !t.IsZero() && !t.After(longAgo) }
+func isPast(t time.Time) bool { return !t.IsZero() && !t.After(pastDeadline) }
 
-// readAhead waits for more bytes, or for a turn to end. The caller holds mu.
-func (c *conn) readAhead() error {
-	if len(c.unread) >= maxUnread {
-		return c.look()
+// readMore waits for more bytes, or for a turn to end. The caller holds mu.
+func (c *conn) readMore() error {
+	if len(c.readAhead) >= maxReadAhead {
+		return c.pollHangUp()
 	}
-	if !c.serving && !c.deadline.IsZero() {
+	if !c.serving && !c.readDeadline.IsZero() {
 		// The time for which a connection may rest begins with the last answer.
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
-	n, err := c.readInto(c.step[:])
-	c.unread = append(c.unread, c.step[:n]...)
-	if !c.readsAhead() {
+	n, err := c.readInto(c.chunk[:])
+	c.readAhead = append(c.readAhead, c.chunk[:n]...)
+	if !c.mustReadAhead() {
 		c.restoreDeadline()
 	}
 	return err
 }
 
-// look waits for a moment without reading, and finds out whether the client has left. The caller
+// pollHangUp waits for a moment without reading, and finds out whether the client has left. The caller
 // holds mu.
-func (c *conn) look() error {
+func (c *conn) pollHangUp() error {
 	c.mu.Unlock()
-	timer := time.NewTimer(lookEvery)
+	timer := time.NewTimer(hangUpPollInterval)
 	select {
 	case <-timer.C:
-	case <-c.poke:
+	case <-c.wakeUp:
 	}
 	timer.Stop()
 	hungUp := sockopt.HungUp(c.Conn)
 	c.mu.Lock()
 	if hungUp {
-		c.lose(net.ErrClosed)
-		return c.gone
+		c.fail(net.ErrClosed)
+		return c.readErr
 	}
 	return nil
 }
 
-// lose takes in that nothing more can be read. The caller holds mu.
-func (c *conn) lose(err error) {
-	c.gone = err
-	c.turns.dropAll()
+// fail takes in that nothing more can be read. The caller holds mu.
+func (c *conn) fail(err error) {
+	c.readErr = err
+	c.queue.abortAll()
 }
 
-// pass decides how many of the bytes that have come the server gets now, and takes in where they
+// consume decides how many of the bytes that have come the server gets now, and takes in where they
 // lead. The caller holds mu.
-func (c *conn) pass(data []byte) int {
+func (c *conn) consume(data []byte) int {
 	switch c.phase {
 	case inBody:
 		n := int(min(int64(len(data)), c.bodyLeft))
 		c.bodyLeft -= int64(n)
 		if c.bodyLeft == 0 {
-			c.phase = beyond
+			c.phase = afterRequest
 		}
 		return n
 	case inHead:
-		return c.passHead(data)
+		return c.consumeHead(data)
 	default:
 		return len(data)
 	}
 }
 
-// passHead is pass for bytes of a head. The caller holds mu.
-func (c *conn) passHead(data []byte) int {
+// consumeHead is pass for bytes of a head. The caller holds mu.
+func (c *conn) consumeHead(data []byte) int {
 	whole := data
 	if len(c.head) > 0 {
 		c.head = append(c.head, data...)
@@ -228,8 +228,8 @@
 		if len(c.head) == 0 {
 			c.head = append(c.head, data...)
 		}
-		if len(c.head) > maxHead {
-			c.begin(raw, false)
+		if len(c.head) > maxHeadBytes {
+			c.beginRequest(passThrough, false)
 		}
 		return len(data)
 	}
@@ -237,69 +237,69 @@
 	inData := length - (len(whole) - len(data))
 	switch kind {
 	case plain:
-		c.begin(beyond, true)
+		c.beginRequest(afterRequest, true)
 		return inData
 	case sized:
-		c.begin(inBody, false)
+		c.beginRequest(inBody, false)
 		c.bodyLeft = body
-		return inData + c.pass(data[inData:])
+		return inData + c.consume(data[inData:])
 	default:
-		c.begin(raw, false)
+		c.beginRequest(passThrough, false)
 		return len(data)
 	}
 }
 
-// begin takes in that the server has the head of a request, and whether others may run beside it.
+// beginRequest takes in that the server has the head of a request, and whether others may run beside it.
 // The caller holds mu.
-func (c *conn) begin(next phase, others bool) {
+func (c *conn) beginRequest(next phase, others bool) {
 	c.phase, c.head = next, nil
-	c.own = turn{alone: !others}
+	c.current = entry{exclusive: !others}
 	c.serving = true
-	c.turns.add(&c.own)
+	c.queue.push(&c.current)
 }
 
-// openLanes hands the plain requests that were read ahead to the server. The caller holds mu.
-func (c *conn) openLanes() {
-	for c.phase == beyond || c.phase == inHead {
-		length := headLength(c.unread)
-		if length == 0 || c.last || len(c.turns.waiting) >= c.listener.limits.PerConn {
+// dispatchAhead hands the plain requests that were read ahead to the server. The caller holds mu.
+func (c *conn) dispatchAhead() {
+	for c.phase == afterRequest || c.phase == inHead {
+		length := headLength(c.readAhead)
+		if length == 0 || c.draining || len(c.queue.entries) >= c.listener.limits.PerConn {
 			return
 		}
-		if c.serving && (c.own.alone || c.own.began && !c.own.repeatable) {
+		if c.serving && (c.current.exclusive || c.current.started && !c.current.idempotent) {
 			return
 		}
-		kind, _ := classify(c.unread[:length])
+		kind, _ := classify(c.readAhead[:length])
 		if kind != plain {
 			return
 		}
-		l := newLane(c, c.unread[:length])
-		if !c.listener.hand(l) {
+		l := newVirtualConn(c, c.readAhead[:length])
+		if !c.listener.dispatch(l) {
 			return
 		}
-		c.turns.add(l.turn)
-		c.unread = c.unread[length:]
+		c.queue.push(l.entry)
+		c.readAhead = c.readAhead[length:]
 	}
 }
 
 // start implements requestConn.
 func (c *conn) start(ctx context.Context, repeatable bool) error {
 	c.mu.Lock()
-	if c.phase == raw {
-		c.phase = rawBeyond
-		c.wake()
+	if c.phase == passThrough {
+		c.phase = afterPassThrough
+		c.interruptRead()
 	}
 	c.mu.Unlock()
-	return c.await(ctx, &c.own, repeatable)
+	return c.awaitStart(ctx, &c.current, repeatable)
 }
 
-// await waits until the request of a turn may run.
-func (c *conn) await(ctx context.Context, t *turn, repeatable bool) error {
+// awaitStart waits until the request of a turn may run.
+func (c *conn) awaitStart(ctx context.Context, t *entry, repeatable bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.began, t.repeatable = true, repeatable
-	c.turns.note()
-	for !c.turns.mayRun(t) {
-		changed := c.turns.next()
+	t.started, t.idempotent = true, repeatable
+	c.queue.notify()
+	for !c.queue.mayRun(t) {
+		changed := c.queue.changes()
 		c.mu.Unlock()
 		select {
 		case <-changed:
@@ -316,7 +316,7 @@
 // hasLeft implements requestConn.
 func (c *conn) hasLeft() bool {
 	c.mu.Lock()
-	gone := c.gone
+	gone := c.readErr
 	c.mu.Unlock()
 	return gone != nil || sockopt.Closed(c.Conn)
 }
@@ -325,7 +325,7 @@
 func (c *conn) handled() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.own.answered = true
+	c.current.handled = true
 }
 
 // idle implements requestConn.
@@ -333,23 +333,23 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = false
-	c.turns.end(&c.own)
+	c.queue.finish(&c.current)
 	switch c.phase {
-	case beyond:
+	case afterRequest:
 		c.phase = inHead
-	case rawBeyond, inBody:
-		c.phase = raw
+	case afterPassThrough, inBody:
+		c.phase = passThrough
 	}
-	c.endIfClosing()
+	c.closeIfDone()
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
+	c.readDeadline = t
 	if isPast(t) {
-		c.prod()
+		c.interruptPoll()
 	}
 	return c.Conn.SetReadDeadline(t)
 }
@@ -365,24 +365,24 @@
 
 // restoreDeadline sets the deadline of reads to what the server has set last. The caller holds mu.
 func (c *conn) restoreDeadline() {
-	if !isPast(c.deadline) {
-		_ = c.Conn.SetReadDeadline(c.deadline)
+	if !isPast(c.readDeadline) {
+		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// wake has the goroutine that reads look again. The caller holds mu.
-func (c *conn) wake() {
-	if c.reading && !c.poked {
-		c.poked = true
-		_ = c.Conn.SetReadDeadline(longAgo)
+// interruptRead has the goroutine that reads look again. The caller holds mu.
+func (c *conn) interruptRead() {
+	if c.reading && !c.interrupted {
+		c.interrupted = true
+		_ = c.Conn.SetReadDeadline(pastDeadline)
 	}
-	c.prod()
+	c.interruptPoll()
 }
 
-// prod ends a look.
-func (c *conn) prod() {
+// interruptPoll ends a look.
+func (c *conn) interruptPoll() {
 	select {
-	case c.poke <- struct{}{}:
+	case c.wakeUp <- struct{}{}:
 	default:
 	}
 }
--- a/pipelining/fuzz_test.go
+++ b/pipelining/fuzz_test.go
@@ -16,8 +16,8 @@
 	"github.com/rainford/rainford/pipelining"
 )
 
-// scripted is a connection whose client sends pieces of bytes and keeps what it gets.
-type scripted struct {
+// scriptedConn is a connection whose client sends pieces of bytes and keeps what it gets.
+type scriptedConn struct {
 	mu       sync.Mutex
 	changed  *sync.Cond
 	pieces   [][]byte
@@ -29,13 +29,13 @@
 	steps int
 }
 
-func newScripted(pieces [][]byte) *scripted {
-	s := &scripted{pieces: pieces}
+func newScriptedConn(pieces [][]byte) *scriptedConn {
+	s := &scriptedConn{pieces: pieces}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-func (s *scripted) Read(p []byte) (int, error) {
+func (s *scriptedConn) Read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (s *scripted) Write(p []byte) (int, error) {
+func (s *scriptedConn) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.steps++
@@ -69,7 +69,7 @@
 	return s.got.Write(p)
 }
 
-func (s *scripted) Close() error {
+func (s *scriptedConn) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
@@ -77,7 +77,7 @@
 	return nil
 }
 
-func (s *scripted) SetReadDeadline(t time.Time) error {
+func (s *scriptedConn) SetReadDeadline(t time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.steps++
@@ -86,27 +86,27 @@
 	return nil
 }
 
-func (s *scripted) SetDeadline(t time.Time) error      { return s.SetReadDeadline(t) }
-func (s *scripted) SetWriteDeadline(_ time.Time) error { return nil }
-func (s *scripted) LocalAddr() net.Addr                { return &net.TCPAddr{} }
-func (s *scripted) RemoteAddr() net.Addr               { return &net.TCPAddr{} }
+func (s *scriptedConn) SetDeadline(t time.Time) error      { return s.SetReadDeadline(t) }
+func (s *scriptedConn) SetWriteDeadline(_ time.Time) error { return nil }
+func (s *scriptedConn) LocalAddr() net.Addr                { return &net.TCPAddr{} }
+func (s *scriptedConn) RemoteAddr() net.Addr               { return &net.TCPAddr{} }
 
-// rests tells whether all bytes are read, or the connection has ended, and how much has happened.
-func (s *scripted) rests() (bool, int) {
+// idle tells whether all bytes are read, or the connection has ended, and how much has happened.
+func (s *scriptedConn) idle() (bool, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed || s.starving, s.steps
 }
 
-// oneConn is a listener of one connection.
-type oneConn struct {
+// singleConnListener is a listener of one connection.
+type singleConnListener struct {
 	once sync.Once
 	conn net.Conn
 	done chan struct{}
 	shut sync.Once
 }
 
-func (l *oneConn) Accept() (c net.Conn, err error) {
+func (l *singleConnListener) Accept() (c net.Conn, err error) {
 	l.once.Do(func() { c = l.conn })
 	if c != nil {
 		return c, nil
@@ -115,22 +115,22 @@
 	return nil, net.ErrClosed
 }
 
-func (l *oneConn) Close() error {
+func (l *singleConnListener) Close() error {
 	l.shut.Do(func() { close(l.done) })
 	return nil
 }
 
-func (l *oneConn) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // exchangeAll has a server serve some pieces, until nothing has happened for a time. It returns what
 // the client got, and the requests that ran in the order of their texts.
 func exchangeAll(pieces [][]byte, pipelined bool, quiet time.Duration) (string, []string) {
-	conn := newScripted(pieces)
+	conn := newScriptedConn(pieces)
 	var mu sync.Mutex
 	var seen []string
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
-		if pipelining.Start(r, !strings.Contains(r.RequestURI, "once")) != nil {
+		if pipelining.AwaitStart(r, !strings.Contains(r.RequestURI, "once")) != nil {
 			panic(http.ErrAbortHandler)
 		}
 		mu.Lock()
@@ -140,13 +140,13 @@
 		_, _ = fmt.Fprint(w, r.Method, " ", r.RequestURI, " ", string(body))
 	})
 	server := &http.Server{Handler: handler}
-	var ln net.Listener = &oneConn{conn: conn, done: make(chan struct{})}
+	var ln net.Listener = &singleConnListener{conn: conn, done: make(chan struct{})}
 	if pipelined {
-		ln = pipelining.NewListener(server, ln, usualLimits)
+		ln = pipelining.NewListener(server, ln, defaultLimits)
 	}
 	go func() { _ = server.Serve(ln) }()
 	for before := -1; ; {
-		rests, steps := conn.rests()
+		rests, steps := conn.idle()
 		if rests && steps == before {
 			break
 		}
--- a/pipelining/head.go
+++ b/pipelining/head.go
@@ -5,9 +5,9 @@
 	"strconv"
 )
 
-// maxHead bounds the head of a request that is looked at, in bytes. The requests of a connection
+// maxHeadBytes bounds the head of a request that is looked at, in bytes. The requests of a connection
 // with a longer one are left to the server as they come.
-const maxHead = 64 << 10
+const maxHeadBytes = 64 << 10
 
 var endOfHead = []byte("\r\n\r\n")
 
@@ -15,9 +15,9 @@
 type framing int
 
 const (
-	// unclear requests may end anywhere: their bodies come in chunks, or their heads are such
+	// ambiguous requests may end anywhere: their bodies come in chunks, or their heads are such
 	// that another reader might see them otherwise.
-	unclear framing = iota
+	ambiguous framing = iota
 	// sized requests have a body of a known length, which may be 0.
 	sized
 	// plain requests have no body, and may run beside others.
@@ -41,29 +41,29 @@
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
 	isPlain, ok := classifyRequestLine(line)
 	if !ok {
-		return unclear, 0
+		return ambiguous, 0
 	}
 	length, hosts := int64(-1), 0
 	for len(rest) > 0 {
 		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
 		name, value, found := bytes.Cut(line, []byte(":"))
 		if !found || !isToken(name) || bytes.ContainsAny(value, "\r\n") {
-			return unclear, 0
+			return ambiguous, 0
 		}
 		switch {
-		case is(name, "Content-Length"):
+		case equalFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 62)
 			if err != nil || length >= 0 {
-				return unclear, 0
+				return ambiguous, 0
 			}
 			length = int64(n)
-		case is(name, "Host"):
+		case equalFold(name, "Host"):
 			hosts++
-		case is(name, "Transfer-Encoding"), is(name, "Trailer"):
-			return unclear, 0
-		case is(name, "Connection"):
-			isPlain = isPlain && is(bytes.TrimSpace(value), "keep-alive")
-		case is(name, "Upgrade"), is(name, "Expect"):
+		case equalFold(name, "Transfer-Encoding"), equalFold(name, "Trailer"):
+			return ambiguous, 0
+		case equalFold(name, "Connection"):
+			isPlain = isPlain && equalFold(bytes.TrimSpace(value), "keep-alive")
+		case equalFold(name, "Upgrade"), equalFold(name, "Expect"):
 			isPlain = false
 		}
 	}
@@ -89,7 +89,7 @@
 	return string(method) == "GET" || string(method) == "HEAD", true
 }
 
-func is(text []byte, word string) bool { return bytes.EqualFold(text, []byte(word)) }
+func equalFold(text []byte, word string) bool { return bytes.EqualFold(text, []byte(word)) }
 
 // isToken tells whether text is a name by RFC 9110, section 5.6.2.
 func isToken(text []byte) bool {
@@ -104,9 +104,9 @@
 
 var closeLine = []byte("\r\nConnection: close\r\n")
 
-// announcesClose tells whether the head of an answer, with which text begins, says that the
+// findConnectionClose tells whether the head of an answer, with which text begins, says that the
 // connection ends with it, and returns where.
-func announcesClose(text []byte) (at int, ok bool) {
+func findConnectionClose(text []byte) (at int, ok bool) {
 	length := headLength(text)
 	if length == 0 {
 		length = len(text)
--- a/pipelining/pipelining_test.go
+++ b/pipelining/pipelining_test.go
@@ -21,8 +21,8 @@
 	poll = time.Millisecond
 )
 
-// served is what became of the requests of a server whose handlers wait to be let go on.
-type served struct {
+// testServer is what became of the requests of a server whose handlers wait to be let go on.
+type testServer struct {
 	t    *testing.T
 	addr string
 	http *http.Server
@@ -30,19 +30,19 @@
 	listener *pipelining.Listener
 
 	mu sync.Mutex
-	// began are the requests whose handlers run, by path, with what lets them go on.
-	began map[string]chan struct{}
-	// left are those whose clients were found to have left.
-	left map[string]bool
+	// running are the requests whose handlers run, by path, with what lets them go on.
+	running map[string]chan struct{}
+	// disconnected are those whose clients were found to have disconnected.
+	disconnected map[string]bool
 	// seen are all requests in the order in which their handlers were called.
 	seen []string
 }
 
-// newServed starts a server. A path that begins with "/once" may not be repeated, one that begins
+// newTestServer starts a server. A path that begins with "/once" may not be repeated, one that begins
 // with "/now" is answered at once, "/panic" ends without an answer, and "/close" is answered with
 // the end of the connection.
-func newServed(t *testing.T, limits pipelining.Limits) *served {
-	s := &served{t: t, began: make(map[string]chan struct{}), left: make(map[string]bool)}
+func newTestServer(t *testing.T, limits pipelining.Limits) *testServer {
+	s := &testServer{t: t, running: make(map[string]chan struct{}), disconnected: make(map[string]bool)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	s.addr = ln.Addr().String()
@@ -53,9 +53,9 @@
 	return s
 }
 
-var usualLimits = pipelining.Limits{PerConn: 8, Total: 64, Held: 1 << 20}
+var defaultLimits = pipelining.Limits{PerConn: 8, Total: 64, HeldBytes: 1 << 20}
 
-func (s *served) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *testServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -65,19 +65,19 @@
 	s.mu.Lock()
 	s.seen = append(s.seen, r.Method+" "+path+" "+string(body))
 	s.mu.Unlock()
-	err = pipelining.Start(r, !strings.HasPrefix(path, "/once"))
+	err = pipelining.AwaitStart(r, !strings.HasPrefix(path, "/once"))
 	if err != nil {
-		s.noteLeft(path)
+		s.noteDisconnected(path)
 		panic(http.ErrAbortHandler)
 	}
 	if !strings.HasPrefix(path, "/now") {
 		s.mu.Lock()
-		s.began[path] = goOn
+		s.running[path] = goOn
 		s.mu.Unlock()
 		select {
 		case <-goOn:
 		case <-r.Context().Done():
-			s.noteLeft(path)
+			s.noteDisconnected(path)
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -95,50 +95,50 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-func (s *served) noteLeft(path string) {
+func (s *testServer) noteDisconnected(path string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left[path] = true
+	s.disconnected[path] = true
 }
 
 // runs tells whether the handlers of all these paths run.
-func (s *served) runs(paths ...string) bool {
+func (s *testServer) runs(paths ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, path := range paths {
-		if s.began[path] == nil {
+		if s.running[path] == nil {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *served) awaitRuns(paths ...string) {
+func (s *testServer) awaitRuns(paths ...string) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool { return s.runs(paths...) }, wait, poll, paths)
 }
 
 // neverRuns checks that the handler of a path does not run for a while.
-func (s *served) neverRuns(path string) {
+func (s *testServer) neverRuns(path string) {
 	s.t.Helper()
 	require.Never(s.t, func() bool { return s.runs(path) }, 50*time.Millisecond, poll)
 }
 
-func (s *served) goOn(paths ...string) {
+func (s *testServer) finish(paths ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, path := range paths {
-		close(s.began[path])
+		close(s.running[path])
 	}
 }
 
-func (s *served) awaitLeft(paths ...string) {
+func (s *testServer) awaitDisconnected(paths ...string) {
 	s.t.Helper()
 	require.Eventually(s.t, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, path := range paths {
-			if !s.left[path] {
+			if !s.disconnected[path] {
 				return false
 			}
 		}
@@ -153,7 +153,7 @@
 	reader *bufio.Reader
 }
 
-func (s *served) dial() *client {
+func (s *testServer) dial() *client {
 	conn, err := net.Dial("tcp", s.addr)
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { _ = conn.Close() })
@@ -199,15 +199,15 @@
 	require.Empty(c.t, rest)
 }
 
-func TestRunsSideBySideAndAnswersInOrder(t *testing.T) {
-	s := newServed(t, usualLimits)
+func TestConcurrentRequestsAnsweredInOrder(t *testing.T) {
+	s := newTestServer(t, defaultLimits)
 	c := s.dial()
 	c.send(get("/1"), get("/2"), get("/3"))
 	s.awaitRuns("/1", "/2", "/3")
-	s.goOn("/3", "/2")
+	s.finish("/3", "/2")
 	c.send(get("/4"))
 	s.awaitRuns("/4")
-	s.goOn("/1", "/4")
+	s.finish("/1", "/4")
 	c.expect("/1", "/2", "/3", "/4")
 	c.send(get("/now5"))
 	c.expect("/now5")
@@ -215,7 +215,7 @@
 
 // TestHeadsInPieces has every byte come by itself.
 func TestHeadsInPieces(t *testing.T) {
-	s := newServed(t, usualLimits)
+	s := newTestServer(t, defaultLimits)
 	c := s.dial()
 	_ = c.SetNoDelay(true)
 	for _, b := range []byte(get("/1") + get("/2") + post("/now3", "body") + get("/4") + get("/5")) {
@@ -223,34 +223,34 @@
 	}
 	s.awaitRuns("/1", "/2")
 	s.neverRuns("/4")
-	s.goOn("/2", "/1")
+	s.finish("/2", "/1")
 	s.awaitRuns("/4", "/5")
-	s.goOn("/5", "/4")
+	s.finish("/5", "/4")
 	c.expect("/1", "/2", "/now3", "/4", "/5")
 }
 
-// TestNotRepeatableWaits checks that a request that may not be repeated waits for those ahead, and
+// TestNonIdempotentWaits checks that a request that may not be repeated waits for those ahead, and
 // those behind it for it.
-func TestNotRepeatableWaits(t *testing.T) {
-	s := newServed(t, usualLimits)
+func TestNonIdempotentWaits(t *testing.T) {
+	s := newTestServer(t, defaultLimits)
 	c := s.dial()
 	c.send(get("/1"), get("/once2"), get("/3"))
 	s.awaitRuns("/1")
 	s.neverRuns("/once2")
 	s.neverRuns("/3")
-	s.goOn("/1")
+	s.finish("/1")
 	s.awaitRuns("/once2")
 	s.neverRuns("/3")
-	s.goOn("/once2")
+	s.finish("/once2")
 	s.awaitRuns("/3")
-	s.goOn("/3")
+	s.finish("/3")
 	c.expect("/1", "/once2", "/3")
 	c.send(get("/once4"), get("/5"))
 	s.awaitRuns("/once4")
 	s.neverRuns("/5")
-	s.goOn("/once4")
+	s.finish("/once4")
 	s.awaitRuns("/5")
-	s.goOn("/5")
+	s.finish("/5")
 	c.expect("/once4", "/5")
 }
 
@@ -259,20 +259,20 @@
 func TestBodiesWait(t *testing.T) {
 	for name, with := range map[string]func(path, body string) string{"length": post, "chunks": chunked} {
 		t.Run(name, func(t *testing.T) {
-			s := newServed(t, usualLimits)
+			s := newTestServer(t, defaultLimits)
 			c := s.dial()
 			body := strings.Repeat(get("/inside"), 1000)
 			go c.send(get("/1"), with("/once2", body), get("/3"), get("/4"))
 			s.awaitRuns("/1")
 			s.neverRuns("/once2")
-			s.goOn("/1")
+			s.finish("/1")
 			s.awaitRuns("/once2")
 			s.neverRuns("/3")
-			s.goOn("/once2")
+			s.finish("/once2")
 			s.awaitRuns("/3")
-			s.goOn("/3")
+			s.finish("/3")
 			s.awaitRuns("/4")
-			s.goOn("/4")
+			s.finish("/4")
 			c.expect("/1", "/once2", "/3", "/4")
 			require.Equal(t, []string{"GET /1 ", "POST /once2 " + body, "GET /3 ", "GET /4 "}, s.seen)
 		})
@@ -282,11 +282,11 @@
 // TestExpectWaits checks that a client that waits to be told to send a body is told so once the
 // requests ahead have been answered.
 func TestExpectWaits(t *testing.T) {
-	s := newServed(t, usualLimits)
+	s := newTestServer(t, defaultLimits)
 	c := s.dial()
 	c.send(get("/1"), "POST /now2 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	s.awaitRuns("/1")
-	s.goOn("/1")
+	s.finish("/1")
 	c.expect("/1")
 	line, err := c.reader.ReadString('\n')
 	require.NoError(t, err)
@@ -297,13 +297,13 @@
 	c.expect("/now2")
 }
 
-// TestBrokenHeadBehindGoodOnes checks that the requests ahead of bytes that are none are answered.
-func TestBrokenHeadBehindGoodOnes(t *testing.T) {
-	s := newServed(t, usualLimits)
+// TestMalformedHeadAfterValidRequests checks that the requests ahead of bytes that are none are answered.
+func TestMalformedHeadAfterValidRequests(t *testing.T) {
+	s := newTestServer(t, defaultLimits)
 	c := s.dial()
 	c.send(get("/1"), get("/2"), "@@ \r\n\r\n", get("/3"))
 	s.awaitRuns("/1", "/2")
-	s.goOn("/2", "/1")
+	s.finish("/2", "/1")
 	c.expect("/1", "/2")
 	resp, err := http.ReadResponse(c.reader, nil)
 	require.NoError(t, err)
@@ -311,14 +311,14 @@
 	require.False(t, s.runs("/3"))
 }
 
-// TestClientLeaves checks that all requests of a client end when it leaves, whatever lies unread.
-func TestClientLeaves(t *testing.T) {
+// TestClientDisconnects checks that all requests of a client end when it leaves, whatever lies unread.
+func TestClientDisconnects(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		for name, behind := range map[string]string{
 			"nothing": "", "a body": post("/9", "body"), "half a head": "GET /9 HT", "more than is read ahead": strings.Repeat(get("/9"), 2000),
 		} {
 			t.Run(fmt.Sprintf("%s,reset=%t", name, reset), func(t *testing.T) {
-				s := newServed(t, pipelining.Limits{PerConn: 3, Total: 64, Held: 1 << 20})
+				s := newTestServer(t, pipelining.Limits{PerConn: 3, Total: 64, HeldBytes: 1 << 20})
 				c := s.dial()
 				c.send(get("/1"))
 				s.awaitRuns("/1")
@@ -328,69 +328,69 @@
 					_ = c.SetLinger(0)
 				}
 				_ = c.Close()
-				s.awaitLeft("/1", "/2", "/3")
+				s.awaitDisconnected("/1", "/2", "/3")
 				require.False(t, s.runs("/9"))
 			})
 		}
 	}
 }
 
-// TestClientLeavesBehindBody checks that a client is noticed to have left that has sent requests
+// TestClientDisconnectsAfterBody checks that a client is noticed to have left that has sent requests
 // behind one with a body.
-func TestClientLeavesBehindBody(t *testing.T) {
+func TestClientDisconnectsAfterBody(t *testing.T) {
 	for name, with := range map[string]func(path, body string) string{"length": post, "chunks": chunked} {
 		t.Run(name, func(t *testing.T) {
-			s := newServed(t, usualLimits)
+			s := newTestServer(t, defaultLimits)
 			c := s.dial()
 			c.send(with("/1", "body"))
 			s.awaitRuns("/1")
 			c.send(get("/2"), get("/3"))
 			_ = c.Close()
-			s.awaitLeft("/1")
+			s.awaitDisconnected("/1")
 			require.False(t, s.runs("/2"))
 		})
 	}
 }
 
-// TestBounds checks the bounds on what runs side by side.
-func TestBounds(t *testing.T) {
+// TestLimits checks the bounds on what runs side by side.
+func TestLimits(t *testing.T) {
 	t.Run("connection", func(t *testing.T) {
-		s := newServed(t, pipelining.Limits{PerConn: 2, Total: 64, Held: 1 << 20})
+		s := newTestServer(t, pipelining.Limits{PerConn: 2, Total: 64, HeldBytes: 1 << 20})
 		c := s.dial()
 		c.send(get("/1"), get("/2"), get("/3"))
 		s.awaitRuns("/1", "/2")
 		s.neverRuns("/3")
-		s.goOn("/1")
+		s.finish("/1")
 		s.awaitRuns("/3")
-		s.goOn("/2", "/3")
+		s.finish("/2", "/3")
 		c.expect("/1", "/2", "/3")
 	})
 	t.Run("total", func(t *testing.T) {
-		s := newServed(t, pipelining.Limits{PerConn: 8, Total: 1, Held: 1 << 20})
+		s := newTestServer(t, pipelining.Limits{PerConn: 8, Total: 1, HeldBytes: 1 << 20})
 		one, two := s.dial(), s.dial()
 		one.send(get("/1"), get("/2"))
 		s.awaitRuns("/1", "/2")
 		two.send(get("/3"), get("/4"))
 		s.awaitRuns("/3")
 		s.neverRuns("/4")
-		s.goOn("/3")
+		s.finish("/3")
 		s.awaitRuns("/4")
-		s.goOn("/1", "/2", "/4")
+		s.finish("/1", "/2", "/4")
 		one.expect("/1", "/2")
 		two.expect("/3", "/4")
 	})
 	t.Run("answers", func(t *testing.T) {
-		s := newServed(t, pipelining.Limits{PerConn: 8, Total: 64, Held: 1000})
+		s := newTestServer(t, pipelining.Limits{PerConn: 8, Total: 64, HeldBytes: 1000})
 		c := s.dial()
 		c.send(get("/1"), get("/now-large2"), get("/3"))
 		s.awaitRuns("/1", "/3")
 		require.Eventually(t, func() bool { _, held := s.listener.Usage(); return held > 1000 }, wait, poll)
 		c.send(get("/4"))
 		s.neverRuns("/4")
-		s.goOn("/1")
+		s.finish("/1")
 		c.expect("/1", "/now-large2")
 		s.awaitRuns("/4")
-		s.goOn("/3", "/4")
+		s.finish("/3", "/4")
 		c.expect("/3", "/4")
 		require.Eventually(t, func() bool { running, held := s.listener.Usage(); return running == 0 && held == 0 }, wait, poll)
 	})
@@ -398,7 +398,7 @@
 
 // TestSlowReader has a client read its answers slowly.
 func TestSlowReader(t *testing.T) {
-	s := newServed(t, usualLimits)
+	s := newTestServer(t, defaultLimits)
 	c := s.dial()
 	c.send(get("/now-large1"), get("/now-large2"), get("/now3"))
 	time.Sleep(20 * time.Millisecond)
--- a/pipelining/queue.go
+++ b/pipelining/queue.go
@@ -1,108 +1,108 @@
 package pipelining
 
-// turn is the place of a request among those of its connection that have not been answered. It
+// entry is the place of a request among those of its connection that have not been answered. It
 // is guarded by the mu of its connection.
-type turn struct {
-	// alone requests run beside no others. Of those that may, began says that Start was called,
-	// and repeatable what it was told.
-	alone, began, repeatable bool
-	// answered says that the handler has returned, and done that the whole answer is written
+type entry struct {
+	// exclusive requests run beside no others. Of those that may, started says that Start was called,
+	// and idempotent what it was told.
+	exclusive, started, idempotent bool
+	// handled says that the handler has returned, and done that the whole answer is written
 	// or that there will be none.
-	answered, done bool
-	// first is closed when all requests ahead have been answered, and dropped when this one
+	handled, done bool
+	// front is closed when all requests ahead have been answered, and aborted when this one
 	// will not be answered any more. Both are nil for a request that has none ahead.
-	first, dropped chan struct{}
+	front, aborted chan struct{}
 }
 
-// newTurn returns the turn of a request that may have others ahead.
-func newTurn() *turn {
-	return &turn{first: make(chan struct{}), dropped: make(chan struct{})}
+// newEntry returns the turn of a request that may have others ahead.
+func newEntry() *entry {
+	return &entry{front: make(chan struct{}), aborted: make(chan struct{})}
 }
 
-// runsBeside tells whether the request is known to be one that may run beside others.
-func (t *turn) runsBeside() bool { return t.began && t.repeatable && !t.alone }
+// concurrent tells whether the request is known to be one that may run beside others.
+func (t *entry) concurrent() bool { return t.started && t.idempotent && !t.exclusive }
 
-// drop has the request end without an answer.
-func (t *turn) drop() {
+// abort has the request end without an answer.
+func (t *entry) abort() {
 	if t.done {
 		return
 	}
 	t.done = true
-	if t.dropped != nil {
-		close(t.dropped)
+	if t.aborted != nil {
+		close(t.aborted)
 	}
 }
 
-// turns are those of a connection, in the order of their requests.
-type turns struct {
-	waiting []*turn
+// responseQueue are those of a connection, in the order of their requests.
+type responseQueue struct {
+	entries []*entry
 	// changed is closed when one of them has begun or ended, nil if nobody waits for that.
 	changed chan struct{}
 }
 
-// add puts a turn at the end.
-func (q *turns) add(t *turn) {
-	q.waiting = append(q.waiting, t)
-	if len(q.waiting) == 1 && t.first != nil {
-		close(t.first)
+// push puts a turn at the end.
+func (q *responseQueue) push(t *entry) {
+	q.entries = append(q.entries, t)
+	if len(q.entries) == 1 && t.front != nil {
+		close(t.front)
 	}
 }
 
-// end takes in that a request was answered.
-func (q *turns) end(t *turn) {
+// finish takes in that a request was answered.
+func (q *responseQueue) finish(t *entry) {
 	t.done = true
-	q.advance()
+	q.popDone()
 }
 
-// advance takes away the turns at the front that are done.
-func (q *turns) advance() {
+// popDone takes away the turns at the front that are done.
+func (q *responseQueue) popDone() {
 	ended := 0
-	for ended < len(q.waiting) && q.waiting[ended].done {
+	for ended < len(q.entries) && q.entries[ended].done {
 		ended++
 	}
 	if ended > 0 {
-		left := copy(q.waiting, q.waiting[ended:])
-		clear(q.waiting[left:])
-		q.waiting = q.waiting[:left]
-		if left > 0 && q.waiting[0].first != nil {
-			close(q.waiting[0].first)
+		left := copy(q.entries, q.entries[ended:])
+		clear(q.entries[left:])
+		q.entries = q.entries[:left]
+		if left > 0 && q.entries[0].front != nil {
+			close(q.entries[0].front)
 		}
 	}
-	q.note()
+	q.notify()
 }
 
-// dropFrom drops a turn and all behind it.
-func (q *turns) dropFrom(t *turn) {
+// abortFrom drops a turn and all behind it.
+func (q *responseQueue) abortFrom(t *entry) {
 	found := false
-	for _, other := range q.waiting {
+	for _, other := range q.entries {
 		found = found || other == t
 		if found {
-			other.drop()
+			other.abort()
 		}
 	}
-	q.advance()
+	q.popDone()
 }
 
-// dropAll drops all turns.
-func (q *turns) dropAll() {
-	if len(q.waiting) > 0 {
-		q.dropFrom(q.waiting[0])
+// abortAll drops all turns.
+func (q *responseQueue) abortAll() {
+	if len(q.entries) > 0 {
+		q.abortFrom(q.entries[0])
 	}
 }
 
 // isLast tells whether there is none behind a turn.
-func (q *turns) isLast(t *turn) bool {
-	return len(q.waiting) == 0 || q.waiting[len(q.waiting)-1] == t
+func (q *responseQueue) isLast(t *entry) bool {
+	return len(q.entries) == 0 || q.entries[len(q.entries)-1] == t
 }
 
 // mayRun tells whether the request of a turn may run: beside those ahead if all of them may be
 // repeated, else only once they have been answered.
-func (q *turns) mayRun(t *turn) bool {
-	for _, ahead := range q.waiting {
+func (q *responseQueue) mayRun(t *entry) bool {
+	for _, ahead := range q.entries {
 		if ahead == t {
 			return true
 		}
-		beside := t.runsBeside() && ahead.runsBeside()
+		beside := t.concurrent() && ahead.concurrent()
 		if !ahead.done && !beside {
 			return false
 		}
@@ -110,16 +110,16 @@
 	return true
 }
 
-// note wakes those who wait for a change.
-func (q *turns) note() {
+// notify wakes those who wait for a change.
+func (q *responseQueue) notify() {
 	if q.changed != nil {
 		close(q.changed)
 		q.changed = nil
 	}
 }
 
-// next returns what is closed at the next change.
-func (q *turns) next() <-chan struct{} {
+// changes returns what is closed at the changes change.
+func (q *responseQueue) changes() <-chan struct{} {
 	if q.changed == nil {
 		q.changed = make(chan struct{})
 	}
--- a/pipelining/virtual_conn.go
+++ b/pipelining/virtual_conn.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// lane is a connection that holds one request, which was read ahead. What the server writes to it
+// virtualConn is a connection that holds one request, which was read ahead. What the server writes to it
 // goes to the client once all requests ahead have been answered.
-type lane struct {
-	conn *conn
-	turn *turn
+type virtualConn struct {
+	conn  *conn
+	entry *entry
 
 	mu sync.Mutex
 	// head is what has not been read of the request.
@@ -23,21 +23,21 @@
 	// expired is closed when the deadline of reads has passed, and timer closes it.
 	expired chan struct{}
 	timer   *time.Timer
-	// writeBy is the deadline of writes. It holds from the lane's turn on.
-	writeBy time.Time
-	// held is the number of bytes of the answer that wait for the lane's turn.
-	held int64
+	// writeDeadline is the deadline of writes. It holds from the lane's turn on.
+	writeDeadline time.Time
+	// heldBytes is the number of bytes of the answer that wait for the lane's turn.
+	heldBytes int64
 
-	closing sync.Once
+	closeOnce sync.Once
 }
 
-func newLane(c *conn, head []byte) *lane {
-	return &lane{conn: c, turn: newTurn(), head: bytes.Clone(head), expired: make(chan struct{})}
+func newVirtualConn(c *conn, head []byte) *virtualConn {
+	return &virtualConn{conn: c, entry: newEntry(), head: bytes.Clone(head), expired: make(chan struct{})}
 }
 
 // Read implements net.Conn. Behind the request it waits, as the server does for a client that
 // sends nothing, until the client has left or the answer is written.
-func (l *lane) Read(p []byte) (int, error) {
+func (l *virtualConn) Read(p []byte) (int, error) {
 	l.mu.Lock()
 	n := copy(p, l.head)
 	l.head = l.head[n:]
@@ -50,62 +50,62 @@
 		return 0, io.EOF
 	}
 	select {
-	case <-l.turn.dropped:
+	case <-l.entry.aborted:
 		return 0, io.EOF
 	case <-expired:
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
-func (l *lane) isDone() bool {
+func (l *virtualConn) isDone() bool {
 	l.conn.mu.Lock()
 	defer l.conn.mu.Unlock()
-	return l.turn.done
+	return l.entry.done
 }
 
 // Write implements net.Conn.
-func (l *lane) Write(p []byte) (int, error) {
-	l.hold(p)
+func (l *virtualConn) Write(p []byte) (int, error) {
+	l.addHeld(p)
 	select {
-	case <-l.turn.first:
-	case <-l.turn.dropped:
+	case <-l.entry.front:
+	case <-l.entry.aborted:
 		return 0, net.ErrClosed
 	}
-	l.release()
-	return l.conn.write(l.turn, p)
+	l.releaseHeld()
+	return l.conn.write(l.entry, p)
 }
 
-// hold counts an answer as one that waits for its turn, if it does. Text is the beginning of it.
-func (l *lane) hold(text []byte) {
+// addHeld counts an answer as one that waits for its turn, if it does. Text is the beginning of it.
+func (l *virtualConn) addHeld(text []byte) {
 	select {
-	case <-l.turn.first:
+	case <-l.entry.front:
 		return
 	default:
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held == 0 {
-		l.held = answerLength(text)
-		l.conn.listener.held.Add(l.held)
+	if l.heldBytes == 0 {
+		l.heldBytes = responseLength(text)
+		l.conn.listener.heldBytes.Add(l.heldBytes)
 	}
 }
 
-// release takes back what hold has counted, and has the deadline of writes hold.
-func (l *lane) release() {
+// releaseHeld takes back what hold has counted, and has the deadline of writes hold.
+func (l *virtualConn) releaseHeld() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.held > 0 {
-		l.conn.listener.held.Add(-l.held)
-		l.held = 0
+	if l.heldBytes > 0 {
+		l.conn.listener.heldBytes.Add(-l.heldBytes)
+		l.heldBytes = 0
 	}
-	_ = l.conn.Conn.SetWriteDeadline(l.writeBy)
+	_ = l.conn.Conn.SetWriteDeadline(l.writeDeadline)
 }
 
 var lengthField = []byte("\r\nContent-Length: ")
 
-// answerLength returns the length in bytes that the head of an answer tells, or that of its
+// responseLength returns the length in bytes that the head of an answer tells, or that of its
 // beginning if it tells none.
-func answerLength(text []byte) int64 {
+func responseLength(text []byte) int64 {
 	length := int64(len(text))
 	_, rest, ok := bytes.Cut(text, lengthField)
 	digits, _, _ := bytes.Cut(rest, []byte("\r\n"))
@@ -117,51 +117,51 @@
 }
 
 // Close implements net.Conn.
-func (l *lane) Close() error {
-	l.closing.Do(func() {
+func (l *virtualConn) Close() error {
+	l.closeOnce.Do(func() {
 		l.mu.Lock()
-		l.conn.listener.held.Add(-l.held)
-		l.held = 0
+		l.conn.listener.heldBytes.Add(-l.heldBytes)
+		l.heldBytes = 0
 		l.mu.Unlock()
-		l.conn.listener.lanes.Add(-1)
+		l.conn.listener.ahead.Add(-1)
 		c := l.conn
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !l.turn.done {
-			c.closeTurn(l.turn)
+		if !l.entry.done {
+			c.closeEntry(l.entry)
 		}
-		c.endIfClosing()
-		c.wake()
+		c.closeIfDone()
+		c.interruptRead()
 	})
 	return nil
 }
 
 // start implements requestConn.
-func (l *lane) start(ctx context.Context, repeatable bool) error {
-	return l.conn.await(ctx, l.turn, repeatable)
+func (l *virtualConn) start(ctx context.Context, repeatable bool) error {
+	return l.conn.awaitStart(ctx, l.entry, repeatable)
 }
 
 // hasLeft implements requestConn.
-func (l *lane) hasLeft() bool { return l.conn.hasLeft() }
+func (l *virtualConn) hasLeft() bool { return l.conn.hasLeft() }
 
 // handled implements requestConn.
-func (l *lane) handled() {
+func (l *virtualConn) handled() {
 	l.conn.mu.Lock()
 	defer l.conn.mu.Unlock()
-	l.turn.answered = true
+	l.entry.handled = true
 }
 
 // idle implements requestConn.
-func (l *lane) idle() {
+func (l *virtualConn) idle() {
 	l.conn.mu.Lock()
 	defer l.conn.mu.Unlock()
-	if !l.turn.done {
-		l.conn.endTurn(l.turn)
+	if !l.entry.done {
+		l.conn.finishEntry(l.entry)
 	}
 }
 
 // SetReadDeadline implements net.Conn.
-func (l *lane) SetReadDeadline(t time.Time) error {
+func (l *virtualConn) SetReadDeadline(t time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.timer != nil {
@@ -172,21 +172,21 @@
 	switch left := time.Until(t); {
 	case t.IsZero():
 	case left <= 0:
-		closeOnce(l.expired)
+		closeIfOpen(l.expired)
 		return nil
 	default:
 		l.timer = time.AfterFunc(left, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			closeOnce(expired)
+			closeIfOpen(expired)
 		})
 	}
 	l.expired = expired
 	return nil
 }
 
-// closeOnce closes a channel that may be closed.
-func closeOnce(ch chan struct{}) {
+// closeIfOpen closes a channel that may be closed.
+func closeIfOpen(ch chan struct{}) {
 	select {
 	case <-ch:
 	default:
@@ -195,12 +195,12 @@
 }
 
 // SetWriteDeadline implements net.Conn.
-func (l *lane) SetWriteDeadline(t time.Time) error {
+func (l *virtualConn) SetWriteDeadline(t time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.writeBy = t
+	l.writeDeadline = t
 	select {
-	case <-l.turn.first:
+	case <-l.entry.front:
 		return l.conn.Conn.SetWriteDeadline(t)
 	default:
 		return nil
@@ -208,13 +208,13 @@
 }
 
 // SetDeadline implements net.Conn.
-func (l *lane) SetDeadline(t time.Time) error {
+func (l *virtualConn) SetDeadline(t time.Time) error {
 	_ = l.SetReadDeadline(t)
 	return l.SetWriteDeadline(t)
 }
 
 // LocalAddr implements net.Conn.
-func (l *lane) LocalAddr() net.Addr { return l.conn.LocalAddr() }
+func (l *virtualConn) LocalAddr() net.Addr { return l.conn.LocalAddr() }
 
 // RemoteAddr implements net.Conn.
-func (l *lane) RemoteAddr() net.Addr { return l.conn.RemoteAddr() }
+func (l *virtualConn) RemoteAddr() net.Addr { return l.conn.RemoteAddr() }
