--- a/entry/forward.go
+++ b/entry/forward.go
@@ -185,7 +185,7 @@
 
 // copyHeader copies the headers that are not of the connection.
 func copyHeader(dst, src http.Header) {
-	for name, values := range forward.EndToEnd(src) {
+	for name, values := range forward.EndToEndHeaders(src) {
 		dst[name] = append([]string(nil), values...)
 	}
 }
--- a/forward/buffered_response_test.go
+++ b/forward/buffered_response_test.go
@@ -23,8 +23,8 @@
 
 func (noCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
 
-// pair returns a connection to a target and the target's side of it.
-func pair(t *testing.T) (*conn, net.Conn) {
+// connPair returns a connection to a target and the target's side of it.
+func connPair(t *testing.T) (*conn, net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
@@ -37,22 +37,22 @@
 	return &conn{Conn: c, reader: bufio.NewReader(c)}, server
 }
 
-// TestArrivedAnswerIsRead checks that an answer that has arrived is read although the
+// TestBufferedResponseIsReadAfterDeadline checks that an answer that has arrived is read although the
 // deadline has passed, as after a pause of the process, and that one that has not is
 // given up at once.
-func TestArrivedAnswerIsRead(t *testing.T) {
+func TestBufferedResponseIsReadAfterDeadline(t *testing.T) {
 	client := NewClient(Headers{RequestID: "Request-Id", Signature: "Signed"}, noCodec{}, nil)
 	r := &Request{Method: http.MethodGet, ID: "q1"}
-	cn, server := pair(t)
+	cn, server := connPair(t)
 	_, err := io.WriteString(server, "HTTP/1.1 200 OK\r\nRequest-Id: q1\r\nSigned: yes\r\nContent-Length: 2\r\n\r\nhi")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return !cn.quiet() }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !cn.isQuiet() }, 5*time.Second, time.Millisecond)
 	require.NoError(t, cn.SetDeadline(time.Unix(1, 0)))
 	got, err := client.read(cn, r)
 	require.NoError(t, err)
 	require.Equal(t, "hi", string(got.body))
 
-	silent, _ := pair(t)
+	silent, _ := connPair(t)
 	require.NoError(t, silent.SetDeadline(time.Unix(1, 0)))
 	_, err = client.read(silent, r)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
--- a/forward/client.go
+++ b/forward/client.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is
+	// maxInlineBody is the largest body that is written before the answer is
 	// read. A larger one is written beside: a target that answers early need
 	// not read on, and would hold the writer up.
-	inlineBody = 8 << 10
-	// maxSurplus bounds the answers to other requests that are skipped.
-	maxSurplus = 8
-	// arrivedTime is how long an answer is read that had arrived when the deadline had
+	maxInlineBody = 8 << 10
+	// maxSkippedResponses bounds the answers to other requests that are skipped.
+	maxSkippedResponses = 8
+	// bufferedReadTimeout is how long an answer is read that had arrived when the deadline had
 	// passed: its bytes lie in the kernel's buffer.
-	arrivedTime = 5 * time.Millisecond
+	bufferedReadTimeout = 5 * time.Millisecond
 	// keepAliveMargin is taken off the time that a target says it keeps a
 	// connection.
 	keepAliveMargin = time.Second
@@ -34,10 +34,10 @@
 
 // Errors of an attempt.
 var (
-	ErrUnsigned = errors.New("forward: success without a signature")
-	ErrForeign  = errors.New("forward: answers to other requests only")
-	ErrEncoded  = errors.New("forward: body is encoded")
-	ErrWithheld = errors.New("forward: the target is no longer to be sent to")
+	ErrUnsigned   = errors.New("forward: success without a signature")
+	ErrMismatched = errors.New("forward: answers to other requests only")
+	ErrEncoded    = errors.New("forward: body is encoded")
+	ErrWithheld   = errors.New("forward: the target is no longer to be sent to")
 )
 
 // Codec reads what answers say in the target's format.
@@ -55,20 +55,20 @@
 	headers Headers
 	codec   Codec
 	clock   *clock.Clock
-	idle    idle
-	spares  spares
+	idle    idlePool
+	spares  sparePolicy
 }
 
 // NewClient returns a client without connections. The deadlines of its requests are times of
 // a clock.
 func NewClient(headers Headers, codec Codec, clock *clock.Clock) *Client {
-	return &Client{headers: headers, codec: codec, clock: clock, idle: idle{clock: clock, conns: make(map[string][]*conn)},
-		spares: spares{slow: slowDial, targets: make(map[string]*spareState)}}
+	return &Client{headers: headers, codec: codec, clock: clock, idle: idlePool{clock: clock, conns: make(map[string][]*conn)},
+		spares: sparePolicy{slowDial: slowDial, targets: make(map[string]*spareState)}}
 }
 
-// Expire closes connections that were idle for too long. It is to be called now
+// CloseExpired closes connections that were idle for too long. It is to be called now
 // and then.
-func (c *Client) Expire(now time.Time) {
+func (c *Client) CloseExpired(now time.Time) {
 	c.idle.expire(now)
 	c.spares.expire(now)
 }
@@ -79,16 +79,16 @@
 	cn, err := c.connect(ctx, r)
 	if err != nil {
 		a := Attempt{Outcome: retry.NotRun, Err: err}
-		a.Target.Outcome = upstream.Unreachable
+		a.TargetResult.Outcome = upstream.Unreachable
 		if ctx.Err() != nil {
-			a.Target.Outcome = upstream.Abandoned
+			a.TargetResult.Outcome = upstream.Abandoned
 		}
 		return a
 	}
-	if r.May != nil && !r.May() {
-		c.idle.keep(r.place(), cn)
+	if r.MaySend != nil && !r.MaySend() {
+		c.idle.release(r.endpoint(), cn)
 		a := Attempt{Outcome: retry.NotRun, Err: ErrWithheld}
-		a.Target.Outcome = upstream.Abandoned
+		a.TargetResult.Outcome = upstream.Abandoned
 		return a
 	}
 	// Once the exchange is over the connection may be another request's.
@@ -96,17 +96,17 @@
 	a := c.exchange(ctx, cn, r)
 	a.Sent = true
 	a.Reused = reused
-	a.Target.Latency = c.clock.Since(start)
+	a.TargetResult.Latency = c.clock.Since(start)
 	return a
 }
 
 func (c *Client) connect(ctx context.Context, r *Request) (*conn, error) {
 	limit := maxIdle
-	if r.Once {
-		limit = maxIdleOnce
+	if r.NonIdempotent {
+		limit = maxIdleNonIdempotent
 	}
-	cn := c.idle.take(r.place(), limit)
-	if c.idle.count(r.place()) < sparesAhead && c.spares.begin(c.clock.Now(), r.Target) {
+	cn := c.idle.take(r.endpoint(), limit)
+	if c.idle.size(r.endpoint()) < minIdleConns && c.spares.startOpening(c.clock.Now(), r.Target) {
 		go c.openSpare(r.Target, r.Addr)
 	}
 	if cn != nil {
@@ -115,7 +115,7 @@
 	start := c.clock.Now()
 	cn, err := dial(ctx, r.Addr, c.clock.Until(r.Deadline))
 	if err == nil {
-		c.spares.dialed(r.Target, c.clock.Since(start))
+		c.spares.recordDial(r.Target, c.clock.Since(start))
 	}
 	return cn, err
 }
@@ -134,21 +134,21 @@
 		keep = false
 	}
 	if keep {
-		cn.maxIdle = idleLimit(resp.Header)
-		c.idle.keep(r.place(), cn)
+		cn.maxIdle = keepAliveTimeout(resp.Header)
+		c.idle.release(r.endpoint(), cn)
 	} else {
 		_ = cn.Close()
 	}
 	if err != nil {
-		a := c.failure(ctx, r, resp, err)
-		if reused && resp == nil && a.Target.Outcome != upstream.Abandoned {
+		a := c.failed(ctx, r, resp, err)
+		if reused && resp == nil && a.TargetResult.Outcome != upstream.Abandoned {
 			// What silenced or forgot a kept connection has most often done so to all that
 			// were open at the time. New ones may well work.
-			c.idle.drop(r.place())
+			c.idle.closeAll(r.endpoint())
 		}
 		return a
 	}
-	return c.judge(resp)
+	return c.completed(resp)
 }
 
 // write sends the request and returns a channel that is closed once all of it is
@@ -156,7 +156,7 @@
 func (c *Client) write(cn *conn, r *Request) <-chan struct{} {
 	done := make(chan struct{})
 	head := c.head(r)
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		_, err := cn.Write(append(head, r.Body...))
 		if err == nil {
 			close(done)
@@ -186,7 +186,7 @@
 
 // head returns the request line and the headers.
 func (c *Client) head(r *Request) []byte {
-	buf := make([]byte, 0, 512+len(r.Body)*boolInt(len(r.Body) <= inlineBody))
+	buf := make([]byte, 0, 512+len(r.Body)*boolInt(len(r.Body) <= maxInlineBody))
 	buf = append(buf, r.Method...)
 	buf = append(buf, ' ')
 	buf = append(buf, r.URI...)
@@ -194,7 +194,7 @@
 	buf = append(buf, r.Host...)
 	buf = append(buf, "\r\n"...)
 	for name, values := range r.Header {
-		if c.replaced(name) {
+		if c.isReserved(name) {
 			continue
 		}
 		for _, value := range values {
@@ -202,7 +202,7 @@
 		}
 	}
 	buf = appendHeader(buf, c.headers.Deadline, strconv.FormatInt(max(1, r.Timeout.Milliseconds()), 10))
-	buf = appendHeader(buf, c.headers.Expected, r.Name)
+	buf = appendHeader(buf, c.headers.Expected, r.TargetName)
 	if r.Account != "" {
 		buf = appendHeader(buf, c.headers.Account, r.Account)
 	}
@@ -212,9 +212,9 @@
 	return append(buf, "\r\n"...)
 }
 
-// replaced tells whether a header of a client's request is not passed on: the system sets
+// isReserved tells whether a header of a client's request is not passed on: the system sets
 // it itself, or it is a secret between the client and the system.
-func (c *Client) replaced(name string) bool {
+func (c *Client) isReserved(name string) bool {
 	switch name {
 	case c.headers.Deadline, c.headers.Expected, c.headers.Account, c.headers.Credential:
 		return true
@@ -237,16 +237,16 @@
 	return append(buf, "\r\n"...)
 }
 
-// answer is an answer read to its end, or as far as it came.
-type answer struct {
+// fullResponse is an fullResponse read to its end, or as far as it came.
+type fullResponse struct {
 	*http.Response
 	body []byte
 }
 
 // read reads answers until one that belongs to the request.
-func (c *Client) read(cn *conn, r *Request) (*answer, error) {
-	for range maxSurplus {
-		err := c.await(cn)
+func (c *Client) read(cn *conn, r *Request) (*fullResponse, error) {
+	for range maxSkippedResponses {
+		err := c.awaitResponse(cn)
 		if err != nil {
 			return nil, err
 		}
@@ -257,47 +257,47 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		if !c.belongs(resp, r) {
+		if !c.matches(resp, r) {
 			_, err = io.Copy(io.Discard, resp.Body)
 			if err != nil || resp.Close {
-				return nil, fmt.Errorf("%w: %w", ErrForeign, errOr(err, io.EOF))
+				return nil, fmt.Errorf("%w: %w", ErrMismatched, firstError(err, io.EOF))
 			}
 			continue
 		}
-		a := &answer{Response: resp}
+		a := &fullResponse{Response: resp}
 		a.body, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if err != nil {
 			return a, err
 		}
-		return a, c.check(resp)
+		return a, c.validate(resp)
 	}
-	return nil, ErrForeign
+	return nil, ErrMismatched
 }
 
-// await waits for the first byte of an answer until the connection's deadline. An answer
+// awaitResponse waits for the first byte of an answer until the connection's deadline. An answer
 // that has arrived by then is read even if this process was paused meanwhile and the
 // deadline has passed: the target has run the request.
-func (c *Client) await(cn *conn) error {
+func (c *Client) awaitResponse(cn *conn) error {
 	_, err := cn.reader.Peek(1)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	_ = cn.SetReadDeadline(time.Now().Add(arrivedTime))
+	_ = cn.SetReadDeadline(time.Now().Add(bufferedReadTimeout))
 	_, err = cn.reader.Peek(1)
 	return err
 }
 
-func errOr(err, fallback error) error {
+func firstError(err, fallback error) error {
 	if err != nil {
 		return err
 	}
 	return fallback
 }
 
-// belongs tells whether an answer is to the request. One that says that the
+// matches tells whether an answer is to the request. One that says that the
 // request did not run may lack the ID.
-func (c *Client) belongs(resp *http.Response, r *Request) bool {
+func (c *Client) matches(resp *http.Response, r *Request) bool {
 	id := resp.Header.Get(c.headers.RequestID)
 	if id == "" {
 		return c.notRun(resp) && r.ID != ""
@@ -309,8 +309,8 @@
 	return resp.Header.Get(c.headers.NotRun) != "" || c.codec.Replaced(resp.StatusCode)
 }
 
-// check finds what a success must have and lacks.
-func (c *Client) check(resp *http.Response) error {
+// validate finds what a success must have and lacks.
+func (c *Client) validate(resp *http.Response) error {
 	if resp.StatusCode/100 != 2 {
 		return nil
 	}
@@ -323,10 +323,10 @@
 	return nil
 }
 
-// word returns what the head of an answer to the request says of its target. It counts whatever
+// selfReport returns what the head of an answer to the request says of its target. It counts whatever
 // became of the rest of the answer, and whether or not the client is still there. What another
 // incarnation says does not, nor what a success says that no target has signed.
-func (c *Client) word(resp *http.Response) availability.SelfReport {
+func (c *Client) selfReport(resp *http.Response) availability.SelfReport {
 	unsigned := resp.StatusCode/100 == 2 && resp.Header.Get(c.headers.Signature) == ""
 	if unsigned || c.codec.Replaced(resp.StatusCode) {
 		return availability.SelfReport{}
@@ -334,42 +334,42 @@
 	return c.codec.Word(resp.StatusCode, resp.Header)
 }
 
-// judge turns a whole answer into an attempt.
-func (c *Client) judge(resp *answer) Attempt {
+// completed turns a whole answer into an attempt.
+func (c *Client) completed(resp *fullResponse) Attempt {
 	a := Attempt{Outcome: retry.Ran}
-	a.Target.LoadReport = c.codec.Load(resp.Header.Get(c.headers.Load))
-	a.Target.SelfReport = c.word(resp.Response)
+	a.TargetResult.LoadReport = c.codec.Load(resp.Header.Get(c.headers.Load))
+	a.TargetResult.SelfReport = c.selfReport(resp.Response)
 	switch {
 	case c.codec.Replaced(resp.StatusCode):
-		a.Outcome, a.Target.Outcome = retry.NotRun, upstream.Replaced
+		a.Outcome, a.TargetResult.Outcome = retry.NotRun, upstream.Replaced
 	case c.notRun(resp.Response):
-		a.Outcome, a.Target.Outcome = retry.NotRun, upstream.Rejected
+		a.Outcome, a.TargetResult.Outcome = retry.NotRun, upstream.Rejected
 	default:
-		a.Target.ServerError = resp.StatusCode >= http.StatusInternalServerError
-		a.Response = &Response{Status: resp.StatusCode, Header: EndToEnd(resp.Header), Body: resp.body}
+		a.TargetResult.ServerError = resp.StatusCode >= http.StatusInternalServerError
+		a.Response = &Response{Status: resp.StatusCode, Header: EndToEndHeaders(resp.Header), Body: resp.body}
 	}
 	return a
 }
 
-// failure turns a missing or broken answer into an attempt.
-func (c *Client) failure(ctx context.Context, r *Request, resp *answer, err error) Attempt {
+// failed turns a missing or broken answer into an attempt.
+func (c *Client) failed(ctx context.Context, r *Request, resp *fullResponse, err error) Attempt {
 	a := Attempt{Outcome: retry.Unknown, Err: err}
 	if resp != nil {
-		a.Target.SelfReport = c.word(resp.Response)
+		a.TargetResult.SelfReport = c.selfReport(resp.Response)
 	}
 	switch {
 	case ctx.Err() != nil:
-		a.Target.Outcome = upstream.Abandoned
+		a.TargetResult.Outcome = upstream.Abandoned
 	case resp == nil && !c.clock.Now().Before(r.Deadline):
-		a.Target.Outcome = upstream.TimedOut
+		a.TargetResult.Outcome = upstream.TimedOut
 	default:
-		a.Target.Outcome = upstream.Broken
+		a.TargetResult.Outcome = upstream.Broken
 	}
 	return a
 }
 
-// idleLimit is how long a connection may be idle by what the answer says.
-func idleLimit(h http.Header) time.Duration {
+// keepAliveTimeout is how long a connection may be idle by what the answer says.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
--- a/forward/client_test.go
+++ b/forward/client_test.go
@@ -21,7 +21,7 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-func start(t *testing.T, fault origin.Fault) (*origin.Server, *forward.Client) {
+func startTarget(t *testing.T, fault origin.Fault) (*origin.Server, *forward.Client) {
 	s, err := origin.Start("i-1", "s", "a1", 3)
 	require.NoError(t, err)
 	t.Cleanup(s.Close)
@@ -31,24 +31,24 @@
 
 var lastID atomic.Int64
 
-// request returns a request with an ID of its own. It may be called by many at a time.
-func request(s *origin.Server) *forward.Request {
+// newRequest returns a newRequest with an ID of its own. It may be called by many at a time.
+func newRequest(s *origin.Server) *forward.Request {
 	id := fmt.Sprint(lastID.Add(1))
 	return &forward.Request{
 		Method: "POST", URI: "/a//b/%2f?q=1", Host: "h.example", Header: http.Header{"Request-Id": {id}},
-		ID: id, Target: "i-1", Name: "i-1", Addr: s.Addr(), Body: []byte("body"),
+		ID: id, Target: "i-1", TargetName: "i-1", Addr: s.Addr(), Body: []byte("body"),
 		Timeout: time.Second, Deadline: time.Now().Add(time.Second),
 	}
 }
 
 func TestRequestIsUnaltered(t *testing.T) {
-	s, c := start(t, origin.None)
-	r := request(s)
+	s, c := startTarget(t, origin.None)
+	r := newRequest(s)
 	a := c.Do(context.Background(), r)
 	require.NoError(t, a.Err)
 	require.Equal(t, retry.Ran, a.Outcome)
 	require.Equal(t, "answer of i-1 to "+r.ID, string(a.Response.Body))
-	require.Equal(t, &upstream.LoadReport{Running: 1, Slots: 3}, a.Target.LoadReport)
+	require.Equal(t, &upstream.LoadReport{Running: 1, Slots: 3}, a.TargetResult.LoadReport)
 	require.Equal(t, []origin.Run{{ID: r.ID, Method: "POST", URI: "/a//b/%2f?q=1", Body: []byte("body")}}, s.Runs())
 }
 
@@ -78,8 +78,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s, client := start(t, c.fault)
-			r := request(s)
+			s, client := startTarget(t, c.fault)
+			r := newRequest(s)
 			r.Deadline = time.Now().Add(300 * time.Millisecond)
 			a := client.Do(context.Background(), r)
 			require.Equal(t, c.outcome, a.Outcome, "%v", a.Err)
@@ -92,19 +92,19 @@
 	}
 }
 
-// TestNextRequestIsSafe sends a request after each fault: it must get its own
+// TestNextRequestGetsItsOwnResponse sends a request after each fault: it must get its own
 // answer, whatever the one before left on the connection.
-func TestNextRequestIsSafe(t *testing.T) {
+func TestNextRequestGetsItsOwnResponse(t *testing.T) {
 	for fault := origin.None; fault <= origin.Failed; fault++ {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
-			s, c := start(t, fault)
-			r := request(s)
+			s, c := startTarget(t, fault)
+			r := newRequest(s)
 			r.Body = bytes.Repeat([]byte("x"), 3<<20)
 			r.Deadline = time.Now().Add(300 * time.Millisecond)
 			c.Do(context.Background(), r)
 			s.SetScript(nil)
 			for range 3 {
-				next := request(s)
+				next := newRequest(s)
 				a := c.Do(context.Background(), next)
 				require.Equal(t, retry.Ran, a.Outcome, "%v", a.Err)
 				require.Equal(t, "answer of i-1 to "+next.ID, string(a.Response.Body))
@@ -116,64 +116,64 @@
 	}
 }
 
-func TestAnotherIncarnation(t *testing.T) {
-	s, c := start(t, origin.None)
-	r := request(s)
-	r.Target, r.Name = "i-0", "i-0"
+func TestReplacedTarget(t *testing.T) {
+	s, c := startTarget(t, origin.None)
+	r := newRequest(s)
+	r.Target, r.TargetName = "i-0", "i-0"
 	a := c.Do(context.Background(), r)
 	require.Equal(t, retry.NotRun, a.Outcome)
-	require.Equal(t, upstream.Replaced, a.Target.Outcome)
+	require.Equal(t, upstream.Replaced, a.TargetResult.Outcome)
 	require.Empty(t, s.Runs())
 }
 
 func TestUnreachable(t *testing.T) {
-	s, c := start(t, origin.None)
-	r := request(s)
+	s, c := startTarget(t, origin.None)
+	r := newRequest(s)
 	s.Close()
 	a := c.Do(context.Background(), r)
 	require.Equal(t, retry.NotRun, a.Outcome)
 	require.False(t, a.Sent)
-	require.Equal(t, upstream.Unreachable, a.Target.Outcome)
+	require.Equal(t, upstream.Unreachable, a.TargetResult.Outcome)
 }
 
-// TestLeavingClientCancels checks that the target sees the end of a request whose
+// TestClientDisconnectCancelsRequest checks that the target sees the end of a request whose
 // client has left.
-func TestLeavingClientCancels(t *testing.T) {
-	s, c := start(t, origin.Silent)
+func TestClientDisconnectCancelsRequest(t *testing.T) {
+	s, c := startTarget(t, origin.Silent)
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	r := request(s)
+	r := newRequest(s)
 	r.Deadline = time.Now().Add(10 * time.Second)
 	a := c.Do(ctx, r)
-	require.Equal(t, upstream.Abandoned, a.Target.Outcome)
+	require.Equal(t, upstream.Abandoned, a.TargetResult.Outcome)
 	require.Equal(t, retry.Unknown, a.Outcome)
 	require.Eventually(t, func() bool { return s.Canceled() == 1 }, 5*time.Second, time.Millisecond)
 }
 
-// TestForgottenConnection checks that a connection that the target has reset
+// TestResetConnectionIsNotReused checks that a connection that the target has reset
 // while it was idle is not used again.
-func TestForgottenConnection(t *testing.T) {
-	s, c := start(t, origin.None)
-	c.Do(context.Background(), request(s))
+func TestResetConnectionIsNotReused(t *testing.T) {
+	s, c := startTarget(t, origin.None)
+	c.Do(context.Background(), newRequest(s))
 	s.Forget()
 	time.Sleep(20 * time.Millisecond)
-	r := request(s)
-	r.Once = true
+	r := newRequest(s)
+	r.NonIdempotent = true
 	a := c.Do(context.Background(), r)
 	require.Equal(t, retry.Ran, a.Outcome, "%v", a.Err)
 	require.False(t, a.Reused)
 	require.Equal(t, 2, s.Accepted())
 }
 
-// TestSilencedConnections has all kept connections to a target go silent for good, and
+// TestSilentConnectionClosesIdleOnes has all kept connections to a target go silent for good, and
 // checks that one request finds out for all of them.
-func TestSilencedConnections(t *testing.T) {
-	s, c := start(t, origin.None)
+func TestSilentConnectionClosesIdleOnes(t *testing.T) {
+	s, c := startTarget(t, origin.None)
 	network, err := relay.Start(s.Addr())
 	require.NoError(t, err)
 	t.Cleanup(network.Close)
 	send := func(length time.Duration) forward.Attempt {
-		r := request(s)
+		r := newRequest(s)
 		r.Addr = network.Addr()
 		r.Deadline = time.Now().Add(length)
 		return c.Do(context.Background(), r)
@@ -190,16 +190,16 @@
 	network.Silence()
 	silent := send(200 * time.Millisecond)
 	require.True(t, silent.Reused)
-	require.Equal(t, upstream.TimedOut, silent.Target.Outcome)
+	require.Equal(t, upstream.TimedOut, silent.TargetResult.Outcome)
 	next := send(5 * time.Second)
 	require.Equal(t, retry.Ran, next.Outcome, "%v", next.Err)
 	require.False(t, next.Reused)
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	s, c := start(t, origin.None)
+	s, c := startTarget(t, origin.None)
 	for range 20 {
-		c.Do(context.Background(), request(s))
+		c.Do(context.Background(), newRequest(s))
 	}
 	require.Equal(t, 1, s.Accepted())
 }
@@ -209,7 +209,7 @@
 		"Connection": {"X-Hop, Keep-Alive"}, "X-Hop": {"1"}, "Keep-Alive": {"timeout=5"}, "Transfer-Encoding": {"chunked"},
 		"Content-Length": {"4"}, "Affinity-Key": {"17"}, "Te": {"trailers"},
 	}
-	require.Equal(t, http.Header{"Affinity-Key": {"17"}}, forward.EndToEnd(h))
+	require.Equal(t, http.Header{"Affinity-Key": {"17"}}, forward.EndToEndHeaders(h))
 	require.Len(t, h, 7, "the original is unchanged")
-	require.False(t, strings.Contains(fmt.Sprint(forward.EndToEnd(h)), "chunked"))
+	require.False(t, strings.Contains(fmt.Sprint(forward.EndToEndHeaders(h)), "chunked"))
 }
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -20,8 +20,8 @@
 
 	// maxIdle is how long a connection is kept for requests that may run
 	// more than once, and maxIdleOnce for those that may not.
-	maxIdle     = 8 * time.Second
-	maxIdleOnce = 3 * time.Second
+	maxIdle              = 8 * time.Second
+	maxIdleNonIdempotent = 3 * time.Second
 	// maxIdlePerTarget bounds the connections kept to one target.
 	maxIdlePerTarget = 16
 )
@@ -29,8 +29,8 @@
 // conn is a connection to a target.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	idleAt time.Time
+	reader    *bufio.Reader
+	idleSince time.Time
 	// maxIdle is what the target allows.
 	maxIdle time.Duration
 	reused  bool
@@ -50,18 +50,18 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), maxIdle: maxIdle}, nil
 }
 
-// quiet tells whether the connection is open and nothing has arrived on it since
+// isQuiet tells whether the connection is open and nothing has arrived on it since
 // the last answer: a kept connection with bytes on it carries something that is
 // nobody's answer, and one at its end is of no use.
-func (c *conn) quiet() bool {
+func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	return sockopt.Quiet(c.Conn)
 }
 
-// idle holds the kept connections by target.
-type idle struct {
+// idlePool holds the kept connections by target.
+type idlePool struct {
 	clock *clock.Clock
 
 	mu    sync.Mutex
@@ -70,19 +70,19 @@
 
 // take returns the connection used last, if it was used less than limit ago and
 // is quiet.
-func (i *idle) take(target string, limit time.Duration) *conn {
+func (i *idlePool) take(target string, limit time.Duration) *conn {
 	now := i.clock.Now()
 	for {
 		c := i.pop(target)
 		if c == nil {
 			return nil
 		}
-		age := now.Sub(c.idleAt)
-		if age < min(limit, c.maxIdle) && c.quiet() {
+		age := now.Sub(c.idleSince)
+		if age < min(limit, c.maxIdle) && c.isQuiet() {
 			c.reused = true
 			return c
 		}
-		if age < c.maxIdle && age >= limit && c.quiet() {
+		if age < c.maxIdle && age >= limit && c.isQuiet() {
 			// Good enough for others.
 			i.put(target, c)
 			return nil
@@ -91,7 +91,7 @@
 	}
 }
 
-func (i *idle) pop(target string) *conn {
+func (i *idlePool) pop(target string) *conn {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	list := i.conns[target]
@@ -103,19 +103,19 @@
 	return c
 }
 
-// count returns the number of connections to a target that are kept.
-func (i *idle) count(target string) int {
+// size returns the number of connections to a target that are kept.
+func (i *idlePool) size(target string) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return len(i.conns[target])
 }
 
-func (i *idle) keep(target string, c *conn) {
-	c.idleAt = i.clock.Now()
+func (i *idlePool) release(target string, c *conn) {
+	c.idleSince = i.clock.Now()
 	i.put(target, c)
 }
 
-func (i *idle) put(target string, c *conn) {
+func (i *idlePool) put(target string, c *conn) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if len(i.conns[target]) >= maxIdlePerTarget {
@@ -125,8 +125,8 @@
 	i.conns[target] = append(i.conns[target], c)
 }
 
-// drop closes all connections kept to a target.
-func (i *idle) drop(target string) {
+// closeAll closes all connections kept to a target.
+func (i *idlePool) closeAll(target string) {
 	i.mu.Lock()
 	list := i.conns[target]
 	delete(i.conns, target)
@@ -137,13 +137,13 @@
 }
 
 // expire closes connections that were idle for too long.
-func (i *idle) expire(now time.Time) {
+func (i *idlePool) expire(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for target, list := range i.conns {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleAt) < c.maxIdle {
+			if now.Sub(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 				continue
 			}
--- a/forward/head_test.go
+++ b/forward/head_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// FuzzHead has any head of a client's request passed on, and checks that a target reads one
+// FuzzRequestHead has any head of a client's request passed on, and checks that a target reads one
 // request of it, with the account's name, its own ID and its time as the system sets them,
 // and without the client's key.
-func FuzzHead(f *testing.F) {
+func FuzzRequestHead(f *testing.F) {
 	const secret = "s3cret-key"
 	for _, seed := range []string{
 		"",
@@ -37,8 +37,8 @@
 		if err != nil {
 			return
 		}
-		passed := EndToEnd(in.Header)
-		head := c.head(&Request{Method: "GET", URI: "/x/", Host: "h.example", Header: passed, ID: "q", Account: "ada", Target: "i-1#7", Name: "i-1", Timeout: time.Second})
+		passed := EndToEndHeaders(in.Header)
+		head := c.head(&Request{Method: "GET", URI: "/x/", Host: "h.example", Header: passed, ID: "q", Account: "ada", Target: "i-1#7", TargetName: "i-1", Timeout: time.Second})
 		reader := bufio.NewReader(bytes.NewReader(head))
 		out, err := http.ReadRequest(reader)
 		if err != nil {
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -13,29 +13,29 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestTurnedAway checks that a request counts as not run, whatever the status, if the target
+// TestRejectedRequest checks that a request counts as not run, whatever the status, if the target
 // says so, and that the time that it asks for counts with the statuses that speak of it.
-func TestTurnedAway(t *testing.T) {
+func TestRejectedRequest(t *testing.T) {
 	for status, rests := range map[string]bool{
 		"503 Service Unavailable": true, "429 Too Many Requests": true, "400 Bad Request": false, "408 Request Timeout": false,
 	} {
 		t.Run(status, func(t *testing.T) {
-			s, c := start(t, origin.Shed)
+			s, c := startTarget(t, origin.Shed)
 			s.SetShedStatus(status)
 			s.SetSays(func(*http.Request) string { return "Retry-After: 3\r\n" })
-			a := c.Do(context.Background(), request(s))
+			a := c.Do(context.Background(), newRequest(s))
 			require.Equal(t, retry.NotRun, a.Outcome)
-			require.Equal(t, upstream.Rejected, a.Target.Outcome)
-			require.Equal(t, rests, a.Target.SelfReport.Backoff == 3*time.Second)
+			require.Equal(t, upstream.Rejected, a.TargetResult.Outcome)
+			require.Equal(t, rests, a.TargetResult.SelfReport.Backoff == 3*time.Second)
 			require.Empty(t, s.Runs())
 		})
 	}
 }
 
-// TestConnectionEndsAsTold checks that a connection is not used again after an answer that says
+// TestKeepAliveHeaders checks that a connection is not used again after an answer that says
 // that it ends, and not after the time that the target keeps it, and is where neither is said in
 // a way that can be read.
-func TestConnectionEndsAsTold(t *testing.T) {
+func TestKeepAliveHeaders(t *testing.T) {
 	for _, c := range []struct {
 		name, line string
 		reused     bool
@@ -48,10 +48,10 @@
 		{"kept for less than nothing", "Keep-Alive: timeout=-4\r\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, client := start(t, origin.None)
+			s, client := startTarget(t, origin.None)
 			s.SetSays(func(*http.Request) string { return c.line })
-			require.Equal(t, retry.Ran, client.Do(context.Background(), request(s)).Outcome)
-			require.Equal(t, c.reused, client.Do(context.Background(), request(s)).Reused)
+			require.Equal(t, retry.Ran, client.Do(context.Background(), newRequest(s)).Outcome)
+			require.Equal(t, c.reused, client.Do(context.Background(), newRequest(s)).Reused)
 		})
 	}
 }
--- a/forward/message.go
+++ b/forward/message.go
@@ -46,27 +46,27 @@
 	ID string
 	// Account is the name of the client account, "" if there is none.
 	Account string
-	// Target and Addr are the incarnation to run the request and its address, and Name
+	// Target and Addr are the incarnation to run the request and its address, and TargetName
 	// is what the target calls itself.
-	Target, Addr, Name string
+	Target, Addr, TargetName string
 	// Timeout is the time that the target is given.
 	Timeout time.Duration
 	// Deadline is when the attempt is given up here.
 	Deadline time.Time
-	// May tells whether the request may still be sent, nil for always. It is asked last, when
+	// MaySend tells whether the request may still be sent, nil for always. It is asked last, when
 	// the connection stands: opening one takes up to maxDialTime, and the target may speak
 	// of itself to others meanwhile.
-	May func() bool
-	// Once marks a request that must not run twice, for which a connection
+	MaySend func() bool
+	// NonIdempotent marks a request that must not run twice, for which a connection
 	// that the target may have closed meanwhile is not good enough.
-	Once bool
+	NonIdempotent bool
 }
 
-// place names the end of a connection: a target, or what is listed for one, may come to
+// endpoint names the end of a connection: a target, or what is listed for one, may come to
 // have another address, and connections to the earlier one are not its.
-func (r *Request) place() string { return placeOf(r.Target, r.Addr) }
+func (r *Request) endpoint() string { return endpointKey(r.Target, r.Addr) }
 
-func placeOf(target, addr string) string { return target + " " + addr }
+func endpointKey(target, addr string) string { return target + " " + addr }
 
 // Response is a whole answer.
 type Response struct {
@@ -81,8 +81,8 @@
 	Outcome retry.Outcome
 	// Response is the whole answer, if the target ran the request and it came.
 	Response *Response
-	// Target is what the attempt says of the target.
-	Target upstream.Result
+	// TargetResult is what the attempt says of the target.
+	TargetResult upstream.Result
 	// Sent says that some of the request may have arrived.
 	Sent bool
 	// Reused says that the connection was open before the request came.
@@ -98,8 +98,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// EndToEnd returns the headers that are not of the connection.
-func EndToEnd(h http.Header) http.Header {
+// EndToEndHeaders returns the headers that are not of the connection.
+func EndToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
 		out[name] = values
--- a/forward/response_fuzz_test.go
+++ b/forward/response_fuzz_test.go
@@ -14,16 +14,16 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// scripted is a connection on which bytes have arrived and that ends after them.
-type scripted struct{ *bytes.Reader }
+// scriptedConn is a connection on which bytes have arrived and that ends after them.
+type scriptedConn struct{ *bytes.Reader }
 
-func (scripted) Write(p []byte) (int, error)      { return len(p), nil }
-func (scripted) Close() error                     { return nil }
-func (scripted) LocalAddr() net.Addr              { return nil }
-func (scripted) RemoteAddr() net.Addr             { return nil }
-func (scripted) SetDeadline(time.Time) error      { return nil }
-func (scripted) SetReadDeadline(time.Time) error  { return nil }
-func (scripted) SetWriteDeadline(time.Time) error { return nil }
+func (scriptedConn) Write(p []byte) (int, error)      { return len(p), nil }
+func (scriptedConn) Close() error                     { return nil }
+func (scriptedConn) LocalAddr() net.Addr              { return nil }
+func (scriptedConn) RemoteAddr() net.Addr             { return nil }
+func (scriptedConn) SetDeadline(time.Time) error      { return nil }
+func (scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
 // plainCodec knows no loads, and 421 as the answer of another target.
 type plainCodec struct{}
@@ -33,10 +33,10 @@
 
 func (plainCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
 
-// FuzzAnswer has a target answer with any bytes and close, and checks that a request counts
+// FuzzResponse has a target answer with any bytes and close, and checks that a request counts
 // as not run only if a head says so, and that an answer is taken only if it carries the
 // request's ID, and as a success only with the target's signature.
-func FuzzAnswer(f *testing.F) {
+func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{
 		"",
 		"HTTP/1.1 200 OK\r\nRequest-Id: q\r\nServer-Signature: s\r\nContent-Length: 2\r\n\r\nok",
@@ -52,9 +52,9 @@
 	headers := Headers{RequestID: "Request-Id", Signature: "Server-Signature", NotRun: "Not-Executed"}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c := NewClient(headers, plainCodec{}, nil)
-		raw := scripted{bytes.NewReader(data)}
+		raw := scriptedConn{bytes.NewReader(data)}
 		a := c.exchange(t.Context(), &conn{Conn: raw, reader: bufio.NewReader(raw)}, &Request{
-			Method: "GET", URI: "/", Host: "h.example", Header: http.Header{}, ID: "q", Target: "i-1", Name: "i-1", Timeout: time.Second,
+			Method: "GET", URI: "/", Host: "h.example", Header: http.Header{}, ID: "q", Target: "i-1", TargetName: "i-1", Timeout: time.Second,
 		})
 		text := strings.ToLower(string(data))
 		if a.Outcome == retry.NotRun && !strings.Contains(text, "not-executed") && !strings.Contains(text, "421") {
--- a/forward/self_report_test.go
+++ b/forward/self_report_test.go
@@ -15,9 +15,9 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestWordOfAnswer checks which answers count for what a target says of itself: whole heads of
+// TestSelfReportInResponse checks which answers count for what a target says of itself: whole heads of
 // answers to the request, and none of another request, another incarnation, or nobody known.
-func TestWordOfAnswer(t *testing.T) {
+func TestSelfReportInResponse(t *testing.T) {
 	leaves := availability.SelfReport{Leaving: true}
 	rests := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
 	for _, c := range []struct {
@@ -40,40 +40,40 @@
 		{"no answer", origin.Lost, availability.SelfReport{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s, client := start(t, c.fault)
+			s, client := startTarget(t, c.fault)
 			s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\nRetry-After: 3\r\n" })
-			a := client.Do(context.Background(), request(s))
-			require.Equal(t, c.want, a.Target.SelfReport)
+			a := client.Do(context.Background(), newRequest(s))
+			require.Equal(t, c.want, a.TargetResult.SelfReport)
 		})
 	}
 }
 
-// TestWordOfAnotherIncarnation checks that what the server says that has a target's address
+// TestSelfReportOfReplacedTarget checks that what the server says that has a target's address
 // now is not taken for the target's word.
-func TestWordOfAnotherIncarnation(t *testing.T) {
-	s, client := start(t, origin.None)
+func TestSelfReportOfReplacedTarget(t *testing.T) {
+	s, client := startTarget(t, origin.None)
 	s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
-	r := request(s)
-	r.Target, r.Name = "i-0", "i-0"
+	r := newRequest(s)
+	r.Target, r.TargetName = "i-0", "i-0"
 	a := client.Do(context.Background(), r)
-	require.Equal(t, upstream.Replaced, a.Target.Outcome)
-	require.Zero(t, a.Target.SelfReport)
+	require.Equal(t, upstream.Replaced, a.TargetResult.Outcome)
+	require.Zero(t, a.TargetResult.SelfReport)
 }
 
-// TestWordToClientThatLeft checks that the head of an answer counts although its client leaves
+// TestSelfReportAfterClientDisconnect checks that the head of an answer counts although its client leaves
 // before the rest has come. A client that leaves before the head has arrived is tried again
 // with more time.
-func TestWordToClientThatLeft(t *testing.T) {
-	s, client := start(t, origin.Stalled)
+func TestSelfReportAfterClientDisconnect(t *testing.T) {
+	s, client := startTarget(t, origin.Stalled)
 	s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	for stay := 20 * time.Millisecond; stay < 10*time.Second; stay *= 2 {
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(stay, leave)
-		r := request(s)
+		r := newRequest(s)
 		r.Deadline = time.Now().Add(time.Minute)
 		a := client.Do(ctx, r)
-		require.Equal(t, upstream.Abandoned, a.Target.Outcome)
-		if a.Target.SelfReport.Leaving {
+		require.Equal(t, upstream.Abandoned, a.TargetResult.Outcome)
+		if a.TargetResult.SelfReport.Leaving {
 			return
 		}
 	}
@@ -83,10 +83,10 @@
 // TestWithheldRequest checks that a request that may no longer be sent when its connection stands
 // is not, and that the connection is used by the next one.
 func TestWithheldRequest(t *testing.T) {
-	s, client := start(t, origin.None)
-	r := request(s)
+	s, client := startTarget(t, origin.None)
+	r := newRequest(s)
 	accepted := 0
-	r.May = func() bool {
+	r.MaySend = func() bool {
 		accepted++
 		return false
 	}
@@ -96,7 +96,7 @@
 	require.False(t, a.Sent)
 	require.Equal(t, 1, accepted)
 	require.Empty(t, s.Runs())
-	next := client.Do(context.Background(), request(s))
+	next := client.Do(context.Background(), newRequest(s))
 	require.Equal(t, retry.Ran, next.Outcome)
 	require.True(t, next.Reused)
 	require.Equal(t, 1, s.Accepted())
--- a/forward/spare.go
+++ b/forward/spare.go
@@ -11,21 +11,21 @@
 	// more is kept ready: within a region it takes one to three milliseconds, between
 	// regions forty and more, which a request that has to wait for it adds to its time.
 	slowDial = 10 * time.Millisecond
-	// sparesAhead is the number of idle connections to a far target below which one
+	// minIdleConns is the number of idle connections to a far target below which one
 	// more is opened with a request.
-	sparesAhead = 2
-	// spareWithin is how recently a target must have had the request before, for
+	minIdleConns = 2
+	// spareUseWindow is how recently a target must have had the request before, for
 	// another one to be likely before the target closes an idle connection.
-	spareWithin = time.Second
-	// spareForgotten is when what is known of a target's connections is dropped.
-	spareForgotten = time.Minute
+	spareUseWindow = time.Second
+	// spareStateTTL is when what is known of a target's connections is dropped.
+	spareStateTTL = time.Minute
 )
 
-// spares decides for which targets a connection is opened ahead of need. It is safe for
+// sparePolicy decides for which targets a connection is opened ahead of need. It is safe for
 // concurrent use.
-type spares struct {
-	// slow is slowDial, or less in tests.
-	slow time.Duration
+type sparePolicy struct {
+	// slowDial is slowDial, or less in tests.
+	slowDial time.Duration
 
 	mu      sync.Mutex
 	targets map[string]*spareState
@@ -33,12 +33,12 @@
 
 // spareState is what is known of the connections to one target.
 type spareState struct {
-	usedAt  time.Time
-	took    time.Duration
-	opening bool
+	lastUsed time.Time
+	dialTime time.Duration
+	opening  bool
 }
 
-func (s *spares) state(target string) *spareState {
+func (s *sparePolicy) state(target string) *spareState {
 	state := s.targets[target]
 	if state == nil {
 		state = &spareState{}
@@ -47,59 +47,59 @@
 	return state
 }
 
-// dialed notes how long it took to open a connection.
-func (s *spares) dialed(target string, took time.Duration) {
+// recordDial notes how long it took to open a connection.
+func (s *sparePolicy) recordDial(target string, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state(target).took = took
+	s.state(target).dialTime = took
 }
 
-// begin notes a request to a target that leaves fewer than sparesAhead idle connections
+// startOpening notes a request to a target that leaves fewer than sparesAhead idle connections
 // there. It reports whether one is to be opened; end has to be called once it is.
-func (s *spares) begin(now time.Time, target string) bool {
+func (s *sparePolicy) startOpening(now time.Time, target string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := s.state(target)
-	recent := now.Sub(state.usedAt) < spareWithin
-	state.usedAt = now
-	if state.opening || !recent || state.took < s.slow {
+	recent := now.Sub(state.lastUsed) < spareUseWindow
+	state.lastUsed = now
+	if state.opening || !recent || state.dialTime < s.slowDial {
 		return false
 	}
 	state.opening = true
 	return true
 }
 
-func (s *spares) end(target string) {
+func (s *sparePolicy) finishOpening(target string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state(target).opening = false
 }
 
 // expire forgets targets that have had no request for long.
-func (s *spares) expire(now time.Time) {
+func (s *sparePolicy) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for target, state := range s.targets {
-		if !state.opening && now.Sub(state.usedAt) >= spareForgotten {
+		if !state.opening && now.Sub(state.lastUsed) >= spareStateTTL {
 			delete(s.targets, target)
 		}
 	}
 }
 
-// Connect opens a connection to a target and keeps it for a request to come. Its error says
+// Preconnect opens a connection to a target and keeps it for a request to come. Its error says
 // why there is none.
-func (c *Client) Connect(target, addr string) error {
+func (c *Client) Preconnect(target, addr string) error {
 	cn, err := dial(context.Background(), addr, maxDialTime)
 	if err != nil {
 		return err
 	}
-	c.idle.keep(placeOf(target, addr), cn)
+	c.idle.release(endpointKey(target, addr), cn)
 	return nil
 }
 
 // openSpare opens a connection to a target and keeps it for a request to come.
 func (c *Client) openSpare(target, addr string) {
-	defer c.spares.end(target)
+	defer c.spares.finishOpening(target)
 	// If it fails the next request to the target dials by itself and says why.
-	_ = c.Connect(target, addr)
+	_ = c.Preconnect(target, addr)
 }
--- a/forward/spare_test.go
+++ b/forward/spare_test.go
@@ -8,29 +8,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-func newSpares() *spares {
-	return &spares{slow: slowDial, targets: make(map[string]*spareState)}
+func newSpares() *sparePolicy {
+	return &sparePolicy{slowDial: slowDial, targets: make(map[string]*spareState)}
 }
 
-// TestSparesForFarTargets checks that a connection is opened ahead only where it takes
+// TestSpareForDistantTargets checks that a connection is opened ahead only where it takes
 // long to open one and the last request is recent, and one at a time.
-func TestSparesForFarTargets(t *testing.T) {
+func TestSpareForDistantTargets(t *testing.T) {
 	s := newSpares()
 	now := time.Unix(0, 0)
-	require.False(t, s.begin(now, "far"), "nothing is known yet")
-	s.dialed("far", 45*time.Millisecond)
-	s.dialed("near", 3*time.Millisecond)
+	require.False(t, s.startOpening(now, "far"), "nothing is known yet")
+	s.recordDial("far", 45*time.Millisecond)
+	s.recordDial("near", 3*time.Millisecond)
 	now = now.Add(100 * time.Millisecond)
-	require.True(t, s.begin(now, "far"))
-	require.False(t, s.begin(now, "far"), "one is being opened")
-	s.end("far")
-	require.True(t, s.begin(now, "far"))
-	s.end("far")
-	s.begin(now, "near")
-	require.False(t, s.begin(now, "near"), "opening one takes no time")
+	require.True(t, s.startOpening(now, "far"))
+	require.False(t, s.startOpening(now, "far"), "one is being opened")
+	s.finishOpening("far")
+	require.True(t, s.startOpening(now, "far"))
+	s.finishOpening("far")
+	s.startOpening(now, "near")
+	require.False(t, s.startOpening(now, "near"), "opening one takes no time")
 	now = now.Add(2 * time.Second)
-	require.False(t, s.begin(now, "far"), "it would be closed before its use")
-	s.expire(now.Add(2 * spareForgotten))
+	require.False(t, s.startOpening(now, "far"), "it would be closed before its use")
+	s.expire(now.Add(2 * spareStateTTL))
 	require.Empty(t, s.targets)
 }
 
@@ -51,7 +51,7 @@
 		}
 	}()
 	c := NewClient(Headers{}, nil, nil)
-	c.spares.slow = 0
+	c.spares.slowDial = 0
 	r := &Request{Target: "t", Addr: l.Addr().String(), Deadline: time.Now().Add(time.Minute)}
 	first, err := c.connect(t.Context(), r)
 	require.NoError(t, err)
@@ -59,7 +59,7 @@
 	second, err := c.connect(t.Context(), r)
 	require.NoError(t, err)
 	require.False(t, second.reused)
-	require.Eventually(t, func() bool { return c.idle.count(r.place()) > 0 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return c.idle.size(r.endpoint()) > 0 }, 5*time.Second, time.Millisecond)
 	third, err := c.connect(t.Context(), r)
 	require.NoError(t, err)
 	require.True(t, third.reused, "it was open before it was needed")
@@ -75,10 +75,10 @@
 	require.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	c := NewClient(Headers{}, nil, nil)
-	place := placeOf("t", l.Addr().String())
+	place := endpointKey("t", l.Addr().String())
 	c.spares.state("t").opening = true
 	c.openSpare("t", l.Addr().String())
-	require.Equal(t, 1, c.idle.count(place))
+	require.Equal(t, 1, c.idle.size(place))
 	server, err := l.Accept()
 	require.NoError(t, err)
 	require.NoError(t, server.Close())
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -46,7 +46,7 @@
 	}
 	p.arrived()
 	want := g.want(ex)
-	header := forward.EndToEnd(ex.r.Header)
+	header := forward.EndToEndHeaders(ex.r.Header)
 	unknown := false
 	backoff := defaultRetryAfter
 	for sent, unsent := 0, 0; sent < ex.attemptsAllowed() && unsent <= maxUnsent; {
@@ -76,14 +76,14 @@
 		}
 		p.noteSent(decision)
 		a := g.attempt(ex, header, p, decision)
-		a.Target.SendState, a.Target.NotSent = decision.SendState, !a.Sent
+		a.TargetResult.SendState, a.TargetResult.NotSent = decision.SendState, !a.Sent
 		g.hearLimit(decision, a)
-		p.release(decision.Target.ID, a.Target)
+		p.release(decision.Target.ID, a.TargetResult)
 		g.observe(ex, p, want, decision, a)
-		g.metrics.attempt(ex.service, decision.Target, a.Target)
+		g.metrics.attempt(ex.service, decision.Target, a.TargetResult)
 		ex.note(decision, a)
 		g.witness(ex, decision.Target, a)
-		if a.Target.SelfReport.Leaving {
+		if a.TargetResult.SelfReport.Leaving {
 			g.heardLeaving(decision.Target.ID)
 		}
 		if a.Response != nil {
@@ -100,7 +100,7 @@
 		if stop, v := g.after(ex, a); stop {
 			return v, nil
 		}
-		if a.Target.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.Target.SelfReport.Restricts() {
+		if a.TargetResult.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.TargetResult.SelfReport.Restricts() {
 			// The target was not full and is the one that knows the object.
 			backoff = soonRetryAfter
 			continue
@@ -144,7 +144,7 @@
 // backoffAfter is when the caller should come back if an attempt was the last one. Where the
 // target has just said that it wants nothing, the next choice is another one, so at once.
 func backoffAfter(a forward.Attempt) time.Duration {
-	if a.Target.Outcome == upstream.Rejected && a.Target.SelfReport.Restricts() {
+	if a.TargetResult.Outcome == upstream.Rejected && a.TargetResult.SelfReport.Restricts() {
 		return soonRetryAfter
 	}
 	return defaultRetryAfter
@@ -185,20 +185,20 @@
 func (g *Gateway) attempt(ex *exchange, header http.Header, p *pool, d upstream.Decision) forward.Attempt {
 	left := g.clock.Until(ex.deadline)
 	return g.targets.Do(ex.ctx, &forward.Request{
-		Method:   ex.r.Method,
-		URI:      ex.uri,
-		Host:     ex.r.Host,
-		Header:   header,
-		Body:     ex.body,
-		ID:       ex.id,
-		Account:  accountName(ex.account),
-		Target:   d.Target.ID,
-		Name:     d.Target.Name,
-		Addr:     d.Target.Addr,
-		Timeout:  left - targetMargin,
-		Deadline: ex.deadline.Add(lateMargin),
-		Once:     ex.route.Kind != catalog.Idempotent,
-		May:      func() bool { return p.may(d) },
+		Method:        ex.r.Method,
+		URI:           ex.uri,
+		Host:          ex.r.Host,
+		Header:        header,
+		Body:          ex.body,
+		ID:            ex.id,
+		Account:       accountName(ex.account),
+		Target:        d.Target.ID,
+		TargetName:    d.Target.Name,
+		Addr:          d.Target.Addr,
+		Timeout:       left - targetMargin,
+		Deadline:      ex.deadline.Add(lateMargin),
+		NonIdempotent: ex.route.Kind != catalog.Idempotent,
+		MaySend:       func() bool { return p.may(d) },
 	})
 }
 
@@ -243,12 +243,12 @@
 		Load:    d.SendState.Load,
 		Outcome: a.Outcome.String(),
 		Reused:  a.Reused,
-		TookMs:  a.Target.Latency.Milliseconds(),
-		Leaves:  a.Target.SelfReport.Leaving,
-		RestMs:  a.Target.SelfReport.Backoff.Milliseconds(),
+		TookMs:  a.TargetResult.Latency.Milliseconds(),
+		Leaves:  a.TargetResult.SelfReport.Leaving,
+		RestMs:  a.TargetResult.SelfReport.Backoff.Milliseconds(),
 	}
-	if a.Target.SelfReport.HasLimit {
-		h.Limit = &a.Target.SelfReport.RateLimit
+	if a.TargetResult.SelfReport.HasLimit {
+		h.Limit = &a.TargetResult.SelfReport.RateLimit
 	}
 	if a.Err != nil {
 		h.Error = a.Err.Error()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -263,7 +263,7 @@
 			return
 		case <-ticker.C:
 			now := g.clock.Now()
-			g.targets.Expire(now)
+			g.targets.CloseExpired(now)
 			g.permits.forget(now)
 			g.holds.expire(now)
 			g.departures.expire(now)
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -26,8 +26,8 @@
 	if r == nil {
 		return
 	}
-	g.metrics.version(ex.service, d.SendState.NewVersion, a.Target)
-	outcome, tells := outcomeAt(a.Target)
+	g.metrics.version(ex.service, d.SendState.NewVersion, a.TargetResult)
+	outcome, tells := outcomeAt(a.TargetResult)
 	if !tells {
 		return
 	}
@@ -35,7 +35,7 @@
 		Route:   uint16(mix.Hash(ex.route.Name)),
 		Key:     uint32(mix.Hash(want.Key)),
 		Target:  uint32(mix.Hash(d.Target.ID)),
-		Latency: rollout.BucketOf(a.Target.Latency),
+		Latency: rollout.BucketOf(a.TargetResult.Latency),
 		Outcome: outcome,
 		Cold:    d.Target.Cold,
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -182,11 +182,11 @@
 	switch {
 	case a.Response != nil:
 		g.answered(now, ex, target, a)
-	case a.Target.Outcome == upstream.Rejected:
-		g.lives(now.Add(-a.Target.Latency), target.ID)
-	case a.Target.Outcome == upstream.Replaced, a.Target.Outcome == upstream.Unreachable && errors.Is(a.Err, syscall.ECONNREFUSED):
+	case a.TargetResult.Outcome == upstream.Rejected:
+		g.lives(now.Add(-a.TargetResult.Latency), target.ID)
+	case a.TargetResult.Outcome == upstream.Replaced, a.TargetResult.Outcome == upstream.Unreachable && errors.Is(a.Err, syscall.ECONNREFUSED):
 		g.targetEnded(now, target.ID)
-	case a.Target.Outcome == upstream.Broken && a.Sent:
+	case a.TargetResult.Outcome == upstream.Broken && a.Sent:
 		g.broke(now, ex, target)
 	}
 }
@@ -207,7 +207,7 @@
 	if !g.holds.known.Load() {
 		return
 	}
-	g.lives(now.Add(-a.Target.Latency), target.ID)
+	g.lives(now.Add(-a.TargetResult.Latency), target.ID)
 	d := ex.digestOf()
 	g.holds.mu.Lock()
 	kept := g.holds.table.Status(now, d).FailedTrials > 0
@@ -275,7 +275,7 @@
 // findOut connects to a target at which a request was broken off. One that refuses has ended.
 // A connection says nothing for certain, and is kept for the next request.
 func (g *Gateway) findOut(target upstream.Choice) {
-	err := g.targets.Connect(target.ID, target.Addr)
+	err := g.targets.Preconnect(target.ID, target.Addr)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		g.targetEnded(g.clock.Now(), target.ID)
 	}
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -147,11 +147,11 @@
 // hearLimit takes in what a target said in an answer of how much it takes, and has all instances
 // know.
 func (g *Gateway) hearLimit(d upstream.Decision, a forward.Attempt) {
-	if !a.Target.SelfReport.HasLimit && !g.targetLimits.any.Load() {
+	if !a.TargetResult.SelfReport.HasLimit && !g.targetLimits.any.Load() {
 		return
 	}
 	now := g.clock.Now()
-	fresh, first := g.targetLimits.hear(now, d.SendState.GrantedAt, availability.IDOf(d.Target.ID), a.Target)
+	fresh, first := g.targetLimits.hear(now, d.SendState.GrantedAt, availability.IDOf(d.Target.ID), a.TargetResult)
 	g.putLimits(now, fresh, availability.SourceTarget)
 	if first {
 		time.AfterFunc(rand.N(limitsPause), g.tellLimits)
