--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -58,37 +58,37 @@
 // member's ID and one integer, the difference of its number to that of the beat before
 // it and the flags. Members that are alive have about the same number, so that the
 // integer is of one byte.
-func (b Heartbeats) EncodeMsgpack(enc *msgpack.Encoder) error {
-	raw := make([]byte, 0, len(b)*(idBytes+1)+binary.MaxVarintLen64)
-	before := Sequence(0)
-	for _, beat := range b {
-		raw = binary.BigEndian.AppendUint32(raw, uint32(beat.Member))
-		difference := int64(beat.Sequence) - int64(before)
-		raw = binary.AppendVarint(raw, difference<<flagBits|int64(beat.Flags&flagMask))
-		before = beat.Sequence
+func (h Heartbeats) EncodeMsgpack(enc *msgpack.Encoder) error {
+	raw := make([]byte, 0, len(h)*(idBytes+1)+binary.MaxVarintLen64)
+	previous := Sequence(0)
+	for _, heartbeat := range h {
+		raw = binary.BigEndian.AppendUint32(raw, uint32(heartbeat.Member))
+		difference := int64(heartbeat.Sequence) - int64(previous)
+		raw = binary.AppendVarint(raw, difference<<flagBits|int64(heartbeat.Flags&flagMask))
+		previous = heartbeat.Sequence
 	}
 	return enc.EncodeBytes(raw)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (b *Heartbeats) DecodeMsgpack(dec *msgpack.Decoder) error {
+func (h *Heartbeats) DecodeMsgpack(dec *msgpack.Decoder) error {
 	raw, err := dec.DecodeBytes()
 	if err != nil {
 		return err
 	}
-	*b = make(Heartbeats, 0, len(raw)/(idBytes+1))
-	before := int64(0)
+	*h = make(Heartbeats, 0, len(raw)/(idBytes+1))
+	previous := int64(0)
 	for len(raw) > 0 {
 		if len(raw) <= idBytes {
 			return ErrTruncated
 		}
 		member := ID(binary.BigEndian.Uint32(raw))
 		packed, n := binary.Varint(raw[idBytes:])
-		before += packed >> flagBits
-		if n <= 0 || before < 0 || before > maxSequence {
+		previous += packed >> flagBits
+		if n <= 0 || previous < 0 || previous > maxSequence {
 			return ErrTruncated
 		}
-		*b = append(*b, Heartbeat{Member: member, Sequence: Sequence(before), Flags: Flags(packed & flagMask)})
+		*h = append(*h, Heartbeat{Member: member, Sequence: Sequence(previous), Flags: Flags(packed & flagMask)})
 		raw = raw[idBytes+n:]
 	}
 	return nil
--- a/fleet/model_test.go
+++ b/fleet/model_test.go
@@ -96,8 +96,8 @@
 		v.SetFlags(flags)
 		v.AdvanceHeartbeat(m.now)
 		for _, partner := range v.Partners(m.now, m.rng) {
-			beats := v.HeartbeatsFor(m.now, partner.Region)
-			message := &peer.Gossip{Heartbeats: beats, Positions: positions}
+			heartbeats := v.HeartbeatsFor(m.now, partner.Region)
+			message := &peer.Gossip{Heartbeats: heartbeats, Positions: positions}
 			if partner.Region == v.Self().Region {
 				message.Overloaded = busyLoads
 			}
@@ -107,7 +107,7 @@
 			}
 			m.countBytes(message)
 			if m.delivers(name, partner.Name) {
-				m.views[partner.Name].MergeHeartbeats(m.now, beats)
+				m.views[partner.Name].MergeHeartbeats(m.now, heartbeats)
 			}
 		}
 		m.probe(v)
@@ -147,16 +147,16 @@
 // TestHeartbeatEncoding checks that beats arrive as they were, in few bytes, and that
 // ones that are cut short are refused.
 func TestHeartbeatEncoding(t *testing.T) {
-	beats := fleet.Heartbeats{
+	heartbeats := fleet.Heartbeats{
 		{Member: fleet.IDOf("edge-1"), Sequence: fleet.SequenceAt(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)) + 70_000, Flags: fleet.Ready | fleet.Watching},
 		{Member: fleet.IDOf("edge-2"), Sequence: 1},
 	}
-	raw, err := msgpack.Marshal(beats)
+	raw, err := msgpack.Marshal(heartbeats)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(raw), 2+2*9)
 	var got fleet.Heartbeats
 	require.NoError(t, msgpack.Unmarshal(raw, &got))
-	require.Equal(t, beats, got)
+	require.Equal(t, heartbeats, got)
 	cut, err := msgpack.Marshal([]byte("12345"))
 	require.NoError(t, err)
 	require.ErrorIs(t, msgpack.Unmarshal(cut, &got), fleet.ErrTruncated)
@@ -174,16 +174,16 @@
 	ahead.AdvanceHeartbeat(now.Add(time.Hour))
 	view.MergeHeartbeats(now, ahead.HeartbeatsFor(now, "r"))
 	now = now.Add(time.Minute)
-	fresh := fleet.NewView(self, fleet.SequenceAt(now), fleet.DefaultSettings)
+	restarted := fleet.NewView(self, fleet.SequenceAt(now), fleet.DefaultSettings)
 	state := func() fleet.State { return view.All(now)[0].State }
-	view.MergeHeartbeats(now, fresh.HeartbeatsFor(now, "r"))
+	view.MergeHeartbeats(now, restarted.HeartbeatsFor(now, "r"))
 	require.Equal(t, fleet.Suspect, state())
-	outlived, behind := view.NewerHeartbeat(fresh.HeartbeatsFor(now, "r"))
+	newer, behind := view.NewerHeartbeat(restarted.HeartbeatsFor(now, "r"))
 	require.True(t, behind)
-	fresh.MergeHeartbeats(now, fleet.Heartbeats{outlived})
-	view.MergeHeartbeats(now, fresh.HeartbeatsFor(now, "r"))
+	restarted.MergeHeartbeats(now, fleet.Heartbeats{newer})
+	view.MergeHeartbeats(now, restarted.HeartbeatsFor(now, "r"))
 	require.Equal(t, fleet.Alive, state())
-	_, behind = view.NewerHeartbeat(fresh.HeartbeatsFor(now, "r"))
+	_, behind = view.NewerHeartbeat(restarted.HeartbeatsFor(now, "r"))
 	require.False(t, behind)
 }
 
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -45,20 +45,20 @@
 // heard of, and one of the own region that is not alive, so that a healed cut is noticed.
 func (v *View) Partners(now time.Time, rnd *rand.Rand) []Member {
 	v.nextRound(now)
-	var near, silent []Member
-	before := 0
+	var alive, silent []Member
+	rank := 0
 	for _, r := range v.local {
 		if v.state(now, r) != Alive {
 			silent = append(silent, r.member)
 			continue
 		}
 		if ringLess(r.member, v.self) {
-			before++
+			rank++
 		}
-		near = append(near, r.member)
+		alive = append(alive, r.member)
 	}
-	out := v.localPartners(near, before)
-	if m, ok := v.remotePartner(now, before, len(near)+1); ok {
+	out := v.localPartners(alive, rank)
+	if m, ok := v.remotePartner(now, rank, len(alive)+1); ok {
 		out = append(out, m)
 	}
 	if len(silent) > 0 {
@@ -71,7 +71,7 @@
 // of which before stand ahead of the own one. All members take partners at the same
 // distances, which change with the round as if drawn, so that each hears from as many
 // others in each round, where partners that each draws for itself leave some out.
-func (v *View) localPartners(ring []Member, before int) []Member {
+func (v *View) localPartners(ring []Member, rank int) []Member {
 	n := len(ring) + 1
 	var out []Member
 	taken := make(map[int]bool, v.settings.LocalFanout)
@@ -81,8 +81,8 @@
 			continue
 		}
 		taken[distance] = true
-		at := (before + distance) % n
-		if at > before {
+		at := (rank + distance) % n
+		if at > rank {
 			at--
 		}
 		out = append(out, ring[at])
@@ -93,13 +93,13 @@
 // remotePartner returns the partner of another region in this round: the regions take
 // turns, and in each the instance has a few partners that others do not have, at the
 // place of the other ring that corresponds to its own.
-func (v *View) remotePartner(now time.Time, before, n int) (Member, bool) {
+func (v *View) remotePartner(now time.Time, rank, n int) (Member, bool) {
 	if len(v.remoteRegions) == 0 {
 		return Member{}, false
 	}
 	turn := int(v.round % int64(len(v.remoteRegions)))
 	ring := v.remote[v.remoteRegions[turn]]
-	at := before*len(ring)/n + int(v.round/int64(len(v.remoteRegions)))%remoteChoices
+	at := rank*len(ring)/n + int(v.round/int64(len(v.remoteRegions)))%remoteChoices
 	for i := range ring {
 		r := ring[(at+i)%len(ring)]
 		if now.Sub(r.refusedAt) >= refusalBackoff {
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -184,26 +184,26 @@
 }
 
 // MergeHeartbeats takes in beats.
-func (v *View) MergeHeartbeats(now time.Time, beats Heartbeats) {
-	for _, b := range beats {
-		if b.Member == v.heartbeat.Member {
-			v.advancePast(b)
+func (v *View) MergeHeartbeats(now time.Time, heartbeats Heartbeats) {
+	for _, h := range heartbeats {
+		if h.Member == v.heartbeat.Member {
+			v.advancePast(h)
 			continue
 		}
-		r := v.byID[b.Member]
-		if r == nil || b.Sequence <= r.heartbeat.Sequence {
+		r := v.byID[h.Member]
+		if r == nil || h.Sequence <= r.heartbeat.Sequence {
 			continue
 		}
-		r.heartbeat = b
+		r.heartbeat = h
 		r.heardAt = now
 	}
 }
 
 // advancePast raises the own number above that of an earlier process, which may have had
 // a clock that was ahead.
-func (v *View) advancePast(b Heartbeat) {
-	if b.Sequence > v.heartbeat.Sequence {
-		v.heartbeat.Sequence = b.Sequence + 1
+func (v *View) advancePast(h Heartbeat) {
+	if h.Sequence > v.heartbeat.Sequence {
+		v.heartbeat.Sequence = h.Sequence + 1
 	}
 }
 
@@ -213,12 +213,12 @@
 // NewerHeartbeat returns a heartbeat of the sender's member that is newer than all that the
 // sender itself knows: an earlier process had a clock that was ahead. The sender has
 // to be told, or its own heartbeats would count for nothing.
-func (v *View) NewerHeartbeat(beats Heartbeats) (Heartbeat, bool) {
-	if len(beats) == 0 {
+func (v *View) NewerHeartbeat(heartbeats Heartbeats) (Heartbeat, bool) {
+	if len(heartbeats) == 0 {
 		return Heartbeat{}, false
 	}
-	r := v.byID[beats[0].Member]
-	if r == nil || r.heartbeat.Sequence <= beats[0].Sequence {
+	r := v.byID[heartbeats[0].Member]
+	if r == nil || r.heartbeat.Sequence <= heartbeats[0].Sequence {
 		return Heartbeat{}, false
 	}
 	return r.heartbeat, true
--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -7,15 +7,15 @@
 // store. Instances whose views differ may choose more watchers than needed,
 // never none: an instance that hears of no watcher is the first in its own view.
 func (v *View) ShouldWatch(now time.Time) bool {
-	before := 0
+	preceding := 0
 	for _, r := range v.byName {
 		if r.member.Name > v.self.Name {
 			return true
 		}
 		if r.member.Region == v.self.Region && v.state(now, r) == Alive && r.heartbeat.Flags&StoreUnreachable == 0 {
-			before++
+			preceding++
 		}
-		if before >= v.settings.Watchers {
+		if preceding >= v.settings.Watchers {
 			return false
 		}
 	}
--- a/rollout/analyzer.go
+++ b/rollout/analyzer.go
@@ -81,54 +81,54 @@
 
 // NewAnalyzer returns a judge that has seen nothing.
 func NewAnalyzer() *Analyzer {
-	j := &Analyzer{total: make(statsByRoute), stage: make(statsByRoute), firstSeen: make(map[targetKey]time.Time)}
-	for i := range j.window {
-		j.window[i] = make(statsByRoute)
+	a := &Analyzer{total: make(statsByRoute), stage: make(statsByRoute), firstSeen: make(map[targetKey]time.Time)}
+	for i := range a.window {
+		a.window[i] = make(statsByRoute)
 	}
-	return j
+	return a
 }
 
 // Observed returns the number of observations of new targets.
-func (j *Analyzer) Observed() int { return j.observed }
+func (a *Analyzer) Observed() int { return a.observed }
 
 // AddReport takes in what an instance has observed.
-func (j *Analyzer) AddReport(now time.Time, r Report) {
-	j.advance(now)
+func (a *Analyzer) AddReport(now time.Time, r Report) {
+	a.advance(now)
 	for _, t := range r.Old {
-		j.total.route(t.Route).addOld(t)
-		j.window[j.slot].route(t.Route).addOld(t)
+		a.total.route(t.Route).addOld(t)
+		a.window[a.slot].route(t.Route).addOld(t)
 	}
 	for _, o := range r.New {
-		j.observed++
-		o.Cold = o.Cold || j.mayBeFirst(now, o)
-		limit, known := slowThreshold(j.total.route(o.Route).old.Latencies)
-		j.total.route(o.Route).addNew(o, limit, known)
-		j.window[j.slot].route(o.Route).addNew(o, limit, known)
-		j.stage.route(o.Route).addNew(o, limit, known)
+		a.observed++
+		o.Cold = o.Cold || a.mayBeFirst(now, o)
+		threshold, known := slowThreshold(a.total.route(o.Route).old.Latencies)
+		a.total.route(o.Route).addNew(o, threshold, known)
+		a.window[a.slot].route(o.Route).addNew(o, threshold, known)
+		a.stage.route(o.Route).addNew(o, threshold, known)
 	}
 }
 
 // mayBeFirst tells whether the target may not have had the key when the request was sent: then it is
 // slower for that reason.
-func (j *Analyzer) mayBeFirst(now time.Time, o Observation) bool {
+func (a *Analyzer) mayBeFirst(now time.Time, o Observation) bool {
 	at := targetKey{target: o.Target, key: o.Key}
-	since, ok := j.firstSeen[at]
-	if !ok && len(j.firstSeen) < maxTargetKeys {
-		j.firstSeen[at] = now
+	since, ok := a.firstSeen[at]
+	if !ok && len(a.firstSeen) < maxTargetKeys {
+		a.firstSeen[at] = now
 	}
 	sentAt := now.Add(-o.Latency.Duration() - reportInterval)
 	return !ok || sentAt.Before(since)
 }
 
 // advance begins new slots as time passes.
-func (j *Analyzer) advance(now time.Time) {
-	if j.slotStart.IsZero() || now.Sub(j.slotStart) >= 2*windowSlots*windowSlotDuration {
-		j.slotStart = now
+func (a *Analyzer) advance(now time.Time) {
+	if a.slotStart.IsZero() || now.Sub(a.slotStart) >= 2*windowSlots*windowSlotDuration {
+		a.slotStart = now
 	}
-	for now.Sub(j.slotStart) >= windowSlotDuration {
-		j.slot = (j.slot + 1) % windowSlots
-		j.window[j.slot] = make(statsByRoute)
-		j.slotStart = j.slotStart.Add(windowSlotDuration)
+	for now.Sub(a.slotStart) >= windowSlotDuration {
+		a.slot = (a.slot + 1) % windowSlots
+		a.window[a.slot] = make(statsByRoute)
+		a.slotStart = a.slotStart.Add(windowSlotDuration)
 	}
 }
 
@@ -148,63 +148,63 @@
 }
 
 // Assess returns what the judge thinks now.
-func (j *Analyzer) Assess(now time.Time) Assessment {
-	j.advance(now)
-	o := Assessment{MaxLLR: math.Inf(-1)}
-	for hash, all := range j.total {
-		if len(all.targets) == 0 {
+func (a *Analyzer) Assess(now time.Time) Assessment {
+	a.advance(now)
+	result := Assessment{MaxLLR: math.Inf(-1)}
+	for route, stats := range a.total {
+		if len(stats.targets) == 0 {
 			continue
 		}
-		last := j.windowStats(hash)
-		reference := all.old
-		if last.old.Answered+last.old.Failed >= minReference {
-			reference = last.old
+		window := a.windowStats(route)
+		reference := stats.old
+		if window.old.Answered+window.old.Failed >= minReference {
+			reference = window.old
 		}
-		whole, recent := compare(all, all.old, all.old), compare(last, reference, all.old)
-		o.FailureLLR += whole.failureLLR
-		o.SlowLLR += whole.slowLLR
-		o.MaxLLR = max(o.MaxLLR, whole.failureLLR, whole.slowLLR)
-		o.add(whole)
-		o.add(recent)
-		stage := compare(j.stage.route(hash), all.old, all.old)
-		o.StageFailureLLR += stage.failureLLR
-		o.StageSlowLLR += stage.slowLLR
+		overall, recent := compare(stats, stats.old, stats.old), compare(window, reference, stats.old)
+		result.FailureLLR += overall.failureLLR
+		result.SlowLLR += overall.slowLLR
+		result.MaxLLR = max(result.MaxLLR, overall.failureLLR, overall.slowLLR)
+		result.add(overall)
+		result.add(recent)
+		stage := compare(a.stage.route(route), stats.old, stats.old)
+		result.StageFailureLLR += stage.failureLLR
+		result.StageSlowLLR += stage.slowLLR
 	}
 	switch {
-	case o.Bad != ReasonNone:
-	case o.FailureLLR >= badLLR:
-		o.Bad = ReasonFailures
-	case o.SlowLLR >= badLLR:
-		o.Bad = ReasonSlow
+	case result.Bad != ReasonNone:
+	case result.FailureLLR >= badLLR:
+		result.Bad = ReasonFailures
+	case result.SlowLLR >= badLLR:
+		result.Bad = ReasonSlow
 	}
-	o.Good = o.Bad == ReasonNone && !o.Suspect && o.MaxLLR <= 0 && o.FailureLLR <= -goodLLR && o.SlowLLR <= -goodLLR
-	return o
+	result.Good = result.Bad == ReasonNone && !result.Suspect && result.MaxLLR <= 0 && result.FailureLLR <= -goodLLR && result.SlowLLR <= -goodLLR
+	return result
 }
 
 // add takes in what some of the observations on a route say.
-func (o *Assessment) add(w evidence) {
-	o.Suspect = o.Suspect || max(w.failureLLR, w.slowLLR) > suspectLLR
+func (a *Assessment) add(e evidence) {
+	a.Suspect = a.Suspect || max(e.failureLLR, e.slowLLR) > suspectLLR
 	switch {
-	case o.Bad != ReasonNone:
-	case w.failureLLR >= badLLR && !w.fewFailures:
-		o.Bad = ReasonFailures
-	case w.slowLLR >= badLLR && !w.fewSlow:
-		o.Bad = ReasonSlow
+	case a.Bad != ReasonNone:
+	case e.failureLLR >= badLLR && !e.fewFailures:
+		a.Bad = ReasonFailures
+	case e.slowLLR >= badLLR && !e.fewSlow:
+		a.Bad = ReasonSlow
 	}
 }
 
 // BeginStage forgets the observations of the stage that has ended.
-func (j *Analyzer) BeginStage() { j.stage = make(statsByRoute) }
+func (a *Analyzer) BeginStage() { a.stage = make(statsByRoute) }
 
 // windowStats joins the observations of a route of the windowStats seconds.
-func (j *Analyzer) windowStats(hash uint16) *routeStats {
-	joined := &routeStats{}
-	for _, slot := range j.window {
-		if r := slot[hash]; r != nil {
-			joined.merge(r)
+func (a *Analyzer) windowStats(route uint16) *routeStats {
+	merged := &routeStats{}
+	for _, slot := range a.window {
+		if r := slot[route]; r != nil {
+			merged.merge(r)
 		}
 	}
-	return joined
+	return merged
 }
 
 // evidence is what observations say: the logarithms of the odds, and whether they are of too few
@@ -216,23 +216,23 @@
 
 // compare returns what the observations of new targets say against those of the old ones of a
 // reference. Usual tells the usual time of these.
-func compare(r *routeStats, reference, usual Tally) evidence {
+func compare(r *routeStats, reference, latencies Tally) evidence {
 	failures := r.failures()
-	w := evidence{failureLLR: logLikelihoodRatio(failures, failureRate(reference), minFailureRate, failureRateIncrease), fewFailures: failures.tooFew}
-	limit, known := slowThreshold(usual.Latencies)
+	e := evidence{failureLLR: logLikelihoodRatio(failures, failureRate(reference), minFailureRate, failureRateIncrease), fewFailures: failures.tooFew}
+	threshold, known := slowThreshold(latencies.Latencies)
 	if !known {
-		return w
+		return e
 	}
 	slow := r.slowness()
-	w.slowLLR, w.fewSlow = logLikelihoodRatio(slow, slowRate(reference.Latencies, limit), minSlowRate, slowRateIncrease), slow.tooFew
-	return w
+	e.slowLLR, e.fewSlow = logLikelihoodRatio(slow, slowRate(reference.Latencies, threshold), minSlowRate, slowRateIncrease), slow.tooFew
+	return e
 }
 
 // logLikelihoodRatio returns the logarithm of how much more likely the counts are if a part of more than usual of
 // the observations are bad than if only as many as usual are.
-func logLikelihoodRatio(c counts, usual, least, more float64) float64 {
-	usual = max(usual, least)
-	worse := min(usual+max(more, relativeIncrease*usual), 0.98)
-	usual = min(usual, 0.9*worse)
-	return float64(c.bad)*math.Log(worse/usual) + float64(c.good)*math.Log((1-worse)/(1-usual))
+func logLikelihoodRatio(c counts, goodRate, minGoodRate, minIncrease float64) float64 {
+	goodRate = max(goodRate, minGoodRate)
+	badRate := min(goodRate+max(minIncrease, relativeIncrease*goodRate), 0.98)
+	goodRate = min(goodRate, 0.9*badRate)
+	return float64(c.bad)*math.Log(badRate/goodRate) + float64(c.good)*math.Log((1-badRate)/(1-goodRate))
 }
--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -102,8 +102,8 @@
 	if s.Order != f.order.ID() {
 		return false
 	}
-	if at := now.Add(-s.Age); at.Before(f.startedAt) {
-		f.startedAt = at
+	if startedAt := now.Add(-s.Age); startedAt.Before(f.startedAt) {
+		f.startedAt = startedAt
 	}
 	if !s.supersedes(f.stage) {
 		return false
@@ -163,23 +163,23 @@
 // RecordOld takes in that a request at an old target has ended that tells of the version.
 func (f *Follower) RecordOld(o Observation) {
 	f.dirty = true
-	one := &Tally{Route: o.Route}
+	tally := &Tally{Route: o.Route}
 	if o.Outcome == Answered {
-		one.Answered, one.Latencies = 1, LatencyHistogram{o.Latency: 1}
+		tally.Answered, tally.Latencies = 1, LatencyHistogram{o.Latency: 1}
 	} else {
-		one.Failed = 1
+		tally.Failed = 1
 	}
-	addTally(f.pendingOld, o.Route, one)
+	addTally(f.pendingOld, o.Route, tally)
 }
 
 // addTally adds a tally to that of a route.
 func addTally(to map[uint16]*Tally, route uint16, t *Tally) {
-	held := to[route]
-	if held == nil {
-		held = &Tally{Route: route, Latencies: make(LatencyHistogram, len(t.Latencies))}
-		to[route] = held
+	total := to[route]
+	if total == nil {
+		total = &Tally{Route: route, Latencies: make(LatencyHistogram, len(t.Latencies))}
+		to[route] = total
 	}
-	held.add(*t)
+	total.add(*t)
 }
 
 // RecordNew takes in that a request at a new target has ended that tells of the version.
@@ -223,9 +223,9 @@
 	if f.stage.Phase == Moved && atOld == 0 && f.movedReported != f.stage.Number {
 		return true
 	}
-	every := reportInterval
+	interval := reportInterval
 	if f.stage.Phase == Moving || f.stage.Phase == Moved {
-		every = fastReportInterval
+		interval = fastReportInterval
 	}
-	return f.samplePoint < f.stage.InstanceShare && f.dirty && now.Sub(f.reportedAt) >= every
+	return f.samplePoint < f.stage.InstanceShare && f.dirty && now.Sub(f.reportedAt) >= interval
 }
--- a/rollout/leader.go
+++ b/rollout/leader.go
@@ -184,13 +184,13 @@
 		l.stageStart, l.observedBefore = now, l.analyzer.Observed()
 		l.analyzer.BeginStage()
 	}
-	tell := changed || !l.announced || now.Sub(l.announcedAt) >= HeartbeatInterval
-	if tell {
+	announce := changed || !l.announced || now.Sub(l.announcedAt) >= HeartbeatInterval
+	if announce {
 		l.announced, l.announcedAt = true, now
 		l.stage.Heartbeat++
 	}
 	l.stage.Age = now.Sub(l.startedAt)
-	return l.stage, tell
+	return l.stage, announce
 }
 
 // decide goes on to the next phase if it is time.
@@ -213,8 +213,8 @@
 }
 
 // fraction returns a fraction of the order's duration.
-func (l *Leader) fraction(x float64) time.Duration {
-	return time.Duration(x * float64(l.order.Duration))
+func (l *Leader) fraction(share float64) time.Duration {
+	return time.Duration(share * float64(l.order.Duration))
 }
 
 func (l *Leader) rollBack(reason Reason) {
@@ -248,9 +248,9 @@
 // judge the version by, and no more than leaves most of the bound for later.
 func (l *Leader) computeCanaryShare(s FleetState) float64 {
 	rate := max(s.Rate, minRate)
-	baked := rate * bakeEnd * l.order.Duration.Seconds()
-	most := canaryShareFraction/bakeEnd*l.bound.Share + canarySlackFraction*l.bound.Slack/max(baked, 1)
-	return min(sampleRate/rate, most, maxCanaryShare*l.stage.InstanceShare)
+	canaryRequests := rate * bakeEnd * l.order.Duration.Seconds()
+	maxShare := canaryShareFraction/bakeEnd*l.bound.Share + canarySlackFraction*l.bound.Slack/max(canaryRequests, 1)
+	return min(sampleRate/rate, maxShare, maxCanaryShare*l.stage.InstanceShare)
 }
 
 // bake ends the stages of a few requests when it is time and enough was seen.
@@ -277,20 +277,20 @@
 // enforceBound sends fewer requests if more than meant to have gone to new targets.
 func (l *Leader) enforceBound() {
 	sent, sentNew := l.Counts()
-	meant := l.canaryShare / l.stage.InstanceShare
-	over := float64(sentNew) - 1.5*meant*float64(sent) - canarySlackFraction*l.bound.Slack
-	full := min(1, meant/max(l.stage.KeyShare, meant))
+	intended := l.canaryShare / l.stage.InstanceShare
+	excess := float64(sentNew) - 1.5*intended*float64(sent) - canarySlackFraction*l.bound.Slack
+	full := min(1, intended/max(l.stage.KeyShare, intended))
 	switch {
-	case over > 0:
+	case excess > 0:
 		l.stage.RequestShare = 0
-	case over < -1 && l.stage.RequestShare == 0:
+	case excess < -1 && l.stage.RequestShare == 0:
 		l.stage.RequestShare = full
 	}
 }
 
 // hasCapacity tells whether the new targets can take a part of the requests.
-func (l *Leader) hasCapacity(part float64, s FleetState) bool {
-	needed := part * max(s.Utilization, minUtilization) * s.OldSlots
+func (l *Leader) hasCapacity(share float64, s FleetState) bool {
+	needed := share * max(s.Utilization, minUtilization) * s.OldSlots
 	return s.NewSlots > 0 && needed <= maxFill*s.NewSlots
 }
 
@@ -312,29 +312,29 @@
 // stagePassed tells whether a stage of moving requests has lasted for long enough and has shown that
 // nothing speaks against the version, or may not last longer.
 func (l *Leader) stagePassed(now time.Time, elapsed time.Duration, s FleetState) bool {
-	lasted := now.Sub(l.stageStart)
-	if lasted < min(max(l.fraction(movingStepFractions[l.step]), minStepTime), maxStepTime) || l.assessment.Suspect {
+	duration := now.Sub(l.stageStart)
+	if duration < min(max(l.fraction(movingStepFractions[l.step]), minStepTime), maxStepTime) || l.assessment.Suspect {
 		return false
 	}
 	if l.assessment.StageFailureLLR <= -stageLLR && l.assessment.StageSlowLLR <= 0 || elapsed >= l.fraction(moveStepDeadline) {
 		return true
 	}
-	expected := l.stage.RequestShare * l.stage.InstanceShare * s.Rate * lasted.Seconds()
+	expected := l.stage.RequestShare * l.stage.InstanceShare * s.Rate * duration.Seconds()
 	return expected < smallSample && l.analyzer.Observed()-l.observedBefore >= int(smallSampleFraction*expected)
 }
 
 // finish ends the rollout once no request is at an old target any more.
 func (l *Leader) finish(now time.Time, elapsed time.Duration, s FleetState) {
 	moved := 0
-	for _, one := range l.lastReports {
-		if one.stage == l.stage.Number && one.inFlightOld == 0 {
+	for _, report := range l.lastReports {
+		if report.stage == l.stage.Number && report.inFlightOld == 0 {
 			moved++
 		}
 	}
-	last := elapsed >= l.fraction(verdictDeadline)
+	late := elapsed >= l.fraction(verdictDeadline)
 	switch {
 	case l.assessment.Suspect:
-	case moved >= s.Instances && (last || l.stagePassed(now, elapsed, s)), last && 2*moved >= s.Instances:
+	case moved >= s.Instances && (late || l.stagePassed(now, elapsed, s)), late && 2*moved >= s.Instances:
 		l.verdict = Succeeded
 		return
 	}
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -21,14 +21,14 @@
 // fault is what is wrong with a version.
 type fault struct {
 	// failing and slow are the parts of the answers that fail and that take times as long.
-	failing, slow, times float64
+	failureRate, slowRate, slowFactor float64
 	// from is when it begins, as a part of the duration, and route the only one that it strikes,
 	// -1 for all.
-	from  float64
-	route int
+	startFraction float64
+	route         int
 	// underLoad is the load of a target, over that of an old one before the order, from which on
 	// the fault shows, 0 for any.
-	underLoad float64
+	minLoad float64
 }
 
 // simulation is a fleet with one service in which a rollout goes on.
@@ -46,7 +46,7 @@
 	fault        fault
 	// oldFailing is the part of the old version's answers that fail, and faultyShare the part of the
 	// targets of both versions at which 0.4 fail.
-	oldFailing, faultyShare float64
+	oldFailureRate, faultyShare float64
 	// lead is killed at a time, if that is not 0, and lost are messages.
 	killLeader  time.Duration
 	messageLoss float64
@@ -88,7 +88,7 @@
 	return last
 }
 
-func (w *simulation) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now.Add(d), do}) }
+func (s *simulation) after(d time.Duration, do func()) { heap.Push(&s.events, event{s.now.Add(d), do}) }
 
 const (
 	routes   = 3
@@ -97,120 +97,120 @@
 	linkTime = 40 * time.Millisecond
 )
 
-func (w *simulation) run() {
-	w.now = time.Unix(1_000_000, 0)
-	w.start = w.now
-	order := rollout.Order{Service: "s", Version: "v2", Duration: w.duration, Generation: int64(w.rng.Int32())}
-	w.inFlightOld = make([]int, w.instances)
-	w.warm, w.loads = make(map[[3]int]bool), make(map[int][]time.Time)
-	for key := range w.keys {
+func (s *simulation) run() {
+	s.now = time.Unix(1_000_000, 0)
+	s.start = s.now
+	order := rollout.Order{Service: "s", Version: "v2", Duration: s.duration, Generation: int64(s.rng.Int32())}
+	s.inFlightOld = make([]int, s.instances)
+	s.warm, s.loads = make(map[[3]int]bool), make(map[int][]time.Time)
+	for key := range s.keys {
 		for route := range routes {
-			w.warm[[3]int{0, w.target(key*routes+route, w.targets), key*routes + route}] = true
+			s.warm[[3]int{0, s.target(key*routes+route, s.targets), key*routes + route}] = true
 		}
 	}
-	for i := range w.instances {
-		w.followers = append(w.followers, rollout.NewFollower(w.now, fmt.Sprint("n", i), order))
+	for i := range s.instances {
+		s.followers = append(s.followers, rollout.NewFollower(s.now, fmt.Sprint("n", i), order))
 	}
-	w.startLeader(0)
-	w.after(0, w.arrive)
-	w.after(0, w.tick)
-	if w.killLeader > 0 {
-		w.after(w.killLeader, func() {
-			w.leader = nil
-			w.after(2500*time.Millisecond, func() { w.startLeader(1) })
+	s.startLeader(0)
+	s.after(0, s.arrive)
+	s.after(0, s.tick)
+	if s.killLeader > 0 {
+		s.after(s.killLeader, func() {
+			s.leader = nil
+			s.after(2500*time.Millisecond, func() { s.startLeader(1) })
 		})
 	}
-	end := w.start.Add(w.duration + 3*time.Second)
-	for len(w.events) > 0 {
-		next := heap.Pop(&w.events).(event)
+	end := s.start.Add(s.duration + 3*time.Second)
+	for len(s.events) > 0 {
+		next := heap.Pop(&s.events).(event)
 		if next.at.After(end) {
 			return
 		}
-		w.now = next.at
+		s.now = next.at
 		next.do()
 	}
 }
 
-func (w *simulation) startLeader(at int) {
-	w.leaderAt = at
-	w.leader = rollout.NewLeader(w.now, fmt.Sprint("leader", at), w.followers[at], rollout.DefaultExposureBound)
+func (s *simulation) startLeader(at int) {
+	s.leaderAt = at
+	s.leader = rollout.NewLeader(s.now, fmt.Sprint("leader", at), s.followers[at], rollout.DefaultExposureBound)
 }
 
 // tick has the leader decide and the instances report.
-func (w *simulation) tick() {
-	w.after(100*time.Millisecond, w.tick)
-	if w.leader != nil {
-		situation := rollout.FleetState{Instances: w.instances, Rate: w.rate, OldSlots: float64(w.targets), Utilization: 0.4}
-		if w.now.Sub(w.start) >= w.newTargetsAt {
-			situation.NewSlots = float64(w.targets)
+func (s *simulation) tick() {
+	s.after(100*time.Millisecond, s.tick)
+	if s.leader != nil {
+		state := rollout.FleetState{Instances: s.instances, Rate: s.rate, OldSlots: float64(s.targets), Utilization: 0.4}
+		if s.now.Sub(s.start) >= s.newTargetsAt {
+			state.NewSlots = float64(s.targets)
 		}
-		stage, tell := w.leader.Decide(w.now, situation)
-		if tell {
-			for _, f := range w.followers {
-				w.deliver(func() { f.HandleStage(w.now, stage) })
+		stage, announce := s.leader.Decide(s.now, state)
+		if announce {
+			for _, f := range s.followers {
+				s.deliver(func() { f.HandleStage(s.now, stage) })
 			}
 		}
-		if verdict := w.leader.Verdict(); verdict.IsFinal() && w.verdict == "" {
-			w.verdict, w.verdictAt, w.reason = verdict, w.now.Sub(w.start), stage.Reason
-			for _, f := range w.followers {
-				w.deliver(func() { f.SetState(verdict) })
+		if verdict := s.leader.Verdict(); verdict.IsFinal() && s.verdict == "" {
+			s.verdict, s.verdictAt, s.reason = verdict, s.now.Sub(s.start), stage.Reason
+			for _, f := range s.followers {
+				s.deliver(func() { f.SetState(verdict) })
 			}
 		}
 	}
-	for i, f := range w.followers {
-		report, _, ok := f.Report(w.now, w.inFlightOld[i])
+	for i, f := range s.followers {
+		report, _, ok := f.Report(s.now, s.inFlightOld[i])
 		if ok {
-			w.deliver(func() {
-				if w.leader != nil {
-					w.leader.HandleReport(w.now, report)
+			s.deliver(func() {
+				if s.leader != nil {
+					s.leader.HandleReport(s.now, report)
 				}
 			})
 		}
 	}
 }
 
-func (w *simulation) deliver(do func()) {
-	if w.rng.Float64() >= w.messageLoss {
-		w.after(linkTime+time.Duration(w.rng.Int64N(int64(200*time.Millisecond))), do)
+func (s *simulation) deliver(do func()) {
+	if s.rng.Float64() >= s.messageLoss {
+		s.after(linkTime+time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), do)
 	}
 }
 
 // target returns the target of a key among so many.
-func (w *simulation) target(key, among int) int {
+func (s *simulation) target(key, among int) int {
 	return int((uint64(key)*0x9e3779b97f4a7c15 + 12345) >> 33 % uint64(among))
 }
 
 // arrive has one request come, and the next one after a drawn time.
-func (w *simulation) arrive() {
-	w.after(time.Duration(w.rng.ExpFloat64()/w.rate*float64(time.Second)), w.arrive)
-	in := w.rng.IntN(w.instances)
-	route := [10]int{0, 0, 0, 0, 0, 0, 0, 1, 1, 2}[w.rng.IntN(10)]
+func (s *simulation) arrive() {
+	s.after(time.Duration(s.rng.ExpFloat64()/s.rate*float64(time.Second)), s.arrive)
+	in := s.rng.IntN(s.instances)
+	route := [10]int{0, 0, 0, 0, 0, 0, 0, 1, 1, 2}[s.rng.IntN(10)]
 	// Some keys are asked for more often than others.
-	key := int(float64(w.keys)*math.Pow(w.rng.Float64(), 1.5))*routes + route
-	f := w.followers[in]
-	split, _ := f.Split(w.now)
+	key := int(float64(s.keys)*math.Pow(s.rng.Float64(), 1.5))*routes + route
+	f := s.followers[in]
+	split, _ := f.Split(s.now)
 	point := float64(uint32(key*2654435761)) / (1 << 32)
-	toNew := split.ToNew(point, w.rng.Float64()) && w.now.Sub(w.start) >= w.newTargetsAt
-	w.sent++
+	toNew := split.ToNew(point, s.rng.Float64()) && s.now.Sub(s.start) >= s.newTargetsAt
+	s.sent++
 	f.RecordSent(toNew)
 	if !toNew {
-		w.inFlightOld[in]++
+		s.inFlightOld[in]++
 	}
-	version, among := 0, w.targets
+	version, among := 0, s.targets
 	if toNew {
-		version, among = 1, max(2, int(split.TargetShare*float64(w.targets)))
+		version, among = 1, max(2, int(split.TargetShare*float64(s.targets)))
 	}
-	target := w.target(key, among)
-	o, took := w.serve(version, target, key, route)
+	target := s.target(key, among)
+	o, took := s.serve(version, target, key, route)
 	if toNew {
-		w.sentNew++
-		if !w.badAt.IsZero() && w.now.Sub(w.badAt) > 5*time.Second {
-			w.lateNew++
+		s.sentNew++
+		if !s.badAt.IsZero() && s.now.Sub(s.badAt) > 5*time.Second {
+			s.lateNew++
 		}
 	}
-	w.after(took, func() {
+	s.after(took, func() {
 		if !toNew {
-			w.inFlightOld[in]--
+			s.inFlightOld[in]--
 			f.RecordOld(o)
 			return
 		}
@@ -219,88 +219,88 @@
 }
 
 // serve returns what becomes of a request.
-func (w *simulation) serve(version, target, key, route int) (rollout.Observation, time.Duration) {
+func (s *simulation) serve(version, target, key, route int) (rollout.Observation, time.Duration) {
 	at := [3]int{version, target, key}
 	took := warmTime
-	if !w.warm[at] {
+	if !s.warm[at] {
 		took = coldTime
-		w.warm[at] = true
+		s.warm[at] = true
 	}
-	took = time.Duration(float64(took) * (0.7 + 0.6*w.rng.Float64()))
-	failing, isBad := w.oldFailing, false
-	if w.isFaultyTarget(version, target) {
-		failing = 0.4
+	took = time.Duration(float64(took) * (0.7 + 0.6*s.rng.Float64()))
+	failureRate, isBad := s.oldFailureRate, false
+	if s.isFaultyTarget(version, target) {
+		failureRate = 0.4
 	}
-	if version == 1 && w.versionFaulty(target, route) {
-		if w.rng.Float64() < w.fault.slow {
-			took, isBad = time.Duration(float64(took)*w.fault.times), true
+	if version == 1 && s.versionFaulty(target, route) {
+		if s.rng.Float64() < s.fault.slowRate {
+			took, isBad = time.Duration(float64(took)*s.fault.slowFactor), true
 		}
-		if w.rng.Float64() < w.fault.failing {
-			failing, isBad = 1, true
+		if s.rng.Float64() < s.fault.failureRate {
+			failureRate, isBad = 1, true
 		}
 	}
 	o := rollout.Observation{Route: uint16(route), Key: uint32(key), Target: uint32(1000*version + target)}
 	switch {
 	case took > 2*time.Second:
 		took, o.Outcome = 2*time.Second, rollout.Unanswered
-	case w.rng.Float64() < failing:
+	case s.rng.Float64() < failureRate:
 		o.Outcome = rollout.Failed
 	}
 	o.Latency = rollout.BucketOf(took)
 	if isBad {
-		w.bad++
-		if w.bad == 50 {
-			w.badAt = w.now.Add(took)
+		s.bad++
+		if s.bad == 50 {
+			s.badAt = s.now.Add(took)
 		}
 	}
 	return o, took
 }
 
-func (w *simulation) isFaultyTarget(version, target int) bool {
+func (s *simulation) isFaultyTarget(version, target int) bool {
 	at := [2]int{version, target}
-	sick, drawn := w.faultyTargets[at]
+	faulty, drawn := s.faultyTargets[at]
 	if !drawn {
-		sick = w.rng.Float64() < w.faultyShare
-		w.faultyTargets[at] = sick
+		faulty = s.rng.Float64() < s.faultyShare
+		s.faultyTargets[at] = faulty
 	}
-	return sick
+	return faulty
 }
 
 // versionFaulty tells whether the new version's fault shows on a route at a target now.
-func (w *simulation) versionFaulty(target, route int) bool {
-	recent := w.loads[target][:0]
-	for _, at := range w.loads[target] {
-		if w.now.Sub(at) < time.Second {
+func (s *simulation) versionFaulty(target, route int) bool {
+	recent := s.loads[target][:0]
+	for _, at := range s.loads[target] {
+		if s.now.Sub(at) < time.Second {
 			recent = append(recent, at)
 		}
 	}
-	w.loads[target] = append(recent, w.now)
-	usual := w.rate / float64(w.targets)
-	return float64(w.now.Sub(w.start)) >= w.fault.from*float64(w.duration) &&
-		(w.fault.route < 0 || w.fault.route == route) && float64(len(recent)+1) > w.fault.underLoad*usual
+	s.loads[target] = append(recent, s.now)
+	averageLoad := s.rate / float64(s.targets)
+	return float64(s.now.Sub(s.start)) >= s.fault.startFraction*float64(s.duration) &&
+		(s.fault.route < 0 || s.fault.route == route) && float64(len(recent)+1) > s.fault.minLoad*averageLoad
 }
 
 // exceeds tells whether more requests have gone to a bad version than are allowed.
-func (w *simulation) exceeds() bool { return float64(w.sentNew) > 0.1*float64(w.sent)+50 }
+func (s *simulation) exceeds() bool { return float64(s.sentNew) > 0.1*float64(s.sent)+50 }
 
-func (w *simulation) String() string {
-	return fmt.Sprintf("%s at %v (%s); %d of %d to the new version, %d bad, %d late; fault %+v", w.verdict, w.verdictAt.Round(100*time.Millisecond), w.reason, w.sentNew, w.sent, w.bad, w.lateNew, w.fault)
+func (s *simulation) String() string {
+	return fmt.Sprintf("%s at %v (%s); %d of %d to the new version, %d bad, %d late; fault %+v", s.verdict, s.verdictAt.Round(100*time.Millisecond), s.reason, s.sentNew, s.sent, s.bad, s.lateNew, s.fault)
 }
 
 // newSimulation draws a fleet of some size.
 func newSimulation(seed uint64, instances int, rate float64) *simulation {
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	return &simulation{
-		rng:           rnd,
-		faultyTargets: make(map[[2]int]bool),
-		instances:     instances,
-		rate:          rate,
-		keys:          40 + rnd.IntN(200),
-		targets:       max(6, int(rate/5)),
-		duration:      time.Duration(10+rnd.IntN(10)) * time.Second,
-		newTargetsAt:  time.Duration(rnd.Int64N(int64(2 * time.Second))),
-		fault:         fault{route: -1},
-		oldFailing:    0.004,
+		rng:            rnd,
+		faultyTargets:  make(map[[2]int]bool),
+		instances:      instances,
+		rate:           rate,
+		keys:           40 + rnd.IntN(200),
+		targets:        max(6, int(rate/5)),
+		duration:       time.Duration(10+rnd.IntN(10)) * time.Second,
+		newTargetsAt:   time.Duration(rnd.Int64N(int64(2 * time.Second))),
+		fault:          fault{route: -1},
+		oldFailureRate: 0.004,
 	}
 }
 
@@ -327,27 +327,27 @@
 	for _, size := range sizes {
 		for _, c := range []struct {
 			name    string
-			trouble func(w *simulation)
+			trouble func(s *simulation)
 			most    int
 		}{
 			{"none", func(*simulation) {}, *runs / runsPerError},
-			{"messages lost", func(w *simulation) { w.messageLoss = 0.1 }, *runs / runsPerError},
-			{"old one fails", func(w *simulation) { w.oldFailing = 0.1 + 0.2*w.rng.Float64() }, *runs / runsPerError},
-			{"sick targets", func(w *simulation) { w.faultyShare = 0.15 }, 1 + *runs/runsPerErrorWithTrouble},
-			{"leader is lost", func(w *simulation) { w.killLeader = time.Duration(w.rng.Int64N(int64(w.duration / 2))) }, 1 + *runs/runsPerErrorWithTrouble},
+			{"messages lost", func(s *simulation) { s.messageLoss = 0.1 }, *runs / runsPerError},
+			{"old one fails", func(s *simulation) { s.oldFailureRate = 0.1 + 0.2*s.rng.Float64() }, *runs / runsPerError},
+			{"sick targets", func(s *simulation) { s.faultyShare = 0.15 }, 1 + *runs/runsPerErrorWithTrouble},
+			{"leader is lost", func(s *simulation) { s.killLeader = time.Duration(s.rng.Int64N(int64(s.duration / 2))) }, 1 + *runs/runsPerErrorWithTrouble},
 		} {
 			t.Run(fmt.Sprintf("instances=%d,rate=%g,%s", size.instances, size.rate, c.name), func(t *testing.T) {
 				outcomes := make(map[string]int)
 				succeeded := 0
 				for seed := range uint64(*runs) {
-					w := newSimulation(seed, size.instances, size.rate)
-					c.trouble(w)
-					w.run()
-					outcomes[string(w.verdict)+" "+string(w.reason)]++
-					if w.verdict == rollout.Succeeded {
+					s := newSimulation(seed, size.instances, size.rate)
+					c.trouble(s)
+					s.run()
+					outcomes[string(s.verdict)+" "+string(s.reason)]++
+					if s.verdict == rollout.Succeeded {
 						succeeded++
 					} else if *logWrong {
-						t.Logf("seed %d: %v", seed, w)
+						t.Logf("seed %d: %v", seed, s)
 					}
 				}
 				t.Log(t.Name(), outcomes)
@@ -362,44 +362,46 @@
 // TestBadVersions draws rollouts of bad versions, and counts those that are let through and those
 // that get more requests than is promised.
 func TestBadVersions(t *testing.T) {
-	failing := func(w *simulation) { w.fault.failing = 0.2 + 0.5*w.rng.Float64() }
-	slow := func(w *simulation) { w.fault.slow, w.fault.times = 0.3+0.7*w.rng.Float64(), 3+5*w.rng.Float64() }
-	later := func(w *simulation) { w.fault.from = 0.5 * w.rng.Float64() }
-	underLoad := func(w *simulation) { w.fault.underLoad = 0.2 + 0.6*w.rng.Float64() }
-	onARoute := func(w *simulation) { w.fault.route = w.rng.IntN(routes) }
+	failing := func(s *simulation) { s.fault.failureRate = 0.2 + 0.5*s.rng.Float64() }
+	slow := func(s *simulation) {
+		s.fault.slowRate, s.fault.slowFactor = 0.3+0.7*s.rng.Float64(), 3+5*s.rng.Float64()
+	}
+	later := func(s *simulation) { s.fault.startFraction = 0.5 * s.rng.Float64() }
+	underLoad := func(s *simulation) { s.fault.minLoad = 0.2 + 0.6*s.rng.Float64() }
+	onOneRoute := func(s *simulation) { s.fault.route = s.rng.IntN(routes) }
 	for _, size := range sizes {
 		for _, c := range []struct {
 			name   string
-			faults []func(w *simulation)
+			faults []func(s *simulation)
 		}{
-			{"fails", []func(w *simulation){failing}},
-			{"slow", []func(w *simulation){slow}},
-			{"fails later", []func(w *simulation){failing, later}},
-			{"slow later", []func(w *simulation){slow, later}},
-			{"fails on a route", []func(w *simulation){failing, onARoute}},
-			{"fails under load", []func(w *simulation){failing, underLoad}},
-			{"slow under load", []func(w *simulation){slow, underLoad}},
+			{"fails", []func(s *simulation){failing}},
+			{"slow", []func(s *simulation){slow}},
+			{"fails later", []func(s *simulation){failing, later}},
+			{"slow later", []func(s *simulation){slow, later}},
+			{"fails on a route", []func(s *simulation){failing, onOneRoute}},
+			{"fails under load", []func(s *simulation){failing, underLoad}},
+			{"slow under load", []func(s *simulation){slow, underLoad}},
 		} {
 			t.Run(fmt.Sprintf("instances=%d,rate=%g,%s", size.instances, size.rate, c.name), func(t *testing.T) {
-				through, exceeded, late := 0, 0, 0
+				undetected, exceeded, late := 0, 0, 0
 				for seed := range uint64(*runs) {
-					w := newSimulation(seed, size.instances, size.rate)
+					s := newSimulation(seed, size.instances, size.rate)
 					for _, fault := range c.faults {
-						fault(w)
+						fault(s)
 					}
-					w.run()
-					count(&through, w.verdict != rollout.RolledBack)
-					count(&exceeded, w.exceeds())
-					count(&late, w.lateNew > 0 && w.verdict == rollout.RolledBack)
-					if *logWrong && (w.verdict != rollout.RolledBack || w.exceeds() || w.lateNew > 0) {
-						t.Logf("seed %d: %v", seed, w)
+					s.run()
+					count(&undetected, s.verdict != rollout.RolledBack)
+					count(&exceeded, s.exceeds())
+					count(&late, s.lateNew > 0 && s.verdict == rollout.RolledBack)
+					if *logWrong && (s.verdict != rollout.RolledBack || s.exceeds() || s.lateNew > 0) {
+						t.Logf("seed %d: %v", seed, s)
 					}
 				}
-				t.Logf("%s: let through %d, exceeded %d, late %d", t.Name(), through, exceeded, late)
+				t.Logf("%s: let through %d, exceeded %d, late %d", t.Name(), undetected, exceeded, late)
 				require.LessOrEqual(t, exceeded, *runs/runsPerError)
 				require.Zero(t, late)
 				if size.rate >= smallRate {
-					require.LessOrEqual(t, through, *runs/runsPerError)
+					require.LessOrEqual(t, undetected, *runs/runsPerError)
 				}
 			})
 		}
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -56,8 +56,8 @@
 }
 
 // scale returns the step of the time that is so many scale as long.
-func (t LatencyBucket) scale(x float64) LatencyBucket {
-	return LatencyBucket(min(maxBucket, float64(t)+bucketsPerDoubling*math.Log2(x)))
+func (t LatencyBucket) scale(factor float64) LatencyBucket {
+	return LatencyBucket(min(maxBucket, float64(t)+bucketsPerDoubling*math.Log2(factor)))
 }
 
 // LatencyHistogram counts answers by the step of their times.
--- a/rollout/report_test.go
+++ b/rollout/report_test.go
@@ -72,10 +72,10 @@
 		if msgpack.Unmarshal(raw, &r) != nil {
 			return
 		}
-		judge := rollout.NewAnalyzer()
+		analyzer := rollout.NewAnalyzer()
 		now := time.Unix(1_000_000, 0)
-		judge.AddReport(now, r)
-		judge.Assess(now)
+		analyzer.AddReport(now, r)
+		analyzer.Assess(now)
 	})
 }
 
--- a/rollout/stage.go
+++ b/rollout/stage.go
@@ -60,18 +60,18 @@
 
 // supersedes tells whether a stage takes the place of another one of the same order. A rollback
 // takes that of all others.
-func (s Stage) supersedes(held Stage) bool {
-	if held.Phase == Reverted {
+func (s Stage) supersedes(current Stage) bool {
+	if current.Phase == Reverted {
 		return false
 	}
-	if s.Phase == Reverted || s.Number != held.Number {
-		return s.Phase == Reverted || s.Number > held.Number
+	if s.Phase == Reverted || s.Number != current.Number {
+		return s.Phase == Reverted || s.Number > current.Number
 	}
-	if s.Leader != held.Leader {
+	if s.Leader != current.Leader {
 		// Of two that lead at once all follow the same one.
-		return s.Leader < held.Leader
+		return s.Leader < current.Leader
 	}
-	return s.Heartbeat > held.Heartbeat
+	return s.Heartbeat > current.Heartbeat
 }
 
 // Split is the part of a service's requests that an instance sends to new targets. The zero value
--- a/rollout/stats.go
+++ b/rollout/stats.go
@@ -38,7 +38,7 @@
 
 // addNew counts a request at a new target. Answers that take the time limit and more are slow, if
 // that is known.
-func (r *routeStats) addNew(o Observation, limit LatencyBucket, known bool) {
+func (r *routeStats) addNew(o Observation, threshold LatencyBucket, known bool) {
 	t := r.target(o.Target)
 	r.keys.add(o.Key)
 	if o.Outcome == Answered {
@@ -49,7 +49,7 @@
 	}
 	switch {
 	case !known || o.Outcome == Failed:
-	case o.Outcome == Unanswered || !o.Cold && o.Latency >= limit:
+	case o.Outcome == Unanswered || !o.Cold && o.Latency >= threshold:
 		t.slow++
 		r.slowKeys.add(o.Key)
 	case !o.Cold:
@@ -112,40 +112,40 @@
 	maxBadOfFew = 2
 	// smallTargetCount is the number of targets up to which something has to have been seen at mostTargets
 	// of them: two of three may be at fault by chance.
-	smallTargetCount = 8
-	minBadTargets    = 0.6
+	smallTargetCount  = 8
+	minBadTargetShare = 0.6
 )
 
 // aggregate adds up the good and bad observations of the targets, but for the worst of them.
-func (r *routeStats) aggregate(badKeys keySet, of func(*targetStats) (good, bad int)) counts {
-	var list []counts
+func (r *routeStats) aggregate(badKeys keySet, countsOf func(*targetStats) (good, bad int)) counts {
+	var targets []counts
 	badTargets := 0
 	for _, t := range r.targets {
-		good, bad := of(t)
+		good, bad := countsOf(t)
 		if good+bad == 0 {
 			continue
 		}
-		list = append(list, counts{good: good, bad: bad})
+		targets = append(targets, counts{good: good, bad: bad})
 		if bad > 0 {
 			badTargets++
 		}
 	}
-	sort.Slice(list, func(i, k int) bool {
-		if list[i].bad != list[k].bad {
-			return list[i].bad > list[k].bad
+	sort.Slice(targets, func(i, k int) bool {
+		if targets[i].bad != targets[k].bad {
+			return targets[i].bad > targets[k].bad
 		}
-		return list[i].good < list[k].good
+		return targets[i].good < targets[k].good
 	})
-	least := min(minSources, len(list))
-	if len(list) <= smallTargetCount {
-		least = max(least, int(math.Ceil(minBadTargets*float64(len(list)))))
+	minBad := min(minSources, len(targets))
+	if len(targets) <= smallTargetCount {
+		minBad = max(minBad, int(math.Ceil(minBadTargetShare*float64(len(targets)))))
 	}
-	sum := counts{tooFew: badTargets < least || badKeys.len() < min(minSources, r.keys.len())}
-	spared := int(outlierFraction * float64(len(list)))
+	sum := counts{tooFew: badTargets < minBad || badKeys.len() < min(minSources, r.keys.len())}
+	outliers := int(outlierFraction * float64(len(targets)))
 	if sum.tooFew {
-		spared = 0
+		outliers = 0
 	}
-	for _, c := range list[spared:] {
+	for _, c := range targets[outliers:] {
 		sum.good += c.good
 		sum.bad += c.bad
 	}
@@ -164,8 +164,8 @@
 func (s *keySet) len() int { return s.n }
 
 func (s *keySet) add(key uint32) {
-	for _, held := range s.keys[:s.n] {
-		if held == key {
+	for _, known := range s.keys[:s.n] {
+		if known == key {
 			return
 		}
 	}
@@ -193,30 +193,30 @@
 const minLatencySamples = 8
 
 // slowThreshold returns the time from which on answers are slow: a multiple of the median.
-func slowThreshold(times LatencyHistogram) (LatencyBucket, bool) {
+func slowThreshold(latencies LatencyHistogram) (LatencyBucket, bool) {
 	total := uint32(0)
-	for _, n := range times {
+	for _, n := range latencies {
 		total += n
 	}
 	if total < minLatencySamples {
 		return 0, false
 	}
 	below := uint32(0)
-	for step := LatencyBucket(0); step < maxBucket; step++ {
-		below += times[step]
+	for bucket := LatencyBucket(0); bucket < maxBucket; bucket++ {
+		below += latencies[bucket]
 		if 2*below >= total {
-			return step.scale(slowFactor), true
+			return bucket.scale(slowFactor), true
 		}
 	}
 	return maxBucket, true
 }
 
 // slowRate returns the part of the answers that take the time limit and more.
-func slowRate(times LatencyHistogram, limit LatencyBucket) float64 {
+func slowRate(latencies LatencyHistogram, threshold LatencyBucket) float64 {
 	total, slow := 0.0, 0.0
-	for step, n := range times {
+	for bucket, n := range latencies {
 		total += float64(n)
-		if step >= limit {
+		if bucket >= threshold {
 			slow += float64(n)
 		}
 	}
