--- a/availability/departures.go
+++ b/availability/departures.go
@@ -97,17 +97,17 @@
 }
 
 // Merge takes in what another instance has told, and returns what is new.
-func (d *Departures) Merge(now time.Time, told DepartureList) DepartureList {
-	var fresh DepartureList
-	for _, one := range told {
-		if one.Age >= departureTTL {
+func (d *Departures) Merge(now time.Time, updates DepartureList) DepartureList {
+	var added DepartureList
+	for _, departure := range updates {
+		if departure.Age >= departureTTL {
 			continue
 		}
-		if d.Add(now.Add(-one.Age), one.ID) {
-			fresh = append(fresh, one)
+		if d.Add(now.Add(-departure.Age), departure.ID) {
+			added = append(added, departure)
 		}
 	}
-	return fresh
+	return added
 }
 
 // isShared tells whether a departure that was heard at a time is still isShared to others.
@@ -155,9 +155,9 @@
 // MarshalBinary implements encoding.BinaryMarshaler.
 func (l DepartureList) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, len(l)*departureBytes)
-	for _, one := range l {
-		raw = binary.BigEndian.AppendUint64(raw, uint64(one.ID))
-		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(one.Age, 0), maxAge)/ageUnit))
+	for _, departure := range l {
+		raw = binary.BigEndian.AppendUint64(raw, uint64(departure.ID))
+		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(departure.Age, 0), maxAge)/ageUnit))
 	}
 	return raw, nil
 }
--- a/availability/departures_test.go
+++ b/availability/departures_test.go
@@ -17,7 +17,7 @@
 func TestDeparturesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := make([]availability.Departures, 3)
-		said := make(map[availability.ID]bool)
+		announced := make(map[availability.ID]bool)
 		now := start
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pass")) * time.Millisecond)
@@ -30,7 +30,7 @@
 					heard, _ := set.FirstHeard(id)
 					require.Equal(t, known, heard)
 				}
-				said[id] = true
+				announced[id] = true
 				continue
 			}
 			other := &sets[rapid.IntRange(0, 2).Draw(t, "other")]
@@ -38,13 +38,13 @@
 		}
 		for range 2 {
 			for i := range sets {
-				sets[i].Merge(now, roundTrip(t, sets[(i+1)%len(sets)].Sample(now, len(said), 0)))
+				sets[i].Merge(now, roundTrip(t, sets[(i+1)%len(sets)].Sample(now, len(announced), 0)))
 			}
 		}
 		for i := range sets {
-			require.Equal(t, len(said), sets[i].Len())
+			require.Equal(t, len(announced), sets[i].Len())
 			require.Equal(t, sets[0].Checksum(now), sets[i].Checksum(now))
-			for id := range said {
+			for id := range announced {
 				_, ok := sets[i].FirstHeard(id)
 				require.True(t, ok)
 			}
@@ -88,14 +88,14 @@
 	_, last := full.FirstHeard(availability.IDOf("i-4999"))
 	require.False(t, first)
 	require.True(t, last)
-	var late availability.Departures
+	var other availability.Departures
 	now := start.Add(10 * time.Second)
 	salt := uint64(0)
-	for ; late.Checksum(now) != full.Checksum(now) && salt < 10000; salt++ {
-		late.Merge(now, full.Sample(now, 64, salt))
+	for ; other.Checksum(now) != full.Checksum(now) && salt < 10000; salt++ {
+		other.Merge(now, full.Sample(now, 64, salt))
 	}
 	t.Logf("%d messages of 64 departures for %d", salt, full.Len())
-	require.Equal(t, full.Len(), late.Len())
+	require.Equal(t, full.Len(), other.Len())
 }
 
 func TestTruncatedDepartures(t *testing.T) {
--- a/availability/rate_limits.go
+++ b/availability/rate_limits.go
@@ -77,20 +77,20 @@
 
 // Get returns the limit of a target, false if there is none.
 func (l *RateLimits) Get(id ID) (RateLimit, bool) {
-	k := l.entries[id]
-	if k == nil || k.Removed {
+	entry := l.entries[id]
+	if entry == nil || entry.Removed {
 		return RateLimit{}, false
 	}
-	return k.RateLimit, true
+	return entry.RateLimit, true
 }
 
 // Update returns what is known of a target's limit for others, nothing if there is none.
 func (l *RateLimits) Update(now time.Time, id ID) RateLimitList {
-	k := l.entries[id]
-	if k == nil || !k.isShared(now) {
+	entry := l.entries[id]
+	if entry == nil || !entry.isShared(now) {
 		return nil
 	}
-	return RateLimitList{k.withAge(now)}
+	return RateLimitList{entry.withAge(now)}
 }
 
 // Announce takes in that a target named a limit in its answer to a request of this instance that was
@@ -98,32 +98,32 @@
 func (l *RateLimits) Announce(now, sentAt time.Time, id ID, perSecond float64) bool {
 	// As messages carry it.
 	perSecond = float64(float32(perSecond))
-	k := l.entries[id]
+	entry := l.entries[id]
 	switch {
-	case k == nil:
+	case entry == nil:
 		return l.put(now, RateLimit{ID: id, Version: 1, PerSecond: perSecond})
-	case k.Removed && sentAt.Before(k.createdAt):
+	case entry.Removed && sentAt.Before(entry.createdAt):
 		return false
-	case k.Removed || perSecond < k.PerSecond:
-		return l.put(now, RateLimit{ID: id, Version: k.Version + 1, PerSecond: perSecond})
-	case perSecond <= (1+minRelativeRise)*k.PerSecond && now.Sub(k.createdAt) < limitRefreshAge:
-		k.confirmedAt = now
+	case entry.Removed || perSecond < entry.PerSecond:
+		return l.put(now, RateLimit{ID: id, Version: entry.Version + 1, PerSecond: perSecond})
+	case perSecond <= (1+minRelativeRise)*entry.PerSecond && now.Sub(entry.createdAt) < limitRefreshAge:
+		entry.confirmedAt = now
 		return false
-	case perSecond > (1+minRelativeRise)*k.PerSecond && sentAt.Before(k.confirmedAt.Add(raiseDelay)):
+	case perSecond > (1+minRelativeRise)*entry.PerSecond && sentAt.Before(entry.confirmedAt.Add(raiseDelay)):
 		return false
 	default:
-		return l.put(now, RateLimit{ID: id, Version: k.Version + 1, PerSecond: perSecond})
+		return l.put(now, RateLimit{ID: id, Version: entry.Version + 1, PerSecond: perSecond})
 	}
 }
 
 // AnnounceNone takes in that a whole answer of a target to a request of this instance that was sent at
 // a time named no limit. It reports whether one has ended by that, so that others are to be told.
 func (l *RateLimits) AnnounceNone(now, sentAt time.Time, id ID) bool {
-	k := l.entries[id]
-	if k == nil || k.Removed || sentAt.Before(k.confirmedAt.Add(raiseDelay)) {
+	entry := l.entries[id]
+	if entry == nil || entry.Removed || sentAt.Before(entry.confirmedAt.Add(raiseDelay)) {
 		return false
 	}
-	return l.put(now, RateLimit{ID: id, Version: k.Version + 1, Removed: true})
+	return l.put(now, RateLimit{ID: id, Version: entry.Version + 1, Removed: true})
 }
 
 func (l *RateLimits) put(at time.Time, limit RateLimit) bool {
@@ -138,60 +138,60 @@
 }
 
 // Merge takes in what another instance has told, and returns what is new.
-func (l *RateLimits) Merge(now time.Time, told RateLimitList) RateLimitList {
-	var fresh RateLimitList
-	for _, one := range told {
-		k := l.entries[one.ID]
-		if k != nil && !one.supersedes(k.RateLimit) {
+func (l *RateLimits) Merge(now time.Time, updates RateLimitList) RateLimitList {
+	var changed RateLimitList
+	for _, limit := range updates {
+		entry := l.entries[limit.ID]
+		if entry != nil && !limit.supersedes(entry.RateLimit) {
 			continue
 		}
-		if l.put(now.Add(-one.Age), one) {
-			fresh = append(fresh, one)
+		if l.put(now.Add(-limit.Age), limit) {
+			changed = append(changed, limit)
 		}
 	}
-	return fresh
+	return changed
 }
 
-func (k *rateLimitEntry) ttl() time.Duration {
-	if k.Removed {
+func (entry *rateLimitEntry) ttl() time.Duration {
+	if entry.Removed {
 		return tombstoneTTL
 	}
 	return limitTTL
 }
 
 // isShared tells whether a limit is isShared to others.
-func (k *rateLimitEntry) isShared(now time.Time) bool {
-	return now.Sub(k.createdAt) < k.ttl()-minRemainingLimitTTL
+func (entry *rateLimitEntry) isShared(now time.Time) bool {
+	return now.Sub(entry.createdAt) < entry.ttl()-minRemainingLimitTTL
 }
 
 // withAge returns the limit as others are told of it.
-func (k *rateLimitEntry) withAge(now time.Time) RateLimit {
-	out := k.RateLimit
-	out.Age = max(now.Sub(k.createdAt), 0)
+func (entry *rateLimitEntry) withAge(now time.Time) RateLimit {
+	out := entry.RateLimit
+	out.Age = max(now.Sub(entry.createdAt), 0)
 	return out
 }
 
 // Expire forgets what is no longer remembered, and returns the targets whose limits it forgets.
 func (l *RateLimits) Expire(now time.Time) []ID {
-	var gone []ID
-	for id, k := range l.entries {
-		if now.Sub(k.createdAt) < k.ttl() {
+	var expired []ID
+	for id, entry := range l.entries {
+		if now.Sub(entry.createdAt) < entry.ttl() {
 			continue
 		}
 		delete(l.entries, id)
-		if !k.Removed {
-			gone = append(gone, id)
+		if !entry.Removed {
+			expired = append(expired, id)
 		}
 	}
-	return gone
+	return expired
 }
 
 // Checksum returns a number that is the same for sets of the same limits, 0 for none.
 func (l *RateLimits) Checksum(now time.Time) uint32 {
 	var sum uint64
-	for id, k := range l.entries {
-		if k.isShared(now) {
-			sum += mix.Join(uint64(id), mix.Join(uint64(k.Version), math.Float64bits(k.wireValue())))
+	for id, entry := range l.entries {
+		if entry.isShared(now) {
+			sum += mix.Join(uint64(id), mix.Join(uint64(entry.Version), math.Float64bits(entry.wireValue())))
 		}
 	}
 	return uint32(sum>>32) ^ uint32(sum)
@@ -201,9 +201,9 @@
 // that misses many is told all of them in time.
 func (l *RateLimits) Sample(now time.Time, n int, salt uint64) RateLimitList {
 	out := make(RateLimitList, 0, len(l.entries))
-	for _, k := range l.entries {
-		if k.isShared(now) {
-			out = append(out, k.withAge(now))
+	for _, entry := range l.entries {
+		if entry.isShared(now) {
+			out = append(out, entry.withAge(now))
 		}
 	}
 	slices.SortFunc(out, func(a, b RateLimit) int {
@@ -238,11 +238,11 @@
 // MarshalBinary implements encoding.BinaryMarshaler.
 func (l RateLimitList) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, len(l)*limitBytes)
-	for _, one := range l {
-		raw = binary.BigEndian.AppendUint64(raw, uint64(one.ID))
-		raw = binary.BigEndian.AppendUint32(raw, one.Version)
-		raw = binary.BigEndian.AppendUint32(raw, math.Float32bits(float32(one.wireValue())))
-		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(one.Age, 0), maxLimitAge)/limitAgeUnit))
+	for _, limit := range l {
+		raw = binary.BigEndian.AppendUint64(raw, uint64(limit.ID))
+		raw = binary.BigEndian.AppendUint32(raw, limit.Version)
+		raw = binary.BigEndian.AppendUint32(raw, math.Float32bits(float32(limit.wireValue())))
+		raw = binary.BigEndian.AppendUint16(raw, uint16(min(max(limit.Age, 0), maxLimitAge)/limitAgeUnit))
 	}
 	return raw, nil
 }
--- a/availability/rate_limits_test.go
+++ b/availability/rate_limits_test.go
@@ -22,10 +22,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sets := make([]availability.RateLimits, rapid.IntRange(2, 4).Draw(t, "instances"))
 		now := time.Unix(1000, 0)
-		one := rapid.IntRange(0, len(sets)-1)
+		draw := rapid.IntRange(0, len(sets)-1)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
-			set := &sets[one.Draw(t, "instance")]
+			set := &sets[draw.Draw(t, "instance")]
 			id := availability.ID(rapid.IntRange(1, 3).Draw(t, "target"))
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
@@ -33,7 +33,7 @@
 			case 1:
 				set.AnnounceNone(now, now, id)
 			default:
-				set.Merge(now, sets[one.Draw(t, "from")].Sample(now, 64, 1))
+				set.Merge(now, sets[draw.Draw(t, "from")].Sample(now, 64, 1))
 			}
 		}
 		for range sets {
@@ -102,16 +102,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var list availability.RateLimitList
 		for range rapid.IntRange(0, 9).Draw(t, "n") {
-			one := availability.RateLimit{
+			limit := availability.RateLimit{
 				ID:      availability.ID(rapid.Uint64().Draw(t, "id")),
 				Version: rapid.Uint32().Draw(t, "version"),
 				Removed: rapid.Bool().Draw(t, "ended"),
 				Age:     time.Duration(rapid.IntRange(0, 3600).Draw(t, "s")) * time.Second,
 			}
-			if !one.Removed {
-				one.PerSecond = float64(rapid.Float32Range(0, 1e9).Draw(t, "limit"))
+			if !limit.Removed {
+				limit.PerSecond = float64(rapid.Float32Range(0, 1e9).Draw(t, "limit"))
 			}
-			list = append(list, one)
+			list = append(list, limit)
 		}
 		raw, err := list.MarshalBinary()
 		require.NoError(t, err)
--- a/availability/self_report.go
+++ b/availability/self_report.go
@@ -31,7 +31,7 @@
 )
 
 // IsMalformed tells whether a part of the word can't be read.
-func (w SelfReport) IsMalformed(part Field) bool { return slices.Contains(w.Malformed, part) }
+func (r SelfReport) IsMalformed(field Field) bool { return slices.Contains(r.Malformed, field) }
 
 // Restricts tells whether the word keeps requests of this instance from the target, all or some.
-func (w SelfReport) Restricts() bool { return w.Leaving || w.Backoff > 0 || w.HasLimit }
+func (r SelfReport) Restricts() bool { return r.Leaving || r.Backoff > 0 || r.HasLimit }
--- a/availability/state.go
+++ b/availability/state.go
@@ -66,12 +66,12 @@
 }
 
 // update sets the mark, unless it is, or clears it.
-func (m *condition) update(now time.Time, source Source, set bool) {
+func (c *condition) update(now time.Time, source Source, set bool) {
 	switch {
 	case !set:
-		*m = condition{}
-	case !m.active:
-		*m = condition{active: true, source: source, since: now}
+		*c = condition{}
+	case !c.active:
+		*c = condition{active: true, source: source, since: now}
 	}
 }
 
@@ -82,14 +82,14 @@
 }
 
 // extend has the span last until a time, if that is later than it does.
-func (s *timedCondition) extend(now time.Time, source Source, until time.Time) {
-	if !until.After(s.until) {
+func (c *timedCondition) extend(now time.Time, source Source, until time.Time) {
+	if !until.After(c.until) {
 		return
 	}
-	if !now.Before(s.until) {
-		s.since = now
+	if !now.Before(c.until) {
+		c.since = now
 	}
-	s.source, s.until = source, until
+	c.source, c.until = source, until
 }
 
 // State is what is known of one incarnation of a target. The zero value keeps nothing from
@@ -135,22 +135,22 @@
 }
 
 // setCondition sets or clears the mark that a function returns.
-func (s *State) setCondition(now time.Time, source Source, set bool, of func(*conditions) *condition) {
+func (s *State) setCondition(now time.Time, source Source, set bool, selectFrom func(*conditions) *condition) {
 	if set || s.conditions != nil {
-		of(s.mutable()).update(now, source, set)
+		selectFrom(s.mutable()).update(now, source, set)
 		s.recompute()
 	}
 }
 
 func (s *State) recompute() {
-	f := s.current()
-	s.persistent = f.replaced.active || f.gone.active || f.evacuated.active || f.listedLeaving.active || f.announcedLeaving.active || f.drained.active
-	s.until = f.backoff.until
-	if f.suspicion.until.After(s.until) {
-		s.until = f.suspicion.until
+	conds := s.current()
+	s.persistent = conds.replaced.active || conds.gone.active || conds.evacuated.active || conds.listedLeaving.active || conds.announcedLeaving.active || conds.drained.active
+	s.until = conds.backoff.until
+	if conds.suspicion.until.After(s.until) {
+		s.until = conds.suspicion.until
 	}
-	if f.pause.until.After(s.until) {
-		s.until = f.pause.until
+	if conds.pause.until.After(s.until) {
+		s.until = conds.pause.until
 	}
 	if !s.persistent && s.until.IsZero() {
 		s.conditions = nil
@@ -159,29 +159,29 @@
 
 // SetListed takes in the target's entry in the list, which says whether it leaves. A target with an
 // entry is not gone.
-func (s *State) SetListed(now time.Time, leaves bool) {
-	s.setCondition(now, SourceList, false, func(f *conditions) *condition { return &f.gone })
-	s.setCondition(now, SourceList, leaves, func(f *conditions) *condition { return &f.listedLeaving })
+func (s *State) SetListed(now time.Time, leaving bool) {
+	s.setCondition(now, SourceList, false, func(conds *conditions) *condition { return &conds.gone })
+	s.setCondition(now, SourceList, leaving, func(conds *conditions) *condition { return &conds.listedLeaving })
 }
 
 // SetUnlisted takes in that the target is no longer in the list.
 func (s *State) SetUnlisted(now time.Time) {
-	s.setCondition(now, SourceList, true, func(f *conditions) *condition { return &f.gone })
+	s.setCondition(now, SourceList, true, func(conds *conditions) *condition { return &conds.gone })
 }
 
 // SetDrained takes in whether operators drain the target.
 func (s *State) SetDrained(now time.Time, drained bool) {
-	s.setCondition(now, SourceOperator, drained, func(f *conditions) *condition { return &f.drained })
+	s.setCondition(now, SourceOperator, drained, func(conds *conditions) *condition { return &conds.drained })
 }
 
 // SetEvacuated takes in whether the target's hall is being emptied.
 func (s *State) SetEvacuated(now time.Time, evacuated bool) {
-	s.setCondition(now, SourceList, evacuated, func(f *conditions) *condition { return &f.evacuated })
+	s.setCondition(now, SourceList, evacuated, func(conds *conditions) *condition { return &conds.evacuated })
 }
 
 // SetReplaced takes in that another target has answered at the address.
 func (s *State) SetReplaced(now time.Time) {
-	s.setCondition(now, SourceLocal, true, func(f *conditions) *condition { return &f.replaced })
+	s.setCondition(now, SourceLocal, true, func(conds *conditions) *condition { return &conds.replaced })
 }
 
 // SetLeaving takes in that the target said at a time, to this or to another instance, that it
@@ -190,7 +190,7 @@
 	if s.current().announcedLeaving.active {
 		return false
 	}
-	s.setCondition(at, source, true, func(f *conditions) *condition { return &f.announcedLeaving })
+	s.setCondition(at, source, true, func(conds *conditions) *condition { return &conds.announcedLeaving })
 	return true
 }
 
@@ -227,30 +227,30 @@
 	if !now.Before(s.until) {
 		return Verdict{}
 	}
-	f := s.current()
+	conds := s.current()
 	for _, c := range []struct {
 		cause Cause
-		span  timedCondition
-	}{{CauseBackoff, f.backoff}, {CauseSuspected, f.suspicion}, {CausePaused, f.pause}} {
-		if c.span.until.Equal(s.until) {
-			return Verdict{Cause: c.cause, Source: c.span.source, Since: c.span.since, Until: c.span.until}
+		cond  timedCondition
+	}{{CauseBackoff, conds.backoff}, {CauseSuspected, conds.suspicion}, {CausePaused, conds.pause}} {
+		if c.cond.until.Equal(s.until) {
+			return Verdict{Cause: c.cause, Source: c.cond.source, Since: c.cond.since, Until: c.cond.until}
 		}
 	}
 	return Verdict{}
 }
 
 func (s *State) persistentVerdict() Verdict {
-	f := s.current()
+	conds := s.current()
 	for _, c := range []struct {
 		cause Cause
-		mark  condition
+		cond  condition
 	}{
-		{CauseReplaced, f.replaced}, {CauseGone, f.gone},
-		{CauseLeaving, f.announcedLeaving}, {CauseLeaving, f.listedLeaving}, {CauseLeaving, f.drained},
-		{CauseEvacuated, f.evacuated},
+		{CauseReplaced, conds.replaced}, {CauseGone, conds.gone},
+		{CauseLeaving, conds.announcedLeaving}, {CauseLeaving, conds.listedLeaving}, {CauseLeaving, conds.drained},
+		{CauseEvacuated, conds.evacuated},
 	} {
-		if c.mark.active {
-			return Verdict{Cause: c.cause, Source: c.mark.source, Since: c.mark.since}
+		if c.cond.active {
+			return Verdict{Cause: c.cause, Source: c.cond.source, Since: c.cond.since}
 		}
 	}
 	return Verdict{}
