--- a/availability/departures.go
+++ b/availability/departures.go
@@ -11,55 +11,58 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// ID stands for one incarnation of a target: the hash of its name and start.
+// ID identifies one incarnation of a target by the hash of its name and start time.
 type ID uint64
 
-// IDOf returns the ID of an incarnation.
+// IDOf returns the ID of the incarnation with the given identifier.
 func IDOf(incarnation string) ID { return ID(mix.Hash(incarnation)) }
 
 const (
-	// departureTTL is how long it is remembered that a target said that it leaves, and told
-	// to instances that do not know. A target leaves within seconds, at times many. It is
-	// less than longestAge, the highest age that a message can tell.
+	// departureTTL is how long a departure is kept and sent to instances that do not know it. It is
+	// ample, as targets shut down within seconds, sometimes within many. It is less than maxAge,
+	// the largest age that a message can carry.
 	departureTTL = time.Hour
-	// minRemainingTTL is how much longer a departure has to be remembered for it to be told: its
-	// age grows a little shorter on each step of its way, and without this margin it could
-	// be passed around for good.
+	// minRemainingTTL is the remaining time to live below which a departure is no longer sent to
+	// other instances. Each hop makes a departure look slightly younger, since ages in messages are
+	// rounded down and leave out the time in transit. Without this margin instances could pass a
+	// departure back and forth forever.
 	minRemainingTTL = 10 * time.Second
-	// maxDepartures bounds the departures remembered, more than a fleet has targets: 40 kB
-	// at 10 bytes each as a message carries them.
+	// maxDepartures bounds the number of departures. It is more than the number of targets in a
+	// fleet. That many departures take 40 kB in messages, at 10 bytes each.
 	maxDepartures = 4096
 )
 
-// Departure is that a target said that it leaves.
+// Departure states that a target announced its planned shutdown.
 type Departure struct {
 	ID ID
-	// Age is the time since it was first heard.
+	// Age is the time since an instance first heard of the departure from the target.
 	Age time.Duration
 }
 
-// Departures are the targets that have said themselves that they leave. Two sets come to be
-// the same whatever the order in which they hear of each other, however often. The zero value
-// is empty. It is not safe for concurrent use.
+// Departures is a replicated set of the targets that announced that they are leaving. Sets that
+// have merged the same departures are equal, independently of order and repetition. The zero value
+// is an empty set. A Departures is not safe for concurrent use.
 type Departures struct {
 	firstHeard map[ID]time.Time
 }
 
-// Len returns the number of targets.
+// Len returns the number of departures.
 func (d *Departures) Len() int { return len(d.firstHeard) }
 
-// FirstHeard tells whether a target said that it leaves, and when that was first heard.
+// FirstHeard returns the time at which the departure of a target was first heard of, and false if
+// the target has not announced one.
 func (d *Departures) FirstHeard(id ID) (time.Time, bool) {
 	at, ok := d.firstHeard[id]
 	return at, ok
 }
 
-// Add takes in that a target said at a time that it leaves. It reports whether that is new.
+// Add records that a target announced its departure at the given time. It reports whether the
+// departure is new.
 func (d *Departures) Add(at time.Time, id ID) bool {
 	known, ok := d.firstHeard[id]
 	if ok {
 		if at.Before(known) {
-			// Each step of the way to here has made it look younger.
+			// Each hop makes a departure look younger, so the earliest time is the most accurate.
 			d.firstHeard[id] = at
 		}
 		return false
@@ -74,8 +77,8 @@
 	return true
 }
 
-// evictOldest drops the departure that was heard first, and of those heard together the one
-// with the lowest ID, so that all instances drop the same one.
+// evictOldest removes the departure that was heard of first. Among departures heard of at the same
+// time it removes the one with the lowest ID, so that all instances remove the same one.
 func (d *Departures) evictOldest() {
 	var oldest ID
 	var first time.Time
@@ -87,7 +90,7 @@
 	delete(d.firstHeard, oldest)
 }
 
-// Expire forgets what is no longer remembered.
+// Expire removes departures that are older than departureTTL.
 func (d *Departures) Expire(now time.Time) {
 	for id, at := range d.firstHeard {
 		if now.Sub(at) >= departureTTL {
@@ -96,7 +99,7 @@
 	}
 }
 
-// Merge takes in what another instance has told, and returns what is new.
+// Merge adds the departures received from another instance. It returns those that are new.
 func (d *Departures) Merge(now time.Time, updates DepartureList) DepartureList {
 	var added DepartureList
 	for _, departure := range updates {
@@ -110,10 +113,12 @@
 	return added
 }
 
-// isShared tells whether a departure that was heard at a time is still isShared to others.
+// isShared reports whether a departure that was first heard of at the given time is still sent to
+// other instances.
 func isShared(now, at time.Time) bool { return now.Sub(at) < departureTTL-minRemainingTTL }
 
-// Checksum returns a number that is the same for sets of the same targets, 0 for none.
+// Checksum returns a checksum of the departures that are still sent, by which instances detect that
+// their sets differ. It is 0 for an empty set.
 func (d *Departures) Checksum(now time.Time) uint32 {
 	var sum uint64
 	for id, at := range d.firstHeard {
@@ -124,8 +129,9 @@
 	return uint32(sum>>32) ^ uint32(sum)
 }
 
-// Sample returns at most n of the departures that are told to others. The salt draws which, so
-// that one that misses many is told all of them in time.
+// Sample returns at most n of the departures that are still sent to other instances. The salt
+// selects them. An instance that misses many departures receives all of them over time if the salt
+// varies.
 func (d *Departures) Sample(now time.Time, n int, salt uint64) DepartureList {
 	out := make(DepartureList, 0, len(d.firstHeard))
 	for id, at := range d.firstHeard {
@@ -139,20 +145,20 @@
 	return out[:min(n, len(out))]
 }
 
-// DepartureList are departures as a message carries them.
+// DepartureList holds the departures of one message.
 type DepartureList []Departure
 
-// Sizes of a departure in a message, and the unit of ages there.
+// Size of an encoded departure, and the unit and the maximum of encoded ages.
 const (
 	departureBytes = 8 + 2
 	ageUnit        = 100 * time.Millisecond
 	maxAge         = math.MaxUint16 * ageUnit
 )
 
-// ErrTruncatedDepartures is returned for departures that are cut short.
-var ErrTruncatedDepartures = errors.New("availability: departures cut short")
+// ErrTruncatedDepartures is returned for encoded departures that are truncated.
+var ErrTruncatedDepartures = errors.New("availability: truncated departures")
 
-// MarshalBinary implements encoding.BinaryMarshaler.
+// MarshalBinary implements encoding.BinaryMarshaler. It is the encoding of departures in messages.
 func (l DepartureList) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, len(l)*departureBytes)
 	for _, departure := range l {
--- a/availability/departures_test.go
+++ b/availability/departures_test.go
@@ -12,8 +12,8 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// TestDeparturesMergeInAnyOrder has several sets hear of departures, from targets and from each
-// other in any order, late and twice, and checks that all come to be the same.
+// TestDeparturesMergeInAnyOrder lets several sets learn departures from targets and from each
+// other, in any order, late and repeatedly, and checks that all sets end up equal.
 func TestDeparturesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := make([]availability.Departures, 3)
@@ -52,7 +52,7 @@
 	})
 }
 
-// roundTrip returns departures as they come out of a message.
+// roundTrip encodes and decodes departures.
 func roundTrip(t require.TestingT, l availability.DepartureList) availability.DepartureList {
 	raw, err := l.MarshalBinary()
 	require.NoError(t, err)
@@ -61,8 +61,8 @@
 	return out
 }
 
-// TestDeparturesExpire checks that departures are forgotten, and are not told on and on by
-// instances that each take them for a little younger.
+// TestDeparturesExpire checks that departures expire, and are not passed back and forth forever by
+// two instances that each take them for slightly younger.
 func TestDeparturesExpire(t *testing.T) {
 	sets := make([]availability.Departures, 2)
 	sets[0].Add(start, availability.IDOf("i-1"))
@@ -76,8 +76,8 @@
 	require.Zero(t, sets[1].Len())
 }
 
-// TestDeparturesBoundedAndSynchronized checks that a full set forgets the first ones, and that one that misses
-// many is told all of them a few at a time.
+// TestDeparturesBoundedAndSynchronized checks that a full set evicts the oldest departures, and
+// that an empty set receives all departures by small samples.
 func TestDeparturesBoundedAndSynchronized(t *testing.T) {
 	var full availability.Departures
 	for i := range 5000 {
@@ -94,7 +94,7 @@
 	for ; other.Checksum(now) != full.Checksum(now) && salt < 10000; salt++ {
 		other.Merge(now, full.Sample(now, 64, salt))
 	}
-	t.Logf("%d messages of 64 departures for %d", salt, full.Len())
+	t.Logf("%d messages with 64 departures each for a set of %d", salt, full.Len())
 	require.Equal(t, full.Len(), other.Len())
 }
 
--- a/availability/doc.go
+++ b/availability/doc.go
@@ -1,22 +1,24 @@
-// Package availability tells whether a target may be sent requests, and why not.
+// Package availability decides whether a target may be sent requests, and gives the cause if not.
 //
-// A State holds all that an instance knows of one incarnation of a target that keeps requests
-// from it. Each fact, a mark, has a cause, a source, and the time from which on it is known.
-// Lasting marks hold until their source takes them back, timed ones until a time.
+// A State holds the conditions that exclude one incarnation of a target from requests. Each
+// condition has a cause, a source, and the time from which on it is known. A persistent condition
+// lasts until its source clears it, a timed condition until a certain time. The causes are:
 //
-//   - leaving: the list of targets, the target's own word, or an operator says that it leaves.
-//     The target's own word holds as long as the incarnation: a list that still says that it
-//     serves may be older, whenever it comes.
-//   - gone: the target is no longer listed.
+//   - leaving: the list of targets, the target itself, or an operator states that the target is
+//     about to shut down. The target's own announcement holds as long as the incarnation, since
+//     a list in which the target still serves may be older, whenever it arrives.
+//   - gone: the target is no longer in the list.
 //   - replaced: another target has answered at its address.
-//   - evacuated: its hall is being emptied.
-//   - resting: the target has asked to get nothing from this instance for a while.
+//   - evacuated: its hall is being evacuated.
+//   - resting: the target has requested a back-off, that is no requests from this instance for
+//     some time.
 //   - suspected: it did not answer, or could not be reached.
-//   - paused: it gets nothing for a moment, as it has just turned a request away.
+//   - paused: it gets no requests for a short time because it has just rejected one.
 //
-// A target's word is what it says of itself in an answer, beside the answer: that it leaves,
-// or that it wants to rest. Departures are the leavings by targets' own words, which all
-// instances tell each other. A rest is between a target and one instance.
+// Targets report about themselves along with their answers. A SelfReport announces that the target
+// is leaving, requests a back-off, or announces a rate limit. Announcements of leaving (Departures)
+// and rate limits (RateLimits) are replicated to all instances. A back-off holds only between the
+// target and the instance that received the report.
 //
-// All is pure: time comes in as an argument.
+// No type of the package reads the clock or does I/O: callers pass the current time.
 package availability
--- a/availability/rate_limits.go
+++ b/availability/rate_limits.go
@@ -12,41 +12,46 @@
 )
 
 const (
-	// minRelativeRise is how much higher, as a part, a limit has to be than the one in force to
-	// replace it: targets name a little more or less each time. A lower one always does.
+	// minRelativeRise is the relative difference by which a limit must exceed the current one to
+	// replace it, since targets announce slightly different values each time. A lower limit
+	// replaces the current one at once.
 	minRelativeRise = 0.1
-	// raiseDelay is how long nothing as low as the limit in force may have been heard for a
-	// higher one, or its end, to count. Answers that were on their way when the target
-	// first named it are older than it.
+	// raiseDelay is the least time between the last confirmation of the current limit and the
+	// sending of a request whose answer may raise or remove the limit. Answers that were under way
+	// when the target first announced the current limit are older than the limit and must not
+	// override it.
 	raiseDelay = 500 * time.Millisecond
-	// limitRefreshAge is the age from which on a limit that is still named is told again, and
-	// limitLife that at which one that nobody hears any more is forgotten.
+	// limitRefreshAge is the age from which on a limit that the target still announces is sent to
+	// the other instances again. limitTTL is the age at which a limit that has not been refreshed
+	// expires.
 	limitRefreshAge = 20 * time.Minute
 	limitTTL        = time.Hour
-	// tombstoneTTL is how long it is remembered that a limit has ended, for those that missed it.
+	// tombstoneTTL is how long a removed limit is kept for instances that have not received the
+	// removal.
 	tombstoneTTL = time.Minute
-	// minRemainingLimitTTL is how much longer a limit has to be remembered for it to be told: its age
-	// grows a little shorter on each step of its way, and it could be passed around for good.
+	// minRemainingLimitTTL is the remaining time to live below which a limit is no longer sent to
+	// other instances. It serves the same purpose as minRemainingTTL.
 	minRemainingLimitTTL = 10 * time.Second
-	// maxLimits bounds the limits remembered, more than a fleet has targets.
+	// maxLimits bounds the number of limits. It is more than the number of targets in a fleet.
 	maxLimits = 4096
 )
 
-// RateLimit is what one target has named last of how much it takes.
+// RateLimit is the rate limit that a target announced last.
 type RateLimit struct {
 	ID ID
-	// Version orders what is said of a target: whoever finds out something new takes the next
-	// one. Of two of the same version the lower limit holds, so that all come to the same.
+	// Version orders the states of a target's limit: an instance that observes a change assigns the
+	// next version. Two instances may assign the same version. The lower limit then holds, and a
+	// limit holds over a removal, so that all instances converge.
 	Version uint32
-	// PerSecond is the number of requests a second from all instances together. Ended says
-	// that the target no longer names a limit.
+	// PerSecond is the number of requests a second that the target admits from all instances
+	// together. Removed marks a tombstone: the target no longer announces a limit.
 	PerSecond float64
 	Removed   bool
-	// Age is the time since it was found out.
+	// Age is the time since the instance that assigned the version observed the change.
 	Age time.Duration
 }
 
-// supersedes tells whether l holds where both are known.
+// supersedes reports whether l replaces other.
 func (l RateLimit) supersedes(other RateLimit) bool {
 	switch {
 	case l.Version != other.Version:
@@ -58,24 +63,25 @@
 	}
 }
 
-// RateLimits are the limits that targets have named, and that ended a moment ago. Two sets come to be
-// the same whatever the order in which they hear of each other, however often. The zero value is
-// empty. It is not safe for concurrent use.
+// RateLimits is a replicated set of the rate limits that targets have announced, including
+// tombstones of removed limits. Sets that have merged the same limits are equal, independently of
+// order and repetition. The zero value is an empty set. A RateLimits is not safe for concurrent
+// use.
 type RateLimits struct {
 	entries map[ID]*rateLimitEntry
 }
 
 type rateLimitEntry struct {
 	RateLimit
-	// createdAt is when it was found out, and confirmedAt when this instance last heard the target
-	// name it, or a lower one.
+	// createdAt is the time at which the version was assigned. confirmedAt is the time at which
+	// this instance last heard about the same limit from the target.
 	createdAt, confirmedAt time.Time
 }
 
-// Len returns the number of limits, those too that have ended a moment ago.
+// Len returns the number of limits, including tombstones.
 func (l *RateLimits) Len() int { return len(l.entries) }
 
-// Get returns the limit of a target, false if there is none.
+// Get returns the limit of a target, and false if the target has none.
 func (l *RateLimits) Get(id ID) (RateLimit, bool) {
 	entry := l.entries[id]
 	if entry == nil || entry.Removed {
@@ -84,7 +90,7 @@
 	return entry.RateLimit, true
 }
 
-// Update returns what is known of a target's limit for others, nothing if there is none.
+// Update returns the state of a target's limit for a message. It is empty if there is none to send.
 func (l *RateLimits) Update(now time.Time, id ID) RateLimitList {
 	entry := l.entries[id]
 	if entry == nil || !entry.isShared(now) {
@@ -93,10 +99,11 @@
 	return RateLimitList{entry.withAge(now)}
 }
 
-// Announce takes in that a target named a limit in its answer to a request of this instance that was
-// sent at a time. It reports whether others are to be told.
+// Announce records a limit that a target announced in an answer to a request that this instance
+// sent at sentAt. It reports whether the limit has changed or has to be refreshed, and is to be
+// sent to the other instances.
 func (l *RateLimits) Announce(now, sentAt time.Time, id ID, perSecond float64) bool {
-	// As messages carry it.
+	// Messages carry limits as float32.
 	perSecond = float64(float32(perSecond))
 	entry := l.entries[id]
 	switch {
@@ -116,8 +123,9 @@
 	}
 }
 
-// AnnounceNone takes in that a whole answer of a target to a request of this instance that was sent at
-// a time named no limit. It reports whether one has ended by that, so that others are to be told.
+// AnnounceNone records that a target announced no limit in a complete answer to a request that this
+// instance sent at sentAt. It reports whether this has removed a limit, so that the other instances
+// are to be notified.
 func (l *RateLimits) AnnounceNone(now, sentAt time.Time, id ID) bool {
 	entry := l.entries[id]
 	if entry == nil || entry.Removed || sentAt.Before(entry.confirmedAt.Add(raiseDelay)) {
@@ -137,7 +145,7 @@
 	return true
 }
 
-// Merge takes in what another instance has told, and returns what is new.
+// Merge applies the limits received from another instance. It returns those that have changed.
 func (l *RateLimits) Merge(now time.Time, updates RateLimitList) RateLimitList {
 	var changed RateLimitList
 	for _, limit := range updates {
@@ -159,19 +167,19 @@
 	return limitTTL
 }
 
-// isShared tells whether a limit is isShared to others.
+// isShared reports whether the limit is still sent to other instances.
 func (entry *rateLimitEntry) isShared(now time.Time) bool {
 	return now.Sub(entry.createdAt) < entry.ttl()-minRemainingLimitTTL
 }
 
-// withAge returns the limit as others are told of it.
+// withAge returns the limit with its current age, for a message.
 func (entry *rateLimitEntry) withAge(now time.Time) RateLimit {
 	out := entry.RateLimit
 	out.Age = max(now.Sub(entry.createdAt), 0)
 	return out
 }
 
-// Expire forgets what is no longer remembered, and returns the targets whose limits it forgets.
+// Expire removes expired limits and tombstones. It returns the targets whose limits it has removed.
 func (l *RateLimits) Expire(now time.Time) []ID {
 	var expired []ID
 	for id, entry := range l.entries {
@@ -186,7 +194,8 @@
 	return expired
 }
 
-// Checksum returns a number that is the same for sets of the same limits, 0 for none.
+// Checksum returns a checksum of the limits that are still sent, by which instances detect that
+// their sets differ. It is 0 for an empty set.
 func (l *RateLimits) Checksum(now time.Time) uint32 {
 	var sum uint64
 	for id, entry := range l.entries {
@@ -197,8 +206,8 @@
 	return uint32(sum>>32) ^ uint32(sum)
 }
 
-// Sample returns at most n of the limits that are told to others. The salt draws which, so that one
-// that misses many is told all of them in time.
+// Sample returns at most n of the limits that are still sent to other instances. The salt selects
+// them. An instance that misses many limits receives all of them over time if the salt varies.
 func (l *RateLimits) Sample(now time.Time, n int, salt uint64) RateLimitList {
 	out := make(RateLimitList, 0, len(l.entries))
 	for _, entry := range l.entries {
@@ -212,11 +221,11 @@
 	return out[:min(n, len(out))]
 }
 
-// RateLimitList are limits as a message carries them.
+// RateLimitList holds the limits of one message.
 type RateLimitList []RateLimit
 
-// Sizes of a limit in a message, the unit of ages there, and what stands for the end of a limit in
-// place of a number of requests a second.
+// Size of an encoded limit, the unit and the maximum of encoded ages, and the value that is encoded
+// in place of the requests a second for a removed limit.
 const (
 	limitBytes    = 8 + 4 + 4 + 2
 	limitAgeUnit  = time.Second
@@ -224,10 +233,11 @@
 	removedOnWire = -1
 )
 
-// ErrMalformedRateLimits is returned for limits that are cut short or are none.
-var ErrMalformedRateLimits = errors.New("availability: limits cut short or no numbers")
+// ErrMalformedRateLimits is returned for encoded limits that are truncated or are not finite
+// numbers of requests.
+var ErrMalformedRateLimits = errors.New("availability: rate limits truncated or not finite, non-negative numbers")
 
-// wireValue returns the number that stands for the limit in a message.
+// wireValue returns the number that encodes the limit in a message.
 func (l RateLimit) wireValue() float64 {
 	if l.Removed {
 		return removedOnWire
@@ -235,7 +245,7 @@
 	return l.PerSecond
 }
 
-// MarshalBinary implements encoding.BinaryMarshaler.
+// MarshalBinary implements encoding.BinaryMarshaler. It is the encoding of limits in messages.
 func (l RateLimitList) MarshalBinary() ([]byte, error) {
 	raw := make([]byte, 0, len(l)*limitBytes)
 	for _, limit := range l {
--- a/availability/rate_limits_test.go
+++ b/availability/rate_limits_test.go
@@ -12,12 +12,12 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// settleTime is later than a limit was heard by so much that a higher one, or its end, counts.
+// settleTime is longer than raiseDelay.
 const settleTime = time.Second
 
-// TestRateLimitsMergeInAnyOrder draws what several instances hear of targets and what they tell each
-// other, in any order and more than once, and checks that all come to know the same once each has
-// told each.
+// TestRateLimitsMergeInAnyOrder lets several instances observe limits and exchange them, in any
+// order and repeatedly. It checks that all sets are equal once each instance has sent its limits to
+// each other one.
 func TestRateLimitsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := make([]availability.RateLimits, rapid.IntRange(2, 4).Draw(t, "instances"))
@@ -55,33 +55,33 @@
 	})
 }
 
-// TestRateLimitAnnouncements checks what counts of the limits that a target names one after the other.
+// TestRateLimitAnnouncements checks which of a target's successive announcements change its limit.
 func TestRateLimitAnnouncements(t *testing.T) {
 	const id = 7
 	now := time.Unix(1000, 0)
 	var l availability.RateLimits
 	require.True(t, l.Announce(now, now, id, 6))
-	require.False(t, l.Announce(now, now, id, 6.3), "about the same")
-	require.False(t, l.Announce(now, now, id, 60), "the lower one was heard a moment ago")
-	require.True(t, l.Announce(now, now, id, 5), "a lower one at once")
+	require.False(t, l.Announce(now, now, id, 6.3), "within minRelativeRise")
+	require.False(t, l.Announce(now, now, id, 60), "the lower limit was announced within raiseDelay")
+	require.True(t, l.Announce(now, now, id, 5), "lower limits hold at once")
 	later := now.Add(settleTime)
-	require.False(t, l.Announce(later, now, id, 60), "an answer to a request of before")
+	require.False(t, l.Announce(later, now, id, 60), "the request was sent within raiseDelay")
 	require.True(t, l.Announce(later, later, id, 60))
 	limit, limited := l.Get(id)
 	require.True(t, limited)
 	require.Equal(t, 60.0, limit.PerSecond)
-	require.False(t, l.AnnounceNone(later, later, id), "it was named a moment ago")
+	require.False(t, l.AnnounceNone(later, later, id), "the limit was announced within raiseDelay")
 	end := later.Add(settleTime)
-	require.False(t, l.AnnounceNone(end, later, id), "an answer to a request of before")
+	require.False(t, l.AnnounceNone(end, later, id), "the request was sent within raiseDelay")
 	require.True(t, l.AnnounceNone(end, end, id))
 	_, limited = l.Get(id)
 	require.False(t, limited)
-	require.False(t, l.Announce(end, later, id, 5), "an answer to a request of before its end")
-	require.True(t, l.Announce(end, end, id, 5), "named again")
+	require.False(t, l.Announce(end, later, id, 5), "the request was sent before the removal")
+	require.True(t, l.Announce(end, end, id, 5), "announced again after the removal")
 }
 
-// TestRateLimitsExpire checks that ends are remembered for a while, and limits that nobody hears
-// for longer.
+// TestRateLimitsExpire checks that tombstones expire after a short time, and limits that are not
+// refreshed after a longer one.
 func TestRateLimitsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l availability.RateLimits
@@ -91,13 +91,13 @@
 	require.True(t, l.AnnounceNone(ended, ended, 1))
 	require.Empty(t, l.Expire(ended.Add(2*time.Minute)))
 	require.Equal(t, 1, l.Len())
-	require.True(t, l.Announce(now.Add(30*time.Minute), now.Add(30*time.Minute), 2, 5), "told again in time")
+	require.True(t, l.Announce(now.Add(30*time.Minute), now.Add(30*time.Minute), 2, 5), "refreshed before it expires")
 	require.Empty(t, l.Expire(now.Add(61*time.Minute)))
 	require.Equal(t, []availability.ID{2}, l.Expire(now.Add(2*time.Hour)))
 	require.Zero(t, l.Checksum(now))
 }
 
-// TestRateLimitsRoundTrip checks that limits come out of a message as they went in.
+// TestRateLimitsRoundTrip checks that decoding returns the limits that were encoded.
 func TestRateLimitsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var list availability.RateLimitList
@@ -121,7 +121,8 @@
 	})
 }
 
-// TestMalformedRateLimits checks that limits that are cut short or no numbers are refused.
+// TestMalformedRateLimits checks that truncated limits and limits that are not finite, non-negative
+// numbers are rejected.
 func TestMalformedRateLimits(t *testing.T) {
 	raw, err := availability.RateLimitList{{ID: 1, Version: 1, PerSecond: 2}}.MarshalBinary()
 	require.NoError(t, err)
--- a/availability/self_report.go
+++ b/availability/self_report.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// SelfReport is what a target says of itself in an answer. The zero value says nothing.
+// SelfReport is what a target reports about itself along with an answer. The zero value reports
+// nothing.
 type SelfReport struct {
-	// Leaving says that the target is about to end and wants no new requests.
+	// Leaving reports that the target is about to shut down and wants no new requests.
 	Leaving bool
-	// Backoff is how long the target wants no requests from this instance, 0 if it does not
-	// ask for that.
+	// Backoff is the time for which the target wants no requests from this instance, 0 if it asks
+	// for no back-off.
 	Backoff time.Duration
-	// HasLimit says that the target names how much it takes, and Limit is the number of
-	// requests a second that it takes from all instances together.
+	// HasLimit reports whether the target announces a rate limit. RateLimit is the number of
+	// requests a second that it admits from all instances together.
 	HasLimit  bool
 	RateLimit float64
-	// Malformed are the parts of the word whose value is none that they may have.
+	// Malformed lists the fields with invalid values.
 	Malformed []Field
 }
 
-// Field is a part of a target's word.
+// Field identifies a field of a SelfReport.
 type Field string
 
-// The parts.
+// The fields of a SelfReport.
 const (
 	FieldLeaving   Field = "leaving"
 	FieldBackoff   Field = "rest"
 	FieldRateLimit Field = "limit"
 )
 
-// IsMalformed tells whether a part of the word can't be read.
+// IsMalformed reports whether a field has an invalid value.
 func (r SelfReport) IsMalformed(field Field) bool { return slices.Contains(r.Malformed, field) }
 
-// Restricts tells whether the word keeps requests of this instance from the target, all or some.
+// Restricts reports whether the target restricts the requests of this instance, fully or by a rate.
 func (r SelfReport) Restricts() bool { return r.Leaving || r.Backoff > 0 || r.HasLimit }
--- a/availability/state.go
+++ b/availability/state.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Cause is what keeps requests from a target.
+// Cause is the reason why a target gets no requests.
 type Cause string
 
-// The causes, the most lasting first. The last three are set by who counts the requests at the
-// target: one request is finding out whether a target that was suspected is back, a cold target
-// has had what it bears, and one that names a limit what it takes.
+// The causes of a Verdict, the most persistent first. A State does not return the last three. They
+// are set by the code that counts the requests at the target. CauseProbing: one request probes
+// whether a suspected target has recovered. CauseCold: a cold target has received its admissible
+// rate. CauseRateLimited: the rate limit that the target announced is used up.
 const (
 	CauseNone        Cause = ""
 	CauseReplaced    Cause = "replaced"
@@ -22,50 +23,50 @@
 	CauseRateLimited Cause = "limited"
 )
 
-// Source is who has said what keeps requests from a target.
+// Source is the origin of the information that a target gets no requests.
 type Source string
 
-// The sources.
+// The sources of a Verdict.
 const (
-	// SourceList is the list of targets, or of halls that are being emptied.
+	// SourceList is the list of targets, or the list of halls that are being evacuated.
 	SourceList Source = "list"
-	// SourceOperator is the operators' table.
+	// SourceOperator is the table that operators maintain.
 	SourceOperator Source = "operator"
-	// SourceTarget is the target itself, in an answer to this instance.
+	// SourceTarget is the target itself, by a SelfReport to this instance.
 	SourceTarget Source = "word"
 	// SourcePeer is another instance.
 	SourcePeer Source = "peer"
-	// SourceLocal is what requests of this instance have met.
+	// SourceLocal is the outcome of requests of this instance.
 	SourceLocal Source = "own"
 )
 
-// Verdict says whether a target may be sent a request, and if not, what is in the way.
+// Verdict states whether a target may be sent a request, and the cause if not.
 type Verdict struct {
-	// Cause is CauseNone if the target may be sent one.
+	// Cause is CauseNone if the target may be sent a request.
 	Cause  Cause
 	Source Source
-	// Since is when the cause became known here.
+	// Since is the time at which this instance learned of the cause.
 	Since time.Time
-	// Until is when it passes, zero if nobody can tell.
+	// Until is the time at which the cause ends, zero if that is not known.
 	Until time.Time
 }
 
-// OK tells whether the target may be sent a request.
+// OK reports whether the target may be sent a request.
 func (v Verdict) OK() bool { return v.Cause == CauseNone }
 
-// maxBackoff bounds what a target may ask for. One that asks for more is asked again after
-// that time, by one request of each instance: a value that was written by mistake must not keep
-// a target from all callers for good.
+// maxBackoff bounds the back-off that a target may request. After that time one request of each
+// instance is sent to the target and may return another back-off. An erroneous value thus cannot
+// exclude a target forever.
 const maxBackoff = time.Hour
 
-// condition is a fact that keeps requests from a target. The zero value is none.
+// condition is a persistent condition that excludes a target. The zero value is inactive.
 type condition struct {
 	active bool
 	source Source
 	since  time.Time
 }
 
-// update sets the mark, unless it is, or clears it.
+// update activates or clears the condition. An active condition keeps its source and start.
 func (c *condition) update(now time.Time, source Source, set bool) {
 	switch {
 	case !set:
@@ -75,13 +76,14 @@
 	}
 }
 
-// timedCondition is a fact that keeps requests from a target until a time.
+// timedCondition is a condition that excludes a target until a certain time.
 type timedCondition struct {
 	source       Source
 	since, until time.Time
 }
 
-// extend has the span last until a time, if that is later than it does.
+// extend prolongs the condition to the given time. It does nothing if the condition lasts as long
+// already.
 func (c *timedCondition) extend(now time.Time, source Source, until time.Time) {
 	if !until.After(c.until) {
 		return
@@ -92,33 +94,33 @@
 	c.source, c.until = source, until
 }
 
-// State is what is known of one incarnation of a target. The zero value keeps nothing from
-// it. It is not safe for concurrent use.
+// State holds the conditions of one incarnation of a target. The zero value has no conditions. A
+// State is not safe for concurrent use.
 type State struct {
-	// persistent says that one of the marks is set, and until is the latest end of the
-	// spans: most targets are judged by these two alone, which come first to lie in one
-	// cache line with what comes before them.
+	// persistent reports whether a persistent condition is active, and until is the latest end of
+	// the timed conditions. For most targets only these two fields are read. They come first, so
+	// that they share a cache line with the field that precedes a State.
 	persistent bool
 	until      time.Time
 
-	// conditions is nil while there are none, as for nearly all of the thousands of targets of a large
-	// fleet.
+	// conditions is nil if there are no conditions. This saves memory, since nearly all of the
+	// thousands of targets of a large fleet have none.
 	conditions *conditions
 }
 
-// conditions are what keeps requests from a target.
+// conditions holds all conditions of a target.
 type conditions struct {
 	backoff, suspicion, pause timedCondition
 
 	replaced, gone, evacuated condition
-	// The three ways to know that a target leaves.
+	// The three sources for a target being about to leave.
 	listedLeaving, announcedLeaving, drained condition
 }
 
-// noConditions is what is read where there are none. It is never written to.
+// noConditions is read in place of a nil pointer. It must not be modified.
 var noConditions = new(conditions)
 
-// current returns what is current, to be read only.
+// current returns the conditions for reading only.
 func (s *State) current() *conditions {
 	if s.conditions == nil {
 		return noConditions
@@ -126,7 +128,7 @@
 	return s.conditions
 }
 
-// mutable returns what is known, to be changed.
+// mutable returns the conditions for modification.
 func (s *State) mutable() *conditions {
 	if s.conditions == nil {
 		s.conditions = &conditions{}
@@ -134,7 +136,7 @@
 	return s.conditions
 }
 
-// setCondition sets or clears the mark that a function returns.
+// setCondition activates or clears the condition that selectFrom returns.
 func (s *State) setCondition(now time.Time, source Source, set bool, selectFrom func(*conditions) *condition) {
 	if set || s.conditions != nil {
 		selectFrom(s.mutable()).update(now, source, set)
@@ -157,35 +159,35 @@
 	}
 }
 
-// SetListed takes in the target's entry in the list, which says whether it leaves. A target with an
-// entry is not gone.
+// SetListed records the target's entry in the list, which states whether the target is leaving. It
+// ends the condition of SetUnlisted.
 func (s *State) SetListed(now time.Time, leaving bool) {
 	s.setCondition(now, SourceList, false, func(conds *conditions) *condition { return &conds.gone })
 	s.setCondition(now, SourceList, leaving, func(conds *conditions) *condition { return &conds.listedLeaving })
 }
 
-// SetUnlisted takes in that the target is no longer in the list.
+// SetUnlisted records that the target is no longer in the list.
 func (s *State) SetUnlisted(now time.Time) {
 	s.setCondition(now, SourceList, true, func(conds *conditions) *condition { return &conds.gone })
 }
 
-// SetDrained takes in whether operators drain the target.
+// SetDrained records whether operators are draining the target.
 func (s *State) SetDrained(now time.Time, drained bool) {
 	s.setCondition(now, SourceOperator, drained, func(conds *conditions) *condition { return &conds.drained })
 }
 
-// SetEvacuated takes in whether the target's hall is being emptied.
+// SetEvacuated records whether the target's hall is being evacuated.
 func (s *State) SetEvacuated(now time.Time, evacuated bool) {
 	s.setCondition(now, SourceList, evacuated, func(conds *conditions) *condition { return &conds.evacuated })
 }
 
-// SetReplaced takes in that another target has answered at the address.
+// SetReplaced records that another target has answered at the address.
 func (s *State) SetReplaced(now time.Time) {
 	s.setCondition(now, SourceLocal, true, func(conds *conditions) *condition { return &conds.replaced })
 }
 
-// SetLeaving takes in that the target said at a time, to this or to another instance, that it
-// leaves. It reports whether that is new. Nothing takes it back.
+// SetLeaving records that the target announced, at the given time and to this or another instance,
+// that it is leaving. It reports whether this is new. The condition is never cleared.
 func (s *State) SetLeaving(at time.Time, source Source) bool {
 	if s.current().announcedLeaving.active {
 		return false
@@ -194,32 +196,35 @@
 	return true
 }
 
-// BackOff takes in that the target asks for a rest from now on. A shorter one than it has asked for
-// before changes nothing.
+// BackOff records that the target requests a back-off of the given length from now on. It does not
+// shorten an earlier back-off.
 func (s *State) BackOff(now time.Time, length time.Duration) {
 	s.mutable().backoff.extend(now, SourceTarget, now.Add(min(length, maxBackoff)))
 	s.recompute()
 }
 
-// Suspect keeps requests from the target until a time because it did not answer.
+// Suspect excludes the target until the given time because it did not answer.
 func (s *State) Suspect(now, until time.Time) {
 	s.mutable().suspicion.extend(now, SourceLocal, until)
 	s.recompute()
 }
 
-// Pause keeps requests from the target until a time.
+// Pause excludes the target until the given time.
 func (s *State) Pause(now, until time.Time, source Source) {
 	s.mutable().pause.extend(now, source, until)
 	s.recompute()
 }
 
-// InService tells whether nothing lasting keeps requests from the target: spans pass.
+// InService reports whether no persistent condition excludes the target. Timed conditions do not
+// count.
 func (s *State) InService() bool { return !s.persistent }
 
-// Available tells whether the target may be sent a request now. It is Judge(now).OK() at less cost.
+// Available reports whether the target may be sent a request now. It is a faster form of
+// Verdict(now).OK().
 func (s *State) Available(now time.Time) bool { return !s.persistent && !now.Before(s.until) }
 
-// Verdict tells whether the target may be sent a request now, and what lasts longest if not.
+// Verdict returns whether the target may be sent a request now. If not, it returns the cause that
+// lasts longest.
 func (s *State) Verdict(now time.Time) Verdict {
 	if s.persistent {
 		return s.persistentVerdict()
@@ -256,23 +261,23 @@
 	return Verdict{}
 }
 
-// SuspectedUntil returns until when the target gets nothing because it did not answer.
+// SuspectedUntil returns the end of the suspicion because the target did not answer.
 func (s *State) SuspectedUntil() time.Time { return s.current().suspicion.until }
 
-// PausedUntil returns until when the target gets nothing because it was paused.
+// PausedUntil returns the end of the pause.
 func (s *State) PausedUntil() time.Time { return s.current().pause.until }
 
-// BackoffUntil returns until when the target gets nothing because it asked for that.
+// BackoffUntil returns the end of the back-off that the target requested.
 func (s *State) BackoffUntil() time.Time { return s.current().backoff.until }
 
-// Replaced tells whether another target has answered at the address.
+// Replaced reports whether another target has answered at the address.
 func (s *State) Replaced() bool { return s.current().replaced.active }
 
-// Gone tells whether the target is no longer listed.
+// Gone reports whether the target is no longer in the list.
 func (s *State) Gone() bool { return s.current().gone.active }
 
-// Evacuated tells whether the target's hall is being emptied.
+// Evacuated reports whether the target's hall is being evacuated.
 func (s *State) Evacuated() bool { return s.current().evacuated.active }
 
-// AnnouncedLeaving tells whether the target said itself that it leaves.
+// AnnouncedLeaving reports whether the target itself announced that it is leaving.
 func (s *State) AnnouncedLeaving() bool { return s.current().announcedLeaving.active }
--- a/availability/state_test.go
+++ b/availability/state_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1000, 0)
 
-// at is a time some seconds after the start.
+// at returns the time some seconds after the start.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 func TestAnnouncedLeavingOverridesList(t *testing.T) {
@@ -20,7 +20,7 @@
 	s.SetListed(at(0), false)
 	require.True(t, s.Available(at(0)))
 	require.True(t, s.SetLeaving(at(1), availability.SourceTarget))
-	require.False(t, s.SetLeaving(at(2), availability.SourcePeer), "known")
+	require.False(t, s.SetLeaving(at(2), availability.SourcePeer), "already announced")
 	s.SetListed(at(3), false)
 	s.SetUnlisted(at(4))
 	s.SetListed(at(5), false)
@@ -40,8 +40,8 @@
 	require.True(t, s.Verdict(at(3)).OK())
 }
 
-// TestBackoffIsBounded checks that rests are kept to their end, that a shorter one changes nothing,
-// and that none is longer than an hour.
+// TestBackoffIsBounded checks that a back-off lasts until its end, that a shorter one does not
+// change it, and that none is longer than maxBackoff.
 func TestBackoffIsBounded(t *testing.T) {
 	var s availability.State
 	s.BackOff(at(0), 3*time.Second)
@@ -50,11 +50,12 @@
 	require.True(t, s.Available(at(3)))
 	s.BackOff(at(10), 1<<62)
 	require.Equal(t, at(3610), s.Verdict(at(10)).Until)
-	require.Equal(t, at(10), s.Verdict(at(10)).Since, "another rest")
+	require.Equal(t, at(10), s.Verdict(at(10)).Since, "another back-off")
 	require.True(t, s.Available(at(3610)))
 }
 
-// referenceState is a State by its definition: all that was ever said, looked through for each question.
+// referenceState is a reference implementation of State that stores all conditions and evaluates
+// them for each question.
 type referenceState struct {
 	replaced, gone, evacuated, listed, drained, announced bool
 	timed                                                 []referenceTimed
@@ -65,7 +66,7 @@
 	until time.Time
 }
 
-// causes returns what is in the way at a time.
+// causes returns the causes that hold at the given time.
 func (n *referenceState) causes(now time.Time) map[availability.Cause]bool {
 	out := make(map[availability.Cause]bool)
 	for cause, set := range map[availability.Cause]bool{
@@ -84,7 +85,8 @@
 	return out
 }
 
-// TestStateMatchesReference checks any sequence of facts against the naive reference.
+// TestStateMatchesReference applies random sequences of conditions to a State and compares it with
+// the reference.
 func TestStateMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s availability.State
@@ -129,12 +131,12 @@
 			require.Equal(t, len(causes) == 0, verdict.OK())
 			require.Equal(t, verdict.OK(), s.Available(now))
 			if !verdict.OK() {
-				require.True(t, causes[verdict.Cause], "%v of %v", verdict.Cause, causes)
+				require.True(t, causes[verdict.Cause], "cause %v, want one of %v", verdict.Cause, causes)
 				require.False(t, verdict.Since.After(now))
 			}
 			require.Equal(t, verdict.OK() || !verdict.Until.IsZero(), s.InService())
 			if !verdict.Until.IsZero() {
-				require.True(t, len(n.causes(verdict.Until)) == 0, "the last of the spans decides")
+				require.True(t, len(n.causes(verdict.Until)) == 0, "the last timed condition decides")
 			}
 		}
 	})
