--- a/ratelimit/batch.go
+++ b/ratelimit/batch.go
@@ -12,44 +12,44 @@
 type batches []batch
 
 // add takes in permits.
-func (l *batches) add(n int, until time.Time) {
+func (b *batches) add(n int, until time.Time) {
 	if n <= 0 {
 		return
 	}
-	at := len(*l)
-	for at > 0 && (*l)[at-1].expiresAt.After(until) {
+	at := len(*b)
+	for at > 0 && (*b)[at-1].expiresAt.After(until) {
 		at--
 	}
-	*l = append(*l, batch{})
-	copy((*l)[at+1:], (*l)[at:])
-	(*l)[at] = batch{count: n, expiresAt: until}
+	*b = append(*b, batch{})
+	copy((*b)[at+1:], (*b)[at:])
+	(*b)[at] = batch{count: n, expiresAt: until}
 }
 
 // expire drops the permits that have ended.
-func (l *batches) expire(now time.Time) {
-	ended := 0
-	for ended < len(*l) && !now.Before((*l)[ended].expiresAt) {
-		ended++
+func (b *batches) expire(now time.Time) {
+	expired := 0
+	for expired < len(*b) && !now.Before((*b)[expired].expiresAt) {
+		expired++
 	}
-	*l = append((*l)[:0], (*l)[ended:]...)
+	*b = append((*b)[:0], (*b)[expired:]...)
 }
 
 // count returns the number of permits that have not ended.
-func (l *batches) count(now time.Time) int {
-	l.expire(now)
+func (b *batches) count(now time.Time) int {
+	b.expire(now)
 	sum := 0
-	for _, lot := range *l {
-		sum += lot.count
+	for _, entry := range *b {
+		sum += entry.count
 	}
 	return sum
 }
 
 // take takes at most n permits out, and returns how many and until when all of them may
 // be used.
-func (l *batches) take(now time.Time, n int) (taken int, until time.Time) {
-	l.expire(now)
-	for n > taken && len(*l) > 0 {
-		first := &(*l)[0]
+func (b *batches) take(now time.Time, n int) (taken int, until time.Time) {
+	b.expire(now)
+	for n > taken && len(*b) > 0 {
+		first := &(*b)[0]
 		if taken == 0 {
 			until = first.expiresAt
 		}
@@ -57,7 +57,7 @@
 		taken += k
 		first.count -= k
 		if first.count == 0 {
-			*l = append((*l)[:0], (*l)[1:]...)
+			*b = append((*b)[:0], (*b)[1:]...)
 		}
 	}
 	return taken, until
--- a/ratelimit/hall_limit.go
+++ b/ratelimit/hall_limit.go
@@ -49,11 +49,11 @@
 // NewHallOwners returns the owners of placed limits: one of the instances of the hall, by hash,
 // or if that has none one of its region, or of all. Places are those that are not known to be
 // away.
-func NewHallOwners(self Instance, regionOf map[string]string, places []Instance) *Owners {
-	p := &hallOwners{self: self.Name, region: self.Region, regionOf: regionOf, byHall: make(map[string][]Instance), byRegion: make(map[string][]Instance), all: places}
-	for _, place := range places {
-		p.byHall[place.Hall] = append(p.byHall[place.Hall], place)
-		p.byRegion[place.Region] = append(p.byRegion[place.Region], place)
+func NewHallOwners(self Instance, regionOf map[string]string, instances []Instance) *Owners {
+	p := &hallOwners{self: self.Name, region: self.Region, regionOf: regionOf, byHall: make(map[string][]Instance), byRegion: make(map[string][]Instance), all: instances}
+	for _, instance := range instances {
+		p.byHall[instance.Hall] = append(p.byHall[instance.Hall], instance)
+		p.byRegion[instance.Region] = append(p.byRegion[instance.Region], instance)
 	}
 	return &Owners{self: self, shares: 1, hall: p}
 }
@@ -72,8 +72,8 @@
 
 // owners returns the owner owners a limit, and those who would own it if it were away.
 func (p *hallOwners) owners(name string) []Owner {
-	places := slices.Clone(p.candidates(name))
-	slices.SortFunc(places, func(a, b Instance) int {
+	instances := slices.Clone(p.candidates(name))
+	slices.SortFunc(instances, func(a, b Instance) int {
 		x, y := mix.Pair(name, a.Name), mix.Pair(name, b.Name)
 		switch {
 		case x > y:
@@ -85,8 +85,8 @@
 		}
 	})
 	owners := make([]Owner, 0, maxCandidates)
-	for _, place := range places[:min(maxCandidates, len(places))] {
-		owners = append(owners, Owner{Name: place.Name, SameRegion: place.Region == p.region})
+	for _, instance := range instances[:min(maxCandidates, len(instances))] {
+		owners = append(owners, Owner{Name: instance.Name, SameRegion: instance.Region == p.region})
 	}
 	return owners
 }
@@ -115,12 +115,12 @@
 
 // scaledDenial is how long an instance is denied that asked for a permit in vain: longer than the
 // next one takes to come if many ask, so that the questions stay in proportion to the permits.
-func (p *bucket) scaledDenial(now time.Time) time.Duration {
-	if p.limit.Rate <= 0 {
+func (b *bucket) scaledDenial(now time.Time) time.Duration {
+	if b.limit.Rate <= 0 {
 		return maxWait
 	}
-	crowd := math.Max(1, math.Min(maxDenialScale, p.demand.value(now)/p.limit.Rate))
-	return min(maxWait, time.Duration(crowd*float64(p.timeToTokens(1))))
+	scale := math.Max(1, math.Min(maxDenialScale, b.demand.value(now)/b.limit.Rate))
+	return min(maxWait, time.Duration(scale*float64(b.timeToTokens(1))))
 }
 
 // Available returns the number of permits of a limit that the holder has.
@@ -149,7 +149,7 @@
 
 // TryAcquire takes a permit that the holder has, and returns until when it may be used and what to ask
 // owners. It returns false if there is none.
-func (h *Holder) TryAcquire(now time.Time, name string) (until time.Time, asks []PermitRequest, ok bool) {
+func (h *Holder) TryAcquire(now time.Time, name string) (until time.Time, requests []PermitRequest, ok bool) {
 	a := h.account(name)
 	a.usedAt = now
 	n, until := a.permits.take(now, 1)
@@ -169,8 +169,8 @@
 		return nil
 	}
 	a.tries = 0
-	_, asks := h.askNext(now, name, a)
-	return asks
+	_, requests := h.askNext(now, name, a)
+	return requests
 }
 
 // AwaitsSameRegion tells whether an owner of the own region has been asked for permits of a limit and has
@@ -191,7 +191,7 @@
 
 // Rates returns the rates at which permits of a limit were got and spent here, in 1/s, and the owner
 // that was asked last.
-func (h *Holder) Rates(now time.Time, name string) (got, used float64, owner string) {
+func (h *Holder) Rates(now time.Time, name string) (received, used float64, owner string) {
 	a := h.accounts[name]
 	if a == nil {
 		return 0, 0, ""
--- a/ratelimit/hall_limit_test.go
+++ b/ratelimit/hall_limit_test.go
@@ -59,40 +59,40 @@
 		perSecond := float64(rapid.IntRange(1, 80).Draw(t, "limit")) / 2
 		limit := ratelimit.Limit{Rate: perSecond, Burst: perSecond / 4}
 		w := newHallSimulation(n, now)
-		gone := make(map[int]bool)
-		knows := make([]map[int]bool, n)
+		stopped := make(map[int]bool)
+		views := make([]map[int]bool, n)
 		var changed time.Time
 		for range 400 {
 			now = now.Add(50 * time.Millisecond)
 			if now.Sub(changed) > 4*time.Second && rapid.IntRange(0, 40).Draw(t, "change") == 0 {
-				who := rapid.IntRange(0, n-1).Draw(t, "who")
-				gone[who] = !gone[who]
+				changing := rapid.IntRange(0, n-1).Draw(t, "who")
+				stopped[changing] = !stopped[changing]
 				changed = now
-				if !gone[who] {
+				if !stopped[changing] {
 					// It starts again, and knows whom the others know.
-					w.issuers[who] = ratelimit.NewHallIssuer(now, false)
-					knows[who] = nil
+					w.issuers[changing] = ratelimit.NewHallIssuer(now, false)
+					views[changing] = nil
 				}
 			}
 			for i := range n {
-				late := time.Duration(i) * maxNoticeDelay / time.Duration(n)
-				if gone[i] || now.Sub(changed) < late {
+				delay := time.Duration(i) * maxNoticeDelay / time.Duration(n)
+				if stopped[i] || now.Sub(changed) < delay {
 					continue
 				}
 				view := make(map[int]bool)
-				for k, is := range gone {
+				for k, is := range stopped {
 					if is {
 						view[k] = true
 					}
 				}
-				if knows[i] == nil || fmt.Sprint(knows[i]) != fmt.Sprint(view) {
-					knows[i] = view
+				if views[i] == nil || fmt.Sprint(views[i]) != fmt.Sprint(view) {
+					views[i] = view
 					w.issuers[i].SetOwners(now, w.owners(i, view))
 				}
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "asks") {
 				to := rapid.IntRange(0, n-1).Draw(t, "to")
-				if gone[to] || knows[to] == nil {
+				if stopped[to] || views[to] == nil {
 					continue
 				}
 				reply, loans := w.issuers[to].Issue(now, limitName, limit, ratelimit.IssueRequest{From: "x", N: rapid.IntRange(1, 20).Draw(t, "n")})
@@ -170,24 +170,24 @@
 		h.SetOwners(w.owners(i, nil))
 		holders = append(holders, h)
 	}
-	numbers := make(map[string]int)
+	indexOf := make(map[string]int)
 	for i, place := range w.places {
-		numbers[place.Name] = i
+		indexOf[place.Name] = i
 	}
 	spent, asked, wanted := 0, 0, 0
-	var ask func(i int, asks []ratelimit.PermitRequest)
-	hear := func(replies ...ratelimit.Reply) {
+	var ask func(i int, requests []ratelimit.PermitRequest)
+	handleReplies := func(replies ...ratelimit.Reply) {
 		for _, r := range replies {
-			i := numbers[r.To]
+			i := indexOf[r.To]
 			_, more := holders[i].HandleReply(now, time.Unix(0, r.At), limitName, w.owners(0, nil).Of(limitName)[0].Name, r.Grant)
 			ask(i, more)
 		}
 	}
-	ask = func(i int, asks []ratelimit.PermitRequest) {
-		for _, a := range asks {
+	ask = func(i int, requests []ratelimit.PermitRequest) {
+		for _, a := range requests {
 			asked++
-			reply, _ := w.issuers[numbers[a.To.Name]].Issue(now, limitName, limit, ratelimit.IssueRequest{From: w.places[i].Name, At: a.At.UnixNano(), N: a.N})
-			hear(reply)
+			reply, _ := w.issuers[indexOf[a.To.Name]].Issue(now, limitName, limit, ratelimit.IssueRequest{From: w.places[i].Name, At: a.At.UnixNano(), N: a.N})
+			handleReplies(reply)
 		}
 	}
 	for ; now.Before(time.Unix(1000, 0).Add(length)); now = now.Add(step) {
@@ -195,8 +195,8 @@
 		for range int(1.2 * perSecond * step.Seconds()) {
 			i := wanted % instances
 			wanted++
-			_, asks, ok := holders[i].TryAcquire(now, limitName)
-			ask(i, asks)
+			_, requests, ok := holders[i].TryAcquire(now, limitName)
+			ask(i, requests)
 			if ok {
 				spent++
 				continue
@@ -204,7 +204,7 @@
 			ask(i, holders[i].Request(now, limitName))
 		}
 		for i := range instances {
-			hear(w.issuers[i].Tick(now)...)
+			handleReplies(w.issuers[i].Tick(now)...)
 		}
 	}
 	t.Logf("%d of %d wanted were sent, %d questions", spent, wanted, asked)
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -144,11 +144,11 @@
 		return Result{ID: id, Decision: Wait}, nil
 	}
 	a.tries = 0
-	answers, asks := h.askNext(now, account, a)
-	if len(answers) > 0 {
-		return answers[0], nil
+	results, requests := h.askNext(now, account, a)
+	if len(results) > 0 {
+		return results[0], nil
 	}
-	return Result{ID: id, Decision: Wait}, asks
+	return Result{ID: id, Decision: Wait}, requests
 }
 
 func (h *Holder) account(name string) *accountState {
@@ -182,14 +182,14 @@
 }
 
 // setOutstanding notes whether an owner's answer is due for an account.
-func (h *Holder) setOutstanding(a *accountState, asking bool) {
+func (h *Holder) setOutstanding(a *accountState, outstanding bool) {
 	switch {
-	case asking && !a.outstanding:
+	case outstanding && !a.outstanding:
 		h.outstanding++
-	case !asking && a.outstanding:
+	case !outstanding && a.outstanding:
 		h.outstanding--
 	}
-	a.outstanding = asking
+	a.outstanding = outstanding
 }
 
 // prefetch returns the question for permits prefetch of need, if there is to be one.
@@ -203,8 +203,8 @@
 		return nil
 	}
 	a.tries = 0
-	_, asks := h.askNext(now, account, a)
-	return asks
+	_, requests := h.askNext(now, account, a)
+	return requests
 }
 
 // requestSize is how many permits to ask for: for the requests that wait, and ahead of need.
@@ -251,11 +251,11 @@
 	return Owner{}, false
 }
 
-func (h *Holder) finishAll(a *accountState, answer Result) []Result {
+func (h *Holder) finishAll(a *accountState, result Result) []Result {
 	out := make([]Result, 0, len(a.waiting))
 	for _, id := range a.waiting {
-		answer.ID = id
-		out = append(out, answer)
+		result.ID = id
+		out = append(out, result)
 	}
 	a.waiting = a.waiting[:0]
 	return out
@@ -263,52 +263,52 @@
 
 // HandleReply takes in the answer of an owner to a question that was asked at a time. It returns
 // the ends of requests that waited, and what to ask next.
-func (h *Holder) HandleReply(now, askedAt time.Time, account, from string, issue Grant) ([]Result, []PermitRequest) {
+func (h *Holder) HandleReply(now, askedAt time.Time, account, from string, grant Grant) ([]Result, []PermitRequest) {
 	a := h.accounts[account]
 	if a == nil {
 		return nil, nil
 	}
 	delete(h.suspended, from)
-	if until := askedAt.Add(min(issue.Lifetime, maxLifetime)); issue.N > 0 && now.Before(until) {
-		a.permits.add(issue.N, until)
-		a.lifetime = issue.Lifetime
-		a.permitRate.add(now, issue.N)
+	if until := askedAt.Add(min(grant.Lifetime, maxLifetime)); grant.N > 0 && now.Before(until) {
+		a.permits.add(grant.N, until)
+		a.lifetime = grant.Lifetime
+		a.permitRate.add(now, grant.N)
 		a.denials = 0
 	}
 	due := a.outstanding && a.request.To.Name == from && a.requestedAt.Equal(askedAt)
-	if due && issue.NotOwner {
+	if due && grant.NotOwner {
 		if a.notOwnerUntil == nil {
 			a.notOwnerUntil = make(map[string]time.Time)
 		}
 		a.notOwnerUntil[from] = now.Add(notOwnerSuspension)
 		return h.askNext(now, account, a)
 	}
-	answers := h.serveWaiting(now, a)
+	results := h.serveWaiting(now, a)
 	if !due {
-		return answers, nil
+		return results, nil
 	}
-	if issue.MoreFollows {
-		a.request.N -= issue.N
+	if grant.MoreFollows {
+		a.request.N -= grant.N
 		a.deadline = now.Add(followUpTimeout)
-		return answers, nil
+		return results, nil
 	}
 	h.setOutstanding(a, false)
-	if issue.N < a.request.N {
-		a.deniedUntil = now.Add(min(max(issue.RetryAfter, minDenial), h.maxDenial))
+	if grant.N < a.request.N {
+		a.deniedUntil = now.Add(min(max(grant.RetryAfter, minDenial), h.maxDenial))
 	}
 	if len(a.waiting) == 0 {
-		return answers, nil
+		return results, nil
 	}
-	if issue.N < a.request.N {
+	if grant.N < a.request.N {
 		for _, id := range a.waiting {
-			answers = append(answers, h.deny(now, a, id))
+			results = append(results, h.deny(now, a, id))
 		}
 		a.waiting = a.waiting[:0]
-		return answers, nil
+		return results, nil
 	}
 	a.tries = 0
-	more, asks := h.askNext(now, account, a)
-	return append(answers, more...), asks
+	more, requests := h.askNext(now, account, a)
+	return append(results, more...), requests
 }
 
 // serveWaiting gives the permits held to the requests that wait.
@@ -337,9 +337,9 @@
 }
 
 // withRates adds what decided to a refusal.
-func (h *Holder) withRates(now time.Time, a *accountState, answer Result) Result {
-	answer.Owner, answer.RequestRate, answer.PermitRate = a.request.To.Name, a.requestRate.value(now), a.permitRate.value(now)
-	return answer
+func (h *Holder) withRates(now time.Time, a *accountState, result Result) Result {
+	result.Owner, result.RequestRate, result.PermitRate = a.request.To.Name, a.requestRate.value(now), a.permitRate.value(now)
+	return result
 }
 
 // EvictIdle drops what is known of accounts without requests.
@@ -358,7 +358,7 @@
 
 // OwnerUnreachable passes over an owner that refused a connection, and asks the next one for
 // the requests that wait for its answer.
-func (h *Holder) OwnerUnreachable(now time.Time, owner string) (answers []Result, asks []PermitRequest) {
+func (h *Holder) OwnerUnreachable(now time.Time, owner string) (results []Result, requests []PermitRequest) {
 	h.suspended[owner] = suspension{until: now.Add(timeoutSuspension)}
 	for name, a := range h.accounts {
 		if !a.outstanding || a.request.To.Name != owner {
@@ -368,8 +368,8 @@
 			h.setOutstanding(a, false)
 			continue
 		}
-		ended, asked := h.askNext(now, name, a)
-		answers, asks = append(answers, ended...), append(asks, asked...)
+		finished, requested := h.askNext(now, name, a)
+		results, requests = append(results, finished...), append(requests, requested...)
 	}
-	return answers, asks
+	return results, requests
 }
--- a/ratelimit/holder_test.go
+++ b/ratelimit/holder_test.go
@@ -28,27 +28,27 @@
 			return h.HandleReply(start.Add(time.Millisecond), start, "ada", "n1", ratelimit.Grant{NotOwner: true})
 		},
 		"silent": func(h *ratelimit.Holder) ([]ratelimit.Result, []ratelimit.PermitRequest) {
-			answers, asks, silent := h.Tick(start.Add(time.Second))
+			results, requests, silent := h.Tick(start.Add(time.Second))
 			require.Empty(t, silent, "it may only be late")
-			return answers, asks
+			return results, requests
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := ratelimit.NewHolder("n0")
 			h.SetOwners(twoHalls())
-			answer, asks := h.Acquire(start, 1, "ada")
-			require.Equal(t, ratelimit.Wait, answer.Decision)
-			require.Equal(t, "n1", asks[0].To.Name)
-			answers, asks := fail(h)
-			require.Empty(t, answers)
-			require.Equal(t, "n2", asks[0].To.Name)
+			result, requests := h.Acquire(start, 1, "ada")
+			require.Equal(t, ratelimit.Wait, result.Decision)
+			require.Equal(t, "n1", requests[0].To.Name)
+			results, requests := fail(h)
+			require.Empty(t, results)
+			require.Equal(t, "n2", requests[0].To.Name)
 			next := start.Add(2 * time.Millisecond)
 			if name == "silent" {
 				next = next.Add(time.Second)
 			}
-			answers, asks = h.OwnerUnreachable(next, "n2")
-			require.Empty(t, asks)
-			require.Equal(t, ratelimit.Unavailable, answers[0].Decision)
+			results, requests = h.OwnerUnreachable(next, "n2")
+			require.Empty(t, requests)
+			require.Equal(t, ratelimit.Unavailable, results[0].Decision)
 			require.Equal(t, name == "silent", h.NeedsTick())
 		})
 	}
@@ -60,16 +60,16 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
 	h.SetOwners(twoHalls())
-	_, asks := h.Acquire(start, 1, "ada")
-	answers, _ := h.HandleReply(start.Add(time.Millisecond), start, "ada", asks[0].To.Name, ratelimit.Grant{N: 2, Lifetime: time.Second})
-	require.Equal(t, ratelimit.Admit, answers[0].Decision)
-	until := answers[0].ExpiresAt
+	_, requests := h.Acquire(start, 1, "ada")
+	results, _ := h.HandleReply(start.Add(time.Millisecond), start, "ada", requests[0].To.Name, ratelimit.Grant{N: 2, Lifetime: time.Second})
+	require.Equal(t, ratelimit.Admit, results[0].Decision)
+	until := results[0].ExpiresAt
 	require.Equal(t, start.Add(time.Second), until, "from when it was asked for")
-	answer, _ := h.Acquire(until.Add(-time.Nanosecond), 2, "ada")
-	require.Equal(t, ratelimit.Admit, answer.Decision)
+	result, _ := h.Acquire(until.Add(-time.Nanosecond), 2, "ada")
+	require.Equal(t, ratelimit.Admit, result.Decision)
 	h.Release(until.Add(-time.Nanosecond), "ada", until)
-	answer, _ = h.Acquire(until, 3, "ada")
-	require.Equal(t, ratelimit.Wait, answer.Decision, "it has ended")
+	result, _ = h.Acquire(until, 3, "ada")
+	require.Equal(t, ratelimit.Wait, result.Decision, "it has ended")
 }
 
 // TestUnlistedInstanceOwnsNothing checks that an instance that the store does not list issues
@@ -77,12 +77,12 @@
 func TestUnlistedInstanceOwnsNothing(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	limit := ratelimit.Limit{Rate: 100, Burst: 100}
-	claim := ratelimit.IssueRequest{From: "n0", N: 1}
+	request := ratelimit.IssueRequest{From: "n0", N: 1}
 	i := ratelimit.NewIssuer(ratelimit.DefaultBound, start, false)
-	reply, _ := i.Issue(start, "ada", limit, claim)
+	reply, _ := i.Issue(start, "ada", limit, request)
 	require.True(t, reply.Grant.NotOwner, "before the instances are known")
 	i.SetOwners(start, twoHalls())
-	reply, _ = i.Issue(start, "ada", limit, claim)
+	reply, _ = i.Issue(start, "ada", limit, request)
 	require.True(t, reply.Grant.NotOwner, "n1 owns the hall's parts")
 	self := ratelimit.Instance{Name: "n0", Hall: "a", Region: "r"}
 	alone := ratelimit.NewOwners(ratelimit.PerHall, self, map[string]string{"a": "r", "b": "r"}, []ratelimit.Instance{self})
--- a/ratelimit/issuer.go
+++ b/ratelimit/issuer.go
@@ -143,38 +143,38 @@
 
 // Issue answers a claim of an instance of the own domain on an account whose limit is
 // given. It returns the questions to owners of other domains that follow.
-func (i *Issuer) Issue(now time.Time, account string, limit Limit, c IssueRequest) (Reply, []LoanRequest) {
-	reply := Reply{To: c.From, At: c.At, Account: account}
+func (i *Issuer) Issue(now time.Time, account string, limit Limit, request IssueRequest) (Reply, []LoanRequest) {
+	reply := Reply{To: request.From, At: request.At, Account: account}
 	if !i.ownership.owns(now, account) {
 		reply.Grant.NotOwner = true
 		return reply, nil
 	}
-	p := i.bucket(now, account, limit)
-	p.demand.add(now, c.N)
-	reply.Grant = i.grant(now, p, c.N)
-	loans := i.borrow(now, account, p)
-	if len(loans) > 0 {
-		p.loanDeadline = now.Add(maxLoanWait)
+	b := i.bucket(now, account, limit)
+	b.demand.add(now, request.N)
+	reply.Grant = i.grant(now, b, request.N)
+	requests := i.borrow(now, account, b)
+	if len(requests) > 0 {
+		b.loanDeadline = now.Add(maxLoanWait)
 	}
-	c.N -= reply.Grant.N
-	if until, ok := p.queueDeadline(now, c.N); ok {
+	request.N -= reply.Grant.N
+	if until, ok := b.queueDeadline(now, request.N); ok {
 		reply.Grant.MoreFollows = true
-		p.queue = append(p.queue, queuedRequest{IssueRequest: c, deadline: until})
-		p.queuedPermits += c.N
+		b.queue = append(b.queue, queuedRequest{IssueRequest: request, deadline: until})
+		b.queuedPermits += request.N
 		i.queued++
 	}
-	return reply, loans
+	return reply, requests
 }
 
 // queueDeadline tells whether a claim on n permits that were not there is to wait, and until
 // when: for loans under way, or for the bucket if that has enough soon.
-func (p *bucket) queueDeadline(now time.Time, n int) (time.Time, bool) {
+func (b *bucket) queueDeadline(now time.Time, n int) (time.Time, bool) {
 	switch {
 	case n == 0:
 		return time.Time{}, false
-	case now.Before(p.loanDeadline):
-		return p.loanDeadline, true
-	case p.timeToTokens(float64(p.queuedPermits+1)) <= maxRefillWait:
+	case now.Before(b.loanDeadline):
+		return b.loanDeadline, true
+	case b.timeToTokens(float64(b.queuedPermits+1)) <= maxRefillWait:
 		return now.Add(maxRefillWait), true
 	default:
 		return time.Time{}, false
@@ -182,46 +182,46 @@
 }
 
 // grant takes permits that were borrowed, since these end, then from the bucket.
-func (i *Issuer) grant(now time.Time, p *bucket, n int) Grant {
-	issue := Grant{Lifetime: p.lifetime}
-	borrowed, until := p.borrowed.take(now, n)
+func (i *Issuer) grant(now time.Time, b *bucket, n int) Grant {
+	grant := Grant{Lifetime: b.lifetime}
+	borrowed, until := b.borrowed.take(now, n)
 	if borrowed > 0 {
-		issue.Lifetime = min(issue.Lifetime, until.Sub(now))
+		grant.Lifetime = min(grant.Lifetime, until.Sub(now))
 	}
-	own := min(n-borrowed, int(p.tokens))
-	p.tokens -= float64(own)
-	issue.N = borrowed + own
+	own := min(n-borrowed, int(b.tokens))
+	b.tokens -= float64(own)
+	grant.N = borrowed + own
 	switch {
-	case issue.N >= n:
+	case grant.N >= n:
 	case i.scaleDenials:
-		issue.RetryAfter = p.scaledDenial(now)
+		grant.RetryAfter = b.scaledDenial(now)
 	default:
-		issue.RetryAfter = p.timeToTokens(1)
+		grant.RetryAfter = b.timeToTokens(1)
 	}
-	return issue
+	return grant
 }
 
 // serveQueue answers the claims that wait for loans, as far as there are permits and the loans
 // are due.
-func (i *Issuer) serveQueue(now time.Time, account string, p *bucket) []Reply {
+func (i *Issuer) serveQueue(now time.Time, account string, b *bucket) []Reply {
 	var out []Reply
-	i.refill(now, p)
-	for len(p.queue) > 0 {
-		first := &p.queue[0]
-		issue := i.grant(now, p, first.N)
-		first.N -= issue.N
-		p.queuedPermits -= issue.N
+	i.refill(now, b)
+	for len(b.queue) > 0 {
+		first := &b.queue[0]
+		grant := i.grant(now, b, first.N)
+		first.N -= grant.N
+		b.queuedPermits -= grant.N
 		due := first.N == 0 || !now.Before(first.deadline)
-		if !due && issue.N == 0 {
+		if !due && grant.N == 0 {
 			break
 		}
-		issue.MoreFollows = !due
-		out = append(out, Reply{To: first.From, At: first.At, Account: account, Grant: issue})
+		grant.MoreFollows = !due
+		out = append(out, Reply{To: first.From, At: first.At, Account: account, Grant: grant})
 		if !due {
 			break
 		}
-		p.queuedPermits -= first.N
-		p.queue = p.queue[1:]
+		b.queuedPermits -= first.N
+		b.queue = b.queue[1:]
 		i.queued--
 	}
 	return out
@@ -234,9 +234,9 @@
 // not 0.
 func (i *Issuer) Tick(now time.Time) []Reply {
 	var out []Reply
-	for account, p := range i.buckets {
-		if len(p.queue) > 0 {
-			out = append(out, i.serveQueue(now, account, p)...)
+	for account, b := range i.buckets {
+		if len(b.queue) > 0 {
+			out = append(out, i.serveQueue(now, account, b)...)
 		}
 	}
 	return out
@@ -248,23 +248,23 @@
 	if !i.ownership.owns(now, account) {
 		return Grant{NotOwner: true}
 	}
-	p := i.bucket(now, account, limit)
-	spare := p.tokens - p.demand.value(now)*lendReserveTime.Seconds()
-	given := max(0, min(n, int(spare)))
-	p.tokens -= float64(given)
-	issue := Grant{N: given, Lifetime: p.lifetime}
-	if given < n {
-		issue.RetryAfter = p.timeToTokens(1)
+	b := i.bucket(now, account, limit)
+	spare := b.tokens - b.demand.value(now)*lendReserveTime.Seconds()
+	lent := max(0, min(n, int(spare)))
+	b.tokens -= float64(lent)
+	grant := Grant{N: lent, Lifetime: b.lifetime}
+	if lent < n {
+		grant.RetryAfter = b.timeToTokens(1)
 	}
-	return issue
+	return grant
 }
 
 // timeToTokens is the time until the bucket holds k permits.
-func (p *bucket) timeToTokens(k float64) time.Duration {
-	if p.limit.Rate <= 0 {
+func (b *bucket) timeToTokens(k float64) time.Duration {
+	if b.limit.Rate <= 0 {
 		return maxWait
 	}
-	return min(maxWait, time.Duration(math.Max(0, k-p.tokens)/p.limit.Rate*float64(time.Second)))
+	return min(maxWait, time.Duration(math.Max(0, k-b.tokens)/b.limit.Rate*float64(time.Second)))
 }
 
 // maxWait bounds the times that are told.
@@ -279,26 +279,26 @@
 // account that was not asked for yet is taken to have been filled since the start, or
 // since the bucket may have come to this instance.
 func (i *Issuer) bucket(now time.Time, account string, limit Limit) *bucket {
-	p := i.buckets[account]
-	if p == nil {
+	b := i.buckets[account]
+	if b == nil {
 		since := i.ownership.changedAt
 		if since.Before(i.startedAt) {
 			since = i.startedAt
 		}
-		p = &bucket{refilledAt: since, tokens: initialTokens}
-		i.buckets[account] = p
+		b = &bucket{refilledAt: since, tokens: initialTokens}
+		i.buckets[account] = b
 	}
-	p.usedAt = now
-	p.limit = i.bound.share(limit, i.ownership.current().Shares())
-	p.lifetime = i.bound.PermitLifetime(limit)
-	i.refill(now, p)
-	return p
+	b.usedAt = now
+	b.limit = i.bound.share(limit, i.ownership.current().Shares())
+	b.lifetime = i.bound.PermitLifetime(limit)
+	i.refill(now, b)
+	return b
 }
 
 // refill fills the bucket up to now.
-func (i *Issuer) refill(now time.Time, p *bucket) {
-	p.tokens = min(p.limit.Burst, p.tokens+p.limit.Rate*now.Sub(p.refilledAt).Seconds())
-	p.refilledAt = now
+func (i *Issuer) refill(now time.Time, b *bucket) {
+	b.tokens = min(b.limit.Burst, b.tokens+b.limit.Rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
 // AccountUse is how much of an account's part is asked for.
@@ -311,9 +311,9 @@
 // Busiest returns the n accounts of whose parts most is asked for, the highest first.
 func (i *Issuer) Busiest(now time.Time, n int) []AccountUse {
 	uses := make([]AccountUse, 0, len(i.buckets))
-	for account, p := range i.buckets {
-		if p.limit.Rate > 0 {
-			uses = append(uses, AccountUse{Account: account, Utilization: p.demand.value(now) / p.limit.Rate})
+	for account, b := range i.buckets {
+		if b.limit.Rate > 0 {
+			uses = append(uses, AccountUse{Account: account, Utilization: b.demand.value(now) / b.limit.Rate})
 		}
 	}
 	slices.SortFunc(uses, func(a, b AccountUse) int {
@@ -324,8 +324,8 @@
 
 // EvictIdle drops what is known of accounts that nobody has asked for of late.
 func (i *Issuer) EvictIdle(now time.Time) {
-	for account, p := range i.buckets {
-		if now.Sub(p.usedAt) >= bucketIdleTimeout && len(p.queue) == 0 {
+	for account, b := range i.buckets {
+		if now.Sub(b.usedAt) >= bucketIdleTimeout && len(b.queue) == 0 {
 			delete(i.buckets, account)
 		}
 	}
@@ -333,18 +333,18 @@
 
 // borrow returns the questions to owners of other domains, if the part is asked for at a
 // higher rate than its permits last.
-func (i *Issuer) borrow(now time.Time, account string, p *bucket) []LoanRequest {
-	asked := p.demand.value(now)
-	held := p.tokens + p.limit.Rate*now.Sub(p.refilledAt).Seconds() + float64(p.borrowed.count(now))
-	if held >= max(1, asked*borrowThresholdTime.Seconds()) || asked < 1 || now.Sub(p.borrowedAt) < minBorrowInterval {
+func (i *Issuer) borrow(now time.Time, account string, b *bucket) []LoanRequest {
+	demand := b.demand.value(now)
+	available := b.tokens + b.limit.Rate*now.Sub(b.refilledAt).Seconds() + float64(b.borrowed.count(now))
+	if available >= max(1, demand*borrowThresholdTime.Seconds()) || demand < 1 || now.Sub(b.borrowedAt) < minBorrowInterval {
 		return nil
 	}
-	missing := max(p.queuedPermits, int(math.Ceil(asked*borrowHorizon.Seconds()-held)))
-	lenders := i.availableLenders(now, account, p)
+	missing := max(b.queuedPermits, int(math.Ceil(demand*borrowHorizon.Seconds()-available)))
+	lenders := i.availableLenders(now, account, b)
 	if missing <= 0 || len(lenders) == 0 {
 		return nil
 	}
-	p.borrowedAt = now
+	b.borrowedAt = now
 	lenders = lenders[:min(len(lenders), missing)]
 	each := min(maxLoan, (missing+len(lenders)-1)/len(lenders))
 	out := make([]LoanRequest, 0, len(lenders))
@@ -356,54 +356,54 @@
 
 // availableLenders returns the owners that may have permits to spare: those that gave some the
 // last time first.
-func (i *Issuer) availableLenders(now time.Time, account string, p *bucket) []*lender {
-	if current := i.ownership.current(); p.owners != current {
-		p.owners = current
-		p.lenders = p.lenders[:0]
+func (i *Issuer) availableLenders(now time.Time, account string, b *bucket) []*lender {
+	if current := i.ownership.current(); b.owners != current {
+		b.owners = current
+		b.lenders = b.lenders[:0]
 		for _, owner := range current.lenders(account) {
-			p.lenders = append(p.lenders, lender{Owner: owner})
+			b.lenders = append(b.lenders, lender{Owner: owner})
 		}
 	}
-	var gave, others []*lender
-	for k := range p.lenders {
-		l := &p.lenders[k]
+	var gaveLast, others []*lender
+	for k := range b.lenders {
+		l := &b.lenders[k]
 		switch {
 		case now.Before(l.emptyUntil):
 		case l.gaveLast:
-			gave = append(gave, l)
+			gaveLast = append(gaveLast, l)
 		default:
 			others = append(others, l)
 		}
 	}
-	return append(gave, others...)
+	return append(gaveLast, others...)
 }
 
 // HandleLoan takes in what a lender gave. AskedAt is when it was asked.
 // It returns the answers to claims that waited, and the questions to lenders that follow.
-func (i *Issuer) HandleLoan(now, askedAt time.Time, account, from string, issue Grant) ([]Reply, []LoanRequest) {
-	p := i.buckets[account]
-	if p == nil {
+func (i *Issuer) HandleLoan(now, askedAt time.Time, account, from string, grant Grant) ([]Reply, []LoanRequest) {
+	b := i.buckets[account]
+	if b == nil {
 		return nil, nil
 	}
-	until := askedAt.Add(min(issue.Lifetime, p.lifetime))
-	if issue.N > 0 && now.Before(until) {
-		p.borrowed.add(issue.N, until)
+	until := askedAt.Add(min(grant.Lifetime, b.lifetime))
+	if grant.N > 0 && now.Before(until) {
+		b.borrowed.add(grant.N, until)
 	}
-	for k := range p.lenders {
-		l := &p.lenders[k]
+	for k := range b.lenders {
+		l := &b.lenders[k]
 		if l.Name != from {
 			continue
 		}
-		l.gaveLast = issue.N > 0
+		l.gaveLast = grant.N > 0
 		if !l.gaveLast {
 			l.emptyUntil = now.Add(emptyLenderBackoff)
 		}
 	}
-	replies := i.serveQueue(now, account, p)
-	if p.queuedPermits == 0 || issue.N > 0 {
+	replies := i.serveQueue(now, account, b)
+	if b.queuedPermits == 0 || grant.N > 0 {
 		return replies, nil
 	}
 	// The lender had nothing to spare: the next one may have.
-	p.borrowedAt = time.Time{}
-	return replies, i.borrow(now, account, p)
+	b.borrowedAt = time.Time{}
+	return replies, i.borrow(now, account, b)
 }
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -66,13 +66,13 @@
 // NewOwners returns the owners among the places of the instances that the store lists.
 // RegionOf maps each hall to its region: the number of parts follows from it, so that all
 // instances agree on it whatever they know of each other.
-func NewOwners(division Scope, self Instance, regionOf map[string]string, places []Instance) *Owners {
+func NewOwners(scope Scope, self Instance, regionOf map[string]string, instances []Instance) *Owners {
 	byName := make(map[string]*domain)
-	own, near := division.domain(self), make(map[string]bool)
-	for _, p := range places {
-		near[p.Name] = p.Region == self.Region
-		name := division.domain(p)
-		if name != own && !division.lends() {
+	own, sameRegion := scope.domain(self), make(map[string]bool)
+	for _, p := range instances {
+		sameRegion[p.Name] = p.Region == self.Region
+		name := scope.domain(p)
+		if name != own && !scope.lends() {
 			continue
 		}
 		d := byName[name]
@@ -82,7 +82,7 @@
 		}
 		d.instances = append(d.instances, p.Name)
 	}
-	o := &Owners{self: self, shares: division.shares(regionOf, len(places)), sameRegion: near}
+	o := &Owners{self: self, shares: scope.shares(regionOf, len(instances)), sameRegion: sameRegion}
 	for _, d := range byName {
 		sort.Strings(d.instances)
 		o.domains = append(o.domains, *d)
@@ -173,10 +173,10 @@
 // its own accounts only.
 func ownerAmong(account string, names []string) string {
 	owner := ""
-	highest := uint64(0)
+	maxHash := uint64(0)
 	for _, name := range names {
-		if h := mix.Pair(account, name); owner == "" || h > highest {
-			owner, highest = name, h
+		if h := mix.Pair(account, name); owner == "" || h > maxHash {
+			owner, maxHash = name, h
 		}
 	}
 	return owner
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -191,15 +191,15 @@
 		return
 	}
 	n.lastID++
-	answer, asks := n.holder.Acquire(w.now, n.lastID, account)
+	result, requests := n.holder.Acquire(w.now, n.lastID, account)
 	n.waiting[n.lastID] = pending{account: account, since: w.now}
-	n.finish(answer)
-	n.ask(asks)
+	n.finish(result)
+	n.ask(requests)
 }
 
-func (n *node) finish(answers ...ratelimit.Result) {
+func (n *node) finish(results ...ratelimit.Result) {
 	w := n.world
-	for _, a := range answers {
+	for _, a := range results {
 		if a.Decision == ratelimit.Wait {
 			continue
 		}
@@ -220,9 +220,9 @@
 	}
 }
 
-func (n *node) ask(asks []ratelimit.PermitRequest) {
+func (n *node) ask(requests []ratelimit.PermitRequest) {
 	w := n.world
-	for _, ask := range asks {
+	for _, ask := range requests {
 		askedAt := w.now
 		if ask.To.Name == n.place.Name {
 			n.issue(ask.Account, ratelimit.IssueRequest{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
@@ -236,32 +236,32 @@
 }
 
 func (n *node) handleReply(askedAt time.Time, account, from string, issue ratelimit.Grant) {
-	answers, asks := n.holder.HandleReply(n.world.now, askedAt, account, from, issue)
-	n.finish(answers...)
-	n.ask(asks)
+	results, requests := n.holder.HandleReply(n.world.now, askedAt, account, from, issue)
+	n.finish(results...)
+	n.ask(requests)
 }
 
 // issue answers a claim, and borrows if need be.
 func (n *node) issue(account string, c ratelimit.IssueRequest) {
 	w := n.world
-	reply, loans := n.issuer.Issue(w.now, account, w.limits[account], c)
+	reply, requests := n.issuer.Issue(w.now, account, w.limits[account], c)
 	n.reply(reply)
-	n.borrow(loans)
+	n.borrow(requests)
 	n.tick()
 }
 
 // borrow asks the owners of other domains.
-func (n *node) borrow(loans []ratelimit.LoanRequest) {
+func (n *node) borrow(requests []ratelimit.LoanRequest) {
 	w := n.world
-	for _, loan := range loans {
+	for _, request := range requests {
 		askedAt, process := w.now, n.epoch
-		n.send(loan.Lender.Name, &peer.PermitRequest{Account: loan.Account, From: n.place.Name, SentAt: int64(askedAt.Sub(epoch)), N: loan.N, Borrow: true}, func(lender *node) {
-			lent := lender.issuer.Lend(w.now, loan.Account, w.limits[loan.Account], loan.N)
-			lender.send(n.place.Name, &peer.PermitGrant{Account: loan.Account, From: lender.place.Name, RequestSentAt: int64(askedAt.Sub(epoch)), Grant: lent, Borrow: true}, func(n *node) {
+		n.send(request.Lender.Name, &peer.PermitRequest{Account: request.Account, From: n.place.Name, SentAt: int64(askedAt.Sub(epoch)), N: request.N, Borrow: true}, func(lender *node) {
+			lent := lender.issuer.Lend(w.now, request.Account, w.limits[request.Account], request.N)
+			lender.send(n.place.Name, &peer.PermitGrant{Account: request.Account, From: lender.place.Name, RequestSentAt: int64(askedAt.Sub(epoch)), Grant: lent, Borrow: true}, func(n *node) {
 				if n.epoch != process {
 					return
 				}
-				replies, more := n.issuer.HandleLoan(w.now, askedAt, loan.Account, lender.place.Name, lent)
+				replies, more := n.issuer.HandleLoan(w.now, askedAt, request.Account, lender.place.Name, lent)
 				n.reply(replies...)
 				n.borrow(more)
 			})
@@ -298,9 +298,9 @@
 			return
 		}
 		n.ticking = false
-		answers, asks, _ := n.holder.Tick(n.world.now)
-		n.finish(answers...)
-		n.ask(asks)
+		results, requests, _ := n.holder.Tick(n.world.now)
+		n.finish(results...)
+		n.ask(requests)
 		n.reply(n.issuer.Tick(n.world.now)...)
 		n.tick()
 	})
--- a/ratelimit/suspension.go
+++ b/ratelimit/suspension.go
@@ -15,8 +15,8 @@
 // Tick passes over owners that have not answered in time, and asks others. It is to be called
 // often while Due says so. Silent are owners of which nothing came until they may be asked
 // again: an answer that is only late has come by then, so that the connection may carry nothing.
-func (h *Holder) Tick(now time.Time) (answers []Result, asks []PermitRequest, silent []string) {
-	silent = h.endSuspensions(now)
+func (h *Holder) Tick(now time.Time) (results []Result, requests []PermitRequest, unresponsive []string) {
+	unresponsive = h.endSuspensions(now)
 	for name, a := range h.accounts {
 		if !a.outstanding {
 			continue
@@ -29,10 +29,10 @@
 			h.setOutstanding(a, false)
 			continue
 		}
-		ended, asked := h.askNext(now, name, a)
-		answers, asks = append(answers, ended...), append(asks, asked...)
+		finished, requested := h.askNext(now, name, a)
+		results, requests = append(results, finished...), append(requests, requested...)
 	}
-	return answers, asks, silent
+	return results, requests, unresponsive
 }
 
 // NeedsTick tells whether an owner's answer is due, in time or late.
@@ -50,16 +50,16 @@
 
 // endSuspensions ends the silences that are over, and returns the owners that have not answered.
 func (h *Holder) endSuspensions(now time.Time) []string {
-	var silent []string
+	var unresponsive []string
 	for name, s := range h.suspended {
 		if now.Before(s.until) {
 			continue
 		}
 		delete(h.suspended, name)
 		if s.timedOut {
-			silent = append(silent, name)
+			unresponsive = append(unresponsive, name)
 		}
 	}
-	sort.Strings(silent)
-	return silent
+	sort.Strings(unresponsive)
+	return unresponsive
 }
--- a/ratelimit/suspension_test.go
+++ b/ratelimit/suspension_test.go
@@ -11,12 +11,12 @@
 
 // tickUntil ticks every 10 ms and returns the owners named as silent.
 func tickUntil(h *ratelimit.Holder, from, to time.Time) []string {
-	var silent []string
+	var reported []string
 	for now := from; now.Before(to); now = now.Add(10 * time.Millisecond) {
-		_, _, named := h.Tick(now)
-		silent = append(silent, named...)
+		_, _, newlyReported := h.Tick(now)
+		reported = append(reported, newlyReported...)
 	}
-	return silent
+	return reported
 }
 
 // TestLateReplyIsNotReported checks that an owner whose answer is late is not named as one whose
@@ -26,8 +26,8 @@
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
 	h.SetOwners(twoHalls())
-	_, asks := h.Acquire(start, 1, "ada")
-	require.Equal(t, "n1", asks[0].To.Name)
+	_, requests := h.Acquire(start, 1, "ada")
+	require.Equal(t, "n1", requests[0].To.Name)
 	late := start.Add(120 * time.Millisecond)
 	require.Empty(t, tickUntil(h, start, late))
 	h.HandleReply(late, start, "ada", "n1", ratelimit.Grant{N: 1, Lifetime: time.Second})
@@ -43,23 +43,23 @@
 	h.SetOwners(twoHalls())
 	for round := range 3 {
 		at := start.Add(time.Duration(round) * 10 * time.Second)
-		_, asks := h.Acquire(at, uint64(round), "ada")
-		require.Equal(t, "n1", asks[0].To.Name)
+		_, requests := h.Acquire(at, uint64(round), "ada")
+		require.Equal(t, "n1", requests[0].To.Name)
 		require.Equal(t, []string{"n1"}, tickWithReplies(h, at, "n2"))
 	}
 }
 
 // tickWithReplies ticks for two seconds, in which one of the owners answers all questions.
-func tickWithReplies(h *ratelimit.Holder, from time.Time, answers string) []string {
-	var silent []string
+func tickWithReplies(h *ratelimit.Holder, from time.Time, replier string) []string {
+	var reported []string
 	for now := from; now.Before(from.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		_, asks, named := h.Tick(now)
-		silent = append(silent, named...)
-		for _, ask := range asks {
-			if ask.To.Name == answers {
-				h.HandleReply(now, now, ask.Account, answers, ratelimit.Grant{N: ask.N, Lifetime: time.Second})
+		_, requests, newlyReported := h.Tick(now)
+		reported = append(reported, newlyReported...)
+		for _, ask := range requests {
+			if ask.To.Name == replier {
+				h.HandleReply(now, now, ask.Account, replier, ratelimit.Grant{N: ask.N, Lifetime: time.Second})
 			}
 		}
 	}
-	return silent
+	return reported
 }
