--- a/ratelimit/batch.go
+++ b/ratelimit/batch.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// batch is a number of permits that end together.
+// batch is a number of permits with the same expiry.
 type batch struct {
 	count     int
 	expiresAt time.Time
 }
 
-// batches are permits, those that end first at the front.
+// batches are permits in the order of their expiry.
 type batches []batch
 
-// add takes in permits.
+// add inserts n permits that expire at until.
 func (b *batches) add(n int, until time.Time) {
 	if n <= 0 {
 		return
@@ -25,7 +25,7 @@
 	(*b)[at] = batch{count: n, expiresAt: until}
 }
 
-// expire drops the permits that have ended.
+// expire drops the expired permits.
 func (b *batches) expire(now time.Time) {
 	expired := 0
 	for expired < len(*b) && !now.Before((*b)[expired].expiresAt) {
@@ -34,7 +34,7 @@
 	*b = append((*b)[:0], (*b)[expired:]...)
 }
 
-// count returns the number of permits that have not ended.
+// count returns the number of permits that have not expired.
 func (b *batches) count(now time.Time) int {
 	b.expire(now)
 	sum := 0
@@ -44,8 +44,8 @@
 	return sum
 }
 
-// take takes at most n permits out, and returns how many and until when all of them may
-// be used.
+// take removes up to n permits, the earliest to expire first. It returns their number and
+// the earliest expiry among them.
 func (b *batches) take(now time.Time, n int) (taken int, until time.Time) {
 	b.expire(now)
 	for n > taken && len(*b) > 0 {
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,28 +1,31 @@
-// Package ratelimit divides the limits of client accounts over the instances, without a
-// coordinator.
+// Package ratelimit enforces the rate limits of client accounts over many instances,
+// without a coordinator.
 //
-// A limit is a number of requests a second and a burst on top. It is cut into equal parts,
-// one for each domain: a set of instances that is fixed by the settings, such as a hall.
-// A domain's part of an account belongs to one instance, its owner, which follows from
-// the account's name and the instances that the store lists in the domain. The owner fills
-// a token bucket at the part's rate and issues permits from it. A permit is the right to
-// one request within the permit's life. An instance that has a request of an account
-// takes a permit that it holds, or asks the owner in its own domain.
+// A limit is a number of requests per second plus a burst. It is divided into equal
+// shares, one for each domain. A domain is a set of instances that follows from the
+// settings, such as the instances of one hall. In each domain, one instance owns an
+// account's share. The owner is chosen by rendezvous hashing of the account's name over
+// the instances that the store lists in the domain. The owner fills a token bucket at the
+// rate of the share and issues permits from it. A permit is the right to send one request
+// within the permit's lifetime. An instance that receives a request of an account uses a
+// permit that it holds, or requests permits from the owner in its own domain.
 //
-// An owner whose part does not carry what it is asked for borrows: it asks the owners of
-// the other domains for permits, as an instance would, and issues these within what is
-// left of their life.
+// An owner whose share does not cover its domain's demand borrows: it requests permits
+// from the owners of the other domains and issues them within their remaining lifetime.
 //
-// No permit is issued twice, and a permit that is lost is used by nobody, so that in any
-// window the permits used are at most those that the buckets held at its start and were
-// filled with during it, and those issued within a permit's life before it. That holds
-// whatever is cut off, paused, killed or late; what can't reach an owner goes without. An
-// instance that has just started begins with empty buckets.
+// No permit is issued twice, and a lost permit is not used by any instance. In any window,
+// the permits used are therefore at most the sum of three parts: those that the buckets
+// held at the start of the window, those that the buckets were filled with during it, and
+// those issued within one permit lifetime before it. This bound holds through network
+// partitions, pauses and crashes of processes, and delayed messages. An instance that
+// cannot reach an owner gets no permits. The buckets of an instance that has just started
+// are empty.
 //
-// Placed limits are those of something in a hall, such as how much a target takes. They are not
-// cut: all belongs to one instance of the hall, and after it, should it be away, to the next one
-// by hash, once the permits of the last one have ended. Nothing is lent.
+// Hall limits apply to something in one hall, such as the rate that a target accepts. They
+// are not divided: one instance of the hall owns the whole limit. If it becomes
+// unavailable, ownership passes to the next instance by hash as soon as the permits of the
+// former owner have expired. Hall limits are not lent.
 //
-// Everything here is pure: time and randomness come in as arguments, and messages are
-// returned.
+// The package is pure: time and random numbers are passed in as arguments, and messages
+// are returned to the caller.
 package ratelimit
--- a/ratelimit/hall_limit.go
+++ b/ratelimit/hall_limit.go
@@ -9,46 +9,48 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// HallLimitSeparator divides the hall from the rest of the name of a placed limit. It is in no name.
+// HallLimitSeparator separates the hall from the rest of the name of a hall limit. Names do
+// not contain it.
 const HallLimitSeparator = "\x00"
 
-// HallLimitName returns the name of the limit of something in a hall, as holders and issuers of
-// placed limits take it.
+// HallLimitName returns the name of a limit in a hall, as used with holders and issuers of
+// hall limits.
 func HallLimitName(hall, name string) string { return hall + HallLimitSeparator + name }
 
-// HallBound is what is promised of placed limits: in any four seconds a tenth and two requests
-// more than the limit.
+// HallBound is the bound of hall limits: in any four seconds, at most a tenth and two requests
+// more than the limit allows.
 var HallBound = Bound{Window: 4 * time.Second, Overshoot: 0.1, Slack: 2}
 
 const (
-	// hallHandoverDelay is how long after a change of the instances a new owner of a placed limit
-	// issues nothing: the permits of the last one have ended by then, and all instances that
-	// reach each other have heard what it has heard.
+	// hallHandoverDelay is the handover delay of hall limits. By its end, the permits of the
+	// former owner have expired, and all instances that reach each other have received the
+	// same updates.
 	hallHandoverDelay = 2 * time.Second
-	// maxHallDenial bounds the time for which an instance that got no permit of a placed
-	// limit refuses without asking again.
+	// maxHallDenial is the longest time for which an instance that was denied a permit of
+	// a hall limit sends no new permit request.
 	maxHallDenial = time.Second
-	// maxDenialScale bounds how many times longer than a permit takes to come those are denied that
-	// ask for one in vain.
+	// maxDenialScale is the largest factor between the length of a denial and the time
+	// until the next permit.
 	maxDenialScale = 20
-	// maxCandidates is the number of owners that are asked one after the other. All but one say that
-	// they are not, unless they know of fewer instances than the asker.
+	// maxCandidates is the number of instances that are tried one after the other. Only
+	// the owner grants permits. A candidate that knows of fewer instances than the
+	// requesting instance may also consider itself the owner.
 	maxCandidates = maxTries
 )
 
-// hallOwners knows who may own a placed limit.
+// hallOwners computes the owners of hall limits.
 type hallOwners struct {
 	self     string
 	region   string
 	regionOf map[string]string
-	// byHall, byRegion and all are the instances of each hall, of each region, and all.
+	// byHall and byRegion are the instances of each hall and region, all is every instance.
 	byHall, byRegion map[string][]Instance
 	all              []Instance
 }
 
-// NewHallOwners returns the owners of placed limits: one of the instances of the hall, by hash,
-// or if that has none one of its region, or of all. Places are those that are not known to be
-// away.
+// NewHallOwners returns the owners of hall limits. The owner is chosen by hash among the
+// instances of the hall, or of the hall's region if the hall has none, or of all regions if
+// the region has none. Instances are those that are not known to be unavailable.
 func NewHallOwners(self Instance, regionOf map[string]string, instances []Instance) *Owners {
 	p := &hallOwners{self: self.Name, region: self.Region, regionOf: regionOf, byHall: make(map[string][]Instance), byRegion: make(map[string][]Instance), all: instances}
 	for _, instance := range instances {
@@ -58,7 +60,7 @@
 	return &Owners{self: self, shares: 1, hall: p}
 }
 
-// candidates returns the instances one of which owns a limit.
+// candidates returns the instances among which the owner of a limit is chosen.
 func (p *hallOwners) candidates(name string) []Instance {
 	hall, _, _ := strings.Cut(name, HallLimitSeparator)
 	if in := p.byHall[hall]; len(in) > 0 {
@@ -70,7 +72,7 @@
 	return p.all
 }
 
-// owners returns the owner owners a limit, and those who would own it if it were away.
+// owners returns the owner of a limit, followed by its successors.
 func (p *hallOwners) owners(name string) []Owner {
 	instances := slices.Clone(p.candidates(name))
 	slices.SortFunc(instances, func(a, b Instance) int {
@@ -91,21 +93,21 @@
 	return owners
 }
 
-// owns tells whether this instance owns a limit.
+// owns reports whether this instance owns a limit.
 func (p *hallOwners) owns(name string) bool {
 	owners := p.owners(name)
 	return len(owners) > 0 && owners[0].Name == p.self
 }
 
-// NewHallHolder returns a holder of permits of placed limits for the instance of a name.
+// NewHallHolder returns a holder of hall-limit permits for the named instance.
 func NewHallHolder(name string) *Holder {
 	h := NewHolder(name)
 	h.maxDenial = maxHallDenial
 	return h
 }
 
-// NewHallIssuer returns the issuer of placed limits of a process that started at a time, maybe
-// with the whole system for the first time.
+// NewHallIssuer returns the issuer of hall limits of a process that started at startedAt.
+// FirstStart is true if the whole system starts for the first time.
 func NewHallIssuer(startedAt time.Time, firstStart bool) *Issuer {
 	i := NewIssuer(HallBound, startedAt, firstStart)
 	i.ownership.handoverDelay = hallHandoverDelay
@@ -113,8 +115,9 @@
 	return i
 }
 
-// scaledDenial is how long an instance is denied that asked for a permit in vain: longer than the
-// next one takes to come if many ask, so that the questions stay in proportion to the permits.
+// scaledDenial returns how long an instance is denied permits. It is longer than the time until
+// the next permit if the demand exceeds the limit, so that the number of permit requests stays
+// in proportion to the permits.
 func (b *bucket) scaledDenial(now time.Time) time.Duration {
 	if b.limit.Rate <= 0 {
 		return maxWait
@@ -132,12 +135,12 @@
 	return a.permits.count(now)
 }
 
-// unusedAfter is the age from which on a permit is left over: the request that it was asked for has
-// gone elsewhere.
+// unusedAfter is the age at which a permit counts as unused: the request that it was requested
+// for has been sent elsewhere.
 const unusedAfter = 100 * time.Millisecond
 
-// HasSpare tells whether the holder has a permit of a limit that nobody waits for: more than one, or
-// one that is left over.
+// HasSpare reports whether the holder has a permit of a limit that no request waits for. This is
+// the case with more than one permit, or with one that is at least unusedAfter old.
 func (h *Holder) HasSpare(now time.Time, name string) bool {
 	a := h.accounts[name]
 	if a == nil {
@@ -147,8 +150,8 @@
 	return n > 1 || n == 1 && a.permits[0].expiresAt.Sub(now) <= a.lifetime-unusedAfter
 }
 
-// TryAcquire takes a permit that the holder has, and returns until when it may be used and what to ask
-// owners. It returns false if there is none.
+// TryAcquire takes a permit from the holder. It returns the permit's expiry and the permit
+// requests to send. Ok is false if the holder has no permit.
 func (h *Holder) TryAcquire(now time.Time, name string) (until time.Time, requests []PermitRequest, ok bool) {
 	a := h.account(name)
 	a.usedAt = now
@@ -160,8 +163,8 @@
 	return until, h.prefetch(now, name, a), true
 }
 
-// Request asks for a permit of a limit, unless there is one, an owner has been asked, or one has
-// denied it a moment ago.
+// Request returns a permit request for a limit. It returns none if the holder has a permit, a
+// permit request is outstanding, or the last one was denied a moment ago.
 func (h *Holder) Request(now time.Time, name string) []PermitRequest {
 	a := h.account(name)
 	a.usedAt = now
@@ -173,14 +176,13 @@
 	return requests
 }
 
-// AwaitsSameRegion tells whether an owner of the own region has been asked for permits of a limit and has
-// not answered.
+// AwaitsSameRegion reports whether a permit request to an owner in the own region is outstanding.
 func (h *Holder) AwaitsSameRegion(name string) bool {
 	a := h.accounts[name]
 	return a != nil && a.outstanding && a.request.To.SameRegion
 }
 
-// DeniedUntil returns until when no permit of a limit is asked for, as one was denied.
+// DeniedUntil returns the time until which no permit of a limit is requested after a denial.
 func (h *Holder) DeniedUntil(name string) time.Time {
 	a := h.accounts[name]
 	if a == nil {
@@ -189,8 +191,8 @@
 	return a.deniedUntil
 }
 
-// Rates returns the rates at which permits of a limit were got and spent here, in 1/s, and the owner
-// that was asked last.
+// Rates returns the rates at which permits of a limit were received and used at this instance,
+// in 1/s, and the owner to which the last permit request was sent.
 func (h *Holder) Rates(now time.Time, name string) (received, used float64, owner string) {
 	a := h.accounts[name]
 	if a == nil {
--- a/ratelimit/hall_limit_test.go
+++ b/ratelimit/hall_limit_test.go
@@ -13,13 +13,13 @@
 
 const (
 	limitHall = "a1"
-	// maxNoticeDelay is how long after an instance goes or is back all others know.
+	// maxNoticeDelay is the time within which all instances learn of a change.
 	maxNoticeDelay = time.Second
 )
 
 var limitName = ratelimit.HallLimitName(limitHall, "t")
 
-// hallSimulation is instances of one hall that issue permits of one limit.
+// hallSimulation simulates instances of one hall that issue permits of one limit.
 type hallSimulation struct {
 	issuers []*ratelimit.Issuer
 	places  []ratelimit.Instance
@@ -38,7 +38,7 @@
 	return w
 }
 
-// owners returns the owners as an instance knows them that takes others to be away.
+// owners returns the owners from the view of an instance that considers others unavailable.
 func (w *hallSimulation) owners(self int, away map[int]bool) *ratelimit.Owners {
 	var places []ratelimit.Instance
 	for i, p := range w.places {
@@ -49,9 +49,10 @@
 	return ratelimit.NewHallOwners(w.places[self], map[string]string{limitHall: "a"}, places)
 }
 
-// TestHallLimitHoldsThroughOwnerChanges draws which instances go and come back, when each of the others
-// knows of that, and who asks whom, also instances that are not the owner for anybody, and checks
-// that all together never issue more in any window than one and a half times the limit and five.
+// TestHallLimitHoldsThroughOwnerChanges stops and restarts random instances. The others learn of
+// it at different times, and permits are requested from random instances, including ones that
+// are not the owner. In any window, all instances together must issue at most one and a half
+// times the limit plus five permits.
 func TestHallLimitHoldsThroughOwnerChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -69,7 +70,7 @@
 				stopped[changing] = !stopped[changing]
 				changed = now
 				if !stopped[changing] {
-					// It starts again, and knows whom the others know.
+					// The instance restarts and receives the others' view.
 					w.issuers[changing] = ratelimit.NewHallIssuer(now, false)
 					views[changing] = nil
 				}
@@ -96,7 +97,7 @@
 					continue
 				}
 				reply, loans := w.issuers[to].Issue(now, limitName, limit, ratelimit.IssueRequest{From: "x", N: rapid.IntRange(1, 20).Draw(t, "n")})
-				require.Empty(t, loans, "nothing is lent")
+				require.Empty(t, loans, "hall limits are not lent")
 				for range reply.Grant.N {
 					w.issued = append(w.issued, now)
 				}
@@ -120,8 +121,9 @@
 	})
 }
 
-// TestHallOwnerIsNearest checks that a limit belongs to an instance of its hall, or if there is none
-// to one of the region, or of all, and that one that joins takes over few.
+// TestHallOwnerIsNearest checks that the owner is an instance of the limit's hall, or of the
+// region if the hall has none, or of any region otherwise. It also checks that an instance that
+// joins takes over few limits.
 func TestHallOwnerIsNearest(t *testing.T) {
 	regionOf := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	place := func(name, hall string) ratelimit.Instance {
@@ -152,8 +154,8 @@
 	require.InDelta(t, 100, moved, 40)
 }
 
-// TestHighRateNeedsFewRequests checks that a limit of thousands a second that 74 instances use is
-// kept and used, at a small part of a question for each request.
+// TestHighRateNeedsFewRequests checks that a limit of thousands of requests per second used by
+// 74 instances is enforced and almost fully used, with few permit requests per request.
 func TestHighRateNeedsFewRequests(t *testing.T) {
 	const (
 		perSecond = 4000.0
@@ -191,7 +193,7 @@
 		}
 	}
 	for ; now.Before(time.Unix(1000, 0).Add(length)); now = now.Add(step) {
-		// A fifth more is wanted than the limit allows, by all in turn.
+		// The instances in turn want a fifth more than the limit allows.
 		for range int(1.2 * perSecond * step.Seconds()) {
 			i := wanted % instances
 			wanted++
@@ -207,7 +209,7 @@
 			handleReplies(w.issuers[i].Tick(now)...)
 		}
 	}
-	t.Logf("%d of %d wanted were sent, %d questions", spent, wanted, asked)
+	t.Logf("%d of %d requests were sent, with %d permit requests", spent, wanted, asked)
 	require.LessOrEqual(t, float64(spent), perSecond*length.Seconds()*1.1+2+perSecond/4)
 	require.GreaterOrEqual(t, float64(spent), 0.9*perSecond*length.Seconds())
 	require.LessOrEqual(t, asked, spent/4)
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -8,110 +8,114 @@
 )
 
 const (
-	// sameRegionTimeout and farTimeout are how long the answer of an owner of the own or of
-	// another region is waited for. Between regions the way there and back takes 70 to
-	// 110 ms.
+	// sameRegionTimeout and crossRegionTimeout are how long a holder waits for the reply
+	// of an owner in its own region or in another one. A round trip between regions takes
+	// 70 to 110 ms.
 	sameRegionTimeout  = 50 * time.Millisecond
 	crossRegionTimeout = 150 * time.Millisecond
-	// followUpTimeout is how long the next answer of an owner is waited for that said that
-	// another one follows.
+	// followUpTimeout is how long a holder waits for the next reply after a grant with
+	// MoreFollows.
 	followUpTimeout = maxLoanWait + sameRegionTimeout
-	// maxTries bounds the owners that are asked for one request.
+	// maxTries is the largest number of owners that are tried for one request.
 	maxTries = 3
-	// timeoutSuspension is how long an owner that did not answer is passed over, and foreignFor
-	// how long one that says that it does not own the part.
+	// timeoutSuspension is how long an owner that did not reply in time is skipped.
+	// notOwnerSuspension is how long an instance that does not own the share is skipped.
 	timeoutSuspension  = time.Second
 	notOwnerSuspension = 500 * time.Millisecond
 
-	// prefetchTime is the time for which permits are asked for ahead of need, and lowShare
-	// the part of them below which more are asked for.
+	// prefetchTime is the time for which permits are requested ahead of need.
+	// prefetchThreshold is the fraction of these permits below which more are requested.
 	prefetchTime      = 250 * time.Millisecond
 	prefetchThreshold = 0.4
-	// minPrefetchRequests is the number of requests in a permit's life from which on permits are
-	// asked for ahead of need. Of fewer requests many would come too late for theirs.
+	// minPrefetchRequests is the number of requests within a permit's lifetime from which
+	// on permits are prefetched. At a lower rate, many prefetched permits would expire
+	// unused.
 	minPrefetchRequests = 3
 
-	// minDenial and mostDenial bound the time for which an instance that got none
-	// refuses without asking again.
+	// minDenial and maxDenial bound the time for which an instance refuses requests
+	// without a new permit request after it was denied a permit.
 	minDenial = 10 * time.Millisecond
 	maxDenial = 100 * time.Millisecond
-	// minPermitRate bounds the rate of permits that a forecast is made from, in 1/s.
+	// minPermitRate is the lowest permit rate, in 1/s, that a forecast uses.
 	minPermitRate = 0.5
-	// accountIdleTimeout is when an account without requests is forgotten.
+	// accountIdleTimeout is the time without requests after which an account's state is
+	// dropped.
 	accountIdleTimeout = 30 * time.Second
 )
 
-// Decision is the kind of an answer to a request for a permit.
+// Decision is the decision on a request of an account.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
 	// Admit means that the request has a permit.
 	Admit Decision = iota
-	// Wait means that an owner is asked; an Answer with the request's ID follows unless it
-	// is cancelled.
+	// Wait means that an owner has been sent a permit request. A Result with the request's
+	// ID follows unless the request is cancelled.
 	Wait
-	// Refuse means that the account is beyond its limit.
+	// Refuse means that the account is over its limit.
 	Refuse
-	// Unavailable means that no owner could be asked.
+	// Unavailable means that there is no owner to send a permit request to.
 	Unavailable
 )
 
-// Result ends a request for a permit.
+// Result is the decision on a request, with its reasons.
 type Result struct {
 	ID       uint64
 	Decision Decision
-	// ExpiresAt is how long the permit may be used.
+	// ExpiresAt is the time until which the permit may be used.
 	ExpiresAt time.Time
-	// RetryAfter is when there is room again, after a refusal.
+	// RetryAfter is the time until a permit is expected, if the request was refused.
 	RetryAfter time.Duration
-	// Owner is the instance that was asked last, Used the rate of the account's requests
-	// here and Got that of permits, in 1/s, to explain a refusal.
+	// Owner is the instance to which the last permit request was sent. RequestRate is the
+	// rate of the account's requests at this instance and PermitRate that of the permits
+	// received, both in 1/s. They explain a refusal.
 	Owner                   string
 	RequestRate, PermitRate float64
 }
 
-// PermitRequest is a question to the owner of an account's part.
+// PermitRequest is a request for permits to the owner of an account's share.
 type PermitRequest struct {
 	Account string
 	To      Owner
 	N       int
-	// At is when it is asked. The answer is told by it.
+	// At is the time of the request. It identifies the request in the reply.
 	At time.Time
 }
 
-// Holder holds the permits of an instance. It is not safe for concurrent use.
+// Holder holds the permits of one instance. It is not safe for concurrent use.
 type Holder struct {
 	owners   *Owners
 	accounts map[string]*accountState
-	// outstanding is the number of accounts whose owner's answer is due.
+	// outstanding is the number of accounts with an outstanding permit request.
 	outstanding int
-	// suspended are of the owners that are passed over, by name.
+	// suspended are the owners that are skipped, by name.
 	suspended map[string]suspension
-	// salt tells the instances' drawn times apart.
+	// salt makes the jitter of waiting times differ between instances.
 	salt uint64
-	// maxDenial bounds the time for which an instance that got none refuses without asking.
+	// maxDenial is the longest time for which this holder refuses requests after a denial.
 	maxDenial time.Duration
 }
 
-// accountState is what an instance knows of one account.
+// accountState is the state of one account at a holder.
 type accountState struct {
 	permits batches
-	// lifetime is that of the last permits.
+	// lifetime is the lifetime of the permits received last.
 	lifetime time.Duration
-	// requestRate is the rate of requests, and permitRate that of permits.
+	// requestRate is the rate of requests (for hall limits, of permits used), permitRate
+	// that of permits received.
 	requestRate, permitRate rateEstimate
 	waiting                 []uint64
-	// outstanding is set while an owner's answer is due.
+	// outstanding is set while a permit request awaits its reply.
 	outstanding bool
 	request     PermitRequest
 	requestedAt time.Time
-	// deadline is when the answer should be there.
+	// deadline is the time at which the outstanding request times out.
 	deadline time.Time
 	tries    int
 
 	deniedUntil time.Time
-	// denials is the number of requests refused since the last permit.
+	// denials is the number of requests refused since permits were last received.
 	denials int
 
 	owners        []Owner
@@ -120,15 +124,16 @@
 	usedAt        time.Time
 }
 
-// NewHolder returns a holder without permits for the instance of a name.
+// NewHolder returns a holder without permits for the named instance.
 func NewHolder(name string) *Holder {
 	return &Holder{accounts: make(map[string]*accountState), suspended: make(map[string]suspension), salt: mix.Hash(name), maxDenial: maxDenial}
 }
 
-// SetOwners puts owners in force.
+// SetOwners replaces the owners.
 func (h *Holder) SetOwners(owners *Owners) { h.owners = owners }
 
-// Acquire asks for a permit for a request of an account, and returns what to ask owners.
+// Acquire acquires a permit for a request of an account. It returns the decision and the
+// permit requests to send.
 func (h *Holder) Acquire(now time.Time, id uint64, account string) (Result, []PermitRequest) {
 	a := h.account(account)
 	a.usedAt = now
@@ -160,14 +165,15 @@
 	return a
 }
 
-// Release gives back the permit of a request that was not sent.
+// Release returns the permit of a request that was not sent. The permit can be used again
+// until it expires.
 func (h *Holder) Release(now time.Time, account string, until time.Time) {
 	if a := h.accounts[account]; a != nil && now.Before(until) {
 		a.permits.add(1, until)
 	}
 }
 
-// Cancel ends the wait of a request.
+// Cancel removes a waiting request.
 func (h *Holder) Cancel(account string, id uint64) {
 	a := h.accounts[account]
 	if a == nil {
@@ -181,7 +187,7 @@
 	}
 }
 
-// setOutstanding notes whether an owner's answer is due for an account.
+// setOutstanding records whether an account has an outstanding permit request.
 func (h *Holder) setOutstanding(a *accountState, outstanding bool) {
 	switch {
 	case outstanding && !a.outstanding:
@@ -192,7 +198,7 @@
 	a.outstanding = outstanding
 }
 
-// prefetch returns the question for permits prefetch of need, if there is to be one.
+// prefetch returns a request for permits ahead of need if the permits held run low.
 func (h *Holder) prefetch(now time.Time, account string, a *accountState) []PermitRequest {
 	used := a.requestRate.value(now)
 	if a.outstanding || now.Before(a.deniedUntil) || used*a.lifetime.Seconds() < minPrefetchRequests {
@@ -207,7 +213,8 @@
 	return requests
 }
 
-// requestSize is how many permits to ask for: for the requests that wait, and ahead of need.
+// requestSize returns the number of permits to request: one for each waiting request, plus
+// those to prefetch.
 func (h *Holder) requestSize(now time.Time, a *accountState) int {
 	used := a.requestRate.value(now)
 	n := len(a.waiting)
@@ -217,7 +224,8 @@
 	return max(n, 1)
 }
 
-// askNext asks the askNext owner, or ends the wait of all requests if there is none left.
+// askNext sends a permit request to the next owner. If no owner is left, it ends the wait of
+// all requests.
 func (h *Holder) askNext(now time.Time, account string, a *accountState) ([]Result, []PermitRequest) {
 	owner, ok := h.nextOwner(now, account, a)
 	if !ok || a.tries >= maxTries {
@@ -234,7 +242,7 @@
 	return nil, []PermitRequest{a.request}
 }
 
-// nextOwner returns the nearest owner that is not known to be of no use.
+// nextOwner returns the nearest owner that is not skipped after a timeout or a NotOwner reply.
 func (h *Holder) nextOwner(now time.Time, account string, a *accountState) (Owner, bool) {
 	if h.owners == nil {
 		return Owner{}, false
@@ -261,8 +269,8 @@
 	return out
 }
 
-// HandleReply takes in the answer of an owner to a question that was asked at a time. It returns
-// the ends of requests that waited, and what to ask next.
+// HandleReply processes an owner's reply to a permit request that was sent at askedAt. It
+// returns the results of waiting requests and the permit requests to send next.
 func (h *Holder) HandleReply(now, askedAt time.Time, account, from string, grant Grant) ([]Result, []PermitRequest) {
 	a := h.accounts[account]
 	if a == nil {
@@ -311,7 +319,7 @@
 	return append(results, more...), requests
 }
 
-// serveWaiting gives the permits held to the requests that wait.
+// serveWaiting gives the available permits to waiting requests.
 func (h *Holder) serveWaiting(now time.Time, a *accountState) []Result {
 	var out []Result
 	for len(a.waiting) > 0 {
@@ -325,9 +333,9 @@
 	return out
 }
 
-// deny refuses a request. It is told to come back when those refused before it are served,
-// at the rate at which permits come, and spread so that those refused together do not come
-// together.
+// deny refuses a request. RetryAfter is the time until the requests refused before it have
+// been served at the current permit rate, plus jitter so that requests that were refused
+// together are not retried together.
 func (h *Holder) deny(now time.Time, a *accountState, id uint64) Result {
 	a.denials++
 	wait := a.deniedUntil.Sub(now).Seconds() + float64(a.denials)/max(a.permitRate.value(now), minPermitRate)
@@ -336,13 +344,14 @@
 	return h.withRates(now, a, Result{ID: id, Decision: Refuse, RetryAfter: max(after, minDenial)})
 }
 
-// withRates adds what decided to a refusal.
+// withRates adds the owner and the rates to a result.
 func (h *Holder) withRates(now time.Time, a *accountState, result Result) Result {
 	result.Owner, result.RequestRate, result.PermitRate = a.request.To.Name, a.requestRate.value(now), a.permitRate.value(now)
 	return result
 }
 
-// EvictIdle drops what is known of accounts without requests.
+// EvictIdle drops the state of accounts without recent requests, and suspensions that have
+// ended.
 func (h *Holder) EvictIdle(now time.Time) {
 	for name, a := range h.accounts {
 		if !a.outstanding && now.Sub(a.usedAt) >= accountIdleTimeout {
@@ -356,8 +365,8 @@
 	}
 }
 
-// OwnerUnreachable passes over an owner that refused a connection, and asks the next one for
-// the requests that wait for its answer.
+// OwnerUnreachable suspends an owner that refused a connection, and sends the permit requests
+// that it left unanswered to the next owner.
 func (h *Holder) OwnerUnreachable(now time.Time, owner string) (results []Result, requests []PermitRequest) {
 	h.suspended[owner] = suspension{until: now.Add(timeoutSuspension)}
 	for name, a := range h.accounts {
--- a/ratelimit/issuer.go
+++ b/ratelimit/issuer.go
@@ -8,53 +8,58 @@
 )
 
 const (
-	// lendReserveTime is the time for which an owner keeps permits for its own domain before
-	// it lends any, at the rate at which its domain asks.
+	// lendReserveTime is the time for which an owner keeps permits for its own domain, at
+	// the domain's request rate, before it lends any.
 	lendReserveTime = 100 * time.Millisecond
-	// borrowThresholdTime is the time for which the permits of an owner have to last, at the rate at
-	// which its domain asks. With fewer it borrows: the answer from another region takes
-	// about half of that.
+	// borrowThresholdTime is the time for which an owner's permits have to last at the
+	// request rate of its domain. An owner with fewer permits borrows. A reply from
+	// another region takes about half of this time.
 	borrowThresholdTime = 200 * time.Millisecond
-	// borrowHorizon is the time for which it borrows.
+	// borrowHorizon is the time for which an owner borrows, at the domain's request rate.
 	borrowHorizon = 300 * time.Millisecond
-	// minBorrowInterval is the shortest time between two loans of an account, and emptyFor how
-	// long a lender that had nothing to spare is passed over.
+	// minBorrowInterval is the shortest time between two loans of an account.
+	// emptyLenderBackoff is how long a lender that had no spare permits is skipped.
 	minBorrowInterval  = 100 * time.Millisecond
 	emptyLenderBackoff = 300 * time.Millisecond
-	// maxRefillWait is how long claims wait for the bucket to be filled.
+	// maxRefillWait is how long requests wait for the bucket to be refilled.
 	maxRefillWait = 50 * time.Millisecond
-	// maxLoanWait is how long claims wait for loans: the way to another region and back.
+	// maxLoanWait is how long requests wait for loans. It covers a round trip to another
+	// region.
 	maxLoanWait = 120 * time.Millisecond
-	// maxLoan bounds the permits that are borrowed from one lender at once.
+	// maxLoan is the largest number of permits requested from one lender at once.
 	maxLoan = 1000
-	// bucketIdleTimeout is when the bucket of an account that nobody asks for is dropped. It
-	// is full by then unless the account's burst takes longer to fill.
+	// bucketIdleTimeout is the time without requests after which an account's bucket is
+	// dropped. The bucket is full by then, unless the account's burst takes longer to fill.
 	bucketIdleTimeout = time.Minute
 )
 
-// Grant is the answer to a question for permits.
+// Grant is the reply to a request for permits.
 type Grant struct {
-	// N permits are given, fewer than asked for or none if there are no more.
+	// N is the number of permits granted. It is less than requested if the owner has no
+	// more.
 	N int `msgpack:"n,omitempty"`
-	// Lifetime is how long they may be used, from when they were asked for.
+	// Lifetime is how long the permits may be used, counted from when they were requested.
 	Lifetime time.Duration `msgpack:"l,omitempty"`
-	// MoreFollows says that another answer to the question follows: other domains are asked.
+	// MoreFollows means that another reply to the same request follows, because permits
+	// are being borrowed from other domains or the bucket is about to be refilled.
 	MoreFollows bool `msgpack:"m,omitempty"`
-	// RetryAfter is when the next permit is expected, if fewer were given than asked for.
+	// RetryAfter is the time until the next permit is expected, if fewer permits were
+	// granted than requested.
 	RetryAfter time.Duration `msgpack:"w,omitempty"`
-	// NotOwner says that this instance does not own the account's part.
+	// NotOwner means that the replying instance does not own the account's share.
 	NotOwner bool `msgpack:"f,omitempty"`
 }
 
-// IssueRequest is a question of an instance for permits.
+// IssueRequest is an instance's request for permits, as the issuer receives it.
 type IssueRequest struct {
-	// From is the asker, and At its own time, which the answer brings back.
+	// From is the requesting instance. At is the time of the request on that instance's
+	// clock, and is returned in the reply.
 	From string
 	At   int64
 	N    int
 }
 
-// Reply is an answer on its way to an instance.
+// Reply is a reply to the instance that requested permits.
 type Reply struct {
 	To      string
 	At      int64
@@ -62,78 +67,79 @@
 	Grant   Grant
 }
 
-// LoanRequest is a question of an owner to that of another domain.
+// LoanRequest is an owner's request for permits to the owner in another domain.
 type LoanRequest struct {
 	Account string
-	// Lender is the lender.
+	// Lender is the owner that the request is sent to.
 	Lender Owner
 	N      int
 }
 
-// Issuer issues the permits of the parts that an instance owns. It is not safe for
+// Issuer issues permits from the shares that an instance owns. It is not safe for
 // concurrent use.
 type Issuer struct {
 	bound     Bound
 	startedAt time.Time
-	// firstStart says that the whole system starts for the first time.
+	// firstStart is set if the process started with the first start of the whole system.
 	firstStart bool
 	ownership  ownership
 	buckets    map[string]*bucket
-	// queued is the number of claims that wait for loans.
+	// queued is the number of requests that wait for loans or for a refill.
 	queued int
-	// scaleDenials says that those who ask in vain are denied the longer the more there are.
+	// scaleDenials makes denials last longer the more the demand exceeds the limit.
 	scaleDenials bool
 }
 
-// bucket is what an owner knows of one account.
+// bucket is the token bucket of one account, with its loans and its queue.
 type bucket struct {
 	limit Limit
-	// lifetime is that of the permits.
+	// lifetime is the lifetime of the permits that are issued.
 	lifetime   time.Duration
 	tokens     float64
 	refilledAt time.Time
 	usedAt     time.Time
-	// borrowed are permits of other domains.
+	// borrowed are permits from other domains.
 	borrowed batches
-	// demand is the rate at which the own domain asks.
+	// demand is the rate at which the own domain requests permits.
 	demand rateEstimate
 
 	lenders    []lender
 	owners     *Owners
 	borrowedAt time.Time
-	// queue are the claims that wait for loans, which are due until loanUntil.
+	// queue holds the requests that wait for permits. Replies to loan requests are
+	// awaited until loanDeadline.
 	queue []queuedRequest
-	// queuedPermits is the sum of what they claim.
+	// queuedPermits is the number of permits that the queued requests still lack.
 	queuedPermits int
 	loanDeadline  time.Time
 }
 
-// queuedRequest is a claim that waits for loans.
+// queuedRequest is a request that waits for loans or for a refill.
 type queuedRequest struct {
 	IssueRequest
 	deadline time.Time
 }
 
-// lender is an owner of another domain.
+// lender is the owner of the account's share in another domain.
 type lender struct {
 	Owner
 	emptyUntil time.Time
-	// gaveLast says that the last question brought permits.
+	// gaveLast is set if the last request to the lender brought permits.
 	gaveLast bool
 }
 
-// bootstrapTime is the time from the first start of the whole system on in which parts pass
-// from one owner to the next at once: instances are listed one by one then, and what has
-// been issued is little.
+// bootstrapTime is the time after the first start of the whole system during which shares
+// pass to a new owner without the handover delay. Instances are added to the store one by
+// one in this time, and few permits have been issued.
 const bootstrapTime = 10 * time.Second
 
-// NewIssuer returns the issuer of a process that started at a time, maybe with the whole
-// system for the first time.
+// NewIssuer returns the issuer of a process that started at startedAt. FirstStart is true
+// if the whole system starts for the first time.
 func NewIssuer(bound Bound, startedAt time.Time, firstStart bool) *Issuer {
 	return &Issuer{bound: bound, startedAt: startedAt, firstStart: firstStart, ownership: ownership{handoverDelay: handoverDelay}, buckets: make(map[string]*bucket)}
 }
 
-// SetOwners puts owners in force.
+// SetOwners replaces the owners as of now.
 func (i *Issuer) SetOwners(now time.Time, owners *Owners) {
 	if i.firstStart && now.Sub(i.startedAt) < bootstrapTime {
 		i.ownership = ownership{handoverDelay: i.ownership.handoverDelay}
@@ -141,8 +147,8 @@
 	i.ownership.set(now, owners)
 }
 
-// Issue answers a claim of an instance of the own domain on an account whose limit is
-// given. It returns the questions to owners of other domains that follow.
+// Issue handles a request from an instance of the own domain for permits of an account with
+// the given limit. It returns the reply and the loan requests to send.
 func (i *Issuer) Issue(now time.Time, account string, limit Limit, request IssueRequest) (Reply, []LoanRequest) {
 	reply := Reply{To: request.From, At: request.At, Account: account}
 	if !i.ownership.owns(now, account) {
@@ -166,8 +172,8 @@
 	return reply, requests
 }
 
-// queueDeadline tells whether a claim on n permits that were not there is to wait, and until
-// when: for loans under way, or for the bucket if that has enough soon.
+// queueDeadline reports whether a request that still lacks n permits is queued, and until
+// when. It waits for outstanding loans, or for a refill that is due soon.
 func (b *bucket) queueDeadline(now time.Time, n int) (time.Time, bool) {
 	switch {
 	case n == 0:
@@ -181,7 +187,8 @@
 	}
 }
 
-// grant takes permits that were borrowed, since these end, then from the bucket.
+// grant takes up to n permits. It takes borrowed permits first, because they expire, and then
+// tokens from the bucket.
 func (i *Issuer) grant(now time.Time, b *bucket, n int) Grant {
 	grant := Grant{Lifetime: b.lifetime}
 	borrowed, until := b.borrowed.take(now, n)
@@ -201,8 +208,8 @@
 	return grant
 }
 
-// serveQueue answers the claims that wait for loans, as far as there are permits and the loans
-// are due.
+// serveQueue answers the queued requests in order, with the permits that are available. A
+// request is answered in full, or at its deadline with what there is.
 func (i *Issuer) serveQueue(now time.Time, account string, b *bucket) []Reply {
 	var out []Reply
 	i.refill(now, b)
@@ -227,11 +234,11 @@
 	return out
 }
 
-// Queued returns the number of claims that wait for loans.
+// Queued returns the number of requests that wait for loans or for a refill.
 func (i *Issuer) Queued() int { return i.queued }
 
-// Tick answers the claims whose loans are not coming. It is to be called while Queued is
-// not 0.
+// Tick answers queued requests that can be served or whose deadline has passed. The caller
+// calls it periodically while Queued is not 0.
 func (i *Issuer) Tick(now time.Time) []Reply {
 	var out []Reply
 	for account, b := range i.buckets {
@@ -242,8 +249,8 @@
 	return out
 }
 
-// Lend gives at most n permits of an account to the owner of its part in another domain:
-// those that the own domain does not need.
+// Lend grants up to n permits of an account to the account's owner in another domain. It
+// grants only permits that the own domain does not need.
 func (i *Issuer) Lend(now time.Time, account string, limit Limit, n int) Grant {
 	if !i.ownership.owns(now, account) {
 		return Grant{NotOwner: true}
@@ -259,7 +266,7 @@
 	return grant
 }
 
-// timeToTokens is the time until the bucket holds k permits.
+// timeToTokens returns the time until the bucket holds k tokens, at most maxWait.
 func (b *bucket) timeToTokens(k float64) time.Duration {
 	if b.limit.Rate <= 0 {
 		return maxWait
@@ -267,17 +274,16 @@
 	return min(maxWait, time.Duration(math.Max(0, k-b.tokens)/b.limit.Rate*float64(time.Second)))
 }
 
-// maxWait bounds the times that are told.
+// maxWait is the upper bound of the waiting times in replies.
 const maxWait = 5 * time.Second
 
-// initialTokens is what the bucket of an account holds when the process starts or the part
-// comes to it: one request need not be refused for that, and a full bucket would hand out
-// again what the process before has just handed out.
+// initialTokens is the content of a new bucket, after the process has started or the share
+// has passed to this instance. With one token, a single request is not refused. A full bucket
+// would issue again what the previous process has just issued.
 const initialTokens = 1
 
-// bucket returns the account's bucket with its bucket filled up to now. The bucket of an
-// account that was not asked for yet is taken to have been filled since the start, or
-// since the bucket may have come to this instance.
+// bucket returns the account's bucket, refilled up to now. A new bucket counts as having
+// been refilled since the process started or since ownership last changed, whichever is later.
 func (i *Issuer) bucket(now time.Time, account string, limit Limit) *bucket {
 	b := i.buckets[account]
 	if b == nil {
@@ -295,20 +301,21 @@
 	return b
 }
 
-// refill fills the bucket up to now.
+// refill adds the tokens that have accrued since the last refill.
 func (i *Issuer) refill(now time.Time, b *bucket) {
 	b.tokens = min(b.limit.Burst, b.tokens+b.limit.Rate*now.Sub(b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
-// AccountUse is how much of an account's part is asked for.
+// AccountUse is the utilization of one account's share.
 type AccountUse struct {
 	Account string
-	// Utilization is the rate at which permits are asked for, over that of the part.
+	// Utilization is the rate at which permits are requested, divided by the rate of the
+	// share.
 	Utilization float64
 }
 
-// Busiest returns the n accounts of whose parts most is asked for, the highest first.
+// Busiest returns the n accounts with the highest utilization, in descending order.
 func (i *Issuer) Busiest(now time.Time, n int) []AccountUse {
 	uses := make([]AccountUse, 0, len(i.buckets))
 	for account, b := range i.buckets {
@@ -322,7 +329,7 @@
 	return uses[:min(n, len(uses))]
 }
 
-// EvictIdle drops what is known of accounts that nobody has asked for of late.
+// EvictIdle drops the buckets of accounts without recent requests.
 func (i *Issuer) EvictIdle(now time.Time) {
 	for account, b := range i.buckets {
 		if now.Sub(b.usedAt) >= bucketIdleTimeout && len(b.queue) == 0 {
@@ -331,8 +338,8 @@
 	}
 }
 
-// borrow returns the questions to owners of other domains, if the part is asked for at a
-// higher rate than its permits last.
+// borrow returns the loan requests to send if the available permits do not last for
+// borrowThresholdTime at the rate of demand.
 func (i *Issuer) borrow(now time.Time, account string, b *bucket) []LoanRequest {
 	demand := b.demand.value(now)
 	available := b.tokens + b.limit.Rate*now.Sub(b.refilledAt).Seconds() + float64(b.borrowed.count(now))
@@ -354,8 +361,8 @@
 	return out
 }
 
-// availableLenders returns the owners that may have permits to spare: those that gave some the
-// last time first.
+// availableLenders returns the lenders that may have permits to spare. Those that lent permits
+// the last time come first.
 func (i *Issuer) availableLenders(now time.Time, account string, b *bucket) []*lender {
 	if current := i.ownership.current(); b.owners != current {
 		b.owners = current
@@ -378,8 +385,8 @@
 	return append(gaveLast, others...)
 }
 
-// HandleLoan takes in what a lender gave. AskedAt is when it was asked.
-// It returns the answers to claims that waited, and the questions to lenders that follow.
+// HandleLoan processes a lender's reply to a loan request that was sent at askedAt. It
+// returns the replies to queued requests and the loan requests to send next.
 func (i *Issuer) HandleLoan(now, askedAt time.Time, account, from string, grant Grant) ([]Reply, []LoanRequest) {
 	b := i.buckets[account]
 	if b == nil {
@@ -403,7 +410,7 @@
 	if b.queuedPermits == 0 || grant.N > 0 {
 		return replies, nil
 	}
-	// The lender had nothing to spare: the next one may have.
+	// This lender had no spare permits. Another lender may have some.
 	b.borrowedAt = time.Time{}
 	return replies, i.borrow(now, account, b)
 }
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -13,11 +13,11 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-var figures = flag.Bool("figures", false, "print the figures of the ways to divide limits")
+var figures = flag.Bool("figures", false, "print refusals and message costs of each scope")
 
-// TestBoundHoldsThroughFaults floods an account through random fleets in which processes are
-// killed again and again, messages are lost and fleets are cut apart, and checks every
-// window.
+// TestBoundHoldsThroughFaults sends requests of one account through random fleets in which
+// processes crash repeatedly, messages are lost and the network is partitioned. It checks
+// that no window exceeds the bound.
 func TestBoundHoldsThroughFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "halls")
@@ -59,19 +59,21 @@
 	})
 }
 
-// costs are what became of requests, as parts of those sent.
+// costs are the refusals and the message costs of a run. Refusals are fractions of the
+// requests sent.
 type costs struct {
-	// moving and calm are the parts refused in the first second after demand has moved and
-	// later, and ideal is the part that one bucket for all would have refused.
+	// moving and calm are the requests refused within one second after the demand moved
+	// to another instance, and later. ideal is the fraction that a single token bucket
+	// would have refused.
 	moving, calm, ideal float64
-	// bytes are those of messages for each request, and wait is the mean time until a
-	// request had its permit.
+	// bytes is the size of the messages per request. wait is the mean time until a
+	// request got its permit.
 	bytes float64
 	wait  time.Duration
 }
 
-// measure has an account send a part of its limit through one instance, another one, and
-// all, for some seeds.
+// measure sends a fraction of an account's limit through one instance, then through other
+// instances, and finally through all, with several seeds.
 func measure(division ratelimit.Scope, instances int, rate, demand float64) costs {
 	var out costs
 	var moving, calm, asked, waits int
@@ -107,14 +109,14 @@
 	return out
 }
 
-// TestDemandWithinTheLimitIsServed checks how much is refused of an account that sends up
-// to nine tenths of its limit, wherever its requests enter. Requests come at random times,
-// so that some are beyond the limit of any bucket.
+// TestDemandWithinTheLimitIsServed checks the refusals of an account that sends up to nine
+// tenths of its limit, through changing instances. Requests arrive at random times, so that
+// even a single token bucket refuses some of them.
 func TestDemandWithinTheLimitIsServed(t *testing.T) {
 	for _, c := range []struct {
 		rate, demand float64
-		// most is the largest part that may be refused from one second after demand has
-		// moved on, beyond what one bucket for all would refuse.
+		// most is the largest fraction that may be refused in addition to what a single
+		// token bucket refuses, later than one second after the demand moved.
 		most float64
 	}{
 		{5, 0.6, 0.03}, {20, 0.6, 0}, {100, 0.6, 0}, {1000, 0.6, 0},
@@ -128,7 +130,7 @@
 	}
 }
 
-// TestScopeCosts prints what each way to divide limits refuses and costs.
+// TestScopeCosts prints the refusals and message costs of each scope.
 func TestScopeCosts(t *testing.T) {
 	if !*figures {
 		t.Skip("run with -figures")
@@ -146,9 +148,9 @@
 	}
 }
 
-// TestManyAccountsCosts prints what many accounts cost at once, a hundredfold different in size and
-// each sending six tenths of its limit through all instances, from two seconds after the start
-// of all on, when no account had any permits.
+// TestManyAccountsCosts prints the refusals and message costs of many accounts whose limits
+// differ by a factor of up to a hundred. Each account sends six tenths of its limit through
+// all instances. The first two seconds are excluded, as no account has permits at the start.
 func TestManyAccountsCosts(t *testing.T) {
 	if !*figures {
 		t.Skip("run with -figures")
@@ -158,7 +160,7 @@
 	for _, c := range []struct{ instances, accounts int }{{74, 79}, {295, 1000}, {730, 10_000}} {
 		limits := make(map[string]ratelimit.Limit)
 		for i := range c.accounts {
-			// Few are large: the rates fall with the square root of the rank.
+			// The rates fall with the square root of the rank, so that few accounts are large.
 			rate := max(smallest, largest/math.Sqrt(float64(i+1)))
 			limits[fmt.Sprint("a", i)] = ratelimit.Limit{Rate: rate, Burst: rate}
 		}
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -7,26 +7,26 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Scope says which instances form a domain.
+// Scope defines which instances form a domain.
 type Scope string
 
-// The divisions.
+// The scopes.
 const (
-	// PerInstance gives each instance an equal part of each limit, of which it lends nothing.
+	// PerInstance makes each instance a domain of its own. Its permits are not lent.
 	PerInstance Scope = "instance"
-	// PerHall and ByRegion make the instances of a hall or a region a domain.
+	// PerHall and PerRegion make the instances of a hall or of a region a domain.
 	PerHall   Scope = "hall"
 	PerRegion Scope = "region"
 	// Global makes all instances one domain.
 	Global Scope = "whole"
 )
 
-// Instance is where an instance runs.
+// Instance is the name and location of an instance.
 type Instance struct {
 	Name, Hall, Region string
 }
 
-// domain returns the name of the domain that a place belongs to.
+// domain returns the name of the domain of an instance.
 func (d Scope) domain(p Instance) string {
 	switch d {
 	case PerInstance:
@@ -40,32 +40,33 @@
 	}
 }
 
-// Owners knows the owner of each account's part in each domain. It is immutable.
+// Owners maps each account to the owners of its shares. It is immutable.
 type Owners struct {
 	self   Instance
 	shares int
-	// domains begin with the own one, then come those of the own region. There is only the
-	// own one where nothing is lent.
+	// domains starts with the own domain, followed by those of the own region. It contains
+	// only the own domain if permits are not lent.
 	domains []domain
-	// sameRegion are the instances of the own region.
+	// sameRegion is true for the instances of the own region.
 	sameRegion map[string]bool
-	// hall is set for the owners of hall limits, and all else but self and parts is not.
+	// hall is set for the owners of hall limits. All other fields but self and shares are
+	// unset in this case.
 	hall *hallOwners
 }
 
-// domain is a set of instances that share the parts of one cut of the limits.
+// domain is a set of instances that divide one share of each limit.
 type domain struct {
 	name       string
 	instances  []string
 	sameRegion bool
 }
 
-// lends tells whether owners of different domains lend each other permits.
+// lends reports whether owners of different domains lend each other permits.
 func (d Scope) lends() bool { return d != PerInstance }
 
-// NewOwners returns the owners among the places of the instances that the store lists.
-// RegionOf maps each hall to its region: the number of parts follows from it, so that all
-// instances agree on it whatever they know of each other.
+// NewOwners returns the owners among the instances that the store lists. RegionOf maps each
+// hall to its region. Except for PerInstance, the number of shares follows from regionOf, so
+// that all instances agree on it even if their lists of instances differ.
 func NewOwners(scope Scope, self Instance, regionOf map[string]string, instances []Instance) *Owners {
 	byName := make(map[string]*domain)
 	own, sameRegion := scope.domain(self), make(map[string]bool)
@@ -87,8 +88,8 @@
 		sort.Strings(d.instances)
 		o.domains = append(o.domains, *d)
 	}
-	// The others come in an order of the instance's own, so that borrowers do not all
-	// begin with the same lender.
+	// The order of the other domains differs between instances, so that borrowers do not all
+	// start with the same lender.
 	rank := func(d domain) (int, uint64) {
 		switch {
 		case d.name == own:
@@ -107,7 +108,7 @@
 	return o
 }
 
-// shares returns the number of shares that each limit is cut into.
+// shares returns the number of shares that each limit is divided into.
 func (d Scope) shares(regionOf map[string]string, instances int) int {
 	switch d {
 	case PerInstance:
@@ -125,18 +126,19 @@
 	}
 }
 
-// Shares returns the number of parts that each limit is cut into.
+// Shares returns the number of shares that each limit is divided into.
 func (o *Owners) Shares() int { return o.shares }
 
-// Owner is an instance that owns a part of an account.
+// Owner is an instance that owns a share of an account's limit.
 type Owner struct {
 	Name string
-	// SameRegion owners are of the own region.
+	// SameRegion is set if the owner is in the own region.
 	SameRegion bool
 }
 
-// Of returns the owners of an account's parts: that of the own domain first, then those
-// of the own region.
+// Of returns the owners of an account's shares. The owner in the own domain comes first,
+// followed by those of the other domains of the own region. For a hall limit, it returns the
+// owner and its successors.
 func (o *Owners) Of(account string) []Owner {
 	if o.hall != nil {
 		return o.hall.owners(account)
@@ -149,7 +151,7 @@
 	return out
 }
 
-// lenders returns the owners of the other parts of an account.
+// lenders returns the owners of an account's shares in other domains.
 func (o *Owners) lenders(account string) []Owner {
 	if o.hall != nil {
 		return nil
@@ -157,7 +159,7 @@
 	return o.Of(account)[1:]
 }
 
-// owns tells whether this instance owns the account's part in its domain.
+// owns reports whether this instance owns the account's share in its domain.
 func (o *Owners) owns(account string) bool {
 	if o.hall != nil {
 		return o.hall.owns(account)
@@ -168,9 +170,9 @@
 	return ownerAmong(account, o.domains[0].instances) == o.self.Name
 }
 
-// ownerAmong returns the owner of an account's part among the instances of a domain: the
-// one with the highest hash with it, so that one that joins or goes changes the owners of
-// its own accounts only.
+// ownerAmong returns the owner of an account's share among the instances of a domain. It is
+// the instance with the highest hash together with the account, so that an instance that
+// joins or leaves changes the owners of its own accounts only.
 func ownerAmong(account string, names []string) string {
 	owner := ""
 	maxHash := uint64(0)
@@ -182,29 +184,29 @@
 	return owner
 }
 
-// handoverDelay is how long after a change of the instances a new owner leaves the part to
-// the last one, which may not have heard of the change yet: changes are in force at all
-// instances that reach the store or each other within three seconds.
+// handoverDelay is how long after a change of the instances a new owner does not issue
+// permits, because the former owner may not know of the change yet. A change takes effect
+// within three seconds at all instances that can reach the store or each other.
 const handoverDelay = 5 * time.Second
 
-// ownership tells which parts an instance may issue from.
+// ownership determines from which shares an instance may issue permits.
 type ownership struct {
-	// handoverDelay is how long a new owner leaves a part to the last one.
+	// handoverDelay is how long a new owner waits before it issues permits.
 	handoverDelay time.Duration
-	// recent are the owners in force and those that were a moment ago.
+	// recent holds the owners in force and those replaced within handoverDelay.
 	recent []ownersPeriod
-	// changedAt is when owners were last put in force that this instance had not from
-	// its start on.
+	// changedAt is when the owners last changed. It is zero if this instance has had the
+	// same owners since its start.
 	changedAt time.Time
 }
 
 type ownersPeriod struct {
 	owners *Owners
-	// replacedAt is when they were replaced, zero for those in force.
+	// replacedAt is when the owners were replaced. It is zero for the owners in force.
 	replacedAt time.Time
 }
 
-// set puts owners in force.
+// set replaces the owners as of now.
 func (t *ownership) set(now time.Time, owners *Owners) {
 	if n := len(t.recent); n > 0 {
 		t.recent[n-1].replacedAt = now
@@ -222,7 +224,7 @@
 	t.recent = append(t.recent[:0], t.recent[ended:]...)
 }
 
-// current returns the owners in force, nil before any are known.
+// current returns the owners in force, or nil before the first call of set.
 func (t *ownership) current() *Owners {
 	if len(t.recent) == 0 {
 		return nil
@@ -230,8 +232,8 @@
 	return t.recent[len(t.recent)-1].owners
 }
 
-// owns tells whether the instance owns the account's part and has for t.time, as far
-// back as it knows.
+// owns reports whether the instance owns the account's share and has owned it for
+// handoverDelay, as far back as its record of owners reaches.
 func (t *ownership) owns(now time.Time, account string) bool {
 	t.dropOld(now)
 	for _, h := range t.recent {
--- a/ratelimit/rate.go
+++ b/ratelimit/rate.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// rateTimeConstant is the time over which a rate is averaged.
+// rateTimeConstant is the time constant of the exponential decay of rate estimates.
 const rateTimeConstant = 500 * time.Millisecond
 
-// rateEstimate estimates how many events a second there are. The zero value has seen none.
+// rateEstimate estimates the number of events per second. In the zero value, no events have
+// been counted.
 type rateEstimate struct {
 	perSecond float64
 	at        time.Time
 }
 
-// add counts events.
+// add counts n events at now.
 func (r *rateEstimate) add(now time.Time, n int) {
 	r.perSecond = r.value(now) + float64(n)/rateTimeConstant.Seconds()
 	r.at = now
 }
 
-// value returns the present rate.
+// value returns the estimate at now, in events per second.
 func (r *rateEstimate) value(now time.Time) float64 {
 	if r.perSecond == 0 {
 		return 0
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// simulation plays instances that hold and issue permits, with messages that take time, get
-// lost and are cut off, and processes that are killed. Its time is its own.
+// simulation is a discrete-event simulation of instances that hold and issue permits. Messages
+// are delayed, lost or blocked by network partitions, and processes crash. Time is simulated.
 type simulation struct {
 	bound    ratelimit.Bound
 	division ratelimit.Scope
@@ -27,19 +27,20 @@
 	events events
 	count  int
 
-	// loss is the part of the messages that is lost.
+	// loss is the fraction of messages that is lost.
 	loss float64
-	// cut tells whether messages from a to b are lost.
+	// cut reports whether messages from a to b are lost.
 	cut func(a, b *node) bool
 
 	admitted map[string][]time.Time
-	// refused counts requests that were refused, by account, and unknown those that found
-	// no owner.
+	// asked counts all requests by account, refused those that were refused, and unknown
+	// those that found no owner.
 	asked, refused, unknown map[string]int
-	// ideal is one bucket for all, and beyond counts what it would have refused.
+	// ideal is a single token bucket for each account, and beyond counts the requests that
+	// it would have refused.
 	ideal  map[string]*bucket
 	beyond map[string]int
-	// waits are the times that admitted requests waited.
+	// waits are the waiting times of the admitted requests.
 	waits []time.Duration
 	bytes int64
 }
@@ -50,7 +51,7 @@
 	place  ratelimit.Instance
 	holder *ratelimit.Holder
 	issuer *ratelimit.Issuer
-	// epoch counts the processes, and startedAt is when the last one began.
+	// epoch is the number of processes so far, startedAt the start of the current one.
 	epoch     int
 	startedAt time.Time
 	down      bool
@@ -59,7 +60,7 @@
 	lastID    uint64
 }
 
-// pending is a request that waits for its permit.
+// pending is a request that waits for a permit.
 type pending struct {
 	account string
 	since   time.Time
@@ -87,7 +88,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// newSimulation returns instances spread over halls of two to a region.
+// newSimulation returns a simulation of instances spread over halls, with two halls per region.
 func newSimulation(seed uint64, division ratelimit.Scope, halls, instances int, limits map[string]ratelimit.Limit) *simulation {
 	w := &simulation{
 		bound: ratelimit.DefaultBound, division: division, regionOf: make(map[string]string), limits: limits,
@@ -112,13 +113,13 @@
 	return w
 }
 
-// after has something done after a time.
+// after schedules a function call.
 func (w *simulation) after(d time.Duration, do func()) {
 	w.count++
 	heap.Push(&w.events, event{at: w.now.Add(d), seq: w.count, do: do})
 }
 
-// run plays up to a time.
+// run processes the events up to a time.
 func (w *simulation) run(until time.Time) {
 	for len(w.events) > 0 && !w.events[0].at.After(until) {
 		e := heap.Pop(&w.events).(event)
@@ -128,7 +129,7 @@
 	w.now = until
 }
 
-// start begins a new process with what the store lists.
+// start starts a new process that reads the instances from the store.
 func (n *node) start() {
 	n.epoch++
 	n.startedAt = n.world.now
@@ -142,7 +143,7 @@
 	n.issuer.SetOwners(n.world.now, owners)
 }
 
-// kill ends the process; another starts after a time.
+// kill ends the process and starts another one after the given time.
 func (n *node) kill(down time.Duration) {
 	if n.down {
 		return
@@ -151,7 +152,7 @@
 	n.world.after(down, n.start)
 }
 
-// delay is how long a message takes.
+// delay returns a random transit time for a message.
 func (w *simulation) delay(a, b *node) time.Duration {
 	base := 35 * time.Millisecond
 	switch {
@@ -163,7 +164,7 @@
 	return base + time.Duration(w.rnd.ExpFloat64()*float64(2*time.Millisecond))
 }
 
-// send has a message arrive, unless it is lost.
+// send delivers a message after a delay, unless it is lost.
 func (n *node) send(to string, m peer.Message, arrive func(*node)) {
 	w := n.world
 	frame, err := peer.Encode(m)
@@ -182,7 +183,7 @@
 	})
 }
 
-// request has an instance get a request of an account.
+// request sends a request of an account to an instance.
 func (n *node) request(account string) {
 	w := n.world
 	w.asked[account]++
@@ -241,7 +242,7 @@
 	n.ask(requests)
 }
 
-// issue answers a claim, and borrows if need be.
+// issue handles a permit request, and sends loan requests if needed.
 func (n *node) issue(account string, c ratelimit.IssueRequest) {
 	w := n.world
 	reply, requests := n.issuer.Issue(w.now, account, w.limits[account], c)
@@ -250,7 +251,7 @@
 	n.tick()
 }
 
-// borrow asks the owners of other domains.
+// borrow sends loan requests to the owners of other domains.
 func (n *node) borrow(requests []ratelimit.LoanRequest) {
 	w := n.world
 	for _, request := range requests {
@@ -269,8 +270,8 @@
 	}
 }
 
-// reply sends answers to claims. One that was asked by a process before this one is not
-// heard, since its time was another.
+// reply sends replies to permit requests. A process drops replies to requests of a former
+// process, because their times come from a different clock.
 func (n *node) reply(replies ...ratelimit.Reply) {
 	for _, r := range replies {
 		askedAt := epoch.Add(time.Duration(r.At))
@@ -306,8 +307,8 @@
 	})
 }
 
-// demand has requests of an account come as a Poisson process through the instances that
-// pick draws, from the present on until a time.
+// demand sends requests of an account as a Poisson process, from now until a time, through
+// instances chosen by pick.
 func (w *simulation) demand(account string, perSecond float64, until time.Time, pick func() *node) {
 	if perSecond <= 0 {
 		return
@@ -329,7 +330,7 @@
 	at     time.Time
 }
 
-// countIdeal has the one bucket for all decide on a request.
+// countIdeal counts a request of the account in its single ideal bucket.
 func (w *simulation) countIdeal(account string) {
 	limit := w.limits[account]
 	b := w.ideal[account]
@@ -349,8 +350,8 @@
 // randomNode draws an instance.
 func (w *simulation) randomNode() *node { return w.nodes[w.rnd.IntN(len(w.nodes))] }
 
-// worstWindow returns the largest part of what a bound allows that the requests admitted of an
-// account take in any window.
+// worstWindow returns the largest number of admitted requests of an account in any window, as a
+// fraction of most.
 func (w *simulation) worstWindow(account string, window time.Duration, most float64) float64 {
 	times := w.admitted[account]
 	worst, end := 0.0, 0
--- a/ratelimit/suspension.go
+++ b/ratelimit/suspension.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// suspension is that an owner is passed over.
+// suspension is the time for which an owner is skipped.
 type suspension struct {
 	until time.Time
-	// timedOut says that it did not answer a question in time, and has said nothing since.
+	// timedOut is set if the owner did not reply in time and has not replied since.
 	timedOut bool
 }
 
-// Tick passes over owners that have not answered in time, and asks others. It is to be called
-// often while Due says so. Silent are owners of which nothing came until they may be asked
-// again: an answer that is only late has come by then, so that the connection may carry nothing.
+// Tick suspends owners whose reply is overdue, and returns requests to other owners. The caller
+// calls it frequently while NeedsTick returns true. Unresponsive are owners from which no reply
+// has arrived by the end of their suspension. A reply that was only late has arrived by then, so
+// the connection to such an owner may be broken without an error.
 func (h *Holder) Tick(now time.Time) (results []Result, requests []PermitRequest, unresponsive []string) {
 	unresponsive = h.endSuspensions(now)
 	for name, a := range h.accounts {
@@ -35,7 +36,7 @@
 	return results, requests, unresponsive
 }
 
-// NeedsTick tells whether an owner's answer is due, in time or late.
+// NeedsTick reports whether a permit request is unanswered, in time or overdue.
 func (h *Holder) NeedsTick() bool {
 	if h.outstanding > 0 {
 		return true
@@ -48,7 +49,8 @@
 	return false
 }
 
-// endSuspensions ends the silences that are over, and returns the owners that have not answered.
+// endSuspensions removes suspensions that have ended, and returns the owners among them that
+// have not replied.
 func (h *Holder) endSuspensions(now time.Time) []string {
 	var unresponsive []string
 	for name, s := range h.suspended {
--- a/ratelimit/suspension_test.go
+++ b/ratelimit/suspension_test.go
@@ -9,7 +9,7 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// tickUntil ticks every 10 ms and returns the owners named as silent.
+// tickUntil ticks every 10 ms and returns the owners reported as unresponsive.
 func tickUntil(h *ratelimit.Holder, from, to time.Time) []string {
 	var reported []string
 	for now := from; now.Before(to); now = now.Add(10 * time.Millisecond) {
@@ -19,9 +19,9 @@
 	return reported
 }
 
-// TestLateReplyIsNotReported checks that an owner whose answer is late is not named as one whose
-// connection carries nothing: one answer in twenty takes more than 50 ms where instances have
-// links of 10 Mbit/s that bodies go over too.
+// TestLateReplyIsNotReported guards against reporting an owner as unresponsive when its reply
+// is only late. With links of 10 Mbit/s between instances that also carry request bodies, one
+// reply in twenty takes more than 50 ms.
 func TestLateReplyIsNotReported(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
@@ -35,8 +35,8 @@
 	require.Empty(t, tickUntil(h, late, start.Add(5*time.Second)))
 }
 
-// TestUnresponsiveOwnerIsReported checks that an owner that never answers is named once its answer is
-// due for long, also if nothing else is asked meanwhile, and again only if it is asked again.
+// TestUnresponsiveOwnerIsReported checks that an owner that never replies is reported at the end
+// of its suspension, even if no other request follows, and again only after another request.
 func TestUnresponsiveOwnerIsReported(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
@@ -49,7 +49,8 @@
 	}
 }
 
-// tickWithReplies ticks for two seconds, in which one of the owners answers all questions.
+// tickWithReplies ticks every 10 ms for two seconds, during which one owner replies to all
+// requests. It returns the owners reported as unresponsive.
 func tickWithReplies(h *ratelimit.Holder, from time.Time, replier string) []string {
 	var reported []string
 	for now := from; now.Before(from.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
