--- a/ratelimit/hall_limit_test.go
+++ b/ratelimit/hall_limit_test.go
@@ -21,15 +21,15 @@
 
 // hallSimulation simulates instances of one hall that issue permits of one limit.
 type hallSimulation struct {
-	issuers []*ratelimit.Issuer
-	places  []ratelimit.Instance
-	issued  []time.Time
+	issuers   []*ratelimit.Issuer
+	instances []ratelimit.Instance
+	issued    []time.Time
 }
 
 func newHallSimulation(n int, now time.Time) *hallSimulation {
 	w := &hallSimulation{}
 	for i := range n {
-		w.places = append(w.places, ratelimit.Instance{Name: fmt.Sprint("n", i), Hall: limitHall, Region: "a"})
+		w.instances = append(w.instances, ratelimit.Instance{Name: fmt.Sprint("n", i), Hall: limitHall, Region: "a"})
 	}
 	for i := range n {
 		w.issuers = append(w.issuers, ratelimit.NewHallIssuer(now.Add(-time.Hour), false))
@@ -40,13 +40,13 @@
 
 // owners returns the owners from the view of an instance that considers others unavailable.
 func (w *hallSimulation) owners(self int, away map[int]bool) *ratelimit.Owners {
-	var places []ratelimit.Instance
-	for i, p := range w.places {
+	var instances []ratelimit.Instance
+	for i, p := range w.instances {
 		if !away[i] {
-			places = append(places, p)
+			instances = append(instances, p)
 		}
 	}
-	return ratelimit.NewHallOwners(w.places[self], map[string]string{limitHall: "a"}, places)
+	return ratelimit.NewHallOwners(w.instances[self], map[string]string{limitHall: "a"}, instances)
 }
 
 // TestHallLimitHoldsThroughOwnerChanges stops and restarts random instances. The others learn of
@@ -126,26 +126,26 @@
 // joins takes over few limits.
 func TestHallOwnerIsNearest(t *testing.T) {
 	regionOf := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
-	place := func(name, hall string) ratelimit.Instance {
+	instance := func(name, hall string) ratelimit.Instance {
 		return ratelimit.Instance{Name: name, Hall: hall, Region: regionOf[hall]}
 	}
-	self := place("s", "b1")
-	all := []ratelimit.Instance{self, place("x", "a1"), place("y", "a2")}
-	of := func(places ...ratelimit.Instance) ratelimit.Owner {
-		return ratelimit.NewHallOwners(self, regionOf, places).Of(limitName)[0]
+	self := instance("s", "b1")
+	all := []ratelimit.Instance{self, instance("x", "a1"), instance("y", "a2")}
+	of := func(instances ...ratelimit.Instance) ratelimit.Owner {
+		return ratelimit.NewHallOwners(self, regionOf, instances).Of(limitName)[0]
 	}
 	require.Equal(t, ratelimit.Owner{Name: "x"}, of(all...))
 	require.Equal(t, ratelimit.Owner{Name: "y"}, of(all[0], all[2]))
 	require.Equal(t, ratelimit.Owner{Name: "s", SameRegion: true}, of(all[0]))
 	moved := 0
-	var places []ratelimit.Instance
+	var instances []ratelimit.Instance
 	for i := range 10 {
-		places = append(places, place(fmt.Sprint("n", i), "a1"))
+		instances = append(instances, instance(fmt.Sprint("n", i), "a1"))
 	}
 	for k := range 1000 {
 		name := ratelimit.HallLimitName("a1", fmt.Sprint("t", k))
-		before := ratelimit.NewHallOwners(self, regionOf, places[:9]).Of(name)[0]
-		after := ratelimit.NewHallOwners(self, regionOf, places).Of(name)[0]
+		before := ratelimit.NewHallOwners(self, regionOf, instances[:9]).Of(name)[0]
+		after := ratelimit.NewHallOwners(self, regionOf, instances).Of(name)[0]
 		if before != after {
 			require.Equal(t, "n9", after.Name)
 			moved++
@@ -168,13 +168,13 @@
 	limit := ratelimit.Limit{Rate: perSecond, Burst: perSecond / 4}
 	var holders []*ratelimit.Holder
 	for i := range instances {
-		h := ratelimit.NewHallHolder(w.places[i].Name)
+		h := ratelimit.NewHallHolder(w.instances[i].Name)
 		h.SetOwners(w.owners(i, nil))
 		holders = append(holders, h)
 	}
 	indexOf := make(map[string]int)
-	for i, place := range w.places {
-		indexOf[place.Name] = i
+	for i, instance := range w.instances {
+		indexOf[instance.Name] = i
 	}
 	spent, asked, wanted := 0, 0, 0
 	var ask func(i int, requests []ratelimit.PermitRequest)
@@ -188,7 +188,7 @@
 	ask = func(i int, requests []ratelimit.PermitRequest) {
 		for _, a := range requests {
 			asked++
-			reply, _ := w.issuers[indexOf[a.To.Name]].Issue(now, limitName, limit, ratelimit.IssueRequest{From: w.places[i].Name, At: a.At.UnixNano(), N: a.N})
+			reply, _ := w.issuers[indexOf[a.To.Name]].Issue(now, limitName, limit, ratelimit.IssueRequest{From: w.instances[i].Name, At: a.At.UnixNano(), N: a.N})
 			handleReplies(reply)
 		}
 	}
--- a/ratelimit/holder_test.go
+++ b/ratelimit/holder_test.go
@@ -12,8 +12,8 @@
 // twoHalls returns the owners as seen by an instance of the first of two halls.
 func twoHalls() *ratelimit.Owners {
 	self := ratelimit.Instance{Name: "n0", Hall: "a", Region: "r"}
-	places := []ratelimit.Instance{{Name: "n1", Hall: "a", Region: "r"}, {Name: "n2", Hall: "b", Region: "r"}}
-	return ratelimit.NewOwners(ratelimit.PerHall, self, map[string]string{"a": "r", "b": "r"}, places)
+	instances := []ratelimit.Instance{{Name: "n1", Hall: "a", Region: "r"}, {Name: "n2", Hall: "b", Region: "r"}}
+	return ratelimit.NewOwners(ratelimit.PerHall, self, map[string]string{"a": "r", "b": "r"}, instances)
 }
 
 // TestFailoverToNextOwner checks that the permit request goes to the next owner when an owner
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -22,8 +22,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		halls := rapid.SampledFrom([]int{1, 2, 6}).Draw(t, "halls")
 		limit := ratelimit.Limit{Rate: float64(rapid.IntRange(1, 200).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 200).Draw(t, "burst"))}
-		division := rapid.SampledFrom([]ratelimit.Scope{ratelimit.PerInstance, ratelimit.PerHall, ratelimit.PerRegion, ratelimit.Global}).Draw(t, "division")
-		w := newSimulation(rapid.Uint64().Draw(t, "seed"), division, halls, halls*rapid.IntRange(1, 4).Draw(t, "per hall"), map[string]ratelimit.Limit{"a": limit})
+		scope := rapid.SampledFrom([]ratelimit.Scope{ratelimit.PerInstance, ratelimit.PerHall, ratelimit.PerRegion, ratelimit.Global}).Draw(t, "division")
+		w := newSimulation(rapid.Uint64().Draw(t, "seed"), scope, halls, halls*rapid.IntRange(1, 4).Draw(t, "per hall"), map[string]ratelimit.Limit{"a": limit})
 		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss")
 		end := epoch.Add(14 * time.Second)
 		hot := w.nodes[0]
@@ -62,10 +62,10 @@
 // costs are the refusals and the message costs of a run. Refusals are fractions of the
 // requests sent.
 type costs struct {
-	// moving and calm are the requests refused within one second after the demand moved
+	// shifting and steady are the requests refused within one second after the demand moved
 	// to another instance, and later. ideal is the fraction that a single token bucket
 	// would have refused.
-	moving, calm, ideal float64
+	shifting, steady, ideal float64
 	// bytes is the size of the messages per request. wait is the mean time until a
 	// request got its permit.
 	bytes float64
@@ -74,35 +74,35 @@
 
 // measure sends a fraction of an account's limit through one instance, then through other
 // instances, and finally through all, with several seeds.
-func measure(division ratelimit.Scope, instances int, rate, demand float64) costs {
+func measure(scope ratelimit.Scope, instances int, rate, demand float64) costs {
 	var out costs
-	var moving, calm, asked, waits int
+	var shifting, steady, asked, waits int
 	for seed := range uint64(5) {
-		w := newSimulation(seed, division, 6, instances, map[string]ratelimit.Limit{"a": {Rate: rate, Burst: rate}})
+		w := newSimulation(seed, scope, 6, instances, map[string]ratelimit.Limit{"a": {Rate: rate, Burst: rate}})
 		for k := range 4 {
 			pick := func() *node { return w.nodes[k*7%instances] }
 			if k == 3 {
 				pick = w.randomNode
 			}
 			end := w.now.Add(4 * time.Second)
-			refused := w.refused["a"] + w.unknown["a"]
+			refused := w.refused["a"] + w.unavailable["a"]
 			w.demand("a", rate*demand, end, pick)
 			w.run(w.now.Add(time.Second))
-			settled := w.refused["a"] + w.unknown["a"]
+			settled := w.refused["a"] + w.unavailable["a"]
 			w.run(end)
-			moving += settled - refused
-			calm += w.refused["a"] + w.unknown["a"] - settled
+			shifting += settled - refused
+			steady += w.refused["a"] + w.unavailable["a"] - settled
 		}
 		asked += w.asked["a"]
-		out.ideal += float64(w.beyond["a"])
+		out.ideal += float64(w.idealRefused["a"])
 		out.bytes += float64(w.bytes)
 		waits += len(w.waits)
 		for _, wait := range w.waits {
 			out.wait += wait
 		}
 	}
-	out.moving = float64(moving) / float64(asked)
-	out.calm = float64(calm) / float64(asked)
+	out.shifting = float64(shifting) / float64(asked)
+	out.steady = float64(steady) / float64(asked)
 	out.ideal /= float64(asked)
 	out.bytes /= float64(asked)
 	out.wait /= time.Duration(max(waits, 1))
@@ -125,7 +125,7 @@
 		t.Run(fmt.Sprintf("rate=%g/demand=%g", c.rate, c.demand), func(t *testing.T) {
 			got := measure(ratelimit.PerHall, 74, c.rate, c.demand)
 			t.Logf("%+v", got)
-			require.LessOrEqual(t, got.calm, got.ideal+c.most)
+			require.LessOrEqual(t, got.steady, got.ideal+c.most)
 		})
 	}
 }
@@ -136,12 +136,12 @@
 		t.Skip("run with -figures")
 	}
 	for _, instances := range []int{12, 74, 295, 730} {
-		for _, division := range []ratelimit.Scope{ratelimit.PerInstance, ratelimit.PerHall, ratelimit.PerRegion, ratelimit.Global} {
+		for _, scope := range []ratelimit.Scope{ratelimit.PerInstance, ratelimit.PerHall, ratelimit.PerRegion, ratelimit.Global} {
 			for _, rate := range []float64{5, 20, 100, 1000} {
 				for _, demand := range []float64{0.6, 0.9} {
-					got := measure(division, instances, rate, demand)
+					got := measure(scope, instances, rate, demand)
 					t.Logf("%3d instances, %-8s, rate %4g, demand %g: refused %.3f moving, %.3f calm, %.3f ideal; %3.0f bytes a request; %.1f ms",
-						instances, division, rate, demand, got.moving, got.calm, got.ideal, got.bytes, got.wait.Seconds()*1000)
+						instances, scope, rate, demand, got.shifting, got.steady, got.ideal, got.bytes, got.wait.Seconds()*1000)
 				}
 			}
 		}
@@ -168,21 +168,21 @@
 		for account, limit := range limits {
 			w.demand(account, limit.Rate*demand, epoch.Add(length), w.randomNode)
 		}
-		total := func() (asked, refused, unknown, beyond int) {
+		total := func() (asked, refused, unavailable, idealRefused int) {
 			for account := range limits {
 				asked += w.asked[account]
 				refused += w.refused[account]
-				unknown += w.unknown[account]
-				beyond += w.beyond[account]
+				unavailable += w.unavailable[account]
+				idealRefused += w.idealRefused[account]
 			}
-			return asked, refused, unknown, beyond
+			return asked, refused, unavailable, idealRefused
 		}
 		w.run(epoch.Add(settle))
-		asked0, refused0, unknown0, beyond0 := total()
+		asked0, refused0, unavailable0, idealRefused0 := total()
 		bytes0 := w.bytes
 		w.run(epoch.Add(length))
-		asked, refused, unknown, beyond := total()
-		asked, refused, unknown, beyond = asked-asked0, refused-refused0, unknown-unknown0, beyond-beyond0
+		asked, refused, unavailable, idealRefused := total()
+		asked, refused, unavailable, idealRefused = asked-asked0, refused-refused0, unavailable-unavailable0, idealRefused-idealRefused0
 		worst := 0.0
 		for account, limit := range limits {
 			worst = max(worst, w.worstWindow(account, w.bound.Window, w.bound.MaxRequests(limit)))
@@ -190,7 +190,7 @@
 		bytes := w.bytes - bytes0
 		perNode := float64(bytes) / (length - settle).Seconds() / float64(c.instances)
 		t.Logf("%d instances, %d accounts: %d requests, refused %.4f, no owner %.4f, one bucket for all %.4f; %.1f bytes a request; %.1f KB/s sent by an instance; worst window %.2f of the bound",
-			c.instances, c.accounts, asked, float64(refused)/float64(asked), float64(unknown)/float64(asked), float64(beyond)/float64(asked),
+			c.instances, c.accounts, asked, float64(refused)/float64(asked), float64(unavailable)/float64(asked), float64(idealRefused)/float64(asked),
 			float64(bytes)/float64(asked), perNode/1000, worst)
 	}
 }
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -14,14 +14,14 @@
 // simulation is a discrete-event simulation of instances that hold and issue permits. Messages
 // are delayed, lost or blocked by network partitions, and processes crash. Time is simulated.
 type simulation struct {
-	bound    ratelimit.Bound
-	division ratelimit.Scope
-	regionOf map[string]string
-	places   []ratelimit.Instance
-	limits   map[string]ratelimit.Limit
-	nodes    []*node
-	byName   map[string]*node
-	rnd      *rand.Rand
+	bound     ratelimit.Bound
+	scope     ratelimit.Scope
+	regionOf  map[string]string
+	instances []ratelimit.Instance
+	limits    map[string]ratelimit.Limit
+	nodes     []*node
+	byName    map[string]*node
+	rnd       *rand.Rand
 
 	now    time.Time
 	events events
@@ -33,13 +33,13 @@
 	cut func(a, b *node) bool
 
 	admitted map[string][]time.Time
-	// asked counts all requests by account, refused those that were refused, and unknown
+	// asked counts all requests by account, refused those that were refused, and unavailable
 	// those that found no owner.
-	asked, refused, unknown map[string]int
+	asked, refused, unavailable map[string]int
 	// ideal is a single token bucket for each account, and beyond counts the requests that
 	// it would have refused.
-	ideal  map[string]*bucket
-	beyond map[string]int
+	ideal        map[string]*bucket
+	idealRefused map[string]int
 	// waits are the waiting times of the admitted requests.
 	waits []time.Duration
 	bytes int64
@@ -47,10 +47,10 @@
 
 // node is one instance.
 type node struct {
-	world  *simulation
-	place  ratelimit.Instance
-	holder *ratelimit.Holder
-	issuer *ratelimit.Issuer
+	world    *simulation
+	instance ratelimit.Instance
+	holder   *ratelimit.Holder
+	issuer   *ratelimit.Issuer
 	// epoch is the number of processes so far, startedAt the start of the current one.
 	epoch     int
 	startedAt time.Time
@@ -89,12 +89,12 @@
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // newSimulation returns a simulation of instances spread over halls, with two halls per region.
-func newSimulation(seed uint64, division ratelimit.Scope, halls, instances int, limits map[string]ratelimit.Limit) *simulation {
+func newSimulation(seed uint64, scope ratelimit.Scope, halls, instances int, limits map[string]ratelimit.Limit) *simulation {
 	w := &simulation{
-		bound: ratelimit.DefaultBound, division: division, regionOf: make(map[string]string), limits: limits,
+		bound: ratelimit.DefaultBound, scope: scope, regionOf: make(map[string]string), limits: limits,
 		byName: make(map[string]*node), rnd: rand.New(rand.NewPCG(seed, 1)), now: epoch,
-		admitted: make(map[string][]time.Time), asked: make(map[string]int), refused: make(map[string]int), unknown: make(map[string]int),
-		ideal: make(map[string]*bucket), beyond: make(map[string]int),
+		admitted: make(map[string][]time.Time), asked: make(map[string]int), refused: make(map[string]int), unavailable: make(map[string]int),
+		ideal: make(map[string]*bucket), idealRefused: make(map[string]int),
 	}
 	hallName := func(h int) string { return fmt.Sprintf("h%d", h) }
 	for h := range halls {
@@ -102,10 +102,10 @@
 	}
 	for i := range instances {
 		hall := hallName(i % halls)
-		n := &node{world: w, place: ratelimit.Instance{Name: fmt.Sprintf("n%d", i), Hall: hall, Region: w.regionOf[hall]}}
+		n := &node{world: w, instance: ratelimit.Instance{Name: fmt.Sprintf("n%d", i), Hall: hall, Region: w.regionOf[hall]}}
 		w.nodes = append(w.nodes, n)
-		w.byName[n.place.Name] = n
-		w.places = append(w.places, n.place)
+		w.byName[n.instance.Name] = n
+		w.instances = append(w.instances, n.instance)
 	}
 	for _, n := range w.nodes {
 		n.start()
@@ -136,9 +136,9 @@
 	n.down = false
 	n.ticking = false
 	n.waiting = make(map[uint64]pending)
-	n.holder = ratelimit.NewHolder(n.place.Name)
+	n.holder = ratelimit.NewHolder(n.instance.Name)
 	n.issuer = ratelimit.NewIssuer(n.world.bound, n.world.now, false)
-	owners := ratelimit.NewOwners(n.world.division, n.place, n.world.regionOf, n.world.places)
+	owners := ratelimit.NewOwners(n.world.scope, n.instance, n.world.regionOf, n.world.instances)
 	n.holder.SetOwners(owners)
 	n.issuer.SetOwners(n.world.now, owners)
 }
@@ -156,9 +156,9 @@
 func (w *simulation) delay(a, b *node) time.Duration {
 	base := 35 * time.Millisecond
 	switch {
-	case a.place.Hall == b.place.Hall:
+	case a.instance.Hall == b.instance.Hall:
 		base = 200 * time.Microsecond
-	case a.place.Region == b.place.Region:
+	case a.instance.Region == b.instance.Region:
 		base = time.Millisecond
 	}
 	return base + time.Duration(w.rnd.ExpFloat64()*float64(2*time.Millisecond))
@@ -216,7 +216,7 @@
 		case ratelimit.Refuse:
 			w.refused[p.account]++
 		default:
-			w.unknown[p.account]++
+			w.unavailable[p.account]++
 		}
 	}
 }
@@ -225,12 +225,12 @@
 	w := n.world
 	for _, ask := range requests {
 		askedAt := w.now
-		if ask.To.Name == n.place.Name {
-			n.issue(ask.Account, ratelimit.IssueRequest{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
+		if ask.To.Name == n.instance.Name {
+			n.issue(ask.Account, ratelimit.IssueRequest{From: n.instance.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
 			continue
 		}
-		n.send(ask.To.Name, &peer.PermitRequest{Account: ask.Account, From: n.place.Name, SentAt: int64(askedAt.Sub(epoch)), N: ask.N}, func(owner *node) {
-			owner.issue(ask.Account, ratelimit.IssueRequest{From: n.place.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
+		n.send(ask.To.Name, &peer.PermitRequest{Account: ask.Account, From: n.instance.Name, SentAt: int64(askedAt.Sub(epoch)), N: ask.N}, func(owner *node) {
+			owner.issue(ask.Account, ratelimit.IssueRequest{From: n.instance.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
 		})
 	}
 	n.tick()
@@ -256,13 +256,13 @@
 	w := n.world
 	for _, request := range requests {
 		askedAt, process := w.now, n.epoch
-		n.send(request.Lender.Name, &peer.PermitRequest{Account: request.Account, From: n.place.Name, SentAt: int64(askedAt.Sub(epoch)), N: request.N, Borrow: true}, func(lender *node) {
+		n.send(request.Lender.Name, &peer.PermitRequest{Account: request.Account, From: n.instance.Name, SentAt: int64(askedAt.Sub(epoch)), N: request.N, Borrow: true}, func(lender *node) {
 			lent := lender.issuer.Lend(w.now, request.Account, w.limits[request.Account], request.N)
-			lender.send(n.place.Name, &peer.PermitGrant{Account: request.Account, From: lender.place.Name, RequestSentAt: int64(askedAt.Sub(epoch)), Grant: lent, Borrow: true}, func(n *node) {
+			lender.send(n.instance.Name, &peer.PermitGrant{Account: request.Account, From: lender.instance.Name, RequestSentAt: int64(askedAt.Sub(epoch)), Grant: lent, Borrow: true}, func(n *node) {
 				if n.epoch != process {
 					return
 				}
-				replies, more := n.issuer.HandleLoan(w.now, askedAt, request.Account, lender.place.Name, lent)
+				replies, more := n.issuer.HandleLoan(w.now, askedAt, request.Account, lender.instance.Name, lent)
 				n.reply(replies...)
 				n.borrow(more)
 			})
@@ -275,14 +275,14 @@
 func (n *node) reply(replies ...ratelimit.Reply) {
 	for _, r := range replies {
 		askedAt := epoch.Add(time.Duration(r.At))
-		if r.To == n.place.Name {
-			n.handleReply(askedAt, r.Account, n.place.Name, r.Grant)
+		if r.To == n.instance.Name {
+			n.handleReply(askedAt, r.Account, n.instance.Name, r.Grant)
 			continue
 		}
 		process := n.world.byName[r.To].epoch
-		n.send(r.To, &peer.PermitGrant{Account: r.Account, From: n.place.Name, RequestSentAt: r.At, Grant: r.Grant}, func(to *node) {
+		n.send(r.To, &peer.PermitGrant{Account: r.Account, From: n.instance.Name, RequestSentAt: r.At, Grant: r.Grant}, func(to *node) {
 			if to.epoch == process && !to.startedAt.After(askedAt) {
-				to.handleReply(askedAt, r.Account, n.place.Name, r.Grant)
+				to.handleReply(askedAt, r.Account, n.instance.Name, r.Grant)
 			}
 		})
 	}
@@ -341,7 +341,7 @@
 	b.tokens = math.Min(math.Max(limit.Burst, 1), b.tokens+limit.Rate*w.now.Sub(b.at).Seconds())
 	b.at = w.now
 	if b.tokens < 1 {
-		w.beyond[account]++
+		w.idealRefused[account]++
 		return
 	}
 	b.tokens--
