--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -140,7 +140,7 @@
 			for _, rate := range []float64{5, 20, 100, 1000} {
 				for _, demand := range []float64{0.6, 0.9} {
 					got := measure(scope, instances, rate, demand)
-					t.Logf("%3d instances, %-8s, rate %4g, demand %g: refused %.3f moving, %.3f calm, %.3f ideal; %3.0f bytes a request; %.1f ms",
+					t.Logf("%3d instances, %-8s, rate %4g, demand %g: refused %.3f after a shift, %.3f steady, %.3f by a single bucket; %3.0f bytes per request; wait %.1f ms",
 						instances, scope, rate, demand, got.shifting, got.steady, got.ideal, got.bytes, got.wait.Seconds()*1000)
 				}
 			}
@@ -189,7 +189,7 @@
 		}
 		bytes := w.bytes - bytes0
 		perNode := float64(bytes) / (length - settle).Seconds() / float64(c.instances)
-		t.Logf("%d instances, %d accounts: %d requests, refused %.4f, no owner %.4f, one bucket for all %.4f; %.1f bytes a request; %.1f KB/s sent by an instance; worst window %.2f of the bound",
+		t.Logf("%d instances, %d accounts: %d requests, refused %.4f, no owner %.4f, single bucket %.4f; %.1f bytes per request; %.1f KB/s sent per instance; worst window %.2f of the bound",
 			c.instances, c.accounts, asked, float64(refused)/float64(asked), float64(unavailable)/float64(asked), float64(idealRefused)/float64(asked),
 			float64(bytes)/float64(asked), perNode/1000, worst)
 	}
