--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -39,11 +39,11 @@
 // the start aside.
 func TestBudgetBoundsRetries(t *testing.T) {
 	var b retry.Budget
-	start := 0
+	initial := 0
 	for b.Spend() {
-		start++
+		initial++
 	}
-	require.Equal(t, 10, start)
+	require.Equal(t, 10, initial)
 	retries := 0
 	for range 1000 {
 		b.Success()
--- a/retry/token_bucket_test.go
+++ b/retry/token_bucket_test.go
@@ -16,60 +16,60 @@
 	const ratio, slack = 0.2, 64
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "instances")
-		tokens := make([]*retry.TokenBucket, n)
+		buckets := make([]*retry.TokenBucket, n)
 		start := func(i int) {
-			tokens[i] = retry.NewTokenBucket(ratio)
+			buckets[i] = retry.NewTokenBucket(ratio)
 			// One instance in ten is not known to the others yet.
-			tokens[i].SetCapacity(slack, max(1, n-n/10))
+			buckets[i].SetCapacity(slack, max(1, n-n/10))
 		}
-		for i := range tokens {
+		for i := range buckets {
 			start(i)
 		}
 		// requests and repeats are counted up to each step.
-		requests, repeats := []int{0}, []int{0}
+		requests, retries := []int{0}, []int{0}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
-			r, again := 0, 0
+			newRequests, newRetries := 0, 0
 			i := rapid.IntRange(0, n-1).Draw(t, "instance")
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0:
 				start(i)
 			case 1:
-				for _, held := range tokens {
-					for held.Spend() {
-						again++
+				for _, bucket := range buckets {
+					for bucket.Spend() {
+						newRetries++
 					}
 				}
 			case 2, 3:
-				for tokens[i].Spend() {
-					again++
+				for buckets[i].Spend() {
+					newRetries++
 				}
 			default:
 				// Many, so that instances often hold as much as they may.
-				r = rapid.IntRange(1, 2000).Draw(t, "requests")
-				for range r {
-					tokens[i].Earn()
+				newRequests = rapid.IntRange(1, 2000).Draw(t, "requests")
+				for range newRequests {
+					buckets[i].Earn()
 				}
 			}
-			requests = append(requests, requests[len(requests)-1]+r)
-			repeats = append(repeats, repeats[len(repeats)-1]+again)
+			requests = append(requests, requests[len(requests)-1]+newRequests)
+			retries = append(retries, retries[len(retries)-1]+newRetries)
 		}
 		for from := range requests {
 			for to := from; to < len(requests); to++ {
-				most := ratio*float64(requests[to]-requests[from]) + slack
-				require.LessOrEqual(t, float64(repeats[to]-repeats[from]), most)
+				limit := ratio*float64(requests[to]-requests[from]) + slack
+				require.LessOrEqual(t, float64(retries[to]-retries[from]), limit)
 			}
 		}
 	})
 }
 
 func TestTokenBucketStartsEmpty(t *testing.T) {
-	tokens := retry.NewTokenBucket(0.2)
-	tokens.SetCapacity(64, 4)
-	require.False(t, tokens.Spend())
+	bucket := retry.NewTokenBucket(0.2)
+	bucket.SetCapacity(64, 4)
+	require.False(t, bucket.Spend())
 	for range 1000 {
-		tokens.Earn()
+		bucket.Earn()
 	}
-	require.InDelta(t, 0.85*64/4, tokens.Available(), 1e-9)
-	tokens.SetCapacity(64, 32)
-	require.InDelta(t, 0.85*64/32, tokens.Available(), 1e-9)
+	require.InDelta(t, 0.85*64/4, bucket.Available(), 1e-9)
+	bucket.SetCapacity(64, 32)
+	require.InDelta(t, 0.85*64/32, bucket.Available(), 1e-9)
 }
--- a/warmup/quota.go
+++ b/warmup/quota.go
@@ -14,17 +14,17 @@
 // in any second. Members are the names of all instances known in the target's
 // hall, alive or not: one that is silent may be cut off and go on sending.
 func Quota(self, target string, members []string, rate float64) int {
-	holders := make([]string, 0, len(members))
-	holders = append(holders, members...)
-	sort.Slice(holders, func(i, j int) bool {
-		a, b := mix.Pair(holders[i], target), mix.Pair(holders[j], target)
+	senders := make([]string, 0, len(members))
+	senders = append(senders, members...)
+	sort.Slice(senders, func(i, j int) bool {
+		a, b := mix.Pair(senders[i], target), mix.Pair(senders[j], target)
 		if a != b {
 			return a > b
 		}
-		return holders[i] < holders[j]
+		return senders[i] < senders[j]
 	})
-	n := min(len(holders), maxSenders)
-	for _, name := range holders[:n] {
+	n := min(len(senders), maxSenders)
+	for _, name := range senders[:n] {
 		if name == self {
 			return int(rate) / n
 		}
