--- a/retry/outcome.go
+++ b/retry/outcome.go
@@ -1,20 +1,20 @@
 package retry
 
-// Outcome is what is known of a request after an attempt.
+// Outcome is what is known of the execution of a request after an attempt.
 type Outcome int
 
-// The outcomes. The zero value is the cautious one.
+// The outcomes. The zero value, Unknown, is the cautious one: it claims nothing about the execution.
 const (
-	// Unknown means that the request may have run, or may still run.
+	// Unknown means that the request may have run or may still run.
 	Unknown Outcome = iota
-	// NotRun means that the request did not run and will not: it was never
-	// written to a target, or the target refused it before running it.
+	// NotRun means that the request did not run and will not run: it was never written to a target,
+	// or the target refused it before running it.
 	NotRun
-	// Ran means that an answer came.
+	// Ran means that the target answered.
 	Ran
 )
 
-// String returns the outcome as the protocols spell it.
+// String returns the name of the outcome that protocols use.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
@@ -26,7 +26,7 @@
 	}
 }
 
-// ParseOutcome returns the outcome that text spells. Any other text is Unknown.
+// ParseOutcome returns the outcome with the given name. Any other text is Unknown.
 func ParseOutcome(text string) Outcome {
 	switch text {
 	case "not-run":
@@ -38,18 +38,18 @@
 	}
 }
 
-// Evidence is what an attempt has left behind.
+// Evidence is what an attempt shows about its outcome.
 type Evidence struct {
-	// Connected means that the attempt got a connection, so that some of the
-	// request may have been written.
+	// Connected means that the attempt had a connection, so that parts of the request may have been
+	// written.
 	Connected bool
-	// Answered means that the head of an answer came.
+	// Answered means that the head of an answer was received.
 	Answered bool
-	// Refused means that the answer says that the request was not run.
+	// Refused means that the answer states that the request was not run.
 	Refused bool
 }
 
-// Classify returns the outcome that the evidence proves.
+// Classify returns the outcome that follows from the evidence.
 func Classify(e Evidence) Outcome {
 	switch {
 	case e.Answered && e.Refused:
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestBudgetBoundsRetries checks that retries stay a tenth of the successes,
-// the start aside.
+// TestBudgetBoundsRetries checks that retries amount to a tenth of the successes, apart from the
+// initial credit.
 func TestBudgetBoundsRetries(t *testing.T) {
 	var b retry.Budget
 	initial := 0
--- a/retry/token_bucket.go
+++ b/retry/token_bucket.go
@@ -1,43 +1,46 @@
 package retry
 
-// TokenBucket is one instance's part of a budget of repeats that all instances share
-// without a message between them: over all instances, the repeats in any window
-// stay below a ratio of the requests plus a fixed number.
+// TokenBucket is one instance's share of a retry budget of all instances, which they keep without
+// exchanging messages. In any time window, the retries of all instances together stay below a ratio
+// of the requests in the window plus a fixed slack.
 //
-// Each request earns a part of a token and each repeat takes one. An instance
-// holds at most its part of the fixed number and begins with none, so that in
-// any window the instances together spend at most the fixed number plus what
-// the window's requests have earned, whichever instances end or start anew.
-// TokenBucket is not safe for concurrent use.
+// Each request earns a fraction of a token, and each retry takes one token. A bucket starts empty,
+// and its capacity is the instance's share of the slack. The buckets at the beginning of a window
+// thus hold at most the slack, and in the window the instances spend at most the slack plus the
+// tokens that the window's requests earn. Stopping and restarting instances does not add tokens.
+//
+// A TokenBucket is not safe for concurrent use.
 type TokenBucket struct {
 	tokensPerRequest float64
 	capacity         float64
 	tokens           float64
 }
 
-// ratioFraction and slackFraction are the parts of the bounds that are handed out. The
-// rest is for instances that do not know of each other yet.
+// ratioFraction and slackFraction are the fractions of ratio and slack that instances use. The
+// remainder is a reserve for instances that do not know of each other yet and therefore use shares
+// that are too large.
 const (
 	ratioFraction = 0.9
 	slackFraction = 0.85
 )
 
-// NewTokenBucket returns an instance's part of a budget of ratio times the requests
-// plus slack.
+// NewTokenBucket returns an empty bucket for a budget of ratio times the requests. Its capacity is
+// 0 until SetCapacity is called.
 func NewTokenBucket(ratio float64) *TokenBucket {
 	return &TokenBucket{tokensPerRequest: ratioFraction * ratio}
 }
 
-// SetCapacity sets what the instance may hold: its part of slack among instances.
+// SetCapacity sets the capacity to the share of slack that one of the given number of instances
+// has.
 func (t *TokenBucket) SetCapacity(slack float64, instances int) {
 	t.capacity = slackFraction * slack / float64(max(instances, 1))
 	t.tokens = min(t.tokens, t.capacity)
 }
 
-// Earn earns what one request of a client earns.
+// Earn adds the fraction of a token that one client request earns.
 func (t *TokenBucket) Earn() { t.tokens = min(t.capacity, t.tokens+t.tokensPerRequest) }
 
-// Spend takes a token for a repeat. It reports whether there was one.
+// Spend takes a token for a retry. It reports whether there was one.
 func (t *TokenBucket) Spend() bool {
 	if t.tokens < 1 {
 		return false
@@ -46,5 +49,5 @@
 	return true
 }
 
-// Available returns the tokens held.
+// Available returns the number of tokens in the bucket.
 func (t *TokenBucket) Available() float64 { return t.tokens }
--- a/retry/token_bucket_test.go
+++ b/retry/token_bucket_test.go
@@ -9,9 +9,9 @@
 	"github.com/rainford/rainford/retry"
 )
 
-// TestTokenBucketsBoundRetries has instances that repeat whenever they may, are restarted, and
-// learn late of each other, and checks every window: the repeats of all stay within
-// the ratio of the window's requests plus the slack.
+// TestTokenBucketsBoundRetries simulates instances that retry whenever they may, are restarted, and
+// learn late of each other. It checks for every time window that the retries of all instances stay
+// within the ratio of the window's requests plus the slack.
 func TestTokenBucketsBoundRetries(t *testing.T) {
 	const ratio, slack = 0.2, 64
 	rapid.Check(t, func(t *rapid.T) {
@@ -25,7 +25,7 @@
 		for i := range buckets {
 			start(i)
 		}
-		// requests and repeats are counted up to each step.
+		// requests and retries hold the cumulative counts after each step.
 		requests, retries := []int{0}, []int{0}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			newRequests, newRetries := 0, 0
@@ -44,7 +44,7 @@
 					newRetries++
 				}
 			default:
-				// Many, so that instances often hold as much as they may.
+				// So many requests fill the buckets often.
 				newRequests = rapid.IntRange(1, 2000).Draw(t, "requests")
 				for range newRequests {
 					buckets[i].Earn()
