--- a/warmup/doc.go
+++ b/warmup/doc.go
@@ -1,10 +1,10 @@
-// Package warmup divides what a cold target bears among the instances without
-// any message between them.
+// Package warmup divides the rate of requests that a cold target admits among the instances,
+// without messages between them. This is the slow start of a target.
 //
-// A cold target bears a rate of requests a second, and more than a multiple of
-// it must never arrive, counted over all instances in any second. Only some
-// instances of the target's hall, chosen by rendezvous hashing, may send to it,
-// and each may send an equal part. The parts add up to the rate, half of the
-// multiple; the other half is for instances whose views of the hall differ and
-// for those that do not know yet that the target is cold.
+// A target is cold for some time after its start. It admits a rate of requests a second while it is
+// cold, and the requests of all instances together must never exceed a fixed multiple of that rate
+// in any second. Only some instances of the target's hall, chosen by rendezvous hashing, may send
+// to it, each an equal share. The shares add up to the rate, which is half of the multiple. The
+// other half is a reserve for instances whose views of the hall's members differ, and for instances
+// that do not know yet that the target is cold.
 package warmup
--- a/warmup/quota.go
+++ b/warmup/quota.go
@@ -7,12 +7,14 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// maxSenders bounds the instances that may send to one cold target.
+// maxSenders bounds the number of instances that may send to one cold target.
 const maxSenders = 4
 
-// Quota returns how many requests the instance self may send to a cold target
-// in any second. Members are the names of all instances known in the target's
-// hall, alive or not: one that is silent may be cut off and go on sending.
+// Quota returns the number of requests that the instance self may send to a cold target in any
+// second. The argument members holds the names of all known instances of the target's hall, whether
+// they respond or not: an unresponsive one may be partitioned from self and still send to the
+// target. The argument rate is the number of requests a second that the target admits from all
+// instances.
 func Quota(self, target string, members []string, rate float64) int {
 	senders := make([]string, 0, len(members))
 	senders = append(senders, members...)
@@ -32,16 +34,18 @@
 	return 0
 }
 
-// windowLength is the length of the time in which sends are counted. It is longer
-// than a second by what clocks and the ways to the target may differ.
+// windowLength is the length of the sliding window of a Window. It exceeds a second by a margin for
+// the differences between clocks and between the latencies of the paths to the target.
 const windowLength = 1200 * time.Millisecond
 
-// Window counts sends in a sliding window. The zero value is ready.
+// Window counts the requests sent within a sliding window. The zero value is ready to use. A Window
+// is not safe for concurrent use.
 type Window struct {
 	sent []time.Time
 }
 
-// Take counts a send if fewer than quota were counted within the window.
+// Take records a request sent at now if fewer than quota requests were recorded within the window.
+// It reports whether it has recorded the request.
 func (w *Window) Take(now time.Time, quota int) bool {
 	w.expire(now)
 	if len(w.sent) >= quota {
@@ -51,7 +55,7 @@
 	return true
 }
 
-// CanTake tells whether Take would count a send.
+// CanTake reports whether Take would record a request.
 func (w *Window) CanTake(now time.Time, quota int) bool {
 	w.expire(now)
 	return len(w.sent) < quota
--- a/warmup/warmup_test.go
+++ b/warmup/warmup_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/warmup"
 )
 
-// TestQuotasAddUp checks that the quotas of all instances of a hall stay within
-// the rate, and within twice the rate while one instance is known to some only.
+// TestQuotasAddUp checks that the quotas of all instances of a hall stay within the rate, and
+// within twice the rate while one instance is unknown to some of the others.
 func TestQuotasAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 14).Draw(t, "members")
@@ -41,7 +41,8 @@
 	require.Zero(t, warmup.Quota("x", "t", nil, 11))
 }
 
-// TestWindowBoundsEverySecond draws sends and checks every sliding second.
+// TestWindowBoundsEverySecond sends requests at random times and checks the quota for every
+// interval of one second.
 func TestWindowBoundsEverySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		quota := rapid.IntRange(0, 5).Draw(t, "quota")
