--- a/availability/rate_limits.go
+++ b/availability/rate_limits.go
@@ -99,10 +99,10 @@
 	return RateLimitList{entry.withAge(now)}
 }
 
-// Announce records a limit that a target announced in an answer to a request that this instance
+// Observe records a limit that a target announced in an answer to a request that this instance
 // sent at sentAt. It reports whether the limit has changed or has to be refreshed, and is to be
 // sent to the other instances.
-func (l *RateLimits) Announce(now, sentAt time.Time, id ID, perSecond float64) bool {
+func (l *RateLimits) Observe(now, sentAt time.Time, id ID, perSecond float64) bool {
 	// Messages carry limits as float32.
 	perSecond = float64(float32(perSecond))
 	entry := l.entries[id]
@@ -123,10 +123,10 @@
 	}
 }
 
-// AnnounceNone records that a target announced no limit in a complete answer to a request that this
+// ObserveNone records that a target announced no limit in a complete answer to a request that this
 // instance sent at sentAt. It reports whether this has removed a limit, so that the other instances
 // are to be notified.
-func (l *RateLimits) AnnounceNone(now, sentAt time.Time, id ID) bool {
+func (l *RateLimits) ObserveNone(now, sentAt time.Time, id ID) bool {
 	entry := l.entries[id]
 	if entry == nil || entry.Removed || sentAt.Before(entry.confirmedAt.Add(raiseDelay)) {
 		return false
--- a/availability/rate_limits_test.go
+++ b/availability/rate_limits_test.go
@@ -29,9 +29,9 @@
 			id := availability.ID(rapid.IntRange(1, 3).Draw(t, "target"))
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				set.Announce(now, now, id, float64(rapid.IntRange(0, 9).Draw(t, "limit")))
+				set.Observe(now, now, id, float64(rapid.IntRange(0, 9).Draw(t, "limit")))
 			case 1:
-				set.AnnounceNone(now, now, id)
+				set.ObserveNone(now, now, id)
 			default:
 				set.Merge(now, sets[draw.Draw(t, "from")].Sample(now, 64, 1))
 			}
@@ -60,24 +60,24 @@
 	const id = 7
 	now := time.Unix(1000, 0)
 	var l availability.RateLimits
-	require.True(t, l.Announce(now, now, id, 6))
-	require.False(t, l.Announce(now, now, id, 6.3), "within minRelativeRise")
-	require.False(t, l.Announce(now, now, id, 60), "the lower limit was announced within raiseDelay")
-	require.True(t, l.Announce(now, now, id, 5), "lower limits hold at once")
+	require.True(t, l.Observe(now, now, id, 6))
+	require.False(t, l.Observe(now, now, id, 6.3), "within minRelativeRise")
+	require.False(t, l.Observe(now, now, id, 60), "the lower limit was announced within raiseDelay")
+	require.True(t, l.Observe(now, now, id, 5), "lower limits hold at once")
 	later := now.Add(settleTime)
-	require.False(t, l.Announce(later, now, id, 60), "the request was sent within raiseDelay")
-	require.True(t, l.Announce(later, later, id, 60))
+	require.False(t, l.Observe(later, now, id, 60), "the request was sent within raiseDelay")
+	require.True(t, l.Observe(later, later, id, 60))
 	limit, limited := l.Get(id)
 	require.True(t, limited)
 	require.Equal(t, 60.0, limit.PerSecond)
-	require.False(t, l.AnnounceNone(later, later, id), "the limit was announced within raiseDelay")
+	require.False(t, l.ObserveNone(later, later, id), "the limit was announced within raiseDelay")
 	end := later.Add(settleTime)
-	require.False(t, l.AnnounceNone(end, later, id), "the request was sent within raiseDelay")
-	require.True(t, l.AnnounceNone(end, end, id))
+	require.False(t, l.ObserveNone(end, later, id), "the request was sent within raiseDelay")
+	require.True(t, l.ObserveNone(end, end, id))
 	_, limited = l.Get(id)
 	require.False(t, limited)
-	require.False(t, l.Announce(end, later, id, 5), "the request was sent before the removal")
-	require.True(t, l.Announce(end, end, id, 5), "announced again after the removal")
+	require.False(t, l.Observe(end, later, id, 5), "the request was sent before the removal")
+	require.True(t, l.Observe(end, end, id, 5), "announced again after the removal")
 }
 
 // TestRateLimitsExpire checks that tombstones expire after a short time, and limits that are not
@@ -85,13 +85,13 @@
 func TestRateLimitsExpire(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var l availability.RateLimits
-	l.Announce(now, now, 1, 5)
-	l.Announce(now, now, 2, 5)
+	l.Observe(now, now, 1, 5)
+	l.Observe(now, now, 2, 5)
 	ended := now.Add(settleTime)
-	require.True(t, l.AnnounceNone(ended, ended, 1))
+	require.True(t, l.ObserveNone(ended, ended, 1))
 	require.Empty(t, l.Expire(ended.Add(2*time.Minute)))
 	require.Equal(t, 1, l.Len())
-	require.True(t, l.Announce(now.Add(30*time.Minute), now.Add(30*time.Minute), 2, 5), "refreshed before it expires")
+	require.True(t, l.Observe(now.Add(30*time.Minute), now.Add(30*time.Minute), 2, 5), "refreshed before it expires")
 	require.Empty(t, l.Expire(now.Add(61*time.Minute)))
 	require.Equal(t, []availability.ID{2}, l.Expire(now.Add(2*time.Hour)))
 	require.Zero(t, l.Checksum(now))
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -46,9 +46,9 @@
 	var changed bool
 	switch {
 	case r.SelfReport.HasLimit:
-		changed = l.known.Announce(now, sentAt, id, r.SelfReport.RateLimit)
+		changed = l.known.Observe(now, sentAt, id, r.SelfReport.RateLimit)
 	case saysNoLimit(r):
-		changed = l.known.AnnounceNone(now, sentAt, id)
+		changed = l.known.ObserveNone(now, sentAt, id)
 	}
 	if !changed {
 		return nil, false
--- a/quarantine/accounts.go
+++ b/quarantine/accounts.go
@@ -72,7 +72,7 @@
 // answered. Trusted accounts are not flagged: they have so many requests that one is at most
 // targets that crash.
 func (t *Table) FlagAccounts(now time.Time, isTrusted func(account uint32) bool) []Digest {
-	ev := t.evidence(now, isTrusted)
+	ev := t.collectEvidence(now, isTrusted)
 	var flagged []Digest
 	for _, account := range ev.flagged {
 		ev.attribute(account)
@@ -123,7 +123,7 @@
 	clearedAt map[uint32]time.Time
 }
 
-func (t *Table) evidence(now time.Time, isTrusted func(uint32) bool) *evidence {
+func (t *Table) collectEvidence(now time.Time, isTrusted func(uint32) bool) *evidence {
 	ev := &evidence{crashes: make(map[uint32]map[TargetID]crash), requests: make(map[uint32]int), clearedAt: make(map[uint32]time.Time), crashedIn: make(map[int64]int)}
 	for _, at := range t.crashedAt {
 		if now.Sub(at) < flagWindow {
@@ -177,7 +177,7 @@
 	found := false
 	for account, crashes := range ev.crashes {
 		tooFew := len(crashes) < flagMinTargets || float64(len(crashes)) < flagMinShare*float64(ev.crashed)
-		if tooFew || ev.requests[account] < flagMinRequests || ev.intervals(account) < flagMinIntervals {
+		if tooFew || ev.requests[account] < flagMinRequests || ev.countIntervals(account) < flagMinIntervals {
 			continue
 		}
 		if !found || ev.ranksAbove(account, best) {
@@ -190,9 +190,9 @@
 // intervalOf returns the index of the interval that contains the time.
 func intervalOf(at time.Time) int64 { return at.UnixNano() / int64(flagInterval) }
 
-// intervals returns the number of intervals in which the account has a sufficient fraction of the
+// countIntervals returns the number of countIntervals in which the account has a sufficient fraction of the
 // crashed targets.
-func (ev *evidence) intervals(account uint32) int {
+func (ev *evidence) countIntervals(account uint32) int {
 	attributed := make(map[int64]int)
 	for _, c := range ev.crashes[account] {
 		attributed[intervalOf(c.at)]++
