--- a/rollout/analyzer.go
+++ b/rollout/analyzer.go
@@ -5,81 +5,83 @@
 	"time"
 )
 
-// Reason says why a version is judged to be bad, or an order was given up.
+// Reason states why a version was judged to be bad or a rollout was aborted.
 type Reason string
 
-// The reasons.
+// Reasons for a rollback.
 const (
 	ReasonNone     Reason = ""
 	ReasonFailures Reason = "failures"
 	ReasonSlow     Reason = "slow"
-	// ReasonNoTargets means that the version had no targets that serve in time.
+	// ReasonNoTargets states that the version had no targets in service in time.
 	ReasonNoTargets Reason = "no-targets"
-	// ReasonNoTime means that the requests could not be moved in time.
+	// ReasonNoTime states that the requests could not be shifted in time.
 	ReasonNoTime Reason = "no-time"
 )
 
-// The judge holds the failures and slow answers of the new targets against those of the old ones
-// on the same route, by the sequential probability ratio test: it sums up how much more likely an
-// observation is if the version is bad than if it is as good as the old one, and decides once the
-// sum is far enough from 0. A version may turn bad at any time, so the sum is taken over the last
-// seconds too, and by itself on each route, since a version may be bad on one alone.
+// The analysis compares the failures and slow responses of the new targets with those of the old
+// targets on the same route by a sequential probability ratio test. It sums the log-likelihood
+// ratio (LLR) of the hypothesis that the version is bad to the hypothesis that it is as good as the
+// old one, and decides when the sum is far enough from 0. A version may turn bad at any time, so
+// the sum is also taken over a sliding window. A version may be bad on one route only, so each
+// route is also tested by itself.
 const (
-	// badLLR and goodOdds are the logarithms of the odds at which a version is judged to be bad
-	// and to be good. The first is the higher one, as it is looked at again and again.
+	// badLLR and goodLLR are the log-likelihood ratios at which a version is judged to be bad or
+	// good. badLLR is higher because the test is evaluated repeatedly.
 	badLLR  = 11.0
 	goodLLR = 4.6
 
-	// minFailureRate is the part of the answers that is taken to fail at a good version at least,
-	// and moreFailing the additional part at a bad one.
+	// minFailureRate is the lowest failure rate assumed of a good version, failureRateIncrease the
+	// increase assumed of a bad one.
 	minFailureRate      = 0.01
 	failureRateIncrease = 0.06
-	// minSlowRate and moreSlow are the same for slow answers.
+	// minSlowRate and slowRateIncrease are the same for slow responses.
 	minSlowRate      = 0.05
 	slowRateIncrease = 0.25
-	// slowFactor is how many usual times of the old targets a slow answer takes.
+	// slowFactor is the multiple of the old targets' median latency from which a response is slow.
 	slowFactor = 2.5
-	// relativeIncrease is the additional part, as a multiple of that of the old version, if that
-	// has many failures or slow answers itself.
+	// relativeIncrease is the increase assumed of a bad version, relative to the rate of the old
+	// one. It applies if the old version has many failures or slow responses itself.
 	relativeIncrease = 0.75
 
-	// minReference is the number of answers of the old targets in the last seconds below which
-	// all answers since the order are the reference.
+	// minReference is the number of responses of old targets in the window below which all their
+	// responses since the order are the reference.
 	minReference = 50
 )
 
-// suspectLLR is the logarithm of the odds from which on the last seconds speak against a version.
+// suspectLLR is the log-likelihood ratio above which a version is suspect.
 const suspectLLR = 2.0
 
 const (
-	// windowSlots is the number of windowSlotTime that make up the last seconds.
+	// windowSlots is the number of slots of the sliding window, windowSlotDuration the length of
+	// one.
 	windowSlots        = 6
 	windowSlotDuration = 500 * time.Millisecond
 )
 
-// Analyzer decides whether a version is good or bad.
+// Analyzer performs the canary analysis of a version. It is not safe for concurrent use.
 type Analyzer struct {
-	// total are those since the judge has begun, and stage those of the stage.
+	// total holds all observations, stage those of the current stage.
 	total, stage statsByRoute
-	// window are those of the last seconds, of which the one at the index began at slotAt.
+	// window is a ring of slots. slot is the index of the current one, which began at slotStart.
 	window    [windowSlots]statsByRoute
 	slot      int
 	slotStart time.Time
-	// firstSeen are the places where new targets have had a key, and when that was first told.
+	// firstSeen is the time of the first observation of each key at each new target.
 	firstSeen map[targetKey]time.Time
 	// observed is the number of observations of new targets.
 	observed int
 }
 
-// targetKey is where an observation was made.
+// targetKey identifies a key at a target.
 type targetKey struct {
 	target, key uint32
 }
 
-// maxTargetKeys bounds the places that are remembered: 1 MB.
+// maxTargetKeys limits the entries of Analyzer.firstSeen, which then take 1 MB.
 const maxTargetKeys = 20_000
 
-// NewAnalyzer returns a judge that has seen nothing.
+// NewAnalyzer returns an analyzer without observations.
 func NewAnalyzer() *Analyzer {
 	a := &Analyzer{total: make(statsByRoute), stage: make(statsByRoute), firstSeen: make(map[targetKey]time.Time)}
 	for i := range a.window {
@@ -91,7 +93,7 @@
 // Observed returns the number of observations of new targets.
 func (a *Analyzer) Observed() int { return a.observed }
 
-// AddReport takes in what an instance has observed.
+// AddReport adds the observations of a report that arrived at time now.
 func (a *Analyzer) AddReport(now time.Time, r Report) {
 	a.advance(now)
 	for _, t := range r.Old {
@@ -108,8 +110,8 @@
 	}
 }
 
-// mayBeFirst tells whether the target may not have had the key when the request was sent: then it is
-// slower for that reason.
+// mayBeFirst reports whether the target may not have had the key's object when the request was
+// sent. Such a request is slower because the target has to load the object.
 func (a *Analyzer) mayBeFirst(now time.Time, o Observation) bool {
 	at := targetKey{target: o.Target, key: o.Key}
 	since, ok := a.firstSeen[at]
@@ -120,7 +122,7 @@
 	return !ok || sentAt.Before(since)
 }
 
-// advance begins new slots as time passes.
+// advance moves the window up to time now.
 func (a *Analyzer) advance(now time.Time) {
 	if a.slotStart.IsZero() || now.Sub(a.slotStart) >= 2*windowSlots*windowSlotDuration {
 		a.slotStart = now
@@ -132,22 +134,24 @@
 	}
 }
 
-// Assessment is what a judge thinks of a version.
+// Assessment is the result of the canary analysis of a version.
 type Assessment struct {
-	// Bad is why the version is bad, ReasonNone if it is not.
+	// Bad is the reason why the version is bad, or ReasonNone.
 	Bad Reason
-	// Good says that enough was seen to take it for good, and Suspect that the observations on a
-	// route, or of the last seconds, speak rather against it.
+	// Good reports whether there is enough evidence that the version is good. Suspect reports
+	// whether the observations on a route, in total or in the window, are evidence against the
+	// version.
 	Good, Suspect bool
-	// MaxLLR is the highest of the logarithms of the odds by all observations on a route.
+	// MaxLLR is the highest log-likelihood ratio of a route over all observations.
 	MaxLLR float64
-	// FailureLLR and SlowLLR are the logarithms of the odds that it fails more often and is slower, by
-	// all observations, and StageFailing and StageSlow the same by those of the stage alone.
+	// FailureLLR and SlowLLR are the log-likelihood ratios over all routes that the version fails
+	// more often and that it is slower. StageFailureLLR and StageSlowLLR are the same for the
+	// observations of the current stage.
 	FailureLLR, SlowLLR           float64
 	StageFailureLLR, StageSlowLLR float64
 }
 
-// Assess returns what the judge thinks now.
+// Assess returns the assessment at time now.
 func (a *Analyzer) Assess(now time.Time) Assessment {
 	a.advance(now)
 	result := Assessment{MaxLLR: math.Inf(-1)}
@@ -181,7 +185,7 @@
 	return result
 }
 
-// add takes in what some of the observations on a route say.
+// add applies the evidence of one route to Suspect and Bad.
 func (a *Assessment) add(e evidence) {
 	a.Suspect = a.Suspect || max(e.failureLLR, e.slowLLR) > suspectLLR
 	switch {
@@ -193,10 +197,10 @@
 	}
 }
 
-// BeginStage forgets the observations of the stage that has ended.
+// BeginStage discards the observations of the previous stage.
 func (a *Analyzer) BeginStage() { a.stage = make(statsByRoute) }
 
-// windowStats joins the observations of a route of the windowStats seconds.
+// windowStats returns the statistics of a route over the sliding window.
 func (a *Analyzer) windowStats(route uint16) *routeStats {
 	merged := &routeStats{}
 	for _, slot := range a.window {
@@ -207,15 +211,15 @@
 	return merged
 }
 
-// evidence is what observations say: the logarithms of the odds, and whether they are of too few
-// targets or keys.
+// evidence holds the log-likelihood ratios of a set of observations, and whether the failures or
+// slow responses come from too few targets or keys.
 type evidence struct {
 	failureLLR, slowLLR  float64
 	fewFailures, fewSlow bool
 }
 
-// compare returns what the observations of new targets say against those of the old ones of a
-// reference. Usual tells the usual time of these.
+// compare returns the evidence in the observations of new targets, given the rates of the old
+// targets in reference. The threshold for slow responses is derived from latencies.
 func compare(r *routeStats, reference, latencies Tally) evidence {
 	failures := r.failures()
 	e := evidence{failureLLR: logLikelihoodRatio(failures, failureRate(reference), minFailureRate, failureRateIncrease), fewFailures: failures.tooFew}
@@ -228,8 +232,9 @@
 	return e
 }
 
-// logLikelihoodRatio returns the logarithm of how much more likely the counts are if a part of more than usual of
-// the observations are bad than if only as many as usual are.
+// logLikelihoodRatio returns the log-likelihood ratio of a bad version to a good one. GoodRate is
+// the rate of bad observations of the old version and is taken to be at least minGoodRate. The rate
+// of a bad version exceeds it by at least minIncrease.
 func logLikelihoodRatio(c counts, goodRate, minGoodRate, minIncrease float64) float64 {
 	goodRate = max(goodRate, minGoodRate)
 	badRate := min(goodRate+max(minIncrease, relativeIncrease*goodRate), 0.98)
--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -8,47 +8,47 @@
 )
 
 const (
-	// stageTTL is for how long a stage holds that the leader does not tell again. A leader tells
-	// it each beatTime.
+	// stageTTL is the time for which a stage holds after its last announcement. A leader repeats
+	// the announcement every HeartbeatInterval.
 	stageTTL = 2500 * time.Millisecond
-	// reportInterval is the time between two reports of an instance, and quickReportTime the same
-	// while more than a few requests go to new targets.
+	// reportInterval is the time between two reports of an instance. fastReportInterval replaces it
+	// in the moving phases, in which new targets get more than a few requests.
 	reportInterval     = 500 * time.Millisecond
 	fastReportInterval = 200 * time.Millisecond
-	// maxObservations bounds the observations in a report, and those that are kept for the next leader.
+	// maxObservations limits the observations in a report, and the reported ones that are kept for
+	// the next leader.
 	maxObservations = 64
 )
 
-// Follower is the part of one instance in the rollout of a service. It is not safe for concurrent
-// use.
+// Follower tracks the rollout of a service at one instance. It is not safe for concurrent use.
 type Follower struct {
 	self string
-	// samplePoint is the instance's place among those that take part before the requests move, in
-	// [0, 1).
+	// samplePoint places the instance in [0, 1). It takes part in the canary stages if samplePoint
+	// is below the InstanceShare of the stage.
 	samplePoint float64
 
 	order     Order
 	startedAt time.Time
 	verdict   State
-	// withdrawn says that the order is no longer there.
+	// withdrawn reports whether the order has been removed from the store.
 	withdrawn bool
 
 	stage   Stage
 	heardAt time.Time
 
 	sent, sentNew uint32
-	// pendingOld and observed are what the leader has not been told, and reportedOld and told what it has: the
-	// next leader needs that too.
+	// pendingOld and pendingNew are not yet reported. reportedOld and reportedNew have been sent to
+	// the current leader and are sent again to the next one.
 	pendingOld, reportedOld map[uint16]*Tally
 	pendingNew, reportedNew Observations
 	reportedAt              time.Time
-	// dirty says that there is something to report, and movedTold is the stage of which the leader
-	// was told that all requests here have moved.
+	// dirty reports whether there is anything to report. movedReported is the number of the stage
+	// for which the instance has reported that none of its requests is at an old target.
 	dirty         bool
 	movedReported uint32
 }
 
-// NewFollower returns the part of an instance in the rollout of an order that it knows from now on.
+// NewFollower returns the follower of an order that the instance self has first seen at time now.
 func NewFollower(now time.Time, self string, order Order) *Follower {
 	return &Follower{
 		self:        self,
@@ -64,10 +64,10 @@
 // Order returns the order.
 func (f *Follower) Order() Order { return f.order }
 
-// Stage returns the latest stage that is known.
+// Stage returns the stage that was adopted last.
 func (f *Follower) Stage() Stage { return f.stage }
 
-// Verdict returns the verdict that the store holds, or the state Running.
+// Verdict returns the verdict that is recorded in the store, or Running if there is none.
 func (f *Follower) Verdict() State {
 	if f.verdict.IsFinal() {
 		return f.verdict
@@ -75,10 +75,12 @@
 	return Running
 }
 
-// StartedAt returns when the order was first known, as far as is known here.
+// StartedAt returns the earliest time at which an instance has seen the order, as far as this
+// instance knows.
 func (f *Follower) StartedAt() time.Time { return f.startedAt }
 
-// SetState takes in what the store says of the order.
+// SetState records the state that the store holds for the order. States after the first verdict are
+// ignored.
 func (f *Follower) SetState(state State) {
 	if f.verdict.IsFinal() {
 		return
@@ -86,18 +88,19 @@
 	f.verdict = state
 }
 
-// Reissue takes in that the store holds the same order as given at another time: it had lost it. What
-// is known of it holds.
+// Reissue replaces the order by an equivalent one of another generation, which the store holds
+// after it has lost the order. The progress of the rollout is kept.
 func (f *Follower) Reissue(order Order) {
 	f.order, f.stage.Order = order, order.ID()
 	f.withdrawn = false
 }
 
-// Withdraw takes in that the order is no longer in the store. Without a verdict the version gets
-// nothing any more.
+// Withdraw records that the order has been removed from the store. Without a verdict its version
+// gets no more requests.
 func (f *Follower) Withdraw() { f.withdrawn = true }
 
-// HandleStage takes in a stage that the leader tells. It reports whether it is a new one.
+// HandleStage processes a stage that a leader has announced. It reports whether the number or the
+// phase of the current stage has changed.
 func (f *Follower) HandleStage(now time.Time, s Stage) bool {
 	if s.Order != f.order.ID() {
 		return false
@@ -117,8 +120,8 @@
 	return changed
 }
 
-// requeueReported has all that the leader before was told be told to the next one, which may be the same
-// instance.
+// requeueReported marks everything that was sent to the previous leader as pending again. The next
+// leader needs it even if it is the same instance, since a leader starts without observations.
 func (f *Follower) requeueReported() {
 	f.dirty = true
 	for route, t := range f.reportedOld {
@@ -128,8 +131,8 @@
 	f.reportedOld, f.reportedNew = make(map[uint16]*Tally), nil
 }
 
-// Split returns the part of the service's requests that this instance sends to new targets now, and
-// until when that holds unless something is heard meanwhile, zero if for good.
+// Split returns the traffic split of this instance at time now, and the time until which it holds
+// if no further announcement arrives. That time is zero if the split is permanent.
 func (f *Follower) Split(now time.Time) (Split, time.Time) {
 	split := Split{Version: f.order.Version}
 	switch {
@@ -151,7 +154,7 @@
 	return split, until
 }
 
-// RecordSent counts a request that is sent to a target.
+// RecordSent counts a request that was sent to a target.
 func (f *Follower) RecordSent(toNew bool) {
 	f.sent++
 	f.dirty = true
@@ -160,7 +163,8 @@
 	}
 }
 
-// RecordOld takes in that a request at an old target has ended that tells of the version.
+// RecordOld records the outcome of a request at an old target. Outcomes that are no evidence about
+// the version must not be passed.
 func (f *Follower) RecordOld(o Observation) {
 	f.dirty = true
 	tally := &Tally{Route: o.Route}
@@ -172,7 +176,7 @@
 	addTally(f.pendingOld, o.Route, tally)
 }
 
-// addTally adds a tally to that of a route.
+// addTally adds a tally to the total of its route.
 func addTally(to map[uint16]*Tally, route uint16, t *Tally) {
 	total := to[route]
 	if total == nil {
@@ -182,7 +186,8 @@
 	total.add(*t)
 }
 
-// RecordNew takes in that a request at a new target has ended that tells of the version.
+// RecordNew records the outcome of a request at a new target, unless maxObservations are pending.
+// Outcomes that are no evidence about the version must not be passed.
 func (f *Follower) RecordNew(o Observation) {
 	f.dirty = true
 	if len(f.pendingNew) < maxObservations {
@@ -190,8 +195,8 @@
 	}
 }
 
-// Report returns what the leader is to be told now, and its peer address, if it is time. AtOld is
-// the number of requests of this instance that are at old targets.
+// Report returns the report that is due at time now and the peer address of the leader, or false if
+// none is due. InFlightOld is the number of requests of this instance in flight at old targets.
 func (f *Follower) Report(now time.Time, atOld int) (Report, string, bool) {
 	if !f.shouldReport(now, atOld) {
 		return Report{}, "", false
@@ -214,8 +219,9 @@
 	return r, f.stage.Leader, true
 }
 
-// shouldReport tells whether this instance shouldReport now: those that take part from the beginning do, and
-// each once when its requests have moved.
+// shouldReport reports whether a report is due. Instances that take part in the canary stages
+// report at fixed intervals as long as there is something to report. Each instance also reports
+// once when none of its requests is at an old target any more.
 func (f *Follower) shouldReport(now time.Time, atOld int) bool {
 	if f.stage.Leader == "" || f.Verdict().IsFinal() {
 		return false
--- a/rollout/follower_test.go
+++ b/rollout/follower_test.go
@@ -18,38 +18,40 @@
 	return rollout.Stage{Order: order.ID(), Number: number, Heartbeat: beat, Phase: rollout.Moving, InstanceShare: 1, KeyShare: 1, RequestShare: 0.5, TargetShare: 1, Leader: "l"}
 }
 
-// TestStageExpires checks that an instance that hears of no leader goes back to the old targets.
+// TestStageExpires checks that an instance returns to the old targets when a stage is no longer
+// announced.
 func TestStageExpires(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	split, _ := f.Split(begin)
-	require.Equal(t, rollout.Split{Version: "v2"}, split, "before any stage")
+	require.Equal(t, rollout.Split{Version: "v2"}, split, "before the first stage")
 	require.True(t, f.HandleStage(begin, stage(1, 1)))
 	split, until := f.Split(begin)
 	require.Equal(t, 0.5, split.RequestShare)
-	require.False(t, f.HandleStage(begin.Add(time.Second), stage(1, 2)), "the same stage told again")
+	require.False(t, f.HandleStage(begin.Add(time.Second), stage(1, 2)), "a repeated announcement of the same stage")
 	_, later := f.Split(begin.Add(time.Second))
 	require.True(t, later.After(until))
 	split, _ = f.Split(later)
 	require.Equal(t, rollout.Split{Version: "v2"}, split)
-	require.False(t, f.HandleStage(later, stage(1, 2)), "what was heard before is no new word of the leader")
+	require.False(t, f.HandleStage(later, stage(1, 2)), "an announcement that was already received doesn't renew the stage")
 	split, _ = f.Split(later)
 	require.Zero(t, split.RequestShare)
 }
 
-// TestRollbackIsFinal checks that nothing follows a rollback, whatever comes late.
+// TestRollbackIsFinal checks that no stage replaces a rollback, not even one with a higher number
+// that arrives later.
 func TestRollbackIsFinal(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	back := stage(2, 1)
 	back.Phase, back.KeyShare, back.RequestShare = rollout.Reverted, 0, 0
 	require.True(t, f.HandleStage(begin, stage(5, 1)))
-	require.True(t, f.HandleStage(begin, back), "a rollback goes before stages with higher numbers")
+	require.True(t, f.HandleStage(begin, back), "a rollback replaces stages with higher numbers")
 	require.False(t, f.HandleStage(begin, stage(9, 1)))
 	split, until := f.Split(begin.Add(time.Hour))
 	require.Equal(t, rollout.Split{Version: "v2", Ended: true}, split)
 	require.True(t, until.IsZero())
 }
 
-// TestFirstVerdictIsFinal checks that the first verdict of the store counts.
+// TestFirstVerdictIsFinal checks that a verdict in the store isn't replaced by a later one.
 func TestFirstVerdictIsFinal(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	f.SetState(rollout.Running)
@@ -60,7 +62,7 @@
 	require.True(t, split.Ended && split.AllNew())
 }
 
-// TestWithdrawnOrder checks that a version whose order is taken back gets nothing.
+// TestWithdrawnOrder checks that the version of a withdrawn order gets no requests.
 func TestWithdrawnOrder(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	f.HandleStage(begin, stage(1, 1))
@@ -69,8 +71,8 @@
 	require.Equal(t, rollout.Split{Version: "v2", Ended: true}, split)
 }
 
-// TestConcurrentLeaders checks that instances that hear of two leaders follow the same one, in whatever
-// order they hear of them.
+// TestConcurrentLeaders checks that all instances follow the same one of two leaders, in whatever
+// order the announcements arrive.
 func TestConcurrentLeaders(t *testing.T) {
 	a, b := stage(1, 1), stage(1, 7)
 	a.Leader, b.Leader = "a", "b"
@@ -83,7 +85,7 @@
 	}
 }
 
-// TestIgnoresOtherOrders checks that stages of another order count for nothing.
+// TestIgnoresOtherOrders checks that stages of another order are ignored.
 func TestIgnoresOtherOrders(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	later := order
@@ -94,7 +96,7 @@
 	require.Equal(t, rollout.Waiting, f.Stage().Phase)
 }
 
-// TestAdoptsOrderAge checks that an instance that hears late of an order learns how old it is.
+// TestAdoptsOrderAge checks that an instance that sees an order late adopts its age from the stage.
 func TestAdoptsOrderAge(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	s := stage(1, 1)
@@ -103,11 +105,11 @@
 	require.Equal(t, begin.Add(-4*time.Second), f.StartedAt())
 }
 
-// TestReports checks when an instance reports, and that it tells each thing once.
+// TestReports checks when an instance reports, and that it reports each event once.
 func TestReports(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	_, _, ok := f.Report(begin, 0)
-	require.False(t, ok, "nobody leads yet")
+	require.False(t, ok, "there is no leader yet")
 	f.HandleStage(begin, stage(1, 1))
 	f.RecordSent(true)
 	f.RecordSent(false)
@@ -120,7 +122,7 @@
 	require.Equal(t, rollout.Report{Order: order.ID(), From: "n1", Stage: 1, Sent: 2, SentNew: 1, InFlightOld: 3, New: rollout.Observations{{Key: 1}},
 		Old: rollout.Tallies{{Route: 4, Answered: 1, Failed: 1, Latencies: rollout.LatencyHistogram{30: 1}}}}, r)
 	_, _, ok = f.Report(begin.Add(time.Second), 3)
-	require.False(t, ok, "nothing has happened since")
+	require.False(t, ok, "nothing to report since the last report")
 	f.RecordSent(true)
 	r, _, ok = f.Report(begin.Add(2*time.Second), 3)
 	require.True(t, ok)
@@ -128,8 +130,8 @@
 	require.Empty(t, r.New)
 }
 
-// TestReportsEndOfMoveOnce checks that an instance that takes no part before tells the leader once
-// that no request of it is at an old target any more.
+// TestReportsEndOfMoveOnce checks that an instance that takes no part in the canary stages reports
+// once that none of its requests is at an old target any more.
 func TestReportsEndOfMoveOnce(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	moved := stage(4, 1)
@@ -146,8 +148,9 @@
 	require.False(t, ok)
 }
 
-// TestReportsAgainToRestartedLeader checks that a leader that had stopped to lead, and begins anew at the same
-// address, is told what it was told before: it has forgotten that.
+// TestReportsAgainToRestartedLeader guards against lost observations when an instance stops leading
+// and then leads again at the same address. The new leader starts without observations, so the
+// followers have to send again what they sent to the former one.
 func TestReportsAgainToRestartedLeader(t *testing.T) {
 	f := rollout.NewFollower(begin, "n1", order)
 	first, _ := rollout.NewLeader(begin, "l", f, rollout.DefaultExposureBound).Decide(begin, rollout.FleetState{Instances: 1, Rate: 20, OldSlots: 9, NewSlots: 9})
--- a/rollout/leader.go
+++ b/rollout/leader.go
@@ -5,110 +5,115 @@
 	"time"
 )
 
-// ExposureBound is what is promised of a version that turns out to be bad.
+// ExposureBound limits the requests that may reach a bad version.
 type ExposureBound struct {
-	// Share is the part of a service's requests that may reach it from the order to the end of
-	// the order's duration, and Slack the number on top of that.
+	// Share is the fraction of a service's requests that may reach the version from the order to
+	// the end of its duration. Slack is the number of requests that may reach it in addition.
 	Share, Slack float64
 }
 
-// DefaultExposureBound is what is promised where nothing else is set.
+// DefaultExposureBound is the bound that applies without other settings.
 var DefaultExposureBound = ExposureBound{Share: 0.1, Slack: 50}
 
-// FleetState is what the leader knows of the fleet.
+// FleetState describes the instances and targets of a service, as the leader sees them.
 type FleetState struct {
-	// Instances is the number of instances that take requests, as far as is known.
+	// Instances is the number of instances that are known to accept requests.
 	Instances int
-	// Rate is the number of requests for the service at all instances, in 1/s.
+	// Rate is the rate of requests for the service over all instances, in 1/s.
 	Rate float64
-	// OldSlots and NewSlots are those of the targets that serve, and Utilization the part of the old
-	// ones that is in use.
+	// OldSlots and NewSlots are the numbers of slots of the old and new targets in service.
+	// Utilization is the fraction of the old slots in use.
 	OldSlots, NewSlots, Utilization float64
 }
 
-// The times of a rollout, as parts of its duration: canaryEnd and bakeEnd are when the stages of a few
-// requests end at the earliest, moveStartDeadline and moveStepDeadline are when the moving begins and goes on though enough
-// was not seen, if nothing speaks against the version, and verdictDeadline is when the verdict is written, which
-// leaves time for a store that is slow.
+// Times of a rollout, as fractions of the order's duration. The canary and baking phases last at
+// least until canaryEnd and bakeEnd. From moveStartDeadline and moveStepDeadline on, the first and
+// the further moving stages begin even if the evidence for the version is incomplete, provided that
+// there is none against it. The verdict is due at verdictDeadline, which leaves time for a slow
+// store.
 const (
 	canaryEnd         = 0.25
 	bakeEnd           = 0.5
 	moveStartDeadline = 0.6
 	moveStepDeadline  = 0.75
 	verdictDeadline   = 0.85
-	// minStepTime and mostStep bound how long a moving stage has to last.
+	// minStepTime and maxStepTime bound the minimum duration of a moving stage.
 	minStepTime = 300 * time.Millisecond
 	maxStepTime = time.Minute
 )
 
 const (
-	// HeartbeatInterval is the time in which a leader tells the stage again.
+	// HeartbeatInterval is the time after which a leader repeats the announcement of the current
+	// stage.
 	HeartbeatInterval = 500 * time.Millisecond
-	// sampleRate is the number of requests a second that are wanted at new targets before requests
-	// move, and mostShare the largest part of all requests that are sent there for it.
+	// sampleRate is the rate of requests in 1/s that new targets should get in the canary stages.
+	// maxCanaryShare is the largest share of all requests that is used to reach it.
 	sampleRate     = 60.0
 	maxCanaryShare = 0.5
-	// minRate is the number of requests a second that is taken for a service without any.
+	// minRate is the request rate in 1/s that is assumed for a service without requests.
 	minRate = 0.1
-	// canaryShareFraction and canarySlackFraction are the parts of the bound that are used before requests
-	// move. The rest is for a version that turns bad then.
+	// canaryShareFraction and canarySlackFraction are the fractions of the exposure bound that the
+	// canary stages may use. The remainder is left for a version that turns bad in the moving
+	// stages.
 	canaryShareFraction, canarySlackFraction = 0.2, 0.3
-	// canaryKeyFactor is how many times the part of the keys is that of the requests in the canary
-	// stage: of each of its keys, some requests stay at the old targets, so that one key that is
-	// asked for often does not exceed the bound before that is known.
+	// canaryKeyFactor is the ratio of the share of keys to the share of requests in the canary
+	// phase. Some requests of each selected key stay at the old targets, so that a single popular
+	// key does not exceed the exposure bound before its popularity is known.
 	canaryKeyFactor = 4.0
-	// maxReportRate is the number of reports a second that a leader takes.
+	// maxReportRate is the rate of reports in 1/s that a leader accepts.
 	maxReportRate = 128.0
-	// maxFill is the part of the new targets' slots that may be filled by moving requests.
+	// maxFill is the fraction of the new targets' slots that shifted requests may fill.
 	maxFill = 0.85
-	// minUtilization is taken for the usage of the old targets' slots if less is seen.
+	// minUtilization is the lowest utilization of the old slots that is assumed.
 	minUtilization = 0.2
-	// stageLLR is the logarithm of the odds that a stage of moving requests has to show. Where fewer
-	// observations than fewSeen are to be expected, leastSeen of them are enough.
+	// A moving stage needs a failure log-likelihood ratio of -stageLLR or less. A stage in which
+	// fewer than smallSample observations are expected needs only smallSampleFraction of that
+	// number instead.
 	stageLLR            = 2.0
 	smallSample         = 30
 	smallSampleFraction = 0.5
 )
 
-// movingShares are the parts of the requests that go to new targets in the moving stages, and movingStepFractions
-// how long each stage has to last, as parts of the order's duration. In the first the new targets
-// get to know most objects while most requests for them still run at old ones. It lasts for longer
-// than a request that is not answered, so that a version that has turned bad shows in it.
+// movingShares are the shares of requests that go to new targets in the moving stages.
+// movingStepFractions are the minimum durations of these stages, as fractions of the order's
+// duration. In the first stage the new targets load most objects, while most requests for these
+// objects still run at old targets. It lasts longer than the timeout of a request, so that it
+// reveals a version that has turned bad.
 var (
 	movingShares        = [...]float64{0.1, 0.3, 1}
 	movingStepFractions = [...]float64{0.12, 0.08, 0.05}
 )
 
-// Leader decides on the stages of a rollout. It is not safe for concurrent use.
+// Leader chooses the stages of a rollout. It is not safe for concurrent use.
 type Leader struct {
 	bound     ExposureBound
 	order     Order
 	startedAt time.Time
 	analyzer  *Analyzer
 	stage     Stage
-	// stageStart is when the stage began, seenBefore the number of observations then, and announcedAt when
-	// it was last told.
+	// stageStart is the start of the current stage, announcedAt the time of its last announcement,
+	// and observedBefore the number of observations before its start.
 	stageStart, announcedAt time.Time
 	observedBefore          int
 	step                    int
 	announced               bool
 	verdict                 State
 	lastReports             map[string]lastReport
-	// canaryShare is the part of the requests that new targets are to get before requests move.
+	// canaryShare is the share of all requests that new targets should get in the canary stages.
 	canaryShare float64
 	assessment  Assessment
 	rate        rateEstimator
 }
 
-// lastReport is what an instance has reported last.
+// lastReport holds the counters of an instance's last report.
 type lastReport struct {
 	sent, sentNew uint32
 	stage         uint32
 	inFlightOld   int
 }
 
-// NewLeader returns a leader that goes on with what an instance knows of a rollout. Addr is the peer
-// address that is told reports.
+// NewLeader returns a leader that continues the rollout from the state of a follower. Addr is the
+// peer address to which the instances send their reports.
 func NewLeader(now time.Time, addr string, f *Follower, bound ExposureBound) *Leader {
 	l := &Leader{
 		bound:       bound,
@@ -133,21 +138,21 @@
 	return l
 }
 
-// Reissue takes in that the store holds the same order as given at another time.
+// Reissue replaces the order by an equivalent one of another generation.
 func (l *Leader) Reissue(order Order) { l.order, l.stage.Order = order, order.ID() }
 
-// Stage returns the stage that is decided.
+// Stage returns the current stage.
 func (l *Leader) Stage() Stage { return l.stage }
 
-// Verdict returns the state of the order that the store is to hold. All instances act on a rollback
-// as soon as the leader tells it, but on a success only once the store holds it.
+// Verdict returns the state of the order that has to be written to the store. Instances act on a
+// rollback as soon as the leader announces it, but on a success only once the store holds it.
 func (l *Leader) Verdict() State { return l.verdict }
 
-// Assessment returns what the leader last thought of the version.
+// Assessment returns the result of the last canary analysis.
 func (l *Leader) Assessment() Assessment { return l.assessment }
 
-// Counts returns the numbers of requests that the reports tell of: all, and those sent to new
-// targets.
+// Counts returns the number of requests that instances have reported as sent, and the number of
+// those that were sent to new targets.
 func (l *Leader) Counts() (sent, sentNew int) {
 	for _, s := range l.lastReports {
 		sent += int(s.sent)
@@ -156,7 +161,7 @@
 	return sent, sentNew
 }
 
-// HandleReport takes in a report.
+// HandleReport processes the report of an instance. Reports about other orders are ignored.
 func (l *Leader) HandleReport(now time.Time, r Report) {
 	if r.Order != l.order.ID() {
 		return
@@ -165,7 +170,7 @@
 	l.analyzer.AddReport(now, r)
 }
 
-// Decide decides on the stage, and reports whether all instances are to be told of it now.
+// Decide updates the stage and reports whether it has to be announced to all instances now.
 func (l *Leader) Decide(now time.Time, s FleetState) (Stage, bool) {
 	l.assessment = l.analyzer.Assess(now)
 	sent, _ := l.Counts()
@@ -193,7 +198,7 @@
 	return l.stage, announce
 }
 
-// decide goes on to the next phase if it is time.
+// decide rolls a bad version back, and otherwise advances the phase if its conditions hold.
 func (l *Leader) decide(now time.Time, s FleetState) {
 	elapsed := now.Sub(l.startedAt)
 	if l.assessment.Bad != ReasonNone {
@@ -217,13 +222,15 @@
 	return time.Duration(share * float64(l.order.Duration))
 }
 
+// rollBack ends the rollout with a rollback, which also ends all traffic to the new targets.
 func (l *Leader) rollBack(reason Reason) {
 	l.verdict = RolledBack
 	l.stage.Phase, l.stage.Reason = Reverted, reason
 	l.stage.KeyShare, l.stage.RequestShare, l.stage.TargetShare = 0, 0, 0
 }
 
-// waitForTargets begins the canary once there are new targets.
+// waitForTargets starts the canary phase once there are new targets, and rolls back if there are
+// none at moveStartDeadline.
 func (l *Leader) waitForTargets(elapsed time.Duration, s FleetState) {
 	switch {
 	case s.NewSlots > 0:
@@ -233,7 +240,7 @@
 	}
 }
 
-// beginCanary chooses who sends what where at first.
+// beginCanary sets the shares of the canary phase.
 func (l *Leader) beginCanary(s FleetState) {
 	reports := min(2*float64(s.Instances), s.Rate)
 	l.stage.InstanceShare = min(1, maxReportRate/max(reports, 1))
@@ -244,8 +251,8 @@
 	l.stage.TargetShare = l.stage.KeyShare
 }
 
-// computeCanaryShare is the part of the requests that new targets are to get before requests move: enough to
-// judge the version by, and no more than leaves most of the bound for later.
+// computeCanaryShare returns the share of all requests for new targets in the canary stages. It
+// suffices to assess the version, but leaves most of the exposure bound for the moving stages.
 func (l *Leader) computeCanaryShare(s FleetState) float64 {
 	rate := max(s.Rate, minRate)
 	canaryRequests := rate * bakeEnd * l.order.Duration.Seconds()
@@ -253,7 +260,7 @@
 	return min(sampleRate/rate, maxShare, maxCanaryShare*l.stage.InstanceShare)
 }
 
-// bake ends the stages of a few requests when it is time and enough was seen.
+// bake ends the canary and baking phases when their time is over and the evidence suffices.
 func (l *Leader) bake(elapsed time.Duration, s FleetState) {
 	late := elapsed >= l.fraction(moveStartDeadline)
 	idle := l.analyzer.Observed() == 0 && s.Rate*l.order.Duration.Seconds() > 1
@@ -274,7 +281,7 @@
 	}
 }
 
-// enforceBound sends fewer requests if more than meant to have gone to new targets.
+// enforceBound pauses the canary while new targets have got more requests than intended.
 func (l *Leader) enforceBound() {
 	sent, sentNew := l.Counts()
 	intended := l.canaryShare / l.stage.InstanceShare
@@ -288,13 +295,13 @@
 	}
 }
 
-// hasCapacity tells whether the new targets can take a part of the requests.
+// hasCapacity reports whether the new targets can serve a share of the requests.
 func (l *Leader) hasCapacity(share float64, s FleetState) bool {
 	needed := share * max(s.Utilization, minUtilization) * s.OldSlots
 	return s.NewSlots > 0 && needed <= maxFill*s.NewSlots
 }
 
-// advanceMove goes on to the next of the moving stages.
+// advanceMove begins the next moving stage when the current one has passed.
 func (l *Leader) advanceMove(now time.Time, elapsed time.Duration, s FleetState) {
 	switch {
 	case elapsed >= l.fraction(verdictDeadline):
@@ -309,8 +316,8 @@
 	}
 }
 
-// stagePassed tells whether a stage of moving requests has lasted for long enough and has shown that
-// nothing speaks against the version, or may not last longer.
+// stagePassed reports whether a moving stage has reached its minimum duration without evidence
+// against the version, and either has enough evidence for it or has reached moveStepDeadline.
 func (l *Leader) stagePassed(now time.Time, elapsed time.Duration, s FleetState) bool {
 	duration := now.Sub(l.stageStart)
 	if duration < min(max(l.fraction(movingStepFractions[l.step]), minStepTime), maxStepTime) || l.assessment.Suspect {
@@ -323,7 +330,10 @@
 	return expected < smallSample && l.analyzer.Observed()-l.observedBefore >= int(smallSampleFraction*expected)
 }
 
-// finish ends the rollout once no request is at an old target any more.
+// finish declares success once no request is at an old target and the stage has passed. At
+// verdictDeadline the stage need not have passed, and the reports of half of the instances suffice.
+// While the version is suspect there is no success. The rollout is rolled back if it has not
+// succeeded within the order's duration.
 func (l *Leader) finish(now time.Time, elapsed time.Duration, s FleetState) {
 	moved := 0
 	for _, report := range l.lastReports {
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -16,38 +16,40 @@
 
 var runs = flag.Int("drawn", 4, "number of rollouts of each kind that the model draws")
 
-var logWrong = flag.Bool("told", false, "each rollout that did not go as it should is told")
+var logWrong = flag.Bool("told", false, "log each rollout with a wrong result")
 
-// fault is what is wrong with a version.
+// fault describes what is wrong with the new version.
 type fault struct {
-	// failing and slow are the parts of the answers that fail and that take times as long.
+	// failureRate and slowRate are the fractions of the responses that fail and that take
+	// slowFactor times as long.
 	failureRate, slowRate, slowFactor float64
-	// from is when it begins, as a part of the duration, and route the only one that it strikes,
-	// -1 for all.
+	// startFraction is when the fault begins, as a fraction of the order's duration. route is the
+	// only route with the fault, or -1 for all routes.
 	startFraction float64
 	route         int
-	// underLoad is the load of a target, over that of an old one before the order, from which on
-	// the fault shows, 0 for any.
+	// minLoad is the load of a target above which the fault shows, relative to the mean load of an
+	// old target before the order. It is 0 if the fault does not depend on the load.
 	minLoad float64
 }
 
-// simulation is a fleet with one service in which a rollout goes on.
+// simulation is a discrete-event simulation of a rollout of one service.
 type simulation struct {
 	rng *rand.Rand
-	// faultyTargets is whether a target of a version is sick.
+	// faultyTargets records whether a target, given by version and number, is faulty.
 	faultyTargets map[[2]int]bool
 	instances     int
 	rate          float64
 	keys          int
 	targets       int
 	duration      time.Duration
-	// newTargetsAt is when the new targets are there.
+	// newTargetsAt is the time from the order until the new targets are in service.
 	newTargetsAt time.Duration
 	fault        fault
-	// oldFailing is the part of the old version's answers that fail, and faultyShare the part of the
-	// targets of both versions at which 0.4 fail.
+	// oldFailureRate is the failure rate of both versions. faultyShare is the fraction of the
+	// targets of both versions that are faulty, which means that 40 % of their responses fail.
 	oldFailureRate, faultyShare float64
-	// lead is killed at a time, if that is not 0, and lost are messages.
+	// killLeader is the time from the order at which the leader is lost, or 0 if it is not.
+	// messageLoss is the fraction of the messages that are lost.
 	killLeader  time.Duration
 	messageLoss float64
 
@@ -69,7 +71,7 @@
 	reason             rollout.Reason
 }
 
-// event is something that happens at a time.
+// event is an action at a simulated time.
 type event struct {
 	at time.Time
 	do func()
@@ -88,6 +90,7 @@
 	return last
 }
 
+// after schedules an action.
 func (s *simulation) after(d time.Duration, do func()) { heap.Push(&s.events, event{s.now.Add(d), do}) }
 
 const (
@@ -97,6 +100,7 @@
 	linkTime = 40 * time.Millisecond
 )
 
+// run simulates the rollout from the order to 3 s after its duration.
 func (s *simulation) run() {
 	s.now = time.Unix(1_000_000, 0)
 	s.start = s.now
@@ -131,12 +135,13 @@
 	}
 }
 
+// startLeader makes an instance the leader.
 func (s *simulation) startLeader(at int) {
 	s.leaderAt = at
 	s.leader = rollout.NewLeader(s.now, fmt.Sprint("leader", at), s.followers[at], rollout.DefaultExposureBound)
 }
 
-// tick has the leader decide and the instances report.
+// tick lets the leader decide and the instances report.
 func (s *simulation) tick() {
 	s.after(100*time.Millisecond, s.tick)
 	if s.leader != nil {
@@ -169,23 +174,25 @@
 	}
 }
 
+// deliver schedules the arrival of a message unless it is lost.
 func (s *simulation) deliver(do func()) {
 	if s.rng.Float64() >= s.messageLoss {
 		s.after(linkTime+time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), do)
 	}
 }
 
-// target returns the target of a key among so many.
+// target returns the target for a key among the given number of targets.
 func (s *simulation) target(key, among int) int {
 	return int((uint64(key)*0x9e3779b97f4a7c15 + 12345) >> 33 % uint64(among))
 }
 
-// arrive has one request come, and the next one after a drawn time.
+// arrive simulates the arrival of a request, and schedules the next one after an exponentially
+// distributed time.
 func (s *simulation) arrive() {
 	s.after(time.Duration(s.rng.ExpFloat64()/s.rate*float64(time.Second)), s.arrive)
 	in := s.rng.IntN(s.instances)
 	route := [10]int{0, 0, 0, 0, 0, 0, 0, 1, 1, 2}[s.rng.IntN(10)]
-	// Some keys are asked for more often than others.
+	// Some keys get more requests than others.
 	key := int(float64(s.keys)*math.Pow(s.rng.Float64(), 1.5))*routes + route
 	f := s.followers[in]
 	split, _ := f.Split(s.now)
@@ -218,7 +225,7 @@
 	})
 }
 
-// serve returns what becomes of a request.
+// serve returns the result of a request and its latency.
 func (s *simulation) serve(version, target, key, route int) (rollout.Observation, time.Duration) {
 	at := [3]int{version, target, key}
 	took := warmTime
@@ -256,6 +263,7 @@
 	return o, took
 }
 
+// isFaultyTarget reports whether a target fails often whatever its version.
 func (s *simulation) isFaultyTarget(version, target int) bool {
 	at := [2]int{version, target}
 	faulty, drawn := s.faultyTargets[at]
@@ -266,7 +274,7 @@
 	return faulty
 }
 
-// versionFaulty tells whether the new version's fault shows on a route at a target now.
+// versionFaulty reports whether the fault of the new version shows on a route of a target now.
 func (s *simulation) versionFaulty(target, route int) bool {
 	recent := s.loads[target][:0]
 	for _, at := range s.loads[target] {
@@ -280,14 +288,14 @@
 		(s.fault.route < 0 || s.fault.route == route) && float64(len(recent)+1) > s.fault.minLoad*averageLoad
 }
 
-// exceeds tells whether more requests have gone to a bad version than are allowed.
+// exceeds reports whether a bad version has got more requests than DefaultExposureBound allows.
 func (s *simulation) exceeds() bool { return float64(s.sentNew) > 0.1*float64(s.sent)+50 }
 
 func (s *simulation) String() string {
-	return fmt.Sprintf("%s at %v (%s); %d of %d to the new version, %d bad, %d late; fault %+v", s.verdict, s.verdictAt.Round(100*time.Millisecond), s.reason, s.sentNew, s.sent, s.bad, s.lateNew, s.fault)
+	return fmt.Sprintf("%s at %v (%s); %d of %d requests to the new version, %d bad, %d late; fault %+v", s.verdict, s.verdictAt.Round(100*time.Millisecond), s.reason, s.sentNew, s.sent, s.bad, s.lateNew, s.fault)
 }
 
-// newSimulation draws a fleet of some size.
+// newSimulation returns a simulation whose further parameters are drawn from the seed.
 func newSimulation(seed uint64, instances int, rate float64) *simulation {
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	return &simulation{
@@ -304,25 +312,26 @@
 	}
 }
 
-// sizes are those of fleets: instances, and requests a second.
+// sizes are the simulated numbers of instances and rates of requests in 1/s.
 var sizes = []struct {
 	instances int
 	rate      float64
 }{{4, 5}, {4, 300}, {12, 400}, {88, 1300}, {730, 5}, {730, 3000}}
 
-// smallRate is the number of requests a second below which there is too little to judge most versions by: of
-// these rollouts only the exposure is promised.
+// smallRate is the request rate in 1/s below which most versions can't be assessed. Rollouts at
+// lower rates are only checked against the exposure bound and for late requests.
 const smallRate = 100
 
-// runsPerError is the number of so many rollouts of which one may go wrong, and runsPerErrorWithTrouble that beside troubles
-// that look like a bad version, or take the time to judge it.
+// One in runsPerError rollouts may have the wrong verdict. With faulty targets or a lost leader,
+// which look like a bad version or shorten the time for its assessment, one in
+// runsPerErrorWithTrouble and one more may.
 const (
 	runsPerError            = 50
 	runsPerErrorWithTrouble = 5
 )
 
-// TestGoodVersions draws rollouts of good versions beside other troubles, and counts those that are
-// rolled back.
+// TestGoodVersions simulates rollouts of good versions under various disturbances and bounds the
+// number of those that do not succeed.
 func TestGoodVersions(t *testing.T) {
 	for _, size := range sizes {
 		for _, c := range []struct {
@@ -331,10 +340,10 @@
 			most    int
 		}{
 			{"none", func(*simulation) {}, *runs / runsPerError},
-			{"messages lost", func(s *simulation) { s.messageLoss = 0.1 }, *runs / runsPerError},
-			{"old one fails", func(s *simulation) { s.oldFailureRate = 0.1 + 0.2*s.rng.Float64() }, *runs / runsPerError},
-			{"sick targets", func(s *simulation) { s.faultyShare = 0.15 }, 1 + *runs/runsPerErrorWithTrouble},
-			{"leader is lost", func(s *simulation) { s.killLeader = time.Duration(s.rng.Int64N(int64(s.duration / 2))) }, 1 + *runs/runsPerErrorWithTrouble},
+			{"message loss", func(s *simulation) { s.messageLoss = 0.1 }, *runs / runsPerError},
+			{"old version fails", func(s *simulation) { s.oldFailureRate = 0.1 + 0.2*s.rng.Float64() }, *runs / runsPerError},
+			{"faulty targets", func(s *simulation) { s.faultyShare = 0.15 }, 1 + *runs/runsPerErrorWithTrouble},
+			{"leader lost", func(s *simulation) { s.killLeader = time.Duration(s.rng.Int64N(int64(s.duration / 2))) }, 1 + *runs/runsPerErrorWithTrouble},
 		} {
 			t.Run(fmt.Sprintf("instances=%d,rate=%g,%s", size.instances, size.rate, c.name), func(t *testing.T) {
 				outcomes := make(map[string]int)
@@ -359,8 +368,9 @@
 	}
 }
 
-// TestBadVersions draws rollouts of bad versions, and counts those that are let through and those
-// that get more requests than is promised.
+// TestBadVersions simulates rollouts of bad versions. It bounds the number of those that are not
+// rolled back, and of those in which the version gets more requests than the exposure bound allows.
+// No rolled back version may get requests later than 5 s after its 50th bad response.
 func TestBadVersions(t *testing.T) {
 	failing := func(s *simulation) { s.fault.failureRate = 0.2 + 0.5*s.rng.Float64() }
 	slow := func(s *simulation) {
@@ -378,7 +388,7 @@
 			{"slow", []func(s *simulation){slow}},
 			{"fails later", []func(s *simulation){failing, later}},
 			{"slow later", []func(s *simulation){slow, later}},
-			{"fails on a route", []func(s *simulation){failing, onOneRoute}},
+			{"fails on one route", []func(s *simulation){failing, onOneRoute}},
 			{"fails under load", []func(s *simulation){failing, underLoad}},
 			{"slow under load", []func(s *simulation){slow, underLoad}},
 		} {
@@ -397,7 +407,7 @@
 						t.Logf("seed %d: %v", seed, s)
 					}
 				}
-				t.Logf("%s: let through %d, exceeded %d, late %d", t.Name(), undetected, exceeded, late)
+				t.Logf("%s: %d bad versions not rolled back, %d exceeded the exposure bound, %d got late requests", t.Name(), undetected, exceeded, late)
 				require.LessOrEqual(t, exceeded, *runs/runsPerError)
 				require.Zero(t, late)
 				if size.rate >= smallRate {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -7,52 +7,52 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Order asks for a service's requests to be moved to targets of a version.
+// Order asks for the requests of a service to be shifted to the targets of a version.
 type Order struct {
 	Service string `json:"service"`
-	// Version is what the new targets name as their version.
+	// Version is the version that the new targets report.
 	Version string `json:"version"`
-	// Duration is the time from the order within which the requests are to be moved.
+	// Duration is the time from the order within which the requests have to be shifted.
 	Duration time.Duration `json:"duration"`
-	// Generation tells orders apart that are given one after the other for a service: the later one has
-	// the higher number.
+	// Generation distinguishes successive orders of a service. Later orders have higher
+	// generations.
 	Generation int64 `json:"made"`
 }
 
-// ID stands for an order in messages.
+// ID identifies an order in messages between instances.
 type ID uint64
 
-// ID returns what stands for the order in messages.
+// ID returns the identifier of the order, a hash of its fields.
 func (o Order) ID() ID {
 	return ID(mix.Hash(o.Service, o.Version, strconv.FormatInt(o.Generation, 10), o.Duration.String()))
 }
 
-// Equivalent tells whether an order asks for the same as another one, whenever they were given.
+// Equivalent reports whether two orders differ in their generation at most.
 func (o Order) Equivalent(other Order) bool {
 	o.Generation = other.Generation
 	return o == other
 }
 
-// State is what the store says of an order.
+// State is the state of an order in the store.
 type State string
 
-// The states. An order that nobody has taken up yet has none.
+// States of an order. The state of a new order is empty.
 const (
 	Running    State = "running"
 	Succeeded  State = "succeeded"
 	RolledBack State = "rolled-back"
 )
 
-// IsFinal tells whether a state ends the rollout.
+// IsFinal reports whether the state is a verdict, which ends the rollout.
 func (s State) IsFinal() bool { return s == Succeeded || s == RolledBack }
 
-// Record is an order as the store holds it.
+// Record is an order as stored.
 type Record struct {
 	Order
-	// State is that of the order. One that was written for another version is of an earlier
-	// order, and does not count.
+	// State is the state of the order. A state that was written for another version belongs to an
+	// earlier order and is ignored.
 	State State `json:"state,omitempty"`
-	// Revision is that of the object. A write of the state names it, and fails if the object has
-	// changed since.
+	// Revision is the revision of the stored object. Writes of the state are conditional on it and
+	// fail if the object has changed since.
 	Revision int64 `json:"revision"`
 }
--- a/rollout/rate.go
+++ b/rollout/rate.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// rateSamples and rateTime are the number of counts that a rate is taken from and the time
-	// between two of them, and leastSamples the number below which there is none.
+	// rateSamples is the number of samples from which a rate is computed, rateInterval the time
+	// between two samples. No rate is computed from fewer than minRateSamples samples.
 	rateSamples    = 6
 	rateInterval   = 500 * time.Millisecond
 	minRateSamples = 3
 )
 
-// rateEstimator is how fast a count has risen of late.
+// rateEstimator estimates the rate of a counter from its latest samples.
 type rateEstimator struct {
 	at     [rateSamples]time.Time
 	counts [rateSamples]int
 	n      int
 }
 
-// add takes in a count, if it is time for one.
+// add takes a sample of the counter if rateInterval has passed since the last one.
 func (r *rateEstimator) add(now time.Time, count int) {
 	if r.n > 0 && now.Sub(r.at[r.n-1]) < rateInterval {
 		return
@@ -31,7 +31,7 @@
 	r.n++
 }
 
-// perSecond returns the rate, false if too little is known.
+// perSecond returns the rate in 1/s, or false if there are too few samples.
 func (r *rateEstimator) perSecond() (float64, bool) {
 	if r.n < minRateSamples || r.counts[r.n-1] == 0 {
 		return 0, false
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -9,65 +9,67 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Outcome is what became of a request at a target, as far as it tells of the target's version.
+// Outcome is the result of a request at a target, as far as it is evidence about the target's
+// version.
 type Outcome uint8
 
-// The outcomes. What tells nothing of the version, such as a rejection by a full target, is not
-// observed.
+// Outcomes of a request. Results that are no evidence about the version, such as a rejection by a
+// full target, are not observed.
 const (
-	// Answered requests got an answer that is no failure of the target.
+	// Answered requests got a response that does not indicate a failure of the target.
 	Answered Outcome = iota
-	// Failed ones got an answer that says that the target has failed.
+	// Failed requests got a response that indicates a failure of the target.
 	Failed
-	// Unanswered ones got no answer in time, or one that broke off.
+	// Unanswered requests got no response in time, or an incomplete one.
 	Unanswered
 )
 
-// Observation is a request that was sent to a new target, once it has ended.
+// Observation is the result of a request that was sent to a new target.
 type Observation struct {
-	// Route, Key and Target are hashes of what they name.
+	// Route, Key and Target are hashes of the respective names.
 	Route   uint16
 	Key     uint32
 	Target  uint32
 	Latency LatencyBucket
-	// Outcome is what became of it. Cold says that the target had just started.
 	Outcome Outcome
-	Cold    bool
+	// Cold reports whether the target had just started.
+	Cold bool
 }
 
-// LatencyBucket is the time of an answer, by the logarithm: four steps double it.
+// LatencyBucket is a latency on a logarithmic scale.
 type LatencyBucket uint8
 
-// bucketsPerDoubling is the number of steps in which a Time doubles, and maxBucket the longest.
+// bucketsPerDoubling is the number of buckets per factor of two. maxBucket is the bucket of the
+// longest latencies.
 const (
 	bucketsPerDoubling = 4
 	maxBucket          = 79
 )
 
-// BucketOf returns the step of a time.
+// BucketOf returns the bucket of a latency. Latencies below 1 ms are in the first bucket.
 func BucketOf(took time.Duration) LatencyBucket {
 	ms := max(1, float64(took)/float64(time.Millisecond))
 	return LatencyBucket(min(maxBucket, bucketsPerDoubling*math.Log2(ms)))
 }
 
-// Duration returns the time in the middle of the step.
+// Duration returns the latency in the middle of the bucket.
 func (t LatencyBucket) Duration() time.Duration {
 	return time.Duration(math.Exp2((float64(t)+0.5)/bucketsPerDoubling) * float64(time.Millisecond))
 }
 
-// scale returns the step of the time that is so many scale as long.
+// scale returns the bucket of a multiple of the latency.
 func (t LatencyBucket) scale(factor float64) LatencyBucket {
 	return LatencyBucket(min(maxBucket, float64(t)+bucketsPerDoubling*math.Log2(factor)))
 }
 
-// LatencyHistogram counts answers by the step of their times.
+// LatencyHistogram counts responses by their latency.
 type LatencyHistogram map[LatencyBucket]uint32
 
-// Tally counts the requests of a route that were sent to old targets and have ended.
+// Tally counts the completed requests of a route at old targets.
 type Tally struct {
 	Route            uint16
 	Answered, Failed uint32
-	// Latencies are those of the ones answered.
+	// Latencies are those of the answered requests.
 	Latencies LatencyHistogram
 }
 
@@ -83,33 +85,33 @@
 	}
 }
 
-// Report is what an instance tells the leader: what has happened since its last report, but for
-// Sent and SentNew.
+// Report is an instance's report to the leader. It covers the time since the instance's previous
+// report, except for Sent and SentNew.
 type Report struct {
 	Order ID     `msgpack:"o"`
 	From  string `msgpack:"f"`
 	// Stage is the number of the stage that the instance follows.
 	Stage uint32 `msgpack:"n"`
-	// Sent is the number of requests sent to targets of the service since the instance knows of
-	// the order, and SentNew that of those sent to new ones.
+	// Sent is the number of requests that the instance has sent to targets of the service since it
+	// has known the order, SentNew the number of those that were sent to new targets.
 	Sent    uint32       `msgpack:"s"`
 	SentNew uint32       `msgpack:"w"`
 	Old     Tallies      `msgpack:"t,omitempty"`
 	New     Observations `msgpack:"b,omitempty"`
-	// InFlightOld is the number of the instance's requests that are at old targets.
+	// InFlightOld is the number of the instance's requests in flight at old targets.
 	InFlightOld int `msgpack:"a,omitempty"`
 }
 
-// Observations are observations as a message carries them.
+// Observations are observations with their encoding in messages.
 type Observations []Observation
 
-// Tallies are tallies as a message carries them.
+// Tallies are tallies with their encoding in messages.
 type Tallies []Tally
 
-// errTruncated is returned for reports that are cut short.
-var errTruncated = errors.New("rollout: report cut short")
+// errTruncated is returned for truncated reports.
+var errTruncated = errors.New("rollout: report truncated")
 
-// observationBytes is the length of an observation in a message.
+// observationBytes is the length of an encoded observation.
 const observationBytes = 12
 
 const (
@@ -197,7 +199,8 @@
 	return nil
 }
 
-// reader reads numbers from bytes, and notes if there are too few.
+// reader decodes numbers from bytes. Its field truncated is set if there are too few bytes or a
+// number is too large.
 type reader struct {
 	raw       []byte
 	truncated bool
--- a/rollout/report_test.go
+++ b/rollout/report_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// drawObservation draws any observation that a message can carry.
+// drawObservation draws any observation that can be encoded.
 func drawObservation(t *rapid.T) rollout.Observation {
 	return rollout.Observation{
 		Route:   rapid.Uint16().Draw(t, "route"),
@@ -23,6 +23,7 @@
 	}
 }
 
+// drawTally draws any tally that can be encoded.
 func drawTally(t *rapid.T) rollout.Tally {
 	tally := rollout.Tally{
 		Route:    rapid.Uint16().Draw(t, "route"),
@@ -40,7 +41,7 @@
 	return tally
 }
 
-// TestReportRoundTrip checks that what a report carries arrives as it was.
+// TestReportRoundTrip checks that a decoded report equals the encoded one.
 func TestReportRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rollout.Report{Order: 7, From: "n1", Stage: 3, Sent: 1000, SentNew: 17, InFlightOld: 4}
@@ -54,7 +55,8 @@
 	})
 }
 
-// FuzzReport has any bytes for a report.
+// FuzzReport checks that arbitrary bytes, decoded as a report, don't make the decoder or the
+// analyzer panic.
 func FuzzReport(f *testing.F) {
 	for _, r := range []rollout.Report{
 		{},
@@ -79,7 +81,8 @@
 	})
 }
 
-// TestLatencyBuckets checks the steps of times against the times themselves.
+// TestLatencyBuckets checks that the latency in the middle of a bucket is within 20 % of the
+// original one, and the first and last bucket.
 func TestLatencyBuckets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		took := time.Duration(rapid.Int64Range(int64(time.Millisecond), int64(10*time.Minute)).Draw(t, "took"))
--- a/rollout/stats.go
+++ b/rollout/stats.go
@@ -5,23 +5,24 @@
 	"sort"
 )
 
-// targetStats counts the observations of one new target on one route.
+// targetStats counts the observations of a new target on a route.
 type targetStats struct {
 	answered, failed int
-	// fast and slow are those of requests for objects that the target has.
+	// fast and slow count the requests whose latency is compared, which excludes responses of cold
+	// targets and responses for objects that the target had to load first.
 	fast, slow int
 }
 
-// routeStats are the observations on one route.
+// routeStats holds the observations on a route.
 type routeStats struct {
 	old     Tally
 	targets map[uint32]*targetStats
-	// keys are those that new targets were asked for, failedKeys and slowKeys those whose
-	// requests failed and were slow there.
+	// keys are the keys of all requests at new targets, failedKeys and slowKeys those of the failed
+	// and slow ones.
 	keys, failedKeys, slowKeys keySet
 }
 
-// statsByRoute are observations by route.
+// statsByRoute maps the hash of a route to its observations.
 type statsByRoute map[uint16]*routeStats
 
 func (s statsByRoute) route(hash uint16) *routeStats {
@@ -33,11 +34,11 @@
 	return r
 }
 
-// addOld counts requests at old targets.
+// addOld adds requests at old targets.
 func (r *routeStats) addOld(t Tally) { r.old.add(t) }
 
-// addNew counts a request at a new target. Answers that take the time limit and more are slow, if
-// that is known.
+// addNew adds a request at a new target. Responses from the threshold on are slow. Unanswered
+// requests count as failed and as slow. Latencies are ignored unless the threshold is known.
 func (r *routeStats) addNew(o Observation, threshold LatencyBucket, known bool) {
 	t := r.target(o.Target)
 	r.keys.add(o.Key)
@@ -69,7 +70,7 @@
 	return t
 }
 
-// merge adds the observations of another.
+// merge adds the observations of other.
 func (r *routeStats) merge(other *routeStats) {
 	r.addOld(other.old)
 	for id, n := range other.targets {
@@ -84,39 +85,39 @@
 	r.slowKeys.merge(other.slowKeys)
 }
 
-// failures returns the numbers of answers and failures of new targets that count.
+// failures returns the numbers of responses and failures of new targets, without outliers.
 func (r *routeStats) failures() counts {
 	return r.aggregate(r.failedKeys, func(t *targetStats) (int, int) { return t.answered, t.failed })
 }
 
-// slowness returns the numbers of fast and slow answers of new targets that count.
+// slowness returns the numbers of fast and slow responses of new targets, without outliers.
 func (r *routeStats) slowness() counts {
 	return r.aggregate(r.slowKeys, func(t *targetStats) (int, int) { return t.fast, t.slow })
 }
 
-// counts are the numbers of good and bad observations that count. Few says that the bad ones are of
-// too few targets or keys to say by themselves that a version is bad.
+// counts holds the numbers of good and bad observations. TooFew reports whether the bad ones come
+// from too few targets or keys to condemn a version by themselves.
 type counts struct {
 	good, bad int
 	tooFew    bool
 }
 
 const (
-	// outlierFraction is the part of the new targets whose observations do not count against the
-	// version, those that speak most against it: a target may have a fault of its own.
+	// outlierFraction is the fraction of the new targets that is left out, those with the most bad
+	// observations first, because a target may be faulty whatever its version.
 	outlierFraction = 0.4
-	// minSources is the number of targets, and of keys, at which something has to have been seen
-	// if there were as many: one of each may be at fault by itself. Of fewer, mostOfFew bad
-	// observations count.
+	// minSources is the number of targets, and of keys, that have to show bad observations if there
+	// are as many, because a single target or key may be at fault by itself. Otherwise at most
+	// maxBadOfFew bad observations count.
 	minSources  = 3
 	maxBadOfFew = 2
-	// smallTargetCount is the number of targets up to which something has to have been seen at mostTargets
-	// of them: two of three may be at fault by chance.
+	// smallTargetCount is the number of targets up to which minBadTargetShare of them have to show
+	// bad observations, because two of three may be faulty by chance.
 	smallTargetCount  = 8
 	minBadTargetShare = 0.6
 )
 
-// aggregate adds up the good and bad observations of the targets, but for the worst of them.
+// aggregate sums the good and bad observations of all targets but the outliers.
 func (r *routeStats) aggregate(badKeys keySet, countsOf func(*targetStats) (good, bad int)) counts {
 	var targets []counts
 	badTargets := 0
@@ -155,7 +156,8 @@
 	return sum
 }
 
-// keySet is a set of keys as far as it takes to tell whether there are several.
+// keySet is a set of up to minSources keys. Further keys are ignored, since it serves only to tell
+// whether there are several.
 type keySet struct {
 	keys [minSources]uint32
 	n    int
@@ -163,6 +165,7 @@
 
 func (s *keySet) len() int { return s.n }
 
+// add adds a key unless the set is full.
 func (s *keySet) add(key uint32) {
 	for _, known := range s.keys[:s.n] {
 		if known == key {
@@ -181,7 +184,7 @@
 	}
 }
 
-// failureRate returns the part of a tally's requests that failed, 0 of none.
+// failureRate returns the fraction of a tally's requests that failed, or 0 if there are none.
 func failureRate(t Tally) float64 {
 	if t.Answered+t.Failed == 0 {
 		return 0
@@ -189,10 +192,12 @@
 	return float64(t.Failed) / float64(t.Answered+t.Failed)
 }
 
-// minLatencySamples is the number of answers of old targets below which their usual time is not known.
+// minLatencySamples is the number of responses of old targets that are needed for their median
+// latency.
 const minLatencySamples = 8
 
-// slowThreshold returns the time from which on answers are slow: a multiple of the median.
+// slowThreshold returns slowFactor times the median latency, from which on responses are slow, or
+// false if there are too few responses.
 func slowThreshold(latencies LatencyHistogram) (LatencyBucket, bool) {
 	total := uint32(0)
 	for _, n := range latencies {
@@ -211,7 +216,8 @@
 	return maxBucket, true
 }
 
-// slowRate returns the part of the answers that take the time limit and more.
+// slowRate returns the fraction of the responses with a latency from the threshold on, or 0 if there
+// are none.
 func slowRate(latencies LatencyHistogram, threshold LatencyBucket) float64 {
 	total, slow := 0.0, 0.0
 	for bucket, n := range latencies {
