--- a/locality/ramp.go
+++ b/locality/ramp.go
@@ -15,26 +15,26 @@
 
 	shares  []Share
 	movedAt time.Time
-	// arrived is set while the shares are those wanted. The time that has
+	// settled is set while the shares are those wanted. The time that has
 	// passed since then allows no larger step.
-	arrived bool
+	settled bool
 }
 
 // Advance moves towards want and returns the shares in force. The part of a region
 // without slots moves at once, since nothing there can run a request.
 func (m *Ramp) Advance(now time.Time, want []Share, slots map[string]float64) []Share {
 	if len(m.shares) == 0 || len(want) == 0 {
-		m.shares, m.movedAt, m.arrived = want, now, true
+		m.shares, m.movedAt, m.settled = want, now, true
 		return m.shares
 	}
-	m.leaveEmpty(want, slots)
+	m.dropEmpty(want, slots)
 	distance := m.distance(want)
 	if distance < 1e-9 {
-		m.shares, m.movedAt, m.arrived = want, now, true
+		m.shares, m.movedAt, m.settled = want, now, true
 		return m.shares
 	}
-	if m.arrived {
-		m.movedAt, m.arrived = now, false
+	if m.settled {
+		m.movedAt, m.settled = now, false
 	}
 	elapsed := min(now.Sub(m.movedAt), m.Window)
 	allowed := m.Step * float64(elapsed) / float64(m.Window)
@@ -57,9 +57,9 @@
 	return out
 }
 
-// leaveEmpty gives the parts of regions without slots to the others, in
+// dropEmpty gives the parts of regions without slots to the others, in
 // proportion to want.
-func (m *Ramp) leaveEmpty(want []Share, slots map[string]float64) {
+func (m *Ramp) dropEmpty(want []Share, slots map[string]float64) {
 	held := byRegion(m.shares)
 	freed := 0.0
 	for region, part := range held {
