--- a/upstream/backoff_model_test.go
+++ b/upstream/backoff_model_test.go
@@ -16,8 +16,8 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// backoffModel plays the requests of clients to instances before targets of which some turn away
-// all they get for a while, and ask for rest. All is in the model's own time.
+// backoffModel simulates clients, instances and targets, some of which reject all requests for a
+// while and request a back-off. It uses simulated time.
 type backoffModel struct {
 	rnd    *rand.Rand
 	now    time.Time
@@ -26,7 +26,7 @@
 
 	pools   []*upstream.Pool
 	targets map[string]*modelTarget
-	// hallOf and poolHall are the halls of targets and of instances.
+	// hallOf holds the hall of each target, and poolHall that of each instance.
 	hallOf   map[string]string
 	poolHall []string
 	regionOf map[string]string
@@ -35,23 +35,23 @@
 	waiting []map[uint64]*modelRequest
 	nextID  uint64
 
-	// obedient clients come back when they are told, others after a third of the time that
-	// they have left if that is sooner.
+	// obedient clients retry when they are told to. Other clients retry after a third of their
+	// remaining time if that is sooner.
 	obedient bool
 
 	sent, inTime, refused int
-	// onPoolChange, if it is set, is called after each change of a pool.
+	// onPoolChange, if not nil, is called after each change of a pool.
 	onPoolChange func(pool int)
-	// selfReport, if it is set, returns what a target says of itself in an answer.
+	// selfReport, if not nil, returns what a target reports about itself in a response.
 	selfReport func(t *modelTarget) availability.SelfReport
-	// onArrival, if it is set, is told of each arrival at a target.
+	// onArrival, if not nil, is called for each request that arrives at a target.
 	onArrival func(t *modelTarget)
 
-	// arrivals are the times at which requests reach targets.
+	// arrivals holds the times at which requests arrive at targets.
 	arrivals []time.Time
 }
 
-// Figures of the model: those of the users' small sites.
+// Parameters of the model, which are those of small sites.
 const (
 	modelWarm      = 200 * time.Millisecond
 	modelCold      = 600 * time.Millisecond
@@ -59,19 +59,20 @@
 	modelDeadline  = 3 * time.Second
 	modelSlots     = 9
 	modelKeys      = 300
-	// modelCacheSize is the number of objects that a target keeps.
+	// modelCacheSize is the number of objects that a target caches.
 	modelCacheSize = 32
 	modelHallDelay = time.Millisecond
 	modelTick      = 20 * time.Millisecond
-	// modelUtilization is the part of the slots that warm requests fill.
+	// modelUtilization is the fraction of the slots that cache hits occupy.
 	modelUtilization = 0.4
-	// modelRound, modelPartners and modelSightings are those of the instances' gossip.
+	// modelRound, modelFanout and modelTargetReports are the interval, the number of receivers and
+	// the number of reports of a gossip round.
 	modelRound         = 500 * time.Millisecond
 	modelFanout        = 3
 	modelTargetReports = 24
 )
 
-// modelTarget works on requests in its slots and queues as many as three times its slots.
+// modelTarget runs requests in its slots and queues up to three times as many.
 type modelTarget struct {
 	id          string
 	busy        int
@@ -79,11 +80,11 @@
 	recent      []string
 	backoffFrom time.Time
 	backoffTo   time.Time
-	// backoff is the rest that it backoff for.
+	// backoff is the back-off that it requests.
 	backoff time.Duration
 }
 
-// modelRequest is one request of a client, with its attempts at an instance.
+// modelRequest is one request of a client with its attempts at an instance.
 type modelRequest struct {
 	key      string
 	priority int
@@ -114,7 +115,7 @@
 	return last
 }
 
-// oneRegion and threeRegions are halls with their regions.
+// oneRegion and threeRegions map halls to their regions.
 var (
 	oneRegion    = map[string]string{"a1": "a", "a2": "a"}
 	threeRegions = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
@@ -124,7 +125,7 @@
 	return newBackoffModelIn(oneRegion, seed, instances, targets)
 }
 
-// newBackoffModelIn returns a model with instances and targets in the halls of regions.
+// newBackoffModelIn returns a model with instances and targets in the given halls.
 func newBackoffModelIn(regionOf map[string]string, seed uint64, instances, targets int) *backoffModel {
 	m := &backoffModel{rnd: rand.New(rand.NewPCG(seed, 7)), now: start, targets: make(map[string]*modelTarget), hallOf: make(map[string]string), regionOf: regionOf, keys: modelKeys * len(oneRegion) / len(regionOf)}
 	var specs []*catalog.Target
@@ -148,10 +149,10 @@
 	return m
 }
 
-// modelRegionDelay is the way between regions.
+// modelRegionDelay is the network delay between regions.
 const modelRegionDelay = 35 * time.Millisecond
 
-// delay is the time from a hall to another.
+// delay returns the network delay between two halls.
 func (m *backoffModel) delay(from, to string) time.Duration {
 	if m.regionOf[from] != m.regionOf[to] {
 		return modelRegionDelay
@@ -164,7 +165,8 @@
 	heap.Push(&m.events, modelEvent{at: m.now.Add(d), serial: m.serial, do: do})
 }
 
-// requestBackoff has the first targets turn requests away from a time on, and ask for a rest each time.
+// requestBackoff makes the first targets reject all requests in a period, each time requesting a
+// back-off.
 func (m *backoffModel) requestBackoff(targets int, from, to time.Time, asks time.Duration) {
 	for i := range targets {
 		t := m.targets[fmt.Sprint("t-", i)]
@@ -172,7 +174,7 @@
 	}
 }
 
-// load has clients send requests at a rate until a time.
+// load makes clients send requests at the given rate until a time.
 func (m *backoffModel) load(perS float64, until time.Time) {
 	if !m.now.Before(until) {
 		return
@@ -196,7 +198,7 @@
 	m.after(modelTick, func() { m.tick(pool) })
 }
 
-// arrive has a request reach some instance.
+// arrive sends a request to a random instance.
 func (m *backoffModel) arrive(r *modelRequest) {
 	r.pool, r.attempts = m.rnd.IntN(len(m.pools)), 0
 	r.request = upstream.Request{Key: r.key, Sticky: true, Priority: r.priority, Deadline: r.began.Add(modelDeadline), QueueTimeout: modelObjective / 8}
@@ -236,7 +238,7 @@
 	}
 }
 
-// reportOf returns what a target reportOf of itself.
+// reportOf returns what a target reports about itself.
 func (m *backoffModel) reportOf(t *modelTarget) availability.SelfReport {
 	if m.selfReport == nil {
 		return availability.SelfReport{}
@@ -244,8 +246,8 @@
 	return m.selfReport(t)
 }
 
-// refuse has the client come back when told, or, unless it is obedient, after a third of the time
-// that it has left if that is sooner.
+// refuse makes the client retry when it is told to. A client that is not obedient retries after a
+// third of its remaining time if that is sooner.
 func (m *backoffModel) refuse(r *modelRequest, after time.Duration) {
 	left := modelDeadline - m.now.Sub(r.began)
 	if r.retries == 0 || left <= 0 {
@@ -263,7 +265,7 @@
 	m.after(after, func() { m.arrive(r) })
 }
 
-// reach has a request reach a target.
+// reach delivers a request to a target.
 func (m *backoffModel) reach(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	m.arrivals = append(m.arrivals, m.now)
 	if m.onArrival != nil {
@@ -319,7 +321,8 @@
 	})
 }
 
-// timeFor returns the time that a run takes, less if the target has had the object of late.
+// timeFor returns the service time of a request, which is shorter if the target has the object
+// cached.
 func (t *modelTarget) timeFor(key string) time.Duration {
 	for i, known := range t.recent {
 		if known == key {
@@ -334,7 +337,7 @@
 	return modelCold
 }
 
-// gossip has an instance tell a few others what it has seen, round after round.
+// gossip makes an instance send its target reports to a few others in every round.
 func (m *backoffModel) gossip(pool int) {
 	seen := m.pools[pool].TargetReports(m.now).Sample(modelTargetReports, m.rnd)
 	for range modelFanout {
@@ -344,16 +347,16 @@
 	m.after(modelRound, func() { m.gossip(pool) })
 }
 
-// backoffOutcome is what became of the requests from the beginning of a rest on, for ten seconds.
+// backoffOutcome summarizes the requests of the ten seconds from the start of a back-off.
 type backoffOutcome struct {
-	// served are those that were not refused in the end, and inTime those that were answered
-	// within the objective.
+	// served is the fraction of requests that were not finally refused. inTime is the fraction that
+	// was answered within the objective.
 	served, inTime float64
-	// atEnd is the number of arrivals in the first 200 ms after the rest, over the mean.
+	// atEnd is the number of arrivals in the first 200 ms after the back-off, relative to the mean.
 	atEnd float64
 }
 
-// simulateBackoff has some targets rest for three seconds.
+// simulateBackoff makes some targets request a back-off of three seconds.
 func simulateBackoff(seed uint64, instances, targets, resting int, change ...func(*backoffModel)) backoffOutcome {
 	const rest, settle, watched, window = 3 * time.Second, 20 * time.Second, 10 * time.Second, 200 * time.Millisecond
 	m := newBackoffModel(seed, instances, targets)
@@ -375,7 +378,7 @@
 	}
 }
 
-// within returns the number of arrivals in a span that begins at a time.
+// within returns the number of arrivals in a span from the given time.
 func (m *backoffModel) within(from time.Time, length time.Duration) int {
 	n := 0
 	for _, at := range m.arrivals {
@@ -386,11 +389,11 @@
 	return n
 }
 
-// modelSizes are the numbers of instances of a small and of a grown site.
+// modelSizes holds the numbers of instances of a small and a large site.
 var modelSizes = []int{12, 74}
 
-// TestServiceDuringPartialBackoff has seven of 24 targets rest, and checks that the others serve
-// their requests.
+// TestServiceDuringPartialBackoff checks that the other targets serve the requests while 7 of 24
+// targets are in a back-off.
 func TestServiceDuringPartialBackoff(t *testing.T) {
 	for _, n := range modelSizes {
 		for seed := range uint64(3) {
@@ -401,15 +404,15 @@
 	}
 }
 
-// TestRetriesAfterBackoffAreSpread has all targets of a service rest, before clients that come back when they
-// are told, and checks that their return is no rush: at most twice the mean of arrivals in the
-// first 200 ms after the rest.
+// TestRetriesAfterBackoffAreSpread makes all targets of a service request a back-off, with clients
+// that retry when they are told to. It checks that the retries do not arrive in a burst: in the
+// first 200 ms after the back-off there are at most twice the mean number of arrivals.
 func TestRetriesAfterBackoffAreSpread(t *testing.T) {
 	for _, n := range modelSizes {
 		for seed := range uint64(3) {
 			obedient := simulateBackoff(seed, n, 24, 24, func(m *backoffModel) { m.obedient = true })
 			early := simulateBackoff(seed, n, 24, 24)
-			t.Logf("%d instances: %+v, clients that come back within a third of their time %+v", n, obedient, early)
+			t.Logf("%d instances: %+v, with clients that retry within a third of their remaining time: %+v", n, obedient, early)
 			require.LessOrEqual(t, obedient.atEnd, 2.0)
 		}
 	}
--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -9,10 +9,8 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// BenchmarkDecision measures a choice of a target and its end, at the numbers of targets of a
-// small and a grown service and of one of the size to come, with 100 keys, none of the targets
-// resting. With the causes that keep requests from a target in separate fields of it: 750 ns,
-// 3.1 µs and 15.4 µs; with availability.State: 740 ns, 3.0 µs and 15.0 µs.
+// BenchmarkDecision measures the selection of a target and the release of the request with 100 keys
+// and no back-off, at the numbers of targets of a small, a large and a very large service.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{12, 300, 2000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
@@ -38,8 +36,8 @@
 	}
 }
 
-// BenchmarkMembers measures a change of the known instances, of which there are many
-// while a fleet starts, at the sizes of a small, a grown and a large site.
+// BenchmarkMembers measures a change of the known instances, which is frequent while a fleet
+// starts, for a small, a medium and a large site.
 func BenchmarkMembers(b *testing.B) {
 	for _, size := range []struct{ targets, instances int }{{24, 2}, {212, 12}, {1047, 33}} {
 		b.Run(fmt.Sprintf("targets=%d/instances=%d", size.targets, size.instances), func(b *testing.B) {
@@ -63,9 +61,8 @@
 	}
 }
 
-// BenchmarkChange measures a target that comes, starts to leave and goes, beside others. With all
-// targets listed anew for each of the three: 0.9, 8.5 and 13.5 ms; with the one placed: 1.7, 1.9 and
-// 1.7 µs.
+// BenchmarkChange measures adding a target, marking it as leaving and removing it, among other
+// targets.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 6474, 10000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
--- a/upstream/cache_model.go
+++ b/upstream/cache_model.go
@@ -3,58 +3,55 @@
 import "time"
 
 const (
-	// modelWeight is the weight of a new answer in what is learned of warm objects: the
-	// last twenty or so count.
+	// modelWeight is the weight of a response in the model. About the last twenty responses count.
 	modelWeight = 0.05
-	// warmLatencyFactor is how many usual times of a warm answer one may take to count as warm. On
-	// the sites a cold run takes three times as long.
+	// warmLatencyFactor is the latency, as a multiple of the warm latency, up to which a response
+	// counts as a cache hit. A miss takes about three times as long as a hit.
 	warmLatencyFactor = 1.7
-	// maxLatencyFactor bounds the usual times that one answer counts for, so that a slow target
-	// does not make slow times usual.
+	// maxLatencyFactor bounds the multiple of the warm latency that one response counts for, so
+	// that a slow target does not raise the warm latency of all.
 	maxLatencyFactor = 2.0
-	// slowWeight is the weight of a new answer in a target's slowness, and slowFrom the
-	// slowness from which on it counts. Times of warm answers spread by about a quarter, and
-	// from 1.8 on targets were left that had just been busy.
+	// slowWeight is the weight of a response in a target's slowness. slowThreshold is the slowness
+	// from which it has an effect. The latencies of cache hits vary by about a quarter, and with a
+	// threshold of 1.8 targets were avoided that had only just been busy.
 	slowWeight    = 0.5
 	slowThreshold = 3.0
-	// schedulingDelay is the time of an answer, in seconds, up to which a target is not taken for
-	// slower than usual by much: a process that waits for a processor is held up for as
-	// long. Without it one answer in 15 ms after some in 0.3 ms made a target count for 40
-	// times its requests, and a service's only target full. Simulated days of two sites were
-	// the same with and without it, one of a third lost 0.002 of its worth (0.575, 0.573).
+	// schedulingDelay is a latency, in seconds, up to which a target does not count as slow. A
+	// process that waits for a processor can be delayed that long. Without this bound, one response
+	// in 15 ms after several in 0.3 ms multiplied the load of a target by 40, and the only target
+	// of a service counted as full.
 	schedulingDelay = 0.020
 )
 
-// SendState is what was believed when a request was sent: a Decision tells it and the Result
-// brings it back.
+// SendState records what was known of the target when a request was sent. It is part of a Decision
+// and must be returned with the Result.
 type SendState struct {
-	// NewVersion says that the target is of the version that a rollout brings in.
+	// NewVersion means that the target runs the version that is being rolled out.
 	NewVersion bool
-	// KeyKnown says that the target has had the object from this instance.
+	// KeyKnown means that this instance has sent the key to the target before.
 	KeyKnown bool
-	// FirstChoice says that the target was the first one of the key.
+	// FirstChoice means that the target was the first one in the ranking of the key.
 	FirstChoice bool
-	// Load is the requests expected at the target, over its slots.
+	// Load is the number of requests expected at the target, divided by its slots.
 	Load float64
 	// GrantedAt is when the target was granted.
 	GrantedAt time.Time
-	// PermitExpiry is how long the request may be sent by the target's limit, zero if the
-	// target had none.
+	// PermitExpiry is when the permit for the target expires, zero if the target had no rate limit.
 	PermitExpiry time.Time
 }
 
-// cacheModel is what a pool has learned of the times of warm and cold objects. The zero value
-// has learned nothing and takes objects that are not known for cold.
+// cacheModel estimates the latency of cache hits and the probability that a target has an object.
+// The zero value assumes that objects not known to be cached are not.
 type cacheModel struct {
-	// warmLatency is the time of an answer for an object that its target has, in seconds,
-	// without a wait.
+	// warmLatency is the latency of a cache hit without waiting, in seconds.
 	warmLatency float64
-	// firstHitRate and otherHitRate are the parts of the objects that were not known here and yet warm,
-	// at the firstHitRate targets of their keys and at others: otherHitRate instances had sent them.
+	// firstHitRate and otherHitRate are the fractions of cache hits among requests whose key this
+	// instance had not sent to the target before, at the first target of the key and at others.
+	// Requests of other instances had warmed these objects.
 	firstHitRate, otherHitRate float64
 }
 
-// hitProbability returns how likely a target is to have an object.
+// hitProbability returns the probability that a target has an object.
 func (w *cacheModel) hitProbability(known, first bool) float64 {
 	switch {
 	case known:
@@ -66,8 +63,9 @@
 	}
 }
 
-// observe takes in the time of an answer. It returns how many usual times it took, 0 if
-// that says nothing of the target: a cold object is no fault of it.
+// observe updates the model by the latency of a response. It returns the latency as a multiple of
+// the warm latency, or 0 if the latency does not show how fast the target is, as after a cache
+// miss.
 func (w *cacheModel) observe(sent SendState, took time.Duration) float64 {
 	unloaded := took.Seconds() / max(1, sent.Load)
 	if sent.KeyKnown && w.warmLatency == 0 {
@@ -94,17 +92,17 @@
 	return 0
 }
 
-// slowness is how many times slower than usual a target answers for objects that it has,
-// 1 if it is not known to be slow.
+// slowness is the latency of a target's cache hits as a multiple of the warm latency. It is at most
+// 1 if the target is not known to be slow.
 type slowness float64
 
-// observe counts the usual times that an answer took.
+// observe updates the slowness by a multiple of the warm latency.
 func (s *slowness) observe(times float64) {
 	before := max(1, float64(*s))
 	*s = slowness(before + slowWeight*(max(1, times)-before))
 }
 
-// factor returns what a request at the target counts for in its load.
+// factor returns the factor by which a request at the target counts in its load.
 func (s slowness) factor() float64 {
 	if s < slowThreshold {
 		return 1
--- a/upstream/cache_model_test.go
+++ b/upstream/cache_model_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCacheModelLearnsHitRate checks that objects that are not known are taken for cold until
-// answers show that others have made them warm, at first targets and at others apart.
+// TestCacheModelLearnsHitRate checks that unknown objects count as not cached until responses show
+// cache hits, and that first and other targets are learned separately.
 func TestCacheModelLearnsHitRate(t *testing.T) {
 	var w cacheModel
 	require.Zero(t, w.hitProbability(false, true))
 	require.Equal(t, 1.0, w.hitProbability(true, true))
 	first, other := SendState{FirstChoice: true}, SendState{}
-	require.Zero(t, w.observe(first, time.Second), "nothing to compare it with")
-	require.InDelta(t, 1, w.observe(SendState{KeyKnown: true, Load: 2}, 200*time.Millisecond), 1e-9, "the wait is taken off")
+	require.Zero(t, w.observe(first, time.Second), "no warm latency is known yet")
+	require.InDelta(t, 1, w.observe(SendState{KeyKnown: true, Load: 2}, 200*time.Millisecond), 1e-9, "the waiting time is subtracted")
 	for range 200 {
 		w.observe(first, 120*time.Millisecond)
 		w.observe(other, 300*time.Millisecond)
@@ -25,16 +25,16 @@
 	for range 100 {
 		w.observe(first, 300*time.Millisecond)
 	}
-	require.Less(t, w.hitProbability(false, true), 0.05, "after a loss of power all is cold again")
+	require.Less(t, w.hitProbability(false, true), 0.05, "after a power failure nothing is cached")
 }
 
-// TestSlownessIsLearned checks that a target that answers slowly for objects that it has
-// counts as loaded, that one cold run does not, and that it is forgotten.
+// TestSlownessIsLearned checks that slow cache hits raise the load factor of a target, that normal
+// variation does not, and that the factor falls again.
 func TestSlownessIsLearned(t *testing.T) {
 	var s slowness
 	require.Equal(t, 1.0, s.factor())
 	s.observe(1.3)
-	require.Equal(t, 1.0, s.factor(), "times spread")
+	require.Equal(t, 1.0, s.factor(), "normal variation")
 	for range 3 {
 		s.observe(6)
 	}
@@ -45,7 +45,8 @@
 	require.Equal(t, 1.0, s.factor())
 }
 
-// TestSlowAnswersHardlyRaiseWarmLatency checks that slow answers hardly change what is usual.
+// TestSlowAnswersHardlyRaiseWarmLatency checks that a few slow responses hardly change the warm
+// latency.
 func TestSlowAnswersHardlyRaiseWarmLatency(t *testing.T) {
 	var w cacheModel
 	known := SendState{KeyKnown: true}
@@ -60,8 +61,8 @@
 	require.InDelta(t, 0.1, w.warmLatency, 0.025)
 }
 
-// TestFastTargetIsNotMarkedSlow checks that a target that answers within milliseconds is
-// not taken for slow, and so for full, since one answer was held up for a moment.
+// TestFastTargetIsNotMarkedSlow checks that a target that responds within a millisecond does not
+// count as slow, and therefore as full, because a few responses were delayed by the scheduler.
 func TestFastTargetIsNotMarkedSlow(t *testing.T) {
 	var w cacheModel
 	sent := SendState{KeyKnown: true, Load: 1}
@@ -72,5 +73,5 @@
 	}
 	require.InDelta(t, 1, s.factor(), 1e-9)
 	s.observe(w.observe(sent, time.Second))
-	require.Greater(t, s.factor(), 2.0, "a second is slow")
+	require.Greater(t, s.factor(), 2.0, "a latency of one second is slow")
 }
--- a/upstream/choose.go
+++ b/upstream/choose.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// missPenalty is what a target without the object costs, in usual times. A cold run
-	// takes two usual times more than a warm one; a third of that is taken, since the object
-	// is warm there afterwards.
+	// missPenalty is the cost of a target without the object, in typical latencies. A cache miss
+	// takes two typical latencies longer than a hit. Only a third of that is counted, since
+	// afterwards the target has the object.
 	missPenalty = 0.6
-	// rankPenalty is what each place in the ranking costs, in usual times. It
-	// keeps requests of one key together, and in the own hall, until the wait
-	// there is of about the length of a request.
+	// rankPenalty is the cost of each place in the ranking, in typical latencies. It keeps the
+	// requests of a key together, and heavy ones in the instance's hall, until the wait there is
+	// about as long as a request.
 	rankPenalty = 0.7
-	// coldFullAt and warmFullAt are the loads, in slots, from which on a target takes no
-	// more requests for objects that it does not have and that it has: a cold run takes
-	// three times as long, seldom ends in time, and keeps those waiting that could. fullAt
-	// is that for requests without an object.
+	// coldFullAt is the load, as a multiple of the slots, from which a target gets no more requests
+	// for objects that it does not have, and warmFullAt the load for objects that it has. A cache
+	// miss takes three times as long as a hit, seldom ends in time, and delays requests that could
+	// end in time. fullAt is the load for requests without an object.
 	coldFullAt = 1.75
 	warmFullAt = 2.5
 	fullAt     = 2.0
 )
 
-// candidate is the result of a choice.
+// candidate is the result of a selection.
 type candidate struct {
 	found  bool
 	target *target
 	reason Reason
-	// firstChoice says that the target is the firstChoice one of the key.
+	// firstChoice means that the target is the first one in the ranking of the key.
 	firstChoice bool
 }
 
-// choose picks the target of a request among those of its version, or of the other one if these
-// can't be used.
+// choose selects a target in the request's cohort, or in the other cohort if none of these can be
+// used.
 func (p *Pool) choose(now time.Time, r *Request) candidate {
 	c := p.chooseAnywhere(now, r)
 	if c.found || !p.mayChangeCohort(r, c.reason) {
@@ -46,10 +46,10 @@
 	return p.chooseAnywhere(now, &other)
 }
 
-// chooseAnywhere picks the target of a request: in the region drawn for it, or, if no
-// target there can be used at all, in another one. Full targets do not send a
-// request to another region: that would shift traffic faster than the bound. Targets that name
-// limits send it only where nobody else waits for its place.
+// chooseAnywhere selects a target in the region drawn for the request, or in another region if no
+// target there can be used. Full targets do not send a request to another region, since that would
+// shift traffic faster than ShiftStep allows. If rate limits make the targets of the drawn region
+// unusable, a target in another region gets the request only if it has capacity to spare.
 func (p *Pool) chooseAnywhere(now time.Time, r *Request) candidate {
 	pl := p.planFor(now, r)
 	drawn := p.drawRegion(pl, r)
@@ -73,9 +73,9 @@
 	return candidate{reason: ReasonNoTarget}
 }
 
-// chooseIn picks a target in one region. The ranking is over all targets that hold their keys,
-// so that a key whose first target can't be used for a moment goes to its second one, which
-// knows the object. Only if neither can be used is the ranking made anew over those that can.
+// chooseIn selects a target in one region. The ranking covers all targets that keep their keys. If
+// the first target of a key cannot be used for a moment, the request goes to the second one, which
+// has the object. Only if neither can be used are the usable targets ranked.
 func (p *Pool) chooseIn(now time.Time, r *Request, region string) candidate {
 	if r.Isolated {
 		return p.chooseIsolated(now, r, region)
@@ -88,15 +88,15 @@
 	return p.chooseSpare(now, r, region)
 }
 
-// chooseSpare picks a target in a region that takes the request without keeping those of its own
-// keys from it.
+// chooseSpare selects a target in a region whose rate limit, if any, leaves permits beyond those
+// that requests for its own keys need.
 func (p *Pool) chooseSpare(now time.Time, r *Request, region string) candidate {
 	usable := func(t *target) bool { return t.usableIgnoringLimit(now) && t.hasSparePermit(now) }
 	return p.cheapest(now, r, region, p.rank(r, region, usable))
 }
 
-// keyFilter returns what tells whether a target holds its keys. Most of the time none rests, and
-// those that serve do.
+// keyFilter returns the predicate of the targets that keep their keys. Most of the time no target
+// has requested a back-off, and then these are the targets in service.
 func (p *Pool) keyFilter(now time.Time) func(*target) bool {
 	if !now.Before(p.backoffUntil) {
 		return (*target).inService
@@ -104,11 +104,11 @@
 	return func(t *target) bool { return t.keepsKeys(now) }
 }
 
-// maxIsolatedPermits bounds the targets for which a request that is sent alone asks for permits.
+// maxIsolatedPermits bounds the targets of which one isolated request requests permits.
 const maxIsolatedPermits = 3
 
-// chooseIsolated picks the target of a request that may end it: the one with the fewest requests,
-// which would be lost with it.
+// chooseIsolated selects the target of a request that may crash it. It takes the target with the
+// fewest requests, since these would be lost with it.
 func (p *Pool) chooseIsolated(now time.Time, r *Request, region string) candidate {
 	usable := func(t *target) bool { return !r.wasTried(t.spec.ID) && t.usable(now) }
 	targets := p.targetsOf(r, region)
@@ -119,8 +119,8 @@
 	return p.leastLoaded(now, r, region)
 }
 
-// rank returns the first targets of the request's key among the eligible ones of a
-// region, as indexes.
+// rank returns the first targets of the request's key among the eligible targets of a region, as
+// indexes into targetsOf.
 func (p *Pool) rank(r *Request, region string, eligible func(*target) bool) affinity.Ranking {
 	ranker := affinity.NewRanker(r.Key)
 	for i, t := range p.targetsOf(r, region) {
@@ -131,8 +131,9 @@
 	return ranker.Ranking(p.preferredGroup(r, region))
 }
 
-// cheapest picks the target of a ranking that costs least among those that can be used
-// and are not full. It fails with ReasonNoTarget if none can be used.
+// cheapest selects the target with the lowest cost among the targets of a ranking that are usable
+// and not full. If it selects none, the reason is ReasonLimited if the request should wait for a
+// permit, ReasonFull if all usable targets are full, and ReasonNoTarget if no target is usable.
 func (p *Pool) cheapest(now time.Time, r *Request, region string, ranking affinity.Ranking) candidate {
 	best := candidate{reason: ReasonNoTarget}
 	bestCost := 0.0
@@ -170,7 +171,7 @@
 	return best
 }
 
-// reasonOf returns the reason of the choice of a place in a ranking.
+// reasonOf returns the reason for selecting the given place of a ranking.
 func reasonOf(place int) Reason {
 	if place > 0 {
 		return ReasonLoad
@@ -178,9 +179,9 @@
 	return ReasonFirstChoice
 }
 
-// preferredGroup returns the group of the own hall, if it is in the region, for requests that
-// gain nothing from a target that others have made warm: those without an object, and
-// those that move many bytes.
+// preferredGroup returns the group of the instance's hall, if that is in the region, for requests
+// that gain nothing from a target that other instances have warmed. These are requests without an
+// object and requests that move many bytes. For all others it returns affinity.NoGroup.
 func (p *Pool) preferredGroup(r *Request, region string) int {
 	if region != p.config.Region || (r.Sticky && !r.Heavy) {
 		return affinity.NoGroup
@@ -191,8 +192,8 @@
 	return affinity.NoGroup
 }
 
-// warmProbability returns how likely a target is to have the object of a request, 1 for requests
-// without one.
+// warmProbability returns the probability that a target has the object of a request, 1 for requests
+// without an object.
 func (p *Pool) warmProbability(now time.Time, r *Request, t *target, first bool) float64 {
 	if !r.Sticky {
 		return 1
@@ -200,8 +201,8 @@
 	return p.cacheModel.hitProbability(t.hasKey(now, r.Key), first)
 }
 
-// full tells whether a target takes no more requests that are as likely to find their
-// object there as warm says.
+// full reports whether a target takes no more requests whose object it has with the probability
+// warm.
 func full(now time.Time, r *Request, t *target, warm float64) bool {
 	limit := fullAt
 	if r.Sticky {
@@ -210,14 +211,14 @@
 	return t.load(now) >= limit*float64(max(t.spec.Slots, 1))
 }
 
-// expectedWait is the expectedWait expected at a target, in usual times.
+// expectedWait returns the expected wait at a target, in typical latencies.
 func expectedWait(now time.Time, t *target) float64 {
 	slots := float64(max(t.spec.Slots, 1))
 	return max(0, t.load(now)+1-slots) / slots
 }
 
-// leastLoaded picks among all targets of a region when the first of the ranking
-// are full.
+// leastLoaded selects the target with the lowest load per slot among all usable targets of a
+// region. It is used if the first targets of the ranking are full.
 func (p *Pool) leastLoaded(now time.Time, r *Request, region string) candidate {
 	var best *target
 	bestLoad := 0.0
--- a/upstream/event.go
+++ b/upstream/event.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// EventKind is the kind of a change in what a pool believes of a target.
+// EventKind is the kind of an Event.
 type EventKind string
 
-// The kinds.
+// The kinds of events. The values appear in logs.
 const (
-	// EventSuspected targets get nothing until a time, then one request that
-	// tries them.
+	// EventSuspected means that the target gets no requests until a time, and then one request that
+	// probes it.
 	EventSuspected EventKind = "suspected"
-	// EventRecovered targets have answered after a suspicion.
+	// EventRecovered means that the target has responded after a suspicion.
 	EventRecovered EventKind = "trusted"
-	// EventReplaced means that another server has answered at the address.
+	// EventReplaced means that another server has responded at the target's address.
 	EventReplaced EventKind = "replaced"
-	// EventCold targets are cold until a time.
+	// EventCold means that the target is cold until a time.
 	EventCold EventKind = "cold"
-	// EventPaused targets have rejected a request and get none for a moment.
+	// EventPaused means that the target has rejected a request and gets none for a moment.
 	EventPaused EventKind = "paused"
-	// EventBackoff targets have asked to get nothing until a time.
+	// EventBackoff means that the target has requested to get no requests until a time.
 	EventBackoff EventKind = "resting"
-	// EventLeaving targets have said themselves that they leave.
+	// EventLeaving means that the target itself has announced that it leaves.
 	EventLeaving EventKind = "leaving"
 )
 
-// Event is a change in what a pool believes of a target, with what decided it.
+// Event is a change of the pool's state of a target, with the outcome that caused it.
 type Event struct {
 	Kind     EventKind
 	Target   string
 	Cause    Outcome
 	InFlight int
-	// Failures is the number of failures in a row.
+	// Failures is the number of consecutive failures.
 	Failures int
 	Until    time.Time
 }
 
-// maxEvents bounds the events that wait to be taken: more than a service of the sites has
-// targets.
+// maxEvents bounds the events that wait for TakeEvents. It exceeds the number of targets of any
+// service.
 const maxEvents = 4096
 
 // TakeEvents returns the events since the last call.
@@ -46,7 +46,7 @@
 	return events
 }
 
-// recordEvent keeps what has changed in the belief on t since before.
+// recordEvent records an event if the state of t has changed since before.
 func (p *Pool) recordEvent(t *target, before eventState, cause Outcome) {
 	after := t.eventState()
 	event := Event{Target: t.spec.ID, Cause: cause, InFlight: t.inFlight, Failures: t.stats.failures}
@@ -73,7 +73,7 @@
 	}
 }
 
-// eventState is the part of a target's state that events tell of.
+// eventState is the part of a target's state whose changes are events.
 type eventState struct {
 	replaced, leaves, suspected                     bool
 	restUntil, suspectUntil, coldUntil, pausedUntil time.Time
@@ -96,5 +96,5 @@
 	Broken: "broken", TimedOut: "silent", Abandoned: "abandoned",
 }
 
-// String returns the name of the outcome in logs.
+// String returns the name of the outcome as it appears in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
--- a/upstream/memory_test.go
+++ b/upstream/memory_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heap returns the bytes in use after a collection.
+// heap returns the bytes in use after garbage collection.
 func heap() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -17,10 +17,10 @@
 	return int64(stats.HeapAlloc)
 }
 
-// TestMemoryPerTarget guards against memory for what is known of no target. Of 10,000 targets an instance
-// sends requests to a few hundred, but it held 1,200 bytes for each: 10.6 of the 16.4 MB that were in use
-// in a fleet of 9,996. In two years 14,280 are to fit, with all else, into 32 MB: 6 MB of these are for
-// what pools hold.
+// TestMemoryPerTarget guards against allocating stats for targets that the instance knows nothing
+// about. Of 10,000 targets an instance sends requests to a few hundred, but with stats for all of
+// them it used 1,200 bytes per target, 10.6 of 16.4 MB in a fleet of 9,996 targets. The bound
+// leaves 6 MB of an instance's 32 MB to the pools of 14,280 targets.
 func TestMemoryPerTarget(t *testing.T) {
 	const (
 		targets = 10_000
@@ -32,14 +32,14 @@
 	p := NewPool(Config{Service: "s", Self: "n1", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a", "a2": "a", "b1": "b"}})
 	p.SetTargets(now, specs, nil)
 	used := heap() - before
-	t.Logf("%d bytes a target", used/targets)
+	t.Logf("%d bytes per target", used/targets)
 	require.Less(t, used/targets, int64(bound))
 	runtime.KeepAlive(specs)
 	runtime.KeepAlive(p)
 }
 
-// TestIdleTargetStatsExpire checks that what is known of a target goes when nothing was heard of it for
-// long, but for faults, so that memory does not grow with all targets that requests were ever sent to.
+// TestIdleTargetStatsExpire checks that the stats of idle targets without faults are dropped, so
+// that memory does not grow with every target that requests were ever sent to.
 func TestIdleTargetStatsExpire(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := placedPool(now, 100)
--- a/upstream/next_available.go
+++ b/upstream/next_available.go
@@ -7,17 +7,17 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// nextAvailable is when the first of a request's targets will be back, when none can be used.
+// nextAvailable describes when the first of a request's targets becomes usable while none is.
 type nextAvailable struct {
-	// any says that there is a target that is meant to serve.
+	// any is true if at least one target is in service.
 	any   bool
 	cause availability.Cause
 	until time.Time
 }
 
-// nextAvailableFor returns when the first of the request's targets will be back. It returns false if
-// one may be back within the request's patience. One that the request was sent to already can't
-// be used by it again, and counts for when its caller should come back.
+// nextAvailableFor returns when the first of the request's targets becomes usable. It returns false
+// if one may become usable within the request's queue timeout. A target that the request was
+// already sent to cannot run it again, but counts for the time after which the caller should retry.
 func (p *Pool) nextAvailableFor(now time.Time, r *Request) (nextAvailable, bool) {
 	var first nextAvailable
 	if held := p.versions.heldUntil; !held.IsZero() && held.Sub(now) <= r.QueueTimeout {
@@ -40,9 +40,9 @@
 	return first, true
 }
 
-// availableAt returns when a target that is meant to serve may be sent a request, and what is in the
-// way. That may be at any moment, so now, if a request is finding out whether it is availableAt, or if
-// it is cold and has had what it bears.
+// availableAt returns the time at which a target in service may be sent a request, and the cause
+// that keeps requests from it until then. The time is now, since it may be any moment, if a request
+// is probing the target or if the target is cold and its quota is used up.
 func (t *target) availableAt(now time.Time) (availability.Cause, time.Time) {
 	verdict := t.judge(now)
 	if verdict.OK() && !t.permitted(now) {
@@ -56,7 +56,6 @@
 	}
 }
 
-// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -64,16 +63,17 @@
 	return b
 }
 
-// The callers of requests that are refused while all targets rest are told when the first of
-// these is back, and a drawn time more, so that they do not all come at once: a part of the rest
-// that is left, less for the most urgent ones.
+// If all targets are in a requested back-off, the callers of refused requests are told to retry
+// when the first back-off ends, plus a random time that keeps them from retrying all at once. The
+// random time is a fraction of the remaining back-off, and a smaller one for the most urgent
+// requests.
 const (
 	backoffSpread       = 1.0
 	urgentBackoffSpread = 0.5
 )
 
-// retrySpread returns the time over which the callers of requests of a priority come back after a
-// rest of which some is left.
+// retrySpread returns the time over which the retries of requests of a priority are spread after a
+// back-off of which the given time is left.
 func retrySpread(priority int, left time.Duration) time.Duration {
 	if priority == 0 {
 		return time.Duration(urgentBackoffSpread * float64(left))
@@ -81,9 +81,9 @@
 	return time.Duration(backoffSpread * float64(left))
 }
 
-// RefuseIfUnavailable refuses a request none of whose targets will be back before its patience is over, and
-// tells its caller when the first of them will be. To hold the request until then would only keep
-// the caller from trying elsewhere.
+// RefuseIfUnavailable refuses a request if none of its targets becomes usable within its queue
+// timeout, and tells the caller when the first one will. Queueing such a request would only keep
+// the caller from trying elsewhere. The result is false if the request is not refused.
 func (p *Pool) RefuseIfUnavailable(now time.Time, r Request) (Decision, bool) {
 	first, known := p.nextAvailableFor(now, &r)
 	if !known {
--- a/upstream/placement.go
+++ b/upstream/placement.go
@@ -7,35 +7,36 @@
 	"time"
 )
 
-// regionTargets are a region's targets. They are kept in order and counted as single targets change:
-// in a large fleet that happens several times a second at each instance, and to list all of them anew
-// for each would take more of a processor than anything else.
+// regionTargets holds the targets of a region. The lists and counts are updated for each changed
+// target. In a large fleet several targets change per second, and rebuilding the lists each time
+// would dominate the processor time of an instance.
 type regionTargets struct {
 	name        string
 	utilization utilization
-	// listed are the targets that may get requests, by side, in the order of IDs.
+	// listed holds the targets that may get requests, by cohort and ordered by ID.
 	listed targetsByCohort
-	// canaries are those of the new side that get requests while not all of them do, nil if they have to
-	// be chosen anew.
+	// canaries holds the targets of the new cohort that get requests while not all of them do. It
+	// is nil if they have to be chosen again.
 	canaries []*target
-	// serving count the listed targets that are meant to serve, by side.
+	// serving counts the listed targets in service, by cohort.
 	serving [2]serving
 }
 
-// serving are targets that are meant to serve.
+// serving holds a number of targets in service and the sum of their slots.
 type serving struct {
 	targets int
 	slots   float64
 }
 
-// placement is where a target is listed, and as what it counts there. The zero value is nowhere.
+// placement records in which region a target is listed and how it is counted there. In the zero
+// value it is not listed.
 type placement struct {
 	listedIn *regionTargets
 	serving  bool
 	slots    float64
 }
 
-// regionFor returns the targets of a region.
+// regionFor returns the targets of a region, which is added if it is new.
 func (p *Pool) regionFor(name string) *regionTargets {
 	r := p.regions[name]
 	if r == nil {
@@ -47,7 +48,7 @@
 	return r
 }
 
-// forEachListed calls a function for forEachListed listed target, in the order of regions, sides and IDs.
+// forEachListed calls a function for each listed target, ordered by region, cohort and ID.
 func (p *Pool) forEachListed(do func(*target)) {
 	for _, r := range p.sortedRegions {
 		for _, listed := range r.listed {
@@ -58,7 +59,8 @@
 	}
 }
 
-// place lists a target where it belongs as things stand, and counts it there.
+// place lists a target in its current region and cohort, or removes it from its list, and updates
+// the counts.
 func (p *Pool) place(now time.Time, t *target) {
 	side, in := p.cohortOf(t), (*regionTargets)(nil)
 	if p.mayList(now, t) {
@@ -74,7 +76,7 @@
 	p.count(t)
 }
 
-// unplace takes a target out of its list.
+// unplace removes a target from its list.
 func (p *Pool) unplace(t *target) {
 	in := t.placement.listedIn
 	if in == nil {
@@ -84,7 +86,7 @@
 	p.countAs(t, placement{})
 }
 
-// count counts a target as one that is meant to serve, or no longer.
+// count updates the counts for a target that may have entered or left service.
 func (p *Pool) count(t *target) {
 	now := placement{listedIn: t.placement.listedIn}
 	if now.listedIn != nil && t.inService() {
@@ -93,7 +95,7 @@
 	p.countAs(t, now)
 }
 
-// countAs replaces what a target counts as.
+// countAs replaces the contribution of a target to the counts.
 func (p *Pool) countAs(t *target, after placement) {
 	before := t.placement
 	t.placement = after
--- a/upstream/placement_test.go
+++ b/upstream/placement_test.go
@@ -17,7 +17,7 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// placedPool returns a pool of n targets in the halls a1, a2 and b1, and their specs.
+// placedPool returns a pool of n targets in the halls a1, a2 and b1, and the targets' specs.
 func placedPool(now time.Time, n int) (*Pool, []*catalog.Target) {
 	halls := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	p := NewPool(Config{Service: "s", Self: "n1", Hall: "a1", Region: "a", RegionOf: halls, ShiftStep: 0.1, ShiftWindow: 2 * time.Second})
@@ -30,8 +30,8 @@
 	return p, specs
 }
 
-// changeCost returns the least time and the bytes allocated of a change among n targets: one comes,
-// starts to leave, and goes.
+// changeCost returns the minimum time and the allocated bytes of adding, marking as leaving and
+// removing a target among n targets.
 func changeCost(n int) (time.Duration, int64) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := placedPool(now, n)
@@ -51,10 +51,11 @@
 	return least, result.AllocedBytesPerOp()
 }
 
-// TestChangeCostIndependentOfFleetSize guards against work for all targets at each change of one. In a
-// fleet of 10,000 targets, of 6,500 in one service, an instance hears of five to seven changes a second
-// on a calm day. All targets were listed anew for each: 0.5 ms at 1,000 targets and 9.3 ms at 10,000, and
-// 18 and 301 KB allocated, which was most of an instance's processor time.
+// TestChangeCostIndependentOfFleetSize guards against processing all targets when one changes. In a
+// fleet of 10,000 targets, 6,500 of them of one service, an instance receives five to seven changes
+// per second in normal operation. Rebuilding the lists for each change took 0.5 ms and 18 KB at
+// 1,000 targets, and 9.3 ms and 301 KB at 10,000, which was most of the processor time of an
+// instance.
 func TestChangeCostIndependentOfFleetSize(t *testing.T) {
 	smallTime, smallBytes := changeCost(1_000)
 	largeTime, largeBytes := changeCost(10_000)
@@ -62,8 +63,8 @@
 	require.Less(t, largeTime, 4*smallTime)
 }
 
-// expectedPlacement returns the IDs of the targets that are listed, by region and side, and what serves there,
-// by their definitions.
+// expectedPlacement returns the IDs of the targets that must be listed, and the counts of those in
+// service, by region and cohort. It computes them from their definitions.
 func expectedPlacement(now time.Time, p *Pool) (map[string][2][]string, map[string][2]serving) {
 	listed, counts := make(map[string][2][]string), make(map[string][2]serving)
 	for _, id := range slices.Sorted(maps.Keys(p.byID)) {
@@ -105,7 +106,7 @@
 	}
 	require.Len(t, p.limitedTargets, limited)
 	require.Len(t, p.byHash, len(p.byID))
-	require.Zero(t, p.emptyStats, "what all targets share that nothing is known of")
+	require.Zero(t, p.emptyStats, "the shared empty stats must not change")
 	versions := make(map[string]int)
 	for _, target := range p.byID {
 		versions[target.spec.Version]++
@@ -113,8 +114,8 @@
 	require.True(t, maps.Equal(versions, p.versions.targets))
 }
 
-// TestPlacementMatchesDefinition draws changes of all kinds, and checks the lists that are kept
-// against those made anew from all targets.
+// TestPlacementMatchesDefinition applies random changes of all kinds and compares the lists that
+// the pool updates with lists rebuilt from all targets.
 func TestPlacementMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
--- a/upstream/plan.go
+++ b/upstream/plan.go
@@ -10,34 +10,34 @@
 	"github.com/rainford/rainford/locality"
 )
 
-// calibrateInterval is the time between two fits of the shares to the keys seen. All keys of
-// a small site are seen within a few seconds.
+// calibrateInterval is the interval at which shares are fitted to the observed keys. At a small
+// site all keys are observed within a few seconds.
 const calibrateInterval = time.Second
 
-// planTTL is how long shares that are still moving are used.
+// planTTL is how long shares that are still moving are used before they are updated.
 const planTTL = 100 * time.Millisecond
 
 // plan is the division of requests between regions for one set of home regions.
 type plan struct {
 	ramp  locality.Ramp
 	slots map[string]float64
-	// keyShares are the wanted keyShares of the keys, and want the shares of the hashes that
-	// give them.
+	// keyShares are the wanted shares of the keys. wantedShares are the shares of the hash space
+	// that result in keyShares, and shares are those in force.
 	keyShares    []locality.Share
 	wantedShares []locality.Share
 	shares       []locality.Share
-	// regions are all regions with slots, in an order of the own region's.
+	// regions lists all regions with slots, in an order that depends on the instance's region.
 	regions   []string
 	updatedAt time.Time
 	settled   bool
 	stale     bool
-	// points are the keys of the plan's requests, and calibratedAt is when want was
-	// last fitted to them.
+	// points holds the hashes of the observed keys. calibratedAt is when wantedShares were last
+	// fitted to them.
 	points       locality.Points
 	calibratedAt time.Time
 }
 
-// invalidatePlans has the plans computed anew with the next request.
+// invalidatePlans makes the next request compute its plan again.
 func (p *Pool) invalidatePlans() {
 	for _, pl := range p.plans {
 		pl.stale = true
@@ -69,16 +69,16 @@
 	return pl
 }
 
-// calibrate fits the shares of the hashes to the keys seen, so that each region gets its
-// part of them.
+// calibrate fits the shares of the hash space to the observed keys, so that each region gets its
+// share of the keys.
 func (p *Pool) calibrate(now time.Time, pl *plan) {
 	fitted := locality.Calibrate(p.config.Region, pl.keyShares, pl.points.Sorted(now))
 	pl.settled = pl.settled && slices.Equal(fitted, pl.wantedShares)
 	pl.wantedShares, pl.calibratedAt = fitted, now
 }
 
-// compute finds the parts to be wanted: the operators' rows, or else what
-// follows from the slots.
+// compute determines the wanted shares of the keys from the operators' routing rows, or from the
+// slots if there are no rows.
 func (p *Pool) compute(pl *plan, r *Request) {
 	pl.slots = p.regionSlots(r)
 	pl.keyShares = locality.FromRows(p.config.Service, p.config.Region, p.rows, pl.slots)
@@ -95,15 +95,17 @@
 }
 
 const (
-	// homeWorkFactor is the work of a request that has to run in a region, over that of one that
-	// may run anywhere: its object is seldom asked for there, and mostly cold.
+	// homeWorkFactor is the work of a request that has to run in its home region relative to one
+	// that may run anywhere. The object of a home-bound request is seldom requested in that region,
+	// and therefore mostly not cached.
 	homeWorkFactor = 2.0
-	// minFreePart is the part of a region's slots that are free whatever has to run there.
+	// minFreeFraction is the fraction of a region's slots that counts as free regardless of the
+	// home-bound requests.
 	minFreePart = 0.02
 )
 
-// freeSlots returns the slots of each region that are left for requests that may run
-// anywhere, when those that have to run there are served.
+// freeSlots returns for each region the slots that home-bound requests leave to requests that may
+// run anywhere.
 func (p *Pool) freeSlots(r *Request, slots map[string]float64) map[string]float64 {
 	if len(r.Regions) > 0 || len(p.homeShares) == 0 {
 		return slots
@@ -121,14 +123,14 @@
 	return free
 }
 
-// drawRegion returns the region of the request.
+// drawRegion returns the region for the request's key.
 func (p *Pool) drawRegion(pl *plan, r *Request) string {
 	return locality.Draw(p.config.Region, pl.shares, r.keyPoint)
 }
 
-// regionSlots returns the slots of each region whose targets are meant to serve:
-// suspicions, rests and coldness pass, so that they do not move shares. Targets that name a
-// limit count for what that lets them use. Of two versions of a service the one that runs most
+// regionSlots returns the slots of the targets in service by region. Suspicions, back-offs and cold
+// targets are temporary and do not change the shares. A target with a rate limit counts only for
+// the slots that it can use under the limit. During a rollout only the cohort that runs most
 // requests counts.
 func (p *Pool) regionSlots(r *Request) map[string]float64 {
 	slots := make(map[string]float64, len(p.sortedRegions))
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -13,84 +13,85 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Config are the settings of a pool.
+// Config holds the settings of a pool.
 type Config struct {
 	Service string
-	// Self, Hall and Region are the instance's name and place.
+	// Self, Hall and Region are the name and the location of the instance.
 	Self, Hall, Region string
 	// RegionOf maps each hall to its region.
 	RegionOf map[string]string
-	// HoldNewVersions says that targets of a version that none had before get nothing until an order for it
-	// is known, or for some time if there is none.
+	// HoldNewVersions makes targets of a version not seen before wait until a rollout order for the
+	// version is known. If no order becomes known, they are used after unorderedHold.
 	HoldNewVersions bool
-	// ShiftStep is the largest part of a region's requests that changes the
-	// region that runs them in ShiftWindow.
+	// ShiftStep is the largest fraction of a region's requests that may change the region that runs
+	// them within ShiftWindow.
 	ShiftStep   float64
 	ShiftWindow time.Duration
 }
 
-// Pool chooses targets. It is not safe for concurrent use.
+// Pool selects targets for requests. It is not safe for concurrent use.
 type Pool struct {
 	config Config
-	// regionCount is the number of regions that halls are in.
+	// regionCount is the number of regions that contain halls.
 	regionCount int
 	warmup      time.Duration
 	quotas      *quotas
 	rows        []table.Row
-	// homeShares are the parts of all requests that regions have to run.
+	// homeShares holds for each region the fraction of all requests that has to run there.
 	homeShares map[string]float64
 
 	byID map[string]*target
-	// byHash holds the same targets by the hash of their IDs.
+	// byHash holds the targets of byID by the hash of their IDs.
 	byHash map[availability.ID]*target
-	// byShortID holds the same targets by the form of their IDs in sightings.
+	// byShortID holds the targets of byID by the short IDs that target reports use.
 	byShortID map[uint32]*target
-	// regions hold the same targets by the names of their regions, but for those that are to get
-	// nothing yet, and inOrder the regions in the order of names.
+	// regions holds the targets by the name of their region, without the targets of versions that
+	// are held back. sortedRegions holds the regions ordered by name.
 	regions       map[string]*regionTargets
 	sortedRegions []*regionTargets
-	// split is the part of the requests that goes to targets of a new version, until a time if that
-	// is not zero.
+	// split divides the requests between the old targets and those of a new version. It ends at
+	// splitUntil unless that is zero.
 	split      rollout.Split
 	splitUntil time.Time
-	// versions are those of the service's targets.
+	// versions tracks the versions of the service's targets.
 	versions versions
-	// groups number the halls of each region.
+	// groups numbers the halls within each region.
 	groups map[string]int
-	// plans hold what was computed for each set of home regions.
+	// plans holds the division of requests between regions for each set of home regions.
 	plans map[string]*plan
 	queue queue
-	// departures are the targets that have said themselves that they leave, those too that
-	// the pool does not have: what the list says of them, later or not, does not undo that.
+	// departures holds the targets that announced that they leave, including targets that are not
+	// in the pool. The target list, whether older or newer, does not revoke an announcement.
 	departures availability.Departures
-	// activeTargets are the targets with a contact of their own, and none is that of all others. It stays
-	// empty.
+	// activeTargets holds the targets with stats of their own. All other targets share emptyStats,
+	// which is never modified.
 	activeTargets []*target
 	emptyStats    stats
-	// rateLimits are those that targets have named, those too that the pool does not have.
+	// rateLimits holds the limits that targets have announced, including targets that are not in
+	// the pool.
 	rateLimits map[availability.ID]availability.RateLimit
-	// limitedTargets are the targets that have named one, in the order of IDs.
+	// limitedTargets holds the targets of the pool with a rate limit, ordered by ID.
 	limitedTargets []*target
-	// permits are those of targets' limits, asks the questions for more that are to be sent
-	// to their owners, and silent the owners that do not answer.
+	// permits holds the permits for targets with a rate limit. permitRequests holds requests to be
+	// sent to the permits' owners, and unresponsive the owners that did not answer in time.
 	permits        *ratelimit.Holder
 	permitRequests []ratelimit.PermitRequest
 	unresponsive   []string
 	retryForecast  retryForecast
-	// backoffUntil is when the last of the targets that rest is back.
+	// backoffUntil is the end of the last back-off that a target requested.
 	backoffUntil time.Time
 	events       []Event
-	// typicalLatency is the usual time of an answer from a target that is not full.
+	// typicalLatency is the moving average of the latency of targets that are not full.
 	typicalLatency time.Duration
 	cacheModel     cacheModel
-	// salt tells the instances' drawn times apart.
+	// salt makes instances draw different random numbers for the same request.
 	salt uint64
 }
 
-// initialTypicalLatency is assumed before any answer was seen.
+// initialTypicalLatency is the typical latency before the first response.
 const initialTypicalLatency = 200 * time.Millisecond
 
-// NewPool returns a pool without targets.
+// NewPool returns a pool without targets for the given configuration.
 func NewPool(config Config) *Pool {
 	p := &Pool{
 		config:         config,
@@ -113,7 +114,7 @@
 	return p
 }
 
-// numberHalls numbers the halls of each region from 0 in the order of names.
+// numberHalls numbers the halls of each region from 0, ordered by name.
 func numberHalls(regionOf map[string]string) map[string]int {
 	halls := make([]string, 0, len(regionOf))
 	for hall := range regionOf {
@@ -130,17 +131,19 @@
 	return groups
 }
 
-// TypicalLatency returns the usual time of an answer.
+// TypicalLatency returns the moving average of the latency of targets that are not full.
 func (p *Pool) TypicalLatency() time.Duration { return p.typicalLatency }
 
-// SetService takes in what the configuration says of the service.
+// SetService sets the warm-up time and the warm-up rate of the service's targets from the
+// configuration.
 func (p *Pool) SetService(s catalog.Service) {
 	p.warmup = s.Warmup
 	p.quotas.setRate(s.WarmupRate)
 }
 
-// SetHomeShares takes in the part of all requests that each region has to run because it is
-// their account's home. Shares computed from slots leave room for them.
+// SetHomeShares sets the fraction of all requests that each region has to run because it is the
+// home region of their client account. Shares that are computed from slots reserve capacity for
+// these requests.
 func (p *Pool) SetHomeShares(shares map[string]float64) {
 	if maps.Equal(p.homeShares, shares) {
 		return
@@ -149,20 +152,22 @@
 	p.invalidatePlans()
 }
 
-// SetRows takes in the operators' rows for requests that enter in the own region.
-// Without any the shares of the regions are computed from slots.
+// SetRows sets the operators' routing rows for requests that enter in this instance's region.
+// Without rows the shares of the regions are computed from their slots.
 func (p *Pool) SetRows(rows []table.Row) {
 	p.rows = rows
 	p.invalidatePlans()
 }
 
-// SetMembers takes in the names of the instances known in each hall, which
-// share what cold targets bear.
+// SetMembers sets the names of the known instances of each hall. These instances divide the warm-up
+// quota of the hall's cold targets among themselves.
 func (p *Pool) SetMembers(members map[string][]string) {
 	p.quotas.setMembers(members)
 }
 
-// Acquire chooses a target for a request, queues the request, or refuses it.
+// Acquire selects a target for a request, queues the request, or refuses it. After Send the caller
+// must call Release, and after Wait it must either receive a Grant from a later call or call
+// Cancel.
 func (p *Pool) Acquire(now time.Time, r Request) Decision {
 	r.arrivedAt = now
 	r.keyPoint = mix.Unit(mix.Pair(r.Key, "region"))
@@ -207,24 +212,25 @@
 }
 
 const (
-	// A refused request is told to come back after between so many usual times of an
-	// answer: by then the requests that filled its targets are done, and spread out so
-	// that those refused together do not come back together.
+	// A refused request is told to retry after between minRetryFactor and maxRetryFactor typical
+	// latencies. By then the requests that filled its targets have finished. The spread keeps
+	// requests that are refused together from being retried together.
 	minRetryFactor = 1.5
 	maxRetryFactor = 3.5
-	// minTypicalLatency bounds what is taken for the usual time here from below: a client
-	// needs about that to come back at all.
+	// minTypicalLatency is a lower bound for the typical latency in the computation of retry
+	// delays. A client needs about this time to retry at all.
 	minTypicalLatency = 100 * time.Millisecond
 )
 
-// retryAfter is when a refused request should come back. The ID of a request spreads
-// those of one instance evenly.
+// retryAfter returns the time after which a refused request should be retried. The ID of a request
+// spreads the retries of one instance evenly.
 func (p *Pool) retryAfter(id uint64) time.Duration {
 	times := minRetryFactor + (maxRetryFactor-minRetryFactor)*mix.Unit(mix.Join(id, p.salt))
 	return time.Duration(times * float64(max(p.typicalLatency, minTypicalLatency)))
 }
 
-// Release ends an attempt and returns the grants that this makes possible.
+// Release ends an attempt on the target with the given ID and returns the grants and refusals that
+// follow for queued requests.
 func (p *Pool) Release(now time.Time, id string, r Result) []Grant {
 	t := p.byID[id]
 	if t == nil {
@@ -258,9 +264,9 @@
 	return p.dispatch(now)
 }
 
-// MaySend tells whether a request that was granted a target may still be sent there. Between the
-// grant and the sending, a connection has to be opened, the target may have spoken, and a permit
-// may have ended.
+// MaySend reports whether a request may still be sent to the target that it was granted. After the
+// grant a connection has to be opened. Meanwhile the target may have become unavailable, or the
+// permit may have expired.
 func (p *Pool) MaySend(now time.Time, id string, sent SendState) bool {
 	t := p.byID[id]
 	if t == nil || !t.state.Available(now) {
@@ -269,8 +275,8 @@
 	return t.rateLimit == nil || now.Before(sent.PermitExpiry)
 }
 
-// ApplyDepartures takes in that targets said, to this or to another instance, that they leave.
-// It returns the IDs of those that the pool has and that were not known to leave.
+// ApplyDepartures records the targets that announced to any instance that they leave. It returns
+// the IDs of the targets in the pool that were not known to be leaving.
 func (p *Pool) ApplyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	p.departures.Expire(now)
 	p.departures.Merge(now, departures)
@@ -290,7 +296,7 @@
 	return fresh
 }
 
-// observeLatency takes in the time of an answer for what it says of objects and of the target.
+// observeLatency updates the cache model and the target's slowness from the latency of a response.
 func (p *Pool) observeLatency(t *target, r Result) {
 	if r.Outcome != Answered {
 		return
@@ -301,28 +307,28 @@
 	}
 }
 
-// typicalWeight is the weight of a new answer in the usual time.
+// typicalWeight is the weight of a new response in the typical latency.
 const typicalWeight = 0.02
 
 func (p *Pool) updateTypicalLatency(took time.Duration) {
 	p.typicalLatency += time.Duration(typicalWeight * float64(took-p.typicalLatency))
 }
 
-// Cancel takes a request out of the queue. It reports whether it was there.
+// Cancel removes a request from the queue. It reports whether the request was queued.
 func (p *Pool) Cancel(id uint64) bool { return p.queue.remove(id) }
 
-// Tick returns the grants and refusals that the passing of time brings. It is to
-// be called while Waiting is not 0.
+// Tick returns the grants and refusals that are due because time has passed. It must be called
+// regularly while Waiting is not 0.
 func (p *Pool) Tick(now time.Time) []Grant {
 	p.tickPermits(now)
 	return p.dispatch(now)
 }
 
-// Waiting returns the length of the queue.
+// Waiting returns the number of queued requests.
 func (p *Pool) Waiting() int { return len(p.queue.waiting) }
 
-// dispatch grants what it can to the queued requests, the most urgent first, and
-// refuses those whose patience is over.
+// dispatch grants targets to queued requests, the most urgent first, and refuses the requests whose
+// queue timeout has expired or that would miss their deadline.
 func (p *Pool) dispatch(now time.Time) []Grant {
 	p.endHold(now)
 	var grants []Grant
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -24,7 +24,7 @@
 	return p
 }
 
-// altered returns the spec of a target with a change.
+// altered returns a changed copy of a target's spec.
 func altered(spec *catalog.Target, change func(*catalog.Target)) *catalog.Target {
 	other := *spec
 	change(&other)
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestKeyStaysWithinTwoTargets checks that overload does not spread a key over
-// all targets: each would then hold more objects than it keeps.
+// TestKeyStaysWithinTwoTargets checks that overload does not spread a key over all targets. Each
+// target would then need more objects than it can cache.
 func TestKeyStaysWithinTwoTargets(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(6), nil)
@@ -91,9 +91,9 @@
 	return p
 }
 
-// TestOneTargetForLightKeys checks that instances in both halls of a region send a key
-// to the same target, so that its object is made warm once, but for requests that move
-// many bytes, which stay in their hall.
+// TestOneTargetForLightKeys checks that instances in both halls of a region send a key to the same
+// target, so that only one target loads the object. Requests that move many bytes are the exception
+// and stay in their hall.
 func TestOneTargetForLightKeys(t *testing.T) {
 	one, other := poolAt("a1"), poolAt("a2")
 	run := func(p *upstream.Pool, r upstream.Request) upstream.Choice {
@@ -118,8 +118,8 @@
 	return r
 }
 
-// TestOwnHallFirst checks that a key of heavy requests leaves the target of its own hall
-// only once the wait there is about as long as a request: bytes between halls are dear.
+// TestOwnHallFirst checks that the key of heavy requests leaves the target in the instance's hall
+// only when the wait there is about as long as a request, since traffic between halls is expensive.
 func TestOwnHallFirst(t *testing.T) {
 	p := newPool()
 	specs := spread(1)
@@ -135,9 +135,9 @@
 	require.Equal(t, "a2", p.Acquire(start, heavyRequest("k")).Target.Hall)
 }
 
-// TestSecondTargetTakesOver checks that a key whose first target can't be used for a
-// moment goes to its second one, which is warm, and only if that can't be used either
-// to a target that has not seen the object.
+// TestSecondTargetTakesOver checks that the requests of a key go to its second target, which has
+// the object, while the first one is unusable for a moment. Only if the second one is unusable too
+// do they go to a target without the object.
 func TestSecondTargetTakesOver(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
@@ -156,8 +156,8 @@
 	require.NotContains(t, []string{"", first.ID, second.ID}, third.ID)
 }
 
-// TestUnusableTargetsGetNothing draws targets that are leaving, evacuated, cold
-// or replaced and checks each grant.
+// TestUnusableTargetsGetNothing draws targets that are leaving, evacuated, cold or replaced and
+// checks that none of them is granted.
 func TestUnusableTargetsGetNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool()
@@ -194,9 +194,9 @@
 	})
 }
 
-// TestIncrementalChangesMatchFullList draws changes of targets, some of a target that goes in
-// the same step, and checks that a pool that takes them one step after the other
-// sends the same requests to the same targets as one that takes the whole list.
+// TestIncrementalChangesMatchFullList applies random changes step by step, some of them to a target
+// that is removed in the same step. It checks that the pool makes the same decisions as a pool that
+// gets the resulting list at once.
 func TestIncrementalChangesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stepwise := newPool()
@@ -234,17 +234,17 @@
 	})
 }
 
-// TestColdTargets checks that targets that were evacuated, or say that they are
-// cold, get no more than the quota in any second, and none from other halls.
+// TestColdTargets checks that targets that were evacuated, or that report that they are cold, get
+// no more requests than the quota in any second, and none from other halls.
 func TestColdTargets(t *testing.T) {
 	cases := map[string]func(p *upstream.Pool, specs []*catalog.Target){
-		"told": func(p *upstream.Pool, specs []*catalog.Target) {
+		"reported cold": func(p *upstream.Pool, specs []*catalog.Target) {
 			for i := range specs {
 				specs[i].ColdFor = 3 * time.Second
 			}
 			p.SetTargets(start, specs, nil)
 		},
-		"cold again": func(p *upstream.Pool, specs []*catalog.Target) {
+		"reported cold again": func(p *upstream.Pool, specs []*catalog.Target) {
 			p.SetTargets(start, specs, nil)
 			var again []*catalog.Target
 			for _, spec := range specs {
@@ -276,7 +276,7 @@
 			}
 			require.NotEmpty(t, sent["a1-0"])
 			for target, times := range sent {
-				require.Equal(t, "a1-0", target, "only the own hall's target")
+				require.Equal(t, "a1-0", target, "only the target in the instance's hall")
 				for i := range times {
 					if i >= 5 {
 						require.GreaterOrEqual(t, times[i].Sub(times[i-5]), time.Second)
@@ -288,9 +288,8 @@
 	}
 }
 
-// TestInFlightIsBounded checks that no target gets more than its bound, whatever
-// is asked for, and that every queued request ends: granted, or refused when its
-// patience is over.
+// TestInFlightIsBounded checks that no target gets more requests than its bound, and that every
+// queued request ends: it is granted a target or refused when its queue timeout expires.
 func TestInFlightIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool()
@@ -307,9 +306,9 @@
 			}
 			inFlight[d.Target.ID]++
 			running = append(running, d.Target.ID)
-			most := 6 // 1.75 x 3 slots for an object that the target does not have.
+			most := 6 // 1.75 x 3 slots for an object that is not cached.
 			if pair := [2]string{keys[id], d.Target.ID}; had[pair] {
-				most = 8 // 2.5 x 3 slots for one that it has.
+				most = 8 // 2.5 x 3 slots for an object that is cached.
 			} else {
 				had[pair] = true
 			}
@@ -355,14 +354,14 @@
 	for d := p.Acquire(start, request("k")); d.Action == upstream.Send; d = p.Acquire(start, request("k")) {
 		full++
 	}
-	require.Equal(t, 8, full, "2.5 x 3 slots for an object that the target has")
+	require.Equal(t, 8, full, "2.5 x 3 slots for an object that is cached")
 	for id, priority := range map[uint64]int{1: 1, 2: 0, 3: 1} {
 		r := request("k")
 		r.ID, r.Priority = id, priority
 		p.Acquire(start, r)
 	}
 	grants := p.Release(start, "a1-0", upstream.Result{})
-	// The probe that ended the loop above waits too, with ID 0 and rank 0.
+	// The last request of the loop above waits too, with ID 0 and priority 0.
 	require.Len(t, grants, 1)
 	require.Contains(t, []uint64{0, 2}, grants[0].ID)
 }
@@ -377,9 +376,9 @@
 	p.Release(start, other.Target.ID, upstream.Result{})
 	later := start.Add(time.Second)
 	probe := p.Acquire(later, request("k"))
-	require.Equal(t, d.Target.ID, probe.Target.ID, "tried again after a while")
+	require.Equal(t, d.Target.ID, probe.Target.ID, "the target is probed after the suspicion")
 	second := p.Acquire(later, request("k"))
-	require.Equal(t, other.Target.ID, second.Target.ID, "by one request at a time")
+	require.Equal(t, other.Target.ID, second.Target.ID, "only one request probes at a time")
 	p.Release(later, probe.Target.ID, upstream.Result{Outcome: upstream.Answered})
 	require.Equal(t, d.Target.ID, p.Acquire(later, request("k")).Target.ID)
 }
@@ -399,8 +398,9 @@
 	}
 }
 
-// TestSlowTargetIsAvoided checks that the requests for an object go to its second target while
-// the first one answers slowly, that other instances are told, and that they come back.
+// TestSlowTargetIsAvoided checks that the requests for an object go to its second target while the
+// first one responds slowly, that the increased load is reported to other instances, and that the
+// requests return afterwards.
 func TestSlowTargetIsAvoided(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(6), nil)
@@ -420,7 +420,7 @@
 	require.NotEqual(t, first, ask("k", 100*time.Millisecond))
 	seen := p.TargetReports(now)
 	require.Len(t, seen, 1)
-	require.Greater(t, seen[0].PerSlot, 2.0, "it counts for more than it has")
+	require.Greater(t, seen[0].PerSlot, 2.0, "requests at a slow target count several times")
 	now = now.Add(5 * time.Second)
-	require.Equal(t, first, ask("k", 100*time.Millisecond), "what was seen is old")
+	require.Equal(t, first, ask("k", 100*time.Millisecond), "the slow response is too old to count")
 }
--- a/upstream/queue.go
+++ b/upstream/queue.go
@@ -2,10 +2,10 @@
 
 import "sort"
 
-// maxQueue bounds the requests that wait for one service.
+// maxQueue bounds the queued requests of one service.
 const maxQueue = 256
 
-// queue holds requests in the order of priority, then of arrival.
+// queue holds the waiting requests ordered by priority, then by arrival.
 type queue struct {
 	waiting []Request
 }
--- a/upstream/quotas.go
+++ b/upstream/quotas.go
@@ -2,16 +2,16 @@
 
 import "github.com/rainford/rainford/warmup"
 
-// quotas divide what cold targets bear among the instances of their halls. The quota of a
-// target takes a sort of its hall's instances, so it is computed only while the target is
-// cold, and again only after a change of what it depends on.
+// quotas divides the warm-up rate of cold targets among the instances of their halls. Computing the
+// quota of a target sorts the instances of its hall. It is therefore computed only while the target
+// is cold, and again only after one of its inputs changed.
 type quotas struct {
 	self string
-	// rate is the number of requests a second that a cold target bears.
+	// rate is the number of requests per second that a cold target admits.
 	rate float64
-	// members are the names of the instances known in each hall.
+	// members holds the names of the known instances by hall.
 	members map[string][]string
-	// generation counts the changes.
+	// generation counts the changes of the inputs.
 	generation int
 }
 
@@ -25,15 +25,15 @@
 	q.generation++
 }
 
-// quota is what this instance may send to a target in any second while it is cold.
+// quota is the number of requests that this instance may send to a cold target within any second.
 type quota struct {
 	requests int
-	// generation and hall are those for which requests was computed.
+	// generation and hall are the inputs for which requests was computed.
 	generation int
 	hall       string
 }
 
-// currentQuota returns the quota of the target as things stand.
+// currentQuota returns the quota of the target for the current inputs.
 func (t *target) currentQuota() int {
 	if t.quota == nil || t.quota.generation != t.quotas.generation || t.quota.hall != t.spec.Hall {
 		t.quota = &quota{
--- a/upstream/rate_limit.go
+++ b/upstream/rate_limit.go
@@ -9,54 +9,56 @@
 )
 
 const (
-	// permitTimeout is how long a request waits for a permit of its key's first target while
-	// an owner of the own region is asked, before it goes to the second: the answer comes
-	// within milliseconds, and a run without the object costs hundreds.
+	// permitTimeout is how long a request waits for a permit of its key's first target, while an
+	// owner in the instance's region is asked for one, before the request goes to the second
+	// target. The reply takes a few milliseconds, but a cache miss at the second target costs
+	// hundreds.
 	permitTimeout = 60 * time.Millisecond
-	// sendRateWindow is the time over which the rate of sends is averaged, for forecasts, and
-	// leastSends bounds that rate from below, in 1/s.
+	// sendRateWindow is the time over which the send rate is averaged for forecasts. minSendRate is
+	// the lower bound of that rate, in 1/s.
 	sendRateWindow = 2 * time.Second
 	minSendRate    = 0.5
-	// maxForecast bounds what a refused caller is told to wait for room.
+	// maxForecast is the upper bound of the retry delay that a forecast gives.
 	maxForecast = 5 * time.Second
 )
 
-// rateLimit is that a target has named how many requests a second it takes from all instances
-// together. Each request to it takes a permit, which one instance issues for all.
+// rateLimit is the rate limit that a target has announced for all instances together. Each request
+// to the target needs a permit, which one instance issues for all others.
 type rateLimit struct {
 	perSecond float64
-	// name is that of its permits.
+	// name is the name of the limit in package ratelimit.
 	name   string
 	source availability.Source
 	since  time.Time
 }
 
-// LimitedTarget is a target that has named a limit.
+// LimitedTarget is a target that has announced a rate limit.
 type LimitedTarget struct {
 	ID, Hall string
-	// PerSecond is the number of requests a second that it takes from all instances together.
+	// PerSecond is the limit in requests per second from all instances together.
 	PerSecond float64
 	Source    availability.Source
 	Since     time.Time
-	// Owner is the instance that was last asked for permits, Got the rate at which they came
-	// here, and Used that at which they were spent, in 1/s.
+	// Owner is the instance that was last asked for permits. PermitRate is the rate at which
+	// permits were received, and UsedRate the rate at which they were used, in 1/s.
 	Owner                string
 	PermitRate, UsedRate float64
 }
 
-// permitted tells whether a request may be sent as far as the target's limit is concerned.
+// permitted reports whether the target's rate limit allows a request now.
 func (t *target) permitted(now time.Time) bool {
 	return t.rateLimit == nil || t.permits.Available(now, t.rateLimit.name) > 0
 }
 
-// hasSparePermit tells whether a request that any other target could serve as well may be sent: one that
-// takes the permit of a request whose object the target has would run without its own.
+// hasSparePermit reports whether the target may get a request that other targets could run equally
+// well. If it took a permit that a request for one of the target's cached objects needs, that
+// request would have to run at a target without its object.
 func (t *target) hasSparePermit(now time.Time) bool {
 	return t.rateLimit == nil || t.permits.HasSpare(now, t.rateLimit.name)
 }
 
-// capacity is the number of slots that the target's limit lets it use, at the usual time of an
-// answer.
+// capacity returns the number of slots that the target can use under its rate limit at the given
+// typical latency.
 func (t *target) capacity(typical time.Duration) float64 {
 	slots := float64(t.spec.Slots)
 	if t.rateLimit == nil {
@@ -65,12 +67,12 @@
 	return min(slots, t.rateLimit.perSecond*typical.Seconds())
 }
 
-// SetLimitOwners takes in who issues the permits of targets' limits.
+// SetLimitOwners sets the instances that issue the permits for rate-limited targets.
 func (p *Pool) SetLimitOwners(owners *ratelimit.Owners) { p.permits.SetOwners(owners) }
 
-// ApplyRateLimits takes in the limits that targets have named, to this or to another instance, and
-// which of them have ended. It returns the IDs of the targets of the pool whose limits changed,
-// and the grants that this makes possible.
+// ApplyRateLimits records rate limits that targets have announced to any instance or have removed.
+// It returns the IDs of the targets in the pool whose limits changed, and the grants and refusals
+// that follow.
 func (p *Pool) ApplyRateLimits(now time.Time, limits availability.RateLimitList, source availability.Source) ([]string, []Grant) {
 	var changed []string
 	for _, limit := range limits {
@@ -91,7 +93,7 @@
 	return changed, p.dispatch(now)
 }
 
-// applyRateLimit puts in force what is known of a target's applyRateLimit. It reports whether that is a change.
+// applyRateLimit applies the known rate limit to a target. It reports whether the limit changed.
 func (p *Pool) applyRateLimit(now time.Time, t *target, source availability.Source) bool {
 	known, ok := p.rateLimits[availability.ID(t.hash)]
 	switch {
@@ -111,7 +113,7 @@
 	}
 }
 
-// setRateLimit puts a limit of a target in force, nil for none.
+// setRateLimit sets the rate limit of a target, nil for none, and updates limitedTargets.
 func (p *Pool) setRateLimit(t *target, limit *rateLimit) {
 	if (t.rateLimit == nil) != (limit == nil) {
 		at, _ := slices.BinarySearchFunc(p.limitedTargets, t.spec.ID, byID)
@@ -124,7 +126,7 @@
 	t.rateLimit = limit
 }
 
-// LimitedTargets returns the targets that have named a limit, in the order of their IDs.
+// LimitedTargets returns the targets that have announced a rate limit, ordered by ID.
 func (p *Pool) LimitedTargets(now time.Time) []LimitedTarget {
 	var out []LimitedTarget
 	for _, t := range p.limitedTargets {
@@ -135,12 +137,14 @@
 	return out
 }
 
-// requestPermit asks for a permit of a target that a request would be sent to if there were one.
+// requestPermit requests a permit for a target to which a request would be sent if there were a
+// permit.
 func (p *Pool) requestPermit(now time.Time, t *target) {
 	p.permitRequests = append(p.permitRequests, p.permits.Request(now, t.rateLimit.name)...)
 }
 
-// requestPermits asks for permits of those of some targets that only their limits keep from a request.
+// requestPermits requests permits for those of the given targets that only their rate limit makes
+// unusable.
 func (p *Pool) requestPermits(now time.Time, targets []*target) {
 	for _, t := range targets {
 		if t.rateLimit != nil && t.usableIgnoringLimit(now) && !t.permitted(now) {
@@ -149,14 +153,14 @@
 	}
 }
 
-// waitsForPermit tells whether a request waits for a permit of its key's first target in place of going to
-// another one.
+// waitsForPermit reports whether a request waits for a permit of its key's first target instead of
+// going to another target.
 func (p *Pool) waitsForPermit(now time.Time, r *Request, t *target) bool {
 	return now.Sub(r.arrivedAt) < min(permitTimeout, r.QueueTimeout) && p.permits.AwaitsSameRegion(t.rateLimit.name)
 }
 
-// spendPermit takes the permit of a request that is sent to a target, and returns until when it may be
-// used, zero if the target has no limit.
+// spendPermit uses a permit for a request that is sent to a target. It returns when the permit
+// expires, or the zero time if the target has no rate limit.
 func (p *Pool) spendPermit(now time.Time, t *target) time.Time {
 	if t.rateLimit == nil {
 		return time.Time{}
@@ -166,45 +170,46 @@
 	return until
 }
 
-// returnPermit gives back the permit of a request that was not sent.
+// returnPermit returns the permit of a request that was not sent.
 func (p *Pool) returnPermit(now time.Time, t *target, r Result) {
 	if r.NotSent && t.rateLimit != nil {
 		p.permits.Release(now, t.rateLimit.name, r.SendState.PermitExpiry)
 	}
 }
 
-// ReceivePermits takes in the answer of an owner to a question for permits that was asked at a time,
-// and returns the grants that this makes possible.
+// ReceivePermits applies the reply of an owner to a permit request made at askedAt, and returns the
+// grants and refusals that follow.
 func (p *Pool) ReceivePermits(now, askedAt time.Time, name, from string, issue ratelimit.Grant) []Grant {
 	_, asks := p.permits.HandleReply(now, askedAt, name, from, issue)
 	p.permitRequests = append(p.permitRequests, asks...)
 	return p.dispatch(now)
 }
 
-// OwnerUnreachable takes in that no connection to an instance could be had.
+// OwnerUnreachable records that no connection to an instance could be established. Its permit
+// requests go to other owners.
 func (p *Pool) OwnerUnreachable(now time.Time, owner string) {
 	_, asks := p.permits.OwnerUnreachable(now, owner)
 	p.permitRequests = append(p.permitRequests, asks...)
 }
 
-// TakePermitRequests returns the questions for permits since the last call.
+// TakePermitRequests returns the permit requests since the last call.
 func (p *Pool) TakePermitRequests() []ratelimit.PermitRequest {
 	asks := p.permitRequests
 	p.permitRequests = nil
 	return asks
 }
 
-// TakeUnresponsiveOwners returns the owners that have been found not to answer since the last call.
+// TakeUnresponsiveOwners returns the owners that have timed out since the last call.
 func (p *Pool) TakeUnresponsiveOwners() []string {
 	silent := p.unresponsive
 	p.unresponsive = nil
 	return silent
 }
 
-// AwaitingPermits tells whether an answer of an owner is due.
+// AwaitingPermits reports whether the reply of an owner is pending.
 func (p *Pool) AwaitingPermits() bool { return p.permits.NeedsTick() }
 
-// tickPermits asks others in place of owners that have not answered in time.
+// tickPermits sends the permit requests of owners that have timed out to other owners.
 func (p *Pool) tickPermits(now time.Time) {
 	if !p.permits.NeedsTick() {
 		return
@@ -214,17 +219,17 @@
 	p.unresponsive = append(p.unresponsive, silent...)
 }
 
-// retryForecast forecasts when refused callers find room: those told before come first, as fast as
-// requests are sent.
+// retryForecast forecasts when the caller of a refused request will find capacity. It assumes that
+// callers refused earlier come first, and that they are served at the current send rate.
 type retryForecast struct {
-	// pendingRetries is the number of refused callers that have not found room.
+	// pendingRetries is the number of refused callers that have not found capacity yet.
 	pendingRetries float64
-	// recentSends counts those sent of late.
+	// recentSends is the number of sent requests, decaying over sendRateWindow.
 	recentSends float64
 	at          time.Time
 }
 
-// advance has time advance.
+// advance updates the forecast to the given time.
 func (f *retryForecast) advance(now time.Time) {
 	elapsed := now.Sub(f.at).Seconds()
 	if f.at.IsZero() || elapsed < 0 {
@@ -235,36 +240,38 @@
 	f.at = now
 }
 
-// rate is the number of requests sent a second.
+// rate returns the send rate in 1/s, at least minSendRate.
 func (f *retryForecast) rate() float64 {
 	return max(minSendRate, f.recentSends/sendRateWindow.Seconds())
 }
 
-// sendRate is the number of requests sent a second of late.
+// sendRate returns the send rate in 1/s.
 func (f *retryForecast) sendRate(now time.Time) float64 {
 	f.advance(now)
 	return f.recentSends / sendRateWindow.Seconds()
 }
 
-// countSend counts a request that is countSend.
+// countSend records that a request is sent.
 func (f *retryForecast) countSend(now time.Time) {
 	f.advance(now)
 	f.recentSends++
 }
 
-// nextRetry returns when a caller that is refused now finds room.
+// nextRetry records a refused caller and returns the time after which it will find capacity.
 func (f *retryForecast) nextRetry(now time.Time) time.Duration {
 	f.advance(now)
 	f.pendingRetries++
 	return min(maxForecast, time.Duration(f.pendingRetries/f.rate()*float64(time.Second)))
 }
 
-// blockedByLimit tells whether a target of a request is kept from it by its limit alone.
+// blockedByLimit reports whether the request has a target with a rate limit that is usable apart
+// from that limit.
 func (p *Pool) blockedByLimit(now time.Time, r *Request) bool {
 	return slices.ContainsFunc(p.limitedTargets, func(t *target) bool { return r.allows(t.region.name) && t.usableIgnoringLimit(now) })
 }
 
-// blockedByLimitIn tells whether a target of a region is kept from requests by its limit alone.
+// blockedByLimitIn reports whether a region has a target with a rate limit that is usable for the
+// request apart from that limit.
 func (p *Pool) blockedByLimitIn(now time.Time, r *Request, region string) bool {
 	if len(p.rateLimits) == 0 {
 		return false
@@ -272,7 +279,8 @@
 	return slices.ContainsFunc(p.targetsOf(r, region), func(t *target) bool { return t.rateLimit != nil && t.usableIgnoringLimit(now) })
 }
 
-// refuse is the refusal of a request that has no target.
+// refuse returns the refusal of a request that has no target. If rate limits keep the request from
+// its targets, the reason is ReasonLimited, and the retry delay follows from the forecast.
 func (p *Pool) refuse(now time.Time, r *Request, reason Reason) Decision {
 	d := Decision{Action: Refuse, Reason: reason, RetryAfter: p.retryAfter(r.ID)}
 	if reason != ReasonNoTarget && reason != ReasonLimited || len(p.rateLimits) == 0 || !p.blockedByLimit(now, r) {
--- a/upstream/rate_limit_model_test.go
+++ b/upstream/rate_limit_model_test.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// modelLimitDelay is how long it takes until all instances know of a limit.
+	// modelLimitDelay is the time until all instances know a rate limit.
 	modelLimitDelay = 100 * time.Millisecond
-	// limitWindow is the span in which arrivals are counted, and limitFrom the time from the
-	// first word of a limit on from which it is kept.
+	// limitWindow is the length of the windows in which arrivals are counted. limitFrom is the time
+	// after the announcement of a limit from which the limit must be kept.
 	limitWindow = 4 * time.Second
 	limitFrom   = 2 * time.Second
 )
 
-// limitModel plays targets that name how much they take, and the instances that issue permits.
+// limitModel simulates targets that announce rate limits and the instances that issue the permits.
 type limitModel struct {
 	*backoffModel
 	issuers []*ratelimit.Issuer
 	names   map[string]int
 	limits  map[availability.ID]float64
-	// advertised are the limits that targets name now, by target.
+	// advertised holds the current rate limits by target.
 	advertised map[string]float64
-	// arrivedAt are the times of arrivals by target.
+	// arrivedAt holds the arrival times of requests by target.
 	arrivedAt map[string][]time.Time
-	// messages are the questions and answers between instances.
+	// messages counts the permit requests and replies between instances.
 	messages int
 }
 
@@ -57,7 +57,7 @@
 	return m
 }
 
-// issue has an instance answer claims that wait, again and again.
+// issue periodically makes an instance reply to permit requests that it has queued.
 func (m *limitModel) issue(i int) {
 	for _, r := range m.issuers[i].Tick(m.now) {
 		m.reply(i, r)
@@ -65,7 +65,8 @@
 	m.after(10*time.Millisecond, func() { m.issue(i) })
 }
 
-// limitOfTarget has all instances know of a target's limit, or of its end, a moment after it is said.
+// limitOfTarget returns the self-report of a target. It distributes a new, changed or removed rate
+// limit to all instances, which receive it after modelLimitDelay.
 func (m *limitModel) limitOfTarget(t *modelTarget) availability.SelfReport {
 	perSecond, limited := m.advertised[t.id]
 	id := availability.IDOf(t.id)
@@ -86,7 +87,7 @@
 	return availability.SelfReport{HasLimit: limited, RateLimit: perSecond}
 }
 
-// sendPermitRequests sends the questions of an instance.
+// sendPermitRequests sends the permit requests of an instance.
 func (m *limitModel) sendPermitRequests(i int) {
 	for _, ask := range m.pools[i].TakePermitRequests() {
 		to := m.names[ask.To.Name]
@@ -122,16 +123,18 @@
 	})
 }
 
-// limitOutcome is what became of requests while targets named limits, from limitFrom on.
+// limitOutcome summarizes the requests from limitFrom after the announcement of rate limits.
 type limitOutcome struct {
-	// most is the largest part of what a target may get in limitWindow that it got, and used
-	// the part of the sum of the limits that was sent.
+	// most is the largest number of requests that a target got in limitWindow, relative to its
+	// bound. used is the number of requests at limited targets relative to the sum of the limits.
 	most, used float64
-	// served and inTime are parts of the requests; messages are those of a second and instance.
+	// served and inTime are fractions of the requests. messages is a number per second and
+	// instance.
 	served, inTime, messages float64
 }
 
-// simulateLimits has the first targets name a limit each for ten seconds, a share of their usual part.
+// simulateLimits makes the first targets announce rate limits, as a share of their usual request
+// rate.
 func simulateLimits(regionOf map[string]string, seed uint64, instances, targets, limited int, share float64) limitOutcome {
 	const settle, lasts = 10 * time.Second, 12 * time.Second
 	m := newLimitModel(regionOf, seed, instances, targets)
@@ -160,7 +163,7 @@
 	return out
 }
 
-// mostIn returns the largest number of times in a span of a length.
+// mostIn returns the largest number of times within a span of the given length.
 func mostIn(at []time.Time, length time.Duration) int {
 	most, first := 0, 0
 	for i := range at {
@@ -172,10 +175,10 @@
 	return most
 }
 
-// TestLimitsModel has one, seven and all of 24 targets name limits of a tenth, a half and nine
-// tenths of their usual part, at several numbers of instances in one region and in three, and
-// checks that no target gets more than it may, that what all take is used, and that the others
-// serve where they have room.
+// TestLimitsModel makes 1, 7 and all of 24 targets announce limits of 0.1, 0.5 and 0.9 of their
+// usual rate, for several numbers of instances in one region and in three. It checks that no target
+// exceeds its bound, that limits which apply to all targets are used up, and that unlimited targets
+// take over the other requests.
 func TestLimitsModel(t *testing.T) {
 	for _, place := range []struct {
 		name      string
@@ -192,7 +195,7 @@
 						require.GreaterOrEqual(t, got.used, 0.9)
 						continue
 					}
-					require.GreaterOrEqual(t, got.served, 0.99, "the others have room")
+					require.GreaterOrEqual(t, got.served, 0.99, "the other targets have capacity")
 				}
 			}
 		}
--- a/upstream/rate_limit_test.go
+++ b/upstream/rate_limit_test.go
@@ -13,8 +13,8 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// newLimitedPool returns a pool with n targets in each of two regions, of which those of region a
-// name a limit, and the instance itself as the owner of all permits.
+// newLimitedPool returns a pool with n targets in each of two regions. The targets in region a have
+// a rate limit, and the instance itself is the owner of all permits.
 func newLimitedPool(n int) *upstream.Pool {
 	p := newPool()
 	var specs []*catalog.Target
@@ -35,8 +35,8 @@
 	return p
 }
 
-// TestIsolatedRequestLeavesLimitedRegion checks that a request that may end its target, and whose own region
-// is limited, goes to the target of another region that has the fewest requests.
+// TestIsolatedRequestLeavesLimitedRegion checks that a request that may crash its target goes to
+// the least loaded target of another region if the targets of its own region are rate limited.
 func TestIsolatedRequestLeavesLimitedRegion(t *testing.T) {
 	free := newPool()
 	var specs []*catalog.Target
@@ -59,17 +59,18 @@
 		if d.Action != upstream.Send {
 			break
 		}
-		require.Equal(t, "b", d.Target.Region, "no permit has come")
+		require.Equal(t, "b", d.Target.Region, "no permit was received")
 		for other, n := range busy {
-			require.LessOrEqual(t, busy[d.Target.ID], n, "%s has fewer", other)
+			require.LessOrEqual(t, busy[d.Target.ID], n, "%s has fewer requests", other)
 		}
 		busy[d.Target.ID]++
 	}
 	require.Positive(t, min(busy["t-b10"], busy["t-b11"], busy["t-b12"]))
 }
 
-// TestPermitIsSpentOnce checks that a permit is good for one request, that it goes back if that is
-// not sent, and that a request that was granted the target before it named a limit is withheld.
+// TestPermitIsSpentOnce checks that a permit is valid for one request and is returned if that
+// request is not sent. It also checks that a request is withheld if its target announced a rate
+// limit after the grant.
 func TestPermitIsSpentOnce(t *testing.T) {
 	p := newPool()
 	spec := &catalog.Target{ID: "t", Service: "s", Addr: "x", Hall: "a1", Slots: 5}
@@ -78,7 +79,7 @@
 	require.Equal(t, upstream.Send, before.Action)
 	require.True(t, p.MaySend(start, "t", before.SendState))
 	p.ApplyRateLimits(start, availability.RateLimitList{{ID: availability.IDOf("t"), Version: 1, PerSecond: 1}}, availability.SourceTarget)
-	require.False(t, p.MaySend(start, "t", before.SendState), "granted before the limit was known")
+	require.False(t, p.MaySend(start, "t", before.SendState), "granted before the rate limit was known")
 	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: before.SendState})
 
 	self := ratelimit.Instance{Name: "i1", Hall: "a1", Region: "a"}
@@ -92,10 +93,10 @@
 	require.Len(t, grants, 1)
 	granted := grants[0].Decision
 	require.True(t, p.MaySend(start, "t", granted.SendState))
-	require.False(t, p.MaySend(start.Add(time.Second), "t", granted.SendState), "its permit has ended")
+	require.False(t, p.MaySend(start.Add(time.Second), "t", granted.SendState), "its permit has expired")
 	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: granted.SendState})
 	again := p.Acquire(start, request("k"))
-	require.Equal(t, upstream.Send, again.Action, "the permit has gone back")
+	require.Equal(t, upstream.Send, again.Action, "the permit was returned")
 	p.Release(start, "t", upstream.Result{Outcome: upstream.Answered, SendState: again.SendState})
-	require.Equal(t, upstream.Wait, p.Acquire(start, request("k")).Action, "it is spent")
+	require.Equal(t, upstream.Wait, p.Acquire(start, request("k")).Action, "the permit is used up")
 }
--- a/upstream/region_test.go
+++ b/upstream/region_test.go
@@ -12,7 +12,7 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestHomeRegions checks that nothing leaves the home regions.
+// TestHomeRegions checks that requests never leave their home regions.
 func TestHomeRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool()
@@ -29,9 +29,9 @@
 	})
 }
 
-// TestFewKeysAreDividedBySlots checks that a region whose slots carry half of its
-// requests keeps half of few keys, however their hashes lie, that it gets there by
-// bounded steps, and that the keys then stay.
+// TestFewKeysAreDividedBySlots checks that a region with slots for half of its requests keeps half
+// of a small number of keys, whatever their hashes. It also checks that the keys do not move again
+// once the shares have settled.
 func TestFewKeysAreDividedBySlots(t *testing.T) {
 	const keys = 32
 	rapid.Check(t, func(t *rapid.T) {
@@ -70,11 +70,10 @@
 	})
 }
 
-// TestSharesReserveHomeCapacity checks that a region that has to run some requests because it
-// is their account's home is left fewer of the others, by as much as these take, and that
-// operators' rows are not changed by that.
+// TestSharesReserveHomeCapacity checks that home-bound requests reduce the share of other requests
+// that their region gets, by the capacity that they need.
 func TestSharesReserveHomeCapacity(t *testing.T) {
-	// A region of a tenth of the slots, and two alike.
+	// Region a has a tenth of the slots, and regions b and c have equal numbers.
 	var specs []*catalog.Target
 	for hall, n := range map[string]int{"a1": 2, "b1": 9, "c1": 9} {
 		for i := range n {
@@ -95,10 +94,11 @@
 		}
 		return counts
 	}
-	// The region a keeps 0.1 of the slots over an equal demand of a third.
+	// Region a keeps 0.1 of the slots relative to an equal demand of a third.
 	require.InDelta(t, 1200, ran(nil)["a"], 120)
-	// 0.02 of the requests at twice the work leave it 0.061 of the slots, of 0.961.
+	// A fraction of 0.02 of the requests at twice the work leaves region a 0.061 of the slots, out
+	// of 0.961.
 	require.InDelta(t, 4000*3*0.0608/0.9608, ran(map[string]float64{"a": 0.02})["a"], 120)
-	require.Less(t, ran(map[string]float64{"a": 0.5})["a"], 100, "as good as none")
+	require.Less(t, ran(map[string]float64{"a": 0.5})["a"], 100, "almost no requests")
 	require.InDelta(t, 1200, ran(map[string]float64{"b": 0.01, "c": 0.01})["a"], 150)
 }
--- a/upstream/rejection_test.go
+++ b/upstream/rejection_test.go
@@ -9,14 +9,13 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// reject ends a request with the target's word that it did not run.
+// reject ends a request with a response that it was not run.
 func reject(p *upstream.Pool, now time.Time, target string) {
 	p.Release(now, target, upstream.Result{Outcome: upstream.Rejected})
 }
 
-// TestRejectionWithFreeSlots checks that a target that rejects a request though it has
-// free slots goes on being used, since its keys are cold elsewhere, until it has
-// rejected several in a row.
+// TestRejectionWithFreeSlots checks that a target that rejects a request although it has free slots
+// stays in use, since its keys are cold elsewhere, until it has rejected several requests in a row.
 func TestRejectionWithFreeSlots(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
@@ -28,17 +27,17 @@
 	}
 	require.Equal(t, first, p.Acquire(start, request("k")).Target.ID)
 	reject(p, start, first)
-	require.NotEqual(t, first, p.Acquire(start, request("k")).Target.ID, "five in a row")
+	require.NotEqual(t, first, p.Acquire(start, request("k")).Target.ID, "after five rejections in a row")
 	later := start.Add(time.Second)
 	require.Equal(t, first, p.Acquire(later, request("k")).Target.ID)
 	p.Release(later, first, upstream.Result{Latency: time.Millisecond})
 	p.Acquire(later, request("k"))
 	reject(p, later, first)
-	require.Equal(t, first, p.Acquire(later, request("k")).Target.ID, "an answer begins the count anew")
+	require.Equal(t, first, p.Acquire(later, request("k")).Target.ID, "a response resets the count")
 }
 
-// TestRejectionWhenFull checks that a full target that rejects a request gets none for
-// a moment.
+// TestRejectionWhenFull checks that a full target that rejects a request gets no requests for a
+// moment.
 func TestRejectionWhenFull(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
@@ -50,8 +49,8 @@
 	require.NotEqual(t, first, p.Acquire(start, request("k")).Target.ID)
 }
 
-// TestRetryAfterIsSpread checks that requests that are refused together are told different
-// times to come back, from one and a half to three and a half usual times.
+// TestRetryAfterIsSpread checks that requests refused together get different retry delays, from 1.5
+// to 3.5 typical latencies.
 func TestRetryAfterIsSpread(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(1)[:1], nil)
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -10,33 +10,33 @@
 type Request struct {
 	// ID is unique among the requests of the pool.
 	ID uint64
-	// Key names the object of the request. Requests with the same key go to
-	// the same target if they can.
+	// Key names the object that the request needs. Requests with the same key go to the same target
+	// if possible.
 	Key string
-	// Sticky says that a target answers faster when it has seen the key.
+	// Sticky means that a target responds faster if it has seen the key before.
 	Sticky bool
-	// Heavy requests move many bytes. Their object has a place in each hall, that of
-	// others one in the region.
+	// Heavy marks requests that move many bytes. The key of such a request has one target in each
+	// hall, other keys have one in the region.
 	Heavy bool
-	// Regions are the regions that may run the request, empty for any.
+	// Regions lists the regions that may run the request. It is empty for any region.
 	Regions []string
-	// Isolated requests may end the target that runs them. They go to the one with the
-	// fewest requests.
+	// Isolated marks requests that are suspected of crashing the target that runs them. They go to
+	// the target with the fewest requests.
 	Isolated bool
-	// Priority is the rank, 0 the most urgent.
+	// Priority is the rank of the request in the queue, 0 being the most urgent.
 	Priority int
-	// Deadline is when the answer has to be there.
+	// Deadline is when the client needs the response.
 	Deadline time.Time
-	// QueueTimeout is the longest time to wait in the queue.
+	// QueueTimeout is the longest time that the request may wait in the queue.
 	QueueTimeout time.Duration
-	// Tried are the targets that the request was sent to already.
+	// Tried lists the IDs of the targets that the request was already sent to.
 	Tried []string
 
-	// arrivedAt is when the request came.
+	// arrivedAt is when Acquire was called.
 	arrivedAt time.Time
-	// keyPoint is the place of the key among the shares of regions, in [0, 1).
+	// keyPoint is the hash of the key as a number in [0, 1), from which the region is drawn.
 	keyPoint float64
-	// cohort is that of the targets that the request may go to.
+	// cohort is the cohort of the targets that the request may go to.
 	cohort cohort
 }
 
@@ -61,50 +61,50 @@
 	return false
 }
 
-// Action is the kind of a decision.
+// Action is what a decision requires the caller to do.
 type Action int
 
-// The verdicts.
+// The actions of a decision.
 const (
-	// Send means: send the request to Decision.Target now.
+	// Send means that the request is to be sent to Decision.Target now.
 	Send Action = iota
-	// Wait means: the request is queued; a Grant with its ID follows, unless
-	// it is cancelled.
+	// Wait means that the request is queued. A Grant with its ID follows unless it is cancelled.
 	Wait
-	// Refuse means: give the request up now.
+	// Refuse means that the request is to be refused now.
 	Refuse
 )
 
-// Reason says what decided.
+// Reason is the reason of a decision.
 type Reason string
 
-// The reasons.
+// The reasons of decisions.
 const (
 	ReasonFirstChoice Reason = "first-choice"
 	ReasonLoad        Reason = "by-load"
 	ReasonNoTarget    Reason = "no-target"
 	ReasonBackoff     Reason = "targets-rest"
-	// ReasonLimited means that the targets take no more now by the limits that they name.
+	// ReasonLimited means that the rate limits of the targets are used up.
 	ReasonLimited   Reason = "targets-limited"
 	ReasonFull      Reason = "targets-full"
 	ReasonLate      Reason = "too-late"
 	ReasonQueueFull Reason = "queue-full"
 )
 
-// Decision is the answer to Acquire, or a grant.
+// Decision is the result of Acquire, or part of a Grant.
 type Decision struct {
 	Action Action
 	Target Choice
 	Reason Reason
-	// SendState is to be brought back with the result.
+	// SendState must be returned with the result of the attempt.
 	SendState SendState
-	// RetryAfter says when to come back after a refusal.
+	// RetryAfter is the time after which a refused request should be retried.
 	RetryAfter time.Duration
 }
 
-// Choice is a chosen target.
+// Choice is a selected target.
 type Choice struct {
-	// ID is that of the incarnation, and Name what the target calls itself.
+	// ID identifies the incarnation of the target, and Name is the name that it keeps across
+	// restarts.
 	ID     string
 	Name   string
 	Addr   string
@@ -119,45 +119,45 @@
 	Decision Decision
 }
 
-// Outcome is what became of an attempt, as far as the target is concerned.
+// Outcome is the result of an attempt as far as the target is concerned.
 type Outcome int
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
-	// Answered means that a whole answer came.
+	// Answered means that a complete response was received.
 	Answered Outcome = iota
-	// Rejected means that the target said that it did not run the request.
+	// Rejected means that the target reported that it did not run the request.
 	Rejected
 	// Replaced means that another incarnation or service has the address.
 	Replaced
-	// Unreachable means that no connection could be had.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Broken means that the connection or the answer broke.
+	// Broken means that the connection failed before the response was complete.
 	Broken
-	// TimedOut means that nothing came in time.
+	// TimedOut means that no response was received in time.
 	TimedOut
-	// Abandoned means that the client left or the attempt was not sent.
+	// Abandoned means that the client went away or that the attempt was not sent.
 	Abandoned
 )
 
-// LoadReport is what a target tells of its load in an answer.
+// LoadReport is the load that a target reports in a response.
 type LoadReport struct {
 	Running, Waiting, Slots int
 }
 
-// Result ends an attempt.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome Outcome
-	// LoadReport is nil if the answer carried none.
+	// LoadReport is nil if the response contained none.
 	LoadReport *LoadReport
-	// SelfReport is what the target said of itself.
+	// SelfReport is what the target reported about itself.
 	SelfReport availability.SelfReport
-	// ServerError says that the answer is one of a failure of the target.
+	// ServerError means that the response reports a failure of the target.
 	ServerError bool
-	// NotSent says that the request never left for the target.
+	// NotSent means that no part of the request was sent to the target.
 	NotSent bool
-	// Latency is the time from the send to the whole answer.
+	// Latency is the time from sending the request to the complete response.
 	Latency time.Duration
-	// SendState is that of the decision.
+	// SendState is the SendState of the decision.
 	SendState SendState
 }
--- a/upstream/self_report_test.go
+++ b/upstream/self_report_test.go
@@ -16,16 +16,17 @@
 	backoffReport = availability.SelfReport{Backoff: 3 * time.Second}
 )
 
-// maxTypicalRetryAfter is the longest time after which a refused request is told to come back where no
-// target rests: three and a half usual times of 200 ms.
+// maxTypicalRetryAfter is the longest retry delay of a refused request when no target has requested
+// a back-off: 3.5 typical latencies of 200 ms.
 const maxTypicalRetryAfter = 700 * time.Millisecond
 
-// withSelfReport returns the result of an attempt whose answer holds a target's word.
+// withSelfReport returns the result of an attempt whose response contains a self-report.
 func withSelfReport(outcome upstream.Outcome, w availability.SelfReport) upstream.Result {
 	return upstream.Result{Outcome: outcome, SelfReport: w, Latency: time.Millisecond}
 }
 
-// firstOf returns the target of a key, which is free again.
+// firstOf returns the target that a key is granted, and releases it. It returns "" if there is
+// none.
 func firstOf(p *upstream.Pool, now time.Time, key string) string {
 	d := p.Acquire(now, request(key))
 	if d.Action != upstream.Send {
@@ -35,18 +36,18 @@
 	return d.Target.ID
 }
 
-// TestSelfReportAppliesToEveryOutcome checks that a target's word keeps requests from it
-// however the attempt ended that brought it.
+// TestSelfReportAppliesToEveryOutcome checks that a self-report keeps requests from the target
+// regardless of the outcome of the attempt that carried it.
 func TestSelfReportAppliesToEveryOutcome(t *testing.T) {
 	for _, outcome := range []upstream.Outcome{upstream.Answered, upstream.Rejected, upstream.Broken, upstream.Abandoned} {
-		for name, word := range map[string]availability.SelfReport{"leaves": leavingReport, "rests": backoffReport} {
+		for name, word := range map[string]availability.SelfReport{"leaving": leavingReport, "back-off": backoffReport} {
 			t.Run(outcome.String()+" "+name, func(t *testing.T) {
 				p := newPool()
 				p.SetTargets(start, spread(3), nil)
 				first := p.Acquire(start, request("k")).Target.ID
 				require.True(t, p.MaySend(start, first, upstream.SendState{}))
 				p.Release(start, first, withSelfReport(outcome, word))
-				require.False(t, p.MaySend(start, first, upstream.SendState{}), "a request that was granted it before")
+				require.False(t, p.MaySend(start, first, upstream.SendState{}), "a request that was granted the target before")
 				second := firstOf(p, start, "k")
 				require.NotEqual(t, first, second)
 				require.NotEmpty(t, second)
@@ -55,8 +56,8 @@
 	}
 }
 
-// TestKeysReturnAfterBackoff checks that the keys of a target that rests go to one other target
-// meanwhile, and back as soon as the rest is over.
+// TestKeysReturnAfterBackoff checks that the keys of a target in a back-off go to one other target,
+// and return when the back-off ends.
 func TestKeysReturnAfterBackoff(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
@@ -69,8 +70,8 @@
 	require.Equal(t, first, firstOf(p, start.Add(backoffReport.Backoff), "k"))
 }
 
-// TestAnswerDoesNotEndBackoff checks that the answer to a request that was on its way does not
-// bring the next ones to a target that rests.
+// TestAnswerDoesNotEndBackoff checks that the response to an earlier request does not end the
+// back-off of a target.
 func TestAnswerDoesNotEndBackoff(t *testing.T) {
 	p := newPool()
 	p.SetTargets(start, spread(3), nil)
@@ -81,23 +82,24 @@
 	require.NotEqual(t, first, firstOf(p, start.Add(time.Second), "k"))
 }
 
-// TestSelfReportOverridesTargetList checks that a list that says that a target serves, before or after its
-// own word, does not bring it back, and that its next incarnation is used.
+// TestSelfReportOverridesTargetList checks that a list entry, whether received before or after the
+// target's announcement that it leaves, does not bring the target back, and that its next
+// incarnation is used.
 func TestSelfReportOverridesTargetList(t *testing.T) {
 	specs := spread(1)[:1]
 	departed := availability.DepartureList{{ID: availability.IDOf(specs[0].ID)}}
 	again := altered(specs[0], func(s *catalog.Target) { s.ID += "#2" })
 	for name, tell := range map[string]func(p *upstream.Pool){
-		"before the list": func(p *upstream.Pool) {
+		"announced before the list": func(p *upstream.Pool) {
 			p.ApplyDepartures(start, departed, availability.SourcePeer)
 			p.SetTargets(start, specs, nil)
 		},
-		"after the list": func(p *upstream.Pool) {
+		"announced after the list": func(p *upstream.Pool) {
 			p.SetTargets(start, specs, nil)
 			require.Equal(t, []string{specs[0].ID}, p.ApplyDepartures(start, departed, availability.SourcePeer))
-			require.Empty(t, p.ApplyDepartures(start, departed, availability.SourcePeer), "known")
+			require.Empty(t, p.ApplyDepartures(start, departed, availability.SourcePeer), "already known")
 		},
-		"by an answer": func(p *upstream.Pool) {
+		"announced in a response": func(p *upstream.Pool) {
 			p.SetTargets(start, specs, nil)
 			p.Release(start, p.Acquire(start, request("k")).Target.ID, withSelfReport(upstream.Answered, leavingReport))
 		},
@@ -107,18 +109,18 @@
 			tell(p)
 			require.Empty(t, firstOf(p, start, "k"))
 			p.ChangeTargets(start, specs, nil, nil)
-			require.Empty(t, firstOf(p, start, "k"), "a change that says that it serves")
+			require.Empty(t, firstOf(p, start, "k"), "an update that lists the target as serving")
 			p.SetTargets(start, nil, nil)
 			p.SetTargets(start, specs, nil)
-			require.Empty(t, firstOf(p, start, "k"), "an entry that lapsed and is back")
+			require.Empty(t, firstOf(p, start, "k"), "an entry that expired and is back")
 			p.ChangeTargets(start, []*catalog.Target{again}, []string{specs[0].ID}, nil)
 			require.Equal(t, again.ID, firstOf(p, start, "k"))
 		})
 	}
 }
 
-// TestRegionWithoutTargets checks that requests leave a region all of whose targets have said
-// that they leave, and that its slots do not count any more.
+// TestRegionWithoutTargets checks that requests leave a region whose targets have all announced
+// that they leave, and that the slots of these targets do not count any more.
 func TestRegionWithoutTargets(t *testing.T) {
 	p := newPool()
 	specs := spread(2)
@@ -137,9 +139,9 @@
 	}
 }
 
-// TestRefusedWhileAllBackOff checks that a request is refused at once while all its targets rest,
-// that its caller is told when the first one is back, and others other times; and that one
-// waits whose targets are back soon enough for it.
+// TestRefusedWhileAllBackOff checks that a request is refused at once while all its targets are in
+// a back-off. Its caller is told to retry after the first back-off ends, and different callers get
+// different times. A request waits if a back-off ends within its queue timeout.
 func TestRefusedWhileAllBackOff(t *testing.T) {
 	p := newPool()
 	specs := spread(1)[:2]
@@ -158,8 +160,8 @@
 		d := p.Acquire(start, r)
 		require.Equal(t, upstream.Refuse, d.Action)
 		require.Equal(t, upstream.ReasonBackoff, d.Reason)
-		require.Greater(t, d.RetryAfter, 2*time.Second, "not before the first is back")
-		require.Less(t, d.RetryAfter, 3*time.Second+maxTypicalRetryAfter, "at most half of what is left, and the usual time to come back")
+		require.Greater(t, d.RetryAfter, 2*time.Second, "not before the first back-off ends")
+		require.Less(t, d.RetryAfter, 3*time.Second+maxTypicalRetryAfter, "at most half of the remaining time and the usual retry delay")
 		told[d.RetryAfter] = true
 	}
 	require.Greater(t, len(told), 25)
@@ -171,7 +173,8 @@
 	require.Equal(t, upstream.Send, grants[0].Decision.Action)
 }
 
-// TestRefusedWhileAllLeave checks that a request is refused at once when all its targets leave.
+// TestRefusedWhileAllLeave checks that a request is refused at once when all its targets are
+// leaving.
 func TestRefusedWhileAllLeave(t *testing.T) {
 	p := newPool()
 	specs := spread(1)[:2]
@@ -185,10 +188,11 @@
 	require.NotZero(t, d.RetryAfter)
 }
 
-// TestEveryChoiceHonorsSelfReport checks that no way to a target passes by what it said: the first
-// place of a key, the second, the least loaded target, a request sent alone, the queue.
+// TestEveryChoiceHonorsSelfReport checks that every way to select a target excludes targets that
+// are leaving or in a back-off: the first and the second target of a key, the least loaded target,
+// the target of an isolated request, and the queue.
 func TestEveryChoiceHonorsSelfReport(t *testing.T) {
-	for name, word := range map[string]availability.SelfReport{"leaves": leavingReport, "rests": backoffReport} {
+	for name, word := range map[string]availability.SelfReport{"leaving": leavingReport, "back-off": backoffReport} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool()
 			specs := spread(3)[:3]
@@ -198,7 +202,7 @@
 			queued.ID, queued.QueueTimeout = 1, time.Minute
 			for p.Acquire(start, queued).Action != upstream.Wait {
 			}
-			// Fill each target, and let each of the others speak with its last request.
+			// Fill all targets. The last request at each target but the first brings a self-report.
 			for _, spec := range specs[1:] {
 				p.Release(start, spec.ID, withSelfReport(upstream.Abandoned, word))
 			}
--- a/upstream/state.go
+++ b/upstream/state.go
@@ -6,40 +6,39 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// State is whether a target may get requests, and why not.
+// State tells whether a target may get requests, and why not.
 type State string
 
-// The states.
+// The states of a target.
 const (
 	// StateUsable targets get requests.
 	StateUsable State = "usable"
-	// StateCold targets get a few requests.
+	// StateCold targets get requests up to their warm-up quota.
 	StateCold State = "cold"
-	// StateSuspect targets get nothing for a while, or single requests.
+	// StateSuspect targets get no requests for a while, or one request at a time.
 	StateSuspect State = "suspect"
-	// StateBackoff targets have asked to get nothing for a while.
+	// StateBackoff targets have requested to get no requests for a while.
 	StateBackoff State = "resting"
-	// StateLeaving targets state that they leave, are drained, or are gone from the list.
+	// StateLeaving targets have announced that they leave, are drained, or are not listed any more.
 	StateLeaving State = "leaving"
-	// StateEvacuated targets are in a hall that is to get nothing.
+	// StateEvacuated targets are in a hall that gets no requests.
 	StateEvacuated State = "evacuated"
-	// StateReplaced targets' addresses belong to others now.
+	// StateReplaced targets have lost their address to another server.
 	StateReplaced State = "replaced"
 )
 
-// HallState is a hall's targets in one state.
+// HallState identifies the targets of one hall that are in one state.
 type HallState struct {
 	Hall  string
 	State State
 }
 
-// StateCount is the number of targets of a group and of the requests of this instance
-// in flight there.
+// StateCount holds the number of such targets and of the requests of this instance in flight there.
 type StateCount struct {
 	Targets, InFlight int
 }
 
-// TargetCounts counts the targets by hall and state.
+// TargetCounts returns the number of targets by hall and state.
 func (p *Pool) TargetCounts(now time.Time) map[HallState]StateCount {
 	census := make(map[HallState]StateCount)
 	for _, t := range p.byID {
@@ -52,7 +51,8 @@
 	return census
 }
 
-// currentState returns what keeps requests from the target, the most lasting first.
+// currentState returns the state of the target. Of several conditions the most persistent one
+// counts.
 func (t *target) currentState(now time.Time) State {
 	switch t.state.Verdict(now).Cause {
 	case availability.CauseReplaced:
--- a/upstream/stats.go
+++ b/upstream/stats.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// markActive has a target keep what is told of it from now on.
+// markActive gives a target stats of its own if it has none, and records that they are in use.
 func (p *Pool) markActive(now time.Time, t *target) {
 	if t.stats == &p.emptyStats {
 		t.stats = &stats{}
@@ -11,8 +11,8 @@
 	t.stats.activeAt = now
 }
 
-// Expire drops what is known of permits that nobody asks for, and of targets of which nothing was heard
-// for as long as a key is taken to be remembered, unless that would make them look better than they are.
+// Expire drops unused permits and the stats of idle targets. Stats that count against a target are
+// kept, since without them the target would look better than it is.
 func (p *Pool) Expire(now time.Time) {
 	p.permits.EvictIdle(now)
 	kept := p.activeTargets[:0]
@@ -29,7 +29,8 @@
 	p.activeTargets = kept
 }
 
-// idle tells whether there is nothing worth keeping of what is known of the target.
+// idle reports whether the target's stats are not worth keeping: nothing was recorded within
+// keyTTL, no request is in flight, and the target is neither faulty nor cold.
 func (t *target) idle(now time.Time) bool {
 	c := t.stats
 	faulty := c.failures > 0 || c.rejections > 0 || c.suspectBackoff > 0 || c.slow.factor() > 1
--- a/upstream/target.go
+++ b/upstream/target.go
@@ -10,87 +10,91 @@
 )
 
 const (
-	// reportFreshFor is how long a target's report on its load counts fully.
+	// reportFreshFor is the age up to which a load report of a target has full weight.
 	reportFreshFor = time.Second
-	// reportExpiry is when it no longer counts.
+	// reportExpiry is the age from which a load report has no weight.
 	reportExpiry = 3 * time.Second
-	// reportWeight is the weight of a new report against the earlier ones.
+	// reportWeight is the weight of a new load report against the earlier ones.
 	reportWeight = 0.6
 
-	// failuresToSuspect is the number of failures in a row, none of which
-	// shows by itself that the target is gone, that make it suspected.
+	// failuresToSuspect is the number of consecutive broken exchanges after which a target is
+	// suspected. A single broken exchange does not show that the target is down.
 	failuresToSuspect = 3
 	minSuspectBackoff = 500 * time.Millisecond
 	maxSuspectBackoff = 4 * time.Second
-	// rejectionsToPause is the number of rejections in a row after which a target is
-	// paused though it has free slots. One that rejects half of its requests by chance
-	// seldom gets there, and its keys are cold elsewhere.
+	// rejectionsToPause is the number of consecutive rejections after which a target is paused
+	// although it has free slots. A target that rejects half of its requests at random seldom
+	// reaches it. A lower number would move that target's keys to targets where they are cold.
 	rejectionsToPause = 5
-	// rejectionPause keeps requests from a target that has just rejected one.
+	// rejectionPause is how long a target gets no requests after it rejected one while it was full,
+	// or after rejectionsToPause rejections in a row.
 	rejectionPause = 150 * time.Millisecond
 
-	// maxKnownKeys bounds the keys remembered for a target.
+	// maxKnownKeys bounds the number of keys remembered for a target.
 	maxKnownKeys = 512
-	// keyTTL is how long a target is taken to remember a key.
+	// keyTTL is how long a target is assumed to keep the object of a key.
 	keyTTL = 30 * time.Second
 )
 
-// target is what the pool knows of one target. A large fleet has thousands, of which an instance sends
-// requests to a few: what requests and reports tell of a target is kept apart, in contact.
+// target is the state that the pool keeps of one target. A large fleet has thousands of targets,
+// and an instance sends requests to only a few of them. Data learned from requests and reports is
+// therefore kept apart, in stats.
 type target struct {
-	// What a ranking looks at comes first, to lie in one cache line: each request ranks all
-	// targets of a region.
+	// Each request ranks all targets of a region. The fields that the ranking reads come first, so
+	// that they share a cache line.
 
-	// hash is that of the target's ID.
+	// hash is the hash of the target's ID.
 	hash uint64
-	// group is the number of the target's hall in its region.
+	// group is the number of the target's hall within its region.
 	group int
-	// weight is the number of slots, 1 at least.
+	// weight is the number of slots, at least 1.
 	weight float64
-	// state is what keeps requests from the target. A target that is gone and still has
-	// requests in flight is kept for these.
+	// state holds the conditions that keep requests from the target. An unlisted target is kept as
+	// long as it has requests in flight.
 	state availability.State
 
 	spec   *catalog.Target
 	region *regionTargets
-	// cohort is whether the target is of a version that is brought in.
+	// cohort tells whether the target runs the version that is being rolled out.
 	cohort    cohort
 	placement placement
 
 	inFlight  int
 	coldUntil time.Time
 	quotas    *quotas
-	// quota is nil until it is first asked for.
+	// quota is nil until it is first needed.
 	quota *quota
-	// rateLimit is nil if the target has named no limit, and permits are those of all targets.
+	// rateLimit is nil if the target has not announced a rate limit. permits is the permit holder
+	// of the pool.
 	rateLimit *rateLimit
 	permits   *ratelimit.Holder
-	// stats is the pool's none until there is something to keep: see Pool.touch.
+	// stats points to the pool's emptyStats until there is data to keep; see Pool.markActive.
 	stats *stats
 }
 
-// stats is what requests of this instance, and reports of others, have told of a target.
+// stats holds what is known of a target from the requests of this instance and the reports of
+// others.
 type stats struct {
 	activeAt time.Time
-	// othersInFlight is the number of requests of other instances at the target.
+	// othersInFlight is the estimated number of requests of other instances at the target.
 	othersInFlight   float64
 	othersReportedAt time.Time
 	last             lastReport
-	// slow is how slowly the target answers.
+	// slow measures how slowly the target responds.
 	slow slowness
 	// window counts the requests that were sent to the target while it was cold.
 	window warmup.Window
 
-	// answeredAt is when the target last answered here, and downAt when it last could
-	// not be reached.
+	// answeredAt is when the target last responded to this instance, and downAt when this instance
+	// last could not connect to it.
 	answeredAt, downAt time.Time
 
 	failures int
-	// rejections is the number of rejections in a row.
+	// rejections is the number of consecutive rejections.
 	rejections int
-	// suspectBackoff is the length of the last suspectBackoff, 0 since an answer.
+	// suspectBackoff is the length of the last suspicion, 0 after a response.
 	suspectBackoff time.Duration
-	// probing is set while one request tries a target after a suspicion.
+	// probing is true while one request probes the target after a suspicion.
 	probing bool
 
 	known map[string]time.Time
@@ -98,21 +102,24 @@
 
 func (t *target) cold(now time.Time) bool { return now.Before(t.coldUntil) }
 
-// inService tells whether the target is meant to serve. Suspicions, pauses, rests and a cold
-// target's quota pass.
+// inService reports whether the target is listed and is not leaving, replaced or evacuated.
+// Conditions that end by themselves, such as suspicions, pauses, back-offs and an exhausted warm-up
+// quota, do not count.
 func (t *target) inService() bool { return t.state.InService() }
 
-// keepsKeys tells whether the target keeps its keys though it may not be used for a moment. While it
-// rests, which takes seconds, they have two other places, as one
-// would have as many objects again to read.
+// keepsKeys reports whether the target stays in the ranking of its keys although it may be unusable
+// for a moment. A back-off lasts seconds, so that meanwhile the keys are ranked over the other
+// targets and have two of these. With only one substitute, that target would have to load as many
+// objects again.
 func (t *target) keepsKeys(now time.Time) bool {
 	return t.inService() && !now.Before(t.state.BackoffUntil())
 }
 
-// usable tells whether a request may be sent now, its load aside.
+// usable reports whether a request may be sent now, regardless of the target's load.
 func (t *target) usable(now time.Time) bool { return t.usableIgnoringLimit(now) && t.permitted(now) }
 
-// usableIgnoringLimit tells whether a request may be sent now, the target's load and limit aside.
+// usableIgnoringLimit reports whether a request may be sent now, regardless of the target's load
+// and rate limit.
 func (t *target) usableIgnoringLimit(now time.Time) bool {
 	switch {
 	case !t.state.Available(now):
@@ -126,7 +133,8 @@
 	}
 }
 
-// judge tells whether a request may be sent now, its load and limit aside, and what is in the way.
+// judge returns whether a request may be sent now, regardless of the target's load and rate limit,
+// and the cause if it may not.
 func (t *target) judge(now time.Time) availability.Verdict {
 	switch verdict := t.state.Verdict(now); {
 	case !verdict.OK():
@@ -140,9 +148,9 @@
 	}
 }
 
-// load is the number of requests expected at the target. Where it has not reported of
-// late the load of its region's targets stands in: in a large fleet an instance hears
-// of each single one seldom.
+// load returns the number of requests expected at the target. The mean utilization of the region
+// replaces missing or old reports, since in a large fleet an instance seldom receives a report of
+// any single target.
 func (t *target) load(now time.Time) float64 {
 	fresh := freshness(now.Sub(t.stats.othersReportedAt))
 	others := t.stats.othersInFlight * fresh
@@ -153,7 +161,7 @@
 	return float64(t.inFlight) + others
 }
 
-// freshness is how much a report of some age counts.
+// freshness returns the weight, between 0 and 1, of a report of the given age.
 func freshness(age time.Duration) float64 {
 	switch {
 	case age <= reportFreshFor:
@@ -165,7 +173,7 @@
 	}
 }
 
-// hasKey tells whether the target has probably seen the key of late.
+// hasKey reports whether the target has probably seen the key within keyTTL.
 func (t *target) hasKey(now time.Time, key string) bool {
 	at, ok := t.stats.known[key]
 	return ok && now.Sub(at) < keyTTL
@@ -198,7 +206,7 @@
 	}
 }
 
-// finishRequest takes in what became of a request.
+// finishRequest records the result of a request.
 func (t *target) finishRequest(now time.Time, r Result) {
 	full := t.load(now) >= float64(t.spec.Slots)
 	t.inFlight--
@@ -243,7 +251,7 @@
 	t.state.Suspect(now, now.Add(t.stats.suspectBackoff))
 }
 
-// applySelfReport takes in what the target said of itself in an answer to this instance.
+// applySelfReport applies what the target reported about itself in a response to this instance.
 func (t *target) applySelfReport(now time.Time, w availability.SelfReport) {
 	if w.Leaving {
 		t.state.SetLeaving(now, availability.SourceTarget)
@@ -253,15 +261,16 @@
 	}
 }
 
-// recordReport takes in what the target told of its load with an answer. Requests at a slow
-// target count for more, as what comes next waits longer for them; others are told the same.
+// recordReport records the load that the target reported in a response. The requests at a slow
+// target count several times, since new requests wait longer for them. Reports to other instances
+// contain the increased load.
 func (t *target) recordReport(now time.Time, r LoadReport) {
 	requests := t.stats.slow.factor() * float64(r.Running+r.Waiting)
 	t.stats.last.record(now, requests/float64(max(r.Slots, 1)))
 	t.recordLoad(now, requests)
 }
 
-// recordLoad takes in the number of requests at the target at a moment.
+// recordLoad records the number of requests that were at the target at a time.
 func (t *target) recordLoad(at time.Time, requests float64) {
 	others := max(0, requests-float64(t.inFlight))
 	if at.Sub(t.stats.othersReportedAt) >= reportExpiry {
--- a/upstream/target_list.go
+++ b/upstream/target_list.go
@@ -8,8 +8,8 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// SetTargets takes in the service's targets and the evacuated halls, and returns
-// the grants that this makes possible. The specs are kept, and must not change afterwards.
+// SetTargets replaces the service's targets and the evacuated halls, and returns the grants and
+// refusals that follow. The pool keeps the specs, which must not change afterwards.
 func (p *Pool) SetTargets(now time.Time, specs []*catalog.Target, evacuated map[string]bool) []Grant {
 	for _, t := range p.byID {
 		t.state.SetUnlisted(now)
@@ -27,9 +27,9 @@
 	return p.dispatch(now)
 }
 
-// ChangeTargets takes in new or changed targets of the service and the IDs of some
-// that are gone, and returns the grants that this makes possible. A target that is
-// in both is gone. The specs are kept, and must not change afterwards.
+// ChangeTargets adds or updates the changed targets and removes those with the IDs in gone. A
+// target that is in both is removed. It returns the grants and refusals that follow. The pool keeps
+// the specs, which must not change afterwards.
 func (p *Pool) ChangeTargets(now time.Time, changed []*catalog.Target, gone []string, evacuated map[string]bool) []Grant {
 	touched := make([]*target, 0, len(changed)+len(gone))
 	for _, spec := range changed {
@@ -60,7 +60,7 @@
 	return p.dispatch(now)
 }
 
-// placeAll places all targets anew.
+// placeAll places all targets again.
 func (p *Pool) placeAll(now time.Time) {
 	p.versions.heldUntil = time.Time{}
 	for _, t := range p.byID {
@@ -71,13 +71,14 @@
 	}
 }
 
-// updateVersions takes in the versions of the targets that there are now. It reports whether that
-// may change what other targets get.
+// updateVersions updates the set of the versions of the current targets. It reports whether other
+// targets may have to be placed again.
 func (p *Pool) updateVersions(now time.Time) bool {
 	return p.config.HoldNewVersions && p.versions.update(now)
 }
 
-// setTarget takes in what is listed of a target. It is to be placed after that.
+// setTarget creates or updates a target from its entry in the target list. The caller must place it
+// afterwards.
 func (p *Pool) setTarget(now time.Time, spec *catalog.Target, evacuated bool) *target {
 	t := p.byID[spec.ID]
 	listedCold := time.Duration(0)
@@ -93,7 +94,7 @@
 		t.markCold(now, spec.ColdFor)
 	}
 	if t.state.Evacuated() && !evacuated {
-		// Servers may have turned cold while nothing was sent to them.
+		// A server may have become cold while it got no requests.
 		t.markCold(now, p.warmup)
 	}
 	t.group, t.weight = p.groups[spec.Hall], float64(max(spec.Slots, 1))
@@ -117,7 +118,7 @@
 	return t
 }
 
-// removeTarget drops a target that is gone and has no requests left.
+// removeTarget removes an unlisted target without requests in flight.
 func (p *Pool) removeTarget(t *target) {
 	p.unplace(t)
 	p.versions.remove(t.spec.Version)
@@ -131,8 +132,8 @@
 	}
 }
 
-// markCold counts the target as cold from now on for a while. What was sent of late
-// counts against the quota, so the window begins full.
+// markCold marks the target as cold for the given time from now on. Requests that were sent
+// recently count against the quota.
 func (t *target) markCold(now time.Time, length time.Duration) {
 	if until := now.Add(length); until.After(t.coldUntil) {
 		t.coldUntil = until
--- a/upstream/target_report.go
+++ b/upstream/target_report.go
@@ -13,42 +13,42 @@
 )
 
 const (
-	// busyThreshold is the load, in slots, from which on a target's report is passed on: a
-	// request that comes next has to wait.
+	// busyThreshold is the load per slot from which a target's load is reported to other instances,
+	// since another request would have to wait.
 	busyThreshold = 0.9
-	// busyReportPeriod is how long after a target was busy its reports are passed on whatever
-	// they say, so that the others learn that it no longer is.
+	// busyReportPeriod is how long the load of a formerly busy target is still reported whatever it
+	// is, so that other instances learn that the target is no longer busy.
 	busyReportPeriod = 3 * time.Second
-	// targetReportTTL is how old a report may be to be passed on: with another round of
-	// gossip on its way it still counts.
+	// targetReportTTL is the maximum age at which a report is sent. It still has weight after
+	// another gossip round.
 	targetReportTTL = 1500 * time.Millisecond
-	// downPause is how long after another instance could not reach a target it gets
-	// nothing: until gossip would have told whether that goes on.
+	// downPause is how long a target gets no requests after another instance could not reach it.
+	// After that time gossip would have reported it again if it were still unreachable.
 	downPause = 1500 * time.Millisecond
 )
 
-// TargetReport is what an instance has seen of a target and passes on to others. In a large
-// fleet an instance has an answer of each target once in minutes, so it would not know
-// which few have more requests than they have slots, and each would find out by itself that
-// a target is down.
+// TargetReport is an observation of a target by one instance that is gossiped to others. In a large
+// fleet an instance gets a response from any single target only every few minutes. Without reports
+// it would not know which few targets have more requests than slots, and each instance would have
+// to find out by itself that a target is down.
 type TargetReport struct {
-	// Target is a short form of the target's ID.
+	// Target is the short ID of the target.
 	Target uint32
-	// PerSlot is the number of requests running and waiting there, over its slots.
+	// PerSlot is the number of requests running and waiting at the target, divided by its slots.
 	PerSlot float64
-	// Down says that no connection to the target could be had. That an answer did not
-	// come is not passed on: while targets are overloaded that is so of many, and what
-	// leaves them is cold elsewhere.
+	// Down means that no connection to the target could be established. Timeouts are not reported.
+	// They are common while targets are overloaded, and moving the keys of so many targets would
+	// cause cache misses elsewhere.
 	Down bool
-	// Age is the time since it was seen.
+	// Age is the time since the observation.
 	Age time.Duration
 }
 
-// TargetReports are reports as a message carries them.
+// TargetReports is a list of reports as a message contains it.
 type TargetReports []TargetReport
 
-// Units of a sighting in a message: a byte each for the load and the age. The highest load
-// stands for a target that is down.
+// An encoded report contains the target's short ID, one byte for the load and one for the age. The
+// highest load value stands for a target that is down.
 const (
 	targetReportBytes = 4 + 1 + 1
 	loadUnit          = 1.0 / 32
@@ -56,10 +56,10 @@
 	downByte          = math.MaxUint8
 )
 
-// ErrTruncatedTargetReports is returned for sightings that are cut short.
-var ErrTruncatedTargetReports = errors.New("upstream: sightings cut short")
+// ErrTruncatedTargetReports is returned when an encoded list of reports is truncated.
+var ErrTruncatedTargetReports = errors.New("upstream: target reports truncated")
 
-// EncodeMsgpack implements msgpack.CustomEncoder: one string of bytes.
+// EncodeMsgpack implements msgpack.CustomEncoder. The list is one byte string.
 func (s TargetReports) EncodeMsgpack(enc *msgpack.Encoder) error {
 	raw := make([]byte, 0, len(s)*targetReportBytes)
 	for _, seen := range s {
@@ -73,7 +73,7 @@
 	return enc.EncodeBytes(raw)
 }
 
-// clampToByte rounds a value to a byte of at most most.
+// clampToByte rounds a value and clamps it to the range from 0 to most.
 func clampToByte(v, most float64) byte { return byte(min(max(math.Round(v), 0), most)) }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
@@ -96,11 +96,11 @@
 	return nil
 }
 
-// lastReport is the newest report on a target's load, whoever had it.
+// lastReport is the newest report of a target's load by any instance.
 type lastReport struct {
 	perSlot float64
 	at      time.Time
-	// busyAt is when a report last said that the target was busy.
+	// busyAt is when a report last showed that the target was busy.
 	busyAt time.Time
 }
 
@@ -111,10 +111,9 @@
 	}
 }
 
-// TargetReports returns what to pass on to other instances of the region: the reports of busy
-// targets, and of targets that were busy a moment ago, and which targets are down. An
-// instance that can't reach more targets than it gets answers from says nothing of that: the
-// fault may be its own.
+// TargetReports returns the reports to send to other instances of the region: the load of targets
+// that are or recently were busy, and the targets that are down. An instance that fails to reach
+// more targets than respond to it reports no target as down, since the fault may be its own.
 func (p *Pool) TargetReports(now time.Time) TargetReports {
 	var busy, down TargetReports
 	answering := 0
@@ -141,8 +140,8 @@
 	return append(down, busy...)
 }
 
-// ApplyTargetReports takes in what other instances have seen. Targets of other services are
-// passed over.
+// ApplyTargetReports applies the reports of other instances. Reports on targets of other services
+// are ignored.
 func (p *Pool) ApplyTargetReports(now time.Time, seen TargetReports) {
 	for _, s := range seen {
 		t := p.byShortID[s.Target]
@@ -159,18 +158,18 @@
 	}
 }
 
-// applyPeerLoad takes in a load that another instance has told of. It counts for nothing while
-// all targets of the region are busy: requests that leave one of them wait elsewhere too,
-// and for a target that does not have their object.
+// applyPeerLoad applies a load reported by another instance. It is ignored while all targets of the
+// region are busy. Requests moved away from one target would then wait at another one too, which in
+// addition does not have their object.
 func (p *Pool) applyPeerLoad(now time.Time, t *target, at time.Time, perSlot float64) {
 	if t.region.utilization.at(now) < busyThreshold {
 		t.recordLoad(at, perSlot*float64(max(t.spec.Slots, 1)))
 	}
 }
 
-// applyPeerDown takes in that another instance could not reach a target. It counts only if
-// this instance has had no answer from it for a while: one that knows a target by itself is
-// not moved off it by the bad luck of another.
+// applyPeerDown applies a report that another instance could not reach a target. It is ignored if
+// this instance has recently had a response from the target, so that a failure between two others
+// does not move its keys.
 func (p *Pool) applyPeerDown(t *target, at time.Time) {
 	if at.Sub(t.stats.answeredAt) < reportExpiry {
 		return
@@ -180,10 +179,10 @@
 	p.recordEvent(t, before, Unreachable)
 }
 
-// shortID is the form of a target's ID in sightings.
+// shortID returns the form of a target's ID that reports contain.
 func shortID(hash uint64) uint32 { return uint32(hash >> 32) }
 
-// Sample returns at most n of the sightings, drawn at random.
+// Sample returns at most n of the reports, chosen at random. It may reorder s.
 func (s TargetReports) Sample(n int, rnd *rand.Rand) TargetReports {
 	if len(s) <= n {
 		return s
--- a/upstream/target_report_test.go
+++ b/upstream/target_report_test.go
@@ -10,9 +10,9 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestPeersLearnOfBusyTarget checks that a request goes to its key's second target when
-// another instance has told that the first has more requests than it can work on, and to
-// the first again when it has told that this is over, or nothing for a while.
+// TestPeersLearnOfBusyTarget checks that a request goes to its key's second target after another
+// instance reported that the first one is overloaded. It goes to the first one again after a report
+// that the overload is over, or without reports for a while.
 func TestPeersLearnOfBusyTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
@@ -39,22 +39,23 @@
 	now := start.Add(100 * time.Millisecond)
 	require.NotEqual(t, first, target(here, now).Target.ID)
 	require.Equal(t, upstream.ReasonLoad, target(here, now).Reason)
-	require.Len(t, here.TargetReports(now), 1, "what was heard is passed on")
-	require.Empty(t, here.TargetReports(start.Add(2*time.Second)), "while it is new")
+	require.Len(t, here.TargetReports(now), 1, "received reports are passed on")
+	require.Empty(t, here.TargetReports(start.Add(2*time.Second)), "old reports are not passed on")
 	require.Equal(t, first, target(here, start.Add(4*time.Second)).Target.ID)
 
 	now = start.Add(200 * time.Millisecond)
 	answer(now, 1, 0)
 	over := there.TargetReports(now)
-	require.Len(t, over, 1, "that a target is no longer busy is told too")
+	require.Len(t, over, 1, "the end of the overload is reported too")
 	here.ApplyTargetReports(now, over)
 	here.ApplyTargetReports(now, seen)
-	require.Equal(t, first, target(here, now).Target.ID, "older reports change nothing")
+	require.Equal(t, first, target(here, now).Target.ID, "older reports are ignored")
 }
 
-// TestPeersLearnOfDownTarget checks that a request goes to its key's second target when another
-// instance could not reach the first, for a moment only, and not when the first has answered
-// here of late, or the other instance reaches hardly any.
+// TestPeersLearnOfDownTarget checks that a request goes to its key's second target for a moment
+// after another instance reported the first one as down. The report is ignored if the first target
+// has recently responded to this instance, and it is not sent if the other instance reaches hardly
+// any target.
 func TestPeersLearnOfDownTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
@@ -66,7 +67,7 @@
 		return d.Target.ID
 	}
 	first := end(there, start, "k", upstream.Unreachable)
-	require.Empty(t, there.TargetReports(start), "no target answers there")
+	require.Empty(t, there.TargetReports(start), "no target responds to that instance")
 	for _, key := range []string{"l", "m", "n"} {
 		end(there, start, key, upstream.Answered)
 	}
@@ -79,11 +80,11 @@
 	now := start.Add(2 * time.Second)
 	require.Equal(t, first, end(here, now, "k", upstream.Answered))
 	here.ApplyTargetReports(now.Add(time.Second), seen)
-	require.Equal(t, first, end(here, now.Add(time.Second), "k", upstream.Abandoned), "it has answered of late")
+	require.Equal(t, first, end(here, now.Add(time.Second), "k", upstream.Abandoned), "the target has responded recently")
 }
 
-// TestTargetReportsEncoding checks that sightings arrive as they were but for their rounding,
-// in six bytes each, and that ones that are cut short are refused.
+// TestTargetReportsEncoding checks that reports are encoded in six bytes each, that they are
+// decoded with the expected rounding, and that truncated reports are refused.
 func TestTargetReportsEncoding(t *testing.T) {
 	seen := upstream.TargetReports{
 		{Target: 1 << 31, PerSlot: 1.5, Age: 730 * time.Millisecond},
--- a/upstream/unavailable.go
+++ b/upstream/unavailable.go
@@ -8,13 +8,13 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// UnavailableTarget is a target that is sent nothing now, with what is in the way.
+// UnavailableTarget is a target that gets no requests now, with the cause.
 type UnavailableTarget struct {
 	ID, Hall string
 	availability.Verdict
 }
 
-// UnavailableTargets returns the targets that are sent nothing now, in the order of their IDs.
+// UnavailableTargets returns the targets that get no requests now, ordered by ID.
 func (p *Pool) UnavailableTargets(now time.Time) []UnavailableTarget {
 	var out []UnavailableTarget
 	for _, t := range p.byID {
--- a/upstream/utilization_test.go
+++ b/upstream/utilization_test.go
@@ -11,10 +11,10 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestUnreportedTargetsUseRegionUtilization checks that an instance of a large fleet, which
-// hears of each target seldom, does not take those that it has not heard of for idle
-// while all that it hears of in their region are overloaded, and that it does again once
-// nothing was heard for a while.
+// TestUnreportedTargetsUseRegionUtilization checks how an instance of a large fleet, which has no
+// report of most targets, estimates their load. While all reports in their region show overload,
+// targets without a report must not count as idle. Once all reports are old, they count as idle
+// again.
 func TestUnreportedTargetsUseRegionUtilization(t *testing.T) {
 	p := newPool()
 	var specs []*catalog.Target
@@ -37,7 +37,7 @@
 			sent++
 		}
 	}
-	require.Zero(t, sent, "all are taken to be as full as those heard of")
+	require.Zero(t, sent, "targets without a report count as full as the others")
 	later := now.Add(4 * time.Second)
-	require.Equal(t, upstream.Send, p.Acquire(later, request("x")).Action, "old reports count for nothing")
+	require.Equal(t, upstream.Send, p.Acquire(later, request("x")).Action, "old reports are ignored")
 }
--- a/upstream/versions.go
+++ b/upstream/versions.go
@@ -8,10 +8,11 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// cohort is which of a service's targets a request goes to while a rollout brings in a new version.
+// cohort divides the service's targets during a rollout into those of the new version and all
+// others.
 type cohort int
 
-// Without a rollout all targets are on the old side.
+// The cohorts. Without a rollout all targets are in the old cohort.
 const (
 	oldCohort cohort = iota
 	newCohort
@@ -24,28 +25,29 @@
 	return oldCohort
 }
 
-// targetsByCohort are a region's targets that may get requests, by side.
+// targetsByCohort holds the targets of a region that may get requests, by cohort.
 type targetsByCohort [2][]*target
 
 const (
-	// minCanaries is the number of new targets in each region that get requests at least, once any
-	// do: one may be at fault by itself.
+	// minCanaries is the minimum number of new targets in each region that get requests, once any
+	// do. A single target may be faulty for a reason of its own.
 	minCanaries = 2
-	// unorderedHold is how long targets of a new version get nothing where no order for it is
-	// known. An order and the targets that start with it may become known in either order.
+	// unorderedHold is how long the targets of a new version get no requests if no rollout order
+	// for the version is known. The order and the targets may become known in either sequence.
 	unorderedHold = 3 * time.Second
 )
 
-// versions are those of the service's targets, with when each was first seen.
+// versions tracks the versions of the service's targets and when each was first seen.
 type versions struct {
-	// targets count those of each version, and changed says that a version came or went since the
-	// last look.
+	// targets counts the targets by version. changed means that a version was added or removed
+	// since the last update.
 	targets map[string]int
 	changed bool
 	seen    map[string]time.Time
-	// heldUntil is when targets may be used that are held back, zero if there are none.
+	// heldUntil is when the next targets that are held back may be used, zero if there are none.
 	heldUntil time.Time
-	// superseded are those of orders that another one took the place of before they were brought in.
+	// superseded holds the versions whose rollout order was superseded by another order before it
+	// was completed.
 	superseded map[string]bool
 }
 
@@ -58,7 +60,7 @@
 	v.changed = v.changed || v.targets[version] == 1
 }
 
-// remove takes a target of a version from the count.
+// remove removes a target of a version from the count.
 func (v *versions) remove(version string) {
 	v.targets[version]--
 	if v.targets[version] == 0 {
@@ -67,8 +69,8 @@
 	}
 }
 
-// update takes in the versions of the targets there are now, and reports whether any came or went. Those
-// of a pool's first targets have been there before.
+// update updates the set of versions and reports whether any was added or removed. The versions of
+// the pool's first targets count as seen unorderedHold ago, so that they are not held back.
 func (v *versions) update(now time.Time) bool {
 	if !v.changed {
 		return false
@@ -93,7 +95,7 @@
 	return true
 }
 
-// supersede takes in that an order for a version takes the place of one for another version.
+// supersede records that an order for a version supersedes the one described by before.
 func (v *versions) supersede(before rollout.Split, version string) {
 	delete(v.superseded, version)
 	if before.Version == "" || before.Version == version || before.Ended && before.AllNew() {
@@ -105,10 +107,10 @@
 	v.superseded[before.Version] = true
 }
 
-// isAfter tells whether a version was first seen later than another one.
+// isAfter reports whether a version was first seen after another one.
 func (v *versions) isAfter(version, other string) bool { return v.seen[version].After(v.seen[other]) }
 
-// isNewest tells whether a version was first seen later than any other.
+// isNewest reports whether a version was first seen after some other version.
 func (v *versions) isNewest(version string) bool {
 	for other := range v.seen {
 		if v.isAfter(version, other) {
@@ -118,7 +120,8 @@
 	return false
 }
 
-// holdsBack tells whether the targets of a version are held back for now.
+// holdsBack reports whether the targets of a version are held back now. If they are, heldUntil is
+// moved to the end of that hold unless it is earlier.
 func (v *versions) holdsBack(now time.Time, version string) bool {
 	until := v.seen[version].Add(unorderedHold)
 	if !now.Before(until) {
@@ -130,8 +133,9 @@
 	return true
 }
 
-// SetSplit takes in which part of the requests goes to targets of a new version, and until when that
-// holds if nothing else is said, zero for good. It returns the grants that this makes possible.
+// SetSplit sets the fraction of the requests that goes to targets of a new version. The split ends
+// at until unless it is set again, or is permanent if until is zero. SetSplit returns the grants
+// and refusals that follow.
 func (p *Pool) SetSplit(now time.Time, split rollout.Split, until time.Time) []Grant {
 	p.splitUntil = until
 	if split == p.split {
@@ -147,8 +151,8 @@
 	return p.dispatch(now)
 }
 
-// mayList tells whether a target may get requests as far as its version is concerned. New ones that
-// get nothing may not, unless there are no others.
+// mayList reports whether the version of a target allows it to get requests. A version that gets
+// none is listed nevertheless if there are no others.
 func (p *Pool) mayList(now time.Time, t *target) bool {
 	version := t.spec.Version
 	if p.versions.superseded[version] && len(p.versions.seen) > len(p.versions.superseded) {
@@ -158,15 +162,15 @@
 	return !p.config.HoldNewVersions || ordered || !p.versions.isNewest(version) || !p.versions.holdsBack(now, version)
 }
 
-// endHold places targets anew once some are no longer held back.
+// endHold places the targets again once some are no longer held back.
 func (p *Pool) endHold(now time.Time) {
 	if until := p.versions.heldUntil; !until.IsZero() && !now.Before(until) {
 		p.placeAll(now)
 	}
 }
 
-// cohortOf returns the side of a target. Once a version has been brought in, those that come after it
-// take part like it.
+// cohortOf returns the cohort of a target. After a completed rollout the versions that appear later
+// belong to the new cohort.
 func (p *Pool) cohortOf(t *target) cohort {
 	switch {
 	case p.split.Version == "":
@@ -180,8 +184,8 @@
 	}
 }
 
-// canaries returns the new targets of a region that get requests: a part of them, the same at all
-// instances.
+// canaries returns the new targets of a region that get requests. They are a fraction of the new
+// targets and the same at all instances.
 func (p *Pool) canaries(targets []*target) []*target {
 	place := func(t *target) float64 { return mix.Unit(mix.Join(t.hash, canarySalt)) }
 	var out []*target
@@ -198,7 +202,7 @@
 	return out[:min(minCanaries, len(out))]
 }
 
-// canarySalt and drawSalt tell draws apart that are made with the same hashes.
+// canarySalt and drawSalt make random draws from the same hash independent.
 const (
 	canarySalt = 0x6f70656e
 	drawSalt   = 0x64726177
@@ -219,8 +223,8 @@
 	return in.canaries
 }
 
-// cohortFor draws the side of a request. One that was sent before goes to old targets, as long as most
-// do.
+// cohortFor draws the cohort of a request. A request that was sent before goes to the old cohort as
+// long as not all requests go to the new one.
 func (p *Pool) cohortFor(now time.Time, r *Request) cohort {
 	p.endHold(now)
 	switch {
@@ -241,8 +245,9 @@
 	return oldCohort
 }
 
-// mayChangeCohort tells whether a request that has no target among those of its version may go to one
-// of the other: to an old one as long as these serve, but to a new one only if no old one does.
+// mayChangeCohort reports whether a request without a usable target in its cohort may go to the
+// other one. It may go to the old cohort if that has targets in service, but to the new cohort only
+// if the old one has none.
 func (p *Pool) mayChangeCohort(r *Request, reason Reason) bool {
 	switch {
 	case p.split.Version == "":
@@ -254,7 +259,7 @@
 	}
 }
 
-// hasServing tells whether a target of a side is meant to serve.
+// hasServing reports whether a cohort has targets in service.
 func (p *Pool) hasServing(s cohort) bool {
 	for _, r := range p.sortedRegions {
 		if r.serving[s].targets > 0 {
@@ -264,7 +269,7 @@
 	return false
 }
 
-// majorityCohort returns the side whose slots count for the shares of regions, if a rollout goes on.
+// majorityCohort returns the cohort whose slots determine the shares of the regions.
 func (p *Pool) majorityCohort() cohort {
 	if p.split.AllNew() && p.hasServing(newCohort) || !p.hasServing(oldCohort) {
 		return newCohort
@@ -272,19 +277,19 @@
 	return oldCohort
 }
 
-// VersionStats are the targets of a service by version, while a rollout goes on.
+// VersionStats describes the targets of a service by cohort during a rollout.
 type VersionStats struct {
-	// OldSlots and NewSlots are those of the targets that are meant to serve.
+	// OldSlots and NewSlots are the slots of the targets in service.
 	OldSlots, NewSlots float64
-	// OldInFlight is the number of requests of this instance at old targets, and Usage the part of the
-	// slots that is in use, by what targets have told of late.
+	// OldInFlight is the number of requests of this instance at old targets. OldUtilization is the
+	// mean load per slot of the old targets according to recent reports.
 	OldInFlight    int
 	OldUtilization float64
-	// SendRate is the number of requests that this instance sends a second.
+	// SendRate is the number of requests per second that this instance sends.
 	SendRate float64
 }
 
-// VersionStats returns what there is of the targets of both versions.
+// VersionStats returns the slots and the load of both cohorts.
 func (p *Pool) VersionStats(now time.Time) VersionStats {
 	v := VersionStats{SendRate: p.retryForecast.sendRate(now)}
 	used := 0.0
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -12,13 +12,13 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// versioned returns the spec of a target of a version.
+// versioned returns the spec of a target with the given version.
 func versioned(id, hall, version string) *catalog.Target {
 	return &catalog.Target{ID: id, Name: id, Service: "s", Addr: id + ":1", Hall: hall, Slots: 9, Version: version}
 }
 
-// versionedPool returns a pool in region a that holds targets of new versions back, with some targets
-// of version v1.
+// versionedPool returns a pool in region a that holds back targets of new versions. It has the
+// given number of targets of version v1.
 func versionedPool(now time.Time, old int) (*Pool, []*catalog.Target) {
 	p := NewPool(Config{Service: "s", Self: "n1", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a", "a2": "a", "b1": "b"},
 		ShiftStep: 0.1, ShiftWindow: 2 * time.Second, HoldNewVersions: true})
@@ -30,7 +30,7 @@
 	return p, specs
 }
 
-// newTargets returns some targets of version v2.
+// newTargets returns n targets of version v2.
 func newTargets(n int) []*catalog.Target {
 	var specs []*catalog.Target
 	for i := range n {
@@ -39,7 +39,8 @@
 	return specs
 }
 
-// sendMany has a pool choose for requests of many keys, and returns the number sent to each target.
+// sendMany selects targets for requests with many keys, and returns the number of requests sent to
+// each target.
 func sendMany(t require.TestingT, now time.Time, p *Pool, requests int, change ...func(*Request)) map[string]int {
 	sent := make(map[string]int)
 	for i := range requests {
@@ -55,7 +56,8 @@
 	return sent
 }
 
-// countNew returns the number of requests sent to new targets, and the number of those that got any.
+// countNew returns the number of requests sent to new targets, and the number of new targets that
+// got any.
 func countNew(sent map[string]int) (requests, targets int) {
 	for id, n := range sent {
 		if id[:3] == "new" {
@@ -66,8 +68,8 @@
 	return requests, targets
 }
 
-// TestNewVersionWaitsForOrder checks that targets of a version that nobody has ordered get nothing at
-// first: their order may be on its way.
+// TestNewVersionWaitsForOrder checks that targets of a version without a rollout order get no
+// requests at first, since the order may not have arrived yet.
 func TestNewVersionWaitsForOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
@@ -77,11 +79,11 @@
 	require.Zero(t, n)
 	p.SetSplit(now, rollout.Split{Version: "v2"}, time.Time{})
 	n, _ = countNew(sendMany(t, now.Add(2*unorderedHold), p, 1000))
-	require.Zero(t, n, "ordered, and not to get anything yet")
+	require.Zero(t, n, "ordered, but the split gives it no requests yet")
 }
 
-// TestUnorderedVersion checks that targets of a new version take part after a while if there is no
-// order for it, and at once if there are no others.
+// TestUnorderedVersion checks that targets of a new version without a rollout order get requests
+// after a while, and at once if there are no other targets.
 func TestUnorderedVersion(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
@@ -100,8 +102,8 @@
 	require.Equal(t, 100, n)
 }
 
-// TestSplitShares checks that new targets get the part of the requests that they are to get, that a key
-// stays at one target of each version, and that few new targets get any if it is to be few.
+// TestSplitShares checks that new targets get the fraction of the requests that the split sets, and
+// that no more new targets get any than it allows.
 func TestSplitShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
@@ -117,7 +119,7 @@
 	})
 }
 
-// TestSplitExpires checks that a split that is not told again ends.
+// TestSplitExpires checks that a split that is not renewed ends.
 func TestSplitExpires(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
@@ -130,8 +132,8 @@
 	require.Zero(t, n)
 }
 
-// TestRetriesGoToOldTargets checks that a request that was sent before goes to an old target, until all do
-// go to new ones.
+// TestRetriesGoToOldTargets checks that a request that was sent before goes to an old target, as
+// long as not all requests go to new ones.
 func TestRetriesGoToOldTargets(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
@@ -145,21 +147,21 @@
 	require.Equal(t, 500, n)
 }
 
-// TestFallbackBetweenCohorts checks that requests that were to go to new targets go to old ones if no new
-// one can take them, and not the other way round as long as an old one serves.
+// TestFallbackBetweenCohorts checks that requests for new targets go to old ones if no new target
+// can run them. Requests for old targets go to new ones only if no old target is in service.
 func TestFallbackBetweenCohorts(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, old := versionedPool(now, 6)
 	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.5, TargetShare: 1}, time.Time{})
 	n, _ := countNew(sendMany(t, now, p, 100))
-	require.Zero(t, n, "there are no new ones")
+	require.Zero(t, n, "there are no new targets")
 	p.ChangeTargets(now, newTargets(2), nil, nil)
 	p.SetSplit(now, rollout.Split{Version: "v2"}, time.Time{})
 	for _, spec := range old {
 		p.byID[spec.ID].suspect(now)
 	}
 	d := p.Acquire(now, Request{ID: 1, Key: "k", Sticky: true, Deadline: now.Add(time.Minute), QueueTimeout: time.Second})
-	require.NotEqual(t, Send, d.Action, "old ones serve, though none can be used for a moment")
+	require.NotEqual(t, Send, d.Action, "old targets are in service although none is usable now")
 	var leaving []*catalog.Target
 	for _, spec := range old {
 		left := *spec
@@ -168,10 +170,11 @@
 	}
 	p.ChangeTargets(now, leaving, nil, nil)
 	n, _ = countNew(sendMany(t, now, p, 100))
-	require.Equal(t, 100, n, "no old one serves any more")
+	require.Equal(t, 100, n, "no old target is in service")
 }
 
-// TestTargetsAfterRollout checks what gets requests after a version was brought in, and after a rollback.
+// TestTargetsAfterRollout checks which targets get requests after a rollback and after a successful
+// rollout.
 func TestTargetsAfterRollout(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
@@ -186,12 +189,13 @@
 	later := versioned("later", "a1", "v3")
 	p.ChangeTargets(now.Add(time.Minute), []*catalog.Target{later}, nil, nil)
 	sent := sendMany(t, now.Add(time.Minute+unorderedHold), p, 500)
-	require.NotZero(t, sent["later"], "versions that come later without an order take part")
+	require.NotZero(t, sent["later"], "later versions without an order get requests")
 	n, _ = countNew(sent)
-	require.Equal(t, 500, n+sent["later"], "the version before does not come back")
+	require.Equal(t, 500, n+sent["later"], "the previous version gets no requests")
 }
 
-// TestSupersededOrder checks that a version whose order another one has taken the place of gets nothing.
+// TestSupersededOrder checks that targets of a version whose rollout order was superseded get no
+// requests.
 func TestSupersededOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	p, _ := versionedPool(now, 6)
@@ -207,5 +211,5 @@
 	require.NotZero(t, sent["third"])
 	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.5, TargetShare: 1}, time.Time{})
 	n, _ = countNew(sendMany(t, now, p, 1000))
-	require.NotZero(t, n, "ordered again")
+	require.NotZero(t, n, "after a new order for the version")
 }
