--- a/upstream/backoff_model_test.go
+++ b/upstream/backoff_model_test.go
@@ -77,7 +77,7 @@
 	id          string
 	busy        int
 	queue       []func()
-	recent      []string
+	cached      []string
 	backoffFrom time.Time
 	backoffTo   time.Time
 	// backoff is the back-off that it requests.
@@ -167,10 +167,10 @@
 
 // requestBackoff makes the first targets reject all requests in a period, each time requesting a
 // back-off.
-func (m *backoffModel) requestBackoff(targets int, from, to time.Time, asks time.Duration) {
+func (m *backoffModel) requestBackoff(targets int, from, to time.Time, backoff time.Duration) {
 	for i := range targets {
 		t := m.targets[fmt.Sprint("t-", i)]
-		t.backoffFrom, t.backoffTo, t.backoff = from, to, asks
+		t.backoffFrom, t.backoffTo, t.backoff = from, to, backoff
 	}
 }
 
@@ -215,7 +215,7 @@
 func (m *backoffModel) decide(r *modelRequest, d upstream.Decision) {
 	switch d.Action {
 	case upstream.Send:
-		m.after(m.delay(m.poolHall[r.pool], d.Target.Hall), func() { m.reach(r, m.targets[d.Target.ID], d.SendState) })
+		m.after(m.delay(m.poolHall[r.pool], d.Target.Hall), func() { m.deliver(r, m.targets[d.Target.ID], d.SendState) })
 	case upstream.Wait:
 		m.waiting[r.pool][r.request.ID] = r
 	case upstream.Refuse:
@@ -265,8 +265,8 @@
 	m.after(after, func() { m.arrive(r) })
 }
 
-// reach delivers a request to a target.
-func (m *backoffModel) reach(r *modelRequest, t *modelTarget, sent upstream.SendState) {
+// deliver delivers a request to a target.
+func (m *backoffModel) deliver(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	m.arrivals = append(m.arrivals, m.now)
 	if m.onArrival != nil {
 		m.onArrival(t)
@@ -286,9 +286,9 @@
 	m.work(r, t, sent)
 }
 
-func (m *backoffModel) reject(r *modelRequest, t *modelTarget, w availability.SelfReport) {
+func (m *backoffModel) reject(r *modelRequest, t *modelTarget, report availability.SelfReport) {
 	m.after(m.delay(m.poolHall[r.pool], m.hallOf[t.id]), func() {
-		m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, SelfReport: w}))
+		m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, SelfReport: report}))
 		r.attempts++
 		if r.attempts >= 2 {
 			m.refuse(r, 20*time.Millisecond)
@@ -301,8 +301,8 @@
 
 func (m *backoffModel) work(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	t.busy++
-	began := m.now
-	back := m.delay(m.hallOf[t.id], m.poolHall[r.pool]) - modelHallDelay
+	startedAt := m.now
+	returnDelay := m.delay(m.hallOf[t.id], m.poolHall[r.pool]) - modelHallDelay
 	m.after(t.timeFor(r.key), func() {
 		t.busy--
 		if len(t.queue) > 0 {
@@ -310,13 +310,13 @@
 			t.queue = t.queue[1:]
 			next()
 		}
-		if m.now.Add(back).Sub(r.began) <= modelObjective {
+		if m.now.Add(returnDelay).Sub(r.began) <= modelObjective {
 			m.inTime++
 		}
-		report := &upstream.LoadReport{Running: t.busy, Waiting: len(t.queue), Slots: modelSlots}
-		word := m.reportOf(t)
-		m.after(back, func() {
-			m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Answered, LoadReport: report, SelfReport: word, Latency: m.now.Sub(began), SendState: sent}))
+		load := &upstream.LoadReport{Running: t.busy, Waiting: len(t.queue), Slots: modelSlots}
+		report := m.reportOf(t)
+		m.after(returnDelay, func() {
+			m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Answered, LoadReport: load, SelfReport: report, Latency: m.now.Sub(startedAt), SendState: sent}))
 		})
 	})
 }
@@ -324,15 +324,15 @@
 // timeFor returns the service time of a request, which is shorter if the target has the object
 // cached.
 func (t *modelTarget) timeFor(key string) time.Duration {
-	for i, known := range t.recent {
+	for i, known := range t.cached {
 		if known == key {
-			t.recent = append(append(t.recent[:i:i], t.recent[i+1:]...), key)
+			t.cached = append(append(t.cached[:i:i], t.cached[i+1:]...), key)
 			return modelWarm
 		}
 	}
-	t.recent = append(t.recent, key)
-	if len(t.recent) > modelCacheSize {
-		t.recent = t.recent[1:]
+	t.cached = append(t.cached, key)
+	if len(t.cached) > modelCacheSize {
+		t.cached = t.cached[1:]
 	}
 	return modelCold
 }
@@ -352,34 +352,34 @@
 	// served is the fraction of requests that were not finally refused. inTime is the fraction that
 	// was answered within the objective.
 	served, inTime float64
-	// atEnd is the number of arrivals in the first 200 ms after the back-off, relative to the mean.
-	atEnd float64
+	// burst is the number of arrivals in the first 200 ms after the back-off, relative to the mean.
+	burst float64
 }
 
 // simulateBackoff makes some targets request a back-off of three seconds.
-func simulateBackoff(seed uint64, instances, targets, resting int, change ...func(*backoffModel)) backoffOutcome {
-	const rest, settle, watched, window = 3 * time.Second, 20 * time.Second, 10 * time.Second, 200 * time.Millisecond
+func simulateBackoff(seed uint64, instances, targets, backingOff int, change ...func(*backoffModel)) backoffOutcome {
+	const backoff, settle, period, window = 3 * time.Second, 20 * time.Second, 10 * time.Second, 200 * time.Millisecond
 	m := newBackoffModel(seed, instances, targets)
 	for _, f := range change {
 		f(m)
 	}
 	rate := modelUtilization * float64(targets) * modelSlots / modelWarm.Seconds()
 	from := start.Add(settle)
-	m.requestBackoff(resting, from, from.Add(rest), rest)
-	m.load(rate, from.Add(2*watched))
+	m.requestBackoff(backingOff, from, from.Add(backoff), backoff)
+	m.load(rate, from.Add(2*period))
 	m.run(from)
 	sent, refused, inTime := m.sent, m.refused, m.inTime
-	m.run(from.Add(watched))
+	m.run(from.Add(period))
 	all := float64(m.sent - sent)
 	return backoffOutcome{
 		served: 1 - float64(m.refused-refused)/all,
 		inTime: float64(m.inTime-inTime) / all,
-		atEnd:  float64(m.within(from.Add(rest), window)) / (rate * window.Seconds()),
+		burst:  float64(m.arrivalsWithin(from.Add(backoff), window)) / (rate * window.Seconds()),
 	}
 }
 
-// within returns the number of arrivals in a span from the given time.
-func (m *backoffModel) within(from time.Time, length time.Duration) int {
+// arrivalsWithin returns the number of arrivals in a span from the given time.
+func (m *backoffModel) arrivalsWithin(from time.Time, length time.Duration) int {
 	n := 0
 	for _, at := range m.arrivals {
 		if !at.Before(from) && at.Before(from.Add(length)) {
@@ -413,7 +413,7 @@
 			obedient := simulateBackoff(seed, n, 24, 24, func(m *backoffModel) { m.obedient = true })
 			early := simulateBackoff(seed, n, 24, 24)
 			t.Logf("%d instances: %+v, with clients that retry within a third of their remaining time: %+v", n, obedient, early)
-			require.LessOrEqual(t, obedient.atEnd, 2.0)
+			require.LessOrEqual(t, obedient.burst, 2.0)
 		}
 	}
 }
--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -67,9 +67,9 @@
 	for _, n := range []int{1000, 6474, 10000} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			p := newPool()
-			p.SetTargets(start, spread(n/4), nil)
+			p.SetTargets(start, specsInEachHall(n/4), nil)
 			spec := &catalog.Target{ID: "t", Service: "s", Addr: "x", Hall: "a1", Slots: 5}
-			leaving := altered(spec, func(s *catalog.Target) { s.Leaves = true })
+			leaving := changedSpec(spec, func(s *catalog.Target) { s.Leaves = true })
 			b.ReportAllocs()
 			for b.Loop() {
 				p.ChangeTargets(start, []*catalog.Target{spec}, nil, nil)
--- a/upstream/cache_model.go
+++ b/upstream/cache_model.go
@@ -52,11 +52,11 @@
 }
 
 // hitProbability returns the probability that a target has an object.
-func (w *cacheModel) hitProbability(known, first bool) float64 {
+func (w *cacheModel) hitProbability(known, firstChoice bool) float64 {
 	switch {
 	case known:
 		return 1
-	case first:
+	case firstChoice:
 		return w.firstHitRate
 	default:
 		return w.otherHitRate
@@ -66,29 +66,29 @@
 // observe updates the model by the latency of a response. It returns the latency as a multiple of
 // the warm latency, or 0 if the latency does not show how fast the target is, as after a cache
 // miss.
-func (w *cacheModel) observe(sent SendState, took time.Duration) float64 {
-	unloaded := took.Seconds() / max(1, sent.Load)
+func (w *cacheModel) observe(sent SendState, latency time.Duration) float64 {
+	unloaded := latency.Seconds() / max(1, sent.Load)
 	if sent.KeyKnown && w.warmLatency == 0 {
 		w.warmLatency = unloaded
 	}
 	if w.warmLatency == 0 {
 		return 0
 	}
-	times := unloaded / w.warmLatency
+	ratio := unloaded / w.warmLatency
 	if sent.KeyKnown {
-		slow := unloaded / max(w.warmLatency, schedulingDelay)
-		w.warmLatency += modelWeight * (min(times, maxLatencyFactor) - 1) * w.warmLatency
-		return slow
+		factor := unloaded / max(w.warmLatency, schedulingDelay)
+		w.warmLatency += modelWeight * (min(ratio, maxLatencyFactor) - 1) * w.warmLatency
+		return factor
 	}
-	fast := 0.0
-	if times < warmLatencyFactor {
-		fast = 1
+	hit := 0.0
+	if ratio < warmLatencyFactor {
+		hit = 1
 	}
-	part := &w.otherHitRate
+	rate := &w.otherHitRate
 	if sent.FirstChoice {
-		part = &w.firstHitRate
+		rate = &w.firstHitRate
 	}
-	*part += modelWeight * (fast - *part)
+	*rate += modelWeight * (hit - *rate)
 	return 0
 }
 
--- a/upstream/choose.go
+++ b/upstream/choose.go
@@ -194,11 +194,11 @@
 
 // warmProbability returns the probability that a target has the object of a request, 1 for requests
 // without an object.
-func (p *Pool) warmProbability(now time.Time, r *Request, t *target, first bool) float64 {
+func (p *Pool) warmProbability(now time.Time, r *Request, t *target, firstChoice bool) float64 {
 	if !r.Sticky {
 		return 1
 	}
-	return p.cacheModel.hitProbability(t.hasKey(now, r.Key), first)
+	return p.cacheModel.hitProbability(t.hasKey(now, r.Key), firstChoice)
 }
 
 // full reports whether a target takes no more requests whose object it has with the probability
--- a/upstream/event.go
+++ b/upstream/event.go
@@ -53,10 +53,10 @@
 	switch {
 	case after.replaced && !before.replaced:
 		event.Kind = EventReplaced
-	case after.leaves && !before.leaves:
+	case after.leaving && !before.leaving:
 		event.Kind = EventLeaving
-	case after.restUntil.After(before.restUntil):
-		event.Kind, event.Until = EventBackoff, after.restUntil
+	case after.backoffUntil.After(before.backoffUntil):
+		event.Kind, event.Until = EventBackoff, after.backoffUntil
 	case after.suspectUntil.After(before.suspectUntil):
 		event.Kind, event.Until = EventSuspected, after.suspectUntil
 	case before.suspected && !after.suspected:
@@ -75,16 +75,16 @@
 
 // eventState is the part of a target's state whose changes are events.
 type eventState struct {
-	replaced, leaves, suspected                     bool
-	restUntil, suspectUntil, coldUntil, pausedUntil time.Time
+	replaced, leaving, suspected                       bool
+	backoffUntil, suspectUntil, coldUntil, pausedUntil time.Time
 }
 
 func (t *target) eventState() eventState {
 	return eventState{
 		replaced:     t.state.Replaced(),
-		leaves:       t.state.AnnouncedLeaving(),
+		leaving:      t.state.AnnouncedLeaving(),
 		suspected:    t.stats.suspectBackoff > 0,
-		restUntil:    t.state.BackoffUntil(),
+		backoffUntil: t.state.BackoffUntil(),
 		suspectUntil: t.state.SuspectedUntil(),
 		coldUntil:    t.coldUntil,
 		pausedUntil:  t.state.PausedUntil(),
--- a/upstream/memory_test.go
+++ b/upstream/memory_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// heap returns the bytes in use after garbage collection.
-func heap() int64 {
+// heapInUse returns the bytes in use after garbage collection.
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -27,11 +27,11 @@
 		bound   = 6 << 20 / 14_280
 	)
 	now := time.Unix(1_000_000, 0)
-	_, specs := placedPool(now, targets)
-	before := heap()
+	_, specs := newPlacedPool(now, targets)
+	before := heapInUse()
 	p := NewPool(Config{Service: "s", Self: "n1", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a", "a2": "a", "b1": "b"}})
 	p.SetTargets(now, specs, nil)
-	used := heap() - before
+	used := heapInUse() - before
 	t.Logf("%d bytes per target", used/targets)
 	require.Less(t, used/targets, int64(bound))
 	runtime.KeepAlive(specs)
@@ -42,7 +42,7 @@
 // that memory does not grow with every target that requests were ever sent to.
 func TestIdleTargetStatsExpire(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := placedPool(now, 100)
+	p, _ := newPlacedPool(now, 100)
 	sent := sendMany(t, now, p, 200)
 	require.NotEmpty(t, sent)
 	require.Len(t, p.activeTargets, len(sent))
--- a/upstream/next_available.go
+++ b/upstream/next_available.go
@@ -9,10 +9,10 @@
 
 // nextAvailable describes when the first of a request's targets becomes usable while none is.
 type nextAvailable struct {
-	// any is true if at least one target is in service.
-	any   bool
-	cause availability.Cause
-	until time.Time
+	// inService is true if at least one target is in service.
+	inService bool
+	cause     availability.Cause
+	until     time.Time
 }
 
 // nextAvailableFor returns when the first of the request's targets becomes usable. It returns false
@@ -20,7 +20,7 @@
 // already sent to cannot run it again, but counts for the time after which the caller should retry.
 func (p *Pool) nextAvailableFor(now time.Time, r *Request) (nextAvailable, bool) {
 	var first nextAvailable
-	if held := p.versions.heldUntil; !held.IsZero() && held.Sub(now) <= r.QueueTimeout {
+	if heldUntil := p.versions.heldUntil; !heldUntil.IsZero() && heldUntil.Sub(now) <= r.QueueTimeout {
 		return nextAvailable{}, false
 	}
 	soon := false
@@ -30,8 +30,8 @@
 		}
 		cause, until := t.availableAt(now)
 		soon = !r.wasTried(t.spec.ID) && until.Sub(now) <= r.QueueTimeout
-		if !first.any || until.Before(first.until) {
-			first = nextAvailable{any: true, cause: cause, until: until}
+		if !first.inService || until.Before(first.until) {
+			first = nextAvailable{inService: true, cause: cause, until: until}
 		}
 	})
 	if soon {
@@ -44,7 +44,7 @@
 // that keeps requests from it until then. The time is now, since it may be any moment, if a request
 // is probing the target or if the target is cold and its quota is used up.
 func (t *target) availableAt(now time.Time) (availability.Cause, time.Time) {
-	verdict := t.judge(now)
+	verdict := t.checkUsable(now)
 	if verdict.OK() && !t.permitted(now) {
 		return availability.CauseRateLimited, later(now, t.permits.DeniedUntil(t.rateLimit.name))
 	}
@@ -85,12 +85,12 @@
 // timeout, and tells the caller when the first one will. Queueing such a request would only keep
 // the caller from trying elsewhere. The result is false if the request is not refused.
 func (p *Pool) RefuseIfUnavailable(now time.Time, r Request) (Decision, bool) {
-	first, known := p.nextAvailableFor(now, &r)
-	if !known {
+	first, unavailable := p.nextAvailableFor(now, &r)
+	if !unavailable {
 		return Decision{}, false
 	}
 	refusal := Decision{Action: Refuse, Reason: ReasonNoTarget, RetryAfter: p.retryAfter(r.ID)}
-	if !first.any {
+	if !first.inService {
 		return refusal, true
 	}
 	left := first.until.Sub(now)
@@ -101,8 +101,8 @@
 		refusal.RetryAfter = max(refusal.RetryAfter, left)
 		return refusal, true
 	}
-	drawn := mix.Unit(mix.Join(r.ID, mix.Join(p.salt, p.salt)))
+	draw := mix.Unit(mix.Join(r.ID, mix.Join(p.salt, p.salt)))
 	refusal.Reason = ReasonBackoff
-	refusal.RetryAfter += left + time.Duration(drawn*float64(retrySpread(r.Priority, left)))
+	refusal.RetryAfter += left + time.Duration(draw*float64(retrySpread(r.Priority, left)))
 	return refusal, true
 }
--- a/upstream/placement.go
+++ b/upstream/placement.go
@@ -62,15 +62,15 @@
 // place lists a target in its current region and cohort, or removes it from its list, and updates
 // the counts.
 func (p *Pool) place(now time.Time, t *target) {
-	side, in := p.cohortOf(t), (*regionTargets)(nil)
+	c, listedIn := p.cohortOf(t), (*regionTargets)(nil)
 	if p.mayList(now, t) {
-		in = t.region
+		listedIn = t.region
 	}
-	if in != t.placement.listedIn || side != t.cohort {
+	if listedIn != t.placement.listedIn || c != t.cohort {
 		p.unplace(t)
-		t.cohort = side
-		if in != nil {
-			in.insert(t)
+		t.cohort = c
+		if listedIn != nil {
+			listedIn.insert(t)
 		}
 	}
 	p.count(t)
@@ -78,21 +78,21 @@
 
 // unplace removes a target from its list.
 func (p *Pool) unplace(t *target) {
-	in := t.placement.listedIn
-	if in == nil {
+	listedIn := t.placement.listedIn
+	if listedIn == nil {
 		return
 	}
-	in.remove(t)
+	listedIn.remove(t)
 	p.countAs(t, placement{})
 }
 
 // count updates the counts for a target that may have entered or left service.
 func (p *Pool) count(t *target) {
-	now := placement{listedIn: t.placement.listedIn}
-	if now.listedIn != nil && t.inService() {
-		now.serving, now.slots = true, float64(t.spec.Slots)
+	current := placement{listedIn: t.placement.listedIn}
+	if current.listedIn != nil && t.inService() {
+		current.serving, current.slots = true, float64(t.spec.Slots)
 	}
-	p.countAs(t, now)
+	p.countAs(t, current)
 }
 
 // countAs replaces the contribution of a target to the counts.
--- a/upstream/placement_test.go
+++ b/upstream/placement_test.go
@@ -17,14 +17,14 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// placedPool returns a pool of n targets in the halls a1, a2 and b1, and the targets' specs.
-func placedPool(now time.Time, n int) (*Pool, []*catalog.Target) {
+// newPlacedPool returns a pool of n targets in the halls a1, a2 and b1, and the targets' specs.
+func newPlacedPool(now time.Time, n int) (*Pool, []*catalog.Target) {
 	halls := map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 	p := NewPool(Config{Service: "s", Self: "n1", Hall: "a1", Region: "a", RegionOf: halls, ShiftStep: 0.1, ShiftWindow: 2 * time.Second})
 	specs := make([]*catalog.Target, n)
 	for i := range specs {
 		id := fmt.Sprintf("i-%08x", uint32(i)*2654435761)
-		specs[i] = versioned(id, []string{"a1", "a2", "b1"}[i%3], "v1")
+		specs[i] = versionedSpec(id, []string{"a1", "a2", "b1"}[i%3], "v1")
 	}
 	p.SetTargets(now, specs, nil)
 	return p, specs
@@ -34,12 +34,12 @@
 // removing a target among n targets.
 func changeCost(n int) (time.Duration, int64) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := placedPool(now, n)
+	p, _ := newPlacedPool(now, n)
 	least := time.Hour
 	result := testing.Benchmark(func(b *testing.B) {
 		b.ReportAllocs()
 		for i := range b.N {
-			spec, leaving := versioned(fmt.Sprint("k", i%50), "a1", "v1"), versioned(fmt.Sprint("k", i%50), "a1", "v1")
+			spec, leaving := versionedSpec(fmt.Sprint("k", i%50), "a1", "v1"), versionedSpec(fmt.Sprint("k", i%50), "a1", "v1")
 			leaving.Leaves = true
 			began := time.Now()
 			p.ChangeTargets(now, []*catalog.Target{spec}, nil, nil)
@@ -119,12 +119,12 @@
 func TestPlacementMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
-		p, _ := placedPool(now, 3)
+		p, _ := newPlacedPool(now, 3)
 		p.config.HoldNewVersions = rapid.Bool().Draw(t, "holds new")
 		id := func() string { return fmt.Sprint("t", rapid.IntRange(0, 7).Draw(t, "target")) }
 		hash := func() availability.ID { return availability.ID(affinity.Hash(id())) }
 		spec := func() *catalog.Target {
-			s := versioned(id(), rapid.SampledFrom([]string{"a1", "a2", "b1"}).Draw(t, "hall"), rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version"))
+			s := versionedSpec(id(), rapid.SampledFrom([]string{"a1", "a2", "b1"}).Draw(t, "hall"), rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version"))
 			s.Leaves, s.Drained = rapid.Bool().Draw(t, "leaves"), rapid.Bool().Draw(t, "drained")
 			s.Slots = rapid.IntRange(1, 3).Draw(t, "slots")
 			return s
@@ -159,9 +159,9 @@
 				}
 				d := sent[0]
 				sent = sent[1:]
-				word := availability.SelfReport{Leaving: rapid.Bool().Draw(t, "leaves")}
+				report := availability.SelfReport{Leaving: rapid.Bool().Draw(t, "leaves")}
 				outcome := rapid.SampledFrom([]Outcome{Answered, Replaced, Unreachable}).Draw(t, "outcome")
-				p.Release(now, d.Target.ID, Result{Outcome: outcome, SelfReport: word, SendState: d.SendState, Latency: time.Millisecond})
+				p.Release(now, d.Target.ID, Result{Outcome: outcome, SelfReport: report, SendState: d.SendState, Latency: time.Millisecond})
 			},
 			"wait": func(*rapid.T) {
 				now = now.Add(unorderedHold / 2)
--- a/upstream/plan.go
+++ b/upstream/plan.go
@@ -101,7 +101,7 @@
 	homeWorkFactor = 2.0
 	// minFreeFraction is the fraction of a region's slots that counts as free regardless of the
 	// home-bound requests.
-	minFreePart = 0.02
+	minFreeFraction = 0.02
 )
 
 // freeSlots returns for each region the slots that home-bound requests leave to requests that may
@@ -118,7 +118,7 @@
 	work := 1 - bound + homeWorkFactor*bound
 	free := make(map[string]float64, len(slots))
 	for region, n := range slots {
-		free[region] = max(minFreePart*n, n-total*homeWorkFactor*p.homeShares[region]/work)
+		free[region] = max(minFreeFraction*n, n-total*homeWorkFactor*p.homeShares[region]/work)
 	}
 	return free
 }
@@ -134,15 +134,15 @@
 // requests counts.
 func (p *Pool) regionSlots(r *Request) map[string]float64 {
 	slots := make(map[string]float64, len(p.sortedRegions))
-	most := p.majorityCohort()
-	for _, in := range p.sortedRegions {
-		counts := in.serving[most]
-		if counts.targets > 0 && r.allows(in.name) {
-			slots[in.name] = counts.slots
+	majority := p.majorityCohort()
+	for _, region := range p.sortedRegions {
+		counts := region.serving[majority]
+		if counts.targets > 0 && r.allows(region.name) {
+			slots[region.name] = counts.slots
 		}
 	}
 	for _, t := range p.limitedTargets {
-		if t.placement.serving && t.cohort == most && r.allows(t.region.name) {
+		if t.placement.serving && t.cohort == majority && r.allows(t.region.name) {
 			slots[t.region.name] -= t.placement.slots - t.capacity(p.typicalLatency)
 		}
 	}
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -225,8 +225,8 @@
 // retryAfter returns the time after which a refused request should be retried. The ID of a request
 // spreads the retries of one instance evenly.
 func (p *Pool) retryAfter(id uint64) time.Duration {
-	times := minRetryFactor + (maxRetryFactor-minRetryFactor)*mix.Unit(mix.Join(id, p.salt))
-	return time.Duration(times * float64(max(p.typicalLatency, minTypicalLatency)))
+	factor := minRetryFactor + (maxRetryFactor-minRetryFactor)*mix.Unit(mix.Join(id, p.salt))
+	return time.Duration(factor * float64(max(p.typicalLatency, minTypicalLatency)))
 }
 
 // Release ends an attempt on the target with the given ID and returns the grants and refusals that
@@ -280,7 +280,7 @@
 func (p *Pool) ApplyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	p.departures.Expire(now)
 	p.departures.Merge(now, departures)
-	var fresh []string
+	var newlyLeaving []string
 	for _, d := range departures {
 		t := p.byHash[d.ID]
 		if t == nil {
@@ -288,12 +288,12 @@
 		}
 		before := t.eventState()
 		if t.state.SetLeaving(now.Add(-d.Age), source) {
-			fresh = append(fresh, t.spec.ID)
+			newlyLeaving = append(newlyLeaving, t.spec.ID)
 			p.recordEvent(t, before, Answered)
 			p.count(t)
 		}
 	}
-	return fresh
+	return newlyLeaving
 }
 
 // observeLatency updates the cache model and the target's slowness from the latency of a response.
@@ -301,17 +301,17 @@
 	if r.Outcome != Answered {
 		return
 	}
-	times := p.cacheModel.observe(r.SendState, r.Latency)
-	if times > 0 {
-		t.stats.slow.observe(times)
+	factor := p.cacheModel.observe(r.SendState, r.Latency)
+	if factor > 0 {
+		t.stats.slow.observe(factor)
 	}
 }
 
-// typicalWeight is the weight of a new response in the typical latency.
-const typicalWeight = 0.02
+// typicalLatencyWeight is the weight of a new response in the typical latency.
+const typicalLatencyWeight = 0.02
 
-func (p *Pool) updateTypicalLatency(took time.Duration) {
-	p.typicalLatency += time.Duration(typicalWeight * float64(took-p.typicalLatency))
+func (p *Pool) updateTypicalLatency(latency time.Duration) {
+	p.typicalLatency += time.Duration(typicalLatencyWeight * float64(latency-p.typicalLatency))
 }
 
 // Cancel removes a request from the queue. It reports whether the request was queued.
@@ -332,18 +332,18 @@
 func (p *Pool) dispatch(now time.Time) []Grant {
 	p.endHold(now)
 	var grants []Grant
-	kept := p.queue.waiting[:0]
-	for _, w := range p.queue.waiting {
-		c := p.choose(now, &w)
+	waiting := p.queue.waiting[:0]
+	for _, r := range p.queue.waiting {
+		c := p.choose(now, &r)
 		switch {
 		case c.found:
-			grants = append(grants, Grant{ID: w.ID, Decision: p.send(now, &w, c)})
-		case now.Sub(w.arrivedAt) >= w.QueueTimeout || now.Add(p.typicalLatency).After(w.Deadline):
-			grants = append(grants, Grant{ID: w.ID, Decision: p.refuse(now, &w, c.reason)})
+			grants = append(grants, Grant{ID: r.ID, Decision: p.send(now, &r, c)})
+		case now.Sub(r.arrivedAt) >= r.QueueTimeout || now.Add(p.typicalLatency).After(r.Deadline):
+			grants = append(grants, Grant{ID: r.ID, Decision: p.refuse(now, &r, c.reason)})
 		default:
-			kept = append(kept, w)
+			waiting = append(waiting, r)
 		}
 	}
-	p.queue.waiting = kept
+	p.queue.waiting = waiting
 	return grants
 }
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -12,11 +12,11 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-var halls = map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}
+var regionOfHall = map[string]string{"a1": "a", "a2": "a", "b1": "b", "c1": "c"}
 
 func newPool() *upstream.Pool {
 	p := upstream.NewPool(upstream.Config{
-		Service: "s", Self: "i1", Hall: "a1", Region: "a", RegionOf: halls,
+		Service: "s", Self: "i1", Hall: "a1", Region: "a", RegionOf: regionOfHall,
 		ShiftStep: 0.09, ShiftWindow: 2 * time.Second,
 	})
 	p.SetService(catalog.Service{Warmup: 3 * time.Second, WarmupRate: 11})
@@ -24,15 +24,15 @@
 	return p
 }
 
-// altered returns a changed copy of a target's spec.
-func altered(spec *catalog.Target, change func(*catalog.Target)) *catalog.Target {
+// changedSpec returns a changed copy of a target's spec.
+func changedSpec(spec *catalog.Target, change func(*catalog.Target)) *catalog.Target {
 	other := *spec
 	change(&other)
 	return &other
 }
 
-// spread returns n targets in each hall.
-func spread(n int) []*catalog.Target {
+// specsInEachHall returns n targets in each hall.
+func specsInEachHall(n int) []*catalog.Target {
 	var out []*catalog.Target
 	for _, hall := range []string{"a1", "a2", "b1", "c1"} {
 		for i := range n {
@@ -50,7 +50,7 @@
 
 func TestKeyKeepsItsTarget(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(3), nil)
+	p.SetTargets(start, specsInEachHall(3), nil)
 	first := map[string]string{}
 	for round := range 5 {
 		for i := range 30 {
@@ -70,7 +70,7 @@
 // target would then need more objects than it can cache.
 func TestKeyStaysWithinTwoTargets(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(6), nil)
+	p.SetTargets(start, specsInEachHall(6), nil)
 	used := map[string]bool{}
 	for range 100 {
 		d := p.Acquire(start, request("k"))
@@ -81,13 +81,13 @@
 	require.Len(t, used, 2)
 }
 
-// poolAt returns the pool of an instance in a hall.
-func poolAt(hall string) *upstream.Pool {
+// newPoolIn returns the pool of an instance in a hall.
+func newPoolIn(hall string) *upstream.Pool {
 	p := upstream.NewPool(upstream.Config{
-		Service: "s", Self: "i-" + hall, Hall: hall, Region: halls[hall], RegionOf: halls,
+		Service: "s", Self: "i-" + hall, Hall: hall, Region: regionOfHall[hall], RegionOf: regionOfHall,
 		ShiftStep: 0.09, ShiftWindow: 2 * time.Second,
 	})
-	p.SetTargets(start, spread(4), nil)
+	p.SetTargets(start, specsInEachHall(4), nil)
 	return p
 }
 
@@ -95,7 +95,7 @@
 // target, so that only one target loads the object. Requests that move many bytes are the exception
 // and stay in their hall.
 func TestOneTargetForLightKeys(t *testing.T) {
-	one, other := poolAt("a1"), poolAt("a2")
+	one, other := newPoolIn("a1"), newPoolIn("a2")
 	run := func(p *upstream.Pool, r upstream.Request) upstream.Choice {
 		d := p.Acquire(start, r)
 		p.Release(start, d.Target.ID, upstream.Result{Latency: time.Millisecond})
@@ -122,7 +122,7 @@
 // only when the wait there is about as long as a request, since traffic between halls is expensive.
 func TestOwnHallFirst(t *testing.T) {
 	p := newPool()
-	specs := spread(1)
+	specs := specsInEachHall(1)
 	p.SetTargets(start, specs, nil)
 	slots := specs[0].Slots
 	for range 2*slots - 1 {
@@ -140,7 +140,7 @@
 // do they go to a target without the object.
 func TestSecondTargetTakesOver(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(3), nil)
+	p.SetTargets(start, specsInEachHall(3), nil)
 	first := p.Acquire(start, heavyRequest("k")).Target
 	require.Equal(t, "a1", first.Hall)
 	for range 8 {
@@ -161,15 +161,15 @@
 func TestUnusableTargetsGetNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool()
-		specs := spread(2)
+		specs := specsInEachHall(2)
 		evacuated := map[string]bool{}
-		for hall := range halls {
+		for hall := range regionOfHall {
 			evacuated[hall] = rapid.IntRange(0, 3).Draw(t, hall) == 0
 		}
 		for i := range specs {
 			specs[i].Leaves = rapid.IntRange(0, 3).Draw(t, "leaves") == 0
 		}
-		p.SetTargets(start, spread(2), nil)
+		p.SetTargets(start, specsInEachHall(2), nil)
 		p.SetTargets(start, specs, evacuated)
 		replaced := map[string]bool{}
 		byID := map[string]*catalog.Target{}
@@ -201,12 +201,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		stepwise := newPool()
 		held := map[string]*catalog.Target{}
-		all := spread(3)
+		all := specsInEachHall(3)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			var changed []*catalog.Target
 			var gone []string
 			for range rapid.IntRange(1, 6).Draw(t, "changes") {
-				spec := altered(all[rapid.IntRange(0, len(all)-1).Draw(t, "target")], func(s *catalog.Target) {
+				spec := changedSpec(all[rapid.IntRange(0, len(all)-1).Draw(t, "target")], func(s *catalog.Target) {
 					s.Leaves = rapid.IntRange(0, 4).Draw(t, "leaves") == 0
 				})
 				changed = append(changed, spec)
@@ -248,7 +248,7 @@
 			p.SetTargets(start, specs, nil)
 			var again []*catalog.Target
 			for _, spec := range specs {
-				again = append(again, altered(spec, func(s *catalog.Target) { s.ColdFor = 3 * time.Second }))
+				again = append(again, changedSpec(spec, func(s *catalog.Target) { s.ColdFor = 3 * time.Second }))
 			}
 			p.SetTargets(start, again, nil)
 		},
@@ -260,7 +260,7 @@
 	for name, prepare := range cases {
 		t.Run(name, func(t *testing.T) {
 			p := newPool()
-			prepare(p, spread(1))
+			prepare(p, specsInEachHall(1))
 			sent := map[string][]time.Time{}
 			id := uint64(0)
 			for now := start; now.Before(start.Add(3 * time.Second)); now = now.Add(7 * time.Millisecond) {
@@ -293,7 +293,7 @@
 func TestInFlightIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool()
-		p.SetTargets(start, spread(1), nil)
+		p.SetTargets(start, specsInEachHall(1), nil)
 		now, id := start, uint64(0)
 		inFlight := map[string]int{}
 		had := map[[2]string]bool{}
@@ -349,7 +349,7 @@
 
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(1)[:1], nil)
+	p.SetTargets(start, specsInEachHall(1)[:1], nil)
 	full := 0
 	for d := p.Acquire(start, request("k")); d.Action == upstream.Send; d = p.Acquire(start, request("k")) {
 		full++
@@ -368,7 +368,7 @@
 
 func TestSuspicion(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(1)[:2], nil)
+	p.SetTargets(start, specsInEachHall(1)[:2], nil)
 	d := p.Acquire(start, request("k"))
 	p.Release(start, d.Target.ID, upstream.Result{Outcome: upstream.Unreachable})
 	other := p.Acquire(start, request("k"))
@@ -387,7 +387,7 @@
 	for _, n := range []int{3, 18, 93} {
 		b.Run(fmt.Sprintf("targets=%d", 4*n), func(b *testing.B) {
 			p := newPool()
-			p.SetTargets(start, spread(n), nil)
+			p.SetTargets(start, specsInEachHall(n), nil)
 			r := request("r-abc/17")
 			b.ReportAllocs()
 			for b.Loop() {
@@ -403,7 +403,7 @@
 // requests return afterwards.
 func TestSlowTargetIsAvoided(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(6), nil)
+	p.SetTargets(start, specsInEachHall(6), nil)
 	now := start
 	ask := func(key string, took time.Duration) string {
 		now = now.Add(100 * time.Millisecond)
--- a/upstream/rate_limit.go
+++ b/upstream/rate_limit.go
@@ -98,9 +98,9 @@
 	known, ok := p.rateLimits[availability.ID(t.hash)]
 	switch {
 	case !ok:
-		had := t.rateLimit != nil
+		wasLimited := t.rateLimit != nil
 		p.setRateLimit(t, nil)
-		return had
+		return wasLimited
 	case t.rateLimit == nil:
 		name := ratelimit.HallLimitName(t.spec.Hall, t.spec.ID)
 		p.setRateLimit(t, &rateLimit{perSecond: known.PerSecond, name: name, source: source, since: now.Add(-known.Age)})
@@ -130,9 +130,9 @@
 func (p *Pool) LimitedTargets(now time.Time) []LimitedTarget {
 	var out []LimitedTarget
 	for _, t := range p.limitedTargets {
-		got, used, owner := p.permits.Rates(now, t.rateLimit.name)
+		permitRate, usedRate, owner := p.permits.Rates(now, t.rateLimit.name)
 		out = append(out, LimitedTarget{ID: t.spec.ID, Hall: t.spec.Hall, PerSecond: t.rateLimit.perSecond, Source: t.rateLimit.source,
-			Since: t.rateLimit.since, Owner: owner, PermitRate: got, UsedRate: used})
+			Since: t.rateLimit.since, Owner: owner, PermitRate: permitRate, UsedRate: usedRate})
 	}
 	return out
 }
@@ -165,9 +165,9 @@
 	if t.rateLimit == nil {
 		return time.Time{}
 	}
-	until, asks, _ := p.permits.TryAcquire(now, t.rateLimit.name)
-	p.permitRequests = append(p.permitRequests, asks...)
-	return until
+	expiry, requests, _ := p.permits.TryAcquire(now, t.rateLimit.name)
+	p.permitRequests = append(p.permitRequests, requests...)
+	return expiry
 }
 
 // returnPermit returns the permit of a request that was not sent.
@@ -179,31 +179,31 @@
 
 // ReceivePermits applies the reply of an owner to a permit request made at askedAt, and returns the
 // grants and refusals that follow.
-func (p *Pool) ReceivePermits(now, askedAt time.Time, name, from string, issue ratelimit.Grant) []Grant {
-	_, asks := p.permits.HandleReply(now, askedAt, name, from, issue)
-	p.permitRequests = append(p.permitRequests, asks...)
+func (p *Pool) ReceivePermits(now, requestedAt time.Time, name, from string, grant ratelimit.Grant) []Grant {
+	_, requests := p.permits.HandleReply(now, requestedAt, name, from, grant)
+	p.permitRequests = append(p.permitRequests, requests...)
 	return p.dispatch(now)
 }
 
 // OwnerUnreachable records that no connection to an instance could be established. Its permit
 // requests go to other owners.
 func (p *Pool) OwnerUnreachable(now time.Time, owner string) {
-	_, asks := p.permits.OwnerUnreachable(now, owner)
-	p.permitRequests = append(p.permitRequests, asks...)
+	_, requests := p.permits.OwnerUnreachable(now, owner)
+	p.permitRequests = append(p.permitRequests, requests...)
 }
 
 // TakePermitRequests returns the permit requests since the last call.
 func (p *Pool) TakePermitRequests() []ratelimit.PermitRequest {
-	asks := p.permitRequests
+	requests := p.permitRequests
 	p.permitRequests = nil
-	return asks
+	return requests
 }
 
 // TakeUnresponsiveOwners returns the owners that have timed out since the last call.
 func (p *Pool) TakeUnresponsiveOwners() []string {
-	silent := p.unresponsive
+	owners := p.unresponsive
 	p.unresponsive = nil
-	return silent
+	return owners
 }
 
 // AwaitingPermits reports whether the reply of an owner is pending.
@@ -214,9 +214,9 @@
 	if !p.permits.NeedsTick() {
 		return
 	}
-	_, asks, silent := p.permits.Tick(now)
-	p.permitRequests = append(p.permitRequests, asks...)
-	p.unresponsive = append(p.unresponsive, silent...)
+	_, requests, timedOut := p.permits.Tick(now)
+	p.permitRequests = append(p.permitRequests, requests...)
+	p.unresponsive = append(p.unresponsive, timedOut...)
 }
 
 // retryForecast forecasts when the caller of a refused request will find capacity. It assumes that
@@ -226,18 +226,18 @@
 	pendingRetries float64
 	// recentSends is the number of sent requests, decaying over sendRateWindow.
 	recentSends float64
-	at          time.Time
+	updatedAt   time.Time
 }
 
 // advance updates the forecast to the given time.
 func (f *retryForecast) advance(now time.Time) {
-	elapsed := now.Sub(f.at).Seconds()
-	if f.at.IsZero() || elapsed < 0 {
+	elapsed := now.Sub(f.updatedAt).Seconds()
+	if f.updatedAt.IsZero() || elapsed < 0 {
 		elapsed = 0
 	}
 	f.pendingRetries = max(0, f.pendingRetries-elapsed*f.rate())
 	f.recentSends = max(0, f.recentSends*(1-min(1, elapsed/sendRateWindow.Seconds())))
-	f.at = now
+	f.updatedAt = now
 }
 
 // rate returns the send rate in 1/s, at least minSendRate.
--- a/upstream/rate_limit_model_test.go
+++ b/upstream/rate_limit_model_test.go
@@ -37,14 +37,14 @@
 func newLimitModel(regionOf map[string]string, seed uint64, instances, targets int) *limitModel {
 	m := &limitModel{backoffModel: newBackoffModelIn(regionOf, seed, instances, targets), names: make(map[string]int), limits: make(map[availability.ID]float64),
 		advertised: make(map[string]float64), arrivedAt: make(map[string][]time.Time)}
-	var places []ratelimit.Instance
+	var members []ratelimit.Instance
 	for i := range instances {
 		name := fmt.Sprint("n-", i)
 		m.names[name] = i
-		places = append(places, ratelimit.Instance{Name: name, Hall: m.poolHall[i], Region: regionOf[m.poolHall[i]]})
+		members = append(members, ratelimit.Instance{Name: name, Hall: m.poolHall[i], Region: regionOf[m.poolHall[i]]})
 	}
 	for i := range instances {
-		owners := ratelimit.NewHallOwners(places[i], regionOf, places)
+		owners := ratelimit.NewHallOwners(members[i], regionOf, members)
 		m.pools[i].SetLimitOwners(owners)
 		issuer := ratelimit.NewHallIssuer(start.Add(-time.Minute), false)
 		issuer.SetOwners(start.Add(-time.Minute), owners)
@@ -70,16 +70,16 @@
 func (m *limitModel) limitOfTarget(t *modelTarget) availability.SelfReport {
 	perSecond, limited := m.advertised[t.id]
 	id := availability.IDOf(t.id)
-	known, had := m.limits[id]
-	if had != limited || known != perSecond {
+	known, wasLimited := m.limits[id]
+	if wasLimited != limited || known != perSecond {
 		m.limits[id] = perSecond
 		if !limited {
 			delete(m.limits, id)
 		}
-		told := availability.RateLimitList{{ID: id, PerSecond: perSecond, Removed: !limited}}
+		update := availability.RateLimitList{{ID: id, PerSecond: perSecond, Removed: !limited}}
 		for i := range m.pools {
 			m.after(modelLimitDelay, func() {
-				_, grants := m.pools[i].ApplyRateLimits(m.now, told, availability.SourcePeer)
+				_, grants := m.pools[i].ApplyRateLimits(m.now, update, availability.SourcePeer)
 				m.grant(i, grants)
 			})
 		}
@@ -125,9 +125,9 @@
 
 // limitOutcome summarizes the requests from limitFrom after the announcement of rate limits.
 type limitOutcome struct {
-	// most is the largest number of requests that a target got in limitWindow, relative to its
+	// peak is the largest number of requests that a target got in limitWindow, relative to its
 	// bound. used is the number of requests at limited targets relative to the sum of the limits.
-	most, used float64
+	peak, used float64
 	// served and inTime are fractions of the requests. messages is a number per second and
 	// instance.
 	served, inTime, messages float64
@@ -136,11 +136,11 @@
 // simulateLimits makes the first targets announce rate limits, as a share of their usual request
 // rate.
 func simulateLimits(regionOf map[string]string, seed uint64, instances, targets, limited int, share float64) limitOutcome {
-	const settle, lasts = 10 * time.Second, 12 * time.Second
+	const settle, duration = 10 * time.Second, 12 * time.Second
 	m := newLimitModel(regionOf, seed, instances, targets)
 	usual := modelUtilization * modelSlots / modelWarm.Seconds()
 	from := start.Add(settle)
-	m.load(usual*float64(targets), from.Add(lasts))
+	m.load(usual*float64(targets), from.Add(duration))
 	m.run(from)
 	for i := range limited {
 		m.advertised[fmt.Sprint("t-", i)] = share * usual
@@ -148,23 +148,23 @@
 	m.run(from.Add(limitFrom))
 	m.arrivedAt = make(map[string][]time.Time)
 	sent, refused, inTime, messages := m.sent, m.refused, m.inTime, m.messages
-	m.run(from.Add(lasts))
+	m.run(from.Add(duration))
 	all := float64(m.sent - sent)
-	seconds := (lasts - limitFrom).Seconds()
+	seconds := (duration - limitFrom).Seconds()
 	out := limitOutcome{served: 1 - float64(m.refused-refused)/all, inTime: float64(m.inTime-inTime) / all,
 		messages: float64(m.messages-messages) / seconds / float64(instances)}
 	sum := 0
 	for i := range limited {
-		came := m.arrivedAt[fmt.Sprint("t-", i)]
-		sum += len(came)
-		out.most = max(out.most, float64(mostIn(came, limitWindow))/(1.5*share*usual*limitWindow.Seconds()+5))
+		arrivals := m.arrivedAt[fmt.Sprint("t-", i)]
+		sum += len(arrivals)
+		out.peak = max(out.peak, float64(maxInWindow(arrivals, limitWindow))/(1.5*share*usual*limitWindow.Seconds()+5))
 	}
 	out.used = float64(sum) / (share * usual * float64(limited) * seconds)
 	return out
 }
 
-// mostIn returns the largest number of times within a span of the given length.
-func mostIn(at []time.Time, length time.Duration) int {
+// maxInWindow returns the largest number of times within a span of the given length.
+func maxInWindow(at []time.Time, length time.Duration) int {
 	most, first := 0, 0
 	for i := range at {
 		for at[i].Sub(at[first]) >= length {
@@ -190,7 +190,7 @@
 				for _, share := range []float64{0.1, 0.5, 0.9} {
 					got := simulateLimits(place.regionOf, 1, instances, 24, limited, share)
 					t.Logf("%s, %d instances, %d targets limited to %.1f: %+v", place.name, instances, limited, share, got)
-					require.LessOrEqual(t, got.most, 1.0)
+					require.LessOrEqual(t, got.peak, 1.0)
 					if limited == 24 {
 						require.GreaterOrEqual(t, got.used, 0.9)
 						continue
--- a/upstream/rate_limit_test.go
+++ b/upstream/rate_limit_test.go
@@ -31,7 +31,7 @@
 	p.SetTargets(start, specs, nil)
 	p.ApplyRateLimits(start, limits, availability.SourcePeer)
 	self := ratelimit.Instance{Name: "i1", Hall: "a1", Region: "a"}
-	p.SetLimitOwners(ratelimit.NewHallOwners(self, halls, []ratelimit.Instance{self}))
+	p.SetLimitOwners(ratelimit.NewHallOwners(self, regionOfHall, []ratelimit.Instance{self}))
 	return p
 }
 
@@ -83,10 +83,10 @@
 	p.Release(start, "t", upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: before.SendState})
 
 	self := ratelimit.Instance{Name: "i1", Hall: "a1", Region: "a"}
-	p.SetLimitOwners(ratelimit.NewHallOwners(self, halls, []ratelimit.Instance{self}))
-	waits := request("k")
-	waits.ID = 1
-	require.Equal(t, upstream.Wait, p.Acquire(start, waits).Action)
+	p.SetLimitOwners(ratelimit.NewHallOwners(self, regionOfHall, []ratelimit.Instance{self}))
+	waiting := request("k")
+	waiting.ID = 1
+	require.Equal(t, upstream.Wait, p.Acquire(start, waiting).Action)
 	asks := p.TakePermitRequests()
 	require.Len(t, asks, 1)
 	grants := p.ReceivePermits(start, asks[0].At, asks[0].Account, "i1", ratelimit.Grant{N: 1, Lifetime: time.Second})
--- a/upstream/region_test.go
+++ b/upstream/region_test.go
@@ -16,7 +16,7 @@
 func TestHomeRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool()
-		p.SetTargets(start, spread(rapid.IntRange(0, 2).Draw(t, "targets")), map[string]bool{"b1": rapid.Bool().Draw(t, "evacuated")})
+		p.SetTargets(start, specsInEachHall(rapid.IntRange(0, 2).Draw(t, "targets")), map[string]bool{"b1": rapid.Bool().Draw(t, "evacuated")})
 		homes := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 2, rapid.ID[string]).Draw(t, "homes")
 		for i := range 40 {
 			r := request(fmt.Sprint("k", i))
--- a/upstream/rejection_test.go
+++ b/upstream/rejection_test.go
@@ -18,7 +18,7 @@
 // stays in use, since its keys are cold elsewhere, until it has rejected several requests in a row.
 func TestRejectionWithFreeSlots(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(3), nil)
+	p.SetTargets(start, specsInEachHall(3), nil)
 	first := p.Acquire(start, request("k")).Target.ID
 	reject(p, start, first)
 	for range 3 {
@@ -40,9 +40,9 @@
 // moment.
 func TestRejectionWhenFull(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(3), nil)
+	p.SetTargets(start, specsInEachHall(3), nil)
 	first := p.Acquire(start, request("k")).Target.ID
-	for range spread(3)[0].Slots {
+	for range specsInEachHall(3)[0].Slots {
 		require.Equal(t, first, p.Acquire(start, request("k")).Target.ID)
 	}
 	reject(p, start, first)
@@ -53,7 +53,7 @@
 // to 3.5 typical latencies.
 func TestRetryAfterIsSpread(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(1)[:1], nil)
+	p.SetTargets(start, specsInEachHall(1)[:1], nil)
 	for p.Acquire(start, request("k")).Action == upstream.Send {
 	}
 	for id := range uint64(200) {
--- a/upstream/self_report_test.go
+++ b/upstream/self_report_test.go
@@ -21,8 +21,8 @@
 const maxTypicalRetryAfter = 700 * time.Millisecond
 
 // withSelfReport returns the result of an attempt whose response contains a self-report.
-func withSelfReport(outcome upstream.Outcome, w availability.SelfReport) upstream.Result {
-	return upstream.Result{Outcome: outcome, SelfReport: w, Latency: time.Millisecond}
+func withSelfReport(outcome upstream.Outcome, report availability.SelfReport) upstream.Result {
+	return upstream.Result{Outcome: outcome, SelfReport: report, Latency: time.Millisecond}
 }
 
 // firstOf returns the target that a key is granted, and releases it. It returns "" if there is
@@ -40,13 +40,13 @@
 // regardless of the outcome of the attempt that carried it.
 func TestSelfReportAppliesToEveryOutcome(t *testing.T) {
 	for _, outcome := range []upstream.Outcome{upstream.Answered, upstream.Rejected, upstream.Broken, upstream.Abandoned} {
-		for name, word := range map[string]availability.SelfReport{"leaving": leavingReport, "back-off": backoffReport} {
+		for name, report := range map[string]availability.SelfReport{"leaving": leavingReport, "back-off": backoffReport} {
 			t.Run(outcome.String()+" "+name, func(t *testing.T) {
 				p := newPool()
-				p.SetTargets(start, spread(3), nil)
+				p.SetTargets(start, specsInEachHall(3), nil)
 				first := p.Acquire(start, request("k")).Target.ID
 				require.True(t, p.MaySend(start, first, upstream.SendState{}))
-				p.Release(start, first, withSelfReport(outcome, word))
+				p.Release(start, first, withSelfReport(outcome, report))
 				require.False(t, p.MaySend(start, first, upstream.SendState{}), "a request that was granted the target before")
 				second := firstOf(p, start, "k")
 				require.NotEqual(t, first, second)
@@ -60,7 +60,7 @@
 // and return when the back-off ends.
 func TestKeysReturnAfterBackoff(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(3), nil)
+	p.SetTargets(start, specsInEachHall(3), nil)
 	first := p.Acquire(start, request("k")).Target.ID
 	p.Release(start, first, withSelfReport(upstream.Rejected, backoffReport))
 	second := firstOf(p, start, "k")
@@ -74,7 +74,7 @@
 // back-off of a target.
 func TestAnswerDoesNotEndBackoff(t *testing.T) {
 	p := newPool()
-	p.SetTargets(start, spread(3), nil)
+	p.SetTargets(start, specsInEachHall(3), nil)
 	first := p.Acquire(start, request("k")).Target.ID
 	require.Equal(t, first, p.Acquire(start, request("k")).Target.ID)
 	p.Release(start, first, withSelfReport(upstream.Rejected, backoffReport))
@@ -86,10 +86,10 @@
 // target's announcement that it leaves, does not bring the target back, and that its next
 // incarnation is used.
 func TestSelfReportOverridesTargetList(t *testing.T) {
-	specs := spread(1)[:1]
+	specs := specsInEachHall(1)[:1]
 	departed := availability.DepartureList{{ID: availability.IDOf(specs[0].ID)}}
-	again := altered(specs[0], func(s *catalog.Target) { s.ID += "#2" })
-	for name, tell := range map[string]func(p *upstream.Pool){
+	again := changedSpec(specs[0], func(s *catalog.Target) { s.ID += "#2" })
+	for name, announce := range map[string]func(p *upstream.Pool){
 		"announced before the list": func(p *upstream.Pool) {
 			p.ApplyDepartures(start, departed, availability.SourcePeer)
 			p.SetTargets(start, specs, nil)
@@ -106,7 +106,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool()
-			tell(p)
+			announce(p)
 			require.Empty(t, firstOf(p, start, "k"))
 			p.ChangeTargets(start, specs, nil, nil)
 			require.Empty(t, firstOf(p, start, "k"), "an update that lists the target as serving")
@@ -123,11 +123,11 @@
 // that they leave, and that the slots of these targets do not count any more.
 func TestRegionWithoutTargets(t *testing.T) {
 	p := newPool()
-	specs := spread(2)
+	specs := specsInEachHall(2)
 	p.SetTargets(start, specs, nil)
 	var departed availability.DepartureList
 	for _, spec := range specs {
-		if halls[spec.Hall] == "a" {
+		if regionOfHall[spec.Hall] == "a" {
 			departed = append(departed, availability.Departure{ID: availability.IDOf(spec.ID)})
 		}
 	}
@@ -144,16 +144,16 @@
 // different times. A request waits if a back-off ends within its queue timeout.
 func TestRefusedWhileAllBackOff(t *testing.T) {
 	p := newPool()
-	specs := spread(1)[:2]
+	specs := specsInEachHall(1)[:2]
 	p.SetTargets(start, specs, nil)
 	for i, spec := range specs {
-		rest := time.Duration(2+i) * time.Second
+		backoff := time.Duration(2+i) * time.Second
 		for p.MaySend(start, spec.ID, upstream.SendState{}) {
 			d := p.Acquire(start, request("k"))
-			p.Release(start, d.Target.ID, withSelfReport(upstream.Rejected, availability.SelfReport{Backoff: rest}))
+			p.Release(start, d.Target.ID, withSelfReport(upstream.Rejected, availability.SelfReport{Backoff: backoff}))
 		}
 	}
-	told := make(map[time.Duration]bool)
+	delays := make(map[time.Duration]bool)
 	for id := range uint64(50) {
 		r := request("k")
 		r.ID = id
@@ -162,9 +162,9 @@
 		require.Equal(t, upstream.ReasonBackoff, d.Reason)
 		require.Greater(t, d.RetryAfter, 2*time.Second, "not before the first back-off ends")
 		require.Less(t, d.RetryAfter, 3*time.Second+maxTypicalRetryAfter, "at most half of the remaining time and the usual retry delay")
-		told[d.RetryAfter] = true
+		delays[d.RetryAfter] = true
 	}
-	require.Greater(t, len(told), 25)
+	require.Greater(t, len(delays), 25)
 	require.Zero(t, p.Waiting())
 	almost := start.Add(2*time.Second - 50*time.Millisecond)
 	require.Equal(t, upstream.Wait, p.Acquire(almost, request("k")).Action)
@@ -177,7 +177,7 @@
 // leaving.
 func TestRefusedWhileAllLeave(t *testing.T) {
 	p := newPool()
-	specs := spread(1)[:2]
+	specs := specsInEachHall(1)[:2]
 	p.SetTargets(start, specs, nil)
 	for _, spec := range specs {
 		p.ApplyDepartures(start, availability.DepartureList{{ID: availability.IDOf(spec.ID)}}, availability.SourcePeer)
@@ -192,10 +192,10 @@
 // are leaving or in a back-off: the first and the second target of a key, the least loaded target,
 // the target of an isolated request, and the queue.
 func TestEveryChoiceHonorsSelfReport(t *testing.T) {
-	for name, word := range map[string]availability.SelfReport{"leaving": leavingReport, "back-off": backoffReport} {
+	for name, report := range map[string]availability.SelfReport{"leaving": leavingReport, "back-off": backoffReport} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool()
-			specs := spread(3)[:3]
+			specs := specsInEachHall(3)[:3]
 			p.SetTargets(start, specs, nil)
 			open := specs[0].ID
 			queued := request("full")
@@ -204,7 +204,7 @@
 			}
 			// Fill all targets. The last request at each target but the first brings a self-report.
 			for _, spec := range specs[1:] {
-				p.Release(start, spec.ID, withSelfReport(upstream.Abandoned, word))
+				p.Release(start, spec.ID, withSelfReport(upstream.Abandoned, report))
 			}
 			alone := request("alone")
 			alone.Isolated = true
--- a/upstream/target.go
+++ b/upstream/target.go
@@ -97,7 +97,7 @@
 	// probing is true while one request probes the target after a suspicion.
 	probing bool
 
-	known map[string]time.Time
+	knownKeys map[string]time.Time
 }
 
 func (t *target) cold(now time.Time) bool { return now.Before(t.coldUntil) }
@@ -133,9 +133,9 @@
 	}
 }
 
-// judge returns whether a request may be sent now, regardless of the target's load and rate limit,
+// checkUsable returns whether a request may be sent now, regardless of the target's load and rate limit,
 // and the cause if it may not.
-func (t *target) judge(now time.Time) availability.Verdict {
+func (t *target) checkUsable(now time.Time) availability.Verdict {
 	switch verdict := t.state.Verdict(now); {
 	case !verdict.OK():
 		return verdict
@@ -152,11 +152,11 @@
 // replaces missing or old reports, since in a large fleet an instance seldom receives a report of
 // any single target.
 func (t *target) load(now time.Time) float64 {
-	fresh := freshness(now.Sub(t.stats.othersReportedAt))
-	others := t.stats.othersInFlight * fresh
-	if fresh < 1 {
-		usual := t.region.utilization.at(now)*float64(max(t.spec.Slots, 1)) - float64(t.inFlight)
-		others += (1 - fresh) * max(0, usual)
+	weight := freshness(now.Sub(t.stats.othersReportedAt))
+	others := t.stats.othersInFlight * weight
+	if weight < 1 {
+		regionMean := t.region.utilization.at(now)*float64(max(t.spec.Slots, 1)) - float64(t.inFlight)
+		others += (1 - weight) * max(0, regionMean)
 	}
 	return float64(t.inFlight) + others
 }
@@ -175,23 +175,23 @@
 
 // hasKey reports whether the target has probably seen the key within keyTTL.
 func (t *target) hasKey(now time.Time, key string) bool {
-	at, ok := t.stats.known[key]
+	at, ok := t.stats.knownKeys[key]
 	return ok && now.Sub(at) < keyTTL
 }
 
 func (t *target) rememberKey(now time.Time, key string) {
-	if len(t.stats.known) >= maxKnownKeys {
-		for k, at := range t.stats.known {
+	if len(t.stats.knownKeys) >= maxKnownKeys {
+		for k, at := range t.stats.knownKeys {
 			if now.Sub(at) >= keyTTL {
-				delete(t.stats.known, k)
+				delete(t.stats.knownKeys, k)
 			}
 		}
 	}
-	if t.stats.known == nil {
-		t.stats.known = make(map[string]time.Time)
+	if t.stats.knownKeys == nil {
+		t.stats.knownKeys = make(map[string]time.Time)
 	}
-	if len(t.stats.known) < maxKnownKeys {
-		t.stats.known[key] = now
+	if len(t.stats.knownKeys) < maxKnownKeys {
+		t.stats.knownKeys[key] = now
 	}
 }
 
@@ -252,12 +252,12 @@
 }
 
 // applySelfReport applies what the target reported about itself in a response to this instance.
-func (t *target) applySelfReport(now time.Time, w availability.SelfReport) {
-	if w.Leaving {
+func (t *target) applySelfReport(now time.Time, report availability.SelfReport) {
+	if report.Leaving {
 		t.state.SetLeaving(now, availability.SourceTarget)
 	}
-	if w.Backoff > 0 {
-		t.state.BackOff(now, w.Backoff)
+	if report.Backoff > 0 {
+		t.state.BackOff(now, report.Backoff)
 	}
 }
 
--- a/upstream/target_list.go
+++ b/upstream/target_list.go
@@ -30,29 +30,29 @@
 // ChangeTargets adds or updates the changed targets and removes those with the IDs in gone. A
 // target that is in both is removed. It returns the grants and refusals that follow. The pool keeps
 // the specs, which must not change afterwards.
-func (p *Pool) ChangeTargets(now time.Time, changed []*catalog.Target, gone []string, evacuated map[string]bool) []Grant {
-	touched := make([]*target, 0, len(changed)+len(gone))
+func (p *Pool) ChangeTargets(now time.Time, changed []*catalog.Target, removed []string, evacuated map[string]bool) []Grant {
+	affected := make([]*target, 0, len(changed)+len(removed))
 	for _, spec := range changed {
-		touched = append(touched, p.setTarget(now, spec, evacuated[spec.Hall]))
+		affected = append(affected, p.setTarget(now, spec, evacuated[spec.Hall]))
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		t := p.byID[id]
 		if t == nil {
 			continue
 		}
-		touched = append(touched, t)
+		affected = append(affected, t)
 		t.state.SetUnlisted(now)
 		if t.inFlight == 0 {
 			p.removeTarget(t)
 		}
 	}
-	if len(touched) == 0 {
+	if len(affected) == 0 {
 		return nil
 	}
 	if p.updateVersions(now) {
 		p.placeAll(now)
 	}
-	for _, t := range touched {
+	for _, t := range affected {
 		if p.byID[t.spec.ID] == t {
 			p.place(now, t)
 		}
@@ -138,5 +138,5 @@
 	if until := now.Add(length); until.After(t.coldUntil) {
 		t.coldUntil = until
 	}
-	clear(t.stats.known)
+	clear(t.stats.knownKeys)
 }
--- a/upstream/target_report.go
+++ b/upstream/target_report.go
@@ -62,19 +62,19 @@
 // EncodeMsgpack implements msgpack.CustomEncoder. The list is one byte string.
 func (s TargetReports) EncodeMsgpack(enc *msgpack.Encoder) error {
 	raw := make([]byte, 0, len(s)*targetReportBytes)
-	for _, seen := range s {
-		raw = binary.BigEndian.AppendUint32(raw, seen.Target)
-		load := clampToByte(seen.PerSlot/loadUnit, downByte-1)
-		if seen.Down {
+	for _, report := range s {
+		raw = binary.BigEndian.AppendUint32(raw, report.Target)
+		load := clampToByte(report.PerSlot/loadUnit, downByte-1)
+		if report.Down {
 			load = downByte
 		}
-		raw = append(raw, load, clampToByte(float64(seen.Age/ageUnit), math.MaxUint8))
+		raw = append(raw, load, clampToByte(float64(report.Age/ageUnit), math.MaxUint8))
 	}
 	return enc.EncodeBytes(raw)
 }
 
 // clampToByte rounds a value and clamps it to the range from 0 to most.
-func clampToByte(v, most float64) byte { return byte(min(max(math.Round(v), 0), most)) }
+func clampToByte(v, limit float64) byte { return byte(min(max(math.Round(v), 0), limit)) }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (s *TargetReports) DecodeMsgpack(dec *msgpack.Decoder) error {
@@ -87,25 +87,25 @@
 	}
 	*s = make(TargetReports, 0, len(raw)/targetReportBytes)
 	for ; len(raw) > 0; raw = raw[targetReportBytes:] {
-		seen := TargetReport{Target: binary.BigEndian.Uint32(raw), Down: raw[4] == downByte, Age: time.Duration(raw[5]) * ageUnit}
-		if !seen.Down {
-			seen.PerSlot = float64(raw[4]) * loadUnit
+		report := TargetReport{Target: binary.BigEndian.Uint32(raw), Down: raw[4] == downByte, Age: time.Duration(raw[5]) * ageUnit}
+		if !report.Down {
+			report.PerSlot = float64(raw[4]) * loadUnit
 		}
-		*s = append(*s, seen)
+		*s = append(*s, report)
 	}
 	return nil
 }
 
 // lastReport is the newest report of a target's load by any instance.
 type lastReport struct {
-	perSlot float64
-	at      time.Time
+	perSlot    float64
+	reportedAt time.Time
 	// busyAt is when a report last showed that the target was busy.
 	busyAt time.Time
 }
 
 func (l *lastReport) record(at time.Time, perSlot float64) {
-	l.perSlot, l.at = perSlot, at
+	l.perSlot, l.reportedAt = perSlot, at
 	if perSlot >= busyThreshold {
 		l.busyAt = at
 	}
@@ -116,25 +116,25 @@
 // more targets than respond to it reports no target as down, since the fault may be its own.
 func (p *Pool) TargetReports(now time.Time) TargetReports {
 	var busy, down TargetReports
-	answering := 0
+	responding := 0
 	for _, t := range p.activeTargets {
-		c := t.stats
-		if now.Sub(c.answeredAt) < targetReportTTL {
-			answering++
+		s := t.stats
+		if now.Sub(s.answeredAt) < targetReportTTL {
+			responding++
 		}
 		if !t.inService() {
 			continue
 		}
-		if age := now.Sub(c.downAt); age < targetReportTTL && c.suspectBackoff > 0 {
+		if age := now.Sub(s.downAt); age < targetReportTTL && s.suspectBackoff > 0 {
 			down = append(down, TargetReport{Target: shortID(t.hash), Down: true, Age: age})
 			continue
 		}
-		age := now.Sub(c.last.at)
-		if age < targetReportTTL && now.Sub(c.last.busyAt) < busyReportPeriod {
-			busy = append(busy, TargetReport{Target: shortID(t.hash), PerSlot: c.last.perSlot, Age: age})
+		age := now.Sub(s.last.reportedAt)
+		if age < targetReportTTL && now.Sub(s.last.busyAt) < busyReportPeriod {
+			busy = append(busy, TargetReport{Target: shortID(t.hash), PerSlot: s.last.perSlot, Age: age})
 		}
 	}
-	if len(down) > answering {
+	if len(down) > responding {
 		return busy
 	}
 	return append(down, busy...)
@@ -142,18 +142,18 @@
 
 // ApplyTargetReports applies the reports of other instances. Reports on targets of other services
 // are ignored.
-func (p *Pool) ApplyTargetReports(now time.Time, seen TargetReports) {
-	for _, s := range seen {
-		t := p.byShortID[s.Target]
-		at := now.Add(-s.Age)
+func (p *Pool) ApplyTargetReports(now time.Time, reports TargetReports) {
+	for _, r := range reports {
+		t := p.byShortID[r.Target]
+		at := now.Add(-r.Age)
 		switch {
 		case t == nil:
-		case s.Down:
+		case r.Down:
 			p.applyPeerDown(t, at)
-		case at.After(t.stats.last.at):
+		case at.After(t.stats.last.reportedAt):
 			p.markActive(now, t)
-			t.stats.last.record(at, s.PerSlot)
-			p.applyPeerLoad(now, t, at, s.PerSlot)
+			t.stats.last.record(at, r.PerSlot)
+			p.applyPeerLoad(now, t, at, r.PerSlot)
 		}
 	}
 }
--- a/upstream/target_report_test.go
+++ b/upstream/target_report_test.go
@@ -16,7 +16,7 @@
 func TestPeersLearnOfBusyTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
-		p.SetTargets(start, spread(6), nil)
+		p.SetTargets(start, specsInEachHall(6), nil)
 	}
 	target := func(p *upstream.Pool, now time.Time) upstream.Decision {
 		d := p.Acquire(now, request("k"))
@@ -45,9 +45,9 @@
 
 	now = start.Add(200 * time.Millisecond)
 	answer(now, 1, 0)
-	over := there.TargetReports(now)
-	require.Len(t, over, 1, "the end of the overload is reported too")
-	here.ApplyTargetReports(now, over)
+	after := there.TargetReports(now)
+	require.Len(t, after, 1, "the end of the overload is reported too")
+	here.ApplyTargetReports(now, after)
 	here.ApplyTargetReports(now, seen)
 	require.Equal(t, first, target(here, now).Target.ID, "older reports are ignored")
 }
@@ -59,7 +59,7 @@
 func TestPeersLearnOfDownTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
-		p.SetTargets(start, spread(6), nil)
+		p.SetTargets(start, specsInEachHall(6), nil)
 	}
 	end := func(p *upstream.Pool, now time.Time, key string, outcome upstream.Outcome) string {
 		d := p.Acquire(now, request(key))
--- a/upstream/unavailable.go
+++ b/upstream/unavailable.go
@@ -18,7 +18,7 @@
 func (p *Pool) UnavailableTargets(now time.Time) []UnavailableTarget {
 	var out []UnavailableTarget
 	for _, t := range p.byID {
-		verdict := t.judge(now)
+		verdict := t.checkUsable(now)
 		if !verdict.OK() {
 			out = append(out, UnavailableTarget{ID: t.spec.ID, Hall: t.spec.Hall, Verdict: verdict})
 		}
--- a/upstream/versions.go
+++ b/upstream/versions.go
@@ -110,8 +110,8 @@
 // isAfter reports whether a version was first seen after another one.
 func (v *versions) isAfter(version, other string) bool { return v.seen[version].After(v.seen[other]) }
 
-// isNewest reports whether a version was first seen after some other version.
-func (v *versions) isNewest(version string) bool {
+// isNewer reports whether a version was first seen after some other version.
+func (v *versions) isNewer(version string) bool {
 	for other := range v.seen {
 		if v.isAfter(version, other) {
 			return true
@@ -142,9 +142,9 @@
 		return nil
 	}
 	p.versions.supersede(p.split, split.Version)
-	again := split.Version != p.split.Version || split.TargetShare != p.split.TargetShare || split.Ended != p.split.Ended
+	moved := split.Version != p.split.Version || split.TargetShare != p.split.TargetShare || split.Ended != p.split.Ended
 	p.split = split
-	if again {
+	if moved {
 		p.placeAll(now)
 	}
 	p.invalidatePlans()
@@ -159,7 +159,7 @@
 		return false
 	}
 	ordered := version == p.split.Version
-	return !p.config.HoldNewVersions || ordered || !p.versions.isNewest(version) || !p.versions.holdsBack(now, version)
+	return !p.config.HoldNewVersions || ordered || !p.versions.isNewer(version) || !p.versions.holdsBack(now, version)
 }
 
 // endHold places the targets again once some are no longer held back.
@@ -187,10 +187,10 @@
 // canaries returns the new targets of a region that get requests. They are a fraction of the new
 // targets and the same at all instances.
 func (p *Pool) canaries(targets []*target) []*target {
-	place := func(t *target) float64 { return mix.Unit(mix.Join(t.hash, canarySalt)) }
+	position := func(t *target) float64 { return mix.Unit(mix.Join(t.hash, canarySalt)) }
 	var out []*target
 	for _, t := range targets {
-		if p.split.UsesTarget(place(t)) {
+		if p.split.UsesTarget(position(t)) {
 			out = append(out, t)
 		}
 	}
@@ -198,7 +198,7 @@
 		return out
 	}
 	out = append(out[:0:0], targets...)
-	sort.Slice(out, func(i, j int) bool { return place(out[i]) < place(out[j]) })
+	sort.Slice(out, func(i, j int) bool { return position(out[i]) < position(out[j]) })
 	return out[:min(minCanaries, len(out))]
 }
 
@@ -260,9 +260,9 @@
 }
 
 // hasServing reports whether a cohort has targets in service.
-func (p *Pool) hasServing(s cohort) bool {
+func (p *Pool) hasServing(c cohort) bool {
 	for _, r := range p.sortedRegions {
-		if r.serving[s].targets > 0 {
+		if r.serving[c].targets > 0 {
 			return true
 		}
 	}
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -12,19 +12,19 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// versioned returns the spec of a target with the given version.
-func versioned(id, hall, version string) *catalog.Target {
+// versionedSpec returns the spec of a target with the given version.
+func versionedSpec(id, hall, version string) *catalog.Target {
 	return &catalog.Target{ID: id, Name: id, Service: "s", Addr: id + ":1", Hall: hall, Slots: 9, Version: version}
 }
 
-// versionedPool returns a pool in region a that holds back targets of new versions. It has the
+// newVersionedPool returns a pool in region a that holds back targets of new versions. It has the
 // given number of targets of version v1.
-func versionedPool(now time.Time, old int) (*Pool, []*catalog.Target) {
+func newVersionedPool(now time.Time, old int) (*Pool, []*catalog.Target) {
 	p := NewPool(Config{Service: "s", Self: "n1", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a", "a2": "a", "b1": "b"},
 		ShiftStep: 0.1, ShiftWindow: 2 * time.Second, HoldNewVersions: true})
 	var specs []*catalog.Target
 	for i := range old {
-		specs = append(specs, versioned(fmt.Sprint("old", i), []string{"a1", "a2"}[i%2], "v1"))
+		specs = append(specs, versionedSpec(fmt.Sprint("old", i), []string{"a1", "a2"}[i%2], "v1"))
 	}
 	p.SetTargets(now, specs, nil)
 	return p, specs
@@ -34,7 +34,7 @@
 func newTargets(n int) []*catalog.Target {
 	var specs []*catalog.Target
 	for i := range n {
-		specs = append(specs, versioned(fmt.Sprint("new", i), []string{"a1", "a2"}[i%2], "v2"))
+		specs = append(specs, versionedSpec(fmt.Sprint("new", i), []string{"a1", "a2"}[i%2], "v2"))
 	}
 	return specs
 }
@@ -72,7 +72,7 @@
 // requests at first, since the order may not have arrived yet.
 func TestNewVersionWaitsForOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := versionedPool(now, 6)
+	p, _ := newVersionedPool(now, 6)
 	p.ChangeTargets(now.Add(time.Minute), newTargets(6), nil, nil)
 	now = now.Add(time.Minute)
 	n, _ := countNew(sendMany(t, now, p, 1000))
@@ -86,13 +86,13 @@
 // after a while, and at once if there are no other targets.
 func TestUnorderedVersion(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := versionedPool(now, 6)
+	p, _ := newVersionedPool(now, 6)
 	now = now.Add(time.Minute)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	n, targets := countNew(sendMany(t, now.Add(unorderedHold), p, 1000))
 	require.NotZero(t, n)
 	require.Equal(t, 6, targets)
-	p, old := versionedPool(now, 6)
+	p, old := newVersionedPool(now, 6)
 	var gone []string
 	for _, spec := range old {
 		gone = append(gone, spec.ID)
@@ -107,7 +107,7 @@
 func TestSplitShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
-		p, _ := versionedPool(now, 30)
+		p, _ := newVersionedPool(now, 30)
 		split := rollout.Split{Version: "v2", KeyShare: rapid.Float64Range(0, 1).Draw(t, "keys"),
 			RequestShare: rapid.Float64Range(0, 1).Draw(t, "draw"), TargetShare: rapid.Float64Range(0, 1).Draw(t, "targets")}
 		p.SetSplit(now, split, time.Time{})
@@ -122,7 +122,7 @@
 // TestSplitExpires checks that a split that is not renewed ends.
 func TestSplitExpires(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := versionedPool(now, 6)
+	p, _ := newVersionedPool(now, 6)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	until := now.Add(time.Second)
 	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.5, TargetShare: 1}, until)
@@ -136,7 +136,7 @@
 // long as not all requests go to new ones.
 func TestRetriesGoToOldTargets(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := versionedPool(now, 6)
+	p, _ := newVersionedPool(now, 6)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	repeat := func(r *Request) { r.Tried = []string{"new0"} }
 	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.9, TargetShare: 1}, time.Time{})
@@ -151,7 +151,7 @@
 // can run them. Requests for old targets go to new ones only if no old target is in service.
 func TestFallbackBetweenCohorts(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, old := versionedPool(now, 6)
+	p, old := newVersionedPool(now, 6)
 	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.5, TargetShare: 1}, time.Time{})
 	n, _ := countNew(sendMany(t, now, p, 100))
 	require.Zero(t, n, "there are no new targets")
@@ -177,7 +177,7 @@
 // rollout.
 func TestTargetsAfterRollout(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := versionedPool(now, 6)
+	p, _ := newVersionedPool(now, 6)
 	now = now.Add(time.Minute)
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	p.SetSplit(now, rollout.Split{Version: "v2", Ended: true}, time.Time{})
@@ -186,7 +186,7 @@
 	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 1, TargetShare: 1, Ended: true}, time.Time{})
 	n, _ = countNew(sendMany(t, now, p, 500))
 	require.Equal(t, 500, n)
-	later := versioned("later", "a1", "v3")
+	later := versionedSpec("later", "a1", "v3")
 	p.ChangeTargets(now.Add(time.Minute), []*catalog.Target{later}, nil, nil)
 	sent := sendMany(t, now.Add(time.Minute+unorderedHold), p, 500)
 	require.NotZero(t, sent["later"], "later versions without an order get requests")
@@ -198,13 +198,13 @@
 // requests.
 func TestSupersededOrder(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	p, _ := versionedPool(now, 6)
+	p, _ := newVersionedPool(now, 6)
 	now = now.Add(time.Minute)
 	p.SetSplit(now, rollout.Split{Version: "v2", KeyShare: 1, RequestShare: 0.1, TargetShare: 1}, time.Time{})
 	p.ChangeTargets(now, newTargets(6), nil, nil)
 	now = now.Add(time.Minute)
 	p.SetSplit(now, rollout.Split{Version: "v3", KeyShare: 1, RequestShare: 0.1, TargetShare: 1}, time.Time{})
-	p.ChangeTargets(now, []*catalog.Target{versioned("third", "a1", "v3")}, nil, nil)
+	p.ChangeTargets(now, []*catalog.Target{versionedSpec("third", "a1", "v3")}, nil, nil)
 	sent := sendMany(t, now, p, 1000)
 	n, _ := countNew(sent)
 	require.Zero(t, n)
