--- a/availability/state_test.go
+++ b/availability/state_test.go
@@ -67,17 +67,17 @@
 }
 
 // causes returns the causes that hold at the given time.
-func (n *referenceState) causes(now time.Time) map[availability.Cause]bool {
+func (ref *referenceState) causes(now time.Time) map[availability.Cause]bool {
 	out := make(map[availability.Cause]bool)
 	for cause, set := range map[availability.Cause]bool{
-		availability.CauseReplaced: n.replaced, availability.CauseGone: n.gone, availability.CauseEvacuated: n.evacuated,
-		availability.CauseLeaving: n.listed || n.drained || n.announced,
+		availability.CauseReplaced: ref.replaced, availability.CauseGone: ref.gone, availability.CauseEvacuated: ref.evacuated,
+		availability.CauseLeaving: ref.listed || ref.drained || ref.announced,
 	} {
 		if set {
 			out[cause] = true
 		}
 	}
-	for _, s := range n.timed {
+	for _, s := range ref.timed {
 		if now.Before(s.until) {
 			out[s.cause] = true
 		}
@@ -90,12 +90,12 @@
 func TestStateMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s availability.State
-		var n referenceState
+		var ref referenceState
 		now := start
-		span := func(cause availability.Cause, set func(until time.Time)) {
+		timed := func(cause availability.Cause, set func(until time.Time)) {
 			until := now.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond)
 			set(until)
-			n.timed = append(n.timed, referenceTimed{cause, until})
+			ref.timed = append(ref.timed, referenceTimed{cause, until})
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pass")) * time.Millisecond)
@@ -103,30 +103,30 @@
 			switch rapid.IntRange(0, 8).Draw(t, "fact") {
 			case 0:
 				s.SetListed(now, set)
-				n.listed, n.gone = set, false
+				ref.listed, ref.gone = set, false
 			case 1:
 				s.SetUnlisted(now)
-				n.gone = true
+				ref.gone = true
 			case 2:
 				s.SetDrained(now, set)
-				n.drained = set
+				ref.drained = set
 			case 3:
 				s.SetEvacuated(now, set)
-				n.evacuated = set
+				ref.evacuated = set
 			case 4:
 				s.SetReplaced(now)
-				n.replaced = true
+				ref.replaced = true
 			case 5:
-				require.Equal(t, !n.announced, s.SetLeaving(now, availability.SourcePeer))
-				n.announced = true
+				require.Equal(t, !ref.announced, s.SetLeaving(now, availability.SourcePeer))
+				ref.announced = true
 			case 6:
-				span(availability.CauseBackoff, func(until time.Time) { s.BackOff(now, until.Sub(now)) })
+				timed(availability.CauseBackoff, func(until time.Time) { s.BackOff(now, until.Sub(now)) })
 			case 7:
-				span(availability.CauseSuspected, func(until time.Time) { s.Suspect(now, until) })
+				timed(availability.CauseSuspected, func(until time.Time) { s.Suspect(now, until) })
 			case 8:
-				span(availability.CausePaused, func(until time.Time) { s.Pause(now, until, availability.SourceLocal) })
+				timed(availability.CausePaused, func(until time.Time) { s.Pause(now, until, availability.SourceLocal) })
 			}
-			causes := n.causes(now)
+			causes := ref.causes(now)
 			verdict := s.Verdict(now)
 			require.Equal(t, len(causes) == 0, verdict.OK())
 			require.Equal(t, verdict.OK(), s.Available(now))
@@ -136,7 +136,7 @@
 			}
 			require.Equal(t, verdict.OK() || !verdict.Until.IsZero(), s.InService())
 			if !verdict.Until.IsZero() {
-				require.True(t, len(n.causes(verdict.Until)) == 0, "the last timed condition decides")
+				require.True(t, len(ref.causes(verdict.Until)) == 0, "the last timed condition decides")
 			}
 		}
 	})
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -97,21 +97,21 @@
 // records, those with the fewest crashes first, and none of another account.
 func TestTableIsBounded(t *testing.T) {
 	var table Table
-	other, kept := digest("/other/"), digest("/kept/")
+	other, twoCrashes := digest("/other/"), digest("/kept/")
 	table.RecordCrash(begin, other, "bob", 1, false)
-	table.RecordCrash(begin, kept, "ada", 1, false)
-	table.RecordCrash(begin, kept, "ada", 2, false)
+	table.RecordCrash(begin, twoCrashes, "ada", 1, false)
+	table.RecordCrash(begin, twoCrashes, "ada", 2, false)
 	for i := range 3 * maxRecords {
 		table.RecordCrash(after(time.Duration(i)*time.Millisecond), digest(fmt.Sprint("/flood/", i)), "ada", 3, false)
 	}
 	require.LessOrEqual(t, table.Len(), maxRecordsPerAccount+1)
 	require.Equal(t, 1, table.Status(after(time.Second), other).Crashes)
-	require.Equal(t, 2, table.Status(after(time.Second), kept).Crashes)
-	var open Table
+	require.Equal(t, 2, table.Status(after(time.Second), twoCrashes).Crashes)
+	var anonymousOnly Table
 	for i := range 2 * maxRecords {
-		open.RecordCrash(after(time.Duration(i)*time.Millisecond), digest(fmt.Sprint("/flood/", i)), "", 3, false)
+		anonymousOnly.RecordCrash(after(time.Duration(i)*time.Millisecond), digest(fmt.Sprint("/flood/", i)), "", 3, false)
 	}
-	require.LessOrEqual(t, open.Len(), maxRecords)
+	require.LessOrEqual(t, anonymousOnly.Len(), maxRecords)
 }
 
 // event is a crash or an answer that an instance observes.
