--- a/quarantine/account_model_test.go
+++ b/quarantine/account_model_test.go
@@ -191,8 +191,8 @@
 }
 
 // TestAccountModel simulates 14 s of an account whose requests crash their targets, for several
-// numbers of instances, and checks the number of crashed targets. Settings without a limit show the
-// effect of single mechanisms by switching them off.
+// numbers of instances, and checks the number of crashed targets. Settings without a limit are only
+// logged: they change the load, or switch off one mechanism to show its effect.
 func TestAccountModel(t *testing.T) {
 	const regionDelay, limit = 60 * time.Millisecond, 30
 	for _, c := range []struct {
--- a/quarantine/accounts.go
+++ b/quarantine/accounts.go
@@ -69,8 +69,8 @@
 // FlagAccounts flags the accounts under whose different requests targets crash, and returns the
 // digests of the newly flagged ones. Crashes that are attributed to a flagged account do not count
 // for other accounts. The function isTrusted reports whether the requests of an account are usually
-// answered. Trusted accounts are not flagged: they have so many requests that one is at most
-// targets that crash.
+// answered. Trusted accounts are not flagged: they have requests at most targets, and thus at most
+// of those that crash.
 func (t *Table) FlagAccounts(now time.Time, isTrusted func(account uint32) bool) []Digest {
 	ev := t.collectEvidence(now, isTrusted)
 	var flagged []Digest
@@ -89,8 +89,8 @@
 	}
 }
 
-// flagAccount creates the record of a flagged account. It returns false if the table has no room
-// for it, or if the account is not suspect by its record.
+// flagAccount adds the crashes of an account to its record. It returns the account's digest, and
+// false if the table has no room for the record or if the account is not suspect by it.
 func (t *Table) flagAccount(now time.Time, account uint32, ev *evidence) (Digest, bool) {
 	d := accountDigest(account)
 	if t.records[d] == nil {
@@ -118,11 +118,14 @@
 	// in an interval.
 	crashed   int
 	crashedIn map[int64]int
-	flagged   []uint32
+	// flagged holds the accounts that are flagged already.
+	flagged []uint32
 	// clearedAt holds the time before which crashes do not count for an account.
 	clearedAt map[uint32]time.Time
 }
 
+// collectEvidence collects the crashes within flagWindow from the records of requests. It leaves out
+// requests of trusted accounts and requests without an account.
 func (t *Table) collectEvidence(now time.Time, isTrusted func(uint32) bool) *evidence {
 	ev := &evidence{crashes: make(map[uint32]map[TargetID]crash), requests: make(map[uint32]int), clearedAt: make(map[uint32]time.Time), crashedIn: make(map[int64]int)}
 	for _, at := range t.crashedAt {
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -11,17 +11,18 @@
 // targets, and clears all earlier crashes from its record: a request that crashes its targets is
 // never answered.
 //
-// A request with fewer than suspectCrashes crashes is Allowed. With more crashes it is Suspect:
+// A request with fewer than suspectCrashes crashes is Allowed. From that number on it is Suspect:
 // instances send it only as a trial, one trial at a time over all instances. A trial that is
 // answered clears the request. A trial during which the target crashes has failed: the request is
-// then Held, that is refused, for a back-off that grows with the number of failed trials. Records
-// expire if nothing new is learned for some time.
+// then Held, that is refused, for a back-off that grows with the number of failed trials. After
+// maxFailedTrials failed trials or maxCrashes crashes it is Held until its record expires. Records
+// expire some time after their last crash.
 //
 // Crashes and answers carry their ages when instances exchange them. Merging updates into a Table
 // gives the same result in any order, also if updates arrive late or more than once. The trials
 // of a request are granted by one instance, its coordinator. During a network partition each
-// side may have a coordinator of its own; the limits on the crashes and failed trials of a
-// record hold for all sides together as soon as they exchange updates.
+// side may have a coordinator of its own. The number of crashes in a record bounds the trials of
+// all sides.
 //
 // Client accounts are judged by the same crashes. An account is flagged if targets crash again
 // and again under different requests of it. The requests of a flagged account that have not been
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -180,8 +180,8 @@
 
 // TestRepeatModel simulates a minute of one client that repeats a request that crashes its targets,
 // for several numbers of instances and with message delays as between regions. It checks the number
-// of crashed targets and the number of late sends. Settings without a limit show the effect of
-// single mechanisms by switching them off.
+// of crashed targets and the number of late sends. Settings without a limit are only logged: they
+// slow the messages down, or switch off one mechanism to show its effect.
 func TestRepeatModel(t *testing.T) {
 	const regionDelay = 60 * time.Millisecond
 	cases := []struct {
