--- a/availability/doc.go
+++ b/availability/doc.go
@@ -9,8 +9,8 @@
 //     a list in which the target still serves may be older, whenever it arrives.
 //   - gone: the target is no longer in the list.
 //   - replaced: another target has answered at its address.
-//   - evacuated: its hall is being evacuated.
-//   - resting: the target has requested a back-off, that is no requests from this instance for
+//   - evacuated: its hall is being evacuated, so that the targets of the hall get no requests.
+//   - resting: the target has requested a back-off: it wants no requests from this instance for
 //     some time.
 //   - suspected: it did not answer, or could not be reached.
 //   - paused: it gets no requests for a short time because it has just rejected one.
