--- a/share/ledger.go
+++ b/share/ledger.go
@@ -65,31 +65,31 @@
 // SetPlan puts a table in force. A lower cap holds from this call on.
 func (l *Ledger) SetPlan(plan *table.Plan) {
 	l.plan = plan
-	named := make(map[table.RowKey]bool)
+	listed := make(map[table.RowKey]bool)
 	for _, row := range plan.Table.Rows {
 		if row.From != l.region || row.Cap == table.NoCap {
 			continue
 		}
-		named[row.Key()] = true
-		a := l.rows[row.Key()]
-		if a == nil {
-			a = &rowEntry{limiter: Limiter{Window: limiterWindow}, borrower: NewBorrower(l.Terms)}
-			l.rows[row.Key()] = a
+		listed[row.Key()] = true
+		entry := l.rows[row.Key()]
+		if entry == nil {
+			entry = &rowEntry{limiter: Limiter{Window: limiterWindow}, borrower: NewBorrower(l.Terms)}
+			l.rows[row.Key()] = entry
 		}
-		if row.Cap < a.rowCap {
+		if row.Cap < entry.rowCap {
 			// Units borrowed under the higher cap are in nobody's part of
 			// the lower one.
-			a.limiter.DropBorrowed()
+			entry.limiter.DropBorrowed()
 		}
-		a.rowCap = row.Cap
-		a.ramp.Configure(row.Shift, row.Ramp)
-		a.hallShare = HallShare(plan, row, l.hall)
+		entry.rowCap = row.Cap
+		entry.ramp.Configure(row.Shift, row.Ramp)
+		entry.hallShare = HallShare(plan, row, l.hall)
 	}
-	for key, a := range l.rows {
-		if !named[key] {
-			a.hallShare = 0
-			a.rowCap = 0
-			a.limiter.DropBorrowed()
+	for key, entry := range l.rows {
+		if !listed[key] {
+			entry.hallShare = 0
+			entry.rowCap = 0
+			entry.limiter.DropBorrowed()
 		}
 	}
 	l.updateUnits()
@@ -108,8 +108,8 @@
 }
 
 // SeatShare returns the units of a hall's part that belong to a seat.
-func SeatShare(hallPart, seatCount, seat int, row table.RowKey) int {
-	return Split(hallPart, seatCount, seat, rowOffset(row))
+func SeatShare(hallShare, seatCount, seat int, row table.RowKey) int {
+	return Split(hallShare, seatCount, seat, rowOffset(row))
 }
 
 // rowOffset turns the order in which left-over units are handed out, so that
@@ -143,12 +143,12 @@
 }
 
 func (l *Ledger) updateUnits() {
-	for key, a := range l.rows {
+	for key, entry := range l.rows {
 		units := 0
 		for _, seat := range l.seats {
-			units += SeatShare(a.hallShare, l.SeatCount, seat, key)
+			units += SeatShare(entry.hallShare, l.SeatCount, seat, key)
 		}
-		a.limiter.SetUnits(units)
+		entry.limiter.SetUnits(units)
 	}
 }
 
@@ -181,16 +181,16 @@
 		return Admitted
 	}
 	l.expireLease(now)
-	a := l.rows[row.Key()]
-	if a == nil {
+	entry := l.rows[row.Key()]
+	if entry == nil {
 		return NoUnits
 	}
-	used, total := a.limiter.Used(now), a.limiter.Total(now)
-	if total > 0 && used >= a.ramp.Allowed(now, total) && used < total {
+	used, total := entry.limiter.Used(now), entry.limiter.Total(now)
+	if total > 0 && used >= entry.ramp.Allowed(now, total) && used < total {
 		return RampLimited
 	}
-	if !a.limiter.Allow(now) {
-		a.unmet++
+	if !entry.limiter.Allow(now) {
+		entry.unmet++
 		return NoUnits
 	}
 	return Admitted
@@ -201,10 +201,10 @@
 // usually does.
 func (l *Ledger) Observe(now time.Time, warm func(service, region string) bool) {
 	l.expireLease(now)
-	for key, a := range l.rows {
-		used := a.limiter.Used(now)
-		a.demand.observe(used)
-		a.ramp.Observe(now, used, a.limiter.Total(now), warm(key.Service, key.To))
+	for key, entry := range l.rows {
+		used := entry.limiter.Used(now)
+		entry.demand.observe(used)
+		entry.ramp.Observe(now, used, entry.limiter.Total(now), warm(key.Service, key.To))
 	}
 }
 
@@ -216,26 +216,26 @@
 	}
 	var out []LoanRequest
 	for _, key := range l.sortedRows() {
-		a := l.rows[key]
-		if a.unmet == 0 {
+		entry := l.rows[key]
+		if entry.unmet == 0 {
 			continue
 		}
-		out = append(out, l.requestsFor(now, key, a, count)...)
-		a.unmet = 0
+		out = append(out, l.requestsFor(now, key, entry, count)...)
+		entry.unmet = 0
 	}
 	return out
 }
 
-func (l *Ledger) requestsFor(now time.Time, key table.RowKey, a *rowEntry, count int) []LoanRequest {
+func (l *Ledger) requestsFor(now time.Time, key table.RowKey, entry *rowEntry, count int) []LoanRequest {
 	nonces := make([]uint64, count)
 	for i := range nonces {
 		l.nonce++
 		nonces[i] = l.nonce
 	}
-	if !a.borrower.TryRequest(now, nonces...) {
+	if !entry.borrower.TryRequest(now, nonces...) {
 		return nil
 	}
-	each := (a.unmet + count - 1) / count
+	each := (entry.unmet + count - 1) / count
 	out := make([]LoanRequest, count)
 	for i := range out {
 		out[i] = LoanRequest{Row: key, Units: each, Nonce: nonces[i]}
@@ -253,13 +253,13 @@
 }
 
 // Lend answers another instance's ask.
-func (l *Ledger) Lend(now time.Time, ask LoanRequest) (Loan, bool) {
+func (l *Ledger) Lend(now time.Time, request LoanRequest) (Loan, bool) {
 	l.expireLease(now)
-	a := l.rows[ask.Row]
-	if a == nil || l.NoLoans || l.lendingStopped {
+	entry := l.rows[request.Row]
+	if entry == nil || l.NoLoans || l.lendingStopped {
 		return Loan{}, false
 	}
-	loan, ok := l.Terms.Lend(now, &a.limiter, ask, a.demand.reserve(), l.leaseEnd)
+	loan, ok := l.Terms.Lend(now, &entry.limiter, request, entry.demand.reserve(), l.leaseEnd)
 	loan.Version = l.plan.Version
 	return loan, ok
 }
@@ -270,8 +270,8 @@
 // LastLoanEnd returns the end of the last loan that the instance has given.
 func (l *Ledger) LastLoanEnd() time.Time {
 	var end time.Time
-	for _, a := range l.rows {
-		if t := a.limiter.LastLoanEnd(); t.After(end) {
+	for _, entry := range l.rows {
+		if t := entry.limiter.LastLoanEnd(); t.After(end) {
 			end = t
 		}
 	}
@@ -280,13 +280,13 @@
 
 // Receive takes in a loan. It returns the units added.
 func (l *Ledger) Receive(now time.Time, loan Loan) int {
-	a := l.rows[loan.Row]
-	if a == nil || loan.Version < l.plan.Version {
+	entry := l.rows[loan.Row]
+	if entry == nil || loan.Version < l.plan.Version {
 		// A loan made under an older table may hold units that the newer
 		// one has taken away.
 		return 0
 	}
-	return a.borrower.Receive(now, &a.limiter, loan)
+	return entry.borrower.Receive(now, &entry.limiter, loan)
 }
 
 // RowState is the state of one row, for status and metrics.
@@ -304,14 +304,14 @@
 	l.expireLease(now)
 	var out []RowState
 	for _, key := range l.sortedRows() {
-		a := l.rows[key]
+		entry := l.rows[key]
 		out = append(out, RowState{
 			Row:       key,
-			Units:     a.limiter.Units(),
-			Used:      a.limiter.Used(now),
-			Available: a.limiter.Available(now),
-			Lent:      a.limiter.Lent(now),
-			Level:     a.ramp.Level(),
+			Units:     entry.limiter.Units(),
+			Used:      entry.limiter.Used(now),
+			Available: entry.limiter.Available(now),
+			Lent:      entry.limiter.Lent(now),
+			Level:     entry.ramp.Level(),
 		})
 	}
 	return out
@@ -320,11 +320,11 @@
 // TimeToUnit returns how long it takes until a unit of the row is free, at most
 // one window.
 func (l *Ledger) TimeToUnit(now time.Time, row table.RowKey) time.Duration {
-	a := l.rows[row]
-	if a == nil {
+	entry := l.rows[row]
+	if entry == nil {
 		return table.Window
 	}
-	oldest, ok := a.limiter.uses.oldest()
+	oldest, ok := entry.limiter.uses.oldest()
 	if !ok {
 		return table.Window
 	}
--- a/share/loan.go
+++ b/share/loan.go
@@ -72,13 +72,13 @@
 // Receive adds a loan to the meter if it answers an ask of this borrower. Each
 // ask is answered once: a copy of a loan that the network delivers twice is
 // dropped. It returns the units added.
-func (b *Borrower) Receive(now time.Time, m *Limiter, loan Loan) int {
-	asked, ok := b.requested[loan.Nonce]
+func (b *Borrower) Receive(now time.Time, l *Limiter, loan Loan) int {
+	requestedAt, ok := b.requested[loan.Nonce]
 	if !ok {
 		return 0
 	}
 	delete(b.requested, loan.Nonce)
-	if !m.Borrow(now, asked, loan.Units, loan.For) {
+	if !l.Borrow(now, requestedAt, loan.Units, loan.For) {
 		return 0
 	}
 	return loan.Units
@@ -87,17 +87,17 @@
 // Lend answers an ask from the idle units of m. Keep is the number of units that
 // stay with the lender, and leaseEnd the end of the lender's own lease: no loan
 // outlives it.
-func (t LoanTerms) Lend(now time.Time, m *Limiter, ask LoanRequest, keep int, leaseEnd time.Time) (Loan, bool) {
+func (t LoanTerms) Lend(now time.Time, l *Limiter, request LoanRequest, reserved int, leaseEnd time.Time) (Loan, bool) {
 	length := min(t.Duration, leaseEnd.Sub(now))
-	spare := min(m.Idle(now)-keep, ask.Units)
-	if length < 2*m.window() {
+	spare := min(l.Idle(now)-reserved, request.Units)
+	if length < 2*l.window() {
 		return Loan{}, false
 	}
-	n := m.Lend(now, spare, length)
+	n := l.Lend(now, spare, length)
 	if n == 0 {
 		return Loan{}, false
 	}
-	return Loan{Row: ask.Row, Units: n, For: length, Nonce: ask.Nonce}, true
+	return Loan{Row: request.Row, Units: n, For: length, Nonce: request.Nonce}, true
 }
 
 // demand follows the use of a row by the instance itself: it rises at once and
--- a/share/model_test.go
+++ b/share/model_test.go
@@ -44,7 +44,7 @@
 	platformDown bool
 	rosters      map[string]*modelObject
 	plans        []*table.Plan
-	accepted     int
+	latestPlan   int
 	uses         []time.Time
 	// bounds holds, for each use, the highest cap in force anywhere then.
 	bounds []int
@@ -125,7 +125,7 @@
 		origin: time.Unix(w.rnd.Int64N(1e9), 0),
 		start:  w.now,
 		load:   w.rnd.Float64(),
-		plan:   w.accepted,
+		plan:   w.latestPlan,
 	}
 	n.addr = addr
 	if addr == "" {
@@ -198,8 +198,8 @@
 	if perSecond(0.02) {
 		w.platformDown = !w.platformDown
 	}
-	if perSecond(0.05) && w.accepted < modelTables-1 {
-		w.accepted++
+	if perSecond(0.05) && w.latestPlan < modelTables-1 {
+		w.latestPlan++
 	}
 	for _, n := range append([]*modelNode(nil), w.nodes...) {
 		if n.dead {
--- a/share/modelstep_test.go
+++ b/share/modelstep_test.go
@@ -63,9 +63,9 @@
 		if peer == n || peer.hall != n.hall {
 			continue
 		}
-		b := n.agent.Heartbeat(local, peer.id)
+		heartbeat := n.agent.Heartbeat(local, peer.id)
 		w.send(n, peer, func(now time.Time) {
-			peer.agent.HandleHeartbeat(peer.local(now), n.id, b)
+			peer.agent.HandleHeartbeat(peer.local(now), n.id, heartbeat)
 			w.updateSeats(peer)
 		})
 	}
@@ -80,13 +80,13 @@
 }
 
 func (w *simulation) requestLoans(n *modelNode) {
-	for _, a := range n.ledger.LoanRequests(n.local(w.now), 2) {
+	for _, request := range n.ledger.LoanRequests(n.local(w.now), 2) {
 		lender := w.nodes[w.rnd.IntN(len(w.nodes))]
 		if lender == n {
 			continue
 		}
 		w.send(n, lender, func(now time.Time) {
-			loan, ok := lender.ledger.Lend(lender.local(now), a)
+			loan, ok := lender.ledger.Lend(lender.local(now), request)
 			if !ok {
 				return
 			}
@@ -152,8 +152,8 @@
 	if w.unreachable(n) {
 		return
 	}
-	if n.plan < w.accepted && w.chance(0.3) {
-		n.plan = w.accepted
+	if n.plan < w.latestPlan && w.chance(0.3) {
+		n.plan = w.latestPlan
 		n.ledger.SetPlan(w.plans[n.plan])
 	}
 	obj := w.rosters[n.hall]
--- a/share/ramp.go
+++ b/share/ramp.go
@@ -29,8 +29,8 @@
 )
 
 // Configure changes the step and the period. The level reached is kept.
-func (r *Ramp) Configure(shift int, period time.Duration) {
-	r.Step = shift
+func (r *Ramp) Configure(step int, period time.Duration) {
+	r.Step = step
 	r.Period = period
 }
 
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -53,7 +53,7 @@
 // TestLimiterAgainstNaive compares the meter with a count over all past uses.
 func TestLimiterAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &share.Limiter{}
+		limiter := &share.Limiter{}
 		now := time.Unix(0, 0)
 		units := 0
 		var uses []time.Time
@@ -61,7 +61,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 9).Draw(t, "set") == 0 {
 				units = rapid.IntRange(0, 5).Draw(t, "units")
-				m.SetUnits(units)
+				limiter.SetUnits(units)
 			}
 			recent := 0
 			for _, u := range uses {
@@ -69,7 +69,7 @@
 					recent++
 				}
 			}
-			require.Equal(t, recent < units, m.Allow(now))
+			require.Equal(t, recent < units, limiter.Allow(now))
 			if recent < units {
 				uses = append(uses, now)
 			}
@@ -115,32 +115,32 @@
 
 func (p *loanPair) step(nonce uint64) {
 	p.now = p.now.Add(10 * time.Millisecond)
-	var later []delivery
+	var pending []delivery
 	wire := p.wire
 	p.wire = nil
 	for _, d := range wire {
 		if d.at.After(p.now) {
-			later = append(later, d)
+			pending = append(pending, d)
 			continue
 		}
 		d.do()
 	}
-	p.wire = append(p.wire, later...)
-	theirs := p.now.Add(borrowerAhead)
+	p.wire = append(p.wire, pending...)
+	borrowerNow := p.now.Add(borrowerAhead)
 	for range p.rnd.IntN(2) {
 		if p.lender.Allow(p.now) {
 			p.uses = append(p.uses, p.now)
 		}
 	}
 	for range p.rnd.IntN(3) {
-		if p.borrower.Allow(theirs) {
+		if p.borrower.Allow(borrowerNow) {
 			p.uses = append(p.uses, p.now)
 		}
 	}
-	if p.requests.TryRequest(theirs, nonce) {
-		ask := share.LoanRequest{Units: 3, Nonce: nonce}
+	if p.requests.TryRequest(borrowerNow, nonce) {
+		request := share.LoanRequest{Units: 3, Nonce: nonce}
 		p.send(func() {
-			loan, ok := share.DefaultLoanTerms.Lend(p.now, &p.lender, ask, 2, p.now.Add(time.Hour))
+			loan, ok := share.DefaultLoanTerms.Lend(p.now, &p.lender, request, 2, p.now.Add(time.Hour))
 			if ok {
 				p.send(func() { p.requests.Receive(p.now.Add(borrowerAhead), &p.borrower, loan) })
 			}
@@ -206,19 +206,19 @@
 		l.SetSeats([]int{i}, now.Add(time.Hour))
 		holders = append(holders, l)
 	}
-	rich, poor := holders[0], holders[1]
-	if rich.States(now)[0].Units == 0 {
-		rich, poor = poor, rich
+	lender, borrower := holders[0], holders[1]
+	if lender.States(now)[0].Units == 0 {
+		lender, borrower = borrower, lender
 	}
 	used := 0
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		if poor.Admit(now, row) == share.Admitted {
+		if borrower.Admit(now, row) == share.Admitted {
 			used++
 		}
-		for _, ask := range poor.LoanRequests(now, 1) {
-			if loan, ok := rich.Lend(now, ask); ok {
-				poor.Receive(now, loan)
+		for _, request := range borrower.LoanRequests(now, 1) {
+			if loan, ok := lender.Lend(now, request); ok {
+				borrower.Receive(now, loan)
 			}
 		}
 	}
@@ -248,25 +248,25 @@
 func BenchmarkLimiterAllow(b *testing.B) {
 	for _, units := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("units%d", units), func(b *testing.B) {
-			m := &share.Limiter{}
-			m.SetUnits(units)
+			limiter := &share.Limiter{}
+			limiter.SetUnits(units)
 			now := time.Unix(0, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				m.Allow(now)
+				limiter.Allow(now)
 			}
 		})
 	}
 }
 
 func ExampleLimiter() {
-	m := &share.Limiter{}
-	m.SetUnits(2)
+	limiter := &share.Limiter{}
+	limiter.SetUnits(2)
 	start := time.Unix(0, 0)
 	for _, ms := range []int{0, 300, 600, 1000, 1300} {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		fmt.Println(ms, m.Allow(now))
+		fmt.Println(ms, limiter.Allow(now))
 	}
 	// Output:
 	// 0 true
