--- a/share/ledger.go
+++ b/share/ledger.go
@@ -8,16 +8,14 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Ledger keeps one instance's units of all capped rows that start in its
+// Ledger holds one instance's units of all capped rows that start in its
 // region. It is not safe for concurrent use.
 type Ledger struct {
-	// SeatCount is the number of seats that a hall's part is divided over.
+	// SeatCount is the number of seats that a hall's share is divided over.
 	SeatCount int
-	// NoLoans turns borrowing and lending off. It is a baseline of the
-	// measurements.
+	// NoLoans disables borrowing and lending, as a baseline for measurements.
 	NoLoans bool
-	// Terms are the terms of loans; the zero value stands for
-	// DefaultLoanTerms.
+	// Terms are the terms of loans. NewLedger sets them to DefaultLoanTerms.
 	Terms LoanTerms
 
 	hall           string
@@ -41,13 +39,13 @@
 	demand    demand
 }
 
-// limiterWindow is over the window of the caps by the largest error of a clock's
-// rate: one that runs fast would else end its windows early.
+// limiterWindow exceeds the window of the caps by the largest error of a clock's
+// rate. Otherwise, windows would end early on a clock that runs fast.
 const limiterWindow = table.Window + table.Window/1000
 
 // NewLedger returns the ledger of an instance in a hall, without units. Nonce
-// is the first number that its asks are named by and should differ from one
-// process to the next.
+// is the number from which the instance's loan requests are numbered. It should
+// differ between processes.
 func NewLedger(hall, region string, seatCount int, nonce uint64) *Ledger {
 	if seatCount <= 0 {
 		panic("share: seat count must be positive")
@@ -62,7 +60,7 @@
 	}
 }
 
-// SetPlan puts a table in force. A lower cap holds from this call on.
+// SetPlan replaces the table. A lowered cap takes effect at once.
 func (l *Ledger) SetPlan(plan *table.Plan) {
 	l.plan = plan
 	listed := make(map[table.RowKey]bool)
@@ -77,8 +75,8 @@
 			l.rows[row.Key()] = entry
 		}
 		if row.Cap < entry.rowCap {
-			// Units borrowed under the higher cap are in nobody's part of
-			// the lower one.
+			// Units borrowed under the higher cap are not part of any
+			// holder's share of the lower cap.
 			entry.limiter.DropBorrowed()
 		}
 		entry.rowCap = row.Cap
@@ -95,8 +93,8 @@
 	l.updateUnits()
 }
 
-// HallShare returns the units of a row that belong to a hall of the region that
-// the row starts in.
+// HallShare returns the units of a row that belong to a hall of the row's
+// origin region. It returns 0 for halls of other regions.
 func HallShare(plan *table.Plan, row table.Row, hall string) int {
 	halls := plan.Halls(row.From)
 	for i, h := range halls {
@@ -107,20 +105,20 @@
 	return 0
 }
 
-// SeatShare returns the units of a hall's part that belong to a seat.
+// SeatShare returns the units of a hall's share that belong to a seat.
 func SeatShare(hallShare, seatCount, seat int, row table.RowKey) int {
 	return Split(hallShare, seatCount, seat, rowOffset(row))
 }
 
-// rowOffset turns the order in which left-over units are handed out, so that
-// the first hall and the first seat do not get them for every row.
+// rowOffset returns a row's offset for Split, so that the remainders of different
+// rows go to different halls and seats.
 func rowOffset(row table.RowKey) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(row.String()))
 	return int(h.Sum32() >> 1)
 }
 
-// SetSeats sets the seats held and the end of the lease on them.
+// SetSeats sets the seats held and the end of their lease.
 func (l *Ledger) SetSeats(seats []int, leaseEnd time.Time) {
 	l.leaseEnd = leaseEnd
 	if equalInts(seats, l.seats) {
@@ -152,8 +150,8 @@
 	}
 }
 
-// expireLease drops the units once the lease is over. It comes before every
-// decision.
+// expireLease drops the units once the lease has ended. It is called before each
+// use of the limiters.
 func (l *Ledger) expireLease(now time.Time) {
 	if len(l.seats) > 0 && !now.Before(l.leaseEnd) {
 		l.seats = nil
@@ -161,21 +159,22 @@
 	}
 }
 
-// Admission is the ledger's answer for one request.
+// Admission is the ledger's decision on a request.
 type Admission int
 
-// The answers.
+// The decisions.
 const (
-	// Admitted requests may flow. A unit is used, unless the row has no cap.
+	// Admitted means that the request may be sent. It uses a unit, unless the row
+	// has no cap.
 	Admitted Admission = iota
-	// NoUnits means that the units held are used up for now.
+	// NoUnits means that all units held are in use.
 	NoUnits
-	// RampLimited means that units are free and the ramp does not permit their
-	// use yet.
+	// RampLimited means that units are free, but that the ramp does not allow
+	// their use yet.
 	RampLimited
 )
 
-// Admit decides whether a request may flow on a row now.
+// Admit decides whether a request of a row may be sent now.
 func (l *Ledger) Admit(now time.Time, row table.Row) Admission {
 	if row.Cap == table.NoCap {
 		return Admitted
@@ -196,9 +195,9 @@
 	return Admitted
 }
 
-// Observe takes the use of the last window into the ramps. It is called about
-// once a window. Warm tells whether a region answers about as fast as it
-// usually does.
+// Observe updates the ramps and the demand of all rows with the use of the last
+// window. The caller calls it about once per window. Warm reports whether a
+// service in a region answers about as fast as usual.
 func (l *Ledger) Observe(now time.Time, warm func(service, region string) bool) {
 	l.expireLease(now)
 	for key, entry := range l.rows {
@@ -208,8 +207,9 @@
 	}
 }
 
-// LoanRequests returns the asks to send now, for the rows that ran out of units since
-// the last call. Each goes to one lender, so count asks are made for a row.
+// LoanRequests returns the loan requests to send now for the rows that ran out of
+// units since the last call. There are count requests for each row, to be sent to
+// one lender each.
 func (l *Ledger) LoanRequests(now time.Time, count int) []LoanRequest {
 	if l.NoLoans {
 		return nil
@@ -252,7 +252,8 @@
 	return keys
 }
 
-// Lend answers another instance's ask.
+// Lend handles a loan request of another instance. It returns false if there is
+// nothing to lend.
 func (l *Ledger) Lend(now time.Time, request LoanRequest) (Loan, bool) {
 	l.expireLease(now)
 	entry := l.rows[request.Row]
@@ -264,10 +265,11 @@
 	return loan, ok
 }
 
-// StopLending ends lending, as before a planned stop.
+// StopLending ends lending before a planned shutdown.
 func (l *Ledger) StopLending() { l.lendingStopped = true }
 
-// LastLoanEnd returns the end of the last loan that the instance has given.
+// LastLoanEnd returns the latest end of the loans that this instance has given, or
+// the zero time if there are none.
 func (l *Ledger) LastLoanEnd() time.Time {
 	var end time.Time
 	for _, entry := range l.rows {
@@ -278,18 +280,18 @@
 	return end
 }
 
-// Receive takes in a loan. It returns the units added.
+// Receive adds the units of a loan, and returns their number.
 func (l *Ledger) Receive(now time.Time, loan Loan) int {
 	entry := l.rows[loan.Row]
 	if entry == nil || loan.Version < l.plan.Version {
-		// A loan made under an older table may hold units that the newer
-		// one has taken away.
+		// A loan that was made under an older table may contain units that do
+		// not exist in the newer one.
 		return 0
 	}
 	return entry.borrower.Receive(now, &entry.limiter, loan)
 }
 
-// RowState is the state of one row, for status and metrics.
+// RowState is the state of one row, for status reports and metrics.
 type RowState struct {
 	Row       table.RowKey `json:"row"`
 	Units     int          `json:"units"`
@@ -299,7 +301,7 @@
 	Level     int          `json:"level"`
 }
 
-// States returns the state of every row, in the order of their keys.
+// States returns the state of every row, ordered by key.
 func (l *Ledger) States(now time.Time) []RowState {
 	l.expireLease(now)
 	var out []RowState
@@ -317,8 +319,8 @@
 	return out
 }
 
-// TimeToUnit returns how long it takes until a unit of the row is free, at most
-// one window.
+// TimeToUnit returns the time until one of the row's own units is free, at most one
+// window.
 func (l *Ledger) TimeToUnit(now time.Time, row table.RowKey) time.Duration {
 	entry := l.rows[row]
 	if entry == nil {
--- a/share/limiter.go
+++ b/share/limiter.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Limiter counts one holder's use of its units of one row. The zero value holds
-// no units. It is not safe for concurrent use.
+// Limiter is a sliding-window limiter for one holder's units of one row. The zero
+// value has no units. It is not safe for concurrent use.
 type Limiter struct {
-	// Window is the length of the sliding window. 0 stands for one second.
+	// Window is the length of the sliding window. 0 means one second.
 	Window time.Duration
 
 	units    int
@@ -36,21 +36,21 @@
 	return l.Window
 }
 
-// SetUnits sets the number of units held. A lower number takes effect at once:
-// uses within the last window and units on loan count against it.
+// SetUnits sets the number of own units. A lower number takes effect at once: uses
+// within the last window and lent units count against it.
 func (l *Limiter) SetUnits(n int) { l.units = n }
 
-// Units returns the number of units held, with those on loan.
+// Units returns the number of own units, including those on loan.
 func (l *Limiter) Units() int { return l.units }
 
-// Idle returns the number of own units that were not used within the last
-// window and are not on loan. It may be negative after SetUnits.
+// Idle returns the number of own units that were not used within the last window
+// and are not on loan. It may be negative after SetUnits.
 func (l *Limiter) Idle(now time.Time) int {
 	l.expire(now)
 	return l.units - l.uses.len() - l.unitsLent()
 }
 
-// Available returns the number of requests that Take would admit at now.
+// Available returns the number of requests that Allow would admit at now.
 func (l *Limiter) Available(now time.Time) int {
 	free := max(l.Idle(now), 0)
 	for i := range l.borrowed {
@@ -69,8 +69,8 @@
 	return n
 }
 
-// Total returns the units that may be used now: own and not lent, and
-// borrowed.
+// Total returns the number of units that may be used now: own units that are not
+// on loan, plus borrowed units.
 func (l *Limiter) Total(now time.Time) int {
 	l.expire(now)
 	n := l.units - l.unitsLent()
@@ -80,8 +80,8 @@
 	return max(n, 0)
 }
 
-// Allow uses one unit if there is one to use, and reports whether it did.
-// Borrowed units go first, since they end sooner.
+// Allow uses one unit if one is free, and reports whether it did. It uses borrowed
+// units first, because they expire earlier.
 func (l *Limiter) Allow(now time.Time) bool {
 	l.expire(now)
 	for i := range l.borrowed {
@@ -98,8 +98,8 @@
 	return true
 }
 
-// Lend lends up to n idle units for a length of time that starts at now, and
-// returns how many it lent.
+// Lend lends up to n idle units for a time that starts at now. It returns the
+// number of units lent.
 func (l *Limiter) Lend(now time.Time, n int, length time.Duration) int {
 	n = min(n, l.Idle(now))
 	if n <= 0 || length <= 0 {
@@ -109,8 +109,8 @@
 	return n
 }
 
-// Borrow adds n units lent for a length of time, in answer to a request that
-// was sent at asked. It returns false when the loan is of no use any more.
+// Borrow adds n units that were lent for the given time, in reply to a request that
+// was sent at requestedAt. It returns false if the loan has already ended.
 func (l *Limiter) Borrow(now, requestedAt time.Time, n int, length time.Duration) bool {
 	until := requestedAt.Add(length - length/ClockDriftDivisor - l.window())
 	if n <= 0 || !now.Before(until) {
@@ -120,20 +120,20 @@
 	return true
 }
 
-// DropBorrowed gives up all borrowed units.
+// DropBorrowed drops all borrowed units.
 func (l *Limiter) DropBorrowed() { l.borrowed = nil }
 
-// ClockDriftDivisor bounds the difference between the rates of two clocks: within
-// a time d they may differ by d/ClockDriftDivisor.
+// ClockDriftDivisor bounds the difference between the rates of two clocks. Over a
+// time d, they differ by at most d/ClockDriftDivisor.
 const ClockDriftDivisor = 100
 
-// Lent returns the units on loan.
+// Lent returns the number of units on loan.
 func (l *Limiter) Lent(now time.Time) int {
 	l.expire(now)
 	return l.unitsLent()
 }
 
-// LastLoanEnd returns the end of the last loan, or the zero time.
+// LastLoanEnd returns the latest end of the loans given, or the zero time.
 func (l *Limiter) LastLoanEnd() time.Time {
 	var end time.Time
 	for _, loan := range l.lent {
@@ -152,8 +152,7 @@
 	return n
 }
 
-// expire drops what is over: uses older than a window and ended loans. A
-// credit is kept until its last use has left the window.
+// expire removes uses older than a window, and loans that have ended.
 func (l *Limiter) expire(now time.Time) {
 	since := now.Add(-l.window())
 	l.uses.dropThrough(since)
--- a/share/loan.go
+++ b/share/loan.go
@@ -11,48 +11,49 @@
 type LoanRequest struct {
 	Row   table.RowKey `msgpack:"r"`
 	Units int          `msgpack:"u"`
-	// Nonce names the ask, so that its sender finds when it was sent.
+	// Nonce identifies the request, so that its sender can determine when it was
+	// sent.
 	Nonce uint64 `msgpack:"n"`
 }
 
-// Loan answers an Ask.
+// Loan is the reply to a LoanRequest.
 type Loan struct {
 	Row   table.RowKey  `msgpack:"r"`
 	Units int           `msgpack:"u"`
 	For   time.Duration `msgpack:"d"`
 	Nonce uint64        `msgpack:"n"`
-	// Version is the version of the table that the lender's units follow.
+	// Version is the version of the table that the lender's units are derived from.
 	Version int64 `msgpack:"v"`
 }
 
 // LoanTerms are the settings of borrowing and lending.
 type LoanTerms struct {
-	// Duration is the length of a loan.
+	// Duration is the duration of a loan.
 	Duration time.Duration
-	// RequestInterval is the shortest time between two asks for one row.
+	// RequestInterval is the shortest time between loan requests for one row.
 	RequestInterval time.Duration
 }
 
-// DefaultLoanTerms were chosen by the measurement in docs/MEASUREMENTS.md.
+// DefaultLoanTerms are the terms that NewLedger sets.
 var DefaultLoanTerms = LoanTerms{
 	Duration:        5 * time.Second,
 	RequestInterval: 500 * time.Millisecond,
 }
 
-// Borrower keeps the asks of one row that are under way.
+// Borrower tracks the outstanding loan requests of one row.
 type Borrower struct {
 	terms     LoanTerms
 	requested map[uint64]time.Time
 	last      time.Time
 }
 
-// NewBorrower returns a borrower on the given terms.
+// NewBorrower returns a borrower with the given terms.
 func NewBorrower(terms LoanTerms) *Borrower {
 	return &Borrower{terms: terms, requested: make(map[uint64]time.Time)}
 }
 
-// TryRequest tells whether to ask for more units now. If so it records the nonces of
-// the asks that are sent.
+// TryRequest reports whether to request more units now. If so, it records the
+// nonces of the requests that are sent.
 func (b *Borrower) TryRequest(now time.Time, nonces ...uint64) bool {
 	if !b.last.IsZero() && now.Sub(b.last) < b.terms.RequestInterval {
 		return false
@@ -69,9 +70,9 @@
 	return true
 }
 
-// Receive adds a loan to the meter if it answers an ask of this borrower. Each
-// ask is answered once: a copy of a loan that the network delivers twice is
-// dropped. It returns the units added.
+// Receive adds a loan to the limiter if it answers an outstanding request of this
+// borrower. Each request is answered at most once, so that a duplicated message
+// is dropped. It returns the number of units added.
 func (b *Borrower) Receive(now time.Time, l *Limiter, loan Loan) int {
 	requestedAt, ok := b.requested[loan.Nonce]
 	if !ok {
@@ -84,9 +85,10 @@
 	return loan.Units
 }
 
-// Lend answers an ask from the idle units of m. Keep is the number of units that
-// stay with the lender, and leaseEnd the end of the lender's own lease: no loan
-// outlives it.
+// Lend handles a loan request with idle units of a limiter. Reserved is the number
+// of idle units that stay with the lender. LeaseEnd is the end of the lender's
+// lease, and no loan lasts beyond it. Lend returns false if no units are idle or
+// the lease ends too soon.
 func (t LoanTerms) Lend(now time.Time, l *Limiter, request LoanRequest, reserved int, leaseEnd time.Time) (Loan, bool) {
 	length := min(t.Duration, leaseEnd.Sub(now))
 	spare := min(l.Idle(now)-reserved, request.Units)
@@ -100,13 +102,13 @@
 	return Loan{Row: request.Row, Units: n, For: length, Nonce: request.Nonce}, true
 }
 
-// demand follows the use of a row by the instance itself: it rises at once and
-// falls slowly.
+// demand is an estimate of a row's use by the instance itself. It rises at once
+// and decays slowly.
 type demand float64
 
 const (
 	demandDecay = 0.8
-	// reserveFactor times the demand stays with a lender.
+	// reserveFactor is the multiple of its demand that a lender keeps.
 	reserveFactor = 1.5
 )
 
@@ -114,8 +116,8 @@
 	*d = max(demand(used), demandDecay**d)
 }
 
-// reserve returns the number of units that the demand needs. A holder without
-// demand keeps none: else a cap of a few units would serve one instance only.
+// reserve returns the number of units to keep for the demand. A holder without
+// demand keeps none. Otherwise, a cap of a few units would serve one instance only.
 func (d demand) reserve() int {
 	if d < 0.5 {
 		return 0
--- a/share/model_test.go
+++ b/share/model_test.go
@@ -28,9 +28,10 @@
 	modelDrift = 0.0004
 )
 
-// simulation runs the agents and ledgers of one region's instances, as they are,
-// through lost, doubled and late messages, pauses, deaths, cuts, platform
-// outages, lost replies and drifting clocks.
+// simulation runs the real agents and ledgers of one region's instances. Messages
+// are lost, duplicated and delayed, processes pause and crash, instances are cut
+// off from the platform or from their peers, the platform fails, replies of the
+// platform are lost, and clocks drift.
 type simulation struct {
 	t        *testing.T
 	rnd      *rand.Rand
@@ -46,7 +47,8 @@
 	plans        []*table.Plan
 	latestPlan   int
 	uses         []time.Time
-	// bounds holds, for each use, the highest cap in force anywhere then.
+	// bounds contains, for each use, the highest cap in force at any instance at
+	// that time.
 	bounds []int
 	served int
 	wanted int
@@ -115,7 +117,7 @@
 	return w
 }
 
-// join starts an instance, on the address of a dead one or on a new one.
+// join starts an instance, on the address of a crashed one or on a new address.
 func (w *simulation) join(hall, addr string) {
 	w.started++
 	n := &modelNode{
@@ -143,7 +145,7 @@
 	return a + time.Duration(w.rnd.Int64N(int64(b-a)+1))
 }
 
-// send delivers a call later, unless it is lost, and perhaps twice.
+// send schedules a call at the receiver. The message may be lost or duplicated.
 func (w *simulation) send(from, to *modelNode, do func(now time.Time)) {
 	cut := w.now.Before(from.peersCutUntil) || w.now.Before(to.peersCutUntil)
 	if cut || w.chance(0.05) {
@@ -176,7 +178,8 @@
 	}
 }
 
-// deliver hands out due messages; a paused receiver gets them when it wakes.
+// deliver delivers the messages that are due. A paused instance receives them when
+// it resumes.
 func (w *simulation) deliver() {
 	var later []modelMessage
 	mail := w.messages
@@ -237,8 +240,8 @@
 	w.nodes = kept
 }
 
-// worstWindow returns the largest number of uses over the cap of any window, and the
-// largest number in any window.
+// worstWindow returns the largest number of uses over the cap in any window, and the
+// largest number of uses in any window.
 func (w *simulation) worstWindow() (over, most int) {
 	from := 0
 	for i, t := range w.uses {
@@ -266,11 +269,11 @@
 		worstOver, worstMost = max(worstOver, over), max(worstMost, most)
 		served = append(served, float64(w.served)/length.Seconds())
 		if over > 0 {
-			t.Errorf("seed %d: a window holds %d uses over its cap", seed, over)
+			t.Errorf("seed %d: a window contains %d uses more than its cap", seed, over)
 		}
 	}
 	sort.Float64s(served)
-	t.Logf("instances %d, cap %d, seeds %d from %d: worst window %d, over cap by %d; served a second: least %.1f, median %.1f",
+	t.Logf("instances %d, cap %d, seeds %d from %d: worst window %d, over cap by %d; served per second: min %.1f, median %.1f",
 		halls*perHall, limit, seeds, first, worstMost, worstOver, served[0], served[len(served)/2])
 }
 
--- a/share/modelstep_test.go
+++ b/share/modelstep_test.go
@@ -10,8 +10,8 @@
 	"github.com/rainford/rainford/share"
 )
 
-// step lets an instance act. Requests may come before anything else, as they
-// do when a paused process wakes.
+// step runs one step of an instance. Half of the time, requests come first, as after
+// the pause of a process.
 func (w *simulation) step(n *modelNode) {
 	early := w.chance(0.5)
 	if early {
@@ -95,7 +95,7 @@
 	}
 }
 
-// write tries a roster write: it may arrive late, and its reply may be lost.
+// write writes the roster. The write may arrive late, and its reply may be lost.
 func (w *simulation) write(n *modelNode, write *seat.Write) {
 	raw, err := json.Marshal(write.Roster)
 	require.NoError(w.t, err)
@@ -147,7 +147,7 @@
 	return true, obj.version
 }
 
-// poll reads the roster and the table, which may be an old one.
+// poll reads the roster and the table. The table may be outdated.
 func (w *simulation) poll(n *modelNode) {
 	if w.unreachable(n) {
 		return
--- a/share/ramp.go
+++ b/share/ramp.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Ramp bounds how fast the use of a row grows. The permitted part of the units
-// starts at Shift percent. It rises by Shift percent once per Period, and only
-// after a period in which at least nearPercent of the permitted part was used
-// while the destination was warm. Without use it falls back step by step. The
-// zero value permits everything.
+// Ramp limits how fast the use of a row may grow. The allowed fraction of the units
+// starts at Step percent. It rises by Step percent once per Period if at least
+// risePercent of the allowed units were used in that period while the destination
+// was warm, that is, answered about as fast as usual. It falls by Step percent in a
+// period with little use. The zero value allows everything.
 //
-// Rising in bounded steps and watching between them follows Taiji (Xu et al.,
-// SOSP 2019) and Maelstrom (Veeraraghavan et al., OSDI 2018).
+// Rising in bounded steps with an observation period between them follows Taiji
+// (Xu et al., SOSP 2019) and Maelstrom (Veeraraghavan et al., OSDI 2018).
 type Ramp struct {
-	// Step is a step in percent of the units. 0 and 100 permit everything.
+	// Step is the size of a step in percent of the units. 0 and 100 allow everything.
 	Step int
 	// Period is the time between steps.
 	Period time.Duration
@@ -24,18 +24,19 @@
 const (
 	fullLevel   = 100
 	risePercent = 80
-	// fallPercent is the use below which a period counts as unused.
+	// fallPercent is the percentage of the allowed units below which the use in a
+	// period counts as little.
 	fallPercent = 20
 )
 
-// Configure changes the step and the period. The level reached is kept.
+// Configure changes the step and the period. It keeps the level.
 func (r *Ramp) Configure(step int, period time.Duration) {
 	r.Step = step
 	r.Period = period
 }
 
-// Allowed returns how many of total units may be used within one window at now.
-// It is at least 1 when total is.
+// Allowed returns how many of total units may be used within one window at now. It
+// returns at least 1 if total is at least 1.
 func (r *Ramp) Allowed(now time.Time, total int) int {
 	if r.unlimited() {
 		return total
@@ -44,7 +45,7 @@
 	return allowedUnits(total, r.level)
 }
 
-// Level returns the permitted part in percent.
+// Level returns the allowed fraction of the units in percent.
 func (r *Ramp) Level() int {
 	if r.unlimited() {
 		return fullLevel
@@ -52,9 +53,9 @@
 	return max(r.level, r.Step)
 }
 
-// Observe reports the units used within the window that ends at now, out of
-// total, and whether the destination is warm: cold is no reason to fall, it
-// only holds the next step back.
+// Observe records how many of total units were used within the window that ends at
+// now, and whether the destination is warm. A cold destination delays the next rise
+// but does not lower the level.
 func (r *Ramp) Observe(now time.Time, used, total int, warm bool) {
 	if r.unlimited() {
 		return
@@ -91,7 +92,8 @@
 	}
 }
 
-// allowedUnits rounds up, so that a row of few units can be used at all.
+// allowedUnits returns the units at a level in percent. It rounds up, so that rows with
+// few units can be used.
 func allowedUnits(total, level int) int {
 	return (total*level + fullLevel - 1) / fullLevel
 }
--- a/share/ring.go
+++ b/share/ring.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// timeRing is a queue of times in rising order.
+// timeRing is a queue of times in ascending order.
 type timeRing struct {
 	buf  []time.Time
 	head int
@@ -28,7 +28,7 @@
 	r.n++
 }
 
-// dropThrough removes the times that are not after t.
+// dropThrough removes the times up to and including t.
 func (r *timeRing) dropThrough(t time.Time) {
 	for r.n > 0 && !r.buf[r.head].After(t) {
 		r.head = (r.head + 1) % len(r.buf)
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -14,8 +14,7 @@
 	"github.com/rainford/rainford/table"
 )
 
-// The properties draw the same cases in every run unless -rapid.seed says
-// otherwise.
+// init fixes the seed, so that all runs draw the same cases unless -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func TestSplit(t *testing.T) {
@@ -26,7 +25,7 @@
 		sum, least, most := 0, total, 0
 		for i := range holders {
 			part := share.Split(total, holders, i, offset)
-			require.GreaterOrEqual(t, share.Split(total+1, holders, i, offset), part, "a part falls when the total grows")
+			require.GreaterOrEqual(t, share.Split(total+1, holders, i, offset), part, "a share decreases when the total increases")
 			sum += part
 			least, most = min(least, part), max(most, part)
 		}
@@ -35,8 +34,8 @@
 	})
 }
 
-// TestSplitSpread checks that any run of half the seats gets about half of a
-// few units.
+// TestSplitSpread checks that any contiguous half of the seats gets about half of a few
+// units.
 func TestSplitSpread(t *testing.T) {
 	const seats = 64
 	for total := 2; total <= 16; total++ {
@@ -50,7 +49,7 @@
 	}
 }
 
-// TestLimiterAgainstNaive compares the meter with a count over all past uses.
+// TestLimiterAgainstNaive compares the limiter with a count over all past uses.
 func TestLimiterAgainstNaive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := &share.Limiter{}
@@ -77,8 +76,8 @@
 	})
 }
 
-// loanPair is a lender and a borrower with clocks of their own, and a wire that
-// loses, doubles and delays.
+// loanPair is a lender and a borrower with different clocks, and a network that loses,
+// duplicates and delays messages.
 type loanPair struct {
 	now      time.Time
 	rnd      *rand.Rand
@@ -96,7 +95,7 @@
 
 const (
 	pairUnits = 10
-	// borrowerAhead is the difference of the two clocks.
+	// borrowerAhead is the difference between the two clocks.
 	borrowerAhead = 1000 * time.Hour
 )
 
@@ -148,9 +147,9 @@
 	}
 }
 
-// TestLoansCreateNoUnits checks that lender and borrower together never use
-// more than the lender's units in any window. The three rules of the package
-// comment were each broken in turn and seen to fail here: see docs/PROOFS.md.
+// TestLoansCreateNoUnits checks that lender and borrower together never use more than
+// the lender's units in any window. Breaking any of the three loan rules in the
+// package documentation makes it fail.
 func TestLoansCreateNoUnits(t *testing.T) {
 	lentAny := false
 	for seed := range uint64(40) {
@@ -171,8 +170,8 @@
 	require.True(t, lentAny)
 }
 
-// TestUnitsEndWithLease checks that units end with the lease by the clock alone, as for a
-// process that was paused and handles a request before anything else.
+// TestUnitsEndWithLease checks that units expire with the lease without any prior call,
+// as in a process that was paused and first handles a request.
 func TestUnitsEndWithLease(t *testing.T) {
 	plan := table.Compile(&table.Table{
 		Regions: []table.Region{{Name: "r", Halls: []string{"h"}}, {Name: "q", Halls: []string{"z"}}},
@@ -190,8 +189,8 @@
 	require.False(t, lent)
 }
 
-// TestTinyCap has a cap of one unit, which belongs to one of two instances,
-// and all demand at the other.
+// TestTinyCap checks loans with a cap of one unit, which belongs to one of two instances,
+// while all demand is at the other.
 func TestTinyCap(t *testing.T) {
 	plan := table.Compile(&table.Table{
 		Regions: []table.Region{{Name: "r", Halls: []string{"h"}}, {Name: "q", Halls: []string{"z"}}},
@@ -222,7 +221,7 @@
 			}
 		}
 	}
-	t.Logf("%d of 20 possible uses", used)
+	t.Logf("%d uses of 20 possible ones", used)
 	require.Greater(t, used, 10)
 }
 
@@ -241,8 +240,8 @@
 		cold.Observe(now, cold.Allowed(now, total), total, false)
 		now = now.Add(time.Second)
 	}
-	require.Equal(t, 25, cold.Allowed(now, total), "a cold destination holds the next step back and does not fold the row up")
-	require.Equal(t, 1, (&share.Ramp{Step: 10, Period: time.Second}).Allowed(now, 1), "a tiny row can be used")
+	require.Equal(t, 25, cold.Allowed(now, total), "a cold destination delays the next rise but does not lower the level")
+	require.Equal(t, 1, (&share.Ramp{Step: 10, Period: time.Second}).Allowed(now, 1), "a row with one unit can be used")
 }
 
 func BenchmarkLimiterAllow(b *testing.B) {
--- a/share/split.go
+++ b/share/split.go
@@ -1,10 +1,10 @@
 package share
 
-// Split returns the part of total that holder index of holders gets. The parts
-// of all holders add up to total, differ by one at most, and none falls when
-// total grows. Offset rotates which holders get the units that are left over.
+// Split returns the share of total that the holder with the given index gets. The
+// shares of all holders add up to total and differ by at most one. No share
+// decreases when total increases. Offset rotates which holders get the remainder.
 //
-// It panics if holders is not positive or index is not in [0, holders).
+// Split panics if holders is not positive or index is not in [0, holders).
 func Split(total, holders, index, offset int) int {
 	if holders <= 0 {
 		panic("share: holders must be positive")
@@ -23,9 +23,9 @@
 	return part
 }
 
-// remainderRank returns the place of a holder in the order in which left-over units are
-// handed out. The order steps through the holders by about the golden section,
-// so that any few units are spread evenly over any run of holders.
+// remainderRank returns the rank of a holder in the order in which the remainder is
+// handed out. The order steps through the holders by about the golden section, so
+// that a few units are spread evenly over any range of holders.
 func remainderRank(holders, index, offset int) int {
 	step := goldenStep(holders)
 	place := positiveMod(index-offset, holders)
@@ -36,8 +36,8 @@
 	return t
 }
 
-// goldenStep returns the number nearest below 0.618 of holders that shares no
-// factor with it.
+// goldenStep returns the largest number up to 0.618 of holders that is coprime to
+// holders.
 func goldenStep(holders int) int {
 	for step := holders * 618 / 1000; step > 1; step-- {
 		if gcd(step, holders) == 1 {
