--- a/fleet/absence.go
+++ b/fleet/absence.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// AbsenceTracker tells since when members of a region have not been alive. The zero value is
-// ready.
+// AbsenceTracker records since when members of a region have not been alive. The zero value is
+// ready for use.
 type AbsenceTracker struct {
 	absentSince map[string]time.Time
-	// alive and known are the members of the region at the last look.
+	// alive and known are the numbers of living and of all members of the region at the last
+	// update.
 	alive, known int
 }
 
-// Update takes in the members of a region as a view knows them now.
+// Update records the state at time now of those members that are of the region.
 func (a *AbsenceTracker) Update(now time.Time, region string, members []Status) {
 	if a.absentSince == nil {
 		a.absentSince = make(map[string]time.Time)
@@ -42,9 +43,9 @@
 	}
 }
 
-// AbsentFor returns the names of the members that have been absent for a time, in order. There
-// are none while fewer than half of the region are alive: then it is rather the observer
-// that is cut off.
+// AbsentFor returns the sorted names of the members that have been absent for at least the given
+// duration. It returns none while fewer than half of the region's members are alive, since this
+// instance is then more likely to be partitioned itself.
 func (a *AbsenceTracker) AbsentFor(now time.Time, after time.Duration) []string {
 	if 2*a.alive < a.known {
 		return nil
--- a/fleet/broadcast.go
+++ b/fleet/broadcast.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// broadcastFanout is the number of members that one passes a change on to. A change reaches
-// 100 members in four steps, and no instance sends it more often than that: one that sent
-// a change of 100 kB to 100 others by itself had its link of 20 Mbit/s filled for four
-// seconds.
+// broadcastFanout is the number of branches of a node of the broadcast tree. With it a change
+// reaches 100 members in four steps, and no instance sends it more than broadcastFanout times. An
+// instance that sent a change of 100 kB to 100 others by itself would fill a link of 20 Mbit/s for
+// four seconds.
 const broadcastFanout = 4
 
-// Branch is a member that a change is sent to, with the last member, by the order of the
-// region's ring, that it has to pass it on to.
+// Branch is a subtree of the broadcast tree of a region. The member receives the change and has to
+// pass it on to the members after it on the ring, up to and including Until.
 type Branch struct {
 	Member
 	Until ID
 }
 
-// Branches divides all other members of the own region among a few of them. Members that
-// are not alive are left out. Neighbours on the ring are of one hall, so that a change
-// passes between halls a few times only.
+// Branches divides all other living members of the own region among a few branches, for the
+// instance that starts a broadcast. Neighbors on the ring are of the same hall, so that a change
+// crosses between halls only a few times.
 func (v *View) Branches(now time.Time) []Branch {
 	return split(v.reachable(now, v.ringAfterSelf()))
 }
 
-// BranchesUntil divides the members that come after the own one on the ring, up to and
-// including until. There are none if until is not known: what is left out learns of the
-// change by gossip.
+// BranchesUntil divides the members after the own one on the ring, up to and including until, among
+// a few branches, for an instance that passes a broadcast on. It returns none if until is not
+// known. The members that are left out then receive the change by gossip.
 func (v *View) BranchesUntil(now time.Time, until ID) []Branch {
 	ring := v.ringAfterSelf()
 	for i, r := range ring {
@@ -38,14 +38,14 @@
 	return nil
 }
 
-// ringAfterSelf returns the other members of the own region in the order of the ring, from
-// the one after the own one on.
+// ringAfterSelf returns the other members of the own region in ring order, starting after the own
+// member.
 func (v *View) ringAfterSelf() []*record {
 	first := sort.Search(len(v.local), func(i int) bool { return ringLess(v.self, v.local[i].member) })
 	return append(v.local[first:len(v.local):len(v.local)], v.local[:first]...)
 }
 
-// reachable returns the members that are alive, those that are leaving too.
+// reachable returns the members that are alive or stopping.
 func (v *View) reachable(now time.Time, ring []*record) []Member {
 	var out []Member
 	for _, r := range ring {
@@ -56,7 +56,7 @@
 	return out
 }
 
-// split divides members into parts as long as each other.
+// split divides members into up to broadcastFanout branches of about equal length.
 func split(members []Member) []Branch {
 	var out []Branch
 	for parts := broadcastFanout; len(members) > 0; parts-- {
--- a/fleet/broadcast_test.go
+++ b/fleet/broadcast_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestBroadcast draws fleets and checks that a change reaches each living member of a region
-// once, in few steps, that nobody sends it more than a few times, and that it does not go
-// back and forth between halls.
+// exactly once and in few steps, that no instance sends it more than a few times, and that it
+// crosses between halls only a few times.
 func TestBroadcast(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 130).Draw(t, "members")
@@ -80,8 +80,8 @@
 	})
 }
 
-// TestBranchesUntilUnknownMember checks that nothing is passed on towards a member that is not known,
-// as when the sender has just heard of it: gossip makes up for it.
+// TestBranchesUntilUnknownMember checks that a broadcast is not passed on towards an unknown
+// member, which the sender may just have learned of. Gossip delivers the change instead.
 func TestBranchesUntilUnknownMember(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	v := fleet.NewView(fleet.Member{Name: "a", Region: "r"}, 1, fleet.DefaultSettings)
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,18 +1,20 @@
-// Package fleet provides the membership of the instances: who there is, who is
-// alive, who is leaving, and who watches the store for the others.
+// Package fleet provides the membership of the instances: which instances exist, which are alive or
+// stopping, and which watch the store on behalf of the others.
 //
-// Every instance numbers its heartbeats. Instances gossip in rounds: each passes on the
-// highest numbers that it has heard of, so that the cost of an instance does not
-// grow with the square of the fleet. An instance whose number has not risen for
-// a while is asked directly (a probe), and suspected if that does not help. A suspected
-// instance is neither told to clients nor chosen as a watcher; it is not removed,
-// since it may be cut off and come back. In a fleet of 32 and more an instance
-// follows its own region and the watchers of others; other members are unknown
-// unless they have just written.
+// Every instance numbers its heartbeats. Instances gossip in rounds: in each round an instance
+// sends the highest heartbeat number that it has received of each member to a few partners, so that
+// the cost of an instance does not grow with the square of the number of instances. An instance
+// whose number has not risen for a while is probed directly, and is suspected if it doesn't reply.
+// A suspected instance is neither returned to clients nor chosen as a watcher. It remains a member,
+// since it may be on the other side of a network partition and return.
 //
-// The members of a region stand on a ring, those of a hall next to each other. It
-// gives the partners of a round, and the way of a change that is to reach all: see
-// Spread.
+// Watchers are the instances of a region that watch the store for changes. In a fleet of more than 32
+// members an instance tracks its own region and the watchers of the others. Members that it does
+// not track are unknown, unless a heartbeat of them has arrived recently.
 //
-// View is pure: time and randomness come in as arguments.
+// The members of a region form a ring on which the members of a hall are adjacent. The ring
+// determines the gossip partners of a round, and the tree on which an urgent change is broadcast,
+// see View.Branches.
+//
+// The package performs no I/O and reads no clock: time and randomness are passed in as arguments.
 package fleet
--- a/fleet/heartbeat.go
+++ b/fleet/heartbeat.go
@@ -10,54 +10,55 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// ID is a short form of a member's name in messages.
+// ID identifies a member in messages. It is a hash of the member's name.
 type ID uint32
 
 // IDOf returns the ID of a name.
 func IDOf(name string) ID { return ID(mix.Hash(name) >> 32) }
 
-// Sequence orders the heartbeats of a member over all its processes. It follows the time
-// of day, so that the numbers of a fleet lie close together, and rises with each
-// heartbeat whatever the clock does.
+// Sequence numbers the heartbeats of a member, across restarts of its process. It follows the time
+// of day, so that the numbers of all members are close to each other, and rises with each heartbeat
+// even if the clock is set back.
 type Sequence uint32
 
-// sequenceInterval is the time between two numbers: that between two heartbeats. The numbers
-// last for 68 years from numberEpoch.
+// sequenceInterval is the time between two sequence numbers, which is that between two heartbeats.
+// At this interval the numbers last for 68 years from sequenceEpoch.
 const sequenceInterval = RoundTime
 
 var sequenceEpoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// SequenceAt returns the number that belongs to a time.
+// SequenceAt returns the sequence number of a time.
 func SequenceAt(at time.Time) Sequence { return Sequence(at.Sub(sequenceEpoch) / sequenceInterval) }
 
-// Heartbeat is the latest heartbeat that is known of a member. It is passed on often, so it
-// is small.
+// Heartbeat is the latest known heartbeat of a member. It is kept small, since it is gossiped
+// often.
 type Heartbeat struct {
 	Member   ID
 	Sequence Sequence
 	Flags    Flags
 }
 
-// Heartbeats are heartbeats as a message carries them.
+// Heartbeats is a list of heartbeats with a compact encoding in messages.
 type Heartbeats []Heartbeat
 
-// ErrTruncated is returned for beats that are cut short.
-var ErrTruncated = errors.New("fleet: beats cut short")
+// ErrTruncated is returned when an encoded list of heartbeats is truncated or contains an invalid
+// number.
+var ErrTruncated = errors.New("fleet: heartbeats truncated")
 
 const (
-	// idBytes is the length of an ID in a message.
+	// idBytes is the length of an encoded ID.
 	idBytes = 4
-	// flagBits is the number of bits that flags take.
+	// flagBits is the number of bits for the flags in an encoded heartbeat.
 	flagBits = 4
 	flagMask = 1<<flagBits - 1
-	// maxSequence is the highest number.
+	// maxSequence is the largest sequence number.
 	maxSequence = 1<<32 - 1
 )
 
-// EncodeMsgpack implements msgpack.CustomEncoder: one string of bytes. A beat is its
-// member's ID and one integer, the difference of its number to that of the beat before
-// it and the flags. Members that are alive have about the same number, so that the
-// integer is of one byte.
+// EncodeMsgpack implements msgpack.CustomEncoder. The encoding is one byte string. Each heartbeat
+// takes the ID of its member and one integer, which combines the flags and the difference of the
+// sequence number to that of the heartbeat before. The numbers of living members hardly differ, so
+// that the integer takes one byte.
 func (h Heartbeats) EncodeMsgpack(enc *msgpack.Encoder) error {
 	raw := make([]byte, 0, len(h)*(idBytes+1)+binary.MaxVarintLen64)
 	previous := Sequence(0)
--- a/fleet/leader_test.go
+++ b/fleet/leader_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// TestIsLeader checks who leads: the first by name of those that watch the store, and one that has led until now
-// while nobody does.
+// TestIsLeader checks that the first watcher by name is the leader, and that a former leader
+// remains it while there is no watcher.
 func TestIsLeader(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	view := fleet.NewView(fleet.Member{Name: "m", Hall: "a1", Region: "a"}, fleet.SequenceAt(now), fleet.DefaultSettings)
@@ -22,7 +22,7 @@
 		number++
 		view.MergeHeartbeats(now, fleet.Heartbeats{{Member: fleet.IDOf(name), Sequence: number, Flags: flags}})
 	}
-	require.False(t, view.IsLeader(now, false), "does not watch")
+	require.False(t, view.IsLeader(now, false), "the own process does not watch")
 	view.SetFlags(fleet.Watching)
 	require.True(t, view.IsLeader(now, false))
 	hear("z", fleet.Watching)
@@ -32,8 +32,8 @@
 	hear("a", 0)
 	require.True(t, view.IsLeader(now, false))
 	view.SetFlags(fleet.StoreUnreachable)
-	require.False(t, view.IsLeader(now, true), "another one watches")
+	require.False(t, view.IsLeader(now, true), "another instance watches")
 	hear("z", fleet.StoreUnreachable)
-	require.True(t, view.IsLeader(now, true), "nobody watches")
+	require.True(t, view.IsLeader(now, true), "no instance watches")
 	require.False(t, view.IsLeader(now, false))
 }
--- a/fleet/member.go
+++ b/fleet/member.go
@@ -1,53 +1,53 @@
 package fleet
 
-// Member is one instance. Its name outlives its processes.
+// Member identifies an instance. Its name stays the same when its process restarts.
 type Member struct {
 	Name   string `msgpack:"n" json:"name"`
 	Hall   string `msgpack:"h" json:"hall"`
 	Region string `msgpack:"r" json:"region"`
-	// FrontAddr takes requests of clients.
+	// FrontAddr is the address for requests of clients.
 	FrontAddr string `msgpack:"f" json:"front_addr"`
-	// PeerAddr takes messages of other instances.
+	// PeerAddr is the address for messages of other instances.
 	PeerAddr string `msgpack:"p" json:"peer_addr"`
 }
 
-// Flags are what a process says of itself.
+// Flags are the properties that a process reports of itself.
 type Flags uint8
 
-// The flags.
+// Flags of a process.
 const (
-	// Ready processes have a configuration and take requests.
+	// Ready is set if the process has a configuration and accepts requests.
 	Ready Flags = 1 << iota
-	// Leaving processes have begun their planned stop.
+	// Leaving is set once the process has begun its planned shutdown.
 	Leaving
-	// StoreUnreachable processes do not reach the store.
+	// StoreUnreachable is set while the process can't reach the store.
 	StoreUnreachable
-	// Watching processes watch the store now.
+	// Watching is set while the process watches the store.
 	Watching
 )
 
 // State is the state of a member in a view.
 type State string
 
-// The states.
+// States of a member.
 const (
-	// Alive members were heard of lately.
+	// Alive members have sent a heartbeat recently, directly or through others.
 	Alive State = "alive"
-	// Suspect members should have been heard of and were not, or refuse connections.
+	// Suspect members refuse connections, or their expected heartbeats have not arrived.
 	Suspect State = "suspect"
-	// Stopping members have begun their planned stop.
+	// Stopping members have begun their planned shutdown.
 	Stopping State = "leaving"
-	// Unknown members were not heard of and need not have been: they have just been
-	// named, or they are of another region of a fleet too large to follow them all.
+	// Unknown members have no recent heartbeat and none is expected: they have only just been
+	// added, or belong to another region of a fleet that is too large to track all members.
 	Unknown State = "unknown"
 )
 
-// Status is a member as a view knows it.
+// Status is the state of a member in a view.
 type Status struct {
 	Member
 	State State
 	Flags Flags
 }
 
-// Serves tells whether clients should be sent to the member.
+// Serves reports whether clients may be directed to the member.
 func (s Status) Serves() bool { return s.State == Alive && s.Flags&Ready != 0 }
--- a/fleet/model_test.go
+++ b/fleet/model_test.go
@@ -19,36 +19,34 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// model is a fleet whose messages are lost now and then and arrive within the
-// round.
+// model simulates a fleet. Messages arrive within the round or are lost at random.
 type model struct {
 	views   map[string]*fleet.View
 	members map[string]fleet.Member
 	dead    map[string]bool
 	now     time.Time
 	rng     *rand.Rand
-	// sendOrder is the order in which instances gossip within a round: they started at
-	// different moments.
+	// sendOrder is the order in which instances gossip within a round. It is random, as instances
+	// start at different times.
 	sendOrder []string
-	// partitioned tells whether two instances can't reach each other, nil if all can.
+	// partitioned reports whether two instances can't reach each other. It is nil if all can.
 	partitioned func(a, b string) bool
 	bytes       int
 	rounds      int
 }
 
-// large adds the fleet of the size to come, which takes a minute.
+// large enables the model of the largest fleet, which takes a minute.
 var large = flag.Bool("large", false, "run the model of 730 instances too")
 
 const round = fleet.RoundTime
 
-// positions are those that a message of gossip carries.
+// positions are the positions that each gossip message carries.
 var positions = slices.Repeat([]feed.Position{feed.At(3, 70_000)}, 5)
 
-// busyLoads are as many loads of targets as a message of gossip carries, as while a site is
-// overloaded.
+// busyLoads are the loads that a gossip message carries at most, as while a site is overloaded.
 var busyLoads = make(upstream.TargetReports, 24)
 
-// introduceEvery is the number of messages of which one carries the sender itself.
+// introduceEvery is the number of rounds of which one carries the member of the sender.
 const introduceEvery = 8
 
 func newModel(n, regions int, seed uint64) *model {
@@ -80,7 +78,7 @@
 	return out
 }
 
-// round has every instance gossip once.
+// round lets every living instance gossip once.
 func (m *model) round() {
 	m.now = m.now.Add(round)
 	m.rounds++
@@ -114,7 +112,7 @@
 	}
 }
 
-// countBytes counts the bytes of a message.
+// countBytes adds the length of a message to the total.
 func (m *model) countBytes(message peer.Message) {
 	raw, err := peer.Encode(message)
 	if err != nil {
@@ -123,7 +121,7 @@
 	m.bytes += len(raw)
 }
 
-// delivers tells whether a message arrives. One in fifty is lost.
+// delivers reports whether a message arrives. One in fifty is lost.
 func (m *model) delivers(from, to string) bool {
 	if m.dead[to] || (m.partitioned != nil && m.partitioned(from, to)) {
 		return false
@@ -131,7 +129,7 @@
 	return m.rng.IntN(50) > 0
 }
 
-// probe has an instance ask those that it doubts. An answer comes back at once.
+// probe sends the probes of an instance. Replies arrive within the round.
 func (m *model) probe(v *fleet.View) {
 	for _, asked := range v.Probes(m.now) {
 		m.countBytes(&peer.Probe{ReplyTo: v.Self().PeerAddr})
@@ -144,8 +142,8 @@
 	}
 }
 
-// TestHeartbeatEncoding checks that beats arrive as they were, in few bytes, and that
-// ones that are cut short are refused.
+// TestHeartbeatEncoding checks that heartbeats survive encoding, that they take few bytes, and that
+// truncated ones are rejected.
 func TestHeartbeatEncoding(t *testing.T) {
 	heartbeats := fleet.Heartbeats{
 		{Member: fleet.IDOf("edge-1"), Sequence: fleet.SequenceAt(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)) + 70_000, Flags: fleet.Ready | fleet.Watching},
@@ -162,9 +160,9 @@
 	require.ErrorIs(t, msgpack.Unmarshal(cut, &got), fleet.ErrTruncated)
 }
 
-// TestRestartAfterFastClock checks that a member whose process ended with a clock that was an
-// hour ahead is alive again to others once its new process, whose clock is right, has
-// been told.
+// TestRestartAfterFastClock guards against a restarted member that remains suspected. If the
+// earlier process had a clock an hour ahead, the heartbeats of the new process are older than the
+// recorded ones until it receives the newer heartbeat.
 func TestRestartAfterFastClock(t *testing.T) {
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	self, other := fleet.Member{Name: "a", Region: "r", PeerAddr: "a:1"}, fleet.Member{Name: "b", Region: "r", PeerAddr: "b:1"}
@@ -187,11 +185,10 @@
 	require.False(t, behind)
 }
 
-// TestGossipAtFleetSizes runs fleets of the sizes of today and to come. It checks that
-// instances of a region do not suspect each other without a reason, that a dead
-// one is soon suspected by all of its region, that each region has watchers, few
-// of them, and that the bytes of an instance stay within the bound of
-// docs/CAPACITY.md.
+// TestGossipAtFleetSizes simulates fleets of current and expected sizes. It checks that instances
+// of a region hardly suspect each other without a reason, that all instances of a region soon
+// suspect a dead one, that each region has a few watchers, and that the bytes sent by an instance
+// stay within the bound of docs/CAPACITY.md.
 func TestGossipAtFleetSizes(t *testing.T) {
 	for _, size := range []struct{ members, regions int }{{12, 3}, {85, 3}, {300, 3}, {730, 7}} {
 		if size.members > 300 && !*large {
@@ -218,9 +215,9 @@
 				took++
 			}
 			watchers := m.watchers()
-			t.Logf("%d instances: %.0f bytes/s sent by each, %.5f of the views wrong, a death known after %v, watchers %v",
+			t.Logf("%d instances: %.0f bytes/s sent by each, %.5f of the views wrong, dead instance suspected after %v, watchers %v",
 				size.members, perSecond, float64(wrong)/float64(seen), time.Duration(took)*round, watchers)
-			require.LessOrEqual(t, perSecond, 5_500.0, "both ways no more than the bound; see docs/CAPACITY.md")
+			require.LessOrEqual(t, perSecond, 5_500.0, "bytes sent by each instance; see the bound for both directions in docs/CAPACITY.md")
 			require.LessOrEqual(t, float64(wrong)/float64(seen), 0.002)
 			require.LessOrEqual(t, time.Duration(took)*round, 6*time.Second)
 			require.Len(t, watchers, size.regions)
@@ -232,8 +229,8 @@
 	}
 }
 
-// wrongViews counts the views that suspect a living instance of their own
-// region.
+// wrongViews counts the living members that instances of the same region do not consider alive, and
+// all living members of these views.
 func (m *model) wrongViews() (wrong, seen int) {
 	for _, name := range m.names() {
 		for _, s := range m.views[name].All(m.now) {
@@ -249,8 +246,7 @@
 	return wrong, seen
 }
 
-// heldAlive tells whether any instance of its region still holds the instance to be
-// alive.
+// heldAlive reports whether any instance of its region still considers the victim alive.
 func (m *model) heldAlive(victim string) bool {
 	for _, name := range m.names() {
 		if m.members[name].Region != m.members[victim].Region {
@@ -265,6 +261,7 @@
 	return false
 }
 
+// watchers returns the number of watchers of each region.
 func (m *model) watchers() map[string]int {
 	out := map[string]int{}
 	for _, name := range m.names() {
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -8,22 +8,22 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// RoundTime is the time between two rounds of gossip.
+// RoundTime is the interval of the gossip rounds.
 const RoundTime = 500 * time.Millisecond
 
 const (
-	// remoteChoices is the number of members of another region among which an instance
-	// changes from round to round, so that one that is down does not cut it off.
+	// remoteChoices is the number of members of another region among which an instance rotates from
+	// round to round, so that a single failed one does not isolate it from that region.
 	remoteChoices = 4
-	// maxProbes bounds the members that are asked directly in a round: most of the
-	// silent ones of a lost hall need not be.
+	// maxProbes limits the members that are probed in a round. When a hall is lost, most of its
+	// members need not be probed.
 	maxProbes = 8
-	// refusalBackoff is how long a member of another region that refused a connection is
-	// passed over.
+	// refusalBackoff is the time for which a member of another region is skipped as a partner after
+	// it has refused a connection.
 	refusalBackoff = 5 * time.Second
 )
 
-// ringLess orders the members of a region so that neighbours are of one hall.
+// ringLess orders the members of a region on the ring, so that the members of a hall are adjacent.
 func ringLess(a, b Member) bool {
 	if a.Hall != b.Hall {
 		return a.Hall < b.Hall
@@ -31,7 +31,8 @@
 	return a.Name < b.Name
 }
 
-// nextRound counts the rounds so that instances whose clocks agree are in the same one.
+// nextRound increments the round number and keeps it within one of the clock's, so that instances
+// with synchronized clocks are in the same round.
 func (v *View) nextRound(now time.Time) {
 	byClock := int64(SequenceAt(now))
 	v.round++
@@ -40,9 +41,10 @@
 	}
 }
 
-// Partners returns the members that a round of gossip goes to: some of the own region,
-// by a schedule that all instances share, one of another region, whether or not it was
-// heard of, and one of the own region that is not alive, so that a healed cut is noticed.
+// Partners returns the members to which this round's gossip is sent. These are some living members
+// of the own region, by a schedule that all instances share, one member of another region, whatever
+// its state, and one member of the own region that is not alive, so that the end of a network
+// partition is noticed.
 func (v *View) Partners(now time.Time, rnd *rand.Rand) []Member {
 	v.nextRound(now)
 	var alive, silent []Member
@@ -67,10 +69,11 @@
 	return out
 }
 
-// localPartners picks the partners of this round on the ring of a region's living members,
-// of which before stand ahead of the own one. All members take partners at the same
-// distances, which change with the round as if drawn, so that each hears from as many
-// others in each round, where partners that each draws for itself leave some out.
+// localPartners chooses this round's partners on the ring of the living members of the region. Rank
+// is the position of the own member on the ring. All members choose partners at the same distances,
+// which change pseudorandomly with each round. So each member receives gossip from the same number
+// of others in each round. If each member chose partners at random, some members would receive
+// none.
 func (v *View) localPartners(ring []Member, rank int) []Member {
 	n := len(ring) + 1
 	var out []Member
@@ -90,9 +93,9 @@
 	return out
 }
 
-// remotePartner returns the partner of another region in this round: the regions take
-// turns, and in each the instance has a few partners that others do not have, at the
-// place of the other ring that corresponds to its own.
+// remotePartner returns this round's partner in another region. The regions take turns. In each,
+// the instance rotates through a few members around the position on that region's ring which
+// corresponds to its own, so that different instances have different partners.
 func (v *View) remotePartner(now time.Time, rank, n int) (Member, bool) {
 	if len(v.remoteRegions) == 0 {
 		return Member{}, false
@@ -109,8 +112,8 @@
 	return Member{}, false
 }
 
-// Probes returns the members to ask directly whether they are alive: those of which no
-// heartbeat has come for a while, before they are suspected.
+// Probes returns the members to probe: those that are still alive in this view, but whose last
+// heartbeat is at least ProbeAfter old. Members with the oldest heartbeats come first.
 func (v *View) Probes(now time.Time) []Member {
 	var doubtful []*record
 	for _, r := range v.members {
--- a/fleet/suspicion_test.go
+++ b/fleet/suspicion_test.go
@@ -9,12 +9,12 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// roundsPerMinute are the rounds of gossip in a minute.
+// roundsPerMinute is the number of gossip rounds in a minute.
 const roundsPerMinute = 120
 
-// TestNoFalseSuspicions checks that in a minute without faults no instance holds one that is
-// alive and reachable to be suspect, at the sizes of today's sites and of the one to
-// come, in its own region and in others. One message in fifty is lost.
+// TestNoFalseSuspicions checks that in a minute without faults no instance suspects a living and
+// reachable one, in its own region or in another. It covers the sizes of current fleets and a
+// larger one. One message in fifty is lost.
 func TestNoFalseSuspicions(t *testing.T) {
 	for _, size := range []struct{ members, regions int }{{12, 3}, {74, 3}, {295, 3}, {730, 7}} {
 		if size.members > 300 && !*large {
@@ -30,13 +30,13 @@
 				m.round()
 				wrong += m.falseSuspicions()
 			}
-			t.Logf("%d instances: %d views of a living instance that suspect it in a minute", size.members, wrong)
+			t.Logf("%d instances: %d suspicions of living instances in a minute", size.members, wrong)
 			require.Zero(t, wrong)
 		})
 	}
 }
 
-// falseSuspicions counts the views that suspect a living instance, in all regions.
+// falseSuspicions counts the suspicions of living instances in the views of all instances.
 func (m *model) falseSuspicions() int {
 	wrong := 0
 	for _, name := range m.names() {
@@ -49,12 +49,13 @@
 	return wrong
 }
 
-// settleRounds are the rounds after which a cut is known everywhere: the last heartbeats
-// from the other side are passed on for a while before they grow old.
+// settleRounds is the number of rounds after which all instances have noticed a partition or its
+// end. The last heartbeats from the other side are gossiped for a while before they are too old.
 const settleRounds = 10
 
-// TestHallPartition cuts a hall off from all others. On both sides those that can be reached
-// stay alive and the others are suspected, and all are alive again soon after the cut.
+// TestHallPartition partitions a hall from all others. In each instance's view of its region, the
+// members on its own side remain alive and those on the other side are suspected. After the
+// partition no living member is suspected within settleRounds.
 func TestHallPartition(t *testing.T) {
 	m := newModel(74, 3, 1)
 	for range 16 {
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -7,23 +7,21 @@
 	"time"
 )
 
-// Settings are the settings of a view.
+// Settings are the parameters of a view.
 type Settings struct {
-	// ProbeAfter is the time without a new heartbeat after which a member of the
-	// own region is asked directly, and SuspectAfter that after which it is
-	// suspected.
+	// ProbeAfter is the time without a new heartbeat after which a member of the own region is
+	// probed. SuspectAfter is the time after which it is suspected.
 	ProbeAfter, SuspectAfter time.Duration
 	// Watchers is the number of watchers in each region.
 	Watchers int
-	// LocalFanout is the number of members of the own region that a round of gossip goes
-	// to.
+	// LocalFanout is the number of members of the own region to which a round of gossip is sent.
 	LocalFanout int
 }
 
-// DefaultSettings suit a round of gossip each RoundTime. With three partners news of a
-// member mostly comes in each round, and of one in a hundred in the third one only, so
-// one that was silent for two rounds is asked, twice before it is suspected. The model
-// tests measure what follows at 12 to 730 instances.
+// DefaultSettings suit a gossip interval of RoundTime. With three partners, new heartbeats of a
+// member mostly arrive in each round, and those of one member in a hundred only in the third round.
+// So a member without new heartbeats for two rounds is probed, and it is probed twice before it is
+// suspected. The model tests check the consequences for 12 to 730 instances.
 var DefaultSettings = Settings{
 	ProbeAfter:   2 * RoundTime,
 	SuspectAfter: 4 * RoundTime,
@@ -31,35 +29,35 @@
 	LocalFanout:  3,
 }
 
-// View is one instance's view of the fleet. It is not safe for concurrent use.
+// View is the membership as seen by one instance. It is not safe for concurrent use.
 type View struct {
 	settings  Settings
 	self      Member
 	heartbeat Heartbeat
 	members   map[string]*record
 	byID      map[ID]*record
-	// byName holds the members in the byName of their names.
+	// byName holds the records sorted by name.
 	byName []*record
-	// local are the members of the own region and far those of the others, by region,
-	// in the order of ringLess. farRegions are the regions of far in order.
+	// local holds the records of the own region, and remote those of each other region, in the
+	// order of ringLess. remoteRegions are the sorted keys of remote.
 	local         []*record
 	remote        map[string][]*record
 	remoteRegions []string
-	// round counts the rounds of gossip.
+	// round is the number of the current gossip round.
 	round int64
 }
 
 type record struct {
 	member    Member
 	heartbeat Heartbeat
-	// heardAt is when the beat last rose, zero if none was heard.
+	// heardAt is the time at which heartbeat was last raised, or zero if no heartbeat has arrived.
 	heardAt time.Time
-	// refusedAt is when the member's peer address last refused a connection.
+	// refusedAt is the time at which the member's peer address last refused a connection.
 	refusedAt time.Time
 }
 
-// NewView returns the view of a member's process that knows only itself. Number is that
-// of its first heartbeat.
+// NewView returns the view of a process that knows only its own member. Number is the sequence
+// number of its first heartbeat.
 func NewView(self Member, number Sequence, settings Settings) *View {
 	return &View{
 		settings:  settings,
@@ -71,7 +69,7 @@
 	}
 }
 
-// Member returns the member of an ID, the own one too.
+// Member returns the member with the given ID, which may be the own one.
 func (v *View) Member(id ID) (Member, bool) {
 	if id == v.heartbeat.Member {
 		return v.self, true
@@ -86,10 +84,10 @@
 // Self returns the own member.
 func (v *View) Self() Member { return v.self }
 
-// SetFlags sets what the own process says of itself.
+// SetFlags sets the flags that the own process reports.
 func (v *View) SetFlags(flags Flags) { v.heartbeat.Flags = flags }
 
-// Add takes in members that the store or a peer named.
+// Add adds or updates members that were read from the store or received from a peer.
 func (v *View) Add(members ...Member) {
 	changed := false
 	for _, m := range members {
@@ -109,6 +107,7 @@
 	}
 }
 
+// reindex rebuilds the indexes of the records after a change of the members.
 func (v *View) reindex() {
 	v.byName, v.local, v.remoteRegions = v.byName[:0], v.local[:0], v.remoteRegions[:0]
 	clear(v.byID)
@@ -139,7 +138,7 @@
 	sort.Strings(v.remoteRegions)
 }
 
-// Remove drops a member that is known from the store alone and not alive.
+// Remove removes a member unless it is alive.
 func (v *View) Remove(now time.Time, name string) {
 	r := v.members[name]
 	if r != nil && v.state(now, r) != Alive {
@@ -148,16 +147,17 @@
 	}
 }
 
-// AdvanceHeartbeat counts one heartbeat of the own process.
+// AdvanceHeartbeat raises the sequence number of the own heartbeat, at least to that of the current
+// time.
 func (v *View) AdvanceHeartbeat(now time.Time) {
 	v.heartbeat.Sequence = max(v.heartbeat.Sequence+1, SequenceAt(now))
 }
 
-// fullViewSize is the number of members up to which beats of all are passed on. In a
-// larger fleet an instance follows its own region and the others' watchers.
+// fullViewSize is the number of other members from which on an instance tracks only its own region
+// and the watchers of the others. In a smaller fleet the heartbeats of all members are gossiped.
 const fullViewSize = 32
 
-// HeartbeatsFor returns the beats to pass on to a member of a region, the own one first.
+// HeartbeatsFor returns the heartbeats to gossip to a member of a region, the own one first.
 func (v *View) HeartbeatsFor(now time.Time, region string) Heartbeats {
 	out := make(Heartbeats, 0, len(v.byName)+1)
 	out = append(out, v.heartbeat)
@@ -169,8 +169,9 @@
 	return out
 }
 
-// gossipsTo tells whether members of a region are told of a member: of all in a small
-// fleet, else by their own region of its members and by others of the watchers alone.
+// gossipsTo reports whether the heartbeats of a member are gossiped to a region. In a small fleet
+// all are. Otherwise the heartbeats of watchers are gossiped to all regions, and those of other
+// members of the own region within it.
 func (v *View) gossipsTo(r *record, region string) bool {
 	if len(v.members) < fullViewSize || r.heartbeat.Flags&Watching != 0 {
 		return true
@@ -178,12 +179,12 @@
 	return region == v.self.Region && r.member.Region == region
 }
 
-// tracks tells whether the heartbeats of a member are expected to arrive.
+// tracks reports whether heartbeats of a member are expected to arrive.
 func (v *View) tracks(r *record) bool {
 	return len(v.members) < fullViewSize || r.member.Region == v.self.Region
 }
 
-// MergeHeartbeats takes in beats.
+// MergeHeartbeats merges received heartbeats into the view.
 func (v *View) MergeHeartbeats(now time.Time, heartbeats Heartbeats) {
 	for _, h := range heartbeats {
 		if h.Member == v.heartbeat.Member {
@@ -199,20 +200,21 @@
 	}
 }
 
-// advancePast raises the own number above that of an earlier process, which may have had
-// a clock that was ahead.
+// advancePast raises the own sequence number above that of an earlier process of the same member,
+// whose clock may have been ahead.
 func (v *View) advancePast(h Heartbeat) {
 	if h.Sequence > v.heartbeat.Sequence {
 		v.heartbeat.Sequence = h.Sequence + 1
 	}
 }
 
-// OwnHeartbeat returns the heartbeat of the own process.
+// OwnHeartbeat returns the latest heartbeat of the own process.
 func (v *View) OwnHeartbeat() Heartbeat { return v.heartbeat }
 
-// NewerHeartbeat returns a heartbeat of the sender's member that is newer than all that the
-// sender itself knows: an earlier process had a clock that was ahead. The sender has
-// to be told, or its own heartbeats would count for nothing.
+// NewerHeartbeat returns the recorded heartbeat of the sender of a list of heartbeats if it is
+// newer than the sender's own. This happens if an earlier process of the sender had a clock that
+// was ahead. The heartbeat has to be sent to the sender, whose own heartbeats are ignored
+// otherwise.
 func (v *View) NewerHeartbeat(heartbeats Heartbeats) (Heartbeat, bool) {
 	if len(heartbeats) == 0 {
 		return Heartbeat{}, false
@@ -224,8 +226,8 @@
 	return r.heartbeat, true
 }
 
-// MarkRefused takes in that a peer address refused a connection, which shows that
-// its process has ended.
+// MarkRefused records that a peer address has refused a connection, which shows that its process
+// has ended.
 func (v *View) MarkRefused(now time.Time, peerAddr string) {
 	for _, r := range v.members {
 		if r.member.PeerAddr == peerAddr {
@@ -250,7 +252,7 @@
 	}
 }
 
-// IsMissing tells whether a member whose heartbeats are expected is not heard.
+// IsMissing reports whether a member whose heartbeats are expected is suspect or unknown.
 func (v *View) IsMissing(now time.Time, name string) bool {
 	r := v.members[name]
 	if r == nil || !v.tracks(r) {
@@ -260,7 +262,7 @@
 	return state == Suspect || state == Unknown
 }
 
-// All returns every member, the own one too, in the order of names.
+// All returns the status of every member, including the own one, sorted by name.
 func (v *View) All(now time.Time) []Status {
 	own := Status{Member: v.self, State: Alive, Flags: v.heartbeat.Flags}
 	if v.heartbeat.Flags&Leaving != 0 {
@@ -271,7 +273,7 @@
 	return slices.Insert(out, at, own)
 }
 
-// Others returns every member but the own one, in the order of names.
+// Others returns the status of every member except the own one, sorted by name.
 func (v *View) Others(now time.Time) []Status {
 	out := make([]Status, 0, len(v.byName)+1)
 	for _, r := range v.byName {
@@ -280,5 +282,5 @@
 	return out
 }
 
-// Len returns the number of members, the own one too.
+// Len returns the number of members, including the own one.
 func (v *View) Len() int { return len(v.byName) + 1 }
--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ShouldWatch tells whether the own process is to watch the store: it is among the
-// first of its region, by name, that are alive, not leaving, and reach the
-// store. Instances whose views differ may choose more watchers than needed,
-// never none: an instance that hears of no watcher is the first in its own view.
+// ShouldWatch reports whether the own process should watch the store. It should if it is among the
+// first members of its region, by name, that are alive and can reach the store. Instances with
+// different views may choose more watchers than needed, but never none, since an instance that sees
+// no watcher before it in the order chooses itself.
 func (v *View) ShouldWatch(now time.Time) bool {
 	preceding := 0
 	for _, r := range v.byName {
@@ -22,7 +22,8 @@
 	return true
 }
 
-// IsFirstWatcher tells whether the own process is the first watcher of its region.
+// IsFirstWatcher reports whether the own process is the first watcher of its region. It is not if
+// it can't reach the store.
 func (v *View) IsFirstWatcher(now time.Time) bool {
 	for _, r := range v.byName {
 		if r.member.Name > v.self.Name {
@@ -35,8 +36,9 @@
 	return v.heartbeat.Flags&StoreUnreachable == 0
 }
 
-// IsLeader tells whether the own process is the first by name of all watchers of the fleet that are known
-// to be alive. If none is, as while the store is away, one that has led until now goes on.
+// IsLeader reports whether the own process is the first, by name, of all watchers of the fleet that
+// are known to be alive. If there are no watchers, as while the store is down, a process that has
+// led until now remains the leader.
 func (v *View) IsLeader(now time.Time, hasLed bool) bool {
 	watches := v.heartbeat.Flags&Watching != 0
 	for _, r := range v.byName {
@@ -48,7 +50,7 @@
 	return watches || hasLed
 }
 
-// RemoteWatchers returns the watchers of the other regions that are alive.
+// RemoteWatchers returns the living watchers of the other regions.
 func (v *View) RemoteWatchers(now time.Time) []Member {
 	var out []Member
 	for _, r := range v.byName {
