--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -13,8 +13,7 @@
 	"github.com/rainford/rainford/balance"
 )
 
-// The properties draw the same cases in every run unless -rapid.seed says
-// otherwise.
+// The property tests use the same random cases in every run unless -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var epoch = time.Unix(0, 0)
@@ -39,7 +38,7 @@
 	return balance.Request{ID: id, Deadline: epoch.Add(time.Hour), QueueTimeout: time.Hour}
 }
 
-// warmUp answers until every target may use its whole share.
+// warmUp releases requests with success until the pool's limit reaches want.
 func warmUp(p *balance.Pool, want int) {
 	for i := uint64(1); p.Load(epoch).Limit < want; i++ {
 		var taken []string
@@ -58,10 +57,10 @@
 	}
 }
 
-// TestSlotsAreNeverExceeded drives a pool through arrivals, answers, refusals, broken
-// exchanges, drains and changes of the shares. No target may get more than its
-// share at the time, none new work while it leaves, every queued request ends
-// in one grant, and a request of another region stays off the floor.
+// TestSlotsAreNeverExceeded drives a pool through arrivals, all results of requests, and changes of
+// the targets and their slots. It checks that no target exceeds its share of slots, that unlisted
+// targets get no new requests, that every queued request ends with one grant, and that requests of
+// another region do not use the reserve.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rand"), 1))})
@@ -129,14 +128,14 @@
 
 func (m *poolModel) checkRun(d balance.Decision) {
 	slots, named := m.slots[d.Target.ID]
-	require.True(m.t, named, "a leaving target got new work")
+	require.True(m.t, named, "an unlisted target got a request")
 	m.inFlight[d.Target.ID]++
 	require.LessOrEqual(m.t, m.inFlight[d.Target.ID], slots)
 }
 
 func (m *poolModel) checkGrants(grants []balance.Grant) {
 	for _, g := range grants {
-		require.True(m.t, m.waiting[g.ID], "a grant for nobody")
+		require.True(m.t, m.waiting[g.ID], "a grant for a request that is not queued")
 		delete(m.waiting, g.ID)
 		require.NotEqual(m.t, balance.Wait, g.Decision.Action)
 		m.checkDecision(g.ID, g.Decision)
@@ -169,7 +168,7 @@
 	require.Equal(t, []int{2, 4, 8}, limits)
 }
 
-// TestOneHalvingPerCooldown checks that a burst of refusals halves the limit once.
+// TestOneHalvingPerCooldown checks that a burst of refusals halves the limit only once.
 func TestOneHalvingPerCooldown(t *testing.T) {
 	p := newPool(t, 8)
 	warmUp(p, 8)
@@ -200,8 +199,8 @@
 	require.Greater(t, last, 9)
 }
 
-// TestLateRequestIsRefusedEarly checks that a queued request is refused when its place says
-// that it will be late, not when it is.
+// TestLateRequestIsRefusedEarly checks that a queued request is refused as soon as its expected
+// wait shows that it will miss its deadline.
 func TestLateRequestIsRefusedEarly(t *testing.T) {
 	p := newPool(t, 1)
 	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Action)
@@ -209,16 +208,16 @@
 	require.Equal(t, balance.Refuse, p.Acquire(epoch, late).Action)
 	late.Deadline = epoch.Add(time.Second)
 	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
-	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "it may still make it: the target is tried again after 500 ms")
+	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "the request may meet its deadline: the target is probed after 500 ms")
 	require.Empty(t, p.Tick(epoch.Add(100*time.Millisecond)))
 	grants := p.SetTargets(epoch.Add(200*time.Millisecond), nil)
 	require.Len(t, grants, 1, "no target is left, 800 ms before the deadline")
 	require.Equal(t, balance.Refuse, grants[0].Decision.Action)
 }
 
-// TestWaitIsBounded has uploads hold every slot while the usual request takes
-// 10 ms. Who waits is refused after its patience, and else when as much time has
-// passed without a free slot as is left.
+// TestWaitIsBounded has uploads hold every slot while the usual request takes 10 ms. It checks that
+// a waiting request is refused when its queue timeout expires, or when the time without a released
+// slot is as long as the time to its deadline.
 func TestWaitIsBounded(t *testing.T) {
 	p := newPool(t, 2)
 	warmUp(p, 2)
@@ -238,8 +237,8 @@
 	require.InDelta(t, 2, refused[4].Seconds(), 0.1)
 }
 
-// TestNoSlotsNoQueue checks that nobody waits at an instance whose share of
-// the slots is nothing, as after it gave its seats back.
+// TestNoSlotsNoQueue checks that requests do not queue at an instance whose share of the slots is
+// zero, as after it released its seats.
 func TestNoSlotsNoQueue(t *testing.T) {
 	p := newPool(t, 0, 0)
 	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second})
@@ -250,7 +249,7 @@
 	late := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second}
 	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
 	grants := p.SetTargets(epoch, specs(0))
-	require.Len(t, grants, 1, "the one that can't wait for ever is refused at once")
+	require.Len(t, grants, 1, "the request that cannot meet its deadline is refused at once")
 	require.EqualValues(t, 3, grants[0].ID)
 }
 
@@ -264,7 +263,7 @@
 	}
 	d := p.Acquire(epoch, r)
 	require.Equal(t, balance.Refuse, d.Action)
-	require.InDelta(t, 0.78, d.RetryAfter.Seconds(), 0.27, "about when it is tried again, with jitter")
+	require.InDelta(t, 0.78, d.RetryAfter.Seconds(), 0.27, "about the time until the next probe, with jitter")
 	require.Equal(t, balance.Run, p.Acquire(epoch.Add(time.Second), r).Action)
 }
 
--- a/balance/policy.go
+++ b/balance/policy.go
@@ -10,13 +10,13 @@
 	Allowed int
 }
 
-// Policy picks one of the candidates, of which there is at least one.
+// Policy picks one of the candidates and returns its index. There is at least one candidate.
 type Policy interface {
 	Pick(candidates []Candidate) int
 }
 
-// LeastLoaded picks the candidate with the smallest part of its slots in use,
-// and a random one among equals.
+// LeastLoaded picks the candidate with the smallest fraction of its allowed requests in flight, and
+// a random one among equals.
 type LeastLoaded struct {
 	Rand *rand.Rand
 }
@@ -40,8 +40,8 @@
 	return best
 }
 
-// LeastInFlight picks the candidate with the fewest requests in flight, the
-// first among equals. It is a baseline.
+// LeastInFlight picks the candidate with the fewest requests in flight, the first one among equals.
+// It serves as a baseline.
 type LeastInFlight struct{}
 
 // Pick implements Policy.
@@ -55,8 +55,7 @@
 	return best
 }
 
-// RoundRobin picks the candidates in turn. It is the baseline that the other
-// policies are measured against.
+// RoundRobin picks the candidates in turn. It is the baseline to which other policies are compared.
 type RoundRobin struct {
 	next int
 }
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -8,24 +8,24 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// Action is the kind of a decision.
+// Action is what a decision requires the caller to do.
 type Action int
 
-// The verdicts.
+// The actions of a decision.
 const (
-	// Run means: send the request to Decision.Target.
+	// Run means that the request is to be sent to Decision.Target.
 	Run Action = iota
-	// Wait means: the request is queued; a Grant with its ID follows.
+	// Wait means that the request is queued. A Grant with its ID follows unless it is cancelled.
 	Wait
-	// Refuse means: give the request up now.
+	// Refuse means that the request is to be refused now.
 	Refuse
 )
 
-// Decision is the answer to Acquire.
+// Decision is the result of Acquire, or part of a Grant.
 type Decision struct {
 	Action Action
 	Target Spec
-	// RetryAfter says when to come back after a refusal.
+	// RetryAfter is the time after which a refused request should be retried.
 	RetryAfter time.Duration
 }
 
@@ -33,15 +33,16 @@
 type Request struct {
 	// ID is unique among the requests of the pool.
 	ID uint64
-	// Deadline is when the answer has to be there.
+	// Deadline is when the client needs the response.
 	Deadline time.Time
-	// QueueTimeout is the longest time to wait for a slot. 0 refuses rather than
-	// wait.
+	// QueueTimeout is the longest time that the request may wait for a slot. With 0 the request is
+	// refused if no slot is free.
 	QueueTimeout time.Duration
-	// FromOtherRegion marks a request that another region sent here. It may not use
-	// the part of the slots that the floor keeps.
+	// FromOtherRegion marks a request that was sent here by another region. It may not use the
+	// reserve.
 	FromOtherRegion bool
-	// Tried is a target that the request has failed on already, or "".
+	// Tried is a target on which the request has failed, or "". It is used again only if no other
+	// target has a free slot.
 	Tried string
 }
 
@@ -51,53 +52,52 @@
 	Decision Decision
 }
 
-// Config are the settings of a pool.
+// Config holds the settings of a pool.
 type Config struct {
-	// Policy picks among the targets with a free slot. Nil stands for
-	// LeastLoaded.
+	// Policy picks among the targets with a free slot. It is LeastLoaded if nil.
 	Policy Policy
-	// Rand gives the jitter of RetryAfter and must not be nil.
+	// Rand provides the jitter of RetryAfter. It must not be nil.
 	Rand *rand.Rand
-	// MaxQueue bounds the requests that wait. 0 stands for 256.
+	// MaxQueue bounds the number of queued requests. 0 means 256.
 	MaxQueue int
-	// NoSlowStart gives a new target its whole share at once. It is a
-	// baseline of the measurements.
+	// NoSlowStart gives a new target its whole share of slots at once. It serves as a baseline.
 	NoSlowStart bool
 }
 
 const (
 	defaultMaxQueue = 256
-	// initialLatency is the service time assumed before any was seen.
+	// initialLatency is the latency assumed before the first response.
 	initialLatency = 20 * time.Millisecond
 	minRetryAfter  = 50 * time.Millisecond
 	maxRetryAfter  = 10 * time.Second
 )
 
-// Pool chooses targets for the requests of one service at one instance. It is
-// not safe for concurrent use.
+// Pool selects targets for the requests of one service at one instance. It is not safe for
+// concurrent use.
 type Pool struct {
 	config  Config
 	reserve int
 	targets map[string]*target
-	// order holds the IDs sorted, so that decisions do not depend on the
+	// order holds the target IDs in sorted order, so that decisions do not depend on the iteration
 	// order of a map.
 	order       []string
 	inFlight    int
 	queue       []queued
 	meanLatency time.Duration
-	// lastRelease is when a slot last came free, and interval the usual time
-	// between two such moments while requests wait.
+	// lastRelease is when a slot was last released. releaseInterval is the mean time between two
+	// releases while requests wait.
 	lastRelease     time.Time
 	releaseInterval time.Duration
 }
 
-// queued is a request that waits.
+// queued is a request in the queue.
 type queued struct {
 	Request
 	since time.Time
 }
 
-// NewPool returns a pool without targets.
+// NewPool returns a pool without targets for the given configuration. It panics if config.Rand is
+// nil.
 func NewPool(config Config) *Pool {
 	if config.Rand == nil {
 		panic("balance: nil Rand")
@@ -111,12 +111,12 @@
 	return &Pool{config: config, targets: make(map[string]*target)}
 }
 
-// SetReserve sets the percentage of the slots kept for the region's own
-// requests.
+// SetReserve sets the percentage of the slots that is reserved for requests of this region. In
+// settings and in the routing table it is called the floor.
 func (p *Pool) SetReserve(percent int) { p.reserve = percent }
 
-// SetTargets replaces the targets that get new work. One that is no longer
-// named gets none; what it has in flight goes on.
+// SetTargets replaces the targets that get new requests. Requests in flight at other targets
+// continue. It returns the grants and refusals that follow.
 func (p *Pool) SetTargets(now time.Time, specs []Spec) []Grant {
 	named := make(map[string]bool, len(specs))
 	for _, spec := range specs {
@@ -153,16 +153,16 @@
 	sort.Strings(p.order)
 }
 
-// ApplySelfReport takes in what a target said of itself. What the list says of it, later or not, does not
-// undo that, unless it names the target at another address.
+// ApplySelfReport applies what a target reported about itself. The target list, whether older or
+// newer, does not revoke the report unless it lists the target with another address.
 func (p *Pool) ApplySelfReport(now time.Time, id string, w availability.SelfReport) {
 	if t := p.targets[id]; t != nil {
 		t.applySelfReport(now, w)
 	}
 }
 
-// Acquire decides on a request. After Run the caller must call Release; after
-// Wait it gets a Grant from a later call, or calls Cancel.
+// Acquire decides on a request. After Run the caller must call Release. After Wait the caller must
+// either receive a Grant from a later call or call Cancel.
 func (p *Pool) Acquire(now time.Time, req Request) Decision {
 	p.growFull(now)
 	if !p.queuedAhead(req) {
@@ -176,15 +176,15 @@
 		return p.refuse(wait)
 	}
 	if len(p.queue) == 0 && p.lastRelease.Before(now) {
-		// Time that passed before anyone waited says nothing.
+		// The time without queued requests does not count.
 		p.lastRelease = now
 	}
 	p.queue = append(p.queue, queued{Request: req, since: now})
 	return Decision{Action: Wait}
 }
 
-// queuedAhead tells whether a queued request has a right to the next slot
-// before req. Requests from other regions have none before the region's own.
+// queuedAhead reports whether a queued request takes precedence over req for the next slot. A
+// request from another region does not take precedence over a request of this region.
 func (p *Pool) queuedAhead(req Request) bool {
 	for i := range p.queue {
 		if req.FromOtherRegion || !p.queue[i].FromOtherRegion {
@@ -194,10 +194,9 @@
 	return false
 }
 
-// Release ends a request that ran on a target, and returns the grants that
-// this makes possible. Latency is the time to the head of the answer; 0 says
-// nothing of the target's speed, as for an upload that took as long as its
-// sender did.
+// Release ends a request that ran on a target and returns the grants and refusals that follow.
+// latency is the time to the response header. It is 0 if the time does not show the target's speed,
+// as for an upload whose duration depends on its sender.
 func (p *Pool) Release(now time.Time, id string, result Result, latency time.Duration) []Grant {
 	t := p.targets[id]
 	if t == nil {
@@ -228,7 +227,7 @@
 	return p.dispatch(now)
 }
 
-// Cancel takes a request out of the queue. It reports whether it was there.
+// Cancel removes a request from the queue. It reports whether the request was queued.
 func (p *Pool) Cancel(id uint64) bool {
 	for i := range p.queue {
 		if p.queue[i].ID == id {
@@ -239,8 +238,8 @@
 	return false
 }
 
-// Tick gives up the queued requests that can't make their deadline any more,
-// and serves others if targets have come back.
+// Tick refuses queued requests that would miss their deadline, and grants slots to others if
+// targets have become available again.
 func (p *Pool) Tick(now time.Time) []Grant {
 	p.growFull(now)
 	return p.dispatch(now)
@@ -252,9 +251,8 @@
 	}
 }
 
-// dispatch serves the queue in order. A request that has waited for its
-// patience, or that by its place in the queue can't make its deadline any more,
-// is refused now and not when the deadline has passed.
+// dispatch serves the queue in order. It refuses a request when its queue timeout expires, or as
+// soon as its place in the queue shows that it would miss its deadline.
 func (p *Pool) dispatch(now time.Time) []Grant {
 	var out []Grant
 	kept := p.queue[:0]
@@ -275,7 +273,7 @@
 	return out
 }
 
-// pick takes a slot for the request.
+// pick reserves a slot for the request and returns its target.
 func (p *Pool) pick(now time.Time, req Request) (Spec, bool) {
 	if req.FromOtherRegion && !p.leavesReserve(now) {
 		return Spec{}, false
@@ -306,8 +304,7 @@
 	return out
 }
 
-// leavesReserve tells whether a request from another region leaves the floor
-// untouched.
+// leavesReserve reports whether a request from another region can run without using the reserve.
 func (p *Pool) leavesReserve(now time.Time) bool {
 	limit := p.Load(now).Limit
 	kept := (limit*p.reserve + 99) / 100
@@ -329,7 +326,7 @@
 	return p.meanLatency
 }
 
-// isWarm compares a target's latency with the lowest of the pool.
+// isWarm reports whether a target's latency is close to the lowest latency of the pool.
 func (p *Pool) isWarm(t *target) bool {
 	best := t.latency
 	for _, other := range p.targets {
@@ -340,27 +337,27 @@
 	return t.latency <= warmFactor*best+warmSlack
 }
 
-// refuse spreads the time to come back over twice the expected wait, so that
-// the refused do not come back together.
+// refuse returns a refusal. The retry delay is between one and two times the expected wait, at
+// random, so that requests refused together are not retried together.
 func (p *Pool) refuse(wait time.Duration) Decision {
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	jitter := time.Duration(p.config.Rand.Int64N(int64(wait)))
 	return Decision{Action: Refuse, RetryAfter: wait + jitter}
 }
 
-// Load is the state of a pool, as told to other instances.
+// Load is the load of a pool as sent to other instances.
 type Load struct {
-	// Limit is the number of requests that the targets may have in flight.
+	// Limit is the number of requests that may be in flight at all targets.
 	Limit    int
 	InFlight int
-	// Free is the number of requests that would run at once.
+	// Free is the number of requests that could run immediately.
 	Free   int
 	Queued int
-	// Slots is this instance's share of all targets.
+	// Slots is this instance's share of the slots of all targets.
 	Slots int
 }
 
-// Load returns the state of the pool.
+// Load returns the load of the pool.
 func (p *Pool) Load(now time.Time) Load {
 	out := Load{InFlight: p.inFlight, Queued: len(p.queue)}
 	for _, t := range p.targets {
--- a/balance/self_report_test.go
+++ b/balance/self_report_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/balance"
 )
 
-// twoTargets returns a pool of two targets, each with four slots, and its targets.
+// twoTargets returns a pool of two targets with four slots each, and the targets' specs.
 func twoTargets(now time.Time) (*balance.Pool, []balance.Spec) {
 	p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(1, 2))})
 	specs := []balance.Spec{{ID: "t-1", Addr: "a", Slots: 4}, {ID: "t-2", Addr: "b", Slots: 4}}
@@ -19,7 +19,7 @@
 	return p, specs
 }
 
-// runOn returns the target of a request that is over at once, "" if it was not sent.
+// runOn returns the target of a request that ends immediately, "" if it was not sent.
 func runOn(p *balance.Pool, now time.Time) string {
 	d := p.Acquire(now, balance.Request{Deadline: now.Add(time.Minute)})
 	if d.Action != balance.Run {
@@ -29,10 +29,10 @@
 	return d.Target.ID
 }
 
-// TestDrainOutlivesTargetList checks that a target that said that it drains gets no new work,
-// although the list goes on naming it and is taken in each time that anything changes; that it
-// does as soon as the list names it at another address; and that it is asked again, by one
-// request, after a minute, since the list does not tell when it started again.
+// TestDrainOutlivesTargetList checks that a target that reported that it is leaving gets no new
+// requests, although the target list still contains it. It gets requests again once the list
+// contains it with another address. After a minute one request probes it, since the list does not
+// show when the target has restarted.
 func TestDrainOutlivesTargetList(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p, specs := twoTargets(start)
@@ -50,17 +50,17 @@
 			tries++
 		}
 	}
-	require.Equal(t, 1, tries, "requests that ask a target again that said that it drains")
+	require.Equal(t, 1, tries, "requests that probe a target that reported that it is leaving")
 
 	p, specs = twoTargets(start)
 	p.ApplySelfReport(start, "t-1", availability.SelfReport{Leaving: true})
 	specs[0].Addr = "c"
 	p.SetTargets(start, specs[:1])
-	require.Equal(t, "t-1", runOn(p, start), "another address")
+	require.Equal(t, "t-1", runOn(p, start), "listed with another address")
 }
 
-// TestRequestedBackoffIsKept checks that a target that refused a request and asked for some time gets
-// nothing until then, and that requests are refused with that time if both have.
+// TestRequestedBackoffIsKept checks that a target that requested a back-off gets no requests until
+// it ends, and that requests are refused with that retry delay if all targets have requested one.
 func TestRequestedBackoffIsKept(t *testing.T) {
 	start := time.Unix(1000, 0)
 	p, specs := twoTargets(start)
--- a/balance/target.go
+++ b/balance/target.go
@@ -6,78 +6,76 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// Spec is what the pool is told of a target.
+// Spec describes a target to the pool.
 type Spec struct {
 	ID   string
 	Addr string
-	// Slots is this instance's share of the requests that the target runs at
-	// the same time.
+	// Slots is this instance's share of the requests that the target runs at the same time.
 	Slots int
 }
 
-// Result is how a request on a target ended.
+// Result is the outcome of a request at a target.
 type Result int
 
 // The results of a request.
 const (
-	// Answered means that the target gave an answer.
+	// Answered means that the target responded.
 	Answered Result = iota
-	// Refused means that the target declined the work before running it.
+	// Refused means that the target refused the request before running it.
 	Refused
-	// Unreachable means that no connection to the target could be had.
+	// Unreachable means that no connection to the target could be established.
 	Unreachable
-	// Broken means that the exchange ended without a whole answer.
+	// Broken means that the connection failed before the response was complete.
 	Broken
-	// Abandoned means that the caller went away.
+	// Abandoned means that the client went away.
 	Abandoned
 )
 
-// Settings of a target's limit.
+// Parameters of the control of a target's limit.
 const (
-	// initialLimit is the limit of a target that has not answered yet.
+	// initialLimit is the limit of a new target.
 	initialLimit = 1
-	// halveCooldown is the time within which further refusals do not cut the
-	// limit again.
+	// halveCooldown is the time after a halving in which further refusals do not halve the limit.
 	halveCooldown = time.Second
-	// warmFactor bounds a warm target's latency against the pool's usual.
+	// warmFactor is the latency of a warm target, as a multiple of the lowest latency of the pool,
+	// that must not be exceeded.
 	warmFactor = 2
-	// warmSlack keeps latencies of a few milliseconds from counting as cold.
+	// warmSlack is added to that bound, so that differences of a few milliseconds do not count.
 	warmSlack = 5 * time.Millisecond
-	// growInterval is the time after which a target that is at its limit and
-	// refuses nothing gets one more, whether or not it has answered: long
-	// uploads would else hold a new target at one request.
+	// growInterval is the time at the limit after which the limit of a target that refuses nothing
+	// rises by one, whether or not requests have finished. Otherwise long uploads would keep a new
+	// target at one request.
 	growInterval = 100 * time.Millisecond
-	// latencyWeight is the weight of a new latency in the average.
+	// latencyWeight is the weight of a new value in the moving averages of latencies and intervals.
 	latencyWeight = 0.2
 	minBackoff    = 500 * time.Millisecond
-	// drainBackoff is how long a target that said that it drains gets nothing. The list does not
-	// tell when a target has started again, so after that it is asked by one request, which
-	// it refuses if it still drains.
+	// drainBackoff is how long a target that reported that it is leaving gets no requests. The
+	// target list does not show when the target has restarted. After this time one request probes
+	// the target, which refuses it if it is still leaving.
 	drainBackoff = time.Minute
 	maxBackoff   = 10 * time.Second
-	// maxBroken is the number of exchanges in a row that break before a
-	// target is left out. Below that a part of good answers is better than
-	// none.
+	// maxBroken is the number of consecutive broken exchanges after which a target is suspected.
+	// With fewer, using the target is better than losing it, since some of its responses succeed.
 	maxBroken = 3
 )
 
-// target is one target's state.
+// target is the state of one target.
 type target struct {
 	spec Spec
-	// state is what keeps requests from the target. One that can't be reached is
-	// suspected until it is tried again.
+	// state holds the conditions that keep requests from the target. A target that cannot be
+	// reached is suspected until it is probed.
 	state    availability.State
 	inFlight int
 	limit    int
-	// slowStart is true until the first cut.
+	// slowStart is true until the limit is halved, and again after a reset.
 	slowStart  bool
 	successes  int
 	lastHalved time.Time
-	// fullSince is when the target reached its limit, or the zero time.
+	// fullSince is when the target reached its limit, zero if it is below its limit.
 	fullSince time.Time
 	latency   time.Duration
 	backoff   time.Duration
-	// broken counts the exchanges in a row that broke.
+	// broken is the number of consecutive broken exchanges.
 	broken int
 }
 
@@ -85,7 +83,7 @@
 	return &target{spec: spec, limit: initialLimit, slowStart: true}
 }
 
-// allowed returns the requests that the target may have in flight.
+// allowed returns the number of requests that the target may have in flight.
 func (t *target) allowed() int {
 	return min(t.limit, t.spec.Slots)
 }
@@ -94,7 +92,7 @@
 	return t.state.Available(now)
 }
 
-// applySelfReport takes in what the target said of itself.
+// applySelfReport applies what the target reported about itself.
 func (t *target) applySelfReport(now time.Time, w availability.SelfReport) {
 	if w.Leaving {
 		t.state.BackOff(now, drainBackoff)
@@ -120,7 +118,7 @@
 	t.latency += time.Duration(latencyWeight * float64(latency-t.latency))
 }
 
-// growOnAnswer raises the limit after an answer.
+// growOnAnswer raises the limit after a response.
 func (t *target) growOnAnswer(warm bool) {
 	t.backoff = 0
 	t.broken = 0
@@ -137,7 +135,7 @@
 	t.limit = min(t.limit, max(t.spec.Slots, initialLimit))
 }
 
-// growFull raises the limit of a target that has been at it for growEvery.
+// growFull raises the limit of a target that has been at its limit for growInterval.
 func (t *target) growFull(now time.Time) {
 	switch {
 	case t.inFlight < t.limit || t.limit >= t.spec.Slots || !t.usable(now):
@@ -150,7 +148,7 @@
 	}
 }
 
-// halveLimit halves the limit, once per cooldown.
+// halveLimit halves the limit unless it was halved within halveCooldown.
 func (t *target) halveLimit(now time.Time) {
 	t.successes = 0
 	t.slowStart = false
@@ -162,7 +160,7 @@
 	t.limit = max(t.limit/2, initialLimit)
 }
 
-// recordBroken takes in an exchange that broke.
+// recordBroken records a broken exchange.
 func (t *target) recordBroken(now time.Time) {
 	t.broken++
 	if t.broken < maxBroken {
@@ -172,8 +170,8 @@
 	t.suspect(now)
 }
 
-// suspect leaves the target out for a while. Failures of requests that were
-// in flight together count once.
+// suspect keeps requests from the target for a back-off. Failures of requests that were in flight
+// together count once.
 func (t *target) suspect(now time.Time) {
 	if now.Before(t.state.SuspectedUntil()) {
 		return
@@ -183,7 +181,7 @@
 	t.resetLimit()
 }
 
-// resetLimit has the target begin with one request, as a new one does.
+// resetLimit resets the limit to that of a new target.
 func (t *target) resetLimit() {
 	t.limit = initialLimit
 	t.slowStart = true
--- a/balance/wait.go
+++ b/balance/wait.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// expectedWait returns the time until a request that is queued now gets a slot.
+// expectedWait returns the expected time until a request that is queued now gets a slot.
 func (p *Pool) expectedWait(now time.Time) time.Duration {
 	return p.waitAt(now, len(p.queue))
 }
 
-// waitAt returns the time until a request with a number of others before it
-// gets a slot. It goes by the rate at which slots were seen to come free; if
-// none has for longer than usual, as when uploads hold all of them, the next is
-// expected to take as long again.
+// waitAt returns the expected time until a request gets a slot if the given number of requests is
+// queued before it. The estimate uses the observed interval between releases. If no slot has been
+// released for longer than that, as when uploads hold all slots, the next release is expected to
+// take as long again.
 func (p *Pool) waitAt(now time.Time, before int) time.Duration {
 	limit := p.Load(now).Limit
 	if limit == 0 {
@@ -27,8 +27,8 @@
 	return next + time.Duration(before)*interval
 }
 
-// untilRetry returns the time until the first target that gets nothing for a while
-// may be sent to again.
+// untilRetry returns the time until the first target that currently gets no requests may be tried
+// again.
 func (p *Pool) untilRetry(now time.Time) time.Duration {
 	wait := maxRetryAfter
 	for _, t := range p.targets {
@@ -39,7 +39,7 @@
 	return wait
 }
 
-// recordRelease takes in that a slot came free.
+// recordRelease records the release of a slot.
 func (p *Pool) recordRelease(now time.Time) {
 	if len(p.queue) > 0 {
 		gap := now.Sub(p.lastRelease)
