--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// groupOf puts a target in one of three groups by its number.
+// groupOf assigns a target to one of three groups by its index.
 func groupOf(i int) int { return i % 3 }
 
 func rankIn(key string, ids []string, preferred int, group func(int) int) []string {
@@ -32,8 +32,9 @@
 	return rankIn(key, ids, affinity.NoGroup, func(int) int { return 0 })
 }
 
-// rankNaive follows the definition: the best target of the preferred group, or of
-// all, then the best of the other groups, or of the same one if there is no other.
+// rankNaive computes the ranking from its definition. The first target is the best one of the
+// preferred group, or of all groups. The second is the best one of the other groups, or of the same
+// group if there is no other.
 func rankNaive(key string, ids []string, preferred int, group func(int) int) []string {
 	score := func(i int) float64 {
 		return mix.Weighted(mix.Join(affinity.Hash(key), affinity.Hash(ids[i])), 6)
@@ -83,7 +84,7 @@
 	})
 }
 
-// TestFewKeysMove checks that only the keys of a target that leaves move.
+// TestFewKeysMove checks that only the keys of a removed target move.
 func TestFewKeysMove(t *testing.T) {
 	ids := targets(12)
 	for i := range 500 {
--- a/affinity/rank.go
+++ b/affinity/rank.go
@@ -2,22 +2,21 @@
 
 import "github.com/rainford/rainford/internal/mix"
 
-// Depth is the number of targets that a key is ranked over. Two are enough to even
-// out load. More would have each target see more objects than it keeps.
+// Depth is the number of targets in the ranking of a key. Two are enough to balance load. With
+// more, each target would get requests for more objects than it can cache.
 const Depth = 2
 
-// MaxGroups bounds the groups that a Ranker tells apart. Further ones share the
-// last place.
+// MaxGroups bounds the number of groups that a Ranker distinguishes. All further groups share the
+// last one.
 const MaxGroups = 8
 
-// NoGroup stands for no preference.
+// NoGroup means that no group is preferred.
 const NoGroup = -1
 
-// Ranking is the first targets of a key, best first, as indexes. Missing ones
-// are -1.
+// Ranking holds the first targets of a key, best first, as indexes. Missing targets are -1.
 type Ranking [Depth]int
 
-// scored is a target with its score.
+// scored is the index of a target with its score for the key.
 type scored struct {
 	index int
 	score float64
@@ -25,16 +24,15 @@
 
 var noTarget = scored{index: -1}
 
-// Ranker collects the ranking of one key over targets in groups (halls) without
-// an allocation.
+// Ranker computes the ranking of one key over targets in groups (halls). It does not allocate.
 type Ranker struct {
 	key    uint64
 	groups int
-	// best are the two best targets of each group.
+	// best holds the two best targets of each group.
 	best [MaxGroups][Depth]scored
 }
 
-// NewRanker returns a ranker for a key.
+// NewRanker returns a ranker for the given key.
 func NewRanker(key string) Ranker {
 	return Ranker{key: Hash(key)}
 }
@@ -42,8 +40,8 @@
 // Hash returns the hash of a key or of a target's ID.
 func Hash(text string) uint64 { return mix.Hash(text) }
 
-// Add takes in a target by the hash of its ID. Weight is its size relative to
-// the others.
+// Add adds a target with the given index and group. id is the hash of the target's ID, and weight
+// its size relative to other targets.
 func (r *Ranker) Add(index, group int, id uint64, weight float64) {
 	group = min(group, MaxGroups-1)
 	for r.groups <= group {
@@ -60,9 +58,9 @@
 	}
 }
 
-// Ranking returns the best target of the preferred group, or of all if that has
-// none, and then the best one of the other groups. Where there is but one group
-// its second best comes second.
+// Ranking returns the best target of the preferred group, or of all groups if the preferred one has
+// none, followed by the best target of the other groups. If there is only one group, the group's
+// second best target follows.
 func (r *Ranker) Ranking(preferred int) Ranking {
 	first := preferred
 	if preferred < 0 || preferred >= r.groups || r.best[preferred][0].index < 0 {
@@ -78,7 +76,8 @@
 	return Ranking{r.best[first][0].index, second}
 }
 
-// bestGroup returns the group with the best target, but for one group.
+// bestGroup returns the group with the best target, ignoring the group but. It returns NoGroup if
+// there is none.
 func (r *Ranker) bestGroup(but int) int {
 	best := NoGroup
 	for g := range r.groups {
