--- a/locality/bench_test.go
+++ b/locality/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/locality"
 )
 
-// BenchmarkCalibrate measures the fit of shares to keys, which runs once a second for a
-// service: at the keys of a small site and at the most that are counted.
+// BenchmarkCalibrate measures the calibration that runs once a second for each service, with the
+// number of keys of a small site and with maxPoints keys.
 func BenchmarkCalibrate(b *testing.B) {
 	want := []locality.Share{{Region: "a", Fraction: 0.3}, {Region: "b", Fraction: 0.3}, {Region: "c", Fraction: 0.4}}
 	for _, n := range []int{32, 1024} {
--- a/locality/calibrate.go
+++ b/locality/calibrate.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// pointTTL is how long a key that is not seen again counts.
+	// pointTTL is how long a key counts after it was last seen.
 	pointTTL = 30 * time.Second
-	// maxPoints bounds the keys that are counted. Of more keys chance gives each
-	// region its part closely enough.
+	// maxPoints bounds the number of keys that are counted. With more keys, random variation is
+	// small enough without calibration.
 	maxPoints = 1024
 )
 
-// Points are the hashes of the keys that were seen of late, in [0, 1). The zero value
-// is ready.
+// Points holds the hashes of the keys seen recently, as numbers in [0, 1). The zero value is empty
+// and ready to use.
 type Points struct {
 	seen map[float64]time.Time
 }
 
-// Add counts a key's point.
+// Add records that a key with the given hash was seen.
 func (p *Points) Add(now time.Time, point float64) {
 	if p.seen == nil {
 		p.seen = make(map[float64]time.Time)
@@ -29,7 +29,7 @@
 	}
 }
 
-// Sorted returns the points in order and forgets those that were not seen for long.
+// Sorted returns the recorded hashes in increasing order. It drops those not seen within pointTTL.
 func (p *Points) Sorted(now time.Time) []float64 {
 	out := make([]float64, 0, len(p.seen))
 	for point, at := range p.seen {
@@ -43,9 +43,10 @@
 	return out
 }
 
-// Calibrate returns shares of the hashes that give each region its part of the keys.
-// Few keys lie unevenly: of 32 keys a region whose share of the hashes is a half gets
-// 16, give or take 3. Draw has to be called with the same region from.
+// Calibrate returns shares of the hash space that give each region its wanted share of the keys
+// with the given hashes. It is needed because a small number of keys is distributed unevenly: of 32
+// keys a region with half of the hash space gets about 16 ± 3. Draw must be called with the same
+// region from.
 func Calibrate(from string, want []Share, points []float64) []Share {
 	if len(points) < minPoints {
 		return want
@@ -75,10 +76,11 @@
 	return ordered
 }
 
-// minPoints is the number of keys below which their distribution says nothing.
+// minPoints is the number of keys below which their distribution is not meaningful. Calibrate then
+// returns want.
 const minPoints = 8
 
-// quantile returns the hash below which a part of the points lies.
+// quantile returns the hash below which the given fraction of the points lies.
 func quantile(points []float64, part float64) float64 {
 	at := part * float64(len(points))
 	below := min(int(at), len(points)-1)
@@ -86,7 +88,7 @@
 	return low + (at-float64(below))*(high-low)
 }
 
-// boundary returns a hash that n of the points lie below.
+// boundary returns a hash that has n of the points below it.
 func boundary(points []float64, n int) float64 {
 	switch {
 	case n <= 0:
--- a/locality/calibrate_test.go
+++ b/locality/calibrate_test.go
@@ -19,8 +19,8 @@
 	return locality.FromSlots("a", slots, len(regions))
 }
 
-// TestCalibratedSharesDivideKeys checks that each region gets its part of few keys,
-// whatever the keys' hashes are: less than one key is lost or gained at each boundary.
+// TestCalibratedSharesDivideKeys checks that each region gets its share of a small number of keys,
+// whatever the keys' hashes. At each boundary the error is less than one key.
 func TestCalibratedSharesDivideKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawShares(t)
@@ -45,8 +45,8 @@
 	})
 }
 
-// TestManyKeysNeedNoCalibration checks that shares stay as they are where chance gives
-// each region its part anyway, and where nothing is known of the keys.
+// TestManyKeysNeedNoCalibration checks that shares hardly change if there are many keys, and do not
+// change if no keys are known.
 func TestManyKeysNeedNoCalibration(t *testing.T) {
 	want := []locality.Share{{Region: "a", Fraction: 0.3}, {Region: "b", Fraction: 0.3}, {Region: "c", Fraction: 0.4}}
 	require.Equal(t, want, locality.Calibrate("a", want, nil))
@@ -59,8 +59,7 @@
 	require.LessOrEqual(t, moved(want, got), 0.06)
 }
 
-// TestNewKeyMovesFew checks that one key more moves at most the keys next to a
-// boundary.
+// TestNewKeyMovesFew checks that a new key moves at most the keys next to a boundary.
 func TestNewKeyMovesFew(t *testing.T) {
 	want := []locality.Share{{Region: "a", Fraction: 0.3}, {Region: "b", Fraction: 0.3}, {Region: "c", Fraction: 0.4}}
 	now := time.Unix(0, 0)
--- a/locality/doc.go
+++ b/locality/doc.go
@@ -1,12 +1,12 @@
 // Package locality decides which region runs a request.
 //
-// A region's share of the requests that enter in another (or the same) region is
-// computed from the slots that each region has for the service: a region keeps
-// what its slots carry of an equal demand, and the rest goes to the regions that
-// have slots to spare. Operators' rows, where there are any, take the place of
-// the computed shares. The region of a request is drawn by the hash of its key,
-// so that an object stays in one region and all instances agree.
+// The shares of the regions for the requests that enter in one region are computed from the slots
+// that each region has for the service. Demand is assumed to be equal in all regions. A region
+// keeps the requests that its slots can run, and the rest goes to regions with slots to spare.
+// Operators' routing rows, if there are any, replace the computed shares. The region of a request
+// is drawn by the hash of its key, so that an object stays in one region and all instances of a
+// region agree.
 //
-// Few keys lie unevenly among the hashes, so the shares of the hashes are fitted to the
-// keys that were seen: see Calibrate. Shares move by bounded steps: see Mover.
+// A small number of keys is distributed unevenly over the hash space. Calibrate therefore fits the
+// shares of the hash space to the observed keys. A Ramp limits how fast shares change.
 package locality
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -31,9 +31,8 @@
 	return total
 }
 
-// TestSharesFollowSlots checks that shares add up, that no region without slots
-// gets any, and that no region gets more than its slots carry of an equal demand
-// at all.
+// TestSharesFollowSlots checks that shares add up to 1, that regions without slots get no share,
+// and that no region gets more requests than its slots can run if demand is equal in all regions.
 func TestSharesFollowSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := drawSlots(t)
@@ -60,8 +59,8 @@
 	})
 }
 
-// TestSharesAreContinuous checks that a small change of slots makes a small change of
-// shares: a step in what is wanted moves many objects, which are then cold.
+// TestSharesAreContinuous checks that a small change of slots results in a small change of shares.
+// A sudden change would move many objects, which are then not cached at their new targets.
 func TestSharesAreContinuous(t *testing.T) {
 	for n := 10.0; n < 40; n += 0.1 {
 		before := locality.FromSlots("a", map[string]float64{"a": n, "b": 30, "c": 30}, 3)
@@ -92,7 +91,7 @@
 	require.Equal(t, "", locality.Draw("b", nil, 0.5))
 }
 
-// moved is the part of the points whose region differs.
+// moved returns the fraction of the hash space whose region differs.
 func moved(before, after []locality.Share) float64 {
 	const points = 400
 	n := 0
@@ -105,10 +104,9 @@
 	return float64(n) / points
 }
 
-// TestRampIsBounded checks that the shares in force change by no more than the
-// bound in any window, however what is wanted changes, as long as each region
-// keeps some slots, and that they arrive. A region may well be wanted for
-// nothing while it has slots.
+// TestRampIsBounded checks that shares change by no more than the bound in any window, whatever the
+// wanted shares, as long as each region keeps some slots, and that they reach the wanted shares. A
+// region with slots may have a wanted share of 0.
 func TestRampIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
@@ -133,7 +131,7 @@
 			}
 			history = append(history, follow())
 			if back := len(history) - 21; back >= 0 {
-				// A part that moves shifts the boundaries of the others too.
+				// A share that changes also shifts the boundaries of other shares.
 				require.LessOrEqual(t, moved(history[back], history[len(history)-1]), 0.15)
 			}
 		}
@@ -145,8 +143,8 @@
 	})
 }
 
-// TestIdleTimeDoesNotEnlargeStep checks that a long time without a change does not make the
-// first step larger.
+// TestIdleTimeDoesNotEnlargeStep checks that a long time without a change does not make the first
+// step larger.
 func TestIdleTimeDoesNotEnlargeStep(t *testing.T) {
 	m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 	slots := map[string]float64{"a": 1, "b": 1}
--- a/locality/ramp.go
+++ b/locality/ramp.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Ramp follows shares by bounded steps. The zero value of its state takes the
-// first shares as they are: constant shares from the start shift nothing.
+// Ramp moves shares towards wanted shares at a bounded rate. A Ramp without shares adopts the first
+// wanted shares immediately, since shares that are constant from the start move no requests.
 type Ramp struct {
-	// Step is the largest part of the requests that changes its region in a
-	// Window.
+	// Step is the largest fraction of the requests that may change its region within Window.
 	Step   float64
 	Window time.Duration
 
 	shares  []Share
 	movedAt time.Time
-	// settled is set while the shares are those wanted. The time that has
-	// passed since then allows no larger step.
+	// settled is true while the shares equal the wanted ones. Time that passes in this state does
+	// not allow a larger step.
 	settled bool
 }
 
-// Advance moves towards want and returns the shares in force. The part of a region
-// without slots moves at once, since nothing there can run a request.
+// Advance moves the shares towards want as far as the time since the last call allows, and returns
+// them. The share of a region without slots moves immediately, since no target there can run a
+// request.
 func (m *Ramp) Advance(now time.Time, want []Share, slots map[string]float64) []Share {
 	if len(m.shares) == 0 || len(want) == 0 {
 		m.shares, m.movedAt, m.settled = want, now, true
@@ -46,7 +46,7 @@
 	return m.shares
 }
 
-// Settled tells whether the shares in force are those last wanted.
+// Settled reports whether the shares equal want.
 func (m *Ramp) Settled(want []Share) bool { return m.distance(want) < 1e-9 }
 
 func byRegion(shares []Share) map[string]float64 {
@@ -57,8 +57,8 @@
 	return out
 }
 
-// dropEmpty gives the parts of regions without slots to the others, in
-// proportion to want.
+// dropEmpty distributes the shares of regions without slots over the regions in want, in proportion
+// to their wanted shares.
 func (m *Ramp) dropEmpty(want []Share, slots map[string]float64) {
 	held := byRegion(m.shares)
 	freed := 0.0
@@ -77,7 +77,7 @@
 	m.shares = sorted(held)
 }
 
-// distance is the part of the requests that would change its region.
+// distance returns the fraction of the requests that would change its region.
 func (m *Ramp) distance(want []Share) float64 {
 	held := byRegion(m.shares)
 	moved := 0.0
--- a/locality/share.go
+++ b/locality/share.go
@@ -6,16 +6,15 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Share is the part of the requests that a region runs.
+// Share is the fraction of the requests that a region runs.
 type Share struct {
 	Region   string
 	Fraction float64
 }
 
-// FromSlots returns the shares of the requests that enter in region from. Slots
-// holds the slots of each region that may run them, and regions the number of
-// regions that clients are in. The result is in the order of regions, and empty
-// if there are no slots.
+// FromSlots returns the shares for the requests that enter in region from. slots holds the slots of
+// each region that may run the requests, and regions is the number of regions in which clients are.
+// The result is ordered by region, and empty if there are no slots.
 func FromSlots(from string, slots map[string]float64, regions int) []Share {
 	total := 0.0
 	for _, n := range slots {
@@ -45,8 +44,8 @@
 	return out
 }
 
-// spareSlots returns the slots over the equal demand of each other region, or
-// all its slots if no region has any to spare.
+// spareSlots returns for each other region the slots beyond an equal demand, or all slots if no
+// region has any to spare.
 func spareSlots(from string, slots map[string]float64, demand float64) []Share {
 	var spare, all []Share
 	for region, n := range slots {
@@ -65,9 +64,9 @@
 	return spare
 }
 
-// FromRows returns the shares that the operators' rows of a service give to the
-// requests of region from, leaving out regions without slots. It is empty if
-// there is no such row.
+// FromRows returns the shares that the operators' routing rows give to the requests of a service
+// that enter in region from. Regions without slots are left out. The result is empty if there are
+// no such rows.
 func FromRows(service, from string, rows []table.Row, slots map[string]float64) []Share {
 	total := 0.0
 	parts := make(map[string]float64)
@@ -86,9 +85,9 @@
 	return out
 }
 
-// Draw returns the region of point, which lies in [0, 1). The region from comes
-// first, so that a change between two other regions moves none of its requests.
-// It returns "" if there are no shares.
+// Draw returns the region for point, which lies in [0, 1). The hash space starts with the share of
+// region from, so that a change between two other regions moves none of its requests. Draw returns
+// "" if there are no shares.
 func Draw(from string, shares []Share, point float64) string {
 	for _, s := range shares {
 		if s.Region == from {
