--- a/feed/catchup.go
+++ b/feed/catchup.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// askEvery is the shortest time between two questions for a replica: three times the
+	// requestInterval is the shortest time between two questions for a replica: three times the
 	// way between the regions of the sites and back, so that an answer has come by then.
-	askEvery = 300 * time.Millisecond
+	requestInterval = 300 * time.Millisecond
 	// sourceTTL is how long an instance counts as ahead after it has said so: six rounds
 	// of gossip, in which those of other regions are heard twice.
 	sourceTTL = 3 * time.Second
@@ -33,7 +33,7 @@
 // CatchUp decides, for one replica that is behind, when another instance is asked for
 // what is missing, and which one. Of those that are ahead the one is asked that was not
 // asked for the longest time, whoever speaks up first: an instance that never answers,
-// because the connection to it has fallen silent, costs askEvery and not the turn of those
+// because the connection to it has fallen silent, costs requestInterval and not the turn of those
 // that would answer. When whoever spoke up first was asked, a change was kept from an
 // instance for 3.1 s, where 2.5 s are allowed, with two others that had it; 0.13 s since
 // (simulated days in which a region's first watcher comes back after a loss of power).
@@ -103,7 +103,7 @@
 // one. The question counts as asked.
 func (c *CatchUp) NextRequest(now time.Time, at Position) (addr string, ok bool) {
 	c.prune(now, at)
-	if now.Sub(c.last.SentAt) < askEvery {
+	if now.Sub(c.last.SentAt) < requestInterval {
 		return "", false
 	}
 	if c.pending && len(c.sources) > 0 {
--- a/feed/catchup_test.go
+++ b/feed/catchup_test.go
@@ -14,8 +14,8 @@
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 const (
-	askEvery    = 300 * time.Millisecond
-	gossipRound = 500 * time.Millisecond
+	requestInterval = 300 * time.Millisecond
+	gossipRound     = 500 * time.Millisecond
 )
 
 // TestCatchUp plays what a replica at revision 10 hears and checks whom it asks. An event
@@ -152,7 +152,7 @@
 					continue
 				}
 				for _, before := range asked {
-					require.GreaterOrEqual(t, now.Sub(before), askEvery)
+					require.GreaterOrEqual(t, now.Sub(before), requestInterval)
 				}
 				asked[addr] = now
 				if addr >= fmt.Sprint(silent) {
--- a/feed/removal_hold.go
+++ b/feed/removal_hold.go
@@ -26,64 +26,64 @@
 }
 
 // StoreFailed takes in that a call to the store failed.
-func (l *RemovalHold) StoreFailed() { l.failed = true }
+func (h *RemovalHold) StoreFailed() { h.failed = true }
 
 // StoreAnswered takes in that the store answered.
-func (l *RemovalHold) StoreAnswered(now time.Time) {
-	if l.failed && !l.answeredAt.IsZero() && now.Sub(l.answeredAt) >= minOutage {
-		l.until = now.Add(removalGrace)
+func (h *RemovalHold) StoreAnswered(now time.Time) {
+	if h.failed && !h.answeredAt.IsZero() && now.Sub(h.answeredAt) >= minOutage {
+		h.until = now.Add(removalGrace)
 	}
-	l.failed = false
-	l.answeredAt = now
+	h.failed = false
+	h.answeredAt = now
 }
 
 // StoreRestored takes in that the store has come back from a copy: removals are held back for a time.
-func (l *RemovalHold) StoreRestored(now time.Time, hold time.Duration) { l.extend(now, hold) }
+func (h *RemovalHold) StoreRestored(now time.Time, hold time.Duration) { h.extend(now, hold) }
 
 // Inherit takes in that another instance, from which removals come, holds them back
 // for a while.
-func (l *RemovalHold) Inherit(now time.Time, remaining time.Duration) {
-	l.extend(now, min(remaining, removalGrace))
+func (h *RemovalHold) Inherit(now time.Time, remaining time.Duration) {
+	h.extend(now, min(remaining, removalGrace))
 }
 
-func (l *RemovalHold) extend(now time.Time, hold time.Duration) {
-	if until := now.Add(hold); hold > 0 && until.After(l.until) {
-		l.until = until
+func (h *RemovalHold) extend(now time.Time, hold time.Duration) {
+	if until := now.Add(hold); hold > 0 && until.After(h.until) {
+		h.until = until
 	}
 }
 
 // Remaining is how long removals are held back from now on.
-func (l *RemovalHold) Remaining(now time.Time) time.Duration { return max(0, l.until.Sub(now)) }
+func (h *RemovalHold) Remaining(now time.Time) time.Duration { return max(0, h.until.Sub(now)) }
 
 // Hold tells whether the removal of an object is held back, and notes it.
-func (l *RemovalHold) Hold(now time.Time, name string) bool {
-	if l.Remaining(now) == 0 {
+func (h *RemovalHold) Hold(now time.Time, name string) bool {
+	if h.Remaining(now) == 0 {
 		return false
 	}
-	if l.held == nil {
-		l.held = make(map[string]bool)
+	if h.held == nil {
+		h.held = make(map[string]bool)
 	}
-	l.held[name] = true
+	h.held[name] = true
 	return true
 }
 
 // Cancel takes in that an object is there.
-func (l *RemovalHold) Cancel(name string) { delete(l.held, name) }
+func (h *RemovalHold) Cancel(name string) { delete(h.held, name) }
 
 // Holding tells whether the removal of any object is held back.
-func (l *RemovalHold) Holding() bool { return len(l.held) > 0 }
+func (h *RemovalHold) Holding() bool { return len(h.held) > 0 }
 
 // Expired returns the objects whose removal counts from now on, in the order of
 // names. Each is returned once.
-func (l *RemovalHold) Expired(now time.Time) []string {
-	if len(l.held) == 0 || l.Remaining(now) > 0 {
+func (h *RemovalHold) Expired(now time.Time) []string {
+	if len(h.held) == 0 || h.Remaining(now) > 0 {
 		return nil
 	}
-	names := make([]string, 0, len(l.held))
-	for name := range l.held {
+	names := make([]string, 0, len(h.held))
+	for name := range h.held {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	clear(l.held)
+	clear(h.held)
 	return names
 }
--- a/feed/removal_hold_test.go
+++ b/feed/removal_hold_test.go
@@ -15,15 +15,15 @@
 // never removed, and that each removal that was held back counts once, in the end.
 func TestRemovalHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l feed.RemovalHold
+		var h feed.RemovalHold
 		now := time.Unix(1000, 0)
 		heard, until := now, time.Time{}
-		l.StoreAnswered(now)
+		h.StoreAnswered(now)
 		missing := map[string]bool{}
 		names := []string{"a", "b", "c"}
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond)
-			for _, name := range l.Expired(now) {
+			for _, name := range h.Expired(now) {
 				require.True(t, missing[name], name)
 				require.False(t, now.Before(until))
 				delete(missing, name)
@@ -31,47 +31,47 @@
 			name := rapid.SampledFrom(names).Draw(t, "name")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				l.StoreAnswered(now)
+				h.StoreAnswered(now)
 				heard = now
 			case 1:
 				away := time.Duration(rapid.IntRange(0, 8).Draw(t, "away")) * time.Second
 				now = now.Add(away)
-				for _, name := range l.Expired(now) {
+				for _, name := range h.Expired(now) {
 					delete(missing, name)
 				}
-				l.StoreFailed()
-				l.StoreAnswered(now)
+				h.StoreFailed()
+				h.StoreAnswered(now)
 				if now.Sub(heard) >= 3*time.Second {
 					until = now.Add(2 * time.Second)
 				}
 				heard = now
 			case 2:
-				held := l.Hold(now, name)
+				held := h.Hold(now, name)
 				require.Equal(t, now.Before(until), held)
 				if held {
 					missing[name] = true
 				}
 			case 3:
-				l.Cancel(name)
+				h.Cancel(name)
 				delete(missing, name)
 			}
 		}
 		now = now.Add(10 * time.Second)
-		require.Len(t, l.Expired(now), len(missing))
-		require.Empty(t, l.Expired(now))
+		require.Len(t, h.Expired(now), len(missing))
+		require.Empty(t, h.Expired(now))
 	})
 }
 
 // TestRemovalHoldInherited checks that an instance without an outage of its own holds back
 // as long as the one that the removals come from.
 func TestRemovalHoldInherited(t *testing.T) {
-	var l feed.RemovalHold
+	var h feed.RemovalHold
 	now := time.Unix(1000, 0)
-	require.False(t, l.Hold(now, "a"))
-	l.Inherit(now, time.Second)
-	require.True(t, l.Hold(now, "a"))
-	require.Empty(t, l.Expired(now.Add(999*time.Millisecond)))
-	require.Equal(t, []string{"a"}, l.Expired(now.Add(time.Second)))
-	l.Inherit(now, time.Hour)
-	require.Equal(t, 2*time.Second, l.Remaining(now), "no longer than the bound")
+	require.False(t, h.Hold(now, "a"))
+	h.Inherit(now, time.Second)
+	require.True(t, h.Hold(now, "a"))
+	require.Empty(t, h.Expired(now.Add(999*time.Millisecond)))
+	require.Equal(t, []string{"a"}, h.Expired(now.Add(time.Second)))
+	h.Inherit(now, time.Hour)
+	require.Equal(t, 2*time.Second, h.Remaining(now), "no longer than the bound")
 }
--- a/feed/tombstones.go
+++ b/feed/tombstones.go
@@ -21,64 +21,64 @@
 }
 
 // Add takes in that the removal of an object counts.
-func (r *Tombstones) Add(now time.Time, name string) {
-	delete(r.held, name)
-	if r.removed == nil {
-		r.removed = make(map[string]time.Time)
+func (t *Tombstones) Add(now time.Time, name string) {
+	delete(t.held, name)
+	if t.removed == nil {
+		t.removed = make(map[string]time.Time)
 	}
-	r.removed[name] = now
+	t.removed[name] = now
 }
 
 // StoreRestored takes in that the store has come back from a copy: what it lists again is held back for a
 // time.
-func (r *Tombstones) StoreRestored(now time.Time, hold time.Duration) { r.until = now.Add(hold) }
+func (t *Tombstones) StoreRestored(now time.Time, hold time.Duration) { t.until = now.Add(hold) }
 
 // Remaining is how long objects are held back from now on.
-func (r *Tombstones) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
+func (t *Tombstones) Remaining(now time.Time) time.Duration { return max(0, t.until.Sub(now)) }
 
 // Hold tells whether an object that the restored store lists is held back, and notes it.
-func (r *Tombstones) Hold(now time.Time, name string) bool {
-	at, known := r.removed[name]
-	if !known || now.Sub(at) > maxBackupAge || r.Remaining(now) == 0 {
+func (t *Tombstones) Hold(now time.Time, name string) bool {
+	at, known := t.removed[name]
+	if !known || now.Sub(at) > maxBackupAge || t.Remaining(now) == 0 {
 		return false
 	}
-	if r.held == nil {
-		r.held = make(map[string]bool)
+	if t.held == nil {
+		t.held = make(map[string]bool)
 	}
-	r.held[name] = true
+	t.held[name] = true
 	return true
 }
 
 // Rewritten takes in that an object was written anew: it counts.
-func (r *Tombstones) Rewritten(name string) {
-	delete(r.held, name)
-	delete(r.removed, name)
+func (t *Tombstones) Rewritten(name string) {
+	delete(t.held, name)
+	delete(t.removed, name)
 }
 
 // Holding tells whether any object is held back.
-func (r *Tombstones) Holding() bool { return len(r.held) > 0 }
+func (t *Tombstones) Holding() bool { return len(t.held) > 0 }
 
 // Expired returns the objects that count from now on if they are still listed, in the order of names.
 // Each is returned once.
-func (r *Tombstones) Expired(now time.Time) []string {
-	if len(r.held) == 0 || r.Remaining(now) > 0 {
+func (t *Tombstones) Expired(now time.Time) []string {
+	if len(t.held) == 0 || t.Remaining(now) > 0 {
 		return nil
 	}
-	names := make([]string, 0, len(r.held))
-	for name := range r.held {
+	names := make([]string, 0, len(t.held))
+	for name := range t.held {
 		names = append(names, name)
-		delete(r.removed, name)
+		delete(t.removed, name)
 	}
 	sort.Strings(names)
-	clear(r.held)
+	clear(t.held)
 	return names
 }
 
 // Prune drops removals that no copy can lack any more.
-func (r *Tombstones) Prune(now time.Time) {
-	for name, at := range r.removed {
+func (t *Tombstones) Prune(now time.Time) {
+	for name, at := range t.removed {
 		if now.Sub(at) > maxBackupAge {
-			delete(r.removed, name)
+			delete(t.removed, name)
 		}
 	}
 }
--- a/feed/tombstones_test.go
+++ b/feed/tombstones_test.go
@@ -17,19 +17,19 @@
 func TestTombstones(t *testing.T) {
 	const hold, copyAge = 2 * time.Second, 30 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
-		var r feed.Tombstones
+		var ts feed.Tombstones
 		now := time.Unix(1000, 0)
 		until := now
 		removed := map[string]time.Time{}
 		held := map[string]bool{}
 		expire := func() {
-			for _, name := range r.Expired(now) {
+			for _, name := range ts.Expired(now) {
 				require.True(t, held[name], name)
 				require.False(t, now.Before(until))
 				delete(held, name)
 				delete(removed, name)
 			}
-			require.Equal(t, len(held) > 0, r.Holding())
+			require.Equal(t, len(held) > 0, ts.Holding())
 		}
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(t, "ms")) * time.Millisecond)
@@ -37,26 +37,26 @@
 			name := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				r.Add(now, name)
+				ts.Add(now, name)
 				removed[name] = now
 				delete(held, name)
 			case 1:
-				r.StoreRestored(now, hold)
+				ts.StoreRestored(now, hold)
 				until = now.Add(hold)
 			case 2:
 				at, known := removed[name]
 				want := known && now.Sub(at) <= copyAge && now.Before(until)
-				require.Equal(t, want, r.Hold(now, name))
+				require.Equal(t, want, ts.Hold(now, name))
 				held[name] = held[name] || want
 				if !held[name] {
 					delete(held, name)
 				}
 			case 3:
-				r.Rewritten(name)
+				ts.Rewritten(name)
 				delete(removed, name)
 				delete(held, name)
 			case 4:
-				r.Prune(now)
+				ts.Prune(now)
 			}
 		}
 		now = now.Add(time.Minute)
--- a/forward/buffered_response_test.go
+++ b/forward/buffered_response_test.go
@@ -18,10 +18,12 @@
 // noCodec reads nothing.
 type noCodec struct{}
 
-func (noCodec) Load(string) *upstream.LoadReport { return nil }
-func (noCodec) Replaced(int) bool                { return false }
+func (noCodec) ParseLoad(string) *upstream.LoadReport { return nil }
+func (noCodec) IsReplaced(int) bool                   { return false }
 
-func (noCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
+func (noCodec) ParseSelfReport(int, http.Header) availability.SelfReport {
+	return availability.SelfReport{}
+}
 
 // connPair returns a connection to a target and the target's side of it.
 func connPair(t *testing.T) (*conn, net.Conn) {
--- a/forward/client.go
+++ b/forward/client.go
@@ -42,12 +42,12 @@
 
 // Codec reads what answers say in the target's format.
 type Codec interface {
-	Load(text string) *upstream.LoadReport
-	// Replaced tells whether a status says that another incarnation or
+	ParseLoad(text string) *upstream.LoadReport
+	// IsReplaced tells whether a status says that another incarnation or
 	// service has the address.
-	Replaced(status int) bool
-	// Word reads what the target says of itself.
-	Word(status int, header http.Header) availability.SelfReport
+	IsReplaced(status int) bool
+	// ParseSelfReport reads what the target says of itself.
+	ParseSelfReport(status int, header http.Header) availability.SelfReport
 }
 
 // Client sends requests to targets. It is safe for concurrent use.
@@ -306,7 +306,7 @@
 }
 
 func (c *Client) notRun(resp *http.Response) bool {
-	return resp.Header.Get(c.headers.NotRun) != "" || c.codec.Replaced(resp.StatusCode)
+	return resp.Header.Get(c.headers.NotRun) != "" || c.codec.IsReplaced(resp.StatusCode)
 }
 
 // validate finds what a success must have and lacks.
@@ -328,19 +328,19 @@
 // incarnation says does not, nor what a success says that no target has signed.
 func (c *Client) selfReport(resp *http.Response) availability.SelfReport {
 	unsigned := resp.StatusCode/100 == 2 && resp.Header.Get(c.headers.Signature) == ""
-	if unsigned || c.codec.Replaced(resp.StatusCode) {
+	if unsigned || c.codec.IsReplaced(resp.StatusCode) {
 		return availability.SelfReport{}
 	}
-	return c.codec.Word(resp.StatusCode, resp.Header)
+	return c.codec.ParseSelfReport(resp.StatusCode, resp.Header)
 }
 
 // completed turns a whole answer into an attempt.
 func (c *Client) completed(resp *fullResponse) Attempt {
 	a := Attempt{Outcome: retry.Ran}
-	a.TargetResult.LoadReport = c.codec.Load(resp.Header.Get(c.headers.Load))
+	a.TargetResult.LoadReport = c.codec.ParseLoad(resp.Header.Get(c.headers.Load))
 	a.TargetResult.SelfReport = c.selfReport(resp.Response)
 	switch {
-	case c.codec.Replaced(resp.StatusCode):
+	case c.codec.IsReplaced(resp.StatusCode):
 		a.Outcome, a.TargetResult.Outcome = retry.NotRun, upstream.Replaced
 	case c.notRun(resp.Response):
 		a.Outcome, a.TargetResult.Outcome = retry.NotRun, upstream.Rejected
--- a/forward/response_fuzz_test.go
+++ b/forward/response_fuzz_test.go
@@ -28,10 +28,12 @@
 // plainCodec knows no loads, and 421 as the answer of another target.
 type plainCodec struct{}
 
-func (plainCodec) Load(string) *upstream.LoadReport { return nil }
-func (plainCodec) Replaced(status int) bool         { return status == http.StatusMisdirectedRequest }
+func (plainCodec) ParseLoad(string) *upstream.LoadReport { return nil }
+func (plainCodec) IsReplaced(status int) bool            { return status == http.StatusMisdirectedRequest }
 
-func (plainCodec) Word(int, http.Header) availability.SelfReport { return availability.SelfReport{} }
+func (plainCodec) ParseSelfReport(int, http.Header) availability.SelfReport {
+	return availability.SelfReport{}
+}
 
 // FuzzResponse has a target answer with any bytes and close, and checks that a request counts
 // as not run only if a head says so, and that an answer is taken only if it carries the
--- a/pipelining/close.go
+++ b/pipelining/close.go
@@ -12,13 +12,13 @@
 }
 
 // write writes a part of the answer to the request of a turn.
-func (c *conn) write(t *entry, p []byte) (int, error) {
+func (c *conn) write(e *entry, p []byte) (int, error) {
 	at, closes := findConnectionClose(p)
 	if !closes {
 		return c.Conn.Write(p)
 	}
 	c.mu.Lock()
-	isLast := c.queue.isLast(t)
+	isLast := c.queue.isLast(e)
 	c.draining = c.draining || isLast
 	c.mu.Unlock()
 	if isLast {
@@ -54,8 +54,8 @@
 }
 
 // finishEntry takes in that the request of a lane has been answered. The caller holds mu.
-func (c *conn) finishEntry(t *entry) {
-	c.queue.finish(t)
+func (c *conn) finishEntry(e *entry) {
+	c.queue.finish(e)
 	c.closeIfDone()
 	c.interruptRead()
 }
@@ -63,12 +63,12 @@
 // closeEntry takes in that the server has closed the connection of a request: with the last
 // answer, or without one, in which case none behind it may be answered either. The caller holds
 // mu.
-func (c *conn) closeEntry(t *entry) {
-	if t.handled {
-		c.queue.finish(t)
+func (c *conn) closeEntry(e *entry) {
+	if e.handled {
+		c.queue.finish(e)
 	} else {
 		c.draining = true
-		c.queue.abortFrom(t)
+		c.queue.abortFrom(e)
 	}
 	c.closing = c.closing || c.draining
 }
--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -282,23 +282,23 @@
 }
 
 // start implements requestConn.
-func (c *conn) start(ctx context.Context, repeatable bool) error {
+func (c *conn) start(ctx context.Context, idempotent bool) error {
 	c.mu.Lock()
 	if c.phase == passThrough {
 		c.phase = afterPassThrough
 		c.interruptRead()
 	}
 	c.mu.Unlock()
-	return c.awaitStart(ctx, &c.current, repeatable)
+	return c.awaitStart(ctx, &c.current, idempotent)
 }
 
 // awaitStart waits until the request of a turn may run.
-func (c *conn) awaitStart(ctx context.Context, t *entry, repeatable bool) error {
+func (c *conn) awaitStart(ctx context.Context, e *entry, idempotent bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t.started, t.idempotent = true, repeatable
+	e.started, e.idempotent = true, idempotent
 	c.queue.notify()
-	for !c.queue.mayRun(t) {
+	for !c.queue.mayRun(e) {
 		changed := c.queue.changes()
 		c.mu.Unlock()
 		select {
--- a/pipelining/listener.go
+++ b/pipelining/listener.go
@@ -129,7 +129,7 @@
 type serverConn interface {
 	net.Conn
 	// start waits until the request that is served may run.
-	start(ctx context.Context, repeatable bool) error
+	start(ctx context.Context, idempotent bool) error
 	// clientGone tells whether the client has closed or reset its connection.
 	clientGone() bool
 	// handlerReturned takes in that the handler of the request has returned.
@@ -169,12 +169,12 @@
 // AwaitStart waits until a request that a Handler serves may run: at once if it may be repeated and
 // all those ahead of it on its connection may be too, else when those have been answered. It has
 // to be called once the request's body is read. It fails when the request's client has left.
-func AwaitStart(r *http.Request, repeatable bool) error {
+func AwaitStart(r *http.Request, idempotent bool) error {
 	c, ok := serverConnOf(r.Context())
 	if !ok {
 		return nil
 	}
-	return c.start(r.Context(), repeatable)
+	return c.start(r.Context(), idempotent)
 }
 
 // ClientGone tells whether the client of a request has closed or reset its connection, also if the
--- a/pipelining/queue.go
+++ b/pipelining/queue.go
@@ -20,16 +20,16 @@
 }
 
 // concurrent tells whether the request is known to be one that may run beside others.
-func (t *entry) concurrent() bool { return t.started && t.idempotent && !t.exclusive }
+func (e *entry) concurrent() bool { return e.started && e.idempotent && !e.exclusive }
 
 // abort has the request end without an answer.
-func (t *entry) abort() {
-	if t.done {
+func (e *entry) abort() {
+	if e.done {
 		return
 	}
-	t.done = true
-	if t.aborted != nil {
-		close(t.aborted)
+	e.done = true
+	if e.aborted != nil {
+		close(e.aborted)
 	}
 }
 
@@ -41,16 +41,16 @@
 }
 
 // push puts a turn at the end.
-func (q *responseQueue) push(t *entry) {
-	q.entries = append(q.entries, t)
-	if len(q.entries) == 1 && t.front != nil {
-		close(t.front)
+func (q *responseQueue) push(e *entry) {
+	q.entries = append(q.entries, e)
+	if len(q.entries) == 1 && e.front != nil {
+		close(e.front)
 	}
 }
 
 // finish takes in that a request was answered.
-func (q *responseQueue) finish(t *entry) {
-	t.done = true
+func (q *responseQueue) finish(e *entry) {
+	e.done = true
 	q.popDone()
 }
 
@@ -72,10 +72,10 @@
 }
 
 // abortFrom drops a turn and all behind it.
-func (q *responseQueue) abortFrom(t *entry) {
+func (q *responseQueue) abortFrom(e *entry) {
 	found := false
 	for _, other := range q.entries {
-		found = found || other == t
+		found = found || other == e
 		if found {
 			other.abort()
 		}
@@ -91,18 +91,18 @@
 }
 
 // isLast tells whether there is none behind a turn.
-func (q *responseQueue) isLast(t *entry) bool {
-	return len(q.entries) == 0 || q.entries[len(q.entries)-1] == t
+func (q *responseQueue) isLast(e *entry) bool {
+	return len(q.entries) == 0 || q.entries[len(q.entries)-1] == e
 }
 
 // mayRun tells whether the request of a turn may run: beside those ahead if all of them may be
 // repeated, else only once they have been answered.
-func (q *responseQueue) mayRun(t *entry) bool {
+func (q *responseQueue) mayRun(e *entry) bool {
 	for _, ahead := range q.entries {
-		if ahead == t {
+		if ahead == e {
 			return true
 		}
-		beside := t.concurrent() && ahead.concurrent()
+		beside := e.concurrent() && ahead.concurrent()
 		if !ahead.done && !beside {
 			return false
 		}
--- a/pipelining/virtual_conn.go
+++ b/pipelining/virtual_conn.go
@@ -37,68 +37,68 @@
 
 // Read implements net.Conn. Behind the request it waits, as the server does for a client that
 // sends nothing, until the client has left or the answer is written.
-func (l *virtualConn) Read(p []byte) (int, error) {
-	l.mu.Lock()
-	n := copy(p, l.head)
-	l.head = l.head[n:]
-	expired := l.expired
-	l.mu.Unlock()
+func (v *virtualConn) Read(p []byte) (int, error) {
+	v.mu.Lock()
+	n := copy(p, v.head)
+	v.head = v.head[n:]
+	expired := v.expired
+	v.mu.Unlock()
 	if n > 0 {
 		return n, nil
 	}
-	if l.isDone() {
+	if v.isDone() {
 		return 0, io.EOF
 	}
 	select {
-	case <-l.entry.aborted:
+	case <-v.entry.aborted:
 		return 0, io.EOF
 	case <-expired:
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
-func (l *virtualConn) isDone() bool {
-	l.conn.mu.Lock()
-	defer l.conn.mu.Unlock()
-	return l.entry.done
+func (v *virtualConn) isDone() bool {
+	v.conn.mu.Lock()
+	defer v.conn.mu.Unlock()
+	return v.entry.done
 }
 
 // Write implements net.Conn.
-func (l *virtualConn) Write(p []byte) (int, error) {
-	l.addHeld(p)
+func (v *virtualConn) Write(p []byte) (int, error) {
+	v.addHeld(p)
 	select {
-	case <-l.entry.front:
-	case <-l.entry.aborted:
+	case <-v.entry.front:
+	case <-v.entry.aborted:
 		return 0, net.ErrClosed
 	}
-	l.releaseHeld()
-	return l.conn.write(l.entry, p)
+	v.releaseHeld()
+	return v.conn.write(v.entry, p)
 }
 
 // addHeld counts an answer as one that waits for its turn, if it does. Text is the beginning of it.
-func (l *virtualConn) addHeld(text []byte) {
+func (v *virtualConn) addHeld(text []byte) {
 	select {
-	case <-l.entry.front:
+	case <-v.entry.front:
 		return
 	default:
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.heldBytes == 0 {
-		l.heldBytes = responseLength(text)
-		l.conn.listener.heldBytes.Add(l.heldBytes)
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.heldBytes == 0 {
+		v.heldBytes = responseLength(text)
+		v.conn.listener.heldBytes.Add(v.heldBytes)
 	}
 }
 
 // releaseHeld takes back what hold has counted, and has the deadline of writes hold.
-func (l *virtualConn) releaseHeld() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.heldBytes > 0 {
-		l.conn.listener.heldBytes.Add(-l.heldBytes)
-		l.heldBytes = 0
+func (v *virtualConn) releaseHeld() {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.heldBytes > 0 {
+		v.conn.listener.heldBytes.Add(-v.heldBytes)
+		v.heldBytes = 0
 	}
-	_ = l.conn.Conn.SetWriteDeadline(l.writeDeadline)
+	_ = v.conn.Conn.SetWriteDeadline(v.writeDeadline)
 }
 
 var lengthField = []byte("\r\nContent-Length: ")
@@ -117,18 +117,18 @@
 }
 
 // Close implements net.Conn.
-func (l *virtualConn) Close() error {
-	l.closeOnce.Do(func() {
-		l.mu.Lock()
-		l.conn.listener.heldBytes.Add(-l.heldBytes)
-		l.heldBytes = 0
-		l.mu.Unlock()
-		l.conn.listener.ahead.Add(-1)
-		c := l.conn
+func (v *virtualConn) Close() error {
+	v.closeOnce.Do(func() {
+		v.mu.Lock()
+		v.conn.listener.heldBytes.Add(-v.heldBytes)
+		v.heldBytes = 0
+		v.mu.Unlock()
+		v.conn.listener.ahead.Add(-1)
+		c := v.conn
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if !l.entry.done {
-			c.closeEntry(l.entry)
+		if !v.entry.done {
+			c.closeEntry(v.entry)
 		}
 		c.closeIfDone()
 		c.interruptRead()
@@ -137,51 +137,51 @@
 }
 
 // start implements requestConn.
-func (l *virtualConn) start(ctx context.Context, repeatable bool) error {
-	return l.conn.awaitStart(ctx, l.entry, repeatable)
+func (v *virtualConn) start(ctx context.Context, idempotent bool) error {
+	return v.conn.awaitStart(ctx, v.entry, idempotent)
 }
 
 // hasLeft implements requestConn.
-func (l *virtualConn) hasLeft() bool { return l.conn.hasLeft() }
+func (v *virtualConn) hasLeft() bool { return v.conn.hasLeft() }
 
 // handled implements requestConn.
-func (l *virtualConn) handled() {
-	l.conn.mu.Lock()
-	defer l.conn.mu.Unlock()
-	l.entry.handled = true
+func (v *virtualConn) handled() {
+	v.conn.mu.Lock()
+	defer v.conn.mu.Unlock()
+	v.entry.handled = true
 }
 
 // idle implements requestConn.
-func (l *virtualConn) idle() {
-	l.conn.mu.Lock()
-	defer l.conn.mu.Unlock()
-	if !l.entry.done {
-		l.conn.finishEntry(l.entry)
+func (v *virtualConn) idle() {
+	v.conn.mu.Lock()
+	defer v.conn.mu.Unlock()
+	if !v.entry.done {
+		v.conn.finishEntry(v.entry)
 	}
 }
 
 // SetReadDeadline implements net.Conn.
-func (l *virtualConn) SetReadDeadline(t time.Time) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.timer != nil {
-		l.timer.Stop()
-		l.timer = nil
+func (v *virtualConn) SetReadDeadline(t time.Time) error {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if v.timer != nil {
+		v.timer.Stop()
+		v.timer = nil
 	}
 	expired := make(chan struct{})
 	switch left := time.Until(t); {
 	case t.IsZero():
 	case left <= 0:
-		closeIfOpen(l.expired)
+		closeIfOpen(v.expired)
 		return nil
 	default:
-		l.timer = time.AfterFunc(left, func() {
-			l.mu.Lock()
-			defer l.mu.Unlock()
+		v.timer = time.AfterFunc(left, func() {
+			v.mu.Lock()
+			defer v.mu.Unlock()
 			closeIfOpen(expired)
 		})
 	}
-	l.expired = expired
+	v.expired = expired
 	return nil
 }
 
@@ -195,26 +195,26 @@
 }
 
 // SetWriteDeadline implements net.Conn.
-func (l *virtualConn) SetWriteDeadline(t time.Time) error {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.writeDeadline = t
+func (v *virtualConn) SetWriteDeadline(t time.Time) error {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	v.writeDeadline = t
 	select {
-	case <-l.entry.front:
-		return l.conn.Conn.SetWriteDeadline(t)
+	case <-v.entry.front:
+		return v.conn.Conn.SetWriteDeadline(t)
 	default:
 		return nil
 	}
 }
 
 // SetDeadline implements net.Conn.
-func (l *virtualConn) SetDeadline(t time.Time) error {
-	_ = l.SetReadDeadline(t)
-	return l.SetWriteDeadline(t)
+func (v *virtualConn) SetDeadline(t time.Time) error {
+	_ = v.SetReadDeadline(t)
+	return v.SetWriteDeadline(t)
 }
 
 // LocalAddr implements net.Conn.
-func (l *virtualConn) LocalAddr() net.Addr { return l.conn.LocalAddr() }
+func (v *virtualConn) LocalAddr() net.Addr { return v.conn.LocalAddr() }
 
 // RemoteAddr implements net.Conn.
-func (l *virtualConn) RemoteAddr() net.Addr { return l.conn.RemoteAddr() }
+func (v *virtualConn) RemoteAddr() net.Addr { return v.conn.RemoteAddr() }
