--- a/member/member_test.go
+++ b/member/member_test.go
@@ -89,17 +89,17 @@
 	// Nobody was heard for long: the round must not depend on it, else those
 	// who are not told never tell either.
 	late := epoch.Add(time.Minute)
-	told := make(map[string]int)
+	sent := make(map[string]int)
 	for round := range uint64(6) {
 		recipients := v.Recipients(late, round)
 		require.Len(t, recipients, 6+4)
 		for _, r := range recipients {
-			told[r.ID]++
+			sent[r.ID]++
 		}
 	}
-	require.Len(t, told, 30)
+	require.Len(t, sent, 30)
 	for i := range 6 {
-		require.Equal(t, 6, told[fmt.Sprintf("h0-%d", i)])
+		require.Equal(t, 6, sent[fmt.Sprintf("h0-%d", i)])
 	}
 }
 
--- a/member/propagation_test.go
+++ b/member/propagation_test.go
@@ -26,57 +26,57 @@
 )
 
 func newPropagation(n, halls int) *propagation {
-	s := &propagation{rng: rand.New(rand.NewPCG(1, uint64(n)))}
+	p := &propagation{rng: rand.New(rand.NewPCG(1, uint64(n)))}
 	for i := range n {
 		hall := fmt.Sprintf("h%02d", i%halls)
-		s.list = append(s.list, instance(fmt.Sprintf("%s-%03d", hall, i), hall))
+		p.list = append(p.list, instance(fmt.Sprintf("%s-%03d", hall, i), hall))
 	}
 	for i := range n {
-		v := member.NewView(s.list[i], settings)
-		v.SetList(epoch, s.list)
-		s.views = append(s.views, v)
+		v := member.NewView(p.list[i], settings)
+		v.SetList(epoch, p.list)
+		p.views = append(p.views, v)
 	}
-	return s
+	return p
 }
 
 // run returns when the last instance has the change. Told says which have it
 // from the platform.
-func (s *propagation) run(told func(i int) bool) time.Duration {
+func (p *propagation) run(informed func(i int) bool) time.Duration {
 	index := make(map[string]int)
-	s.receivedAt = make([]time.Duration, len(s.list))
+	p.receivedAt = make([]time.Duration, len(p.list))
 	answer := time.Duration(0)
-	for i, inst := range s.list {
+	for i, inst := range p.list {
 		index[inst.ID] = i
-		s.receivedAt[i] = never
-		if told(i) {
+		p.receivedAt[i] = never
+		if informed(i) {
 			// A watch's answer and the next watch are two calls.
 			answer += 2 * time.Second / readsPerSec
-			s.receivedAt[i] = answer
+			p.receivedAt[i] = answer
 		}
 	}
-	phase := make([]time.Duration, len(s.list))
+	phase := make([]time.Duration, len(p.list))
 	for i := range phase {
-		phase[i] = time.Duration(s.rng.Int64N(int64(heartbeatInterval)))
+		phase[i] = time.Duration(p.rng.Int64N(int64(heartbeatInterval)))
 	}
 	for round := range uint64(60) {
-		for i, v := range s.views {
+		for i, v := range p.views {
 			sent := phase[i] + time.Duration(round)*heartbeatInterval
-			if s.receivedAt[i] > sent {
+			if p.receivedAt[i] > sent {
 				continue
 			}
 			for _, to := range v.Recipients(epoch, round) {
 				// The heartbeat, the pull and the object: 1.5 round trips.
 				delay := 3 * time.Millisecond
-				if to.Hall != s.list[i].Hall {
+				if to.Hall != p.list[i].Hall {
 					delay = 3 * 55 * time.Millisecond
 				}
 				j := index[to.ID]
-				s.receivedAt[j] = min(s.receivedAt[j], sent+delay)
+				p.receivedAt[j] = min(p.receivedAt[j], sent+delay)
 			}
 		}
 	}
 	worst := time.Duration(0)
-	for _, t := range s.receivedAt {
+	for _, t := range p.receivedAt {
 		worst = max(worst, t)
 	}
 	return worst
@@ -85,8 +85,8 @@
 // BenchmarkPropagation reports the seconds until a change is in force everywhere.
 func BenchmarkPropagation(b *testing.B) {
 	for _, size := range []struct{ n, halls int }{{12, 6}, {100, 19}, {730, 19}} {
-		s := newPropagation(size.n, size.halls)
-		for name, told := range map[string]func(int) bool{
+		p := newPropagation(size.n, size.halls)
+		for name, informed := range map[string]func(int) bool{
 			"all-watch":       func(int) bool { return true },
 			"one-told":        func(i int) bool { return i == 0 },
 			"hall-cut":        func(i int) bool { return i%size.halls != 1 },
@@ -95,7 +95,7 @@
 			b.Run(fmt.Sprintf("%s/instances%d", name, size.n), func(b *testing.B) {
 				worst := time.Duration(0)
 				for b.Loop() {
-					worst = s.run(told)
+					worst = p.run(informed)
 				}
 				b.ReportMetric(worst.Seconds(), "s-in-force")
 			})
