--- a/member/doc.go
+++ b/member/doc.go
@@ -1,9 +1,8 @@
-// Package member provides the view that one instance has of the others: which
-// there are, which are alive, leaving or suspected to be dead, and how loaded
-// they are.
+// Package member provides an instance's view of the other instances: which ones exist, which are
+// live, leaving or suspected to have failed, and how loaded they are.
 //
-// Two sources are merged. The platform's list names all instances but lags.
-// Heartbeats tell at once but can be lost, and stop where halls are cut from
-// each other. An instance that either source calls leaving is leaving for
-// good: an ID is never used again after its process has ended.
+// The view merges two sources. The platform's list names all instances, but lags behind. Heartbeats
+// arrive without this lag, but can be lost, and stop during a network partition between halls. An
+// instance that is leaving by either source remains so, since an ID is never used again after its
+// process has ended.
 package member
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -25,22 +25,24 @@
 	return out
 }
 
+// TestView checks how the list, heartbeats and reports about other instances of a hall determine
+// the states.
 func TestView(t *testing.T) {
 	v := member.NewView(instance("me", "h"), settings)
 	v.SetList(epoch, []member.Instance{instance("me", "h"), instance("a", "h"), instance("far", "g"), instance("far2", "g")})
 	require.Equal(t, map[string]member.State{"a": member.Live, "far": member.Live, "far2": member.Live}, states(v, epoch),
-		"new ones count as alive until they had time to be heard; oneself is left out")
+		"new instances count as live until their heartbeats are due, and the own instance is left out")
 	later := epoch.Add(settings.SuspectAfter + time.Second)
 	require.Equal(t, member.Suspect, states(v, later)["a"])
 	v.HandleHeartbeat(later, member.Heartbeat{From: instance("a", "h")})
 	v.HandleHeartbeat(later, member.Heartbeat{From: instance("far", "g"), Heard: []string{"far2", "stranger"}})
 	require.Equal(t, map[string]member.State{"a": member.Live, "far": member.Live, "far2": member.Live}, states(v, later),
-		"one of a hall speaks for the others that it hears")
+		"a heartbeat reports which other instances of its hall are alive")
 	require.Equal(t, []string{"a"}, v.HeardInHall(later))
 }
 
-// TestLeavingIsPermanent checks that neither an old heartbeat nor an old list
-// brings a leaving instance back.
+// TestLeavingIsPermanent checks that neither an old heartbeat nor an old list makes a leaving
+// instance live again.
 func TestLeavingIsPermanent(t *testing.T) {
 	v := member.NewView(instance("me", "h"), settings)
 	leaving := instance("a", "h")
@@ -54,14 +56,14 @@
 	b.Leaving = true
 	v.SetList(epoch, []member.Instance{b})
 	v.HandleHeartbeat(epoch, member.Heartbeat{From: instance("b", "h")})
-	require.Equal(t, member.Leaving, states(v, epoch)["b"], "the list may be first to know")
+	require.Equal(t, member.Leaving, states(v, epoch)["b"], "the list may show first that an instance is leaving")
 	v.SetList(epoch, nil)
 	v.Forget(epoch.Add(settings.ForgetAfter + time.Second))
 	require.Empty(t, v.All(epoch))
 }
 
-// TestMarkUnreachable checks that a failed connection makes an instance suspected
-// at once, and that hearing it ends that.
+// TestMarkUnreachable checks that an instance is suspected at once after a failed connection, and
+// live again after its next heartbeat.
 func TestMarkUnreachable(t *testing.T) {
 	v := member.NewView(instance("me", "h"), settings)
 	a := instance("a", "h")
@@ -74,9 +76,8 @@
 	require.Equal(t, member.Live, states(v, epoch)["a"])
 }
 
-// TestRecipientsCoverAllInstances checks that the whole own hall is told every
-// round, and each instance of the other halls within as many rounds as its
-// hall has instances.
+// TestRecipientsCoverAllInstances checks that each round's heartbeat is sent to the whole own hall,
+// and within as many rounds as a hall has instances to each of its instances.
 func TestRecipientsCoverAllInstances(t *testing.T) {
 	v := member.NewView(instance("me", "h0"), settings)
 	var list []member.Instance
@@ -86,8 +87,8 @@
 		}
 	}
 	v.SetList(epoch, list)
-	// Nobody was heard for long: the round must not depend on it, else those
-	// who are not told never tell either.
+	// No heartbeat has arrived for a long time. The recipients must not depend on that: instances
+	// that suspect each other would otherwise never exchange heartbeats again.
 	late := epoch.Add(time.Minute)
 	sent := make(map[string]int)
 	for round := range uint64(6) {
--- a/member/propagation_test.go
+++ b/member/propagation_test.go
@@ -9,9 +9,9 @@
 	"github.com/rainford/rainford/member"
 )
 
-// propagation models how a change comes in force: by the platform's watches, whose
-// answers the platform's limit spreads over time, and by heartbeats with pulls
-// behind them. Recipients are the views' own.
+// propagation models how a change reaches all instances: by the platform's watches, whose replies
+// are spread over time by the platform's limit on calls, and by heartbeats that are followed by
+// pulls. The recipients of the heartbeats are those of the views.
 type propagation struct {
 	rng        *rand.Rand
 	list       []member.Instance
@@ -39,8 +39,8 @@
 	return p
 }
 
-// run returns when the last instance has the change. Told says which have it
-// from the platform.
+// run returns the time after which the last instance has the change. Informed reports which
+// instances get it from the platform.
 func (p *propagation) run(informed func(i int) bool) time.Duration {
 	index := make(map[string]int)
 	p.receivedAt = make([]time.Duration, len(p.list))
@@ -49,7 +49,7 @@
 		index[inst.ID] = i
 		p.receivedAt[i] = never
 		if informed(i) {
-			// A watch's answer and the next watch are two calls.
+			// The reply to a watch and the next watch are two calls.
 			answer += 2 * time.Second / readsPerSec
 			p.receivedAt[i] = answer
 		}
@@ -65,7 +65,7 @@
 				continue
 			}
 			for _, to := range v.Recipients(epoch, round) {
-				// The heartbeat, the pull and the object: 1.5 round trips.
+				// The heartbeat, the pull and the object take 1.5 round trips.
 				delay := 3 * time.Millisecond
 				if to.Hall != p.list[i].Hall {
 					delay = 3 * 55 * time.Millisecond
@@ -82,7 +82,7 @@
 	return worst
 }
 
-// BenchmarkPropagation reports the seconds until a change is in force everywhere.
+// BenchmarkPropagation reports the time in seconds until a change is in force at all instances.
 func BenchmarkPropagation(b *testing.B) {
 	for _, size := range []struct{ n, halls int }{{12, 6}, {100, 19}, {730, 19}} {
 		p := newPropagation(size.n, size.halls)
--- a/member/view.go
+++ b/member/view.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Settings are the lengths of time that a view uses.
+// Settings are the time limits of a view.
 type Settings struct {
-	// SuspectAfter is the silence after which an instance is suspected.
+	// SuspectAfter is the time since an instance was last known to be alive after which it is
+	// suspected.
 	SuspectAfter time.Duration
-	// ForgetAfter is the silence after which an instance that is not listed
-	// is forgotten.
+	// ForgetAfter is the time since an instance was last known to be alive after which it is
+	// removed if it is not listed.
 	ForgetAfter time.Duration
 }
 
-// DefaultSettings are the settings of a daemon with a heartbeat of 500 ms.
+// DefaultSettings suit a heartbeat interval of 500 ms.
 var DefaultSettings = Settings{
 	SuspectAfter: 2 * time.Second,
 	ForgetAfter:  30 * time.Second,
 }
 
-// View is one instance's view of the others. It is not safe for concurrent
-// use.
+// View is one instance's view of the others. It is not safe for concurrent use.
 type View struct {
 	self     Instance
 	settings Settings
@@ -32,21 +32,20 @@
 type record struct {
 	status Status
 	listed bool
-	// unreachable is set when a connection to the instance has failed since
-	// it was last heard.
+	// unreachable is set if a connection to the instance has failed since its last heartbeat.
 	unreachable bool
-	// lastAlive is when the instance or one of its hall was last heard to
-	// be alive.
+	// lastAlive is as Status.LastAlive.
 	lastAlive time.Time
 }
 
-// NewView returns the view of the instance self.
+// NewView returns an empty view of the instance self.
 func NewView(self Instance, settings Settings) *View {
 	return &View{self: self, settings: settings, records: make(map[string]*record)}
 }
 
-// SetList takes in the platform's list. An instance that is new on it counts as
-// alive and ready until it has had time to be heard.
+// SetList updates the view from the platform's list. An instance that is new on the list counts as
+// live for SuspectAfter, the time in which its first heartbeat should arrive, and as ready until a
+// heartbeat states otherwise.
 func (v *View) SetList(now time.Time, list []Instance) {
 	for _, r := range v.records {
 		r.listed = false
@@ -66,7 +65,7 @@
 	}
 }
 
-// HandleHeartbeat takes in a heartbeat.
+// HandleHeartbeat records a heartbeat that arrived at time now.
 func (v *View) HandleHeartbeat(now time.Time, hb Heartbeat) {
 	if hb.From.ID == v.self.ID {
 		return
@@ -88,8 +87,8 @@
 	}
 }
 
-// MarkUnreachable takes in that no connection to a peer address could be had. The
-// instance there is suspected until it is heard again.
+// MarkUnreachable records that a connection to a peer address has failed. The instance with this
+// address is suspected until its next heartbeat.
 func (v *View) MarkUnreachable(addr string) {
 	for _, r := range v.records {
 		if r.status.PeerAddr == addr {
@@ -98,6 +97,7 @@
 	}
 }
 
+// record returns the record of an instance, which it creates if needed.
 func (v *View) record(in Instance) *record {
 	r := v.records[in.ID]
 	if r == nil {
@@ -107,7 +107,8 @@
 	return r
 }
 
-// Forget drops the instances that are neither listed nor heard.
+// Forget removes the instances that are not listed and have not been known to be alive for
+// ForgetAfter.
 func (v *View) Forget(now time.Time) {
 	for id, r := range v.records {
 		if !r.listed && now.Sub(r.lastAlive) > v.settings.ForgetAfter {
@@ -116,7 +117,7 @@
 	}
 }
 
-// Get returns what is known of an instance.
+// Get returns the status of an instance, or false if it is not in the view.
 func (v *View) Get(now time.Time, id string) (Status, bool) {
 	r := v.records[id]
 	if r == nil {
@@ -128,7 +129,7 @@
 	return s, true
 }
 
-// All returns every instance known, with its state, in the order of IDs.
+// All returns the status of every instance in the view, sorted by ID.
 func (v *View) All(now time.Time) []Status {
 	out := make([]Status, 0, len(v.records))
 	for _, r := range v.records {
@@ -154,8 +155,8 @@
 	}
 }
 
-// HeardInHall returns the IDs of the instances of the own hall that were heard
-// directly and of late.
+// HeardInHall returns the sorted IDs of the reachable instances of the own hall whose own
+// heartbeats have arrived within SuspectAfter.
 func (v *View) HeardInHall(now time.Time) []string {
 	var out []string
 	for id, r := range v.records {
@@ -168,9 +169,9 @@
 	return out
 }
 
-// Recipients returns the instances that get the heartbeat of a round: all of
-// the own hall, and one of each other hall in turn, suspected or not. Instances
-// of one hall start their turns at different places.
+// Recipients returns the instances to which the heartbeat of a round is sent: all of the own hall,
+// and one of each other hall in turn, whatever their state. The instances of a hall start these
+// turns at different places.
 func (v *View) Recipients(now time.Time, round uint64) []Instance {
 	var out []Instance
 	halls := make(map[string][]Instance)
