--- a/seat/agent.go
+++ b/seat/agent.go
@@ -45,13 +45,13 @@
 
 // peerState is what this instance has heard from another one itself.
 type peerState struct {
-	heardAt  time.Time
-	seq      uint64
-	epoch    int64
-	echo     uint64
-	released []SeatTerm
-	leaving  bool
-	retiring bool
+	receivedAt time.Time
+	seq        uint64
+	epoch      int64
+	echo       uint64
+	released   []SeatTerm
+	leaving    bool
+	retiring   bool
 }
 
 // Write is a conditional write of the roster that an agent wants tried.
@@ -110,7 +110,7 @@
 		p = &peerState{}
 		a.peers[from] = p
 	}
-	p.heardAt = now
+	p.receivedAt = now
 	p.epoch = max(p.epoch, b.Epoch)
 	p.echo = max(p.echo, b.Echo)
 	p.leaving = p.leaving || b.Leaving
@@ -147,8 +147,8 @@
 	a.uncertain = false
 	clear(a.takeovers)
 	a.observeRenewals(now)
-	if me, ok := a.roster.Member(a.id); ok {
-		a.renew(me.Renewal)
+	if self, ok := a.roster.Member(a.id); ok {
+		a.renew(self.Renewal)
 	}
 	for st := range a.releasing {
 		if !a.holdsTerm(st) {
@@ -306,8 +306,8 @@
 		}
 	}
 	for i, s := range a.roster.Seats {
-		orphan := s.Holder == "" || s.Holder != a.id && a.unresponsive(now, s.Holder)
-		if orphan && live[i%len(live)] == a.id {
+		unclaimed := s.Holder == "" || s.Holder != a.id && a.unresponsive(now, s.Holder)
+		if unclaimed && live[i%len(live)] == a.id {
 			out = append(out, i)
 		}
 	}
@@ -316,7 +316,7 @@
 
 // unresponsive tells whether a member was neither heard nor renewed of late.
 func (a *Agent) unresponsive(now time.Time, id string) bool {
-	if p := a.peers[id]; p != nil && now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.PeerLease) {
+	if p := a.peers[id]; p != nil && now.Sub(p.receivedAt) <= a.timing.takeoverWait(a.timing.PeerLease) {
 		return false
 	}
 	s, ok := a.renewals[id]
@@ -343,7 +343,7 @@
 		if s.Holder != a.id {
 			continue
 		}
-		if _, given := a.releasing[SeatTerm{i, s.Term}]; !given {
+		if _, released := a.releasing[SeatTerm{i, s.Term}]; !released {
 			out = append(out, i)
 		}
 	}
--- a/seat/propose.go
+++ b/seat/propose.go
@@ -33,23 +33,23 @@
 		// Without the platform nobody could take over what is given.
 		return
 	}
-	free := now.Add(a.timing.Window)
-	if loansEnd.After(free) {
-		free = loansEnd
+	releaseAt := now.Add(a.timing.Window)
+	if loansEnd.After(releaseAt) {
+		releaseAt = loansEnd
 	}
 	held := a.Assigned()
 	for len(held) > keep {
 		last := held[len(held)-1]
 		held = held[:len(held)-1]
-		a.releasing[SeatTerm{last, a.roster.Seats[last].Term}] = free
+		a.releasing[SeatTerm{last, a.roster.Seats[last].Term}] = releaseAt
 	}
 }
 
 // released returns the seats given back whose last uses and loans are over.
 func (a *Agent) released(now time.Time) []SeatTerm {
 	var out []SeatTerm
-	for st, free := range a.releasing {
-		if !now.Before(free) {
+	for st, releaseAt := range a.releasing {
+		if !now.Before(releaseAt) {
 			out = append(out, st)
 		}
 	}
@@ -121,7 +121,7 @@
 			return m.ID
 		}
 		p := a.peers[m.ID]
-		if p != nil && !p.leaving && now.Sub(p.heardAt) < a.timing.PeerLease {
+		if p != nil && !p.leaving && now.Sub(p.receivedAt) < a.timing.PeerLease {
 			return m.ID
 		}
 	}
@@ -196,9 +196,9 @@
 	if a.leaving {
 		return
 	}
-	me, _ := a.roster.Member(a.id)
+	self, _ := a.roster.Member(a.id)
 	for _, m := range a.roster.Members {
-		if m.ID != a.id && a.leasesOver(now, me, m) {
+		if m.ID != a.id && a.leasesOver(now, self, m) {
 			a.takeovers[m.ID] = true
 			w.Roster.remove(m.ID)
 		}
@@ -206,7 +206,7 @@
 }
 
 // leasesOver tells whether both leases of m are leasesOver on m's own clock.
-func (a *Agent) leasesOver(now time.Time, me, m Member) bool {
+func (a *Agent) leasesOver(now time.Time, self, m Member) bool {
 	s, ok := a.renewals[m.ID]
 	if !ok || now.Sub(s.at) <= a.timing.takeoverWait(a.timing.PlatformLease) {
 		return false
@@ -214,11 +214,11 @@
 	acked := m.Acked
 	if p := a.peers[m.ID]; p != nil {
 		acked = max(acked, p.epoch)
-		if now.Sub(p.heardAt) <= a.timing.takeoverWait(a.timing.PeerLease) {
+		if now.Sub(p.receivedAt) <= a.timing.takeoverWait(a.timing.PeerLease) {
 			return false
 		}
 	}
-	if acked >= me.Joined || m.Addr == a.addr {
+	if acked >= self.Joined || m.Addr == a.addr {
 		// In the second case the other's process has ended, or this one
 		// could not listen on its address.
 		return true
