--- a/seat/agent.go
+++ b/seat/agent.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// Agent is one instance's part in its hall's roster. It decides which seats
-// the instance may use, what its heartbeats say, and which write of the roster
-// it should try. It is not safe for concurrent use.
+// Agent manages one instance's membership in its hall's roster. It determines the
+// seats that the instance may use, the content of its heartbeats, and the writes of
+// the roster to attempt. It is not safe for concurrent use.
 type Agent struct {
 	id     string
 	addr   string
@@ -19,31 +19,31 @@
 	known    bool
 	renewals map[string]observedRenewal
 	peers    map[string]*peerState
-	// releasing holds the seats that are given back, with the time from which
-	// the instance says so.
+	// releasing holds the seats being released, with the time from which the
+	// release is announced.
 	releasing map[SeatTerm]time.Time
 	leaving   bool
-	// retiring and retireTo are set by Retire.
+	// retiring and retireSeats are set by Retire.
 	retiring    bool
 	retireSeats int
 
 	renewedAt time.Time
 	lastWrite time.Time
 	inFlight  *Write
-	// takeovers are the members whose seats a write at the version known takeovers
-	// that is in flight or whose end is uncertain.
+	// takeovers are the members whose seats are taken over by a write based on the
+	// current version that is in flight or has an uncertain outcome.
 	takeovers map[string]bool
 	uncertain bool
 }
 
-// observedRenewal is a member's renewal and when this instance first saw it.
+// observedRenewal is a member's renewal and the time when this instance first saw it.
 type observedRenewal struct {
 	renewal uint64
 	joined  int64
 	at      time.Time
 }
 
-// peerState is what this instance has heard from another one itself.
+// peerState is the state of a peer according to the heartbeats received from it.
 type peerState struct {
 	receivedAt time.Time
 	seq        uint64
@@ -54,16 +54,16 @@
 	retiring   bool
 }
 
-// Write is a conditional write of the roster that an agent wants tried.
+// Write is a conditional write of the roster for the caller to attempt.
 type Write struct {
 	Roster *Roster
-	// Version is the version that the write is conditional on.
+	// Version is the version that the roster must have for the write to succeed.
 	Version int64
 }
 
-// NewAgent returns the agent of instance id, whose name must never have been
-// used by an earlier process. Addr is the address that its process listens on
-// for its peers.
+// NewAgent returns the agent of the instance with the given ID. The ID must never
+// have been used by an earlier process. Addr is the address on which the process
+// listens for its peers.
 func NewAgent(id, addr, hall string, timing Timing) *Agent {
 	return &Agent{
 		id:        id,
@@ -80,11 +80,11 @@
 // BeginRound starts a new round of heartbeats.
 func (a *Agent) BeginRound(now time.Time) { a.sent.next(now) }
 
-// Heartbeat returns what the heartbeat of the current round says to one peer.
+// Heartbeat returns the heartbeat of the current round for one peer.
 func (a *Agent) Heartbeat(now time.Time, to string) Heartbeat {
 	b := Heartbeat{Seq: a.sent.seq, Released: a.released(now), Retiring: a.retiring}
-	// Peers do without the echo of one that leaves, so it must have no write
-	// under way that takes their seats.
+	// Peers do not need echoes of a leaving instance. The instance must therefore
+	// not announce that it leaves while one of its writes takes over their seats.
 	b.Leaving = a.leaving && len(a.takeovers) == 0
 	if a.roster == nil {
 		return b
@@ -95,15 +95,15 @@
 		return b
 	}
 	b.Renewed = member.Renewal
-	// An echo to a member whose seats are being taken would give it a lease
-	// that the write ignores.
+	// An echo to a member whose seats are being taken over would give it a lease
+	// that the pending write does not take into account.
 	if p := a.peers[to]; p != nil && !a.takeovers[to] {
 		b.Echo = p.seq
 	}
 	return b
 }
 
-// HandleHeartbeat takes in a heartbeat. It may be late, doubled or out of order.
+// HandleHeartbeat processes a heartbeat. It may be late, duplicated or out of order.
 func (a *Agent) HandleHeartbeat(now time.Time, from string, b Heartbeat) {
 	p := a.peers[from]
 	if p == nil {
@@ -122,7 +122,7 @@
 	a.renew(b.Renewed)
 }
 
-// validTerms returns the terms of seats that there are: a message may name any.
+// validTerms returns the terms of existing seats. A message may contain other numbers.
 func validTerms(terms []SeatTerm) []SeatTerm {
 	var out []SeatTerm
 	for _, st := range terms {
@@ -133,8 +133,8 @@
 	return out
 }
 
-// ObserveRoster takes in the roster at a version, as read or as written. An older one
-// than is known is ignored.
+// ObserveRoster records the roster at a version that was read or written. It ignores
+// versions that are not newer than the current one.
 func (a *Agent) ObserveRoster(now time.Time, roster *Roster, version int64) {
 	if a.known && version <= a.version {
 		return
@@ -142,7 +142,7 @@
 	a.roster = roster.Clone()
 	a.version = version
 	a.known = true
-	// A write on the older version has taken effect or never will.
+	// A write based on the older version has taken effect or never will.
 	a.inFlight = nil
 	a.uncertain = false
 	clear(a.takeovers)
@@ -157,7 +157,7 @@
 	}
 }
 
-// ObserveNoRoster takes in that the platform has no roster for the hall yet.
+// ObserveNoRoster records that the platform has no roster for the hall yet.
 func (a *Agent) ObserveNoRoster() {
 	if a.known {
 		return
@@ -167,7 +167,7 @@
 	a.known = true
 }
 
-// WriteFailed says that w, returned by Propose, did not take effect and never
+// WriteFailed reports that w, which Propose returned, has not taken effect and never
 // will.
 func (a *Agent) WriteFailed(w *Write) {
 	if a.inFlight != w {
@@ -179,9 +179,10 @@
 	}
 }
 
-// WriteUncertain says that w, returned by Propose, may have taken effect or
-// may yet. Only a later version of the roster settles it; until then writes on
-// the same version go on, of which one at most can take effect.
+// WriteUncertain reports that w, which Propose returned, may have taken effect or may
+// still do so. The outcome is known only with a later version of the roster. Until
+// then, further writes are based on the same version, and at most one of them can
+// take effect.
 func (a *Agent) WriteUncertain(w *Write) {
 	if a.inFlight != w {
 		return
@@ -216,13 +217,13 @@
 	return s.Holder == a.id && s.Term == st.Term
 }
 
-// HasRoster tells whether the agent has read the roster.
+// HasRoster reports whether the agent knows the roster.
 func (a *Agent) HasRoster() bool { return a.known }
 
-// Version returns the version of the roster known.
+// Version returns the current version of the roster.
 func (a *Agent) Version() int64 { return a.version }
 
-// Members returns the members of the roster known.
+// Members returns the members of the current roster.
 func (a *Agent) Members() []Member {
 	if a.roster == nil {
 		return nil
@@ -230,7 +231,7 @@
 	return a.roster.Members
 }
 
-// Holder returns the holder of a seat in the roster known, or "".
+// Holder returns the holder of a seat in the current roster, or "".
 func (a *Agent) Holder(seat int) string {
 	if a.roster == nil {
 		return ""
@@ -238,7 +239,8 @@
 	return a.roster.Seats[seat].Holder
 }
 
-// PlatformLeaseEnd returns the end of the platform lease.
+// PlatformLeaseEnd returns the end of the platform lease, or the zero time if the
+// lease has never been renewed.
 func (a *Agent) PlatformLeaseEnd() time.Time {
 	if a.renewedAt.IsZero() {
 		return time.Time{}
@@ -246,8 +248,8 @@
 	return a.renewedAt.Add(a.timing.PlatformLease)
 }
 
-// LeaseEnd returns when the instance's use of its seats ends, by the later of
-// its two leases. It is the zero time when it is not a member.
+// LeaseEnd returns the later end of the instance's two leases. It returns the zero
+// time if the instance is not a member.
 func (a *Agent) LeaseEnd() time.Time {
 	if a.roster == nil || a.roster.index(a.id) < 0 || a.renewedAt.IsZero() {
 		return time.Time{}
@@ -260,8 +262,8 @@
 	return platform
 }
 
-// peerLeaseEnd returns the earliest end of the grants of all other members,
-// bounded by Offline.
+// peerLeaseEnd returns the earliest end of the leases that the other members grant
+// with their echoes. It is at most MaxOffline after the last renewal.
 func (a *Agent) peerLeaseEnd() time.Time {
 	end := a.renewedAt.Add(a.timing.MaxOffline)
 	for _, m := range a.roster.Members {
@@ -286,14 +288,14 @@
 	return end
 }
 
-// SlotSeats returns the seats whose slots of targets the instance may use: its
-// own, whether or not its lease is over, and its part of the seats that nobody
-// seems to use, which are free or have a holder that is silent and was not
-// renewed for longer than a lease.
+// SlotSeats returns the seats whose slots of targets the instance may use. These are
+// its own seats, even after the end of its lease, and its share of the seats that
+// appear to be unused. A seat appears unused if it is free, or if its holder has been
+// unresponsive and not renewed for longer than a lease.
 //
-// The rule is softer than that of Held on purpose. A hall whose instances were
-// all lost must serve before the old leases are certainly over; should a silent
-// holder be alive after all, its targets refuse what is too much.
+// The rule is intentionally weaker than that of Held. A hall that has lost all its
+// instances must serve requests before the old leases are certain to be over. If an
+// unresponsive holder is still alive, the targets refuse excess requests.
 func (a *Agent) SlotSeats(now time.Time) []int {
 	out := a.Assigned()
 	if a.roster == nil || a.leaving || a.roster.index(a.id) < 0 {
@@ -314,7 +316,8 @@
 	return out
 }
 
-// unresponsive tells whether a member was neither heard nor renewed of late.
+// unresponsive reports whether a member has neither sent a heartbeat nor been renewed
+// recently.
 func (a *Agent) unresponsive(now time.Time, id string) bool {
 	if p := a.peers[id]; p != nil && now.Sub(p.receivedAt) <= a.timing.takeoverWait(a.timing.PeerLease) {
 		return false
@@ -323,8 +326,8 @@
 	return !ok || now.Sub(s.at) > a.timing.takeoverWait(a.timing.PlatformLease)
 }
 
-// Held returns the seats that the instance may use at now: none once its
-// lease is over.
+// Held returns the seats that the instance may use at now. It returns none after the
+// end of the lease.
 func (a *Agent) Held(now time.Time) []int {
 	if !now.Before(a.LeaseEnd()) {
 		return nil
@@ -332,8 +335,8 @@
 	return a.Assigned()
 }
 
-// Assigned returns the seats that the latest roster known gives the instance,
-// less those that it gives back, whether or not its lease is over.
+// Assigned returns the seats that the current roster assigns to the instance, without
+// those being released. It does not consider the lease.
 func (a *Agent) Assigned() []int {
 	if a.roster == nil {
 		return nil
--- a/seat/propose.go
+++ b/seat/propose.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Leave makes the instance give back all its seats and take none again.
+// Leave makes the instance release all its seats and take no more.
 func (a *Agent) Leave() { a.leaving = true }
 
-// Retire makes the instance give back half of its seats and take no more, so
-// that others can serve while callers still move away from it.
+// Retire makes the instance release half of its seats and take no more, so that
+// others can serve requests while callers still move away from it.
 func (a *Agent) Retire() {
 	a.retiring = true
 	a.retireSeats = len(a.Assigned()) / 2
 }
 
-// Left tells whether a leaving instance holds no seat any more.
+// Left reports whether a leaving instance holds no more seats.
 func (a *Agent) Left() bool {
 	return a.roster == nil || len(a.roster.Held(a.id)) == 0
 }
 
-// Tick starts giving back the seats that the instance holds over its part. It
-// is called once in each round of heartbeats. LoansEnd is the end of the last
-// loan of the instance's units.
+// Tick starts to release seats that the instance holds in excess of its share. The
+// caller calls it once in each round of heartbeats. LoansEnd is the latest end of the
+// loans of the instance's units.
 func (a *Agent) Tick(now, loansEnd time.Time) {
 	if a.roster == nil {
 		return
@@ -30,7 +30,7 @@
 	} else if a.retiring {
 		keep = a.retireSeats
 	} else if !now.Before(a.PlatformLeaseEnd()) {
-		// Without the platform nobody could take over what is given.
+		// No other member can take over released seats without the platform.
 		return
 	}
 	releaseAt := now.Add(a.timing.Window)
@@ -45,7 +45,7 @@
 	}
 }
 
-// released returns the seats given back whose last uses and loans are over.
+// released returns the seats being released whose last uses and loans have ended.
 func (a *Agent) released(now time.Time) []SeatTerm {
 	var out []SeatTerm
 	for st, releaseAt := range a.releasing {
@@ -56,8 +56,8 @@
 	return out
 }
 
-// Propose returns the write that the instance should try now, or nil. The
-// caller reports its end by Learn, WriteFailed or WriteUncertain.
+// Propose returns the write to attempt now, or nil. The caller reports the outcome by
+// ObserveRoster, WriteFailed or WriteUncertain.
 func (a *Agent) Propose(now time.Time) *Write {
 	if !a.known || a.inFlight != nil || !a.writeDue(now) {
 		return nil
@@ -78,9 +78,10 @@
 
 func (a *Agent) isMember() bool { return a.roster.index(a.id) >= 0 }
 
-// writeDue tells whether to write now: to join, as the keeper each Renew or when
-// seats are waiting for a new holder, or because the keeper has let this
-// instance's lease run low.
+// writeDue reports whether to write the roster now. An instance writes to join. The
+// writer writes once per RenewInterval, or when released seats wait for a new holder.
+// Any other member writes if less than a third of its platform lease is left because
+// the writer has not renewed it.
 func (a *Agent) writeDue(now time.Time) bool {
 	since := now.Sub(a.lastWrite)
 	if !a.lastWrite.IsZero() && since < a.timing.RenewInterval/minWriteDivisor {
@@ -95,11 +96,11 @@
 	return since >= a.timing.RenewInterval && now.After(a.PlatformLeaseEnd().Add(-a.timing.PlatformLease/3))
 }
 
-// minWriteDivisor gives the shortest time between two writes as a part of Renew.
+// minWriteDivisor is the ratio of RenewInterval to the shortest time between two writes.
 const minWriteDivisor = 6
 
-// anyReleased tells whether a member has given back a seat that the roster
-// still shows as held.
+// anyReleased reports whether a member has released a seat that it still holds in the
+// roster.
 func (a *Agent) anyReleased(now time.Time) bool {
 	if len(a.released(now)) > 0 {
 		return true
@@ -114,7 +115,8 @@
 	return false
 }
 
-// writer returns the first member by name that is heard and not leaving.
+// writer returns the first member by ID that is not leaving and whose heartbeats are
+// being received. If there is none, it returns this instance.
 func (a *Agent) writer(now time.Time) string {
 	for _, m := range a.roster.Members {
 		if m.ID == a.id && !a.leaving {
@@ -128,7 +130,8 @@
 	return a.id
 }
 
-// applyHeartbeats writes what the heartbeats say into the roster.
+// applyHeartbeats updates the roster from the heartbeats received: renewals,
+// acknowledged epochs, released seats and members that have left.
 func (a *Agent) applyHeartbeats(now time.Time, r *Roster) {
 	for i := range r.Members {
 		m := &r.Members[i]
@@ -155,7 +158,7 @@
 	}
 }
 
-// removeLeft removes members that leave and have given everything back.
+// removeLeft removes members that are leaving and hold no more seats.
 func (a *Agent) removeLeft(r *Roster) {
 	for _, m := range append([]Member(nil), r.Members...) {
 		if a.isLeaving(m.ID) && len(r.Held(m.ID)) == 0 {
@@ -180,7 +183,7 @@
 	return p != nil && p.retiring
 }
 
-// ineligible returns the members that get no more seats.
+// ineligible returns the members that take no more seats.
 func (a *Agent) ineligible(r *Roster) map[string]bool {
 	out := make(map[string]bool)
 	for _, m := range r.Members {
@@ -191,7 +194,7 @@
 	return out
 }
 
-// takeOver removes the members whose leases are certainly over.
+// takeOver removes the members whose leases are certain to be over.
 func (a *Agent) takeOver(now time.Time, w *Write) {
 	if a.leaving {
 		return
@@ -205,7 +208,7 @@
 	}
 }
 
-// leasesOver tells whether both leases of m are leasesOver on m's own clock.
+// leasesOver reports whether both leases of m are over on m's own clock.
 func (a *Agent) leasesOver(now time.Time, self, m Member) bool {
 	s, ok := a.renewals[m.ID]
 	if !ok || now.Sub(s.at) <= a.timing.takeoverWait(a.timing.PlatformLease) {
@@ -219,8 +222,8 @@
 		}
 	}
 	if acked >= self.Joined || m.Addr == a.addr {
-		// In the second case the other's process has ended, or this one
-		// could not listen on its address.
+		// If the addresses are equal, m's process has ended. Otherwise, this process
+		// could not listen on the address.
 		return true
 	}
 	return now.Sub(s.at) > a.timing.takeoverWait(a.timing.MaxOffline)
--- a/seat/roster.go
+++ b/seat/roster.go
@@ -2,14 +2,14 @@
 
 import "sort"
 
-// Count is the number of seats in each hall. It bounds the instances of a hall
-// that can hold units.
+// Count is the number of seats in each hall. It limits how many instances of a hall
+// can hold units.
 const Count = 64
 
-// Roster is the platform's record of a hall's seats.
+// Roster is the stored assignment of a hall's seats.
 type Roster struct {
 	Hall string `json:"hall"`
-	// Epoch grows by one with every change of the members.
+	// Epoch is incremented by each change of the members.
 	Epoch   int64    `json:"epoch"`
 	Members []Member `json:"members"`
 	Seats   []Seat   `json:"seats"`
@@ -18,26 +18,26 @@
 // Member is an instance that may hold seats.
 type Member struct {
 	ID string `json:"id"`
-	// Addr is the address that the member listens on for its peers.
+	// Addr is the address on which the member listens for its peers.
 	Addr string `json:"addr"`
-	// Joined is the epoch at which the member was added.
+	// Joined is the epoch in which the member was added.
 	Joined int64 `json:"joined"`
-	// Renewal is the number of the member's heartbeat that its platform
-	// lease counts from.
+	// Renewal is the number of the member's heartbeat with which its platform lease
+	// starts.
 	Renewal uint64 `json:"renewal"`
-	// Acked is the latest epoch that the member has said to know.
+	// Acked is the latest epoch that the member has acknowledged.
 	Acked int64 `json:"acked"`
 }
 
-// Seat is one seat. Holder is empty while nobody holds it.
+// Seat is one seat. Holder is empty if the seat is free.
 type Seat struct {
 	Holder string `json:"holder,omitempty"`
-	// Term grows with every change of the holder. It tells a seat given back
-	// from the same seat handed to the same holder again.
+	// Term is incremented by each change of the holder. It distinguishes a released
+	// seat from the same seat after it was assigned to the same holder again.
 	Term int64 `json:"term"`
 }
 
-// Member returns the member called id.
+// Member returns the member with the given ID.
 func (r *Roster) Member(id string) (Member, bool) {
 	i := r.index(id)
 	if i < 0 {
@@ -55,7 +55,7 @@
 	return -1
 }
 
-// Clone returns a deep copy with Count seats, whatever the roster has.
+// Clone returns a deep copy with exactly Count seats, regardless of the number in r.
 func (r *Roster) Clone() *Roster {
 	out := &Roster{Hall: r.Hall, Epoch: r.Epoch}
 	out.Members = append([]Member(nil), r.Members...)
@@ -66,7 +66,7 @@
 	return out
 }
 
-// Held returns the numbers of the seats that id holds.
+// Held returns the numbers of the seats that a member holds.
 func (r *Roster) Held(id string) []int {
 	var out []int
 	for i := range r.Seats {
@@ -83,7 +83,7 @@
 	sort.Slice(r.Members, func(i, j int) bool { return r.Members[i].ID < r.Members[j].ID })
 }
 
-// remove takes a member out and frees its seats.
+// remove removes a member and frees its seats.
 func (r *Roster) remove(id string) {
 	i := r.index(id)
 	if i < 0 {
@@ -103,7 +103,7 @@
 	r.Seats[seat].Term++
 }
 
-// fairShare returns the most seats that a member should hold.
+// fairShare returns the largest number of seats that a member should hold.
 func (r *Roster) fairShare() int {
 	if len(r.Members) == 0 {
 		return Count
@@ -111,8 +111,8 @@
 	return (Count + len(r.Members) - 1) / len(r.Members)
 }
 
-// assignFree hands every free seat to the member that holds the fewest, the first by
-// name among equals. Members in skip get none.
+// assignFree assigns each free seat to the member that holds the fewest, or to the first
+// of them by ID. Members in skip get no seats.
 func (r *Roster) assignFree(skip map[string]bool) {
 	held := make(map[string]int)
 	for i := range r.Seats {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Cleared returns the roster without members and with every seat free, for
-// an operator who knows that all former members have ended.
+// Cleared returns a copy of the roster without members and with all seats free. It is
+// for operators who know that the processes of all members have ended.
 func (r *Roster) Cleared() *Roster {
 	out := r.Clone()
 	for _, m := range r.Members {
--- a/seat/seat_test.go
+++ b/seat/seat_test.go
@@ -13,8 +13,8 @@
 
 var timing = seat.DefaultTiming
 
-// simulatedHall is a hall with agents that hear each other and the platform as the
-// test says.
+// simulatedHall is a hall of agents. The test controls which agents can reach each other
+// and the platform.
 type simulatedHall struct {
 	t       *testing.T
 	now     time.Time
@@ -22,8 +22,8 @@
 	order   []string
 	roster  *seat.Roster
 	version int64
-	// platformDown agents do not reach the platform, deaf pairs do not hear each
-	// other.
+	// Agents in platformDown cannot reach the platform. Pairs in disconnected do not
+	// receive each other's heartbeats.
 	platformDown map[string]bool
 	disconnected map[string]bool
 }
@@ -45,7 +45,7 @@
 	s.order = append(s.order, id)
 }
 
-// cut separates an agent from all others.
+// cut disconnects an agent from all others.
 func (s *simulatedHall) cut(id string) {
 	for _, other := range s.order {
 		s.disconnected[id+other], s.disconnected[other+id] = true, true
@@ -98,12 +98,12 @@
 	}
 }
 
-// requireExclusive checks that no seat is held by two.
+// requireExclusive checks that no seat is held by two agents.
 func (s *simulatedHall) requireExclusive() {
 	holder := make(map[int]string)
 	for _, id := range s.order {
 		for _, n := range s.agents[id].Held(s.now) {
-			require.Empty(s.t, holder[n], "seat %d is held by %s too", n, id)
+			require.Empty(s.t, holder[n], "seat %d is also held by %s", n, id)
 			holder[n] = id
 		}
 	}
@@ -111,7 +111,8 @@
 
 func (s *simulatedHall) held(id string) int { return len(s.agents[id].Held(s.now)) }
 
-// The cases of the table in docs/DESIGN.md, "Who may use which units".
+// The following tests cover the cases of the table "Who may use which units" in
+// docs/DESIGN.md.
 
 func TestPlatformDown(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b", "c")
@@ -120,10 +121,10 @@
 	}
 	s.run(10 * time.Minute)
 	for _, id := range s.order {
-		require.Positive(t, s.held(id), "all hear each other: all go on")
+		require.Positive(t, s.held(id), "all peers are connected, so their peer leases continue")
 	}
 	s.run(timing.MaxOffline)
-	require.Zero(t, s.held("a"), "after Offline nobody does")
+	require.Zero(t, s.held("a"), "no peer lease continues after MaxOffline")
 }
 
 func TestPlatformDownAndInstanceDead(t *testing.T) {
@@ -132,7 +133,7 @@
 	s.run(time.Minute)
 	s.kill("b")
 	s.run(timing.PlatformLease + timing.PeerLease)
-	require.Zero(t, s.held("a"), "b may be alive and reach the platform")
+	require.Zero(t, s.held("a"), "b may be alive and able to reach the platform")
 	s.platformDown["a"] = false
 	s.run(30 * time.Second)
 	require.Equal(t, seat.Count, s.held("a"))
@@ -152,40 +153,41 @@
 	s.run(timing.PlatformLease + time.Second)
 	require.Zero(t, s.held("a"))
 	s.run(30 * time.Second)
-	require.Equal(t, seat.Count, s.held("b")+s.held("c"), "the others take its seats")
+	require.Equal(t, seat.Count, s.held("b")+s.held("c"), "the others take over its seats")
 }
 
 func TestInstanceCutFromPlatformOnly(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b", "c")
 	s.platformDown["a"] = true
 	s.run(10 * time.Minute)
-	require.Positive(t, s.held("a"), "its peers renew it")
+	require.Positive(t, s.held("a"), "its peers renew its lease")
 }
 
 func TestInstanceCutFromPeersOnly(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b", "c")
 	s.cut("a")
 	s.run(10 * time.Minute)
-	require.Positive(t, s.held("a"), "it renews itself")
+	require.Positive(t, s.held("a"), "it renews its own lease")
 	require.Positive(t, s.held("b"))
 }
 
-// TestJoinerWaitsForAck has an instance join that the old ones can't hear of:
-// they are cut from the platform, and it from them.
+// TestJoinerWaitsForAck checks that an instance that joins waits for MaxOffline if the
+// other members cannot learn of it, because they are cut off from the platform and from
+// the new instance.
 func TestJoinerWaitsForAck(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b")
 	s.platformDown["a"], s.platformDown["b"] = true, true
 	s.add("j", "j")
 	s.cut("j")
 	s.run(10 * time.Minute)
-	require.Zero(t, s.held("j"), "it can't know that a and b have stopped")
-	require.Equal(t, seat.Count, s.held("a")+s.held("b"), "they go on by each other's echoes")
+	require.Zero(t, s.held("j"), "it cannot know that a and b have stopped using their seats")
+	require.Equal(t, seat.Count, s.held("a")+s.held("b"), "their peer leases continue")
 	s.run(timing.MaxOffline + time.Hour)
-	require.Equal(t, seat.Count, s.held("j"), "after Offline they have stopped")
+	require.Equal(t, seat.Count, s.held("j"), "the peer leases of a and b ended at MaxOffline")
 }
 
-// TestJoinerOnSameAddress has an instance come back on the address of the
-// hall's only one, which has died.
+// TestJoinerOnSameAddress checks that an instance takes over the seats of the hall's only
+// member, which has crashed, if it starts on the same address.
 func TestJoinerOnSameAddress(t *testing.T) {
 	s := newSimulatedHall(t, "a")
 	s.kill("a")
@@ -194,8 +196,8 @@
 	require.Equal(t, seat.Count, s.held("a2"))
 }
 
-// TestNoEchoDuringTakeover checks that a member whose seats are being taken by a
-// write of uncertain end gets no echo, which would renew its peer lease.
+// TestNoEchoDuringTakeover checks that a member gets no echo while a write with uncertain
+// outcome takes over its seats. An echo would renew its peer lease.
 func TestNoEchoDuringTakeover(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b")
 	s.platformDown["a"] = true
@@ -212,21 +214,21 @@
 		}
 		b.BeginRound(s.now)
 		w = b.Propose(s.now)
-		require.Less(t, s.now.Unix(), int64(1200), "b never takes over")
+		require.Less(t, s.now.Unix(), int64(1200), "b does not take over")
 	}
 	b.WriteUncertain(w)
 	a := s.agents["a"]
 	a.BeginRound(s.now)
 	b.HandleHeartbeat(s.now, "a", a.Heartbeat(s.now, "b"))
-	require.Zero(t, b.Heartbeat(s.now, "a").Echo, "the write may yet take effect")
+	require.Zero(t, b.Heartbeat(s.now, "a").Echo, "the write may still take effect")
 	a.HandleHeartbeat(s.now, "b", b.Heartbeat(s.now, "a"))
 	require.Zero(t, s.held("a"))
 	b.ObserveRoster(s.now, s.roster.Clone(), s.version+1)
-	require.NotZero(t, b.Heartbeat(s.now, "a").Echo, "a later version without the write settles it")
+	require.NotZero(t, b.Heartbeat(s.now, "a").Echo, "a later version shows that the write did not take effect")
 }
 
-// TestPlannedStop checks that seats given back pass on without a wait for the
-// lease.
+// TestPlannedStop checks that the seats of a leaving instance are reassigned before its
+// lease ends.
 func TestPlannedStop(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b")
 	s.agents["a"].Leave()
@@ -235,7 +237,7 @@
 		s.run(500 * time.Millisecond)
 		require.Less(t, s.now.Sub(began), time.Minute)
 	}
-	t.Logf("given back after %s", s.now.Sub(began))
+	t.Logf("seats released after %s", s.now.Sub(began))
 	require.Less(t, s.now.Sub(began), timing.PlatformLease)
 	s.run(2 * time.Second)
 	require.Equal(t, seat.Count, s.held("b"))
@@ -243,7 +245,7 @@
 	require.False(t, member)
 }
 
-// TestNonexistentSeatsAreIgnored has a peer give back seats that there are not.
+// TestNonexistentSeatsAreIgnored checks heartbeats that release seats that do not exist.
 func TestNonexistentSeatsAreIgnored(t *testing.T) {
 	s := newSimulatedHall(t, "a", "b")
 	bad := seat.Heartbeat{Seq: 1 << 30, Released: []seat.SeatTerm{{Seat: -1}, {Seat: seat.Count}, {Seat: 1 << 40}}}
@@ -262,7 +264,7 @@
 	}
 }
 
-// fullRoster returns a roster of n members with all seats held.
+// fullRoster returns a roster of n members that hold all seats.
 func fullRoster(n int) *seat.Roster {
 	r := &seat.Roster{Hall: "accra-1", Epoch: int64(n)}
 	for i := range n {
@@ -274,7 +276,7 @@
 	return r
 }
 
-// BenchmarkPropose measures one write of the keeper and its taking in.
+// BenchmarkPropose measures a write of the writer and the processing of its result.
 func BenchmarkPropose(b *testing.B) {
 	for _, n := range []int{2, 12, 38} {
 		b.Run(fmt.Sprintf("members%d", n), func(b *testing.B) {
