--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -41,7 +41,7 @@
 // warmUp releases requests with success until the pool's limit reaches want.
 func warmUp(p *balance.Pool, want int) {
 	for i := uint64(1); p.Load(epoch).Limit < want; i++ {
-		var taken []string
+		var running []string
 		for {
 			r := request(i)
 			r.QueueTimeout = 0
@@ -49,9 +49,9 @@
 			if d.Action != balance.Run {
 				break
 			}
-			taken = append(taken, d.Target.ID)
+			running = append(running, d.Target.ID)
 		}
-		for _, id := range taken {
+		for _, id := range running {
 			p.Release(epoch, id, balance.Answered, 10*time.Millisecond)
 		}
 	}
@@ -66,7 +66,7 @@
 		p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rand"), 1))})
 		floor := rapid.IntRange(0, 100).Draw(t, "floor")
 		p.SetReserve(floor)
-		m := &poolModel{t: t, slots: map[string]int{}, inFlight: map[string]int{}, shifted: map[string]int{}, waiting: map[uint64]bool{}}
+		m := &poolModel{t: t, slots: map[string]int{}, inFlight: map[string]int{}, fromOtherRegion: map[string]int{}, waiting: map[uint64]bool{}}
 		now := epoch
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
@@ -108,11 +108,11 @@
 }
 
 type poolModel struct {
-	t        *rapid.T
-	slots    map[string]int
-	inFlight map[string]int
-	shifted  map[string]int
-	waiting  map[uint64]bool
+	t               *rapid.T
+	slots           map[string]int
+	inFlight        map[string]int
+	fromOtherRegion map[string]int
+	waiting         map[uint64]bool
 }
 
 func (m *poolModel) checkDecision(id uint64, d balance.Decision) {
@@ -127,8 +127,8 @@
 }
 
 func (m *poolModel) checkRun(d balance.Decision) {
-	slots, named := m.slots[d.Target.ID]
-	require.True(m.t, named, "an unlisted target got a request")
+	slots, listed := m.slots[d.Target.ID]
+	require.True(m.t, listed, "an unlisted target got a request")
 	m.inFlight[d.Target.ID]++
 	require.LessOrEqual(m.t, m.inFlight[d.Target.ID], slots)
 }
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -78,9 +78,9 @@
 	config  Config
 	reserve int
 	targets map[string]*target
-	// order holds the target IDs in sorted order, so that decisions do not depend on the iteration
-	// order of a map.
-	order       []string
+	// sortedIDs holds the target IDs in sorted order, so that decisions do not depend on the
+	// iteration order of a map.
+	sortedIDs   []string
 	inFlight    int
 	queue       []queued
 	meanLatency time.Duration
@@ -93,7 +93,7 @@
 // queued is a request in the queue.
 type queued struct {
 	Request
-	since time.Time
+	queuedAt time.Time
 }
 
 // NewPool returns a pool without targets for the given configuration. It panics if config.Rand is
@@ -118,9 +118,9 @@
 // SetTargets replaces the targets that get new requests. Requests in flight at other targets
 // continue. It returns the grants and refusals that follow.
 func (p *Pool) SetTargets(now time.Time, specs []Spec) []Grant {
-	named := make(map[string]bool, len(specs))
+	listed := make(map[string]bool, len(specs))
 	for _, spec := range specs {
-		named[spec.ID] = true
+		listed[spec.ID] = true
 		t, ok := p.targets[spec.ID]
 		if !ok || t.spec.Addr != spec.Addr {
 			t = newTarget(spec)
@@ -133,7 +133,7 @@
 		t.state.SetListed(now, false)
 	}
 	for id, t := range p.targets {
-		if named[id] {
+		if listed[id] {
 			continue
 		}
 		t.state.SetUnlisted(now)
@@ -141,23 +141,23 @@
 			delete(p.targets, id)
 		}
 	}
-	p.sortOrder()
+	p.sortIDs()
 	return p.dispatch(now)
 }
 
-func (p *Pool) sortOrder() {
-	p.order = p.order[:0]
+func (p *Pool) sortIDs() {
+	p.sortedIDs = p.sortedIDs[:0]
 	for id := range p.targets {
-		p.order = append(p.order, id)
+		p.sortedIDs = append(p.sortedIDs, id)
 	}
-	sort.Strings(p.order)
+	sort.Strings(p.sortedIDs)
 }
 
 // ApplySelfReport applies what a target reported about itself. The target list, whether older or
 // newer, does not revoke the report unless it lists the target with another address.
-func (p *Pool) ApplySelfReport(now time.Time, id string, w availability.SelfReport) {
+func (p *Pool) ApplySelfReport(now time.Time, id string, report availability.SelfReport) {
 	if t := p.targets[id]; t != nil {
-		t.applySelfReport(now, w)
+		t.applySelfReport(now, report)
 	}
 }
 
@@ -179,7 +179,7 @@
 		// The time without queued requests does not count.
 		p.lastRelease = now
 	}
-	p.queue = append(p.queue, queued{Request: req, since: now})
+	p.queue = append(p.queue, queued{Request: req, queuedAt: now})
 	return Decision{Action: Wait}
 }
 
@@ -222,7 +222,7 @@
 	}
 	if t.state.Gone() && t.inFlight == 0 {
 		delete(p.targets, id)
-		p.sortOrder()
+		p.sortIDs()
 	}
 	return p.dispatch(now)
 }
@@ -255,21 +255,21 @@
 // soon as its place in the queue shows that it would miss its deadline.
 func (p *Pool) dispatch(now time.Time) []Grant {
 	var out []Grant
-	kept := p.queue[:0]
+	queue := p.queue[:0]
 	for _, q := range p.queue {
 		if spec, ok := p.pick(now, q.Request); ok {
 			out = append(out, Grant{ID: q.ID, Decision: Decision{Action: Run, Target: spec}})
 			continue
 		}
-		wait := p.waitAt(now, len(kept))
+		wait := p.waitAt(now, len(queue))
 		late := now.Add(wait + p.expectedLatency()).After(q.Deadline)
-		if late || now.Sub(q.since) >= q.QueueTimeout {
+		if late || now.Sub(q.queuedAt) >= q.QueueTimeout {
 			out = append(out, Grant{ID: q.ID, Decision: p.refuse(wait)})
 			continue
 		}
-		kept = append(kept, q)
+		queue = append(queue, q)
 	}
-	p.queue = kept
+	p.queue = queue
 	return out
 }
 
@@ -278,9 +278,9 @@
 	if req.FromOtherRegion && !p.leavesReserve(now) {
 		return Spec{}, false
 	}
-	candidates := p.candidates(now, req.Tried)
+	candidates := p.freeTargets(now, req.Tried)
 	if len(candidates) == 0 && req.Tried != "" {
-		candidates = p.candidates(now, "")
+		candidates = p.freeTargets(now, "")
 	}
 	if len(candidates) == 0 {
 		return Spec{}, false
@@ -292,23 +292,23 @@
 	return t.spec, true
 }
 
-func (p *Pool) candidates(now time.Time, avoid string) []Candidate {
-	var out []Candidate
-	for _, id := range p.order {
+func (p *Pool) freeTargets(now time.Time, tried string) []Candidate {
+	var candidates []Candidate
+	for _, id := range p.sortedIDs {
 		t := p.targets[id]
-		if id == avoid || t.free(now) == 0 {
+		if id == tried || t.free(now) == 0 {
 			continue
 		}
-		out = append(out, Candidate{ID: id, InFlight: t.inFlight, Allowed: t.allowed()})
+		candidates = append(candidates, Candidate{ID: id, InFlight: t.inFlight, Allowed: t.allowed()})
 	}
-	return out
+	return candidates
 }
 
 // leavesReserve reports whether a request from another region can run without using the reserve.
 func (p *Pool) leavesReserve(now time.Time) bool {
 	limit := p.Load(now).Limit
-	kept := (limit*p.reserve + 99) / 100
-	return p.inFlight < limit-kept
+	reserved := (limit*p.reserve + 99) / 100
+	return p.inFlight < limit-reserved
 }
 
 func (p *Pool) observe(latency time.Duration) {
--- a/balance/self_report_test.go
+++ b/balance/self_report_test.go
@@ -43,14 +43,14 @@
 		p.SetTargets(now, specs)
 		require.Equal(t, "t-2", runOn(p, now))
 	}
-	var tries int
+	var probes int
 	for range 4 {
 		d := p.Acquire(now, balance.Request{Deadline: now.Add(time.Minute)})
 		if d.Target.ID == "t-1" {
-			tries++
+			probes++
 		}
 	}
-	require.Equal(t, 1, tries, "requests that probe a target that reported that it is leaving")
+	require.Equal(t, 1, probes, "requests that probe a target that reported that it is leaving")
 
 	p, specs = twoTargets(start)
 	p.ApplySelfReport(start, "t-1", availability.SelfReport{Leaving: true})
--- a/balance/target.go
+++ b/balance/target.go
@@ -93,13 +93,13 @@
 }
 
 // applySelfReport applies what the target reported about itself.
-func (t *target) applySelfReport(now time.Time, w availability.SelfReport) {
-	if w.Leaving {
+func (t *target) applySelfReport(now time.Time, report availability.SelfReport) {
+	if report.Leaving {
 		t.state.BackOff(now, drainBackoff)
 		t.resetLimit()
 	}
-	if w.Backoff > 0 {
-		t.state.BackOff(now, w.Backoff)
+	if report.Backoff > 0 {
+		t.state.BackOff(now, report.Backoff)
 	}
 }
 
