--- a/affinity/rank.go
+++ b/affinity/rank.go
@@ -48,13 +48,13 @@
 		r.best[r.groups] = [Depth]scored{noTarget, noTarget}
 		r.groups++
 	}
-	p := scored{index: index, score: mix.Weighted(mix.Join(r.key, id), weight)}
-	held := &r.best[group]
+	s := scored{index: index, score: mix.Weighted(mix.Join(r.key, id), weight)}
+	best := &r.best[group]
 	switch {
-	case held[0].index < 0 || p.score > held[0].score:
-		held[0], held[1] = p, held[0]
-	case held[1].index < 0 || p.score > held[1].score:
-		held[1] = p
+	case best[0].index < 0 || s.score > best[0].score:
+		best[0], best[1] = s, best[0]
+	case best[1].index < 0 || s.score > best[1].score:
+		best[1] = s
 	}
 }
 
@@ -76,12 +76,12 @@
 	return Ranking{r.best[first][0].index, second}
 }
 
-// bestGroup returns the group with the best target, ignoring the group but. It returns NoGroup if
-// there is none.
-func (r *Ranker) bestGroup(but int) int {
+// bestGroup returns the group with the best target, without the group excluded. It returns NoGroup
+// if there is none.
+func (r *Ranker) bestGroup(excluded int) int {
 	best := NoGroup
 	for g := range r.groups {
-		if g == but || r.best[g][0].index < 0 {
+		if g == excluded || r.best[g][0].index < 0 {
 			continue
 		}
 		if best < 0 || r.best[g][0].score > r.best[best][0].score {
