--- a/locality/calibrate.go
+++ b/locality/calibrate.go
@@ -16,25 +16,25 @@
 // Points holds the hashes of the keys seen recently, as numbers in [0, 1). The zero value is empty
 // and ready to use.
 type Points struct {
-	seen map[float64]time.Time
+	lastSeen map[float64]time.Time
 }
 
 // Add records that a key with the given hash was seen.
 func (p *Points) Add(now time.Time, point float64) {
-	if p.seen == nil {
-		p.seen = make(map[float64]time.Time)
+	if p.lastSeen == nil {
+		p.lastSeen = make(map[float64]time.Time)
 	}
-	if _, ok := p.seen[point]; ok || len(p.seen) < maxPoints {
-		p.seen[point] = now
+	if _, ok := p.lastSeen[point]; ok || len(p.lastSeen) < maxPoints {
+		p.lastSeen[point] = now
 	}
 }
 
 // Sorted returns the recorded hashes in increasing order. It drops those not seen within pointTTL.
 func (p *Points) Sorted(now time.Time) []float64 {
-	out := make([]float64, 0, len(p.seen))
-	for point, at := range p.seen {
+	out := make([]float64, 0, len(p.lastSeen))
+	for point, at := range p.lastSeen {
 		if now.Sub(at) >= pointTTL {
-			delete(p.seen, point)
+			delete(p.lastSeen, point)
 			continue
 		}
 		out = append(out, point)
@@ -62,10 +62,10 @@
 			ordered = append(ordered, s)
 		}
 	}
-	part, begin := 0.0, 0.0
+	cumulative, begin := 0.0, 0.0
 	for i, s := range ordered {
-		part += s.Fraction
-		end := quantile(points, part)
+		cumulative += s.Fraction
+		end := quantile(points, cumulative)
 		if i == len(ordered)-1 {
 			end = 1
 		}
@@ -81,11 +81,11 @@
 const minPoints = 8
 
 // quantile returns the hash below which the given fraction of the points lies.
-func quantile(points []float64, part float64) float64 {
-	at := part * float64(len(points))
-	below := min(int(at), len(points)-1)
+func quantile(points []float64, fraction float64) float64 {
+	rank := fraction * float64(len(points))
+	below := min(int(rank), len(points)-1)
 	low, high := boundary(points, below), boundary(points, below+1)
-	return low + (at-float64(below))*(high-low)
+	return low + (rank-float64(below))*(high-low)
 }
 
 // boundary returns a hash that has n of the points below it.
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -40,7 +40,7 @@
 		for _, n := range slots {
 			total += n
 		}
-		carried := make(map[string]float64)
+		load := make(map[string]float64)
 		for _, from := range regions {
 			shares := locality.FromSlots(from, slots, len(regions))
 			if total == 0 {
@@ -50,10 +50,10 @@
 			require.InDelta(t, 1, sum(shares), 1e-9)
 			for _, s := range shares {
 				require.Positive(t, slots[s.Region])
-				carried[s.Region] += s.Fraction * total / float64(len(regions))
+				load[s.Region] += s.Fraction * total / float64(len(regions))
 			}
 		}
-		for region, n := range carried {
+		for region, n := range load {
 			require.LessOrEqual(t, n, slots[region]+1e-9, region)
 		}
 	})
--- a/locality/ramp.go
+++ b/locality/ramp.go
@@ -12,8 +12,8 @@
 	Step   float64
 	Window time.Duration
 
-	shares  []Share
-	movedAt time.Time
+	shares     []Share
+	advancedAt time.Time
 	// settled is true while the shares equal the wanted ones. Time that passes in this state does
 	// not allow a larger step.
 	settled bool
@@ -22,32 +22,32 @@
 // Advance moves the shares towards want as far as the time since the last call allows, and returns
 // them. The share of a region without slots moves immediately, since no target there can run a
 // request.
-func (m *Ramp) Advance(now time.Time, want []Share, slots map[string]float64) []Share {
-	if len(m.shares) == 0 || len(want) == 0 {
-		m.shares, m.movedAt, m.settled = want, now, true
-		return m.shares
+func (r *Ramp) Advance(now time.Time, want []Share, slots map[string]float64) []Share {
+	if len(r.shares) == 0 || len(want) == 0 {
+		r.shares, r.advancedAt, r.settled = want, now, true
+		return r.shares
 	}
-	m.dropEmpty(want, slots)
-	distance := m.distance(want)
+	r.dropEmpty(want, slots)
+	distance := r.distance(want)
 	if distance < 1e-9 {
-		m.shares, m.movedAt, m.settled = want, now, true
-		return m.shares
+		r.shares, r.advancedAt, r.settled = want, now, true
+		return r.shares
 	}
-	if m.settled {
-		m.movedAt, m.settled = now, false
+	if r.settled {
+		r.advancedAt, r.settled = now, false
 	}
-	elapsed := min(now.Sub(m.movedAt), m.Window)
-	allowed := m.Step * float64(elapsed) / float64(m.Window)
+	elapsed := min(now.Sub(r.advancedAt), r.Window)
+	allowed := r.Step * float64(elapsed) / float64(r.Window)
 	if allowed <= 0 {
-		return m.shares
+		return r.shares
 	}
-	m.blend(want, min(1, allowed/distance))
-	m.movedAt = now
-	return m.shares
+	r.blend(want, min(1, allowed/distance))
+	r.advancedAt = now
+	return r.shares
 }
 
 // Settled reports whether the shares equal want.
-func (m *Ramp) Settled(want []Share) bool { return m.distance(want) < 1e-9 }
+func (r *Ramp) Settled(want []Share) bool { return r.distance(want) < 1e-9 }
 
 func byRegion(shares []Share) map[string]float64 {
 	out := make(map[string]float64, len(shares))
@@ -59,54 +59,54 @@
 
 // dropEmpty distributes the shares of regions without slots over the regions in want, in proportion
 // to their wanted shares.
-func (m *Ramp) dropEmpty(want []Share, slots map[string]float64) {
-	held := byRegion(m.shares)
+func (r *Ramp) dropEmpty(want []Share, slots map[string]float64) {
+	current := byRegion(r.shares)
 	freed := 0.0
-	for region, part := range held {
+	for region, fraction := range current {
 		if slots[region] <= 0 {
-			freed += part
-			delete(held, region)
+			freed += fraction
+			delete(current, region)
 		}
 	}
 	if freed == 0 {
 		return
 	}
-	for region, part := range byRegion(want) {
-		held[region] += freed * part
+	for region, fraction := range byRegion(want) {
+		current[region] += freed * fraction
 	}
-	m.shares = sorted(held)
+	r.shares = sorted(current)
 }
 
 // distance returns the fraction of the requests that would change its region.
-func (m *Ramp) distance(want []Share) float64 {
-	held := byRegion(m.shares)
+func (r *Ramp) distance(want []Share) float64 {
+	current := byRegion(r.shares)
 	moved := 0.0
 	for _, s := range want {
-		if s.Fraction > held[s.Region] {
-			moved += s.Fraction - held[s.Region]
+		if s.Fraction > current[s.Region] {
+			moved += s.Fraction - current[s.Region]
 		}
 	}
 	return moved
 }
 
-func (m *Ramp) blend(want []Share, weight float64) {
-	held := byRegion(m.shares)
+func (r *Ramp) blend(want []Share, weight float64) {
+	current := byRegion(r.shares)
 	for region := range byRegion(want) {
-		if _, ok := held[region]; !ok {
-			held[region] = 0
+		if _, ok := current[region]; !ok {
+			current[region] = 0
 		}
 	}
 	wanted := byRegion(want)
-	for region := range held {
-		held[region] += weight * (wanted[region] - held[region])
+	for region := range current {
+		current[region] += weight * (wanted[region] - current[region])
 	}
-	m.shares = sorted(held)
+	r.shares = sorted(current)
 }
 
-func sorted(held map[string]float64) []Share {
-	out := make([]Share, 0, len(held))
-	for region, part := range held {
-		out = append(out, Share{Region: region, Fraction: part})
+func sorted(shares map[string]float64) []Share {
+	out := make([]Share, 0, len(shares))
+	for region, fraction := range shares {
+		out = append(out, Share{Region: region, Fraction: fraction})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Region < out[j].Region })
 	return out
--- a/locality/share.go
+++ b/locality/share.go
@@ -69,17 +69,17 @@
 // no such rows.
 func FromRows(service, from string, rows []table.Row, slots map[string]float64) []Share {
 	total := 0.0
-	parts := make(map[string]float64)
+	weights := make(map[string]float64)
 	for _, row := range rows {
 		if row.Service != service || row.From != from || row.Weight <= 0 || slots[row.To] <= 0 {
 			continue
 		}
-		parts[row.To] += float64(row.Weight)
+		weights[row.To] += float64(row.Weight)
 		total += float64(row.Weight)
 	}
-	out := make([]Share, 0, len(parts))
-	for region, part := range parts {
-		out = append(out, Share{Region: region, Fraction: part / total})
+	out := make([]Share, 0, len(weights))
+	for region, weight := range weights {
+		out = append(out, Share{Region: region, Fraction: weight / total})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Region < out[j].Region })
 	return out
