--- a/upstream/backoff_model_test.go
+++ b/upstream/backoff_model_test.go
@@ -86,13 +86,13 @@
 
 // modelRequest is one request of a client with its attempts at an instance.
 type modelRequest struct {
-	key      string
-	priority int
-	began    time.Time
-	retries  int
-	pool     int
-	request  upstream.Request
-	attempts int
+	key       string
+	priority  int
+	startedAt time.Time
+	retries   int
+	instance  int
+	request   upstream.Request
+	attempts  int
 }
 
 type modelEvent struct {
@@ -180,7 +180,7 @@
 		return
 	}
 	m.sent++
-	r := &modelRequest{key: fmt.Sprint("k", m.rnd.IntN(m.keys)), priority: m.rnd.IntN(2), began: m.now, retries: 1}
+	r := &modelRequest{key: fmt.Sprint("k", m.rnd.IntN(m.keys)), priority: m.rnd.IntN(2), startedAt: m.now, retries: 1}
 	m.arrive(r)
 	m.after(time.Duration(m.rnd.ExpFloat64()/perS*float64(time.Second)), func() { m.load(perS, until) })
 }
@@ -200,24 +200,24 @@
 
 // arrive sends a request to a random instance.
 func (m *backoffModel) arrive(r *modelRequest) {
-	r.pool, r.attempts = m.rnd.IntN(len(m.pools)), 0
-	r.request = upstream.Request{Key: r.key, Sticky: true, Priority: r.priority, Deadline: r.began.Add(modelDeadline), QueueTimeout: modelObjective / 8}
+	r.instance, r.attempts = m.rnd.IntN(len(m.pools)), 0
+	r.request = upstream.Request{Key: r.key, Sticky: true, Priority: r.priority, Deadline: r.startedAt.Add(modelDeadline), QueueTimeout: modelObjective / 8}
 	m.acquire(r)
 }
 
 func (m *backoffModel) acquire(r *modelRequest) {
 	m.nextID++
 	r.request.ID = m.nextID
-	m.decide(r, m.pools[r.pool].Acquire(m.now, r.request))
-	m.poolChanged(r.pool)
+	m.decide(r, m.pools[r.instance].Acquire(m.now, r.request))
+	m.poolChanged(r.instance)
 }
 
 func (m *backoffModel) decide(r *modelRequest, d upstream.Decision) {
 	switch d.Action {
 	case upstream.Send:
-		m.after(m.delay(m.poolHall[r.pool], d.Target.Hall), func() { m.deliver(r, m.targets[d.Target.ID], d.SendState) })
+		m.after(m.delay(m.poolHall[r.instance], d.Target.Hall), func() { m.deliver(r, m.targets[d.Target.ID], d.SendState) })
 	case upstream.Wait:
-		m.waiting[r.pool][r.request.ID] = r
+		m.waiting[r.instance][r.request.ID] = r
 	case upstream.Refuse:
 		m.refuse(r, d.RetryAfter)
 	}
@@ -249,7 +249,7 @@
 // refuse makes the client retry when it is told to. A client that is not obedient retries after a
 // third of its remaining time if that is sooner.
 func (m *backoffModel) refuse(r *modelRequest, after time.Duration) {
-	left := modelDeadline - m.now.Sub(r.began)
+	left := modelDeadline - m.now.Sub(r.startedAt)
 	if r.retries == 0 || left <= 0 {
 		m.refused++
 		return
@@ -287,8 +287,8 @@
 }
 
 func (m *backoffModel) reject(r *modelRequest, t *modelTarget, report availability.SelfReport) {
-	m.after(m.delay(m.poolHall[r.pool], m.hallOf[t.id]), func() {
-		m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, SelfReport: report}))
+	m.after(m.delay(m.poolHall[r.instance], m.hallOf[t.id]), func() {
+		m.grant(r.instance, m.pools[r.instance].Release(m.now, t.id, upstream.Result{Outcome: upstream.Rejected, SelfReport: report}))
 		r.attempts++
 		if r.attempts >= 2 {
 			m.refuse(r, 20*time.Millisecond)
@@ -302,7 +302,7 @@
 func (m *backoffModel) work(r *modelRequest, t *modelTarget, sent upstream.SendState) {
 	t.busy++
 	startedAt := m.now
-	returnDelay := m.delay(m.hallOf[t.id], m.poolHall[r.pool]) - modelHallDelay
+	returnDelay := m.delay(m.hallOf[t.id], m.poolHall[r.instance]) - modelHallDelay
 	m.after(t.timeFor(r.key), func() {
 		t.busy--
 		if len(t.queue) > 0 {
@@ -310,13 +310,13 @@
 			t.queue = t.queue[1:]
 			next()
 		}
-		if m.now.Add(returnDelay).Sub(r.began) <= modelObjective {
+		if m.now.Add(returnDelay).Sub(r.startedAt) <= modelObjective {
 			m.inTime++
 		}
 		load := &upstream.LoadReport{Running: t.busy, Waiting: len(t.queue), Slots: modelSlots}
 		report := m.reportOf(t)
 		m.after(returnDelay, func() {
-			m.grant(r.pool, m.pools[r.pool].Release(m.now, t.id, upstream.Result{Outcome: upstream.Answered, LoadReport: load, SelfReport: report, Latency: m.now.Sub(startedAt), SendState: sent}))
+			m.grant(r.instance, m.pools[r.instance].Release(m.now, t.id, upstream.Result{Outcome: upstream.Answered, LoadReport: load, SelfReport: report, Latency: m.now.Sub(startedAt), SendState: sent}))
 		})
 	})
 }
@@ -338,13 +338,13 @@
 }
 
 // gossip makes an instance send its target reports to a few others in every round.
-func (m *backoffModel) gossip(pool int) {
-	seen := m.pools[pool].TargetReports(m.now).Sample(modelTargetReports, m.rnd)
+func (m *backoffModel) gossip(instance int) {
+	reports := m.pools[instance].TargetReports(m.now).Sample(modelTargetReports, m.rnd)
 	for range modelFanout {
 		other := m.rnd.IntN(len(m.pools))
-		m.after(m.delay(m.poolHall[pool], m.poolHall[other]), func() { m.pools[other].ApplyTargetReports(m.now, seen) })
+		m.after(m.delay(m.poolHall[instance], m.poolHall[other]), func() { m.pools[other].ApplyTargetReports(m.now, reports) })
 	}
-	m.after(modelRound, func() { m.gossip(pool) })
+	m.after(modelRound, func() { m.gossip(instance) })
 }
 
 // backoffOutcome summarizes the requests of the ten seconds from the start of a back-off.
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -200,28 +200,28 @@
 func TestIncrementalChangesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stepwise := newPool()
-		held := map[string]*catalog.Target{}
+		listed := map[string]*catalog.Target{}
 		all := specsInEachHall(3)
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			var changed []*catalog.Target
-			var gone []string
+			var removed []string
 			for range rapid.IntRange(1, 6).Draw(t, "changes") {
 				spec := changedSpec(all[rapid.IntRange(0, len(all)-1).Draw(t, "target")], func(s *catalog.Target) {
 					s.Leaves = rapid.IntRange(0, 4).Draw(t, "leaves") == 0
 				})
 				changed = append(changed, spec)
-				held[spec.ID] = spec
+				listed[spec.ID] = spec
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "removals") {
 				id := all[rapid.IntRange(0, len(all)-1).Draw(t, "gone")].ID
-				gone = append(gone, id)
-				delete(held, id)
+				removed = append(removed, id)
+				delete(listed, id)
 			}
-			stepwise.ChangeTargets(start, changed, gone, nil)
+			stepwise.ChangeTargets(start, changed, removed, nil)
 		}
 		whole := newPool()
 		var specs []*catalog.Target
-		for _, spec := range held {
+		for _, spec := range listed {
 			specs = append(specs, spec)
 		}
 		whole.SetTargets(start, specs, nil)
@@ -418,9 +418,9 @@
 	}
 	require.Equal(t, first, ask("k", time.Second))
 	require.NotEqual(t, first, ask("k", 100*time.Millisecond))
-	seen := p.TargetReports(now)
-	require.Len(t, seen, 1)
-	require.Greater(t, seen[0].PerSlot, 2.0, "requests at a slow target count several times")
+	reports := p.TargetReports(now)
+	require.Len(t, reports, 1)
+	require.Greater(t, reports[0].PerSlot, 2.0, "requests at a slow target count several times")
 	now = now.Add(5 * time.Second)
 	require.Equal(t, first, ask("k", 100*time.Millisecond), "the slow response is too old to count")
 }
--- a/upstream/target_report_test.go
+++ b/upstream/target_report_test.go
@@ -33,9 +33,9 @@
 	require.Empty(t, there.TargetReports(start))
 
 	answer(start, 3, 4)
-	seen := there.TargetReports(start)
-	require.Len(t, seen, 1)
-	here.ApplyTargetReports(start.Add(50*time.Millisecond), seen)
+	reports := there.TargetReports(start)
+	require.Len(t, reports, 1)
+	here.ApplyTargetReports(start.Add(50*time.Millisecond), reports)
 	now := start.Add(100 * time.Millisecond)
 	require.NotEqual(t, first, target(here, now).Target.ID)
 	require.Equal(t, upstream.ReasonLoad, target(here, now).Reason)
@@ -48,7 +48,7 @@
 	after := there.TargetReports(now)
 	require.Len(t, after, 1, "the end of the overload is reported too")
 	here.ApplyTargetReports(now, after)
-	here.ApplyTargetReports(now, seen)
+	here.ApplyTargetReports(now, reports)
 	require.Equal(t, first, target(here, now).Target.ID, "older reports are ignored")
 }
 
@@ -71,35 +71,35 @@
 	for _, key := range []string{"l", "m", "n"} {
 		end(there, start, key, upstream.Answered)
 	}
-	seen := there.TargetReports(start)
-	require.Len(t, seen, 1)
+	reports := there.TargetReports(start)
+	require.Len(t, reports, 1)
 
 	require.Equal(t, first, end(here, start, "k", upstream.Abandoned))
-	here.ApplyTargetReports(start, seen)
+	here.ApplyTargetReports(start, reports)
 	require.NotEqual(t, first, end(here, start.Add(time.Second), "k", upstream.Abandoned))
 	now := start.Add(2 * time.Second)
 	require.Equal(t, first, end(here, now, "k", upstream.Answered))
-	here.ApplyTargetReports(now.Add(time.Second), seen)
+	here.ApplyTargetReports(now.Add(time.Second), reports)
 	require.Equal(t, first, end(here, now.Add(time.Second), "k", upstream.Abandoned), "the target has responded recently")
 }
 
 // TestTargetReportsEncoding checks that reports are encoded in six bytes each, that they are
 // decoded with the expected rounding, and that truncated reports are refused.
 func TestTargetReportsEncoding(t *testing.T) {
-	seen := upstream.TargetReports{
+	reports := upstream.TargetReports{
 		{Target: 1 << 31, PerSlot: 1.5, Age: 730 * time.Millisecond},
 		{Target: 7, PerSlot: 100, Age: time.Hour},
 		{Target: 9, Down: true},
 	}
-	raw, err := msgpack.Marshal(seen)
+	raw, err := msgpack.Marshal(reports)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(raw), 2+3*6)
 	var got upstream.TargetReports
 	require.NoError(t, msgpack.Unmarshal(raw, &got))
-	require.Equal(t, seen[0], got[0])
+	require.Equal(t, reports[0], got[0])
 	require.Equal(t, upstream.TargetReport{Target: 7, PerSlot: 254.0 / 32, Age: 2550 * time.Millisecond}, got[1])
-	require.Equal(t, seen[2], got[2])
-	cut, err := msgpack.Marshal([]byte("12345"))
+	require.Equal(t, reports[2], got[2])
+	truncated, err := msgpack.Marshal([]byte("12345"))
 	require.NoError(t, err)
-	require.ErrorIs(t, msgpack.Unmarshal(cut, &got), upstream.ErrTruncatedTargetReports)
+	require.ErrorIs(t, msgpack.Unmarshal(truncated, &got), upstream.ErrTruncatedTargetReports)
 }
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -93,11 +93,11 @@
 	require.NotZero(t, n)
 	require.Equal(t, 6, targets)
 	p, old := newVersionedPool(now, 6)
-	var gone []string
+	var removed []string
 	for _, spec := range old {
-		gone = append(gone, spec.ID)
+		removed = append(removed, spec.ID)
 	}
-	p.ChangeTargets(now, newTargets(6), gone, nil)
+	p.ChangeTargets(now, newTargets(6), removed, nil)
 	n, _ = countNew(sendMany(t, now, p, 100))
 	require.Equal(t, 100, n)
 }
