--- a/gateway/account.go
+++ b/gateway/account.go
@@ -11,7 +11,7 @@
 const (
 	reasonNoKey        = "no-key"
 	reasonUnknownKey   = "unknown-key"
-	reasonKeyTaken     = "key-taken"
+	reasonKeyRevoked   = "key-taken"
 	reasonNoCommonHome = "no-common-home"
 )
 
@@ -22,7 +22,7 @@
 // identify finds the client account of a request and the regions that may serve it, or
 // the answer to a request that has none. It looks at the head of the request only, so
 // that no body is read for a request that is turned away.
-func (g *Gateway) identify(ex *exchange, router *catalog.Router) (verdict, bool) {
+func (g *Gateway) identify(ex *exchange, router *catalog.Router) (requestResult, bool) {
 	key, given := g.keyOf(ex.r)
 	if given {
 		ex.account = router.Account(key)
@@ -35,11 +35,11 @@
 		return unauthorized(ex, reason), false
 	}
 	var ok bool
-	ex.homes, ok = catalog.Homes(ex.route, ex.account)
+	ex.homeRegions, ok = catalog.Homes(ex.route, ex.account)
 	if !ok {
-		return atDoor(ex, notRun(reasonNoCommonHome, noCommonHomeRetryAfter)), false
+		return beforeBody(ex, notRunResult(reasonNoCommonHome, noCommonHomeRetryAfter)), false
 	}
-	return verdict{}, true
+	return requestResult{}, true
 }
 
 // keyOf returns the key that a request carries. A request with several is taken to carry
@@ -52,33 +52,33 @@
 	return catalog.NewKey(values[0]), true
 }
 
-// checkAgain looks whether the key of a request that had to wait, for its body or for a
+// recheckKey looks whether the key of a request that had to wait, for its body or for a
 // target, still counts. A key that was taken away meanwhile ends the request before it
 // is sent.
-func (g *Gateway) checkAgain(ex *exchange) (verdict, bool) {
+func (g *Gateway) recheckKey(ex *exchange) (requestResult, bool) {
 	router := g.router.Load()
 	if ex.account == nil || router.Config().Version == ex.version {
-		return verdict{}, true
+		return requestResult{}, true
 	}
 	key, _ := g.keyOf(ex.r)
 	account := router.Account(key)
 	if account == nil || account.Name != ex.account.Name {
-		return unauthorized(ex, reasonKeyTaken), false
+		return unauthorized(ex, reasonKeyRevoked), false
 	}
-	return verdict{}, true
+	return requestResult{}, true
 }
 
-func unauthorized(ex *exchange, reason string) verdict {
-	return atDoor(ex, verdict{status: http.StatusUnauthorized, reason: reason})
+func unauthorized(ex *exchange, reason string) requestResult {
+	return beforeBody(ex, requestResult{status: http.StatusUnauthorized, reason: reason})
 }
 
-// atDoor is the answer to a request whose body was not read. A body that may be long is
+// beforeBody is the answer to a request whose body was not read. A body that may be long is
 // not waited for: the connection ends with the answer.
-func atDoor(ex *exchange, v verdict) verdict {
-	v.close = v.close || ex.r.ContentLength < 0 || ex.r.ContentLength > maxSkippedBody
+func beforeBody(ex *exchange, v requestResult) requestResult {
+	v.closeConn = v.closeConn || ex.r.ContentLength < 0 || ex.r.ContentLength > maxDiscardedBody
 	return v
 }
 
-// maxSkippedBody is the longest body that is read and thrown away so that the connection
+// maxDiscardedBody is the longest body that is read and thrown away so that the connection
 // of a request that was turned away can be kept: it comes in the packets of the head.
-const maxSkippedBody = 4 << 10
+const maxDiscardedBody = 4 << 10
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -24,10 +24,10 @@
 
 // The keys of the accounts of the tests. The texts are searched for in all output.
 const (
-	adaKey  = "ada-key-5ecret"
-	adaNext = "ada-next-5ecret"
-	benKey  = "ben-key-5ecret"
-	strange = "strange-5ecret"
+	adaKey     = "ada-key-5ecret"
+	adaNext    = "ada-next-5ecret"
+	benKey     = "ben-key-5ecret"
+	unknownKey = "strange-5ecret"
 )
 
 // accounts are the accounts that most tests use.
@@ -58,8 +58,8 @@
 	})
 }
 
-// withKey sends a request with a key, and with a name in the header of the account's.
-func (in *instance) withKey(key, path string) reply {
+// sendWithKey sends a request with a key, and with a name in the header of the account's.
+func (in *instance) sendWithKey(key, path string) reply {
 	return in.sendHeaders(path, http.Header{"Credential": {key}, "Tenant": {"forged"}})
 }
 
@@ -68,7 +68,7 @@
 }
 
 func (in *instance) awaitKey(key, path string, status int) {
-	require.Eventually(in.site.t, func() bool { return in.withKey(key, path).status == status }, wait, poll)
+	require.Eventually(in.site.t, func() bool { return in.sendWithKey(key, path).status == status }, wait, poll)
 }
 
 // TestAccounts checks who is served, under which name, and that the key stays here.
@@ -90,16 +90,16 @@
 		{"forged name", "/x/", http.Header{"Credential": {adaKey}, "Tenant": {"ben", "x"}}, 200, []string{"ada"}},
 		{"no key", "/x/", http.Header{}, 401, nil},
 		{"empty key", "/x/", http.Header{"Credential": {""}}, 401, nil},
-		{"unknown key", "/x/", http.Header{"Credential": {strange}}, 401, nil},
+		{"unknown key", "/x/", http.Header{"Credential": {unknownKey}}, 401, nil},
 		{"two keys", "/x/", http.Header{"Credential": {adaKey, benKey}}, 401, nil},
 		{"two names, no key", "/x/", http.Header{"Tenant": {"ada"}}, 401, nil},
 		{"open", "/open/", http.Header{}, 200, nil},
 		{"open, forged name", "/open/", http.Header{"Tenant": {"ada"}}, 200, nil},
 		{"open, key", "/open/", http.Header{"Credential": {adaKey}, "Tenant": {"ben"}}, 200, []string{"ada"}},
-		{"open, unknown key", "/open/", http.Header{"Credential": {strange}, "Tenant": {"ben"}}, 200, nil},
+		{"open, unknown key", "/open/", http.Header{"Credential": {unknownKey}, "Tenant": {"ben"}}, 200, nil},
 		{"homes of both", "/home/", http.Header{"Credential": {adaKey}}, 200, []string{"ada"}},
 		{"nothing in common", "/home/", http.Header{"Credential": {benKey}}, 503, nil},
-		{"no route", "/none/", http.Header{"Credential": {strange}}, 404, nil},
+		{"no route", "/none/", http.Header{"Credential": {unknownKey}}, 404, nil},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			var seen []http.Header
@@ -118,16 +118,16 @@
 	}
 }
 
-// TestHomesOfAccountBind checks that an account's requests stay in its home regions, though
+// TestHomeRegionsAreEnforced checks that an account's requests stay in its home regions, though
 // other targets are nearer.
-func TestHomesOfAccountBind(t *testing.T) {
+func TestHomeRegionsAreEnforced(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
 	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	in.awaitKey(benKey, "/x/", 200)
 	for range 50 {
-		require.Equal(t, 200, in.withKey(benKey, "/x/").status)
+		require.Equal(t, 200, in.sendWithKey(benKey, "/x/").status)
 	}
 	require.Empty(t, near.Runs())
 	s.record(far, "draining")
@@ -143,24 +143,24 @@
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitKey(adaKey, "/x/", 200)
-	require.Equal(t, 401, in.withKey(strange, "/x/").status)
-	s.configureAccounts(2, map[string]objects.Tenant{"ada": {APIKeys: []string{adaNext, strange}}})
+	require.Equal(t, 401, in.sendWithKey(unknownKey, "/x/").status)
+	s.configureAccounts(2, map[string]objects.Tenant{"ada": {APIKeys: []string{adaNext, unknownKey}}})
 	in.awaitKey(adaKey, "/x/", 401)
-	require.Equal(t, 200, in.withKey(adaNext, "/x/").status)
-	require.Equal(t, 200, in.withKey(strange, "/x/").status)
+	require.Equal(t, 200, in.sendWithKey(adaNext, "/x/").status)
+	require.Equal(t, 200, in.sendWithKey(unknownKey, "/x/").status)
 	s.configureAccounts(3, map[string]objects.Tenant{"ada": {APIKeys: []string{adaKey}}, "ben": {APIKeys: []string{adaKey}}})
 	s.configureAccounts(4, map[string]objects.Tenant{"ada": {APIKeys: []string{adaNext, benKey}}})
 	in.awaitKey(benKey, "/x/", 200)
-	require.Equal(t, 401, in.withKey(adaKey, "/x/").status, "the one that two share was never in force")
+	require.Equal(t, 401, in.sendWithKey(adaKey, "/x/").status, "the one that two share was never in force")
 	s.configureAccounts(5, map[string]objects.Tenant{})
 	in.awaitKey(adaNext, "/x/", 401)
 	s.configureAccounts(6, nil)
 	require.Eventually(t, func() bool { return in.send("GET", "/x/", "").status == 200 }, wait, poll, "without accounts nobody needs a key")
 }
 
-// TestKeyTakenWhileBodyIsRead checks that a request whose key is taken away before its body
+// TestKeyRevokedWhileBodyIsRead checks that a request whose key is taken away before its body
 // is in does not run.
-func TestKeyTakenWhileBodyIsRead(t *testing.T) {
+func TestKeyRevokedWhileBodyIsRead(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
 	server := s.server("i-1", "s", "a1")
@@ -178,9 +178,9 @@
 	require.GreaterOrEqual(t, before, ran)
 }
 
-// TestUnknownKeyIsToldBeforeTheBody checks that a request without a known key is answered
+// TestUnknownKeyIsRefusedBeforeBody checks that a request without a known key is answered
 // though its body does not come.
-func TestUnknownKeyIsToldBeforeTheBody(t *testing.T) {
+func TestUnknownKeyIsRefusedBeforeBody(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
 	s.server("i-1", "s", "a1")
@@ -188,7 +188,7 @@
 	in.awaitKey(adaKey, "/x/", 200)
 	for _, framing := range []string{"Content-Length: 100000", "Transfer-Encoding: chunked"} {
 		conn := in.dial()
-		conn.write("POST /x/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q\r\nTimeout-Ms: 9000\r\nCredential: " + strange + "\r\n" + framing + "\r\n\r\n")
+		conn.write("POST /x/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: q\r\nTimeout-Ms: 9000\r\nCredential: " + unknownKey + "\r\n" + framing + "\r\n\r\n")
 		require.Equal(t, 401, conn.status())
 	}
 }
@@ -230,13 +230,13 @@
 	debug := slog.New(slog.NewJSONHandler(&told, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	in := s.instance("n1", "a1", func(c *gateway.Config) { c.Log = debug })
 	in.awaitKey(adaKey, "/x/", 200)
-	for _, key := range []string{adaKey, adaNext, benKey, strange} {
+	for _, key := range []string{adaKey, adaNext, benKey, unknownKey} {
 		for _, path := range []string{"/x/", "/open/", "/home/", "/none/"} {
-			in.withKey(key, path)
+			in.sendWithKey(key, path)
 		}
 	}
 	server.SetScript(func(*http.Request) origin.Fault { return origin.Lost })
-	in.withKey(adaKey, "/x/")
+	in.sendWithKey(adaKey, "/x/")
 	broken := in.dial()
 	broken.write("GET /x/ HTTP/1.1\r\nHost: h.example\r\nCredential: " + adaKey + "\r\nCredential\r\n\r\n")
 	require.Equal(t, 400, broken.status())
@@ -252,7 +252,7 @@
 	require.NoError(t, resp.Body.Close())
 	all := told.String() + string(metrics)
 	require.True(t, strings.Contains(all, "unknown-key"))
-	for _, key := range []string{adaKey, adaNext, benKey, strange} {
+	for _, key := range []string{adaKey, adaNext, benKey, unknownKey} {
 		require.False(t, strings.Contains(all, key), key)
 	}
 }
--- a/gateway/ahead_test.go
+++ b/gateway/ahead_test.go
@@ -15,8 +15,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// askAhead writes several requests at once, the second before the first is answered.
-func (c rawConn) askAhead(ids ...string) {
+// writePipelined writes several requests at once, the second before the first is answered.
+func (c rawConn) writePipelined(ids ...string) {
 	var all strings.Builder
 	for _, id := range ids {
 		fmt.Fprintf(&all, "GET /x/%s HTTP/1.1\r\nHost: h.example\r\nRequest-Id: %s\r\nTimeout-Ms: 9000\r\n\r\n", id, id)
@@ -24,12 +24,12 @@
 	c.write(all.String())
 }
 
-// TestClientLeavesWithRequestsAhead has a client send requests behind one another to a target
+// TestClientLeavesWithPipelinedRequests has a client send requests behind one another to a target
 // that stays silent, and leave. Clients that had sent some ahead left unnoticed: of 26 runs that
 // went on half a second after their clients had left 11 were of such clients, on a simulated day
 // with clients that leave early. The HTTP server reads one byte beyond the request that it serves,
 // and sees the end of the connection only if no other bytes lie before it.
-func TestClientLeavesWithRequestsAhead(t *testing.T) {
+func TestClientLeavesWithPipelinedRequests(t *testing.T) {
 	for _, ahead := range []int{0, 1, 2, 6} {
 		for _, together := range []bool{true, false} {
 			t.Run(fmt.Sprintf("ahead=%d,together=%t", ahead, together), func(t *testing.T) {
@@ -47,24 +47,24 @@
 					ids[i] = fmt.Sprint("left", i)
 				}
 				if together {
-					conn.askAhead(ids...)
+					conn.writePipelined(ids...)
 				} else {
-					conn.askAhead(ids[0])
+					conn.writePipelined(ids[0])
 					require.Eventually(t, func() bool { return arrived.Load() > 0 }, wait, poll)
-					conn.askAhead(ids[1:]...)
+					conn.writePipelined(ids[1:]...)
 				}
 				require.Eventually(t, func() bool { return arrived.Load() > 0 }, wait, poll)
-				conn.leave(false)
-				require.Eventually(t, func() bool { return int64(server.Canceled()) == arrived.Load() }, leaveTime, poll)
+				conn.disconnect(false)
+				require.Eventually(t, func() bool { return int64(server.Canceled()) == arrived.Load() }, cancelTime, poll)
 			})
 		}
 	}
 }
 
-// TestRequestsAheadRunSideBySide has a client write six requests at once, and checks that all of
+// TestPipelinedRequestsRunConcurrently has a client write six requests at once, and checks that all of
 // them run at the same time and are answered in their order. They ran one after the other: six
 // of 300 ms at four idle targets took 1,810 ms.
-func TestRequestsAheadRunSideBySide(t *testing.T) {
+func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	const requests, targets = 6, 4
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "idempotent", timeout: "9s"})
@@ -86,7 +86,7 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("ahead", i)
 	}
-	conn.askAhead(ids...)
+	conn.writePipelined(ids...)
 	answers := bufio.NewReader(conn)
 	for _, id := range ids {
 		resp, err := http.ReadResponse(answers, nil)
--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -62,11 +62,11 @@
 		g.answerAskers(d.Kind)
 	}
 	if before.IsZero() && d.Kind == KindInstances {
-		g.instancesAt = now
+		g.instancesKnownAt = now
 	}
 	from := provenance{source: source, revision: at.Revision, restored: !before.IsZero() && before.Era != at.Era}
 	if from.restored {
-		g.holdBack(now, d.Kind)
+		g.holdAfterRestore(now, d.Kind)
 		g.noteLost(now, own, changes)
 	}
 	if len(changes) > 0 {
@@ -114,33 +114,33 @@
 	case KindTable:
 		// What releases held requests comes last: it counts for all that is told of them
 		// before.
-		slices.SortStableFunc(changes, func(a, b feed.Change) int { return cmp.Compare(releases(a), releases(b)) })
+		slices.SortStableFunc(changes, func(a, b feed.Change) int { return cmp.Compare(releaseRank(a), releaseRank(b)) })
 		for _, c := range changes {
 			g.applyTable(c, from)
 		}
-		g.pools.setTargets(now, g.listed.specs, g.evacuated)
+		g.pools.setTargets(now, g.targetList.specs, g.evacuated)
 	case KindInstances:
 		g.applyInstances(now, changes, from)
 		g.shareOut(now)
 	case KindRollouts:
-		for _, c := range g.held[KindRollouts].counting(now, changes, from.restored) {
+		for _, c := range g.heldChanges[KindRollouts].effective(now, changes, from.restored) {
 			g.applyRollout(now, c, from)
 		}
-		g.awaitHeld(now, KindRollouts)
+		g.scheduleHeldChanges(now, KindRollouts)
 	}
 }
 
 // applyEvacuations has halls be emptied or taken back. The caller holds mu.
 func (g *Gateway) applyEvacuations(now time.Time, changes []feed.Change, from provenance) {
-	for _, c := range g.held[KindEvacuations].counting(now, changes, from.restored) {
+	for _, c := range g.heldChanges[KindEvacuations].effective(now, changes, from.restored) {
 		g.evacuated[c.Name] = !c.Removed
 		if c.Removed {
 			delete(g.evacuated, c.Name)
 		}
 		g.log.Info(logEvacuation, "hall", c.Name, "evacuated", !c.Removed, "source", from.source, "revision", from.revision)
 	}
-	g.pools.setTargets(now, g.listed.specs, g.evacuated)
-	g.awaitHeld(now, KindEvacuations)
+	g.pools.setTargets(now, g.targetList.specs, g.evacuated)
+	g.scheduleHeldChanges(now, KindEvacuations)
 }
 
 // applyConfig puts a configuration in force unless it is older than the one
@@ -175,7 +175,7 @@
 // instances.
 func (g *Gateway) applyTable(c feed.Change, from provenance) {
 	if strings.HasPrefix(c.Name, quarantine.StoredPrefix) {
-		g.applyKept(c, from)
+		g.applyStoredRecord(c, from)
 		return
 	}
 	if c.Name != config.Key || g.isLost(c, from) {
@@ -197,7 +197,7 @@
 // applyInstances takes in changes of instances' entries. The caller holds mu.
 func (g *Gateway) applyInstances(now time.Time, changes []feed.Change, from provenance) {
 	var named []fleet.Member
-	for _, c := range g.held[KindInstances].counting(now, changes, from.restored) {
+	for _, c := range g.heldChanges[KindInstances].effective(now, changes, from.restored) {
 		if c.Removed {
 			named = slices.DeleteFunc(named, func(m fleet.Member) bool { return m.Name == c.Name })
 			delete(g.registered, c.Name)
@@ -222,10 +222,10 @@
 		g.registered[m.Name] = m
 	}
 	g.view.Add(named...)
-	g.permits.setMembers(now, g.config, g.registered)
-	g.reviewOwners(now)
+	g.accountPermits.setInstances(now, g.config, g.registered)
+	g.updateLimitOwners(now)
 	g.readiness.knowsInstances.Store(true)
-	g.awaitHeld(now, KindInstances)
+	g.scheduleHeldChanges(now, KindInstances)
 }
 
 // checkInstance tells why the entry of an instance can't be one that an instance has made.
@@ -255,5 +255,5 @@
 	for _, s := range all {
 		members[s.Hall] = append(members[s.Hall], s.Name)
 	}
-	g.pools.setMembers(members, len(all))
+	g.pools.setInstances(members, len(all))
 }
--- a/gateway/apply_test.go
+++ b/gateway/apply_test.go
@@ -70,12 +70,12 @@
 	learn := func(remaining time.Duration) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.held[KindTargets].lapse.Inherit(time.Now(), remaining)
+		g.heldChanges[KindTargets].removals.Inherit(time.Now(), remaining)
 	}
 	held := func(name string) bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		_, ok := g.listed.specs[name]
+		_, ok := g.targetList.specs[name]
 		return ok
 	}
 	learn(50 * time.Millisecond)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,82 +14,82 @@
 )
 
 const (
-	// soonRetryAfter is told when a target with free slots has rejected a request: it
+	// shortRetryAfter is told when a target with free slots has rejected a request: it
 	// may well take the next one, and the answer is then still in time. It is about
 	// the shortest that clients' timers keep.
-	soonRetryAfter = 20 * time.Millisecond
-	// maxUnsent bounds the targets that could not be reached, on top of the
+	shortRetryAfter = 20 * time.Millisecond
+	// maxUnsentAttempts bounds the targets that could not be reached, on top of the
 	// attempts that the route allows.
-	maxUnsent = 3
-	// patienceShare is the part of a route's objective that a request waits
+	maxUnsentAttempts = 3
+	// queueTimeoutDivisor is the part of a route's objective that a request waits
 	// for a target before it is refused. With the way to the client it is told
 	// within a quarter of its objective, early enough to come back in time.
-	patienceShare   = 8
-	defaultPatience = 250 * time.Millisecond
+	queueTimeoutDivisor = 8
+	defaultQueueTimeout = 250 * time.Millisecond
 	// targetMargin is how much less time than is left a target is given, and
 	// lateMargin how long after the deadline its answer is waited for. A
 	// target that says in time that it never began makes the answer a refusal
 	// that may be repeated.
-	targetMargin = 10 * time.Millisecond
-	lateMargin   = 60 * time.Millisecond
+	targetMargin       = 10 * time.Millisecond
+	lateResponseMargin = 60 * time.Millisecond
 )
 
 // reasonAnswered is the reason of a request that a target has answered.
 const reasonAnswered = "answered"
 
 // run sends the request to targets until one answers or it is given up.
-func (g *Gateway) run(ex *exchange) (verdict, *forward.Response) {
+func (g *Gateway) run(ex *exchange) (requestResult, *forward.Response) {
 	defer g.endTrial(ex)
 	p := g.pools.get(ex.service)
 	if p == nil {
-		return notRun("no-target", defaultRetryAfter), nil
+		return notRunResult("no-target", defaultRetryAfter), nil
 	}
-	p.arrived()
-	want := g.want(ex)
+	p.recordArrival()
+	want := g.upstreamRequest(ex)
 	header := forward.EndToEndHeaders(ex.r.Header)
 	unknown := false
 	backoff := defaultRetryAfter
-	for sent, unsent := 0, 0; sent < ex.attemptsAllowed() && unsent <= maxUnsent; {
-		if v, ok := g.pass(ex, unknown); !ok {
+	for sent, unsent := 0, 0; sent < ex.maxAttempts() && unsent <= maxUnsentAttempts; {
+		if v, ok := g.checkQuarantine(ex, unknown); !ok {
 			return v, nil
 		}
-		if sent > 0 && !p.spend() {
-			return p.giveUp(want, unknown, "no-budget", backoff), nil
+		if sent > 0 && !p.spendRetry() {
+			return p.finalRefusal(want, unknown, "no-budget", backoff), nil
 		}
 		want.Isolated = ex.isTrial()
 		queuedAt := g.clock.Now()
 		decision := p.acquire(ex.ctx, want)
 		g.metrics.queued.Record(g.clock.Since(queuedAt).Seconds(), ex.service)
 		if decision.Action != upstream.Send {
-			return given(unknown, string(decision.Reason), decision.RetryAfter), nil
+			return failedResult(unknown, string(decision.Reason), decision.RetryAfter), nil
 		}
-		if v, ok := g.checkAgain(ex); !ok {
-			p.unsent(decision)
+		if v, ok := g.recheckKey(ex); !ok {
+			p.releaseUnsent(decision)
 			if unknown {
-				v = given(unknown, v.reason, 0)
+				v = failedResult(unknown, v.reason, 0)
 			}
 			return v, nil
 		}
-		if !g.stillPasses(ex) {
-			p.unsent(decision)
+		if !g.isStillAllowed(ex) {
+			p.releaseUnsent(decision)
 			continue
 		}
-		p.noteSent(decision)
-		a := g.attempt(ex, header, p, decision)
+		p.recordSent(decision)
+		a := g.sendAttempt(ex, header, p, decision)
 		a.TargetResult.SendState, a.TargetResult.NotSent = decision.SendState, !a.Sent
-		g.hearLimit(decision, a)
+		g.observeLimit(decision, a)
 		p.release(decision.Target.ID, a.TargetResult)
-		g.observe(ex, p, want, decision, a)
+		g.recordObservation(ex, p, want, decision, a)
 		g.metrics.attempt(ex.service, decision.Target, a.TargetResult)
-		ex.note(decision, a)
-		g.witness(ex, decision.Target, a)
+		ex.recordAttempt(decision, a)
+		g.observeAttempt(ex, decision.Target, a)
 		if a.TargetResult.SelfReport.Leaving {
 			g.heardLeaving(decision.Target.ID)
 		}
 		if a.Response != nil {
 			ex.answered = true
-			g.sizes.note(ex.route.Name, len(ex.body)+len(a.Response.Body))
-			return ex.deliver(a.Response)
+			g.bodySizes.record(ex.route.Name, len(ex.body)+len(a.Response.Body))
+			return ex.clientResult(a.Response)
 		}
 		if a.Sent {
 			sent++
@@ -97,42 +97,42 @@
 			unsent++
 		}
 		unknown = unknown || a.Outcome == retry.Unknown
-		if stop, v := g.after(ex, a); stop {
+		if stop, v := g.afterAttempt(ex, a); stop {
 			return v, nil
 		}
 		if a.TargetResult.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.TargetResult.SelfReport.Restricts() {
 			// The target was not full and is the one that knows the object.
-			backoff = soonRetryAfter
+			backoff = shortRetryAfter
 			continue
 		}
-		backoff = backoffAfter(a)
+		backoff = retryAfterAttempt(a)
 		want.Tried = append(want.Tried, decision.Target.ID)
 	}
-	return p.giveUp(want, unknown, "no-attempt-left", backoff), nil
+	return p.finalRefusal(want, unknown, "no-attempt-left", backoff), nil
 }
 
-// giveUp is the answer to a request that is not sent to another target, for a reason. If none may
+// finalRefusal is the answer to a request that is not sent to another target, for a reason. If none may
 // be sent to for a while, that is the reason, and the caller is told when one may.
-func (p *pool) giveUp(want upstream.Request, unknown bool, reason string, retryAfter time.Duration) verdict {
-	refusal, away := p.away(want)
+func (p *pool) finalRefusal(want upstream.Request, unknown bool, reason string, retryAfter time.Duration) requestResult {
+	refusal, away := p.refuseIfUnavailable(want)
 	if away {
-		return given(unknown, string(refusal.Reason), refusal.RetryAfter)
+		return failedResult(unknown, string(refusal.Reason), refusal.RetryAfter)
 	}
-	return given(unknown, reason, retryAfter)
+	return failedResult(unknown, reason, retryAfter)
 }
 
-// deliver returns a target's answer to a request, or what the client is told in its place. A status
+// clientResult returns a target's answer to a request, or what the client is told in its place. A status
 // by which this system says that a request has not run must not be passed on for an operation
 // that may run once: the target has not said so, and the client would send it again.
-func (ex *exchange) deliver(answer *forward.Response) (verdict, *forward.Response) {
-	if ex.route.Kind != catalog.Idempotent && promisesNotRun(answer.Status) {
-		return verdict{status: http.StatusBadGateway, reason: "false-promise"}, nil
+func (ex *exchange) clientResult(answer *forward.Response) (requestResult, *forward.Response) {
+	if ex.route.Kind != catalog.Idempotent && impliesNotRun(answer.Status) {
+		return requestResult{status: http.StatusBadGateway, reason: "false-promise"}, nil
 	}
-	return verdict{reason: reasonAnswered}, answer
+	return requestResult{reason: reasonAnswered}, answer
 }
 
-// promisesNotRun tells whether a status says to clients that the request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun tells whether a status says to clients that the request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -141,34 +141,34 @@
 	}
 }
 
-// backoffAfter is when the caller should come back if an attempt was the last one. Where the
+// retryAfterAttempt is when the caller should come back if an attempt was the last one. Where the
 // target has just said that it wants nothing, the next choice is another one, so at once.
-func backoffAfter(a forward.Attempt) time.Duration {
+func retryAfterAttempt(a forward.Attempt) time.Duration {
 	if a.TargetResult.Outcome == upstream.Rejected && a.TargetResult.SelfReport.Restricts() {
-		return soonRetryAfter
+		return shortRetryAfter
 	}
 	return defaultRetryAfter
 }
 
-// attemptsAllowed is the number of targets that a request may be sent to.
-func (ex *exchange) attemptsAllowed() int {
+// maxAttempts is the number of targets that a request may be sent to.
+func (ex *exchange) maxAttempts() int {
 	if ex.isTrial() {
 		return 1
 	}
 	return ex.route.MaxAttempts
 }
 
-// want says what the request needs of a target.
-func (g *Gateway) want(ex *exchange) upstream.Request {
+// upstreamRequest says what the request needs of a target.
+func (g *Gateway) upstreamRequest(ex *exchange) upstream.Request {
 	key := ex.r.Header.Get(g.headers.Key)
 	want := upstream.Request{
 		Key:          key,
 		Sticky:       key != "",
-		Regions:      ex.homes,
+		Regions:      ex.homeRegions,
 		Priority:     catalog.PriorityOf(ex.route, ex.account),
-		Heavy:        g.sizes.heavy(ex.route.Name, len(ex.body)),
+		Heavy:        g.bodySizes.isHeavy(ex.route.Name, len(ex.body)),
 		Deadline:     ex.deadline,
-		QueueTimeout: defaultPatience,
+		QueueTimeout: defaultQueueTimeout,
 	}
 	if key == "" {
 		want.Key = ex.id
@@ -177,12 +177,12 @@
 		want.Key = ex.route.Name + "/" + key
 	}
 	if ex.route.Objective > 0 {
-		want.QueueTimeout = ex.route.Objective / patienceShare
+		want.QueueTimeout = ex.route.Objective / queueTimeoutDivisor
 	}
 	return want
 }
 
-func (g *Gateway) attempt(ex *exchange, header http.Header, p *pool, d upstream.Decision) forward.Attempt {
+func (g *Gateway) sendAttempt(ex *exchange, header http.Header, p *pool, d upstream.Decision) forward.Attempt {
 	left := g.clock.Until(ex.deadline)
 	return g.targets.Do(ex.ctx, &forward.Request{
 		Method:        ex.r.Method,
@@ -196,56 +196,56 @@
 		TargetName:    d.Target.Name,
 		Addr:          d.Target.Addr,
 		Timeout:       left - targetMargin,
-		Deadline:      ex.deadline.Add(lateMargin),
+		Deadline:      ex.deadline.Add(lateResponseMargin),
 		NonIdempotent: ex.route.Kind != catalog.Idempotent,
-		MaySend:       func() bool { return p.may(d) },
+		MaySend:       func() bool { return p.maySend(d) },
 	})
 }
 
-// after tells whether the request is given up after an attempt without an
+// afterAttempt tells whether the request is given up after an attempt without an
 // answer, and with what.
-func (g *Gateway) after(ex *exchange, a forward.Attempt) (bool, verdict) {
+func (g *Gateway) afterAttempt(ex *exchange, a forward.Attempt) (bool, requestResult) {
 	late := !g.clock.Now().Before(ex.deadline)
 	switch {
 	case ex.ctx.Err() != nil:
-		return true, verdict{reason: reasonClientLeft}
+		return true, requestResult{reason: reasonClientLeft}
 	case a.Outcome == retry.NotRun && late:
-		return true, notRun("late-not-run", defaultRetryAfter)
+		return true, notRunResult("late-not-run", defaultRetryAfter)
 	case a.Outcome == retry.NotRun:
-		return false, verdict{}
+		return false, requestResult{}
 	case late || errors.Is(a.Err, os.ErrDeadlineExceeded):
-		return true, verdict{status: http.StatusGatewayTimeout, reason: "timeout"}
+		return true, requestResult{status: http.StatusGatewayTimeout, reason: "timeout"}
 	case !retry.Allowed(a.Outcome, ex.route.Kind == catalog.Idempotent):
-		return true, verdict{status: http.StatusBadGateway, reason: "unknown-outcome"}
+		return true, requestResult{status: http.StatusBadGateway, reason: "unknown-outcome"}
 	default:
-		return false, verdict{}
+		return false, requestResult{}
 	}
 }
 
-// given is the answer to a request that is given up: a refusal only if it
+// failedResult is the answer to a request that is given up: a refusal only if it
 // certainly did not run.
-func given(unknown bool, reason string, retryAfter time.Duration) verdict {
+func failedResult(unknown bool, reason string, retryAfter time.Duration) requestResult {
 	if unknown {
-		return verdict{status: http.StatusBadGateway, reason: reason}
+		return requestResult{status: http.StatusBadGateway, reason: reason}
 	}
-	return notRun(reason, retryAfter)
+	return notRunResult(reason, retryAfter)
 }
 
-func notRun(reason string, retryAfter time.Duration) verdict {
-	return verdict{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
+func notRunResult(reason string, retryAfter time.Duration) requestResult {
+	return requestResult{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-func (ex *exchange) note(d upstream.Decision, a forward.Attempt) {
-	h := hop{
-		Target:  d.Target.ID,
-		Region:  d.Target.Region,
-		Reason:  string(d.Reason),
-		Load:    d.SendState.Load,
-		Outcome: a.Outcome.String(),
-		Reused:  a.Reused,
-		TookMs:  a.TargetResult.Latency.Milliseconds(),
-		Leaves:  a.TargetResult.SelfReport.Leaving,
-		RestMs:  a.TargetResult.SelfReport.Backoff.Milliseconds(),
+func (ex *exchange) recordAttempt(d upstream.Decision, a forward.Attempt) {
+	h := attemptRecord{
+		Target:    d.Target.ID,
+		Region:    d.Target.Region,
+		Reason:    string(d.Reason),
+		Load:      d.SendState.Load,
+		Outcome:   a.Outcome.String(),
+		Reused:    a.Reused,
+		TookMs:    a.TargetResult.Latency.Milliseconds(),
+		Leaving:   a.TargetResult.SelfReport.Leaving,
+		BackoffMs: a.TargetResult.SelfReport.Backoff.Milliseconds(),
 	}
 	if a.TargetResult.SelfReport.HasLimit {
 		h.Limit = &a.TargetResult.SelfReport.RateLimit
@@ -253,10 +253,10 @@
 	if a.Err != nil {
 		h.Error = a.Err.Error()
 	}
-	ex.trail = append(ex.trail, h)
+	ex.attempts = append(ex.attempts, h)
 }
 
-// sampled tells whether an ordinary request is logged, one in so many by its ID.
-func sampled(id string, one int) bool {
+// isSampled tells whether an ordinary request is logged, one in so many by its ID.
+func isSampled(id string, one int) bool {
 	return one > 0 && mix.Pair(id, "log")%uint64(one) == 0
 }
--- a/gateway/client_test.go
+++ b/gateway/client_test.go
@@ -17,16 +17,16 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// leaveTime bounds how long after its client has left a request may go on.
-const leaveTime = 500 * time.Millisecond
+// cancelTime bounds how long after its client has left a request may go on.
+const cancelTime = 500 * time.Millisecond
 
-// ask writes a request that its client will leave.
-func (c rawConn) ask(method, path, more string) {
+// writeRequest writes a request that its client will leave.
+func (c rawConn) writeRequest(method, path, more string) {
 	c.write(method + " " + path + " HTTP/1.1\r\nHost: h.example\r\nRequest-Id: left\r\nTimeout-Ms: 9000\r\n" + more + "\r\n")
 }
 
-// leave ends a client's connection by a close or a reset.
-func (c rawConn) leave(reset bool) {
+// disconnect ends a client's connection by a close or a reset.
+func (c rawConn) disconnect(reset bool) {
 	if reset {
 		_ = c.Conn.(*net.TCPConn).SetLinger(0)
 	}
@@ -47,10 +47,10 @@
 			server.SetObserver(func(origin.Arrival) { arrived <- struct{}{} })
 			server.SetScript(func(*http.Request) origin.Fault { return origin.Silent })
 			conn := in.dial()
-			conn.ask("GET", "/x/", "")
+			conn.writeRequest("GET", "/x/", "")
 			<-arrived
-			conn.leave(reset)
-			require.Eventually(t, func() bool { return server.Canceled() == 1 }, leaveTime, poll)
+			conn.disconnect(reset)
+			require.Eventually(t, func() bool { return server.Canceled() == 1 }, cancelTime, poll)
 		})
 	}
 }
@@ -80,30 +80,30 @@
 	}
 	require.Eventually(t, func() bool { return arrivals.Load() == 6 }, wait, poll)
 	conn := in.dial()
-	conn.ask("GET", "/x/", "")
+	conn.writeRequest("GET", "/x/", "")
 	time.Sleep(50 * time.Millisecond)
-	conn.leave(false)
+	conn.disconnect(false)
 	time.Sleep(100 * time.Millisecond)
 	close(release)
-	require.Never(t, func() bool { return arrivals.Load() > 6 }, leaveTime, poll)
+	require.Never(t, func() bool { return arrivals.Load() > 6 }, cancelTime, poll)
 }
 
-// TestClientLeavesWithinItsBody checks that a request whose body does not come to its end
+// TestClientLeavesWithinBody checks that a request whose body does not come to its end
 // is not sent.
-func TestClientLeavesWithinItsBody(t *testing.T) {
+func TestClientLeavesWithinBody(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	ran := len(server.Runs())
 	for _, reset := range []bool{false, true} {
 		conn := in.dial()
-		conn.ask("POST", "/x/", "Content-Length: 5\r\n")
+		conn.writeRequest("POST", "/x/", "Content-Length: 5\r\n")
 		conn.write("ab")
-		conn.leave(reset)
+		conn.disconnect(reset)
 	}
-	require.Never(t, func() bool { return len(server.Runs()) > ran }, leaveTime, poll)
+	require.Never(t, func() bool { return len(server.Runs()) > ran }, cancelTime, poll)
 }
 
 // TestClientLeavesWhileConnecting checks that a request whose client leaves while a
@@ -116,9 +116,9 @@
 	in := s.instance("n1", "a1")
 	in.awaitReady()
 	conn := in.dial()
-	conn.ask("GET", "/x/", "")
+	conn.writeRequest("GET", "/x/", "")
 	time.Sleep(50 * time.Millisecond)
-	conn.leave(false)
+	conn.disconnect(false)
 	time.Sleep(50 * time.Millisecond)
 	var received atomic.Int64
 	go func() {
@@ -134,7 +134,7 @@
 		}
 	}()
 	// A connection request is sent again after a second, and then gets through.
-	require.Never(t, func() bool { return received.Load() > 0 }, 3*leaveTime, poll)
+	require.Never(t, func() bool { return received.Load() > 0 }, 3*cancelTime, poll)
 }
 
 // fullListener returns a listener whose queue is full, so that connections to it are not
@@ -156,26 +156,26 @@
 	}
 }
 
-// TestRequestReadAfterItsClientLeft checks that a request that had waited unread until its
+// TestRequestReadAfterClientLeft checks that a request that had waited unread until its
 // client left is not sent.
-func TestRequestReadAfterItsClientLeft(t *testing.T) {
+func TestRequestReadAfterClientLeft(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	var arrivals atomic.Int64
 	read := &gate{}
-	s.wrapFront = func(ln net.Listener) net.Listener { return lateListener{ln, read} }
+	s.wrapFront = func(ln net.Listener) net.Listener { return delayedListener{ln, read} }
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	server.SetObserver(func(origin.Arrival) { arrivals.Add(1) })
 	open := read.shut()
 	for range 50 {
 		conn := in.dial()
-		conn.ask("GET", "/x/", "")
-		conn.leave(false)
+		conn.writeRequest("GET", "/x/", "")
+		conn.disconnect(false)
 	}
 	open()
-	require.Never(t, func() bool { return arrivals.Load() > 0 }, leaveTime, poll)
+	require.Never(t, func() bool { return arrivals.Load() > 0 }, cancelTime, poll)
 }
 
 // gate holds reads up while it is shut.
@@ -201,28 +201,28 @@
 	}
 }
 
-// lateListener accepts connections that are read late, as by a process that has much to do.
-type lateListener struct {
+// delayedListener accepts connections that are read late, as by a process that has much to do.
+type delayedListener struct {
 	net.Listener
 	read *gate
 }
 
 // Accept implements net.Listener.
-func (l lateListener) Accept() (net.Conn, error) {
+func (l delayedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return lateConn{c.(*net.TCPConn), l.read}, nil
+	return delayedConn{c.(*net.TCPConn), l.read}, nil
 }
 
-type lateConn struct {
+type delayedConn struct {
 	*net.TCPConn
 	read *gate
 }
 
 // Read implements net.Conn.
-func (c lateConn) Read(p []byte) (int, error) {
+func (c delayedConn) Read(p []byte) (int, error) {
 	c.read.pass()
 	return c.TCPConn.Read(p)
 }
--- a/gateway/deaf_test.go
+++ b/gateway/deaf_test.go
@@ -25,7 +25,7 @@
 // TestHeardAgain guards against an instance that is heard by all and hears nobody, for as long as it runs.
 func TestHeardAgain(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	other := s.instance("n1", "a1")
 	var network *relay.Relay
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -30,7 +30,7 @@
 		g.log.Error(logDeltaRefused, "kind", d.Kind, "error", err.Error())
 		return
 	}
-	message.RemovalHold = g.held[KindTargets].lapse.Remaining(now)
+	message.RemovalHold = g.heldChanges[KindTargets].removals.Remaining(now)
 	for _, branch := range g.view.Branches(now) {
 		g.mesh.Send(branch.PeerAddr, message.RelayTo(branch))
 	}
@@ -91,7 +91,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held[KindTargets].lapse.Inherit(g.clock.Now(), m.RemovalHold)
+	g.heldChanges[KindTargets].removals.Inherit(g.clock.Now(), m.RemovalHold)
 }
 
 // answer sends the changes that another instance asks for, at once or when this instance
@@ -102,8 +102,8 @@
 	replica := g.replicas[m.Kind]
 	switch {
 	case replica == nil:
-	case replica.Position().IsZero() && len(g.askers[m.Kind]) < maxAskers:
-		g.askers[m.Kind] = append(g.askers[m.Kind], m)
+	case replica.Position().IsZero() && len(g.pendingDeltaRequests[m.Kind]) < maxAskers:
+		g.pendingDeltaRequests[m.Kind] = append(g.pendingDeltaRequests[m.Kind], m)
 	case replica.Position().After(m.Position):
 		g.sendSince(replica, m)
 	}
@@ -112,10 +112,10 @@
 // answerAskers answers those that have asked for a kind before this instance had it. The
 // caller holds mu.
 func (g *Gateway) answerAskers(kind feed.Kind) {
-	for _, m := range g.askers[kind] {
+	for _, m := range g.pendingDeltaRequests[kind] {
 		g.sendSince(g.replicas[kind], m)
 	}
-	delete(g.askers, kind)
+	delete(g.pendingDeltaRequests, kind)
 }
 
 // sendSince sends the changes that another instance asks for. The caller holds mu.
@@ -125,7 +125,7 @@
 		g.log.Error(logDeltaRefused, "kind", m.Kind, "error", err.Error())
 		return
 	}
-	answer.RemovalHold = g.held[KindTargets].lapse.Remaining(g.clock.Now())
+	answer.RemovalHold = g.heldChanges[KindTargets].removals.Remaining(g.clock.Now())
 	g.mesh.Send(m.ReplyTo, &answer)
 }
 
--- a/gateway/delta_test.go
+++ b/gateway/delta_test.go
@@ -52,23 +52,23 @@
 func newSender(t *testing.T) *Gateway {
 	log := slog.New(slog.DiscardHandler)
 	g := &Gateway{
-		config:   Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: log},
-		log:      log,
-		replicas: make(map[feed.Kind]*feed.Replica),
-		askers:   make(map[feed.Kind][]*peer.DeltaRequest),
-		answers:  make(answers),
-		view:     viewOf(time.Now(), 0, 0),
+		config:               Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: log},
+		log:                  log,
+		replicas:             make(map[feed.Kind]*feed.Replica),
+		pendingDeltaRequests: make(map[feed.Kind][]*peer.DeltaRequest),
+		answers:              make(answers),
+		view:                 viewOf(time.Now(), 0, 0),
 
-		registered: make(map[string]fleet.Member),
-		held:       newHeld(),
+		registered:  make(map[string]fleet.Member),
+		heldChanges: newHeldChanges(),
 	}
-	g.limitOwner = newLimitOwner(g.config, g.mesh, g.startedAt, &g.targetLimits)
-	g.pools = newPools(g.config, g.departures.all, g.targetLimits.all, g.askForPermits)
+	g.targetLimitOwner = newTargetLimitOwner(g.config, g.mesh, g.startedAt, &g.targetLimits)
+	g.pools = newPools(g.config, g.departures.all, g.targetLimits.all, g.requestPermits)
 	for _, kind := range kinds {
 		g.replicas[kind] = feed.NewReplica(kind)
 	}
 	g.mesh = peer.NewMesh("n0", "", g, log)
-	g.permits = newPermits(g.config, g.mesh, time.Now(), g.limitOf)
+	g.accountPermits = newPermits(g.config, g.mesh, time.Now(), g.limitOf)
 	t.Cleanup(g.mesh.Close)
 	return g
 }
@@ -89,7 +89,7 @@
 		require.Equal(t, whole, got)
 		require.False(t, answer.Relay)
 	}
-	require.Empty(t, g.askers)
+	require.Empty(t, g.pendingDeltaRequests)
 }
 
 // TestProbeIsAnswered checks that an instance that is asked whether it is alive says so with
--- a/gateway/departures.go
+++ b/gateway/departures.go
@@ -128,7 +128,7 @@
 		return
 	}
 	fresh := g.departures.merge(now, told)
-	for _, target := range g.pools.hearDepartures(now, fresh, availability.SourcePeer) {
+	for _, target := range g.pools.applyDepartures(now, fresh, availability.SourcePeer) {
 		g.endsAsPlanned(target)
 	}
 }
@@ -136,10 +136,10 @@
 // endsAsPlanned takes in that a target leaves: what it breaks off is no sign that requests end
 // targets.
 func (g *Gateway) endsAsPlanned(target string) {
-	if !g.holds.known.Load() {
+	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	g.holds.witness.TargetLeaving(target)
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	g.quarantine.correlator.TargetLeaving(target)
 }
--- a/gateway/departures_test.go
+++ b/gateway/departures_test.go
@@ -23,7 +23,7 @@
 // start under the same ID is.
 func TestOwnWordOutlivesOlderEntries(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	first := s.bornServer("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -53,7 +53,7 @@
 // later.
 func TestOthersKnowOfDeparture(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	leaver := s.server("i-1", "s", "a1")
 	hears, told := s.instance("n1", "a1"), s.instance("n2", "b1")
 	for _, in := range []*instance{hears, told} {
@@ -64,12 +64,12 @@
 	saysLeaving(leaver)
 	require.Equal(t, 200, hears.send("GET", "/x/", "").status)
 	served := len(leaver.Runs())
-	time.Sleep(newsTime)
+	time.Sleep(propagationTime)
 	require.Equal(t, 503, told.send("GET", "/x/", "").status)
 	late := s.instance("n3", "a2", func(c *gateway.Config) { c.Seeds = []string{hears.config.PeerListen} })
 	late.awaitReady()
 	require.Eventually(t, func() bool { return late.alive() == "3" }, wait, poll)
-	time.Sleep(newsTime)
+	time.Sleep(propagationTime)
 	require.Equal(t, 503, late.send("GET", "/x/", "").status)
 	require.Len(t, leaver.Runs(), served)
 }
@@ -80,7 +80,7 @@
 func TestDepartureEndsNoRequest(t *testing.T) {
 	for _, said := range []bool{true, false} {
 		s := newSite(t)
-		s.configure(1, safeRoute)
+		s.configure(1, idempotentRoute)
 		server := s.server("i-1", "s", "a1")
 		server.SetScript(func(r *http.Request) origin.Fault {
 			if r.Header.Get("Affinity-Key") == "word" {
@@ -102,7 +102,7 @@
 		<-done
 		ended := func() bool { return strings.Contains(in.scrape(), "rainford_target_ends_total") }
 		if said {
-			time.Sleep(newsTime)
+			time.Sleep(propagationTime)
 			require.False(t, ended())
 			continue
 		}
--- a/gateway/ending_test.go
+++ b/gateway/ending_test.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// revivedAfter is how long after its end a target starts again.
-	revivedAfter = 300 * time.Millisecond
-	// endingPath is the path of requests that end each target that runs them.
-	endingPath = "/x/ending/"
-	// mostEnds is the largest number of targets that may end under one request.
-	mostEnds = 6
+	// restartDelay is how long after its end a target starts again.
+	restartDelay = 300 * time.Millisecond
+	// crashPath is the path of requests that end each target that runs them.
+	crashPath = "/x/ending/"
+	// maxCrashes is the largest number of targets that may end under one request.
+	maxCrashes = 6
 )
 
-// reviving are the targets of a service. Each that ends starts again after a while, with a
+// restartingTargets are the targets of a service. Each that ends starts again after a while, with a
 // new ID and at a new address.
-type reviving struct {
+type restartingTargets struct {
 	site *site
-	// ends tells whether a request ends a target that runs it.
-	ends func(*http.Request) bool
-	// after is how long after its end a target starts again.
-	after time.Duration
+	// crashes tells whether a request ends a target that runs it.
+	crashes func(*http.Request) bool
+	// restartDelay is how long after its end a target starts again.
+	restartDelay time.Duration
 
-	mu    sync.Mutex
-	next  int
-	live  map[*origin.Server]bool
-	ended int
+	mu      sync.Mutex
+	next    int
+	live    map[*origin.Server]bool
+	crashed int
 }
 
-func newReviving(s *site, count int, ends func(*http.Request) bool) *reviving {
-	v := &reviving{site: s, ends: ends, after: revivedAfter, live: make(map[*origin.Server]bool)}
+func newRestartingTargets(s *site, count int, ends func(*http.Request) bool) *restartingTargets {
+	v := &restartingTargets{site: s, crashes: ends, restartDelay: restartDelay, live: make(map[*origin.Server]bool)}
 	for i := range count {
 		v.start([]string{"a1", "a2", "b1"}[i%3])
 	}
@@ -48,7 +48,7 @@
 	return v
 }
 
-func (v *reviving) start(hall string) {
+func (v *restartingTargets) start(hall string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.live == nil {
@@ -62,38 +62,38 @@
 	}
 	server.SetWork(20 * time.Millisecond)
 	server.SetScript(func(r *http.Request) origin.Fault {
-		if !v.ends(r) {
+		if !v.crashes(r) {
 			return origin.None
 		}
-		v.noteEnd(server)
+		v.recordCrash(server)
 		return origin.End
 	})
 	v.live[server] = true
 	v.site.record(server, "ready")
 }
 
-// noteEnd counts a server that ends and has another one take its place.
-func (v *reviving) noteEnd(server *origin.Server) {
+// recordCrash counts a server that ends and has another one take its place.
+func (v *restartingTargets) recordCrash(server *origin.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.live[server] {
 		return
 	}
 	delete(v.live, server)
-	v.ended++
-	time.AfterFunc(v.after, func() {
+	v.crashed++
+	time.AfterFunc(v.restartDelay, func() {
 		v.site.store.Remove(objects.KindServers, server.ID)
 		v.start(server.Zone)
 	})
 }
 
-// end ends a server for a reason of its own.
-func (v *reviving) end(server *origin.Server) {
-	v.noteEnd(server)
+// crash ends a server for a reason of its own.
+func (v *restartingTargets) crash(server *origin.Server) {
+	v.recordCrash(server)
 	server.Close()
 }
 
-func (v *reviving) close() {
+func (v *restartingTargets) close() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for server := range v.live {
@@ -102,20 +102,20 @@
 	v.live = nil
 }
 
-func (v *reviving) endedSoFar() int {
+func (v *restartingTargets) crashCount() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.ended
+	return v.crashed
 }
 
-// isEnding tells whether a request is one that ends targets.
-func isEnding(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, endingPath) }
+// isCrashing tells whether a request is one that ends targets.
+func isCrashing(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, crashPath) }
 
-// endingSite is four instances in three halls before twelve targets that start anew.
-func endingSite(t *testing.T, kind string, ends func(*http.Request) bool) (*reviving, []*instance) {
+// newCrashSite is four instances in three halls before twelve targets that start anew.
+func newCrashSite(t *testing.T, kind string, ends func(*http.Request) bool) (*restartingTargets, []*instance) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: kind})
-	v := newReviving(s, 12, ends)
+	v := newRestartingTargets(s, 12, ends)
 	var instances []*instance
 	for i, hall := range []string{"a1", "a1", "a2", "b1"} {
 		instances = append(instances, s.instance(fmt.Sprint("n", i), hall))
@@ -128,30 +128,30 @@
 	return v, instances
 }
 
-// TestEndingRequestIsHeld guards against a request that ends target after target as nobody remembers it.
-func TestEndingRequestIsHeld(t *testing.T) {
-	v, instances := endingSite(t, "idempotent", isEnding)
+// TestCrashingRequestIsHeld guards against a request that ends target after target as nobody remembers it.
+func TestCrashingRequestIsHeld(t *testing.T) {
+	v, instances := newCrashSite(t, "idempotent", isCrashing)
 	for i := range 100 {
-		instances[i%len(instances)].send("GET", endingPath, "")
+		instances[i%len(instances)].send("GET", crashPath, "")
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Logf("%d targets ended", v.endedSoFar())
-	require.LessOrEqual(t, v.endedSoFar(), mostEnds, "targets that ended under one request")
+	t.Logf("%d targets ended", v.crashCount())
+	require.LessOrEqual(t, v.crashCount(), maxCrashes, "targets that ended under one request")
 	for _, in := range instances {
 		in.awaitStatus("/x/", 200)
 	}
 }
 
-// TestEndingOperationIsHeld does the same with an operation that may run once: one attempt
+// TestCrashingNonIdempotentRequestIsHeld does the same with an operation that may run once: one attempt
 // for each of the caller's, with the same body.
-func TestEndingOperationIsHeld(t *testing.T) {
-	v, instances := endingSite(t, "non_idempotent", isEnding)
+func TestCrashingNonIdempotentRequestIsHeld(t *testing.T) {
+	v, instances := newCrashSite(t, "non_idempotent", isCrashing)
 	for i := range 60 {
-		instances[i%len(instances)].send("POST", endingPath, "the same")
+		instances[i%len(instances)].send("POST", crashPath, "the same")
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Logf("%d targets ended", v.endedSoFar())
-	require.LessOrEqual(t, v.endedSoFar(), mostEnds, "targets that ended under one request")
+	t.Logf("%d targets ended", v.crashCount())
+	require.LessOrEqual(t, v.crashCount(), maxCrashes, "targets that ended under one request")
 	for _, in := range instances {
 		in.awaitStatus("/x/", 200)
 	}
@@ -219,17 +219,17 @@
 	return served, all
 }
 
-// TestBesideEndingRequest checks that reads beside a request that ends targets are served, a
+// TestRequestsBesideCrashingRequest checks that reads beside a request that ends targets are served, a
 // hot one that runs at many targets too.
-func TestBesideEndingRequest(t *testing.T) {
-	v, instances := endingSite(t, "idempotent", isEnding)
+func TestRequestsBesideCrashingRequest(t *testing.T) {
+	v, instances := newCrashSite(t, "idempotent", isCrashing)
 	hot := startLoad(instances, 4, func(int) string { return "/x/hot/" })
 	rest := startLoad(instances, 4, func(n int) string { return fmt.Sprint("/x/", n%50, "/") })
 	for i := range 100 {
-		instances[i%len(instances)].send("GET", endingPath, "")
+		instances[i%len(instances)].send("GET", crashPath, "")
 		time.Sleep(20 * time.Millisecond)
 	}
-	require.LessOrEqual(t, v.endedSoFar(), mostEnds)
+	require.LessOrEqual(t, v.crashCount(), maxCrashes)
 	for name, l := range map[string]*load{"hot": hot, "rest": rest} {
 		served, all := l.stop()
 		t.Logf("%s: %d of %d served", name, served, all)
@@ -237,26 +237,26 @@
 	}
 }
 
-// TestInnocentIsServed ends targets for reasons of their own while one read is at all of them
+// TestInnocentRequestIsServed ends targets for reasons of their own while one read is at all of them
 // most of the time, and checks that it is served all the same.
-func TestInnocentIsServed(t *testing.T) {
-	v, instances := endingSite(t, "idempotent", func(*http.Request) bool { return false })
+func TestInnocentRequestIsServed(t *testing.T) {
+	v, instances := newCrashSite(t, "idempotent", func(*http.Request) bool { return false })
 	hot := startLoad(instances, 8, func(int) string { return "/x/hot/" })
 	for range 20 {
-		v.endOne()
-		v.endOne()
+		v.crashOne()
+		v.crashOne()
 		time.Sleep(100 * time.Millisecond)
 	}
 	served, all := hot.stop()
-	t.Logf("%d of %d served while %d targets ended", served, all, v.endedSoFar())
+	t.Logf("%d of %d served while %d targets ended", served, all, v.crashCount())
 	require.Greater(t, served*100, all*95)
 	for _, in := range instances {
 		in.awaitStatus("/x/hot/", 200)
 	}
 }
 
-// endOne ends some target.
-func (v *reviving) endOne() {
+// crashOne ends some target.
+func (v *restartingTargets) crashOne() {
 	v.mu.Lock()
 	var server *origin.Server
 	for s := range v.live {
@@ -265,13 +265,13 @@
 	}
 	v.mu.Unlock()
 	if server != nil {
-		v.end(server)
+		v.crash(server)
 	}
 }
 
-// TestLostAnswersHoldNothing checks that a request whose answers are lost, by targets that
+// TestLostResponsesDoNotHoldRequest checks that a request whose answers are lost, by targets that
 // live on, is not held back.
-func TestLostAnswersHoldNothing(t *testing.T) {
+func TestLostResponsesDoNotHoldRequest(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "non_idempotent"})
 	var servers []*origin.Server
@@ -295,32 +295,32 @@
 // TestOtherBodyIsAnotherRequest checks that an operation under which targets end holds back
 // none with another body.
 func TestOtherBodyIsAnotherRequest(t *testing.T) {
-	bad := func(r *http.Request) bool { return isEnding(r) && r.ContentLength == int64(len("bad")) }
-	v, instances := endingSite(t, "non_idempotent", bad)
+	bad := func(r *http.Request) bool { return isCrashing(r) && r.ContentLength == int64(len("bad")) }
+	v, instances := newCrashSite(t, "non_idempotent", bad)
 	held := func() bool {
-		got := instances[0].send("POST", endingPath, "bad")
+		got := instances[0].send("POST", crashPath, "bad")
 		return got.status == 503 && got.header.Get("Retry-After") != ""
 	}
 	require.Eventually(t, held, wait, 20*time.Millisecond)
 	for _, in := range instances {
-		require.Equal(t, 200, in.send("POST", endingPath, "other").status)
+		require.Equal(t, 200, in.send("POST", crashPath, "other").status)
 	}
-	require.LessOrEqual(t, v.endedSoFar(), mostEnds)
+	require.LessOrEqual(t, v.crashCount(), maxCrashes)
 }
 
-// TestLateInstanceKnows checks that an instance that starts later knows of a request that is
+// TestLateInstanceKnowsHeldRequest checks that an instance that starts later knows of a request that is
 // held back before it could send it.
-func TestLateInstanceKnows(t *testing.T) {
-	v, instances := endingSite(t, "idempotent", isEnding)
+func TestLateInstanceKnowsHeldRequest(t *testing.T) {
+	v, instances := newCrashSite(t, "idempotent", isCrashing)
 	for i := range 20 {
-		instances[i%len(instances)].send("GET", endingPath, "")
+		instances[i%len(instances)].send("GET", crashPath, "")
 	}
-	before := v.endedSoFar()
+	before := v.crashCount()
 	late := v.site.instance("n9", "b1", func(c *gateway.Config) { c.Seeds = []string{instances[0].config.PeerListen} })
 	late.awaitReady()
 	late.awaitStatus("/x/", 200)
 	for range 5 {
-		require.Equal(t, 503, late.send("GET", endingPath, "").status)
+		require.Equal(t, 503, late.send("GET", crashPath, "").status)
 	}
-	require.Equal(t, before, v.endedSoFar())
+	require.Equal(t, before, v.crashCount())
 }
--- a/gateway/exits_test.go
+++ b/gateway/exits_test.go
@@ -11,9 +11,9 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// exit is one way in which a request can end: what its only target does, and what the
+// targetOutcome is one way in which a request can end: what its only target does, and what the
 // client must be told. Runs is how often the target may have run it.
-type exit struct {
+type targetOutcome struct {
 	fault  origin.Fault
 	path   string
 	status int
@@ -22,13 +22,13 @@
 	runs   []int
 }
 
-// TestExits brings about each end of a request that its target decides, and checks what
+// TestTargetOutcomes brings about each end of a request that its target decides, and checks what
 // the client is told against what the target did: a refusal only if it did not run, an
 // answer that the target made is passed on whole, and nothing runs twice that must not.
-func TestExits(t *testing.T) {
+func TestTargetOutcomes(t *testing.T) {
 	const repeat, once = "/x/", "/once/"
 	one, oneOrTwo, none := []int{1}, []int{1, 2}, []int{0}
-	for _, e := range []exit{
+	for _, e := range []targetOutcome{
 		{origin.None, repeat, 200, "answered", one},
 		{origin.None, once, 200, "answered", one},
 		{origin.Shed, repeat, 503, "rejected", none},
@@ -50,7 +50,7 @@
 		t.Run(strings.ReplaceAll(e.reason+e.path, " ", "-"), func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t)
-			s.configure(1, safeRoute, route{prefix: once, service: "s", kind: "non_idempotent", timeout: "400ms"})
+			s.configure(1, idempotentRoute, route{prefix: once, service: "s", kind: "non_idempotent", timeout: "400ms"})
 			server := s.server("i-1", "s", "a1")
 			in := s.instance("n1", "a1")
 			in.awaitStatus(e.path, 200)
@@ -75,11 +75,11 @@
 	}
 }
 
-// TestEntryGoneWhileServing checks that a request at a target whose entry goes, without
+// TestTargetUnlistedWhileServing checks that a request at a target whose entry goes, without
 // a word before, gets the target's answer, and that new requests are refused at once.
-func TestEntryGoneWhileServing(t *testing.T) {
+func TestTargetUnlistedWhileServing(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
--- a/gateway/flood_test.go
+++ b/gateway/flood_test.go
@@ -19,21 +19,21 @@
 	// floodEvery how far apart they are.
 	floodTime  = 8 * time.Second
 	floodEvery = 100 * time.Millisecond
-	// floodRevived is how long after its end a target starts again.
-	floodRevived = 3 * time.Second
+	// floodRestartDelay is how long after its end a target starts again.
+	floodRestartDelay = 3 * time.Second
 	// floodObjects is the number of objects that are read beside it.
 	floodObjects = 50
-	// mostFloodEnds is the largest number of targets that may end under them.
-	mostFloodEnds = 30
+	// maxFloodCrashes is the largest number of targets that may end under them.
+	maxFloodCrashes = 30
 )
 
-// TestFloodOfEndingRequests has one account send ten requests a second, all different, each of
+// TestFloodOfCrashingRequests has one account send ten requests a second, all different, each of
 // which ends what runs it, beside its own good ones and those of another account.
-func TestFloodOfEndingRequests(t *testing.T) {
+func TestFloodOfCrashingRequests(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, map[string]objects.Tenant{"ada": {APIKeys: []string{adaKey}}, "ben": {APIKeys: []string{benKey}}})
-	v := newReviving(s, 40, isEnding)
-	v.after = floodRevived
+	v := newRestartingTargets(s, 40, isCrashing)
+	v.restartDelay = floodRestartDelay
 	var instances []*instance
 	for i, hall := range []string{"a1", "a1", "a2", "b1"} {
 		instances = append(instances, s.instance(fmt.Sprint("n", i), hall))
@@ -55,13 +55,13 @@
 	var sent int
 	for end := time.Now().Add(floodTime); time.Now().Before(end); sent++ {
 		n := sent
-		go instances[n%len(instances)].sendHeaders(fmt.Sprint(endingPath, n), http.Header{"Credential": {adaKey}, "Affinity-Key": {fmt.Sprint("e", n)}})
+		go instances[n%len(instances)].sendHeaders(fmt.Sprint(crashPath, n), http.Header{"Credential": {adaKey}, "Affinity-Key": {fmt.Sprint("e", n)}})
 		time.Sleep(floodEvery)
 	}
 	ownServed, ownAll := own.stop()
 	otherServed, otherAll := other.stop()
-	t.Logf("%d targets ended under %d requests; %d of %d own ones served, %d of %d of the other account", v.endedSoFar(), sent, ownServed, ownAll, otherServed, otherAll)
-	require.LessOrEqual(t, v.endedSoFar(), mostFloodEnds)
+	t.Logf("%d targets ended under %d requests; %d of %d own ones served, %d of %d of the other account", v.crashCount(), sent, ownServed, ownAll, otherServed, otherAll)
+	require.LessOrEqual(t, v.crashCount(), maxFloodCrashes)
 	require.GreaterOrEqual(t, float64(otherServed), 0.97*float64(otherAll))
 	require.GreaterOrEqual(t, float64(ownServed), 0.9*float64(ownAll))
 }
@@ -72,7 +72,7 @@
 func TestAccountsBesideCrashes(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, map[string]objects.Tenant{"ada": {APIKeys: []string{adaKey}}, "ben": {APIKeys: []string{benKey}}})
-	v := newReviving(s, 20, func(*http.Request) bool { return false })
+	v := newRestartingTargets(s, 20, func(*http.Request) bool { return false })
 	var instances []*instance
 	for i, hall := range []string{"a1", "a1", "a2", "b1"} {
 		instances = append(instances, s.instance(fmt.Sprint("n", i), hall))
@@ -91,9 +91,9 @@
 	busy, rare := startLoadOf(instances, 10, post(adaKey)), startLoadOf(instances, 1, post(benKey))
 	for range 8 {
 		time.Sleep(500 * time.Millisecond)
-		v.endOne()
-		v.endOne()
-		v.endOne()
+		v.crashOne()
+		v.crashOne()
+		v.crashOne()
 	}
 	busyServed, busyAll := busy.stop()
 	rareServed, rareAll := rare.stop()
@@ -101,7 +101,7 @@
 	for _, in := range instances {
 		refused += in.counted("rainford_refusals_total", `reason="account-ends-targets"`)
 	}
-	t.Logf("%d targets ended; %d of %d and %d of %d served, %d refused for their account", v.endedSoFar(), busyServed, busyAll, rareServed, rareAll, refused)
+	t.Logf("%d targets ended; %d of %d and %d of %d served, %d refused for their account", v.crashCount(), busyServed, busyAll, rareServed, rareAll, refused)
 	require.LessOrEqual(t, float64(refused), 0.01*float64(busyAll+rareAll))
 }
 
--- a/gateway/forget_test.go
+++ b/gateway/forget_test.go
@@ -15,7 +15,7 @@
 // goes, and that one that is there keeps its own or gets it back.
 func TestLostInstanceIsForgotten(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	s.store.Set(instancesKind, "n9", fleet.Member{Name: "n9", Hall: "a1", Region: "a", FrontAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2"})
 	soon := func(c *gateway.Config) { c.ForgetAfter = 2 * time.Second }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -30,11 +30,11 @@
 	headers forward.Headers
 	log     *slog.Logger
 
-	mesh    *peer.Mesh
-	targets *forward.Client
-	pools   *pools
-	permits *permits
-	holds   *holds
+	mesh           *peer.Mesh
+	targets        *forward.Client
+	pools          *pools
+	accountPermits *accountPermits
+	quarantine     *quarantineState
 	// kinds are those that the instance replicates, and rollouts the orders among them.
 	kinds    []feed.Kind
 	rollouts *rollouts
@@ -42,55 +42,55 @@
 	departures departures
 	// targetLimits are how much targets take from all instances together, and limitOwner issues the
 	// permits of some of them.
-	targetLimits targetLimits
-	limitOwner   *limitOwner
-	router       atomic.Pointer[catalog.Router]
-	lookups      lookupCache
-	sizes        sizes
-	metrics      *metrics
+	targetLimits     targetLimits
+	targetLimitOwner *targetLimitOwner
+	router           atomic.Pointer[catalog.Router]
+	lookups          lookupCache
+	bodySizes        bodySizes
+	metrics          *metrics
 
-	listeners listeners
-	front     *http.Server
-	// ahead accepts the connections of clients.
-	ahead *pipelining.Listener
+	listeners   listeners
+	frontServer *http.Server
+	// clientListener accepts the connections of clients.
+	clientListener *pipelining.Listener
 
 	// clock tells all times by which something is judged.
 	clock     *clock.Clock
 	startedAt time.Time
 
 	// mu guards the replicas and the view.
-	mu        sync.Mutex
-	replicas  map[feed.Kind]*feed.Replica
-	view      *fleet.View
-	rand      *rand.Rand
-	evacuated map[string]bool
-	listed    listed
+	mu         sync.Mutex
+	replicas   map[feed.Kind]*feed.Replica
+	view       *fleet.View
+	rand       *rand.Rand
+	evacuated  map[string]bool
+	targetList targetList
 	// catchUp decides whom to ask for what a replica lacks.
 	catchUp map[feed.Kind]*feed.CatchUp
 	// probed are the members that the last round of gossip asked directly.
 	probed map[string]bool
-	// renewedAt is when a connection was last opened anew to an instance that does not
+	// reconnectedAt is when a connection was last opened anew to an instance that does not
 	// hear this one.
-	renewedAt map[string]time.Time
-	// rounds counts the rounds of gossip.
-	rounds  int
-	answers answers
-	// instancesAt is when this instance came to know which are registered.
-	instancesAt time.Time
+	reconnectedAt map[string]time.Time
+	// gossipRounds counts the rounds of gossip.
+	gossipRounds int
+	answers      answers
+	// instancesKnownAt is when this instance came to know which are registered.
+	instancesKnownAt time.Time
 	// absences are the members of the own region that are not alive.
 	absences fleet.AbsenceTracker
 	// unregistered has an element when the own entry has gone from the store.
 	unregistered chan struct{}
 	// registered are the instances that the store lists.
 	registered map[string]fleet.Member
-	// askers are instances that asked for a kind that this one does not have yet.
-	askers map[feed.Kind][]*peer.DeltaRequest
-	// held are the changes that do not count yet, after an outage of the store or its return from
+	// pendingDeltaRequests are instances that asked for a kind that this one does not have yet.
+	pendingDeltaRequests map[feed.Kind][]*peer.DeltaRequest
+	// heldChanges are the changes that do not count yet, after an outage of the store or its return from
 	// a copy.
-	held map[feed.Kind]*held
-	// lostOwn are the own objects that a restored store has lost.
-	lostOwn  lostObjects
-	reported reporter
+	heldChanges map[feed.Kind]*heldChanges
+	// lostOwnObjects are the own objects that a restored store has lost.
+	lostOwnObjects lostObjects
+	reporter       reporter
 
 	readiness readiness
 
@@ -98,10 +98,10 @@
 	leaving  atomic.Bool
 	refusing atomic.Bool
 	inFlight atomic.Int64
-	// heardAt is when the store or another instance was last heard, in
+	// lastContactAt is when the store or another instance was last heard, in
 	// nanoseconds of Unix time.
-	heardAt atomic.Int64
-	wg      sync.WaitGroup
+	lastContactAt atomic.Int64
+	wg            sync.WaitGroup
 }
 
 type listeners struct {
@@ -118,24 +118,24 @@
 	}
 	config.Log = config.Log.With("instance", config.Name)
 	g := &Gateway{
-		config:     config,
-		store:      store,
-		codec:      codec,
-		headers:    headers,
-		log:        config.Log,
-		targets:    forward.NewClient(headers, codec, config.Clock),
-		replicas:   make(map[feed.Kind]*feed.Replica),
-		evacuated:  make(map[string]bool),
-		listed:     newListed(),
-		startedAt:  config.Clock.Now(),
-		clock:      config.Clock,
-		readiness:  readiness{reached: make(chan struct{})},
-		catchUp:    make(map[feed.Kind]*feed.CatchUp),
-		answers:    make(answers),
-		askers:     make(map[feed.Kind][]*peer.DeltaRequest),
-		renewedAt:  make(map[string]time.Time),
-		registered: make(map[string]fleet.Member),
-		held:       newHeld(),
+		config:               config,
+		store:                store,
+		codec:                codec,
+		headers:              headers,
+		log:                  config.Log,
+		targets:              forward.NewClient(headers, codec, config.Clock),
+		replicas:             make(map[feed.Kind]*feed.Replica),
+		evacuated:            make(map[string]bool),
+		targetList:           newTargetList(),
+		startedAt:            config.Clock.Now(),
+		clock:                config.Clock,
+		readiness:            readiness{reached: make(chan struct{})},
+		catchUp:              make(map[feed.Kind]*feed.CatchUp),
+		answers:              make(answers),
+		pendingDeltaRequests: make(map[feed.Kind][]*peer.DeltaRequest),
+		reconnectedAt:        make(map[string]time.Time),
+		registered:           make(map[string]fleet.Member),
+		heldChanges:          newHeldChanges(),
 
 		unregistered: make(chan struct{}, 1),
 		rand:         rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), rand.Uint64())),
@@ -153,31 +153,31 @@
 		Name:      config.Name,
 		Hall:      config.Hall,
 		Region:    config.Region,
-		FrontAddr: orElse(config.AdvertiseFront, g.listeners.front.Addr().String()),
-		PeerAddr:  orElse(config.AdvertisePeer, g.listeners.peer.Addr().String()),
+		FrontAddr: firstNonEmpty(config.AdvertiseFront, g.listeners.front.Addr().String()),
+		PeerAddr:  firstNonEmpty(config.AdvertisePeer, g.listeners.peer.Addr().String()),
 	}
 	g.view = fleet.NewView(self, fleet.SequenceAt(g.clock.Now()), fleet.DefaultSettings)
 	g.mesh = peer.NewMesh(self.PeerAddr, "", g, g.log)
-	g.limitOwner = newLimitOwner(config, g.mesh, g.startedAt, &g.targetLimits)
-	g.limitOwner.hear = g.receiveLimitIssue
-	g.pools = newPools(config, g.departures.all, g.targetLimits.all, g.askForPermits)
-	g.permits = newPermits(config, g.mesh, g.startedAt, g.limitOf)
-	g.holds = newHolds()
+	g.targetLimitOwner = newTargetLimitOwner(config, g.mesh, g.startedAt, &g.targetLimits)
+	g.targetLimitOwner.onGrant = g.receiveTargetPermitGrant
+	g.pools = newPools(config, g.departures.all, g.targetLimits.all, g.requestPermits)
+	g.accountPermits = newPermits(config, g.mesh, g.startedAt, g.limitOf)
+	g.quarantine = newQuarantineState()
 	g.watch = newWatchState()
 	g.metrics, err = newMetrics(g)
 	return g, err
 }
 
-func (g *Gateway) expireListed(now time.Time) {
+func (g *Gateway) expireTombstones(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.listed.expire(now)
-	for _, h := range g.held {
-		h.relisted.Prune(now)
+	g.targetList.expire(now)
+	for _, h := range g.heldChanges {
+		h.tombstones.Prune(now)
 	}
 }
 
-func orElse(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
@@ -207,17 +207,17 @@
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g.start(func() { g.serveMesh() })
+	g.startGoroutine(func() { g.serveMesh() })
 	for _, kind := range g.kinds {
-		g.start(func() { g.watchLoop(work, kind) })
+		g.startGoroutine(func() { g.watchLoop(work, kind) })
 	}
 	if config := g.config; config.bringsVersionsIn() {
-		g.start(func() { g.rolloutLoop(work) })
+		g.startGoroutine(func() { g.rolloutLoop(work) })
 	}
-	g.start(func() { g.probeLoop(work) })
-	g.start(func() { g.keepRegistered(work) })
-	g.start(func() { g.gossipLoop(work) })
-	g.start(func() { g.upkeepLoop(work) })
+	g.startGoroutine(func() { g.probeLoop(work) })
+	g.startGoroutine(func() { g.keepRegistered(work) })
+	g.startGoroutine(func() { g.gossipLoop(work) })
+	g.startGoroutine(func() { g.maintenanceLoop(work) })
 	g.serveClients()
 	g.log.Info(logStart, "version", Version(), "hall", g.config.Hall, "region", g.config.Region,
 		"listen", g.config.Listen, "peer", g.config.PeerListen, "seeds", g.config.Seeds, "log_sample", g.config.LogSample)
@@ -226,7 +226,7 @@
 	return nil
 }
 
-func (g *Gateway) start(f func()) {
+func (g *Gateway) startGoroutine(f func()) {
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
@@ -241,21 +241,21 @@
 	}
 }
 
-// reviewLimits has who issues permits follow the states of the instances, and forgets permits
+// reviewTargetLimits has who issues permits follow the states of the instances, and forgets permits
 // that nobody asks for.
-func (g *Gateway) reviewLimits(now time.Time) {
+func (g *Gateway) reviewTargetLimits(now time.Time) {
 	g.mu.Lock()
-	g.reviewOwners(now)
+	g.updateLimitOwners(now)
 	g.mu.Unlock()
-	g.limitOwner.forget(now)
-	g.pools.forget(now)
+	g.targetLimitOwner.evictIdle(now)
+	g.pools.evictIdle(now)
 }
 
-// upkeepEvery is the time between rounds of upkeep.
-const upkeepEvery = time.Second
+// maintenanceInterval is the time between rounds of upkeep.
+const maintenanceInterval = time.Second
 
-func (g *Gateway) upkeepLoop(ctx context.Context) {
-	ticker := time.NewTicker(upkeepEvery)
+func (g *Gateway) maintenanceLoop(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -264,14 +264,14 @@
 		case <-ticker.C:
 			now := g.clock.Now()
 			g.targets.CloseExpired(now)
-			g.permits.forget(now)
-			g.holds.expire(now)
+			g.accountPermits.evictIdle(now)
+			g.quarantine.expire(now)
 			g.departures.expire(now)
 			g.expireLimits(now)
-			g.reviewLimits(now)
-			g.expireListed(now)
+			g.reviewTargetLimits(now)
+			g.expireTombstones(now)
 			g.forgetLost(ctx, now)
-			g.forgetKept(ctx, now)
+			g.removeExpiredRecord(ctx, now)
 			g.rewriteLost(ctx, now)
 		}
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,11 +23,11 @@
 	"github.com/rainford/rainford/table"
 )
 
-var safeRoute = route{prefix: "/x/", service: "s", kind: "idempotent"}
+var idempotentRoute = route{prefix: "/x/", service: "s", kind: "idempotent"}
 
 func TestRequestReachesItsService(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute, route{prefix: "/x/deep/", service: "t", kind: "upload"})
+	s.configure(1, idempotentRoute, route{prefix: "/x/deep/", service: "t", kind: "upload"})
 	one, two := s.server("i-1", "s", "a1"), s.server("i-2", "t", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitReady()
@@ -56,7 +56,7 @@
 // all of them.
 func TestChangesReachEveryInstance(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	one := s.server("i-1", "s", "a1")
 	two := s.server("i-2", "s", "a2")
 	var fleet []*instance
@@ -69,7 +69,7 @@
 		}
 	}
 	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 200 })
-	s.configure(2, safeRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
+	s.configure(2, idempotentRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
 	all(func(in *instance) bool { return in.send("GET", "/new/", "").status == 200 })
 	byOf := func(in *instance) string { return in.send("GET", "/x/", "").body[len("answer of "):][:3] }
 
@@ -82,15 +82,15 @@
 	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 503 })
 }
 
-// TestOldConfigurationIsNotTaken checks that a lower version changes nothing.
-func TestOldConfigurationIsNotTaken(t *testing.T) {
+// TestOlderConfigurationIsIgnored checks that a lower version changes nothing.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	s := newSite(t)
-	s.configure(5, safeRoute)
+	s.configure(5, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	s.configure(4, route{prefix: "/old/", service: "s", kind: "idempotent"})
-	s.configure(6, safeRoute, route{prefix: "/six/", service: "s", kind: "idempotent"})
+	s.configure(6, idempotentRoute, route{prefix: "/six/", service: "s", kind: "idempotent"})
 	in.awaitStatus("/six/", 200)
 	require.Equal(t, 404, in.send("GET", "/old/", "").status)
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
@@ -100,7 +100,7 @@
 // is away takes everything from a peer.
 func TestNewInstanceWithoutStore(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	old := s.instance("n1", "a1")
 	old.awaitStatus("/x/", 200)
@@ -115,27 +115,27 @@
 func TestSilentStore(t *testing.T) {
 	const bound = 7 * time.Second
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	s.store.SetFaults(objects.Faults{Silent: true})
 	second := route{prefix: "/second/", service: "s", kind: "idempotent"}
-	s.configure(2, safeRoute, second)
+	s.configure(2, idempotentRoute, second)
 	// The pending watch brings this; the next one gets no answer.
 	in.awaitStatus("/second/", 200)
 	time.Sleep(1500 * time.Millisecond)
 	s.store.SetFaults(objects.Faults{})
-	s.configure(3, safeRoute, second, route{prefix: "/third/", service: "s", kind: "idempotent"})
+	s.configure(3, idempotentRoute, second, route{prefix: "/third/", service: "s", kind: "idempotent"})
 	require.Eventually(t, func() bool { return in.send("GET", "/third/", "").status == 200 }, bound, poll)
 }
 
-// TestLapsedTargets checks that targets whose entries lapsed during an outage of the
+// TestExpiredTargets checks that targets whose entries lapsed during an outage of the
 // store go on being used for the time in which they may be back, and that one that
 // is still missing then is not.
-func TestLapsedTargets(t *testing.T) {
+func TestExpiredTargets(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute, route{prefix: "/other/", service: "t", kind: "idempotent"})
+	s.configure(1, idempotentRoute, route{prefix: "/other/", service: "t", kind: "idempotent"})
 	back, lost := s.server("i-1", "s", "a1"), s.server("i-2", "t", "a1")
 	in := s.instance("n1", "a1")
 	second := s.instance("n2", "a1", func(c *gateway.Config) { c.Seeds = []string{in.config.PeerListen} })
@@ -164,23 +164,23 @@
 // TestHistoryGone checks that changes made while the history was dropped arrive.
 func TestHistoryGone(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	s.store.SetFaults(objects.Faults{Down: true})
-	s.configure(2, safeRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
+	s.configure(2, idempotentRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
 	s.store.Forget()
 	s.store.SetFaults(objects.Faults{})
 	in.awaitStatus("/new/", 200)
 }
 
-// thirdOfTime is the longest time for which clients heed when to come back: a third of the three
+// maxRetryWait is the longest time for which clients heed when to come back: a third of the three
 // seconds that they have.
-const thirdOfTime = time.Second
+const maxRetryWait = time.Second
 
-// comeBack returns the time after which a refused client is told to come back, 0 if it is not.
-func (r reply) comeBack() time.Duration {
+// retryAfter returns the time after which a refused client is told to come back, 0 if it is not.
+func (r reply) retryAfter() time.Duration {
 	seconds, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	if err != nil {
 		return 0
@@ -192,7 +192,7 @@
 // that they can, and checks every promise that an answer makes.
 func TestAnswersUnderFaults(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute,
+	s.configure(1, idempotentRoute,
 		route{prefix: "/once/", service: "s", kind: "non_idempotent", timeout: "400ms"},
 		route{prefix: "/up/", service: "s", kind: "upload", timeout: "400ms"})
 	var servers []*origin.Server
@@ -217,7 +217,7 @@
 			for j := range 40 {
 				path := paths[(i+j)%len(paths)]
 				r := in.send("POST", path, strings.Repeat("b", 1+20_000*(j%3)))
-				time.Sleep(min(r.comeBack(), thirdOfTime))
+				time.Sleep(min(r.retryAfter(), maxRetryWait))
 				r.header.Set("Path", path)
 				mu.Lock()
 				replies = append(replies, r)
@@ -259,7 +259,7 @@
 // shares, and that their drains count.
 func TestOperatorsTable(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -285,7 +285,7 @@
 // connections that were open before.
 func TestLimits(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -303,11 +303,11 @@
 	slow := dialTo(t, in)
 	_, err := slow.Write([]byte("GET /x/ HTTP/1.1\r\nHost: h.exa"))
 	require.NoError(t, err)
-	requireEnd(t, slow)
+	requireClosed(t, slow)
 
 	_, err = idle.Write([]byte("GET /x/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: a\r\n\r\n"))
 	require.NoError(t, err)
-	requireEnd(t, idle)
+	requireClosed(t, idle)
 }
 
 func dialTo(t *testing.T, in *instance) net.Conn {
@@ -317,8 +317,8 @@
 	return c
 }
 
-// requireEnd reads until the other side ends the connection.
-func requireEnd(t *testing.T, c net.Conn) {
+// requireClosed reads until the other side ends the connection.
+func requireClosed(t *testing.T, c net.Conn) {
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(wait)))
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err)
@@ -338,7 +338,7 @@
 // TestClientLeaves checks that a target is told when the client has left.
 func TestClientLeaves(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -353,7 +353,7 @@
 // the instance to clients.
 func TestPlannedStop(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	server.Work = 300 * time.Millisecond
 	patient := func(c *gateway.Config) { c.Grace = 3 * time.Second }
@@ -396,7 +396,7 @@
 // with the instances.
 func TestFewWatchers(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	for _, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
 		s.instance(name, "a1").awaitStatus("/x/", 200)
@@ -405,7 +405,7 @@
 	require.Eventually(t, func() bool {
 		before := s.store.Calls()
 		time.Sleep(200 * time.Millisecond)
-		s.configure(int(time.Now().UnixMilli()), safeRoute)
+		s.configure(int(time.Now().UnixMilli()), idempotentRoute)
 		time.Sleep(200 * time.Millisecond)
 		return s.store.Calls()-before <= 4
 	}, wait, poll)
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -71,10 +71,10 @@
 	}
 	g.view.SetFlags(g.flags())
 	g.view.AdvanceHeartbeat(now)
-	g.rounds++
+	g.gossipRounds++
 	partners := g.partners(now, wide)
 	settled := now.Sub(g.startedAt) >= hearTime
-	busy := g.pools.sightings(now).Sample(maxSightings, g.rand)
+	busy := g.pools.targetReports(now).Sample(maxSightings, g.rand)
 	for _, m := range partners {
 		message := g.message(now, m.Region)
 		if m.Region == g.config.Region {
@@ -110,11 +110,11 @@
 
 // message returns what this instance tells one of a region. The caller holds mu.
 func (g *Gateway) message(now time.Time, region string) *peer.Gossip {
-	m := &peer.Gossip{Heartbeats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), QuarantineChecksum: g.newsSum(), DeparturesChecksum: g.departures.sum(now), LimitsChecksum: g.targetLimits.sum(now)}
+	m := &peer.Gossip{Heartbeats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), QuarantineChecksum: g.newsSum(), DeparturesChecksum: g.departures.sum(now), LimitsChecksum: g.targetLimits.checksum(now)}
 	for _, kind := range g.kinds {
 		m.Positions = append(m.Positions, g.replicas[kind].Position())
 	}
-	if now.Sub(g.startedAt) < introduceFor || g.rounds%introduceEvery == 0 {
+	if now.Sub(g.startedAt) < introduceFor || g.gossipRounds%introduceEvery == 0 {
 		self := g.view.Self()
 		m.Member = &self
 	}
@@ -168,11 +168,11 @@
 	case *peer.PermitGrant:
 		g.receivePermitIssue(m)
 	case *peer.TrialRequest:
-		g.receiveTrialAsk(m)
+		g.receiveTrialRequest(m)
 	case *peer.TrialReply:
-		g.receiveTrialAnswer(m)
+		g.receiveTrialReply(m)
 	case *peer.AnsweredRequests:
-		g.receiveAnswers(m)
+		g.receiveAnsweredRequests(m)
 	case *peer.RolloutReport:
 		g.receiveRolloutReport(m)
 	}
@@ -196,10 +196,10 @@
 // does not, one whose connections from others fall silent hears nobody for as long as it runs
 // (TestHeardAgain). The caller holds mu.
 func (g *Gateway) renewFor(now time.Time, addr string) {
-	if now.Sub(g.renewedAt[addr]) < renewPause {
+	if now.Sub(g.reconnectedAt[addr]) < renewPause {
 		return
 	}
-	g.renewedAt[addr] = now
+	g.reconnectedAt[addr] = now
 	g.mesh.Reconnect(addr)
 	g.log.Info(logNotHeard, "addr", addr)
 }
@@ -207,26 +207,26 @@
 // Unreachable implements peer.Receiver.
 func (g *Gateway) Unreachable(addr string) {
 	g.refused(addr)
-	g.permits.unreachable(addr)
-	g.pools.ownerUnreachable(g.clock.Now(), g.limitOwner.nameOf(addr))
+	g.accountPermits.ownerUnreachable(addr)
+	g.pools.ownerUnreachable(g.clock.Now(), g.targetLimitOwner.instanceAt(addr))
 }
 
 // receivePermitAsk answers a question for permits of an account's or a target's limit.
 func (g *Gateway) receivePermitAsk(m *peer.PermitRequest) {
 	if m.ForTarget {
-		g.receiveLimitAsk(m)
+		g.receiveTargetPermitRequest(m)
 		return
 	}
-	g.permits.receiveAsk(m)
+	g.accountPermits.receiveRequest(m)
 }
 
 // receivePermitIssue takes in the answer to such a question.
 func (g *Gateway) receivePermitIssue(m *peer.PermitGrant) {
 	if m.ForTarget {
-		g.receiveLimitIssue(m)
+		g.receiveTargetPermitGrant(m)
 		return
 	}
-	g.permits.receiveIssue(m)
+	g.accountPermits.receiveGrant(m)
 }
 
 func (g *Gateway) refused(addr string) {
@@ -250,12 +250,12 @@
 		g.view.Add(*m.Member)
 	}
 	g.view.MergeHeartbeats(now, m.Heartbeats)
-	g.pools.hear(now, m.Overloaded)
+	g.pools.applyTargetReports(now, m.Overloaded)
 	g.relayNews(now, m)
 	g.hearNews(now, m.Quarantine)
 	g.hearDepartures(now, m.Departures)
-	g.hearLimits(now, m.Limits)
-	g.hearStages(now, m.Stages)
+	g.receiveLimits(now, m.Limits)
+	g.receiveStages(now, m.Stages)
 	if g.view.Len() != known {
 		g.shareOut(now)
 	}
--- a/gateway/incarnation_model_test.go
+++ b/gateway/incarnation_model_test.go
@@ -127,7 +127,7 @@
 }
 
 func (in *modelInstance) check(t *rapid.T) {
-	spec, listed := in.listed.specs["i-1"]
+	spec, listed := in.targetList.specs["i-1"]
 	require.Equal(t, in.used != nil, listed)
 	if listed {
 		require.Equal(t, *in.used, bornEntry{Born: spec.Born, Leaves: spec.Leaves})
@@ -230,7 +230,7 @@
 		for _, in := range instances {
 			in.bring(store.since(in.replicas[KindTargets].Position()), sourceStore)
 			in.check(rt)
-			require.Equal(rt, newest, in.listed.specs["i-1"].Born)
+			require.Equal(rt, newest, in.targetList.specs["i-1"].Born)
 		}
 	})
 }
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -34,7 +34,7 @@
 // its ID was leaving, and what the first wrote comes too late to count.
 func TestStartsAgainUnderItsID(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	first := s.bornServer("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -75,7 +75,7 @@
 // same address, is used at once though the one before was suspected for seconds.
 func TestNewIncarnationIsNotSuspected(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.bornServer("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -103,7 +103,7 @@
 // written over is no longer.
 func TestForeignEntriesNameNoTarget(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	for i, entry := range foreign {
 		s.store.Set(objects.KindServers, fmt.Sprint("f-", i), entry)
 	}
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -10,48 +10,48 @@
 )
 
 const (
-	// keepTries and keepPause bound how long a held request is tried to be kept in the
+	// storeAttempts and keepPause bound how long a held request is tried to be kept in the
 	// store: a minute, over most outages. Until then the instances know it.
-	keepTries = 20
-	keepPause = 3 * time.Second
-	// maxKeeping bounds the writes under way, for a caller that has many such requests.
-	maxKeeping = 8
+	storeAttempts      = 20
+	storeRetryInterval = 3 * time.Second
+	// maxPendingWrites bounds the writes under way, for a caller that has many such requests.
+	maxPendingWrites = 8
 )
 
-// keep has the store keep what is known of requests of which a trial has failed, so that they
+// storeRecords has the store keep what is known of requests of which a trial has failed, so that they
 // are still held when all instances have ended at once: three sends may follow the third end
 // of a target, whoever has forgotten it.
-func (g *Gateway) keep(now time.Time, digests []quarantine.Digest) {
+func (g *Gateway) storeRecords(now time.Time, digests []quarantine.Digest) {
 	for _, d := range digests {
-		g.holds.mu.Lock()
-		kept, ok := g.holds.table.StoredRecord(now, time.Now(), d)
-		g.holds.mu.Unlock()
+		g.quarantine.mu.Lock()
+		kept, ok := g.quarantine.table.StoredRecord(now, time.Now(), d)
+		g.quarantine.mu.Unlock()
 		if ok {
-			g.write(kept)
+			g.storeRecord(kept)
 		}
 	}
 }
 
-// keepRelease has the store keep that a request was answered.
-func (g *Gateway) keepRelease(d quarantine.Digest) {
-	g.write(quarantine.StoredRecord{Digest: d, Released: time.Now().UnixMilli(), ReleasedBy: g.config.Name})
+// storeRelease has the store keep that a request was answered.
+func (g *Gateway) storeRelease(d quarantine.Digest) {
+	g.storeRecord(quarantine.StoredRecord{Digest: d, Released: time.Now().UnixMilli(), ReleasedBy: g.config.Name})
 }
 
-// write creates an object in the store, unless too many writes are under way.
-func (g *Gateway) write(kept quarantine.StoredRecord) {
-	if g.holds.keeping.Add(1) > maxKeeping {
-		g.holds.keeping.Add(-1)
+// storeRecord creates an object in the store, unless too many writes are under way.
+func (g *Gateway) storeRecord(kept quarantine.StoredRecord) {
+	if g.quarantine.pendingWrites.Add(1) > maxPendingWrites {
+		g.quarantine.pendingWrites.Add(-1)
 		g.log.Warn(logNotKept, "content", kept.Digest.String(), "error", "too many writes under way")
 		return
 	}
-	g.start(func() {
-		defer g.holds.keeping.Add(-1)
-		g.create(kept)
+	g.startGoroutine(func() {
+		defer g.quarantine.pendingWrites.Add(-1)
+		g.createRecord(kept)
 	})
 }
 
-func (g *Gateway) create(kept quarantine.StoredRecord) {
-	ctx, cancel := context.WithTimeout(context.Background(), keepTries*keepPause)
+func (g *Gateway) createRecord(kept quarantine.StoredRecord) {
+	ctx, cancel := context.WithTimeout(context.Background(), storeAttempts*storeRetryInterval)
 	defer cancel()
 	var err error
 	for !g.leaving.Load() && ctx.Err() == nil {
@@ -59,15 +59,15 @@
 		if err == nil {
 			return
 		}
-		pause.For(ctx, keepPause)
+		pause.For(ctx, storeRetryInterval)
 	}
 	if err != nil {
 		g.log.Warn(logNotKept, "content", kept.Digest.String(), "error", err.Error())
 	}
 }
 
-// applyKept takes in what the store keeps of a held request. The caller holds mu.
-func (g *Gateway) applyKept(c feed.Change, from provenance) {
+// applyStoredRecord takes in what the store keeps of a held request. The caller holds mu.
+func (g *Gateway) applyStoredRecord(c feed.Change, from provenance) {
 	if c.Removed {
 		return
 	}
@@ -82,21 +82,21 @@
 		return
 	}
 	now := g.clock.Now()
-	g.holds.mu.Lock()
-	learned := g.holds.table.Merge(now, quarantine.Updates{facts})
-	g.holds.note()
-	g.holds.mu.Unlock()
+	g.quarantine.mu.Lock()
+	learned := g.quarantine.table.Merge(now, quarantine.Updates{facts})
+	g.quarantine.updateNonEmpty()
+	g.quarantine.mu.Unlock()
 	if kept.Released > 0 {
 		g.log.Info(logRequestFreed, "content", kept.Digest.String(), "who", kept.ReleasedBy)
 		return
 	}
-	g.reportHolds(now, learned, sourceStore)
+	g.logSuspects(now, learned, sourceStore)
 }
 
-// forgetKept removes an object of the store that says nothing any more, one at a time. The
+// removeExpiredRecord removes an object of the store that says nothing any more, one at a time. The
 // first watcher of a region does it.
-func (g *Gateway) forgetKept(ctx context.Context, now time.Time) {
-	name, ok := g.overKept(now)
+func (g *Gateway) removeExpiredRecord(ctx context.Context, now time.Time) {
+	name, ok := g.expiredRecord(now)
 	if !ok {
 		return
 	}
@@ -106,8 +106,8 @@
 	}
 }
 
-// overKept returns the name of such an object.
-func (g *Gateway) overKept(now time.Time) (string, bool) {
+// expiredRecord returns the name of such an object.
+func (g *Gateway) expiredRecord(now time.Time) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
@@ -123,8 +123,8 @@
 	return over, over != ""
 }
 
-// releases returns 1 for an object that releases a held request, else 0.
-func releases(c feed.Change) int {
+// releaseRank returns 1 for an object that releases a held request, else 0.
+func releaseRank(c feed.Change) int {
 	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
 	if err != nil || kept.Released == 0 {
 		return 0
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// limitTime is within how long after a target first names a limit all instances are to
+	// limitPropagationTime is within how long after a target first names a limit all instances are to
 	// keep it, and limitWindow the length of the spans in which it is counted.
-	limitTime   = 2 * time.Second
-	limitWindow = 4 * time.Second
+	limitPropagationTime = 2 * time.Second
+	limitWindow          = 4 * time.Second
 	// limitSlack is what may come in any span beyond one and a half times the limit.
 	limitSlack = 5
 )
 
-// most returns how many requests may come in limitWindow under a limit.
-func most(perSecond float64) int { return int(1.5*perSecond*limitWindow.Seconds()) + limitSlack }
+// maxRequests returns how many requests may come in limitWindow under a limit.
+func maxRequests(perSecond float64) int { return int(1.5*perSecond*limitWindow.Seconds()) + limitSlack }
 
-// mostAfter returns the largest number of requests that arrived in a span of a length that begins
+// maxInWindow returns the largest number of requests that arrived in a span of a length that begins
 // later than a time after the first one.
-func (v *visits) mostAfter(wait, length time.Duration) int {
+func (v *arrivals) maxInWindow(wait, length time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	at := slices.SortedFunc(slices.Values(v.at), time.Time.Compare)
@@ -47,13 +47,13 @@
 	return largest
 }
 
-// namesLimit has a target name a limit in each answer.
-func namesLimit(server *origin.Server, perSecond float64) {
+// announceLimit has a target name a limit in each answer.
+func announceLimit(server *origin.Server, perSecond float64) {
 	server.SetSays(func(*http.Request) string { return fmt.Sprintf("Server-Limit: %g\r\n", perSecond) })
 }
 
-// TestLimitIsKeptByAll guards against a target that names how much it takes and gets as much as before.
-func TestLimitIsKeptByAll(t *testing.T) {
+// TestTargetLimitIsKept guards against a target that names how much it takes and gets as much as before.
+func TestTargetLimitIsKept(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name      string
@@ -72,15 +72,15 @@
 			t.Parallel()
 			instances, servers := readSite(t, 4, c.halls...)
 			needy := servers[0]
-			l := startLoadOf(instances, 8, (*instance).get)
+			l := startLoadOf(instances, 8, (*instance).read)
 			needy.SetScript(func(*http.Request) origin.Fault { return c.fault })
-			namesLimit(needy, c.perSecond)
-			seen := watchVisits(needy)
-			time.Sleep(limitTime + 2*limitWindow)
+			announceLimit(needy, c.perSecond)
+			seen := watchArrivals(needy)
+			time.Sleep(limitPropagationTime + 2*limitWindow)
 			served, all := l.stop()
-			came := seen.mostAfter(limitTime, limitWindow)
-			t.Logf("%d in %v, %d allowed; %d of %d served", came, limitWindow, most(c.perSecond), served, all)
-			require.LessOrEqual(t, came, most(c.perSecond))
+			came := seen.maxInWindow(limitPropagationTime, limitWindow)
+			t.Logf("%d in %v, %d allowed; %d of %d served", came, limitWindow, maxRequests(c.perSecond), served, all)
+			require.LessOrEqual(t, came, maxRequests(c.perSecond))
 			require.NotZero(t, came, "what it takes is used")
 			if c.fault != origin.Failed {
 				require.GreaterOrEqual(t, served*100, all*99, "the others have room")
@@ -95,49 +95,49 @@
 	t.Parallel()
 	const perSecond = 20
 	instances, servers := readSite(t, 4, "a1", "a1", "a2", "b1")
-	l := startLoadOf(instances, 8, (*instance).get)
-	var seen []*visits
+	l := startLoadOf(instances, 8, (*instance).read)
+	var seen []*arrivals
 	for _, server := range servers {
-		namesLimit(server, perSecond)
-		seen = append(seen, watchVisits(server))
+		announceLimit(server, perSecond)
+		seen = append(seen, watchArrivals(server))
 	}
 	defer l.stop()
 	all := float64(len(servers)) * perSecond * limitWindow.Seconds()
 	used := func() bool {
 		sum := 0
 		for _, v := range seen {
-			came := v.mostAfter(limitTime, limitWindow)
-			require.LessOrEqual(t, came, most(perSecond))
+			came := v.maxInWindow(limitPropagationTime, limitWindow)
+			require.LessOrEqual(t, came, maxRequests(perSecond))
 			sum += came
 		}
 		t.Logf("%d in %v at all targets", sum, limitWindow)
 		return float64(sum) >= 0.9*all
 	}
-	time.Sleep(limitTime + limitWindow)
+	time.Sleep(limitPropagationTime + limitWindow)
 	require.Eventually(t, used, 4*limitWindow, limitWindow)
 }
 
-// TestLimitFalls checks that a lower limit holds two seconds after it is first named.
-func TestLimitFalls(t *testing.T) {
+// TestTargetLimitIsLowered checks that a lower limit holds two seconds after it is first named.
+func TestTargetLimitIsLowered(t *testing.T) {
 	t.Parallel()
 	instances, servers := readSite(t, 4, "a1", "a1", "a2", "b1")
-	l := startLoadOf(instances, 8, (*instance).get)
+	l := startLoadOf(instances, 8, (*instance).read)
 	defer l.stop()
-	namesLimit(servers[0], 40)
-	time.Sleep(limitTime)
-	namesLimit(servers[0], 4)
-	seen := watchVisits(servers[0])
-	time.Sleep(limitTime + 2*limitWindow)
-	came := seen.mostAfter(limitTime, limitWindow)
-	t.Logf("%d in %v, %d allowed", came, limitWindow, most(4))
-	require.LessOrEqual(t, came, most(4))
+	announceLimit(servers[0], 40)
+	time.Sleep(limitPropagationTime)
+	announceLimit(servers[0], 4)
+	seen := watchArrivals(servers[0])
+	time.Sleep(limitPropagationTime + 2*limitWindow)
+	came := seen.maxInWindow(limitPropagationTime, limitWindow)
+	t.Logf("%d in %v, %d allowed", came, limitWindow, maxRequests(4))
+	require.LessOrEqual(t, came, maxRequests(4))
 }
 
-// shareOf returns the first target's part of the requests that reach all in a while.
-func shareOf(servers []*origin.Server, length time.Duration) float64 {
-	var seen []*visits
+// firstTargetShare returns the first target's part of the requests that reach all in a while.
+func firstTargetShare(servers []*origin.Server, length time.Duration) float64 {
+	var seen []*arrivals
 	for _, server := range servers {
-		seen = append(seen, watchVisits(server))
+		seen = append(seen, watchArrivals(server))
 	}
 	time.Sleep(length)
 	all := 0
@@ -147,55 +147,55 @@
 	return float64(seen[0].after(-1)) / float64(max(all, 1))
 }
 
-// TestLimitEnds checks that a target that no longer names a limit comes to have its usual part of
+// TestTargetLimitIsWithdrawn checks that a target that no longer names a limit comes to have its usual part of
 // the requests again.
-func TestLimitEnds(t *testing.T) {
+func TestTargetLimitIsWithdrawn(t *testing.T) {
 	t.Parallel()
 	instances, servers := readSite(t, 4, "a1", "a1", "a2", "b1")
-	l := startLoadOf(instances, 8, (*instance).get)
+	l := startLoadOf(instances, 8, (*instance).read)
 	defer l.stop()
-	usual := shareOf(servers, limitTime)
+	usual := firstTargetShare(servers, limitPropagationTime)
 	for _, perSecond := range []float64{2, 0.5} {
-		namesLimit(servers[0], perSecond)
-		time.Sleep(limitTime)
-		require.Less(t, shareOf(servers, limitTime), usual/2, "its limit is kept")
+		announceLimit(servers[0], perSecond)
+		time.Sleep(limitPropagationTime)
+		require.Less(t, firstTargetShare(servers, limitPropagationTime), usual/2, "its limit is kept")
 		servers[0].SetSays(func(*http.Request) string { return "" })
 		ended := time.Now()
-		again := func() bool { return shareOf(servers, time.Second) >= 0.7*usual }
+		again := func() bool { return firstTargetShare(servers, time.Second) >= 0.7*usual }
 		require.Eventually(t, again, wait, poll)
 		t.Logf("its usual part again within %v", time.Since(ended))
 	}
 }
 
-// spans are times of a kind, safe for concurrent use.
-type spans struct {
+// arrivalTimes are times of a kind, safe for concurrent use.
+type arrivalTimes struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
-func (s *spans) add(at time.Time) {
+func (s *arrivalTimes) add(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.at = append(s.at, at)
 }
 
-// TestLimitIsKeptByThoseTold checks that the limit holds for the requests of an instance too that
+// TestTargetLimitIsKeptByOtherInstances checks that the limit holds for the requests of an instance too that
 // was only told of it by others, and of one that starts later.
-func TestLimitIsKeptByThoseTold(t *testing.T) {
+func TestTargetLimitIsKeptByOtherInstances(t *testing.T) {
 	t.Parallel()
 	const perSecond = 2
 	instances, servers := readSite(t, 1, "a1", "a2", "b1")
-	namesLimit(servers[0], perSecond)
-	require.Equal(t, 200, instances[0].get(1).status)
-	time.Sleep(newsTime)
+	announceLimit(servers[0], perSecond)
+	require.Equal(t, 200, instances[0].read(1).status)
+	time.Sleep(propagationTime)
 	late := instances[0].site.instance("late", "b1")
 	late.awaitReady()
-	var seen spans
+	var seen arrivalTimes
 	servers[0].SetObserver(func(a origin.Arrival) { seen.add(a.At) })
-	l := startLoadOf([]*instance{instances[1], instances[2], late}, 8, (*instance).get)
+	l := startLoadOf([]*instance{instances[1], instances[2], late}, 8, (*instance).read)
 	time.Sleep(limitWindow)
 	served, all := l.stop()
-	t.Logf("%d in %v, %d allowed; %d of %d served", len(seen.at), limitWindow, most(perSecond), served, all)
-	require.LessOrEqual(t, len(seen.at), most(perSecond))
+	t.Logf("%d in %v, %d allowed; %d of %d served", len(seen.at), limitWindow, maxRequests(perSecond), served, all)
+	require.LessOrEqual(t, len(seen.at), maxRequests(perSecond))
 	require.NotEmpty(t, seen.at)
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -15,14 +15,14 @@
 // no limit reaches; limitedConn recognises the deadlines that follow from them and
 // puts in their place what the configuration says at that moment.
 const (
-	anyHeadTimeout = 24 * time.Hour
-	anyIdleTimeout = 48 * time.Hour
-	recogniseSlack = time.Hour
+	headerTimeoutMarker = 24 * time.Hour
+	idleTimeoutMarker   = 48 * time.Hour
+	markerTolerance     = time.Hour
 
-	// defaultHeadTimeout and defaultIdleTimeout hold where the configuration
+	// defaultHeaderTimeout and defaultIdleTimeout hold where the configuration
 	// says nothing.
-	defaultHeadTimeout = 5 * time.Second
-	defaultIdleTimeout = 2 * time.Minute
+	defaultHeaderTimeout = 5 * time.Second
+	defaultIdleTimeout   = 2 * time.Minute
 	// idleSlack is what a connection may rest longer than the limit, so that
 	// a client that takes it up at the last moment is not cut.
 	idleSlack = time.Second
@@ -86,17 +86,17 @@
 	}
 	left := t.Sub(now)
 	switch {
-	case within(left, anyHeadTimeout):
-		return now.Add(orDefault(g.limits().HeaderTimeout, defaultHeadTimeout))
-	case within(left, anyIdleTimeout):
+	case isNear(left, headerTimeoutMarker):
+		return now.Add(orDefault(g.limits().HeaderTimeout, defaultHeaderTimeout))
+	case isNear(left, idleTimeoutMarker):
 		return now.Add(orDefault(g.limits().IdleTimeout, defaultIdleTimeout) + idleSlack)
 	default:
 		return t
 	}
 }
 
-func within(left, around time.Duration) bool {
-	return left > around-recogniseSlack && left < around+recogniseSlack
+func isNear(left, around time.Duration) bool {
+	return left > around-markerTolerance && left < around+markerTolerance
 }
 
 func orDefault(d, fallback time.Duration) time.Duration {
@@ -106,8 +106,8 @@
 	return fallback
 }
 
-// headBytes returns the size of a request's head, as far as it is known here.
-func headBytes(r *http.Request) int {
+// headerBytes returns the size of a request's head, as far as it is known here.
+func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
--- a/gateway/logs.go
+++ b/gateway/logs.go
@@ -119,7 +119,7 @@
 
 // report logs what has changed since the last call. The caller holds mu.
 func (g *Gateway) report(now time.Time, watching bool) {
-	changes := g.reported.changes(g.view.Others(now))
+	changes := g.reporter.changes(g.view.Others(now))
 	if len(changes) > maxMemberLines {
 		g.reportMany(changes)
 	} else {
@@ -127,8 +127,8 @@
 			g.log.Log(context.Background(), memberLevel(c.State), logMember, "member", c.Name, "hall", c.Hall, "state", c.State, "before", c.before)
 		}
 	}
-	if watching != g.reported.watching {
-		g.reported.watching = watching
+	if watching != g.reporter.watching {
+		g.reporter.watching = watching
 		g.log.Info(logWatching, "watching", watching)
 	}
 }
@@ -160,11 +160,11 @@
 
 // newsAge is the time since the store or another instance was last heard.
 func (g *Gateway) newsAge(now time.Time) time.Duration {
-	at := g.heardAt.Load()
+	at := g.lastContactAt.Load()
 	if at == 0 {
 		return -1
 	}
 	return now.Sub(time.Unix(0, at))
 }
 
-func (g *Gateway) heardNews(now time.Time) { g.heardAt.Store(now.UnixNano()) }
+func (g *Gateway) heardNews(now time.Time) { g.lastContactAt.Store(now.UnixNano()) }
--- a/gateway/lookup.go
+++ b/gateway/lookup.go
@@ -13,18 +13,18 @@
 const (
 	// maxAddresses bounds the addresses of an answer.
 	maxAddresses = 64
-	// enoughNear is the least number of instances in a hall for which its clients are
+	// minHallInstances is the least number of instances in a hall for which its clients are
 	// told of these alone, and enoughShare the least part of those that it is known to
 	// have: what remains of a hall would have to carry the clients of all.
-	enoughNear  = 2
-	enoughShare = 0.5
-	// learnTime is the time from its start on for which an instance takes others that it
+	minHallInstances = 2
+	minHallFraction  = 0.5
+	// discoveryTime is the time from its start on for which an instance takes others that it
 	// has not heard of, or that are not ready yet, to be there: when all have started
 	// together it hears of them one by one, and clients that are told of the first few
 	// alone overwhelm them.
-	learnTime = 8 * fleet.RoundTime
-	// lookupLife is how long a prepared answer is used.
-	lookupLife = 200 * time.Millisecond
+	discoveryTime = 8 * fleet.RoundTime
+	// lookupCacheTTL is how long a prepared answer is used.
+	lookupCacheTTL = 200 * time.Millisecond
 )
 
 // lookupCache holds the prepared answers by hall.
@@ -34,8 +34,8 @@
 }
 
 type lookupEntry struct {
-	body []byte
-	made time.Time
+	body      []byte
+	createdAt time.Time
 }
 
 // serveLookup answers clients that ask where to go.
@@ -59,11 +59,11 @@
 	g.lookups.mu.Lock()
 	defer g.lookups.mu.Unlock()
 	entry, ok := g.lookups.answers[hall]
-	if ok && now.Sub(entry.made) < lookupLife {
+	if ok && now.Sub(entry.createdAt) < lookupCacheTTL {
 		return entry.body
 	}
 	g.mu.Lock()
-	addrs := addressesFor(g.view.All(now), region, hall, now.Sub(g.startedAt) < learnTime)
+	addrs := addressesFor(g.view.All(now), region, hall, now.Sub(g.startedAt) < discoveryTime)
 	g.mu.Unlock()
 	body, err := g.codec.LookupAnswer(addrs, g.config.LookupTTL)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if g.lookups.answers == nil {
 		g.lookups.answers = make(map[string]lookupEntry)
 	}
-	g.lookups.answers[hall] = lookupEntry{body: body, made: now}
+	g.lookups.answers[hall] = lookupEntry{body: body, createdAt: now}
 	return body
 }
 
@@ -97,22 +97,22 @@
 		}
 	}
 	out := same
-	if len(out) < enoughNear || float64(len(out)) < enoughShare*float64(known) {
+	if len(out) < minHallInstances || float64(len(out)) < minHallFraction*float64(known) {
 		out = append(out, near...)
 	}
 	if len(out) == 0 {
 		out = far
 	}
-	return sample(out)
+	return sampleAddresses(out)
 }
 
 // mayServe tells whether a member may be there, as far as an instance can tell that has just
 // started.
 func mayServe(m fleet.Status) bool { return m.State == fleet.Unknown || m.State == fleet.Alive }
 
-// sample returns at most maxAddresses of the addresses, other ones for each caller, in
+// sampleAddresses returns at most maxAddresses of the addresses, other ones for each caller, in
 // order.
-func sample(addrs []string) []string {
+func sampleAddresses(addrs []string) []string {
 	if len(addrs) > maxAddresses {
 		rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 		addrs = addrs[:maxAddresses]
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -106,9 +106,9 @@
 	gauge("rainford.targets.refused", "Listed entries of targets that name no target to use.", func() int64 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return int64(len(g.listed.refused))
+		return int64(len(g.targetList.refused))
 	})
-	gauge("rainford.requests.held", "Requests, by content, that are held back because targets end under them.", g.holds.suspects)
+	gauge("rainford.requests.held", "Requests, by content, that are held back because targets end under them.", g.quarantine.suspectCount)
 	gauge("rainford.requests.in_flight", "Requests of clients in flight.", g.inFlight.Load)
 	gauge("rainford.requests.ahead", "Requests in flight that were read before those ahead of them on their connections were answered.",
 		func() int64 { requests, _ := g.aheadUsage(); return requests })
@@ -129,23 +129,23 @@
 			func(observe func(float64, ...string)) { observe(g.newsAge(g.clock.Now()).Seconds()) }),
 		m.telemetry.Gauges("rainford.replica.revision", "Revision that is held of each kind of object.", []string{"kind"}, g.observeRevisions),
 		m.telemetry.Gauges("rainford.account.use", "What is asked of the parts of limits that this instance owns, over the part, of the accounts that ask most.",
-			[]string{"account"}, g.permits.observe),
+			[]string{"account"}, g.accountPermits.observeUtilization),
 		m.telemetry.Gauges("rainford.members", "Instances by state in this instance's view.", []string{"state"}, g.observeMembers))
 	return errors.Join(errs...)
 }
 
 func (g *Gateway) aheadUsage() (requests, held int64) {
-	if g.ahead == nil {
+	if g.clientListener == nil {
 		return 0, 0
 	}
-	return g.ahead.Usage()
+	return g.clientListener.Usage()
 }
 
 // poolGauges registers the values of each service's targets.
 func (m *metrics) poolGauges(ps *pools) error {
 	return errors.Join(
 		m.telemetry.Gauges("rainford.repeats.left", "Attempts after the first one that the budget allows now.", []string{"service"},
-			ps.observe(func(p *pool, emit emit) { emit(p.tokens.Available()) })),
+			ps.observe(func(p *pool, emit emit) { emit(p.retryBudget.Available()) })),
 		m.telemetry.Gauges("rainford.queue.length", "Requests that wait here for a target.", []string{"service"},
 			ps.observe(func(p *pool, emit emit) { emit(float64(p.upstream.Waiting())) })),
 		m.telemetry.Gauges("rainford.targets", "Targets by hall and state.", []string{"service", "hall", "state"},
@@ -221,11 +221,11 @@
 	if ex.route != nil {
 		kind = string(ex.route.Kind)
 	}
-	if len(ex.trail) > 0 {
-		region = ex.trail[len(ex.trail)-1].Region
-		m.repeats.Add(int64(len(ex.trail)-1), ex.service)
+	if len(ex.attempts) > 0 {
+		region = ex.attempts[len(ex.attempts)-1].Region
+		m.repeats.Add(int64(len(ex.attempts)-1), ex.service)
 	}
-	m.requests.Add(1, ex.service, kind, region, outcomeOf(status))
+	m.requests.Add(1, ex.service, kind, region, outcomeClass(status))
 	m.whole.Record(took.Seconds(), ex.service)
 	if reason != reasonAnswered {
 		m.refusals.Add(1, ex.service, reason)
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -26,7 +26,7 @@
 // that is refused show, and that the values of targets and members are there.
 func TestMetrics(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute, route{prefix: "/gone/", service: "none", kind: "upload"})
+	s.configure(1, idempotentRoute, route{prefix: "/gone/", service: "none", kind: "upload"})
 	first, second := s.server("i-1", "s", "a1"), s.server("i-2", "s", "a2")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -72,9 +72,9 @@
 		if said {
 			g.heardLeaving("i-1")
 		}
-		g.held[KindTargets].lapse.Inherit(g.clock.Now(), time.Minute)
+		g.heldChanges[KindTargets].removals.Inherit(g.clock.Now(), time.Minute)
 		g.take(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("i-1", true)}}, sourceStore)
-		_, listed := g.listed.specs["i-1"]
+		_, listed := g.targetList.specs["i-1"]
 		require.Equal(t, !said, listed)
 	}
 }
@@ -92,8 +92,8 @@
 	d := p.acquire(t.Context(), upstream.Request{Deadline: ex.deadline})
 	require.Equal(t, upstream.Send, d.Action)
 	d.Target.Addr = server.Addr()
-	g.pools.hearDepartures(g.clock.Now(), availability.DepartureList{{ID: availability.IDOf("i-1")}}, availability.SourcePeer)
-	a := g.attempt(ex, http.Header{}, p, d)
+	g.pools.applyDepartures(g.clock.Now(), availability.DepartureList{{ID: availability.IDOf("i-1")}}, availability.SourcePeer)
+	a := g.sendAttempt(ex, http.Header{}, p, d)
 	require.ErrorIs(t, a.Err, forward.ErrWithheld)
 	require.False(t, a.Sent)
 	require.Empty(t, server.Runs())
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -20,9 +20,9 @@
 // tell passes on what is known of some requests to all instances at once: a caller may
 // repeat a request within milliseconds, at any of them.
 func (g *Gateway) tell(now time.Time, digests ...quarantine.Digest) {
-	g.holds.mu.Lock()
-	news := g.holds.table.Updates(now, digests...)
-	g.holds.mu.Unlock()
+	g.quarantine.mu.Lock()
+	news := g.quarantine.table.Updates(now, digests...)
+	g.quarantine.mu.Unlock()
 	if len(news) == 0 {
 		return
 	}
@@ -75,32 +75,32 @@
 	if len(news) == 0 {
 		return
 	}
-	g.holds.mu.Lock()
-	learned := g.holds.table.Merge(now, news)
-	g.holds.note()
-	g.holds.mu.Unlock()
-	g.reportHolds(now, learned, "peer")
+	g.quarantine.mu.Lock()
+	learned := g.quarantine.table.Merge(now, news)
+	g.quarantine.updateNonEmpty()
+	g.quarantine.mu.Unlock()
+	g.logSuspects(now, learned, "peer")
 }
 
 // newsSum returns a number by which instances see that they do not know the same.
 func (g *Gateway) newsSum() uint32 {
-	if !g.holds.known.Load() {
+	if !g.quarantine.nonEmpty.Load() {
 		return 0
 	}
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	return g.holds.table.Checksum()
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	return g.quarantine.table.Checksum()
 }
 
 // newsFor returns what to tell an instance that does not know the same.
 func (g *Gateway) newsFor(now time.Time, sum uint32) quarantine.Updates {
-	if !g.holds.known.Load() {
+	if !g.quarantine.nonEmpty.Load() {
 		return nil
 	}
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	if g.holds.table.Checksum() == sum {
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	if g.quarantine.table.Checksum() == sum {
 		return nil
 	}
-	return g.holds.table.LatestSuspects(now, maxNews)
+	return g.quarantine.table.LatestSuspects(now, maxNews)
 }
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -20,9 +20,9 @@
 	now := g.clock.Now()
 	d := quarantine.Content{URI: "/ends/"}.Digest()
 	for i := range 3 {
-		g.holds.table.RecordCrash(now, d, "", quarantine.TargetID(i), i == 2)
+		g.quarantine.table.RecordCrash(now, d, "", quarantine.TargetID(i), i == 2)
 	}
-	g.holds.note()
+	g.quarantine.updateNonEmpty()
 	late := newNeighbour(t, "n0")
 	word := func(sum uint32) {
 		late.beat.Sequence++
@@ -73,7 +73,7 @@
 				delta.Changes = append(delta.Changes, feed.Change{Object: feed.Object{Name: k.Key(), Value: raw}})
 			}
 			require.True(t, g.take(delta, sourceStore))
-			standing, _ := g.holds.standing(g.clock.Now(), d)
+			standing, _ := g.quarantine.status(g.clock.Now(), d)
 			require.Equal(t, c.want, standing.Crashes)
 		})
 	}
--- a/gateway/observe.go
+++ b/gateway/observe.go
@@ -7,27 +7,27 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// noteSent counts a request that is sent to a target while a rollout of its service goes on.
-func (p *pool) noteSent(d upstream.Decision) {
+// recordSent counts a request that is sent to a target while a rollout of its service goes on.
+func (p *pool) recordSent(d upstream.Decision) {
 	r := p.rollout.Load()
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.goesOn() {
+	if r.isOngoing() {
 		r.follower.RecordSent(d.SendState.NewVersion)
 	}
 }
 
-// observe takes in what became of a request for a rollout of its service.
-func (g *Gateway) observe(ex *exchange, p *pool, want upstream.Request, d upstream.Decision, a forward.Attempt) {
+// recordObservation takes in what became of a request for a rollout of its service.
+func (g *Gateway) recordObservation(ex *exchange, p *pool, want upstream.Request, d upstream.Decision, a forward.Attempt) {
 	r := p.rollout.Load()
 	if r == nil {
 		return
 	}
 	g.metrics.version(ex.service, d.SendState.NewVersion, a.TargetResult)
-	outcome, tells := outcomeAt(a.TargetResult)
+	outcome, tells := rolloutOutcome(a.TargetResult)
 	if !tells {
 		return
 	}
@@ -42,7 +42,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case !r.goesOn():
+	case !r.isOngoing():
 	case d.SendState.NewVersion:
 		r.follower.RecordNew(o)
 	default:
@@ -50,9 +50,9 @@
 	}
 }
 
-// outcomeAt returns what an attempt says of the version of its target, false if nothing: one that is
+// rolloutOutcome returns what an attempt says of the version of its target, false if nothing: one that is
 // full, can't be reached or whose client has left says nothing.
-func outcomeAt(r upstream.Result) (rollout.Outcome, bool) {
+func rolloutOutcome(r upstream.Result) (rollout.Outcome, bool) {
 	switch r.Outcome {
 	case upstream.Answered:
 		if r.ServerError {
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -54,14 +54,14 @@
 			g.tellOverwritten(c, held)
 			continue
 		}
-		if g.lostOwn.values == nil {
-			g.lostOwn.values = make(map[string][]byte)
+		if g.lostOwnObjects.values == nil {
+			g.lostOwnObjects.values = make(map[string][]byte)
 		}
-		g.lostOwn.values[c.Name] = held
-		g.lostOwn.until = now.Add(rewriteTime)
+		g.lostOwnObjects.values[c.Name] = held
+		g.lostOwnObjects.until = now.Add(rewriteTime)
 	}
-	if len(g.lostOwn.values) > 0 {
-		g.log.Warn(logObjectsLost, "objects", len(g.lostOwn.values))
+	if len(g.lostOwnObjects.values) > 0 {
+		g.log.Warn(logObjectsLost, "objects", len(g.lostOwnObjects.values))
 	}
 }
 
@@ -79,7 +79,7 @@
 // isLost tells whether a change is that a restored store has lost an object: what it held still counts.
 // The caller holds mu.
 func (g *Gateway) isLost(c feed.Change, from provenance) bool {
-	_, lost := g.lostOwn.values[c.Name]
+	_, lost := g.lostOwnObjects.values[c.Name]
 	return lost && from.restored
 }
 
@@ -89,15 +89,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	names := g.missing(now)
-	if len(names) == 0 || g.lostOwn.writing || !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
+	if len(names) == 0 || g.lostOwnObjects.writing || !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
 		return
 	}
 	batch := make(map[string][]byte, maxRewrites)
 	for _, name := range names[:min(len(names), maxRewrites)] {
-		batch[name] = g.lostOwn.values[name]
+		batch[name] = g.lostOwnObjects.values[name]
 	}
-	g.lostOwn.writing = true
-	g.start(func() {
+	g.lostOwnObjects.writing = true
+	g.startGoroutine(func() {
 		for name, value := range batch {
 			g.rewrite(ctx, name, value)
 		}
@@ -105,7 +105,7 @@
 		pause.For(ctx, rewritePause)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.lostOwn.writing = false
+		g.lostOwnObjects.writing = false
 	})
 }
 
@@ -114,17 +114,17 @@
 func (g *Gateway) missing(now time.Time) []string {
 	var names []string
 	replica := g.replicas[KindTable]
-	for name, value := range g.lostOwn.values {
+	for name, value := range g.lostOwnObjects.values {
 		stored, listed := replica.Get(name)
 		if listed && !config.Supersedes(name, value, stored) {
-			delete(g.lostOwn.values, name)
+			delete(g.lostOwnObjects.values, name)
 			continue
 		}
 		names = append(names, name)
 	}
-	if len(names) > 0 && now.After(g.lostOwn.until) {
+	if len(names) > 0 && now.After(g.lostOwnObjects.until) {
 		g.log.Error(logObjectsNotRewritten, "objects", len(names), "first", names[0])
-		g.lostOwn.values = nil
+		g.lostOwnObjects.values = nil
 		return nil
 	}
 	slices.Sort(names)
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -20,39 +20,39 @@
 	reasonNoOwner = "no-limit-owner"
 )
 
-// permitTick is how often owners that do not answer are looked for while any is asked.
-const permitTick = 10 * time.Millisecond
+// permitTickInterval is how often owners that do not answer are looked for while any is asked.
+const permitTickInterval = 10 * time.Millisecond
 
-// permits keeps the limits of accounts: it takes a permit for each request of a limited
+// accountPermits keeps the limits of accounts: it takes a permit for each request of a limited
 // account, and issues those that this instance owns. It is safe for concurrent use.
-type permits struct {
-	name    string
-	mesh    *peer.Mesh
-	limitOf func(account string) (ratelimit.Limit, bool)
-	began   time.Time
-	clock   *clock.Clock
+type accountPermits struct {
+	name      string
+	mesh      *peer.Mesh
+	limitOf   func(account string) (ratelimit.Limit, bool)
+	startedAt time.Time
+	clock     *clock.Clock
 
 	mu     sync.Mutex
 	holder *ratelimit.Holder
 	issuer *ratelimit.Issuer
 	// addrs are the peer addresses of the instances that the store lists.
 	addrs   map[string]string
-	waits   map[uint64]chan ratelimit.Result
+	waiting map[uint64]chan ratelimit.Result
 	lastID  uint64
 	ticking bool
 }
 
-func newPermits(c Config, mesh *peer.Mesh, startedAt time.Time, limitOf func(string) (ratelimit.Limit, bool)) *permits {
-	return &permits{
-		name:    c.Name,
-		mesh:    mesh,
-		limitOf: limitOf,
-		began:   startedAt,
-		clock:   c.Clock,
-		holder:  ratelimit.NewHolder(c.Name),
-		issuer:  ratelimit.NewIssuer(c.Limits, startedAt, c.FirstStart),
-		addrs:   make(map[string]string),
-		waits:   make(map[uint64]chan ratelimit.Result),
+func newPermits(c Config, mesh *peer.Mesh, startedAt time.Time, limitOf func(string) (ratelimit.Limit, bool)) *accountPermits {
+	return &accountPermits{
+		name:      c.Name,
+		mesh:      mesh,
+		limitOf:   limitOf,
+		startedAt: startedAt,
+		clock:     c.Clock,
+		holder:    ratelimit.NewHolder(c.Name),
+		issuer:    ratelimit.NewIssuer(c.Limits, startedAt, c.FirstStart),
+		addrs:     make(map[string]string),
+		waiting:   make(map[uint64]chan ratelimit.Result),
 	}
 }
 
@@ -70,8 +70,8 @@
 	return ratelimit.Limit{Rate: a.Rate, Burst: a.Burst}, true
 }
 
-// setMembers takes in the instances that the store lists, which own the parts of limits.
-func (p *permits) setMembers(now time.Time, c Config, members map[string]fleet.Member) {
+// setInstances takes in the instances that the store lists, which own the parts of limits.
+func (p *accountPermits) setInstances(now time.Time, c Config, members map[string]fleet.Member) {
 	places := make([]ratelimit.Instance, 0, len(members))
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,23 +81,23 @@
 		p.addrs[m.Name] = m.PeerAddr
 	}
 	self := ratelimit.Instance{Name: c.Name, Hall: c.Hall, Region: c.Region}
-	owners := ratelimit.NewOwners(limitDivision, self, c.RegionOf, places)
+	owners := ratelimit.NewOwners(limitScope, self, c.RegionOf, places)
 	p.holder.SetOwners(owners)
 	p.issuer.SetOwners(now, owners)
 }
 
-// limitDivision is the division of limits: one owner in each hall.
-const limitDivision = ratelimit.PerHall
+// limitScope is the division of limits: one owner in each hall.
+const limitScope = ratelimit.PerHall
 
 // permit is the right of one request of an account to be sent.
 type permit struct {
-	account string
-	until   time.Time
+	account   string
+	expiresAt time.Time
 }
 
-// take takes a permit for a request of an account, or returns why there is none. It waits
+// acquire takes a permit for a request of an account, or returns why there is none. It waits
 // for the answer of an owner if the instance holds none.
-func (p *permits) take(ctx context.Context, account string) (permit, ratelimit.Result) {
+func (p *accountPermits) acquire(ctx context.Context, account string) (permit, ratelimit.Result) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	p.lastID++
@@ -106,9 +106,9 @@
 	var wait chan ratelimit.Result
 	if answer.Decision == ratelimit.Wait {
 		wait = make(chan ratelimit.Result, 1)
-		p.waits[id] = wait
+		p.waiting[id] = wait
 	}
-	p.send(now, asks)
+	p.sendRequests(now, asks)
 	p.tick()
 	p.mu.Unlock()
 	if wait != nil {
@@ -119,14 +119,14 @@
 			return permit{}, ratelimit.Result{Decision: ratelimit.Unavailable}
 		}
 	}
-	return permit{account: account, until: answer.ExpiresAt}, answer
+	return permit{account: account, expiresAt: answer.ExpiresAt}, answer
 }
 
 // cancel ends the wait of a request whose client has left.
-func (p *permits) cancel(account string, id uint64, wait chan ratelimit.Result) {
+func (p *accountPermits) cancel(account string, id uint64, wait chan ratelimit.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waits, id)
+	delete(p.waiting, id)
 	p.holder.Cancel(account, id)
 	select {
 	case answer := <-wait:
@@ -137,20 +137,20 @@
 	}
 }
 
-// giveBack returns the permit of a request that was not run.
-func (p *permits) giveBack(unused permit) {
+// release returns the permit of a request that was not run.
+func (p *accountPermits) release(unused permit) {
 	if unused.account == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder.Release(p.clock.Now(), unused.account, unused.until)
+	p.holder.Release(p.clock.Now(), unused.account, unused.expiresAt)
 }
 
-// send sends questions to owners. The caller holds mu.
-func (p *permits) send(now time.Time, asks []ratelimit.PermitRequest) {
+// sendRequests sends questions to owners. The caller holds mu.
+func (p *accountPermits) sendRequests(now time.Time, asks []ratelimit.PermitRequest) {
 	for _, ask := range asks {
-		claim := ratelimit.IssueRequest{From: p.name, At: p.stamp(now), N: ask.N}
+		claim := ratelimit.IssueRequest{From: p.name, At: p.timestamp(now), N: ask.N}
 		if ask.To.Name == p.name {
 			p.issue(now, ask.Account, claim)
 			continue
@@ -160,7 +160,7 @@
 }
 
 // issue answers a claim of the own domain, and borrows if need be. The caller holds mu.
-func (p *permits) issue(now time.Time, account string, c ratelimit.IssueRequest) {
+func (p *accountPermits) issue(now time.Time, account string, c ratelimit.IssueRequest) {
 	limit, ok := p.limitOf(account)
 	if !ok {
 		p.reply(now, ratelimit.Reply{To: c.From, At: c.At, Account: account, Grant: ratelimit.Grant{NotOwner: true}})
@@ -172,37 +172,37 @@
 }
 
 // borrow sends questions to owners of other domains. The caller holds mu.
-func (p *permits) borrow(now time.Time, loans []ratelimit.LoanRequest) {
+func (p *accountPermits) borrow(now time.Time, loans []ratelimit.LoanRequest) {
 	for _, loan := range loans {
-		p.mesh.Send(p.addrs[loan.Lender.Name], &peer.PermitRequest{Account: loan.Account, From: p.name, SentAt: p.stamp(now), N: loan.N, Borrow: true})
+		p.mesh.Send(p.addrs[loan.Lender.Name], &peer.PermitRequest{Account: loan.Account, From: p.name, SentAt: p.timestamp(now), N: loan.N, Borrow: true})
 	}
 }
 
 // reply sends answers to claims. The caller holds mu.
-func (p *permits) reply(now time.Time, replies ...ratelimit.Reply) {
+func (p *accountPermits) reply(now time.Time, replies ...ratelimit.Reply) {
 	for _, r := range replies {
 		if r.To == p.name {
-			p.hear(now, r.At, r.Account, p.name, r.Grant)
+			p.handleGrant(now, r.At, r.Account, p.name, r.Grant)
 			continue
 		}
 		p.mesh.Send(p.addrs[r.To], &peer.PermitGrant{Account: r.Account, From: p.name, RequestSentAt: r.At, Grant: r.Grant})
 	}
 }
 
-// hear takes in the answer of an owner. The caller holds mu.
-func (p *permits) hear(now time.Time, at int64, account, from string, issue ratelimit.Grant) {
-	answers, asks := p.holder.HandleReply(now, p.moment(at), account, from, issue)
+// handleGrant takes in the answer of an owner. The caller holds mu.
+func (p *accountPermits) handleGrant(now time.Time, at int64, account, from string, issue ratelimit.Grant) {
+	answers, asks := p.holder.HandleReply(now, p.timeOf(at), account, from, issue)
 	p.wake(answers)
-	p.send(now, asks)
+	p.sendRequests(now, asks)
 }
 
-// stamp returns a time as messages carry it: that since the start of the process. moment is
+// timestamp returns a time as messages carry it: that since the start of the process. moment is
 // its inverse.
-func (p *permits) stamp(t time.Time) int64      { return int64(t.Sub(p.began)) }
-func (p *permits) moment(stamp int64) time.Time { return p.began.Add(time.Duration(stamp)) }
+func (p *accountPermits) timestamp(t time.Time) int64  { return int64(t.Sub(p.startedAt)) }
+func (p *accountPermits) timeOf(stamp int64) time.Time { return p.startedAt.Add(time.Duration(stamp)) }
 
-// receiveAsk answers a question of another instance.
-func (p *permits) receiveAsk(m *peer.PermitRequest) {
+// receiveRequest answers a question of another instance.
+func (p *accountPermits) receiveRequest(m *peer.PermitRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	addr, ok := p.addrs[m.From]
@@ -223,30 +223,30 @@
 	p.mesh.Send(addr, answer)
 }
 
-// receiveIssue takes in the answer of another instance.
-func (p *permits) receiveIssue(m *peer.PermitGrant) {
+// receiveGrant takes in the answer of another instance.
+func (p *accountPermits) receiveGrant(m *peer.PermitGrant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if m.RequestSentAt > p.stamp(now) {
+	if m.RequestSentAt > p.timestamp(now) {
 		// The question was asked by the process before this one.
 		return
 	}
 	if m.Borrow {
-		replies, loans := p.issuer.HandleLoan(now, p.moment(m.RequestSentAt), m.Account, m.From, m.Grant)
+		replies, loans := p.issuer.HandleLoan(now, p.timeOf(m.RequestSentAt), m.Account, m.From, m.Grant)
 		p.borrow(now, loans)
 		p.reply(now, replies...)
 	} else {
-		p.hear(now, m.RequestSentAt, m.Account, m.From, m.Grant)
+		p.handleGrant(now, m.RequestSentAt, m.Account, m.From, m.Grant)
 	}
 	p.tick()
 }
 
 // wake ends the waits of requests. The caller holds mu.
-func (p *permits) wake(answers []ratelimit.Result) {
+func (p *accountPermits) wake(answers []ratelimit.Result) {
 	for _, answer := range answers {
-		if wait := p.waits[answer.ID]; wait != nil {
-			delete(p.waits, answer.ID)
+		if wait := p.waiting[answer.ID]; wait != nil {
+			delete(p.waiting, answer.ID)
 			wait <- answer
 		}
 	}
@@ -254,15 +254,15 @@
 
 // tick looks for owners that do not answer, and for claims that wait, as long as there are
 // any. The caller holds mu.
-func (p *permits) tick() {
+func (p *accountPermits) tick() {
 	if p.ticking || !p.holder.NeedsTick() && p.issuer.Queued() == 0 {
 		return
 	}
 	p.ticking = true
-	time.AfterFunc(permitTick, p.onTick)
+	time.AfterFunc(permitTickInterval, p.onTick)
 }
 
-func (p *permits) onTick() {
+func (p *accountPermits) onTick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ticking = false
@@ -272,26 +272,26 @@
 		p.mesh.ReconnectBoth(p.addrs[owner])
 	}
 	p.wake(answers)
-	p.send(now, asks)
+	p.sendRequests(now, asks)
 	p.reply(now, p.issuer.Tick(now)...)
 	p.tick()
 }
 
-// busiestAccounts bounds the accounts that the metrics name, whatever their number is.
-const busiestAccounts = 8
+// maxObservedAccounts bounds the accounts that the metrics name, whatever their number is.
+const maxObservedAccounts = 8
 
-// observe tells how much is asked of the parts that this instance owns, of the accounts
+// observeUtilization tells how much is asked of the parts that this instance owns, of the accounts
 // that ask most.
-func (p *permits) observe(observe func(float64, ...string)) {
+func (p *accountPermits) observeUtilization(observe func(float64, ...string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, use := range p.issuer.Busiest(p.clock.Now(), busiestAccounts) {
+	for _, use := range p.issuer.Busiest(p.clock.Now(), maxObservedAccounts) {
 		observe(use.Utilization, use.Account)
 	}
 }
 
-// unreachable takes in that no connection to an instance could be had.
-func (p *permits) unreachable(addr string) {
+// ownerUnreachable takes in that no connection to an instance could be had.
+func (p *accountPermits) ownerUnreachable(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -301,13 +301,13 @@
 		}
 		answers, asks := p.holder.OwnerUnreachable(now, name)
 		p.wake(answers)
-		p.send(now, asks)
+		p.sendRequests(now, asks)
 	}
 	p.tick()
 }
 
-// forget drops what is known of accounts that send nothing.
-func (p *permits) forget(now time.Time) {
+// evictIdle drops what is known of accounts that send nothing.
+func (p *accountPermits) evictIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.holder.EvictIdle(now)
@@ -316,28 +316,28 @@
 
 // admit takes a permit for the request if its account is limited, or returns the answer
 // to one beyond the limit. No body is read before it.
-func (g *Gateway) admit(ex *exchange) (verdict, bool) {
+func (g *Gateway) admit(ex *exchange) (requestResult, bool) {
 	if !ex.account.Limited() {
-		return verdict{}, true
+		return requestResult{}, true
 	}
 	began := g.clock.Now()
-	permit, answer := g.permits.take(ex.ctx, ex.account.Name)
+	permit, answer := g.accountPermits.acquire(ex.ctx, ex.account.Name)
 	ex.permitWait = g.clock.Since(began)
-	ex.limited = answer
-	g.metrics.permits.Add(1, verdictName(answer.Decision))
+	ex.limitResult = answer
+	g.metrics.permits.Add(1, permitResultName(answer.Decision))
 	switch answer.Decision {
 	case ratelimit.Admit:
 		ex.permit = permit
-		return verdict{}, true
+		return requestResult{}, true
 	case ratelimit.Refuse:
-		return atDoor(ex, verdict{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: answer.RetryAfter}), false
+		return beforeBody(ex, requestResult{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: answer.RetryAfter}), false
 	default:
-		return atDoor(ex, notRun(reasonNoOwner, max(answer.RetryAfter, defaultRetryAfter))), false
+		return beforeBody(ex, notRunResult(reasonNoOwner, max(answer.RetryAfter, defaultRetryAfter))), false
 	}
 }
 
-// verdictName is the name of a verdict in the metrics.
-func verdictName(v ratelimit.Decision) string {
+// permitResultName is the name of a verdict in the metrics.
+func permitResultName(v ratelimit.Decision) string {
 	switch v {
 	case ratelimit.Admit:
 		return "admitted"
--- a/gateway/permits_test.go
+++ b/gateway/permits_test.go
@@ -54,7 +54,7 @@
 		for range 2 {
 			wg.Go(func() {
 				for time.Now().Before(end) {
-					status := in.withKey(key, "/x/").status
+					status := in.sendWithKey(key, "/x/").status
 					mu.Lock()
 					got[status]++
 					mu.Unlock()
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestUnlimitedAccountIsLeftAlone checks that an account beyond its limit takes nothing
+// TestUnlimitedAccountIsUnaffected checks that an account beyond its limit takes nothing
 // from another one.
-func TestUnlimitedAccountIsLeftAlone(t *testing.T) {
+func TestUnlimitedAccountIsUnaffected(t *testing.T) {
 	_, _, fleet := limitedSite(t, 10, 5)
 	done := make(chan map[int]int)
 	go func() { done <- flood(fleet, adaKey, time.Second) }()
@@ -107,9 +107,9 @@
 	require.Positive(t, got[200])
 }
 
-// TestDemandBelowTheLimitIsServedWhereverItIs sends most of what a limit allows through
+// TestDemandBelowLimitIsServedAnywhere sends most of what a limit allows through
 // one instance, which is more than the part of its hall.
-func TestDemandBelowTheLimitIsServedWhereverItIs(t *testing.T) {
+func TestDemandBelowLimitIsServedAnywhere(t *testing.T) {
 	const rate = 60
 	_, _, fleet := limitedSite(t, rate, 0)
 	for _, in := range fleet[:2] {
@@ -124,7 +124,7 @@
 				break
 			}
 			wg.Go(func() {
-				status := in.withKey(adaKey, "/x/").status
+				status := in.sendWithKey(adaKey, "/x/").status
 				if now.After(settled) && status != 200 {
 					refused.Add(1)
 				}
@@ -137,13 +137,13 @@
 	}
 }
 
-// TestRefusalSaysWhenThereIsRoom checks what a request beyond the limit is told.
-func TestRefusalSaysWhenThereIsRoom(t *testing.T) {
+// TestRefusalHasRetryAfter checks what a request beyond the limit is told.
+func TestRefusalHasRetryAfter(t *testing.T) {
 	_, _, fleet := limitedSite(t, 4, 1)
 	in := fleet[0]
 	var got reply
 	require.Eventually(t, func() bool {
-		got = in.withKey(adaKey, "/x/")
+		got = in.sendWithKey(adaKey, "/x/")
 		return got.status == 429
 	}, wait, poll)
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
@@ -159,7 +159,7 @@
 	require.Zero(t, flood(fleet, adaKey, 500*time.Millisecond)[429])
 	s.limit(2, 2, 1)
 	for _, in := range fleet {
-		require.Eventually(t, func() bool { return in.withKey(adaKey, "/x/").status == 429 }, wait, poll)
+		require.Eventually(t, func() bool { return in.sendWithKey(adaKey, "/x/").status == 429 }, wait, poll)
 	}
 	time.Sleep(time.Second)
 	got := flood(fleet, adaKey, time.Second)
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestOwnersThatAreGone checks that the requests of an account whose owners do not answer
+// TestOwnersUnreachable checks that the requests of an account whose owners do not answer
 // are refused as not run, and that one owner that is left is found.
-func TestOwnersThatAreGone(t *testing.T) {
+func TestOwnersUnreachable(t *testing.T) {
 	_, _, fleet := limitedSite(t, 1000, 1000)
 	in := fleet[0]
 	in.awaitKey(adaKey, "/x/", 200)
@@ -182,7 +182,7 @@
 	}
 	// Its own part is left, or the account's owners are all gone.
 	require.Eventually(t, func() bool {
-		got := in.withKey(adaKey, "/x/")
+		got := in.sendWithKey(adaKey, "/x/")
 		return got.status == 200 || got.status == 503 && got.header.Get("Retry-After") != ""
 	}, wait, poll)
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -14,20 +14,20 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// tickEvery is how often requests that wait are looked at without an event.
-const tickEvery = 20 * time.Millisecond
+// queueTickInterval is how often requests that wait are looked at without an event.
+const queueTickInterval = 20 * time.Millisecond
 
 // pool is the targets of one service, with the requests that wait for them.
 type pool struct {
-	mu       sync.Mutex
-	upstream *upstream.Pool
-	tokens   *retry.TokenBucket
-	waits    map[uint64]chan upstream.Decision
-	lastID   uint64
-	ticking  bool
-	ask      func(asks []ratelimit.PermitRequest, silent []string)
-	log      *slog.Logger
-	clock    *clock.Clock
+	mu             sync.Mutex
+	upstream       *upstream.Pool
+	retryBudget    *retry.TokenBucket
+	waiting        map[uint64]chan upstream.Decision
+	lastID         uint64
+	ticking        bool
+	requestPermits func(asks []ratelimit.PermitRequest, silent []string)
+	log            *slog.Logger
+	clock          *clock.Clock
 	// rollout is that of the service, nil if there was none.
 	rollout atomic.Pointer[serviceRollout]
 }
@@ -37,7 +37,7 @@
 	p.mu.Lock()
 	defer p.unlock()
 	p.wake(change(p.upstream))
-	p.tell()
+	p.logEvents()
 }
 
 // unlock releases mu and sends the questions for permits that came up meanwhile.
@@ -48,20 +48,20 @@
 	}
 	p.mu.Unlock()
 	if len(asks)+len(silent) > 0 {
-		p.ask(asks, silent)
+		p.requestPermits(asks, silent)
 	}
 }
 
-// maxBeliefLines is the number of changes in the beliefs on targets that one cause brings
+// maxTargetEventLines is the number of changes in the beliefs on targets that one cause brings
 // and that are told in a line each. New targets and halls that are taken back bring
 // hundreds at a time, at every instance.
-const maxBeliefLines = 4
+const maxTargetEventLines = 4
 
-// tell logs what has changed in the beliefs on targets. The log never blocks.
-func (p *pool) tell() {
+// logEvents logs what has changed in the beliefs on targets. The log never blocks.
+func (p *pool) logEvents() {
 	events := p.upstream.TakeEvents()
-	if len(events) > maxBeliefLines {
-		p.tellMany(events)
+	if len(events) > maxTargetEventLines {
+		p.logEventSummary(events)
 		return
 	}
 	for _, e := range events {
@@ -70,31 +70,31 @@
 		if !e.Until.IsZero() {
 			attrs = append(attrs, slog.Int64("for_ms", p.clock.Until(e.Until).Milliseconds()))
 		}
-		p.log.LogAttrs(context.Background(), p.beliefLevel(e), logTargetBelief, attrs...)
+		p.log.LogAttrs(context.Background(), p.eventLevel(e), logTargetBelief, attrs...)
 	}
 }
 
-// tellMany logs many changes in one line: how many there are of each kind.
-func (p *pool) tellMany(events []upstream.Event) {
+// logEventSummary logs many changes in one line: how many there are of each kind.
+func (p *pool) logEventSummary(events []upstream.Event) {
 	counts := make(map[upstream.EventKind]int)
 	level := slog.LevelInfo
 	for _, e := range events {
 		counts[e.Kind]++
-		level = max(level, p.beliefLevel(e))
+		level = max(level, p.eventLevel(e))
 	}
 	p.log.LogAttrs(context.Background(), level, logTargetBeliefs, slog.Int("changes", len(events)), slog.Any("beliefs", counts))
 }
 
-// longRest is the rest from which on operators should look: a target that is only full asks for
+// longBackoff is the rest from which on operators should look: a target that is only full asks for
 // seconds.
-const longRest = time.Minute
+const longBackoff = time.Minute
 
-func (p *pool) beliefLevel(e upstream.Event) slog.Level {
+func (p *pool) eventLevel(e upstream.Event) slog.Level {
 	switch e.Kind {
 	case upstream.EventSuspected, upstream.EventReplaced:
 		return slog.LevelWarn
 	case upstream.EventBackoff:
-		if p.clock.Until(e.Until) > longRest {
+		if p.clock.Until(e.Until) > longBackoff {
 			return slog.LevelWarn
 		}
 	}
@@ -103,9 +103,9 @@
 
 func (p *pool) wake(grants []upstream.Grant) {
 	for _, grant := range grants {
-		wait := p.waits[grant.ID]
+		wait := p.waiting[grant.ID]
 		if wait != nil {
-			delete(p.waits, grant.ID)
+			delete(p.waiting, grant.ID)
 			wait <- grant.Decision
 		}
 	}
@@ -123,7 +123,7 @@
 		return decision
 	}
 	wait := make(chan upstream.Decision, 1)
-	p.waits[r.ID] = wait
+	p.waiting[r.ID] = wait
 	p.tick()
 	p.unlock()
 	select {
@@ -138,12 +138,12 @@
 func (p *pool) abandon(id uint64, wait chan upstream.Decision) upstream.Decision {
 	p.mu.Lock()
 	defer p.unlock()
-	delete(p.waits, id)
+	delete(p.waiting, id)
 	p.upstream.Cancel(id)
 	select {
 	case granted := <-wait:
 		if granted.Action == upstream.Send {
-			p.wake(p.upstream.Release(p.clock.Now(), granted.Target.ID, notSent(granted)))
+			p.wake(p.upstream.Release(p.clock.Now(), granted.Target.ID, notSentResult(granted)))
 		}
 	default:
 	}
@@ -157,7 +157,7 @@
 		return
 	}
 	p.ticking = true
-	time.AfterFunc(tickEvery, p.onTick)
+	time.AfterFunc(queueTickInterval, p.onTick)
 }
 
 func (p *pool) onTick() {
@@ -170,65 +170,65 @@
 	}
 }
 
-// notSent is the result of a decision that nothing was sent by.
-func notSent(d upstream.Decision) upstream.Result {
+// notSentResult is the result of a decision that nothing was sent by.
+func notSentResult(d upstream.Decision) upstream.Result {
 	return upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: d.SendState}
 }
 
-// unsent ends a decision that nothing was sent by.
-func (p *pool) unsent(d upstream.Decision) { p.release(d.Target.ID, notSent(d)) }
+// releaseUnsent ends a decision that nothing was sent by.
+func (p *pool) releaseUnsent(d upstream.Decision) { p.release(d.Target.ID, notSentResult(d)) }
 
 func (p *pool) release(target string, r upstream.Result) {
 	p.mu.Lock()
 	defer p.unlock()
 	p.wake(p.upstream.Release(p.clock.Now(), target, r))
-	p.tell()
+	p.logEvents()
 }
 
-// may tells whether a request that was granted a target may still be sent there.
-func (p *pool) may(d upstream.Decision) bool {
+// maySend tells whether a request that was granted a target may still be sent there.
+func (p *pool) maySend(d upstream.Decision) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.upstream.MaySend(p.clock.Now(), d.Target.ID, d.SendState)
 }
 
-// away returns the refusal of a request if none of its targets may be sent to for a while.
-func (p *pool) away(r upstream.Request) (upstream.Decision, bool) {
+// refuseIfUnavailable returns the refusal of a request if none of its targets may be sent to for a while.
+func (p *pool) refuseIfUnavailable(r upstream.Request) (upstream.Decision, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.upstream.RefuseIfUnavailable(p.clock.Now(), r)
 }
 
-func (p *pool) hearDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
+func (p *pool) applyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer p.tell()
+	defer p.logEvents()
 	return p.upstream.ApplyDepartures(now, departures, source)
 }
 
-func (p *pool) sightings(now time.Time) upstream.TargetReports {
+func (p *pool) targetReports(now time.Time) upstream.TargetReports {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.upstream.TargetReports(now)
 }
 
-func (p *pool) hear(now time.Time, seen upstream.TargetReports) {
+func (p *pool) applyTargetReports(now time.Time, seen upstream.TargetReports) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.upstream.ApplyTargetReports(now, seen)
-	p.tell()
+	p.logEvents()
 }
 
-// arrived counts a request of a client for the budget of repeats.
-func (p *pool) arrived() {
+// recordArrival counts a request of a client for the budget of repeats.
+func (p *pool) recordArrival() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tokens.Earn()
+	p.retryBudget.Earn()
 }
 
-// spend takes a repeat from the budget.
-func (p *pool) spend() bool {
+// spendRetry takes a repeat from the budget.
+func (p *pool) spendRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.tokens.Spend()
+	return p.retryBudget.Spend()
 }
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -14,28 +14,28 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// shiftStepShare is the part of the bound on shifts that the shares between
+// shiftStepFraction is the part of the bound on shifts that the shares between
 // regions use. The rest is for the draw by key, which follows shares roughly.
-const shiftStepShare = 0.6
+const shiftStepFraction = 0.6
 
 // pools holds the targets of each service. It is safe for concurrent use.
 type pools struct {
 	config Config
-	// departed returns the targets that are known to have said themselves that they leave.
-	departed func(now time.Time) availability.DepartureList
-	// limits returns the limits that targets have named.
-	limits func(now time.Time) availability.RateLimitList
-	// ask sends questions for permits of targets' limits, and is told the owners that do not
+	// knownDepartures returns the targets that are known to have said themselves that they leave.
+	knownDepartures func(now time.Time) availability.DepartureList
+	// knownLimits returns the limits that targets have named.
+	knownLimits func(now time.Time) availability.RateLimitList
+	// requestPermits sends questions for permits of targets' limits, and is told the owners that do not
 	// answer.
-	ask func(asks []ratelimit.PermitRequest, silent []string)
+	requestPermits func(asks []ratelimit.PermitRequest, silent []string)
 
 	mu       sync.RWMutex
 	pools    map[string]*pool
 	services map[string]catalog.Service
 	// homeShares are the parts of all requests that regions have to run.
-	homeShares map[string]float64
-	members    map[string][]string
-	count      int
+	homeShares      map[string]float64
+	instancesByHall map[string][]string
+	instanceCount   int
 	// plan is the operators' table, nil if there is none.
 	plan *table.Plan
 	// owners are those of targets' limits, nil before any are known.
@@ -54,8 +54,8 @@
 
 func newPools(config Config, departed func(time.Time) availability.DepartureList, limits func(time.Time) availability.RateLimitList,
 	ask func([]ratelimit.PermitRequest, []string)) *pools {
-	return &pools{config: config, departed: departed, limits: limits, ask: ask, pools: make(map[string]*pool),
-		count: 1, splits: make(map[string]versionSplit)}
+	return &pools{config: config, knownDepartures: departed, knownLimits: limits, requestPermits: ask, pools: make(map[string]*pool),
+		instanceCount: 1, splits: make(map[string]versionSplit)}
 }
 
 // get returns the pool of a service, or nil if it never had a target.
@@ -70,7 +70,7 @@
 	defer ps.mu.Unlock()
 	byService := make(map[string][]*catalog.Target)
 	for _, spec := range specs {
-		byService[spec.Service] = append(byService[spec.Service], ps.asPlanned(spec))
+		byService[spec.Service] = append(byService[spec.Service], ps.withTableDrains(spec))
 	}
 	for service := range byService {
 		if ps.pools[service] == nil {
@@ -90,7 +90,7 @@
 	defer ps.mu.Unlock()
 	byService := make(map[string][]*catalog.Target)
 	for _, spec := range changed {
-		byService[spec.Service] = append(byService[spec.Service], ps.asPlanned(spec))
+		byService[spec.Service] = append(byService[spec.Service], ps.withTableDrains(spec))
 		if ps.pools[spec.Service] == nil {
 			ps.pools[spec.Service] = ps.newPool(spec.Service)
 		}
@@ -102,10 +102,10 @@
 	}
 }
 
-// asPlanned returns the spec of a target with what the operators' table says of it. The caller holds
+// withTableDrains returns the spec of a target with what the operators' table says of it. The caller holds
 // mu.
-func (ps *pools) asPlanned(spec *catalog.Target) *catalog.Target {
-	if !ps.drained(spec) {
+func (ps *pools) withTableDrains(spec *catalog.Target) *catalog.Target {
+	if !ps.isDrained(spec) {
 		return spec
 	}
 	drained := *spec
@@ -113,9 +113,9 @@
 	return &drained
 }
 
-// drained tells whether the operators' table drains a target, its hall or its
+// isDrained tells whether the operators' table drains a target, its hall or its
 // region. The caller holds mu.
-func (ps *pools) drained(spec *catalog.Target) bool {
+func (ps *pools) isDrained(spec *catalog.Target) bool {
 	if ps.plan == nil {
 		return false
 	}
@@ -144,23 +144,23 @@
 		Region:          ps.config.Region,
 		RegionOf:        ps.config.RegionOf,
 		HoldNewVersions: ps.config.bringsVersionsIn(),
-		ShiftStep:       shiftStepShare * ps.config.ShiftMost,
+		ShiftStep:       shiftStepFraction * ps.config.ShiftMost,
 		ShiftWindow:     shiftWindow,
 	})
-	p := &pool{upstream: u, tokens: retry.NewTokenBucket(ps.config.RetryRatio), waits: make(map[uint64]chan upstream.Decision), ask: ps.ask, log: ps.config.Log, clock: ps.config.Clock}
+	p := &pool{upstream: u, retryBudget: retry.NewTokenBucket(ps.config.RetryRatio), waiting: make(map[uint64]chan upstream.Decision), requestPermits: ps.requestPermits, log: ps.config.Log, clock: ps.config.Clock}
 	u.SetService(ps.services[service])
-	u.SetMembers(ps.members)
+	u.SetMembers(ps.instancesByHall)
 	u.SetHomeShares(ps.homeShares)
 	if ps.plan != nil {
 		u.SetRows(ps.plan.Rows(service, ps.config.Region))
 	}
 	now := ps.config.Clock.Now()
-	u.ApplyDepartures(now, ps.departed(now), availability.SourcePeer)
-	u.ApplyRateLimits(now, ps.limits(now), availability.SourcePeer)
+	u.ApplyDepartures(now, ps.knownDepartures(now), availability.SourcePeer)
+	u.ApplyRateLimits(now, ps.knownLimits(now), availability.SourcePeer)
 	if ps.owners != nil {
 		u.SetLimitOwners(ps.owners)
 	}
-	p.tokens.SetCapacity(ps.config.RetrySlack, ps.count)
+	p.retryBudget.SetCapacity(ps.config.RetrySlack, ps.instanceCount)
 	if s, ok := ps.splits[service]; ok {
 		p.rollout.Store(s.rollout)
 		u.SetSplit(now, s.split, s.until)
@@ -188,57 +188,57 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	ps.homeShares = shares
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		u.SetHomeShares(shares)
 		return nil
 	})
 }
 
-// setMembers takes in the names of the instances in each hall, and how many
+// setInstances takes in the names of the instances in each hall, and how many
 // instances there are in all.
-func (ps *pools) setMembers(members map[string][]string, count int) {
+func (ps *pools) setInstances(members map[string][]string, count int) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	ps.members, ps.count = members, count
+	ps.instancesByHall, ps.instanceCount = members, count
 	for _, p := range ps.pools {
 		p.update(func(u *upstream.Pool) []upstream.Grant {
 			u.SetMembers(members)
-			p.tokens.SetCapacity(ps.config.RetrySlack, count)
+			p.retryBudget.SetCapacity(ps.config.RetrySlack, count)
 			return nil
 		})
 	}
 }
 
-// sightings returns the loads of busy targets of all services.
-func (ps *pools) sightings(now time.Time) upstream.TargetReports {
+// targetReports returns the loads of busy targets of all services.
+func (ps *pools) targetReports(now time.Time) upstream.TargetReports {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	var out upstream.TargetReports
 	for _, p := range ps.pools {
-		out = append(out, p.sightings(now)...)
+		out = append(out, p.targetReports(now)...)
 	}
 	return out
 }
 
-// hearDepartures takes in that targets said that they leave, and returns the IDs of those of
+// applyDepartures takes in that targets said that they leave, and returns the IDs of those of
 // which it was not known.
-func (ps *pools) hearDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
+func (ps *pools) applyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	var fresh []string
 	for _, p := range ps.pools {
-		fresh = append(fresh, p.hearDepartures(now, departures, source)...)
+		fresh = append(fresh, p.applyDepartures(now, departures, source)...)
 	}
 	return fresh
 }
 
-// hearLimits takes in the limits that targets have named, and returns the IDs of those whose limits
+// applyRateLimits takes in the limits that targets have named, and returns the IDs of those whose limits
 // changed.
-func (ps *pools) hearLimits(now time.Time, limits availability.RateLimitList, source availability.Source) []string {
+func (ps *pools) applyRateLimits(now time.Time, limits availability.RateLimitList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	var changed []string
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		ids, grants := u.ApplyRateLimits(now, limits, source)
 		changed = append(changed, ids...)
 		return grants
@@ -246,8 +246,8 @@
 	return changed
 }
 
-// each changes the pools of all services. The caller holds mu.
-func (ps *pools) each(change func(*upstream.Pool) []upstream.Grant) {
+// updateAll changes the pools of all services. The caller holds mu.
+func (ps *pools) updateAll(change func(*upstream.Pool) []upstream.Grant) {
 	for _, p := range ps.pools {
 		p.update(change)
 	}
@@ -258,17 +258,17 @@
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	ps.owners = owners
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		u.SetLimitOwners(owners)
 		return nil
 	})
 }
 
-// hearPermits takes in the answer of an owner to a question for permits that was asked at a time.
-func (ps *pools) hearPermits(now, askedAt time.Time, m *peer.PermitGrant) {
+// receivePermits takes in the answer of an owner to a question for permits that was asked at a time.
+func (ps *pools) receivePermits(now, askedAt time.Time, m *peer.PermitGrant) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		return u.ReceivePermits(now, askedAt, m.Account, m.From, m.Grant)
 	})
 }
@@ -277,7 +277,7 @@
 func (ps *pools) ownerUnreachable(now time.Time, owner string) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		u.OwnerUnreachable(now, owner)
 		return nil
 	})
@@ -298,8 +298,8 @@
 	p.update(func(u *upstream.Pool) []upstream.Grant { return u.SetSplit(now, split, until) })
 }
 
-// versions returns what there is of a service's targets of both versions.
-func (ps *pools) versions(now time.Time, service string) upstream.VersionStats {
+// versionStats returns what there is of a service's targets of both versions.
+func (ps *pools) versionStats(now time.Time, service string) upstream.VersionStats {
 	p := ps.get(service)
 	if p == nil {
 		return upstream.VersionStats{}
@@ -309,24 +309,24 @@
 	return p.upstream.VersionStats(now)
 }
 
-// forget drops what is known of permits that nobody asks for, and of idle targets.
-func (ps *pools) forget(now time.Time) {
+// evictIdle drops what is known of permits that nobody asks for, and of idle targets.
+func (ps *pools) evictIdle(now time.Time) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		u.Expire(now)
 		return nil
 	})
 }
 
-// hear takes in the loads of targets that another instance has told of.
-func (ps *pools) hear(now time.Time, seen upstream.TargetReports) {
+// applyTargetReports takes in the loads of targets that another instance has told of.
+func (ps *pools) applyTargetReports(now time.Time, seen upstream.TargetReports) {
 	if len(seen) == 0 {
 		return
 	}
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	for _, p := range ps.pools {
-		p.hear(now, seen)
+		p.applyTargetReports(now, seen)
 	}
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,344 +14,346 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// reasonEndsTargets is the reason of requests that are held back because targets have ended
+// reasonCrashesTargets is the reason of requests that are held back because targets have ended
 // under them.
-const reasonEndsTargets = "ends-targets"
+const reasonCrashesTargets = "ends-targets"
 
-// reasonAccountEndsTargets is the reason of requests that were not answered before, of an account
+// reasonAccountCrashesTargets is the reason of requests that were not answered before, of an account
 // under whose different requests targets have ended.
-const reasonAccountEndsTargets = "account-ends-targets"
+const reasonAccountCrashesTargets = "account-ends-targets"
 
-// holds keeps which requests are held back because targets end under them. It is safe for
+// quarantineState keeps which requests are held back because targets end under them. It is safe for
 // concurrent use.
-type holds struct {
-	// known says that anything is known of any request. While it is not, which is nearly
+type quarantineState struct {
+	// nonEmpty says that anything is known of any request. While it is not, which is nearly
 	// always, requests pass without a digest.
-	known atomic.Bool
+	nonEmpty atomic.Bool
 
-	mu      sync.Mutex
-	table   quarantine.Table
-	witness quarantine.CrashCorrelator
-	warden  quarantine.TrialCoordinator
-	trials  map[quarantine.Digest]chan trialAnswer
-	// answers are the requests of accounts that were answered here of late.
-	answers answeredRequests
-	// silent are the wardens that have not answered, until when they are passed over.
-	silent map[string]time.Time
-	// keeping is the number of writes to the store under way.
-	keeping atomic.Int64
-	// flaggedAt is when it was last looked whether accounts are to be flagged.
-	flaggedAt time.Time
+	mu            sync.Mutex
+	table         quarantine.Table
+	correlator    quarantine.CrashCorrelator
+	coordinator   quarantine.TrialCoordinator
+	pendingTrials map[quarantine.Digest]chan trialReply
+	// answered are the requests of accounts that were answered here of late.
+	answered answeredRequests
+	// unresponsive are the wardens that have not answered, until when they are passed over.
+	unresponsive map[string]time.Time
+	// pendingWrites is the number of writes to the store under way.
+	pendingWrites atomic.Int64
+	// flagCheckedAt is when it was last looked whether accounts are to be flagged.
+	flagCheckedAt time.Time
 }
 
-// flagEvery is the least time between two looks: one at a full table of a hundred accounts takes
+// flagInterval is the least time between two looks: one at a full table of a hundred accounts takes
 // 1.6 ms (BenchmarkFlag).
-const flagEvery = 250 * time.Millisecond
+const flagInterval = 250 * time.Millisecond
 
-// flag returns the digests of accounts that are newly flagged. The caller holds mu.
-func (h *holds) flag(now time.Time) []quarantine.Digest {
-	if now.Sub(h.flaggedAt) < flagEvery {
+// flagAccounts returns the digests of accounts that are newly flagged. The caller holds mu.
+func (h *quarantineState) flagAccounts(now time.Time) []quarantine.Digest {
+	if now.Sub(h.flagCheckedAt) < flagInterval {
 		return nil
 	}
-	h.flaggedAt = now
-	return h.table.FlagAccounts(now, func(account uint32) bool { return h.answers.isSound(now, account) })
+	h.flagCheckedAt = now
+	return h.table.FlagAccounts(now, func(account uint32) bool { return h.answered.isTrusted(now, account) })
 }
 
-func newHolds() *holds {
-	return &holds{trials: make(map[quarantine.Digest]chan trialAnswer), silent: make(map[string]time.Time)}
+func newQuarantineState() *quarantineState {
+	return &quarantineState{pendingTrials: make(map[quarantine.Digest]chan trialReply), unresponsive: make(map[string]time.Time)}
 }
 
-// note keeps known up to date. The caller holds mu.
-func (h *holds) note() { h.known.Store(h.table.Len() > 0 || h.witness.Len() > 0) }
+// updateNonEmpty keeps known up to date. The caller holds mu.
+func (h *quarantineState) updateNonEmpty() {
+	h.nonEmpty.Store(h.table.Len() > 0 || h.correlator.Len() > 0)
+}
 
 // expire forgets what is no longer remembered.
-func (h *holds) expire(now time.Time) {
+func (h *quarantineState) expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.table.Expire(now)
-	h.witness.Expire(now)
-	h.warden.Expire(now)
-	h.answers.expire(now)
-	for name, until := range h.silent {
+	h.correlator.Expire(now)
+	h.coordinator.Expire(now)
+	h.answered.expire(now)
+	for name, until := range h.unresponsive {
 		if !now.Before(until) {
-			delete(h.silent, name)
+			delete(h.unresponsive, name)
 		}
 	}
-	h.note()
+	h.updateNonEmpty()
 }
 
-// standing returns what the table says of a request, and how many targets may have ended
+// status returns what the table says of a request, and how many targets may have ended
 // under it besides.
-func (h *holds) standing(now time.Time, d quarantine.Digest) (quarantine.Status, int) {
+func (h *quarantineState) status(now time.Time, d quarantine.Digest) (quarantine.Status, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.table.Status(now, d), h.witness.PendingFor(d)
+	return h.table.Status(now, d), h.correlator.PendingFor(d)
 }
 
-// doubts tells whether it is not known if a target has ended.
-func (h *holds) doubts(target string) bool {
+// isCrashPending tells whether it is not known if a target has ended.
+func (h *quarantineState) isCrashPending(target string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.witness.IsPending(target)
+	return h.correlator.IsPending(target)
 }
 
-// suspects returns the number of requests that are not free.
-func (h *holds) suspects() int64 {
+// suspectCount returns the number of requests that are not free.
+func (h *quarantineState) suspectCount() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return int64(h.table.SuspectCount())
 }
 
-// digestOf returns the digest of a request.
-func (ex *exchange) digestOf() quarantine.Digest {
+// contentDigest returns the digest of a request.
+func (ex *exchange) contentDigest() quarantine.Digest {
 	if ex.digest == (quarantine.Digest{}) {
 		ex.digest = ex.content().Digest()
 	}
 	return ex.digest
 }
 
-// maxDoubtful is the number of targets that end under a request, or may have, from which on
+// maxCrashesPerExchange is the number of targets that end under a request, or may have, from which on
 // it is not sent to another one within its exchange. The first end is repeated: most requests
 // that it hits are innocent, and it is what crashes of targets cost callers. After a second
 // one another attempt gains little, and each costs a target if the request is to blame. With
 // what instances tell each other it keeps the targets that end under 100 such requests to 3,
-// of 76 without either (TestEndingRequestIsHeld).
-const maxDoubtful = 2
+// of 76 without either (TestCrashingRequestIsHeld).
+const maxCrashesPerExchange = 2
 
-// pass tells whether a request may be sent now, or what it is answered. A suspect one is sent
+// checkQuarantine tells whether a request may be sent now, or what it is answered. A suspect one is sent
 // as a trial if its warden grants that. Unknown says that an attempt of it was broken off.
-func (g *Gateway) pass(ex *exchange, unknown bool) (verdict, bool) {
-	if ex.isTrial() || !g.holds.known.Load() {
-		return verdict{}, true
+func (g *Gateway) checkQuarantine(ex *exchange, unknown bool) (requestResult, bool) {
+	if ex.isTrial() || !g.quarantine.nonEmpty.Load() {
+		return requestResult{}, true
 	}
 	now := g.clock.Now()
-	standing, doubts := g.holds.standing(now, ex.digestOf())
-	if unknown && standing.Crashes+doubts >= maxDoubtful {
-		return given(true, reasonEndsTargets, 0), false
+	standing, doubts := g.quarantine.status(now, ex.contentDigest())
+	if unknown && standing.Crashes+doubts >= maxCrashesPerExchange {
+		return failedResult(true, reasonCrashesTargets, 0), false
 	}
 	if standing.Verdict != quarantine.Allowed {
-		return g.try(ex, ex.digestOf(), standing, reasonEndsTargets)
+		return g.startTrial(ex, ex.contentDigest(), standing, reasonCrashesTargets)
 	}
-	if ex.account == nil || g.holds.answers.has(answeredOf(ex.account.Name, ex.digestOf())) {
-		return verdict{}, true
+	if ex.account == nil || g.quarantine.answered.has(answeredRequestOf(ex.account.Name, ex.contentDigest())) {
+		return requestResult{}, true
 	}
 	account := quarantine.AccountDigest(ex.account.Name)
-	standing, _ = g.holds.standing(now, account)
-	if standing.Verdict == quarantine.Allowed || g.holds.answers.isSound(now, quarantine.AccountHash(ex.account.Name)) {
-		return verdict{}, true
+	standing, _ = g.quarantine.status(now, account)
+	if standing.Verdict == quarantine.Allowed || g.quarantine.answered.isTrusted(now, quarantine.AccountHash(ex.account.Name)) {
+		return requestResult{}, true
 	}
-	ex.heldAsAccount = true
+	ex.heldForAccount = true
 	if unknown {
-		return given(true, reasonAccountEndsTargets, 0), false
+		return failedResult(true, reasonAccountCrashesTargets, 0), false
 	}
-	v, ok := g.try(ex, account, standing, reasonAccountEndsTargets)
-	ex.heldAsAccount = !ok
+	v, ok := g.startTrial(ex, account, standing, reasonAccountCrashesTargets)
+	ex.heldForAccount = !ok
 	return v, ok
 }
 
-// try has a request sent as a trial of what a digest stands for if that may be tried now.
-func (g *Gateway) try(ex *exchange, d quarantine.Digest, standing quarantine.Status, reason string) (verdict, bool) {
+// startTrial has a request sent as a trial of what a digest stands for if that may be tried now.
+func (g *Gateway) startTrial(ex *exchange, d quarantine.Digest, standing quarantine.Status, reason string) (requestResult, bool) {
 	if standing.Verdict == quarantine.Held {
-		return notRun(reason, g.clock.Until(standing.Until)), false
+		return notRunResult(reason, g.clock.Until(standing.Until)), false
 	}
-	granted, next := g.askTrial(ex, d)
+	granted, next := g.acquireTrial(ex, d)
 	if !granted {
-		return notRun(reason, max(g.clock.Until(next), defaultRetryAfter)), false
+		return notRunResult(reason, max(g.clock.Until(next), defaultRetryAfter)), false
 	}
 	ex.trial = d
-	return verdict{}, true
+	return requestResult{}, true
 }
 
-// stillPasses tells whether a request that had to wait for its target may still be sent.
-func (g *Gateway) stillPasses(ex *exchange) bool {
-	if ex.isTrial() || !g.holds.known.Load() {
+// isStillAllowed tells whether a request that had to wait for its target may still be sent.
+func (g *Gateway) isStillAllowed(ex *exchange) bool {
+	if ex.isTrial() || !g.quarantine.nonEmpty.Load() {
 		return true
 	}
 	now := g.clock.Now()
-	standing, _ := g.holds.standing(now, ex.digestOf())
-	if standing.Verdict != quarantine.Allowed || ex.account == nil || g.holds.answers.has(answeredOf(ex.account.Name, ex.digestOf())) {
+	standing, _ := g.quarantine.status(now, ex.contentDigest())
+	if standing.Verdict != quarantine.Allowed || ex.account == nil || g.quarantine.answered.has(answeredRequestOf(ex.account.Name, ex.contentDigest())) {
 		return standing.Verdict == quarantine.Allowed
 	}
-	standing, _ = g.holds.standing(now, quarantine.AccountDigest(ex.account.Name))
-	return standing.Verdict == quarantine.Allowed || g.holds.answers.isSound(now, quarantine.AccountHash(ex.account.Name))
+	standing, _ = g.quarantine.status(now, quarantine.AccountDigest(ex.account.Name))
+	return standing.Verdict == quarantine.Allowed || g.quarantine.answered.isTrusted(now, quarantine.AccountHash(ex.account.Name))
 }
 
-// witness takes in what an attempt says of its target's life.
-func (g *Gateway) witness(ex *exchange, target upstream.Choice, a forward.Attempt) {
+// observeAttempt takes in what an attempt says of its target's life.
+func (g *Gateway) observeAttempt(ex *exchange, target upstream.Choice, a forward.Attempt) {
 	now := g.clock.Now()
 	switch {
 	case a.Response != nil:
-		g.answered(now, ex, target, a)
+		g.requestAnswered(now, ex, target, a)
 	case a.TargetResult.Outcome == upstream.Rejected:
-		g.lives(now.Add(-a.TargetResult.Latency), target.ID)
+		g.targetAnswered(now.Add(-a.TargetResult.Latency), target.ID)
 	case a.TargetResult.Outcome == upstream.Replaced, a.TargetResult.Outcome == upstream.Unreachable && errors.Is(a.Err, syscall.ECONNREFUSED):
-		g.targetEnded(now, target.ID)
+		g.targetCrashed(now, target.ID)
 	case a.TargetResult.Outcome == upstream.Broken && a.Sent:
-		g.broke(now, ex, target)
+		g.requestInterrupted(now, ex, target)
 	}
 }
 
-// lives takes in that a target has answered a request that was sent at a time.
-func (g *Gateway) lives(sent time.Time, target string) {
-	if !g.holds.known.Load() {
+// targetAnswered takes in that a target has answered a request that was sent at a time.
+func (g *Gateway) targetAnswered(sent time.Time, target string) {
+	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	g.holds.witness.TargetAnswered(sent, target)
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	g.quarantine.correlator.TargetAnswered(sent, target)
 }
 
-// answered takes in that a request was answered: targets do not end under it.
-func (g *Gateway) answered(now time.Time, ex *exchange, target upstream.Choice, a forward.Attempt) {
-	g.noteAnswer(now, ex)
-	if !g.holds.known.Load() {
+// requestAnswered takes in that a request was answered: targets do not end under it.
+func (g *Gateway) requestAnswered(now time.Time, ex *exchange, target upstream.Choice, a forward.Attempt) {
+	g.rememberAnswer(now, ex)
+	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
-	g.lives(now.Add(-a.TargetResult.Latency), target.ID)
-	d := ex.digestOf()
-	g.holds.mu.Lock()
-	kept := g.holds.table.Status(now, d).FailedTrials > 0
-	freed := g.holds.table.RecordAnswer(now, d)
-	g.holds.mu.Unlock()
+	g.targetAnswered(now.Add(-a.TargetResult.Latency), target.ID)
+	d := ex.contentDigest()
+	g.quarantine.mu.Lock()
+	kept := g.quarantine.table.Status(now, d).FailedTrials > 0
+	freed := g.quarantine.table.RecordAnswer(now, d)
+	g.quarantine.mu.Unlock()
 	if !freed {
 		return
 	}
 	g.log.Info(logRequestFreed, "content", d.String(), "target", target.ID)
 	g.tell(now, d)
 	if kept {
-		g.keepRelease(d)
+		g.storeRelease(d)
 	}
 }
 
-// noteAnswer remembers that a request of an account was answered.
-func (g *Gateway) noteAnswer(now time.Time, ex *exchange) {
+// rememberAnswer remembers that a request of an account was answered.
+func (g *Gateway) rememberAnswer(now time.Time, ex *exchange) {
 	if ex.account == nil {
 		return
 	}
-	if len(ex.body) > maxAnsweredBody {
-		if g.holds.known.Load() {
-			g.holds.answers.answered(now, quarantine.AccountHash(ex.account.Name))
+	if len(ex.body) > maxRememberedBody {
+		if g.quarantine.nonEmpty.Load() {
+			g.quarantine.answered.recordAnswer(now, quarantine.AccountHash(ex.account.Name))
 		}
 		return
 	}
-	r := answeredOf(ex.account.Name, ex.digestOf())
-	if g.holds.known.Load() && !g.holds.answers.has(r) {
-		g.holds.answers.answered(now, r.account)
+	r := answeredRequestOf(ex.account.Name, ex.contentDigest())
+	if g.quarantine.nonEmpty.Load() && !g.quarantine.answered.has(r) {
+		g.quarantine.answered.recordAnswer(now, r.account)
 	}
-	g.holds.answers.add(r)
+	g.quarantine.answered.add(r)
 }
 
-// broke takes in that a request was broken off at a target, and finds out whether the target
+// requestInterrupted takes in that a request was broken off at a target, and finds out whether the target
 // has ended.
-func (g *Gateway) broke(now time.Time, ex *exchange, target upstream.Choice) {
-	ex.broken = true
-	if g.hasLeft(target) {
+func (g *Gateway) requestInterrupted(now time.Time, ex *exchange, target upstream.Choice) {
+	ex.interrupted = true
+	if g.isLeaving(target) {
 		return
 	}
 	ofAccount := ex.trial.IsAccount()
-	broken := quarantine.InterruptedRequest{Digest: ex.digestOf(), Account: accountName(ex.account), Trial: ex.isTrial() && !ofAccount, AccountTrial: ofAccount}
-	g.holds.mu.Lock()
-	ended, ask := g.holds.witness.RequestInterrupted(now, target.ID, broken)
-	g.holds.note()
-	g.holds.mu.Unlock()
-	g.noteEnds(now, target.ID, ended)
+	broken := quarantine.InterruptedRequest{Digest: ex.contentDigest(), Account: accountName(ex.account), Trial: ex.isTrial() && !ofAccount, AccountTrial: ofAccount}
+	g.quarantine.mu.Lock()
+	ended, ask := g.quarantine.correlator.RequestInterrupted(now, target.ID, broken)
+	g.quarantine.updateNonEmpty()
+	g.quarantine.mu.Unlock()
+	g.recordCrashes(now, target.ID, ended)
 	if ask {
-		g.start(func() { g.findOut(target) })
+		g.startGoroutine(func() { g.probeTarget(target) })
 	}
 }
 
-// hasLeft tells whether a target has said that it leaves, in the list or by its own word, or is
+// isLeaving tells whether a target has said that it leaves, in the list or by its own word, or is
 // no longer listed: what it breaks off then is its planned end.
-func (g *Gateway) hasLeft(target upstream.Choice) bool {
+func (g *Gateway) isLeaving(target upstream.Choice) bool {
 	if g.departures.has(target.ID) {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	spec, ok := g.listed.specs[target.Name]
+	spec, ok := g.targetList.specs[target.Name]
 	return !ok || (spec.ID == target.ID && spec.Leaves)
 }
 
-// findOut connects to a target at which a request was broken off. One that refuses has ended.
+// probeTarget connects to a target at which a request was broken off. One that refuses has ended.
 // A connection says nothing for certain, and is kept for the next request.
-func (g *Gateway) findOut(target upstream.Choice) {
+func (g *Gateway) probeTarget(target upstream.Choice) {
 	err := g.targets.Preconnect(target.ID, target.Addr)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		g.targetEnded(g.clock.Now(), target.ID)
+		g.targetCrashed(g.clock.Now(), target.ID)
 	}
 }
 
-// targetEnded takes in that a target has ended.
-func (g *Gateway) targetEnded(now time.Time, target string) {
-	if !g.holds.known.Load() {
+// targetCrashed takes in that a target has ended.
+func (g *Gateway) targetCrashed(now time.Time, target string) {
+	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
-	g.holds.mu.Lock()
-	broken := g.holds.witness.TargetCrashed(now, target)
-	g.holds.mu.Unlock()
-	g.noteEnds(now, target, broken)
+	g.quarantine.mu.Lock()
+	broken := g.quarantine.correlator.TargetCrashed(now, target)
+	g.quarantine.mu.Unlock()
+	g.recordCrashes(now, target, broken)
 }
 
-// listedEnds takes in which entries of targets have gone or say that they leave. The caller
+// applyListChanges takes in which entries of targets have gone or say that they leave. The caller
 // holds mu of the gateway.
-func (g *Gateway) listedEnds(now time.Time, changed []*catalog.Target, gone []string) {
-	if !g.holds.known.Load() {
+func (g *Gateway) applyListChanges(now time.Time, changed []*catalog.Target, gone []string) {
+	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
 	for _, spec := range changed {
 		if spec.Leaves {
-			g.holds.mu.Lock()
-			g.holds.witness.TargetLeaving(spec.ID)
-			g.holds.mu.Unlock()
+			g.quarantine.mu.Lock()
+			g.quarantine.correlator.TargetLeaving(spec.ID)
+			g.quarantine.mu.Unlock()
 		}
 	}
 	for _, id := range gone {
-		if g.holds.doubts(id) {
+		if g.quarantine.isCrashPending(id) {
 			// What targetEnded locks is held by the caller.
-			g.start(func() { g.targetEnded(now, id) })
+			g.startGoroutine(func() { g.targetCrashed(now, id) })
 		}
 	}
 }
 
-// noteEnds notes that a target has ended under some requests, and tells the other instances.
-func (g *Gateway) noteEnds(now time.Time, target string, broken []quarantine.InterruptedRequest) {
+// recordCrashes notes that a target has ended under some requests, and tells the other instances.
+func (g *Gateway) recordCrashes(now time.Time, target string, broken []quarantine.InterruptedRequest) {
 	if len(broken) == 0 {
 		return
 	}
 	digests := make([]quarantine.Digest, 0, len(broken))
 	contents := make([]string, 0, len(broken))
-	g.holds.mu.Lock()
+	g.quarantine.mu.Lock()
 	for _, b := range broken {
-		if g.holds.table.RecordCrash(now, b.Digest, b.Account, quarantine.TargetIDOf(target), b.Trial) {
+		if g.quarantine.table.RecordCrash(now, b.Digest, b.Account, quarantine.TargetIDOf(target), b.Trial) {
 			digests = append(digests, b.Digest)
 			contents = append(contents, b.Digest.String())
 		}
-		g.holds.answers.ended(now, quarantine.AccountHash(b.Account))
+		g.quarantine.answered.recordCrash(now, quarantine.AccountHash(b.Account))
 		account := quarantine.AccountDigest(b.Account)
-		if b.AccountTrial && g.holds.table.RecordCrash(now, account, b.Account, quarantine.TargetIDOf(target), true) {
+		if b.AccountTrial && g.quarantine.table.RecordCrash(now, account, b.Account, quarantine.TargetIDOf(target), true) {
 			digests = append(digests, account)
 		}
 	}
-	digests = append(digests, g.holds.flag(now)...)
-	g.holds.note()
-	g.holds.mu.Unlock()
+	digests = append(digests, g.quarantine.flagAccounts(now)...)
+	g.quarantine.updateNonEmpty()
+	g.quarantine.mu.Unlock()
 	if len(digests) == 0 {
 		return
 	}
 	g.metrics.ends.Add(1)
-	g.log.Warn(logTargetEnded, "target", target, "contents", contents[:min(len(contents), maxContents)], "requests", len(contents))
-	g.reportHolds(now, digests, "own")
+	g.log.Warn(logTargetEnded, "target", target, "contents", contents[:min(len(contents), maxLoggedContents)], "requests", len(contents))
+	g.logSuspects(now, digests, "own")
 	g.tell(now, digests...)
-	g.keep(now, digests)
+	g.storeRecords(now, digests)
 }
 
-// maxContents bounds the requests that a line on a target's end names.
-const maxContents = 8
+// maxLoggedContents bounds the requests that a line on a target's end names.
+const maxLoggedContents = 8
 
-// reportHolds tells which of some requests are no longer free.
-func (g *Gateway) reportHolds(now time.Time, digests []quarantine.Digest, source string) {
+// logSuspects tells which of some requests are no longer free.
+func (g *Gateway) logSuspects(now time.Time, digests []quarantine.Digest, source string) {
 	for _, d := range digests {
-		standing, _ := g.holds.standing(now, d)
+		standing, _ := g.quarantine.status(now, d)
 		if standing.Verdict == quarantine.Allowed {
 			continue
 		}
@@ -359,7 +361,7 @@
 		if d.IsAccount() {
 			message = logAccountHeld
 			// What this locks is held by some callers.
-			g.start(func() { g.tellAnswers(now, d) })
+			g.startGoroutine(func() { g.sendAnsweredRequests(now, d) })
 		}
 		attrs := []any{"content", d.String(), "ends", standing.Crashes, "failed_trials", standing.FailedTrials, "source", source}
 		if standing.Verdict == quarantine.Held {
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -11,11 +11,11 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// TestRejectedIsTriedAgainThere checks that a request that a target with free slots has
+// TestRejectedRequestIsRetriedAtSameTarget checks that a request that a target with free slots has
 // rejected goes to the same target again, which knows its object, and not to another.
-func TestRejectedIsTriedAgainThere(t *testing.T) {
+func TestRejectedRequestIsRetriedAtSameTarget(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	first, second := s.server("i-1", "s", "a1"), s.server("i-2", "s", "a2")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -40,12 +40,12 @@
 	require.ElementsMatch(t, []int64{2, 0}, []int64{arrivals[0].Load(), arrivals[1].Load()})
 }
 
-// TestRejectedIsToldToComeBackSoon checks that a request that targets with free slots
+// TestRejectedRequestGetsShortRetryAfter checks that a request that targets with free slots
 // went on rejecting is refused at once, as not run, and told to come back while an
 // answer would still be in time.
-func TestRejectedIsToldToComeBackSoon(t *testing.T) {
+func TestRejectedRequestGetsShortRetryAfter(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -57,12 +57,12 @@
 	require.LessOrEqual(t, after, 0.05)
 }
 
-// TestExcuseIsNoPromise checks that a target's 503 without its word that the request did not
+// TestUnmarkedRefusalMayHaveRun checks that a target's 503 without its word that the request did not
 // run is passed on for requests that may run again, and that a client whose operation may run
 // once is not told by it that it did not.
-func TestExcuseIsNoPromise(t *testing.T) {
+func TestUnmarkedRefusalMayHaveRun(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute, route{prefix: "/once/", service: "s", kind: "non_idempotent"})
+	s.configure(1, idempotentRoute, route{prefix: "/once/", service: "s", kind: "non_idempotent"})
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
--- a/gateway/restore_model_test.go
+++ b/gateway/restore_model_test.go
@@ -143,7 +143,7 @@
 // to leave or to have gone.
 func (in *restoredInstance) check(t require.TestingT) {
 	for name := range in.known {
-		if spec, listed := in.listed.specs[name]; !listed || spec.Leaves {
+		if spec, listed := in.targetList.specs[name]; !listed || spec.Leaves {
 			in.left[name] = true
 		}
 	}
@@ -161,7 +161,7 @@
 // used returns the targets that requests may be sent to.
 func (in *restoredInstance) used() []string {
 	var out []string
-	for name, spec := range in.listed.specs {
+	for name, spec := range in.targetList.specs {
 		if !spec.Leaves {
 			out = append(out, name)
 		}
@@ -263,7 +263,7 @@
 
 // settle has all count that is held back.
 func (in *restoredInstance) settle() {
-	h := in.held[KindTargets]
+	h := in.heldChanges[KindTargets]
 	later := time.Now().Add(time.Hour)
 	in.applyTargets(later, h.expired(later, in.replicas[KindTargets]), provenance{source: sourceLapse})
 }
--- a/gateway/restored_orders_test.go
+++ b/gateway/restored_orders_test.go
@@ -81,7 +81,7 @@
 				r.mu.Lock()
 				defer r.mu.Unlock()
 				verdict := r.follower.Verdict()
-				if !r.goesOn() {
+				if !r.isOngoing() {
 					verdict = r.record.State
 				}
 				return followed{r.follower.Order().Version, verdict}
--- a/gateway/restored_own_objects_test.go
+++ b/gateway/restored_own_objects_test.go
@@ -39,7 +39,7 @@
 func TestOwnObjectsAreWrittenAgain(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	second := s.instance("n2", "a1", func(c *gateway.Config) { c.Seeds = []string{in.config.PeerListen} })
@@ -85,7 +85,7 @@
 func TestOperatorsChangeOfARestoredTable(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
--- a/gateway/restored_rollouts_test.go
+++ b/gateway/restored_rollouts_test.go
@@ -27,16 +27,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			v := newVersioned(t, 3)
+			v := newRolloutSite(t, 3)
 			stop := v.load()
 			defer stop()
 			// As many changes as the restored store makes again, so that an order gets another revision.
 			copied := v.store.Revision()
 			v.store.Set("other", "o", 1)
-			v.bringIn()
+			v.startRollout()
 			if c.bad {
 				for _, server := range v.new {
-					failing(server)
+					failHalf(server)
 				}
 			}
 			v.awaitState("running")
--- a/gateway/restored_targets_test.go
+++ b/gateway/restored_targets_test.go
@@ -123,7 +123,7 @@
 func (g *Gateway) uses(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	spec, ok := g.listed.specs[name]
+	spec, ok := g.targetList.specs[name]
 	return ok && !spec.Leaves
 }
 
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// rolloutTick is how often a rollout that goes on is looked at.
-	rolloutTick = 100 * time.Millisecond
-	// leaderSilence is how long nothing is heard of a leader before another instance takes over.
-	leaderSilence = 3 * rollout.HeartbeatInterval
-	// statePause is the time between two tries to write what has become of an order.
-	statePause = 400 * time.Millisecond
+	// rolloutTickInterval is how often a rollout that goes on is looked at.
+	rolloutTickInterval = 100 * time.Millisecond
+	// leaderTimeout is how long nothing is heard of a leader before another instance takes over.
+	leaderTimeout = 3 * rollout.HeartbeatInterval
+	// stateWriteInterval is the time between two tries to write what has become of an order.
+	stateWriteInterval = 400 * time.Millisecond
 )
 
 // rollouts are those that the store tells of, by service. It is safe for concurrent use.
@@ -61,20 +61,20 @@
 	follower *rollout.Follower
 	// leader is nil unless this instance leads.
 	leader *rollout.Leader
-	// heardAt is when another leader was last heard.
-	heardAt time.Time
+	// leaderHeardAt is when another leader was last heard.
+	leaderHeardAt time.Time
 	// writing says that a write is under way, and wroteAt is when the last one began.
-	writing bool
-	wroteAt time.Time
+	writing   bool
+	writtenAt time.Time
 }
 
-// goesOn tells whether the store does not hold a verdict yet, or no longer.
-func (r *serviceRollout) goesOn() bool { return !r.record.State.IsFinal() }
+// isOngoing tells whether the store does not hold a verdict yet, or no longer.
+func (r *serviceRollout) isOngoing() bool { return !r.record.State.IsFinal() }
 
-// lost returns the verdict that all act on if the store has lost it.
-func (r *serviceRollout) lost() (rollout.State, bool) {
+// lostVerdict returns the verdict that all act on if the store has lost it.
+func (r *serviceRollout) lostVerdict() (rollout.State, bool) {
 	verdict := r.follower.Verdict()
-	return verdict, verdict.IsFinal() && r.goesOn()
+	return verdict, verdict.IsFinal() && r.isOngoing()
 }
 
 // applyRollout takes in an order, or what has become of it.
@@ -85,7 +85,7 @@
 			known.withdraw()
 			g.log.Info(logRollout, "service", c.Name, "withdrawn", true, "source", from.source, "revision", from.revision)
 		}
-		g.rollouts.note(c.Name, known)
+		g.rollouts.put(c.Name, known)
 		return
 	}
 	record, err := g.codec.Rollout(c.Name, c.Value)
@@ -96,23 +96,23 @@
 	}
 	switch {
 	case known != nil && known.order().ID() == record.Order.ID():
-	case known != nil && known.order().Equivalent(record.Order) && g.mayBeGivenAgain(now, from):
-		known.givenAgain(record.Order)
+	case known != nil && known.order().Equivalent(record.Order) && g.mayBeReissued(now, from):
+		known.reissue(record.Order)
 	default:
 		if known != nil {
 			// The order before may be listed again by a store that has lost this one.
-			g.held[KindRollouts].relisted.Add(now, c.Name)
+			g.heldChanges[KindRollouts].tombstones.Add(now, c.Name)
 		}
 		known = &serviceRollout{follower: rollout.NewFollower(now, g.config.Name, record.Order)}
 	}
-	known.learn(record)
+	known.setRecord(record)
 	g.log.Info(logRollout, "service", record.Service, "version", record.Version, "duration_ms", record.Duration.Milliseconds(),
 		"state", record.State, "source", from.source, "revision", from.revision)
-	g.rollouts.note(c.Name, known)
+	g.rollouts.put(c.Name, known)
 }
 
-// note keeps a service's rollout and has it looked at.
-func (rs *rollouts) note(service string, r *serviceRollout) {
+// put keeps a service's rollout and has it looked at.
+func (rs *rollouts) put(service string, r *serviceRollout) {
 	if r == nil {
 		return
 	}
@@ -131,19 +131,19 @@
 	return r.follower.Order()
 }
 
-// isLed tells whether this instance leads the rollout.
-func (r *serviceRollout) isLed() bool {
+// isLeader tells whether this instance leads the rollout.
+func (r *serviceRollout) isLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leader != nil
 }
 
-// mayBeGivenAgain tells whether an order that comes may be one that a restored store had lost.
-func (g *Gateway) mayBeGivenAgain(now time.Time, from provenance) bool {
-	return from.restored || g.held[KindRollouts].lapse.Remaining(now) > 0
+// mayBeReissued tells whether an order that comes may be one that a restored store had lost.
+func (g *Gateway) mayBeReissued(now time.Time, from provenance) bool {
+	return from.restored || g.heldChanges[KindRollouts].removals.Remaining(now) > 0
 }
 
-func (r *serviceRollout) givenAgain(order rollout.Order) {
+func (r *serviceRollout) reissue(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.follower.Reissue(order)
@@ -160,7 +160,7 @@
 	r.record.State = rollout.RolledBack
 }
 
-func (r *serviceRollout) learn(record rollout.Record) {
+func (r *serviceRollout) setRecord(record rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.record = record
@@ -178,7 +178,7 @@
 			goesOn = g.tickRollout(ctx, r) || goesOn
 		}
 		if goesOn {
-			pause.For(ctx, rolloutTick)
+			pause.For(ctx, rolloutTickInterval)
 			continue
 		}
 		select {
@@ -192,12 +192,12 @@
 func (g *Gateway) tickRollout(ctx context.Context, r *serviceRollout) bool {
 	now := g.clock.Now()
 	service := r.order().Service
-	versions := g.pools.versions(now, service)
+	versions := g.pools.versionStats(now, service)
 	g.lead(ctx, now, r, versions)
 	r.mu.Lock()
 	split, until := r.follower.Split(now)
 	report, leader, reports := r.follower.Report(now, versions.OldInFlight)
-	goesOn := r.goesOn()
+	goesOn := r.isOngoing()
 	r.mu.Unlock()
 	g.pools.setSplit(now, r, split, until)
 	if !reports {
@@ -214,14 +214,14 @@
 // lead takes the lead of a rollout if that is this instance's part, decides on its stage, tells all
 // others, and has the store hold what has become of it.
 func (g *Gateway) lead(ctx context.Context, now time.Time, r *serviceRollout, versions upstream.VersionStats) {
-	leads, members := g.leads(now, r.isLed())
+	leads, members := g.leadsRollouts(now, r.isLeader())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.goesOn() || !leads || now.Sub(r.heardAt) < leaderSilence {
+	if !r.isOngoing() || !leads || now.Sub(r.leaderHeardAt) < leaderTimeout {
 		r.leader = nil
 		return
 	}
-	if verdict, lost := r.lost(); lost {
+	if verdict, lost := r.lostVerdict(); lost {
 		r.leader = nil
 		g.writeState(ctx, now, r, verdict)
 		return
@@ -246,8 +246,8 @@
 	g.writeState(ctx, now, r, r.leader.Verdict())
 }
 
-// leads tells whether this instance leads rollouts, and how many instances there are.
-func (g *Gateway) leads(now time.Time, hasLed bool) (leads bool, members int) {
+// leadsRollouts tells whether this instance leads rollouts, and how many instances there are.
+func (g *Gateway) leadsRollouts(now time.Time, hasLed bool) (leads bool, members int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.view.All(now) {
@@ -260,12 +260,12 @@
 
 // writeState has the store hold what has become of an order. The caller holds the rollout's mu.
 func (g *Gateway) writeState(ctx context.Context, now time.Time, r *serviceRollout, state rollout.State) {
-	if r.writing || r.record.State == state || now.Sub(r.wroteAt) < statePause {
+	if r.writing || r.record.State == state || now.Sub(r.writtenAt) < stateWriteInterval {
 		return
 	}
-	r.writing, r.wroteAt = true, now
+	r.writing, r.writtenAt = true, now
 	record := r.record
-	g.start(func() {
+	g.startGoroutine(func() {
 		err := g.store.SetRolloutState(ctx, record, state)
 		r.mu.Lock()
 		r.writing = false
@@ -298,8 +298,8 @@
 	g.log.LogAttrs(context.Background(), slog.LevelInfo, logRolloutStage, attrs...)
 }
 
-// hearStages takes in the stages that leaders tell.
-func (g *Gateway) hearStages(now time.Time, stages []rollout.Stage) {
+// receiveStages takes in the stages that leaders tell.
+func (g *Gateway) receiveStages(now time.Time, stages []rollout.Stage) {
 	for _, stage := range stages {
 		for _, r := range g.rollouts.all() {
 			r.mu.Lock()
@@ -307,7 +307,7 @@
 				g.logStage(r, stage)
 			}
 			if r.follower.Stage() == stage && stage.Leader != g.view.Self().PeerAddr {
-				r.heardAt = now
+				r.leaderHeardAt = now
 			}
 			r.mu.Unlock()
 		}
