--- a/gateway/rollouts_test.go
+++ b/gateway/rollouts_test.go
@@ -17,8 +17,8 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// versioned is a site whose service runs in one version, of which another one is to be brought in.
-type versioned struct {
+// rolloutSite is a site whose service runs in one version, of which another one is to be brought in.
+type rolloutSite struct {
 	*site
 	instances []*instance
 	old, new  []*origin.Server
@@ -28,10 +28,10 @@
 
 const rolloutTime = 6 * time.Second
 
-// newVersioned starts some instances and six targets of version v1.
-func newVersioned(t *testing.T, instances int) *versioned {
-	v := &versioned{site: newSite(t)}
-	v.configure(1, safeRoute)
+// newRolloutSite starts some instances and six targets of version v1.
+func newRolloutSite(t *testing.T, instances int) *rolloutSite {
+	v := &rolloutSite{site: newSite(t)}
+	v.configure(1, idempotentRoute)
 	for i := range 6 {
 		v.old = append(v.old, v.versionedServer(fmt.Sprint("old", i), "v1", &v.toOld))
 	}
@@ -49,7 +49,7 @@
 	return v
 }
 
-func (v *versioned) versionedServer(id, version string, count *atomic.Int64) *origin.Server {
+func (v *rolloutSite) versionedServer(id, version string, count *atomic.Int64) *origin.Server {
 	server, err := origin.Start(id, "s", "a1", 9)
 	require.NoError(v.t, err)
 	v.t.Cleanup(server.Close)
@@ -58,8 +58,8 @@
 	return server
 }
 
-// bringIn has the operator order version v2, and starts its targets.
-func (v *versioned) bringIn() {
+// startRollout has the operator order version v2, and starts its targets.
+func (v *rolloutSite) startRollout() {
 	v.store.Set("rollouts", "s", objects.Rollout{Service: "s", TargetVersion: "v2", Duration: rolloutTime.String()})
 	for i := range 6 {
 		v.new = append(v.new, v.versionedServer(fmt.Sprint("new", i), "v2", &v.toNew))
@@ -67,7 +67,7 @@
 }
 
 // load has clients send requests until the function that it returns is called.
-func (v *versioned) load() (stop func()) {
+func (v *rolloutSite) load() (stop func()) {
 	var clients sync.WaitGroup
 	var stopped atomic.Bool
 	for i := range 8 {
@@ -89,7 +89,7 @@
 }
 
 // state returns what the store holds of the order.
-func (v *versioned) state() objects.RolloutStatus {
+func (v *rolloutSite) state() objects.RolloutStatus {
 	var status objects.RolloutStatus
 	raw := v.store.Status("rollouts", "s")
 	if raw != nil {
@@ -98,14 +98,14 @@
 	return status
 }
 
-func (v *versioned) awaitState(state string) {
+func (v *rolloutSite) awaitState(state string) {
 	v.t.Helper()
 	require.Eventually(v.t, func() bool { return v.state().State == state }, rolloutTime+wait, poll)
 	require.Equal(v.t, "v2", v.state().TargetVersion)
 }
 
-// failing has a server fail half of its requests.
-func failing(server *origin.Server) {
+// failHalf has a server fail half of its requests.
+func failHalf(server *origin.Server) {
 	var n atomic.Int64
 	server.SetScript(func(*http.Request) origin.Fault {
 		if n.Add(1)%2 == 0 {
@@ -115,15 +115,15 @@
 	})
 }
 
-// TestGoodVersionIsBroughtIn checks that a good version gets all requests, and that the order is said to have
+// TestGoodVersionIsRolledOut checks that a good version gets all requests, and that the order is said to have
 // succeeded only when none is at an old target any more.
-func TestGoodVersionIsBroughtIn(t *testing.T) {
+func TestGoodVersionIsRolledOut(t *testing.T) {
 	for _, instances := range []int{1, 3} {
 		t.Run(fmt.Sprint("instances=", instances), func(t *testing.T) {
-			v := newVersioned(t, instances)
+			v := newRolloutSite(t, instances)
 			stop := v.load()
 			defer stop()
-			v.bringIn()
+			v.startRollout()
 			v.awaitState("running")
 			v.awaitState("succeeded")
 			// The platform stops the old targets now.
@@ -147,14 +147,14 @@
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for _, instances := range []int{1, 3} {
 		t.Run(fmt.Sprint("instances=", instances), func(t *testing.T) {
-			v := newVersioned(t, instances)
+			v := newRolloutSite(t, instances)
 			stop := v.load()
 			defer stop()
 			v.store.Set("rollouts", "s", objects.Rollout{Service: "s", TargetVersion: "v2", Duration: rolloutTime.String()})
 			before := v.toOld.Load() + v.toNew.Load()
 			for i := range 6 {
 				server := v.versionedServer(fmt.Sprint("new", i), "v2", &v.toNew)
-				failing(server)
+				failHalf(server)
 			}
 			v.awaitState("rolled_back")
 			time.Sleep(500 * time.Millisecond)
@@ -165,13 +165,13 @@
 	}
 }
 
-// TestVerdictWhileLeaderIsLost checks that another instance goes on with a rollout when the one that leads it
+// TestRolloutContinuesAfterLeaderLoss checks that another instance goes on with a rollout when the one that leads it
 // ends.
-func TestVerdictWhileLeaderIsLost(t *testing.T) {
-	v := newVersioned(t, 3)
+func TestRolloutContinuesAfterLeaderLoss(t *testing.T) {
+	v := newRolloutSite(t, 3)
 	stop := v.load()
 	defer stop()
-	v.bringIn()
+	v.startRollout()
 	v.awaitState("running")
 	// The first by name leads.
 	v.instances[0].stop()
@@ -180,15 +180,15 @@
 	require.Eventually(t, func() bool { state := v.state().State; return state == "succeeded" || state == "rolled_back" }, 2*rolloutTime+wait, poll)
 }
 
-// TestVerdictWhileStoreIsAway checks that a bad version gets no more requests though nothing can be written to
+// TestRollbackWhileStoreIsUnreachable checks that a bad version gets no more requests though nothing can be written to
 // the store, and that the rollback is written once the store is back.
-func TestVerdictWhileStoreIsAway(t *testing.T) {
-	v := newVersioned(t, 2)
+func TestRollbackWhileStoreIsUnreachable(t *testing.T) {
+	v := newRolloutSite(t, 2)
 	stop := v.load()
 	defer stop()
-	v.bringIn()
+	v.startRollout()
 	for _, server := range v.new {
-		failing(server)
+		failHalf(server)
 	}
 	v.awaitState("running")
 	v.store.SetFaults(objects.Faults{Down: true})
@@ -202,9 +202,9 @@
 	v.awaitState("rolled_back")
 }
 
-// TestWrittenVerdictCounts checks that what the store holds is not changed, whoever has written it.
-func TestWrittenVerdictCounts(t *testing.T) {
-	v := newVersioned(t, 1)
+// TestStoredVerdictIsKept checks that what the store holds is not changed, whoever has written it.
+func TestStoredVerdictIsKept(t *testing.T) {
+	v := newRolloutSite(t, 1)
 	stop := v.load()
 	defer stop()
 	v.store.Set("rollouts", "s", objects.Rollout{Service: "s", TargetVersion: "v2", Duration: rolloutTime.String()})
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// maxHeadBytes bounds the head of a request whatever the configuration
+	// maxHeaderBytes bounds the head of a request whatever the configuration
 	// allows.
-	maxHeadBytes = 64 << 10
-	// answerMargin is how much earlier than the client's deadline the answer
+	maxHeaderBytes = 64 << 10
+	// responseMargin is how much earlier than the client's deadline the answer
 	// is sent.
-	answerMargin = 10 * time.Millisecond
+	responseMargin = 10 * time.Millisecond
 	// defaultRetryAfter is told where nothing better is known.
 	defaultRetryAfter = 300 * time.Millisecond
 )
@@ -45,32 +45,32 @@
 	service  string
 	// account is the client account, nil for none, and homes are the regions that may
 	// serve the request, empty for any.
-	account *catalog.Account
-	homes   []string
+	account     *catalog.Account
+	homeRegions []string
 	// permit is the right to one request of the account, if it is limited, and
 	// permitWait how long it took to have it.
-	permit     permit
-	permitWait time.Duration
-	limited    ratelimit.Result
-	body       []byte
-	uri        string
-	trail      []hop
+	permit      permit
+	permitWait  time.Duration
+	limitResult ratelimit.Result
+	body        []byte
+	uri         string
+	attempts    []attemptRecord
 	// digest is that of the content, zero until it is needed. Trial is what the request is
 	// sent to find out about, if targets end under it: its content, or the unknown requests
 	// of its account; zero if it is sent like any other.
 	digest quarantine.Digest
 	trial  quarantine.Digest
-	// warden is the instance that granted the trial, and broken says that the trial was
+	// coordinator is the instance that granted the trial, and broken says that the trial was
 	// broken off.
-	warden fleet.Member
-	broken bool
+	coordinator fleet.Member
+	interrupted bool
 	// answered says that a target has answered the request, and heldAsAccount that it was
 	// held back for others of its account.
-	answered, heldAsAccount bool
+	answered, heldForAccount bool
 }
 
-// hop is what became of one attempt, for the log.
-type hop struct {
+// attemptRecord is what became of one attempt, for the log.
+type attemptRecord struct {
 	Target string `json:"target"`
 	Region string `json:"region"`
 	Reason string `json:"reason"`
@@ -80,20 +80,20 @@
 	Reused  bool    `json:"reused,omitempty"`
 	Error   string  `json:"error,omitempty"`
 	TookMs  int64   `json:"took_ms"`
-	// Leaves, RestMs and Limit, nil for none, are what the target said of itself.
-	Leaves bool  `json:"leaves,omitempty"`
-	RestMs int64 `json:"rest_ms,omitempty"`
+	// Leaving, RestMs and Limit, nil for none, are what the target said of itself.
+	Leaving   bool  `json:"leaves,omitempty"`
+	BackoffMs int64 `json:"rest_ms,omitempty"`
 	// Limit is in requests a second.
 	Limit *float64 `json:"limit_per_s,omitempty"`
 }
 
-// verdict is the final answer of a request that no target has answered.
-type verdict struct {
+// requestResult is the final answer of a request that no target has answered.
+type requestResult struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
-	// close ends the client's connection after the answer.
-	close bool
+	// closeConn ends the client's connection after the answer.
+	closeConn bool
 }
 
 // ServeHTTP takes a request of a client.
@@ -109,35 +109,35 @@
 }
 
 // serve finds the route, reads the body and has the request run.
-func (g *Gateway) serve(ex *exchange) (verdict, *forward.Response) {
+func (g *Gateway) serve(ex *exchange) (requestResult, *forward.Response) {
 	if g.refusing.Load() {
-		return verdict{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: defaultRetryAfter, close: true}, nil
+		return requestResult{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: defaultRetryAfter, closeConn: true}, nil
 	}
-	g.awaitReady(ex.ctx, g.clientWaits(ex.r))
+	g.awaitReady(ex.ctx, g.clientTimeout(ex.r))
 	router := g.router.Load()
 	if router == nil {
-		return verdict{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: defaultRetryAfter, close: true}, nil
+		return requestResult{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: defaultRetryAfter, closeConn: true}, nil
 	}
 	limits := router.Config().Limits
-	if limits.HeaderBytes > 0 && headBytes(ex.r) > limits.HeaderBytes {
-		return verdict{status: http.StatusRequestHeaderFieldsTooLarge, reason: "head-too-large", close: true}, nil
+	if limits.HeaderBytes > 0 && headerBytes(ex.r) > limits.HeaderBytes {
+		return requestResult{status: http.StatusRequestHeaderFieldsTooLarge, reason: "head-too-large", closeConn: true}, nil
 	}
 	ex.uri = requestURI(ex.r)
 	path, _, _ := strings.Cut(ex.uri, "?")
 	ex.route = router.Find(ex.r.Host, path)
 	ex.version = router.Config().Version
 	if ex.route == nil {
-		return verdict{status: http.StatusNotFound, reason: "no-route"}, nil
+		return requestResult{status: http.StatusNotFound, reason: "no-route"}, nil
 	}
 	ex.service = ex.route.ServiceFor(ex.id)
-	ex.deadline = ex.start.Add(g.timeFor(ex))
+	ex.deadline = ex.start.Add(g.timeLimit(ex))
 	v, ok := g.identify(ex, router)
 	if !ok {
 		return v, nil
 	}
 	if ex.r.ContentLength == 0 {
 		// A permit would lapse while the request waits.
-		v, ok = ex.awaitTurn()
+		v, ok = ex.awaitPipelineTurn()
 		if !ok {
 			return v, nil
 		}
@@ -150,7 +150,7 @@
 	if !ok {
 		return v, nil
 	}
-	v, ok = ex.awaitTurn()
+	v, ok = ex.awaitPipelineTurn()
 	if !ok {
 		return v, nil
 	}
@@ -169,36 +169,36 @@
 	return u.RequestURI()
 }
 
-// timeFor returns how long a request may take: what the client waits, and no
+// timeLimit returns how long a request may take: what the client waits, and no
 // longer than the route allows.
-func (g *Gateway) timeFor(ex *exchange) time.Duration {
-	limit := g.clientWaits(ex.r)
+func (g *Gateway) timeLimit(ex *exchange) time.Duration {
+	limit := g.clientTimeout(ex.r)
 	if ex.route.Timeout > 0 {
 		limit = min(limit, ex.route.Timeout)
 	}
 	return limit
 }
 
-// clientWaits returns how long the client waits for the answer, less the way back.
-func (g *Gateway) clientWaits(r *http.Request) time.Duration {
+// clientTimeout returns how long the client waits for the answer, less the way back.
+func (g *Gateway) clientTimeout(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(g.headers.Deadline), 10, 64)
 	if err != nil || ms <= 0 {
 		return g.config.DefaultDeadline
 	}
-	return time.Duration(ms)*time.Millisecond - answerMargin
+	return time.Duration(ms)*time.Millisecond - responseMargin
 }
 
 // readBody reads the whole body, so that it can be sent again.
-func (g *Gateway) readBody(ex *exchange, limits catalog.Limits) (verdict, bool) {
+func (g *Gateway) readBody(ex *exchange, limits catalog.Limits) (requestResult, bool) {
 	most := limits.BodyBytes
 	if most <= 0 {
-		most = defaultBodyBytes
+		most = defaultMaxBodyBytes
 	}
 	if ex.r.ContentLength > most {
-		return verdict{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", close: true}, false
+		return requestResult{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", closeConn: true}, false
 	}
 	if ex.r.ContentLength == 0 {
-		return verdict{}, true
+		return requestResult{}, true
 	}
 	control := http.NewResponseController(ex.w)
 	_ = control.SetReadDeadline(g.clock.System(ex.deadline))
@@ -208,24 +208,24 @@
 	switch {
 	case err == nil:
 		ex.body = body
-		return verdict{}, true
+		return requestResult{}, true
 	case errors.As(err, &tooLarge):
-		return verdict{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", close: true}, false
+		return requestResult{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", closeConn: true}, false
 	case !g.clock.Now().Before(ex.deadline):
-		return verdict{status: http.StatusRequestTimeout, reason: "body-late", close: true}, false
+		return requestResult{status: http.StatusRequestTimeout, reason: "body-late", closeConn: true}, false
 	default:
-		return verdict{status: http.StatusBadRequest, reason: "body-broken", close: true}, false
+		return requestResult{status: http.StatusBadRequest, reason: "body-broken", closeConn: true}, false
 	}
 }
 
-// defaultBodyBytes bounds bodies where the configuration does not.
-const defaultBodyBytes = 64 << 20
+// defaultMaxBodyBytes bounds bodies where the configuration does not.
+const defaultMaxBodyBytes = 64 << 20
 
-// firstBody bounds the memory taken for a body that has not arrived.
-const firstBody = 512 << 10
+// maxPreallocatedBody bounds the memory taken for a body that has not arrived.
+const maxPreallocatedBody = 512 << 10
 
 func readAll(r io.Reader, length int64) ([]byte, error) {
-	if length > 0 && length <= firstBody {
+	if length > 0 && length <= maxPreallocatedBody {
 		body := make([]byte, length)
 		_, err := io.ReadFull(r, body)
 		return body, err
@@ -234,29 +234,29 @@
 }
 
 // finish sends the final answer and logs what decided it.
-func (g *Gateway) finish(ex *exchange, v verdict, resp *forward.Response) {
+func (g *Gateway) finish(ex *exchange, v requestResult, resp *forward.Response) {
 	status := v.status
-	_ = http.NewResponseController(ex.w).SetWriteDeadline(time.Now().Add(answerTime))
+	_ = http.NewResponseController(ex.w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	switch {
 	case ex.ctx.Err() != nil || v.reason == reasonClientLeft:
 		status, v.reason = 0, reasonClientLeft
 	case resp != nil:
 		status = resp.Status
-		g.relay(ex, resp)
+		g.relayResponse(ex, resp)
 	default:
-		g.refuse(ex, v)
+		g.writeRefusal(ex, v)
 	}
 	if resp == nil && hasNotRun(status) {
-		g.permits.giveBack(ex.permit)
+		g.accountPermits.release(ex.permit)
 	}
-	g.record(ex, status, v.reason)
+	g.recordRequest(ex, status, v.reason)
 	if status == 0 {
 		// No answer may look like one to the request.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (g *Gateway) relay(ex *exchange, resp *forward.Response) {
+func (g *Gateway) relayResponse(ex *exchange, resp *forward.Response) {
 	h := ex.w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
@@ -271,7 +271,7 @@
 	}
 }
 
-func (g *Gateway) refuse(ex *exchange, v verdict) {
+func (g *Gateway) writeRefusal(ex *exchange, v requestResult) {
 	h := ex.w.Header()
 	if ex.id != "" {
 		h.Set(g.headers.RequestID, ex.id)
@@ -279,24 +279,24 @@
 	if v.retryAfter > 0 {
 		h.Set(g.headers.RetryAfter, strconv.FormatFloat(v.retryAfter.Seconds(), 'f', 2, 64))
 	}
-	if v.close {
+	if v.closeConn {
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Length", "0")
 	ex.w.WriteHeader(v.status)
 }
 
-// record counts and logs a request: each failure and each repeat, and a sample
+// recordRequest counts and logs a request: each failure and each repeat, and a sample
 // of the rest, by the request's ID, so that all instances log the same ones.
-func (g *Gateway) record(ex *exchange, status int, reason string) {
+func (g *Gateway) recordRequest(ex *exchange, status int, reason string) {
 	took := g.clock.Since(ex.start)
 	g.metrics.request(ex, status, reason, took)
-	ordinary := status/100 == 2 && len(ex.trail) == 1
-	if ordinary && !sampled(ex.id, g.config.LogSample) {
+	ordinary := status/100 == 2 && len(ex.attempts) == 1
+	if ordinary && !isSampled(ex.id, g.config.LogSample) {
 		return
 	}
 	level := slog.LevelInfo
-	if !ordinary && !callersFault(status) {
+	if !ordinary && !isCallerError(status) {
 		level = slog.LevelWarn
 	}
 	g.log.LogAttrs(context.Background(), level, logRequest, append(append(ex.limitAttrs(), ex.contentAttrs()...),
@@ -312,7 +312,7 @@
 		slog.Int64("budget_ms", ex.budget().Milliseconds()),
 		slog.Int64("objective_ms", objective(ex.route).Milliseconds()),
 		slog.Int64("took_ms", took.Milliseconds()),
-		slog.Any("attempts", ex.trail))...)
+		slog.Any("attempts", ex.attempts))...)
 }
 
 // limitAttrs says how the limit of the request's account decided, if it has one.
@@ -321,23 +321,23 @@
 		return nil
 	}
 	attrs := []slog.Attr{slog.Int64("permit_ms", ex.permitWait.Milliseconds())}
-	if ex.limited.Decision == ratelimit.Admit {
+	if ex.limitResult.Decision == ratelimit.Admit {
 		return attrs
 	}
-	return append(attrs, slog.String("limit_owner", ex.limited.Owner),
-		slog.Float64("sent_per_s", ex.limited.RequestRate), slog.Float64("permits_per_s", ex.limited.PermitRate),
-		slog.Int64("retry_after_ms", ex.limited.RetryAfter.Milliseconds()))
+	return append(attrs, slog.String("limit_owner", ex.limitResult.Owner),
+		slog.Float64("sent_per_s", ex.limitResult.RequestRate), slog.Float64("permits_per_s", ex.limitResult.PermitRate),
+		slog.Int64("retry_after_ms", ex.limitResult.RetryAfter.Milliseconds()))
 }
 
 // contentAttrs says which request this is the same as, if it was broken off at a target or
 // was looked up among those that end targets: these come again under another ID.
 func (ex *exchange) contentAttrs() []slog.Attr {
-	broken := slices.ContainsFunc(ex.trail, func(h hop) bool { return h.Outcome == retry.Unknown.String() })
-	if !broken && !ex.heldAsAccount && ex.digest == (quarantine.Digest{}) {
+	broken := slices.ContainsFunc(ex.attempts, func(h attemptRecord) bool { return h.Outcome == retry.Unknown.String() })
+	if !broken && !ex.heldForAccount && ex.digest == (quarantine.Digest{}) {
 		return nil
 	}
-	attrs := []slog.Attr{slog.String("content", ex.digestOf().String())}
-	if ex.heldAsAccount {
+	attrs := []slog.Attr{slog.String("content", ex.contentDigest().String())}
+	if ex.heldForAccount {
 		attrs = append(attrs, slog.String("held_as", quarantine.AccountDigest(ex.account.Name).String()))
 	}
 	return attrs
@@ -354,10 +354,10 @@
 	return status != 0 && status != http.StatusBadGateway && status != http.StatusGatewayTimeout
 }
 
-// callersFault tells whether a status says that an account has no key or has sent too much.
+// isCallerError tells whether a status says that an account has no key or has sent too much.
 // Lines on these never take the place of those on failures: anyone can bring them about
 // by the thousand.
-func callersFault(status int) bool {
+func isCallerError(status int) bool {
 	return status == http.StatusUnauthorized || status == http.StatusTooManyRequests
 }
 
@@ -387,8 +387,8 @@
 	return route.Objective
 }
 
-// outcomeOf is the class of a final status, for the metrics.
-func outcomeOf(status int) string {
+// outcomeClass is the class of a final status, for the metrics.
+func outcomeClass(status int) string {
 	switch {
 	case status == 0:
 		return "client-left"
@@ -396,7 +396,7 @@
 		return "ok"
 	case status == http.StatusServiceUnavailable:
 		return "refused"
-	case callersFault(status):
+	case isCallerError(status):
 		return "turned-away"
 	default:
 		return "failed"
--- a/gateway/share_test.go
+++ b/gateway/share_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/warmup"
 )
 
-// TestStartingInstancesShareNothing is the story of instances that have just started and know
+// TestStartingInstanceHasNoWarmupQuota is the story of instances that have just started and know
 // themselves alone.
 //
 // What targets see: in one second a cold target gets its parts from the instances of its hall that
@@ -26,7 +26,7 @@
 // Cause: a sum over all instances was divided by those that one of them happens to know. The
 // parts of two instances add up only if both divide by the same list. Nobody has reported it; it
 // was found by looking for the cause of targets' limits that were not kept elsewhere.
-func TestStartingInstancesShareNothing(t *testing.T) {
+func TestStartingInstanceHasNoWarmupQuota(t *testing.T) {
 	const rate = 11.0
 	all := []string{"n0", "n1", "n2", "n3"}
 	sum := 0
@@ -35,12 +35,12 @@
 	}
 	g := newSender(t)
 	g.shareOut(time.Now())
-	sum += 2 * warmup.Quota("n0", "t", g.pools.members["a1"], rate)
+	sum += 2 * warmup.Quota("n0", "t", g.pools.instancesByHall["a1"], rate)
 	require.LessOrEqual(t, float64(sum), rate, "before it knows the others")
 	list := feed.Delta{Kind: KindInstances, To: feed.At(0, 7), Full: true}
 	require.True(t, g.take(list, sourceStore))
-	require.Equal(t, []string{"n0"}, g.pools.members["a1"], "a list without others is one")
+	require.Equal(t, []string{"n0"}, g.pools.instancesByHall["a1"], "a list without others is one")
 	g.view.Add(fleet.Member{Name: "n1", Hall: "a1", Region: "a"})
 	g.shareOut(time.Now())
-	require.Equal(t, []string{"n0", "n1"}, g.pools.members["a1"])
+	require.Equal(t, []string{"n0", "n1"}, g.pools.instancesByHall["a1"])
 }
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -42,7 +42,7 @@
 // alone.
 func TestTargetsFromReader(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	seeded := func(c *gateway.Config) { c.Seeds = []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"} }
 	reader := s.instance(nameOf(true), "a1", seeded)
@@ -58,7 +58,7 @@
 // hall has no reader.
 func TestTargetsWithoutReader(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	store := &countingStore{Store: platform.NewStore(s.addr)}
 	s.instanceOf(store, nameOf(false), "a1").awaitStatus("/x/", 200)
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -105,7 +105,7 @@
 	}
 	s.Targets, s.Unavailable = g.pools.unavailable(now)
 	s.Limited = g.pools.limited(now)
-	s.Held = g.holds.list(now)
+	s.Held = g.quarantine.list(now)
 	s.Rollouts = g.rollouts.list(now)
 	return s
 }
@@ -174,7 +174,7 @@
 }
 
 // list returns the requests and accounts that are not free.
-func (h *holds) list(now time.Time) []HeldRequest {
+func (h *quarantineState) list(now time.Time) []HeldRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []HeldRequest
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -25,15 +25,15 @@
 // serveClients opens the HTTP servers.
 func (g *Gateway) serveClients() {
 	errorLog := slog.NewLogLogger(g.log.Handler(), slog.LevelDebug)
-	g.front = &http.Server{
+	g.frontServer = &http.Server{
 		Handler:           g,
-		ReadHeaderTimeout: anyHeadTimeout,
-		IdleTimeout:       anyIdleTimeout,
-		MaxHeaderBytes:    maxHeadBytes,
+		ReadHeaderTimeout: headerTimeoutMarker,
+		IdleTimeout:       idleTimeoutMarker,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          errorLog,
 	}
-	g.ahead = pipelining.NewListener(g.front, limitedListener{g.listeners.front, g}, aheadLimits)
-	g.open(g.front, g.ahead)
+	g.clientListener = pipelining.NewListener(g.frontServer, limitedListener{g.listeners.front, g}, pipeliningLimits)
+	g.open(g.frontServer, g.clientListener)
 	small := func(h http.Handler) *http.Server {
 		return &http.Server{Handler: h, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: errorLog}
 	}
@@ -64,6 +64,6 @@
 	g.refusing.Store(true)
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(time.Duration((1-endShare)*float64(g.config.Grace))))
 	defer cancel()
-	err := g.front.Shutdown(ctx)
+	err := g.frontServer.Shutdown(ctx)
 	g.log.Info(logStop, "took_ms", time.Since(began).Milliseconds(), "in_flight", g.inFlight.Load(), "cut", err != nil)
 }
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -29,7 +29,7 @@
 	for _, length := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
 		t.Run(length.String(), func(t *testing.T) {
 			s := newSite(t)
-			s.configure(1, safeRoute)
+			s.configure(1, idempotentRoute)
 			servers := []*origin.Server{s.server("i-1", "s", "a1"), s.server("i-2", "s", "a1")}
 			var away suspension
 			in := s.instance("n1", "a1", away.use)
@@ -63,7 +63,7 @@
 // than a target keeps them are not used again.
 func TestSuspendedConnections(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	var away suspension
 	in := s.instance("n1", "a1", away.use)
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -10,117 +10,117 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// manyTargets is the number of changes at once from which on one line tells of
+// manyTargetChanges is the number of changes at once from which on one line tells of
 // them all.
-const manyTargets = 16
+const manyTargetChanges = 16
 
 // maxRefusedLines bounds the entries refused in one delta that are told in a line each.
 const maxRefusedLines = 4
 
-// listed are the targets that the store names.
-type listed struct {
+// targetList are the targets that the store names.
+type targetList struct {
 	// specs holds those to use by their names. None changes once it is there.
 	specs map[string]*catalog.Target
 	// refused are the entries that name no target to use, with what is wrong with them.
 	refused map[string]*catalog.EntryError
-	// gone holds the latest incarnation known of each name that has no target to use, or one whose start
+	// removed holds the latest incarnation known of each name that has no target to use, or one whose start
 	// is not told, for a while.
-	gone map[string]incarnation
-	// texts are those that many targets have in common, so that each is held once.
-	texts map[string]string
+	removed map[string]incarnation
+	// interned are those that many targets have in common, so that each is held once.
+	interned map[string]string
 }
 
 // incarnation is when a target started, the sequence of what it wrote last, and when its entry went,
 // zero while there is one.
 type incarnation struct {
 	born, sequence int64
-	goneAt         time.Time
+	removedAt      time.Time
 }
 
-// bornKept is how long it is remembered when a target that is gone had started. A write of an
+// incarnationTTL is how long it is remembered when a target that is gone had started. A write of an
 // earlier incarnation that the store was slow to do may come some seconds later.
-const bornKept = time.Minute
+const incarnationTTL = time.Minute
 
-func newListed() listed {
-	return listed{
-		specs:   make(map[string]*catalog.Target),
-		refused: make(map[string]*catalog.EntryError),
-		gone:    make(map[string]incarnation),
-		texts:   make(map[string]string),
+func newTargetList() targetList {
+	return targetList{
+		specs:    make(map[string]*catalog.Target),
+		refused:  make(map[string]*catalog.EntryError),
+		removed:  make(map[string]incarnation),
+		interned: make(map[string]string),
 	}
 }
 
 // born returns when the latest known incarnation of a name started, 0 if that is not known.
-func (l *listed) born(name string) int64 {
+func (l *targetList) born(name string) int64 {
 	if spec := l.specs[name]; spec != nil && spec.Born > 0 {
 		return spec.Born
 	}
-	return l.gone[name].born
+	return l.removed[name].born
 }
 
-// isOld tells whether an entry is that of an earlier incarnation than the one known.
-func (l *listed) isOld(spec catalog.Target) bool {
+// isOutdated tells whether an entry is that of an earlier incarnation than the one known.
+func (l *targetList) isOutdated(spec catalog.Target) bool {
 	return spec.Born > 0 && spec.Born < l.born(spec.Name)
 }
 
 // put takes in the entry of a target to use.
-func (l *listed) put(spec catalog.Target) {
-	spec.Service, spec.Version, spec.Hall = l.shared(spec.Service), l.shared(spec.Version), l.shared(spec.Hall)
+func (l *targetList) put(spec catalog.Target) {
+	spec.Service, spec.Version, spec.Hall = l.intern(spec.Service), l.intern(spec.Version), l.intern(spec.Hall)
 	known := l.born(spec.Name)
 	l.specs[spec.Name] = &spec
 	delete(l.refused, spec.Name)
 	switch {
 	case spec.Born > 0:
-		delete(l.gone, spec.Name)
+		delete(l.removed, spec.Name)
 	case known > 0:
-		l.gone[spec.Name] = incarnation{born: known}
+		l.removed[spec.Name] = incarnation{born: known}
 	default:
-		delete(l.gone, spec.Name)
+		delete(l.removed, spec.Name)
 	}
 }
 
-// maxTexts bounds the texts that are held once: far more than there are services, versions and halls.
-const maxTexts = 4096
+// maxInterned bounds the texts that are held once: far more than there are services, versions and halls.
+const maxInterned = 4096
 
-// shared returns a text as it is held.
-func (l *listed) shared(text string) string {
-	held, ok := l.texts[text]
+// intern returns a text as it is held.
+func (l *targetList) intern(text string) string {
+	held, ok := l.interned[text]
 	if ok {
 		return held
 	}
-	if len(l.texts) >= maxTexts {
-		clear(l.texts)
+	if len(l.interned) >= maxInterned {
+		clear(l.interned)
 	}
-	l.texts[text] = text
+	l.interned[text] = text
 	return text
 }
 
-// drop takes in that a name has no target to use any more.
-func (l *listed) drop(now time.Time, name string) {
-	last := incarnation{born: l.born(name), sequence: l.gone[name].sequence, goneAt: now}
+// remove takes in that a name has no target to use any more.
+func (l *targetList) remove(now time.Time, name string) {
+	last := incarnation{born: l.born(name), sequence: l.removed[name].sequence, removedAt: now}
 	if spec := l.specs[name]; spec != nil {
 		last.sequence = spec.Sequence
 	}
 	delete(l.specs, name)
 	delete(l.refused, name)
-	l.gone[name] = last
+	l.removed[name] = last
 }
 
-// isOfCopy tells whether an entry of a store that came back from a copy is what a target had written
+// isFromBackup tells whether an entry of a store that came back from a copy is what a target had written
 // before what is known of it: before its last word, or before it went.
-func (l *listed) isOfCopy(spec catalog.Target) bool {
+func (l *targetList) isFromBackup(spec catalog.Target) bool {
 	if known := l.specs[spec.Name]; known != nil {
 		return known.ID == spec.ID && spec.Sequence < known.Sequence
 	}
-	last, went := l.gone[spec.Name]
+	last, went := l.removed[spec.Name]
 	return went && last.born == spec.Born && spec.Sequence <= last.sequence
 }
 
 // expire forgets when targets had started that are gone for long.
-func (l *listed) expire(now time.Time) {
-	for name, known := range l.gone {
-		if !known.goneAt.IsZero() && now.Sub(known.goneAt) >= bornKept {
-			delete(l.gone, name)
+func (l *targetList) expire(now time.Time) {
+	for name, known := range l.removed {
+		if !known.removedAt.IsZero() && now.Sub(known.removedAt) >= incarnationTTL {
+			delete(l.removed, name)
 		}
 	}
 }
@@ -130,64 +130,64 @@
 // holds mu.
 func (g *Gateway) applyTargets(now time.Time, changes []feed.Change, from provenance) {
 	level := slog.LevelInfo
-	if len(changes) >= manyTargets {
+	if len(changes) >= manyTargetChanges {
 		level = slog.LevelDebug
 		g.log.Info(logTargets, "changes", len(changes), "held", g.replicas[KindTargets].Len(), "source", from.source, "revision", from.revision)
 	}
 	before := make(map[string]*catalog.Target, len(changes))
-	held := g.held[KindTargets]
+	held := g.heldChanges[KindTargets]
 	refused := 0
 	ctx := context.Background()
 	for _, c := range changes {
 		if _, ok := before[c.Name]; !ok {
-			before[c.Name] = g.listed.specs[c.Name]
+			before[c.Name] = g.targetList.specs[c.Name]
 		}
-		if c.Removed && !g.leaves(c.Name) && held.lapse.Hold(now, c.Name) {
-			g.log.Log(ctx, level, logTargetLapsed, "target", c.Name, "for_ms", held.lapse.Remaining(now).Milliseconds(), "source", from.source, "revision", from.revision)
+		if c.Removed && !g.hasAnnouncedLeaving(c.Name) && held.removals.Hold(now, c.Name) {
+			g.log.Log(ctx, level, logTargetLapsed, "target", c.Name, "for_ms", held.removals.Remaining(now).Milliseconds(), "source", from.source, "revision", from.revision)
 			continue
 		}
-		held.lapse.Cancel(c.Name)
+		held.removals.Cancel(c.Name)
 		if c.Removed {
-			g.listed.drop(now, c.Name)
-			held.relisted.Add(now, c.Name)
+			g.targetList.remove(now, c.Name)
+			held.tombstones.Add(now, c.Name)
 			g.log.Log(ctx, level, logTargetGone, "target", c.Name, "source", from.source, "revision", from.revision)
 			continue
 		}
-		spec, err := g.targetOf(c)
+		spec, err := g.decodeTarget(c)
 		if err != nil {
 			refused++
-			g.refuseTarget(now, c, err, refused, from)
+			g.rejectTarget(now, c, err, refused, from)
 			continue
 		}
-		if g.listed.isOld(spec) {
-			g.log.Log(ctx, level, logTargetOld, "target", c.Name, "born", spec.Born, "known", g.listed.born(c.Name), "source", from.source, "revision", from.revision)
+		if g.targetList.isOutdated(spec) {
+			g.log.Log(ctx, level, logTargetOld, "target", c.Name, "born", spec.Born, "known", g.targetList.born(c.Name), "source", from.source, "revision", from.revision)
 			continue
 		}
-		if from.restored && g.isHeldBack(now, spec) {
+		if from.restored && g.isStaleAfterRestore(now, spec) {
 			g.log.Log(ctx, level, logTargetOfCopy, "target", c.Name, "sequence", spec.Sequence, "source", from.source, "revision", from.revision)
 			continue
 		}
-		held.relisted.Rewritten(c.Name)
-		g.listed.put(spec)
+		held.tombstones.Rewritten(c.Name)
+		g.targetList.put(spec)
 		g.log.Log(ctx, level, logTarget, "target", spec.ID, "service", spec.Service, "version", spec.Version, "hall", spec.Hall, "addr", spec.Addr,
 			"leaves", spec.Leaves, "cold_ms", spec.ColdFor.Milliseconds(), "source", from.source, "revision", from.revision)
 	}
 	if refused > maxRefusedLines {
 		g.log.Error(logTargetsRefused, "entries", refused, "source", from.source, "revision", from.revision)
 	}
-	g.useTargets(now, before)
-	g.awaitHeld(now, KindTargets)
+	g.updatePools(now, before)
+	g.scheduleHeldChanges(now, KindTargets)
 }
 
-// leaves tells whether the target of a name has said that it leaves, in the list or by its own
+// hasAnnouncedLeaving tells whether the target of a name has said that it leaves, in the list or by its own
 // word. The caller holds mu.
-func (g *Gateway) leaves(name string) bool {
-	spec, ok := g.listed.specs[name]
+func (g *Gateway) hasAnnouncedLeaving(name string) bool {
+	spec, ok := g.targetList.specs[name]
 	return ok && (spec.Leaves || g.departures.has(spec.ID))
 }
 
-// targetOf returns the target that an entry names. It has to be in a hall of the settings.
-func (g *Gateway) targetOf(c feed.Change) (catalog.Target, error) {
+// decodeTarget returns the target that an entry names. It has to be in a hall of the settings.
+func (g *Gateway) decodeTarget(c feed.Change) (catalog.Target, error) {
 	spec, err := g.codec.Target(c.Name, c.Value)
 	if err != nil {
 		return spec, err
@@ -198,15 +198,15 @@
 	return spec, nil
 }
 
-// refuseTarget takes in an entry that names no target to use. The nth of a delta is told in a
+// rejectTarget takes in an entry that names no target to use. The nth of a delta is told in a
 // line of its own if it is among the first. The caller holds mu.
-func (g *Gateway) refuseTarget(now time.Time, c feed.Change, err error, nth int, from provenance) {
-	g.listed.drop(now, c.Name)
+func (g *Gateway) rejectTarget(now time.Time, c feed.Change, err error, nth int, from provenance) {
+	g.targetList.remove(now, c.Name)
 	field := "entry"
 	var foreign *catalog.EntryError
 	if errors.As(err, &foreign) {
 		field = foreign.Field
-		g.listed.refused[c.Name] = foreign
+		g.targetList.refused[c.Name] = foreign
 	}
 	g.metrics.refused.Add(1, string(KindTargets), field)
 	if nth <= maxRefusedLines {
@@ -214,14 +214,14 @@
 	}
 }
 
-// useTargets has the pools use what the changed names came to: a target may change, go and
+// updatePools has the pools use what the changed names came to: a target may change, go and
 // come back within a delta. Before holds what was listed under these names before. The caller
 // holds mu.
-func (g *Gateway) useTargets(now time.Time, before map[string]*catalog.Target) {
+func (g *Gateway) updatePools(now time.Time, before map[string]*catalog.Target) {
 	var changed []*catalog.Target
 	var gone []string
 	for name, old := range before {
-		spec, ok := g.listed.specs[name]
+		spec, ok := g.targetList.specs[name]
 		if ok {
 			changed = append(changed, spec)
 		}
@@ -230,5 +230,5 @@
 		}
 	}
 	g.pools.changeTargets(now, changed, gone, g.evacuated)
-	g.listedEnds(now, changed, gone)
+	g.applyListChanges(now, changed, gone)
 }
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -31,13 +31,13 @@
 	g := newPlain(t)
 	silent := newNeighbour(t, "n0")
 	g.registered["n0"] = silent.member
-	g.permits.setMembers(time.Now(), g.config, g.registered)
+	g.accountPermits.setInstances(time.Now(), g.config, g.registered)
 	router, err := catalog.NewRouter(&catalog.Config{Version: 1, Accounts: []catalog.Account{{Name: "a", Rate: 10, Burst: 10}, {Name: "b", Rate: 10, Burst: 10},
 		{Name: "c", Rate: 10, Burst: 10}, {Name: "d", Rate: 10, Burst: 10}, {Name: "e", Rate: 10, Burst: 10}, {Name: "f", Rate: 10, Burst: 10}}})
 	require.NoError(t, err)
 	g.router.Store(router)
 	for _, account := range []string{"a", "b", "c", "d", "e", "f"} {
-		go g.permits.take(t.Context(), account)
+		go g.accountPermits.acquire(t.Context(), account)
 	}
 	silent.awaitAgain(t)
 }
@@ -50,11 +50,11 @@
 	now := g.clock.Now()
 	for i := range 64 {
 		c := quarantine.Content{URI: string(rune('a' + i))}
-		if g.wardenOf(now, c.Digest(), false).Name != "n0" {
+		if g.coordinatorFor(now, c.Digest(), false).Name != "n0" {
 			continue
 		}
 		ex := &exchange{ctx: t.Context(), digest: c.Digest(), deadline: now.Add(time.Second)}
-		granted, _ := g.askTrial(ex, c.Digest())
+		granted, _ := g.acquireTrial(ex, c.Digest())
 		require.False(t, granted)
 		silent.awaitAgain(t)
 		return
--- a/gateway/warden_test.go
+++ b/gateway/warden_test.go
@@ -10,10 +10,10 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// TestWardenAfterFailedTrial checks that an instance that does not reach the warden of a request
+// TestCoordinatorAfterFailedTrial checks that an instance that does not reach the warden of a request
 // takes another one for its first trial only: after a failed one each part of a fleet that is
 // cut in two would grant one.
-func TestWardenAfterFailedTrial(t *testing.T) {
+func TestCoordinatorAfterFailedTrial(t *testing.T) {
 	g := newPlain(t)
 	now := time.Now()
 	for _, name := range []string{"n1", "n2", "n3"} {
@@ -21,13 +21,13 @@
 	}
 	for _, uri := range []string{"/a/", "/b/", "/c/", "/d/", "/e/", "/f/"} {
 		d := quarantine.Content{URI: uri}.Digest()
-		first := g.wardenOf(now, d, false)
+		first := g.coordinatorFor(now, d, false)
 		if first.Name == "n1" {
 			continue
 		}
-		g.passOver(first.Name)
-		require.NotEqual(t, first.Name, g.wardenOf(now, d, false).Name)
-		require.Equal(t, first.Name, g.wardenOf(now, d, true).Name)
-		delete(g.holds.silent, first.Name)
+		g.markUnresponsive(first.Name)
+		require.NotEqual(t, first.Name, g.coordinatorFor(now, d, false).Name)
+		require.Equal(t, first.Name, g.coordinatorFor(now, d, true).Name)
+		delete(g.quarantine.unresponsive, first.Name)
 	}
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -77,7 +77,7 @@
 // hasSettled tells whether the instance has had the time to hear of the others. The caller
 // holds mu.
 func (g *Gateway) hasSettled(now time.Time) bool {
-	if !g.instancesAt.IsZero() && now.Sub(g.instancesAt) >= settleTime {
+	if !g.instancesKnownAt.IsZero() && now.Sub(g.instancesKnownAt) >= settleTime {
 		return true
 	}
 	return now.Sub(g.startedAt) >= settleMost
@@ -366,10 +366,10 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err == nil || errors.Is(err, ErrHistoryGone) {
-		g.held[KindTargets].lapse.StoreAnswered(g.clock.Now())
+		g.heldChanges[KindTargets].removals.StoreAnswered(g.clock.Now())
 		return
 	}
-	g.held[KindTargets].lapse.StoreFailed()
+	g.heldChanges[KindTargets].removals.StoreFailed()
 }
 
 func (g *Gateway) heardStore() {
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -54,7 +54,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := &Gateway{config: Config{Seeds: make([]string, c.seeds)}, startedAt: start, view: viewOf(start, 0, 0)}
 			if c.instances != never {
-				g.instancesAt = start.Add(c.instances)
+				g.instancesKnownAt = start.Add(c.instances)
 			}
 			require.Equal(t, c.want, g.watches(start.Add(c.at)))
 		})
--- a/gateway/word_test.go
+++ b/gateway/word_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// newsTime is within how long all instances in touch are to know what a target has
+	// propagationTime is within how long all instances in touch are to know what a target has
 	// told one of them.
-	newsTime = time.Second
-	// restGrace is for requests that are on their way when a target asks for rest, and
+	propagationTime = time.Second
+	// backoffGrace is for requests that are on their way when a target asks for rest, and
 	// mostInRest is the number of those that may arrive later, until the rest is over.
-	restGrace  = 500 * time.Millisecond
-	mostInRest = 2
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
-// latestUsual is the longest time after which a refused request is told to come back where no
+// maxUsualRetryAfter is the longest time after which a refused request is told to come back where no
 // target rests: three and a half usual times of 200 ms.
-const latestUsual = 700 * time.Millisecond
+const maxUsualRetryAfter = 700 * time.Millisecond
 
 // earliest returns the earlier of two times.
 func earliest(a, b time.Time) time.Time {
@@ -36,27 +36,27 @@
 	return a
 }
 
-// visits are the requests that have reached a target.
-type visits struct {
-	mu   sync.Mutex
-	at   []time.Time
-	turn []bool
+// arrivals are the requests that have reached a target.
+type arrivals struct {
+	mu       sync.Mutex
+	at       []time.Time
+	rejected []bool
 }
 
-// watchVisits notes what reaches a target from now on.
-func watchVisits(server *origin.Server) *visits {
-	v := &visits{}
+// watchArrivals notes what reaches a target from now on.
+func watchArrivals(server *origin.Server) *arrivals {
+	v := &arrivals{}
 	server.SetObserver(func(a origin.Arrival) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		v.at = append(v.at, a.At)
-		v.turn = append(v.turn, !a.Ran)
+		v.rejected = append(v.rejected, !a.Ran)
 	})
 	return v
 }
 
 // after returns the number of requests that arrived later than a time after the first one.
-func (v *visits) after(d time.Duration) int {
+func (v *arrivals) after(d time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	n := 0
@@ -68,16 +68,16 @@
 	return n
 }
 
-// mostWithin returns the largest number of requests that arrived between restGrace and length
+// maxAfterRejection returns the largest number of requests that arrived between restGrace and length
 // after one that was turned away.
-func (v *visits) mostWithin(length time.Duration) int {
+func (v *arrivals) maxAfterRejection(length time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	most := 0
-	for i, turned := range v.turn {
+	for i, turned := range v.rejected {
 		n := 0
 		for _, at := range v.at[i:] {
-			if d := at.Sub(v.at[i]); turned && d > restGrace && d < length {
+			if d := at.Sub(v.at[i]); turned && d > backoffGrace && d < length {
 				n++
 			}
 		}
@@ -86,8 +86,8 @@
 	return most
 }
 
-// get sends a read of one of a hundred objects.
-func (in *instance) get(n int) reply {
+// read sends a read of one of a hundred objects.
+func (in *instance) read(n int) reply {
 	key := http.Header{"Affinity-Key": {strconv.Itoa(n * 37 % 100)}}
 	return in.sendWith(context.Background(), in.site.newID(), "GET", "/x/", "", key)
 }
@@ -114,8 +114,8 @@
 	return instances, servers
 }
 
-// TestLeavingByItsOwnWord guards against requests to a target that has said in its answers that it leaves.
-func TestLeavingByItsOwnWord(t *testing.T) {
+// TestNoRequestsAfterLeavingReport guards against requests to a target that has said in its answers that it leaves.
+func TestNoRequestsAfterLeavingReport(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault origin.Fault
@@ -127,20 +127,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			instances, servers := readSite(t, 12, "a1", "a1", "a2", "b1")
 			leaver := servers[0]
-			l := startLoadOf(instances, 8, (*instance).get)
+			l := startLoadOf(instances, 8, (*instance).read)
 			defer l.stop()
 			leaver.SetScript(func(*http.Request) origin.Fault { return c.fault })
 			leaver.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
-			seen := watchVisits(leaver)
-			time.Sleep(3 * newsTime)
-			t.Logf("%d of %d later than %v", seen.after(newsTime), seen.after(-1), newsTime)
+			seen := watchArrivals(leaver)
+			time.Sleep(3 * propagationTime)
+			t.Logf("%d of %d later than %v", seen.after(propagationTime), seen.after(-1), propagationTime)
 			require.NotZero(t, seen.after(-1))
-			require.Zero(t, seen.after(newsTime), "requests that reached a target that leaves")
+			require.Zero(t, seen.after(propagationTime), "requests that reached a target that leaves")
 		})
 	}
 }
 
-// TestRestIsKept is the story of a target that asks for rest and gets none.
+// TestRequestedBackoffIsKept is the story of a target that asks for rest and gets none.
 //
 // What users saw: for nine seconds seven of 24 targets turned away all they got, each time
 // with the wish to get nothing for 3 s. They got 1,124 requests in that time, and one in
@@ -154,31 +154,31 @@
 //
 // Evidence: all 479 pauses in the lines are of 149 ms, whatever 'rest_ms' says, and the
 // attempts of the pairs of an instance and such a target lie as far apart as the pauses.
-func TestRestIsKept(t *testing.T) {
+func TestRequestedBackoffIsKept(t *testing.T) {
 	const rest = 2 * time.Second
 	instances, servers := readSite(t, 4, "a1")
 	tired := servers[0]
 	tired.SetScript(func(*http.Request) origin.Fault { return origin.Shed })
 	tired.SetSays(func(*http.Request) string { return "Retry-After: 2.0\r\n" })
-	seen := watchVisits(tired)
-	l := startLoadOf(instances, 4, (*instance).get)
+	seen := watchArrivals(tired)
+	l := startLoadOf(instances, 4, (*instance).read)
 	time.Sleep(2 * rest)
 	served, all := l.stop()
-	t.Logf("%d requests within a rest, %d of %d served", seen.mostWithin(rest), served, all)
+	t.Logf("%d requests within a rest, %d of %d served", seen.maxAfterRejection(rest), served, all)
 	require.NotZero(t, seen.after(-1))
-	require.LessOrEqual(t, seen.mostWithin(rest), mostInRest, "requests within a rest")
+	require.LessOrEqual(t, seen.maxAfterRejection(rest), maxDuringBackoff, "requests within a rest")
 	require.GreaterOrEqual(t, served*100, all*99, "served by the others")
 }
 
-// TestAllTargetsRest checks that a request is refused when all targets of its service rest, that
+// TestAllTargetsInBackoff checks that a request is refused when all targets of its service rest, that
 // its caller is told when the first of them is back, and that none of them gets anything
 // until then.
-func TestAllTargetsRest(t *testing.T) {
+func TestAllTargetsInBackoff(t *testing.T) {
 	const rest = 2 * time.Second
 	instances, servers := readSite(t, 3, "a1")
-	var seen []*visits
+	var seen []*arrivals
 	for _, server := range servers {
-		v := watchVisits(server)
+		v := watchArrivals(server)
 		seen = append(seen, v)
 		server.SetSays(func(*http.Request) string { return "Retry-After: 2\r\n" })
 		server.SetScript(func(*http.Request) origin.Fault {
@@ -191,7 +191,7 @@
 	key := 0
 	allRest := func() bool {
 		key++
-		instances[0].get(key)
+		instances[0].read(key)
 		for _, v := range seen {
 			if v.after(-1) == 0 {
 				return false
@@ -200,7 +200,7 @@
 		return true
 	}
 	require.Eventually(t, allRest, wait, poll)
-	got := instances[0].get(1)
+	got := instances[0].read(1)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	told, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
@@ -209,9 +209,9 @@
 		first = earliest(first, v.at[0].Add(rest))
 	}
 	require.GreaterOrEqual(t, told, time.Until(first).Seconds()-0.01, "seconds until the first target is back, rounded")
-	require.Less(t, told, 2*rest.Seconds()+latestUsual.Seconds(), "at most as long again, and the usual time to come back")
-	require.Eventually(t, func() bool { return instances[0].get(1).status == http.StatusOK }, wait, poll)
+	require.Less(t, told, 2*rest.Seconds()+maxUsualRetryAfter.Seconds(), "at most as long again, and the usual time to come back")
+	require.Eventually(t, func() bool { return instances[0].read(1).status == http.StatusOK }, wait, poll)
 	for _, v := range seen {
-		require.LessOrEqual(t, v.mostWithin(rest), 0, "requests within a rest")
+		require.LessOrEqual(t, v.maxAfterRejection(rest), 0, "requests within a rest")
 	}
 }
--- a/quarantine/accounts.go
+++ b/quarantine/accounts.go
@@ -33,7 +33,7 @@
 	// accountTrialBackoff is the time from the first failed trial to the next one. It doubles with
 	// each further failed trial, up to maxAccountTrialBackoff. An account that sends ten crashing
 	// requests a second thus crashes fewer than 30 targets in 14 s (TestAccountModel, and
-	// TestFloodOfEndingRequests of package gateway).
+	// TestFloodOfCrashingRequests of package gateway).
 	accountTrialBackoff    = time.Second
 	maxAccountTrialBackoff = 30 * time.Second
 	// answersToClear is the number of consecutive trials of an account that must be answered for it
