--- a/upstream/rate_limit.go
+++ b/upstream/rate_limit.go
@@ -23,7 +23,7 @@
 )
 
 // rateLimit is the rate limit that a target has announced for all instances together. Each request
-// to the target needs a permit, which one instance issues for all others.
+// to the target needs a permit, which one instance issues for all instances.
 type rateLimit struct {
 	perSecond float64
 	// name is the name of the limit in package ratelimit.
--- a/upstream/state.go
+++ b/upstream/state.go
@@ -6,7 +6,7 @@
 	"github.com/rainford/rainford/availability"
 )
 
-// State tells whether a target may get requests, and why not.
+// State is a target's state as far as it determines which requests the target gets.
 type State string
 
 // The states of a target.
--- a/upstream/stats.go
+++ b/upstream/stats.go
@@ -30,7 +30,7 @@
 }
 
 // idle reports whether the target's stats are not worth keeping: nothing was recorded within
-// keyTTL, no request is in flight, and the target is neither faulty nor cold.
+// keyTTL, no request is in flight, and the target is neither faulty, slow nor cold.
 func (t *target) idle(now time.Time) bool {
 	c := t.stats
 	faulty := c.failures > 0 || c.rejections > 0 || c.suspectBackoff > 0 || c.slow.factor() > 1
--- a/upstream/target.go
+++ b/upstream/target.go
@@ -55,7 +55,7 @@
 
 	spec   *catalog.Target
 	region *regionTargets
-	// cohort tells whether the target runs the version that is being rolled out.
+	// cohort is the cohort to which the target belongs during a rollout.
 	cohort    cohort
 	placement placement
 
