--- a/ratelimit/hall_limit_test.go
+++ b/ratelimit/hall_limit_test.go
@@ -39,10 +39,10 @@
 }
 
 // owners returns the owners from the view of an instance that considers others unavailable.
-func (w *hallSimulation) owners(self int, away map[int]bool) *ratelimit.Owners {
+func (w *hallSimulation) owners(self int, unavailable map[int]bool) *ratelimit.Owners {
 	var instances []ratelimit.Instance
 	for i, p := range w.instances {
-		if !away[i] {
+		if !unavailable[i] {
 			instances = append(instances, p)
 		}
 	}
@@ -177,15 +177,15 @@
 		indexOf[instance.Name] = i
 	}
 	spent, asked, wanted := 0, 0, 0
-	var ask func(i int, requests []ratelimit.PermitRequest)
+	var send func(i int, requests []ratelimit.PermitRequest)
 	handleReplies := func(replies ...ratelimit.Reply) {
 		for _, r := range replies {
 			i := indexOf[r.To]
 			_, more := holders[i].HandleReply(now, time.Unix(0, r.At), limitName, w.owners(0, nil).Of(limitName)[0].Name, r.Grant)
-			ask(i, more)
+			send(i, more)
 		}
 	}
-	ask = func(i int, requests []ratelimit.PermitRequest) {
+	send = func(i int, requests []ratelimit.PermitRequest) {
 		for _, a := range requests {
 			asked++
 			reply, _ := w.issuers[indexOf[a.To.Name]].Issue(now, limitName, limit, ratelimit.IssueRequest{From: w.instances[i].Name, At: a.At.UnixNano(), N: a.N})
@@ -198,12 +198,12 @@
 			i := wanted % instances
 			wanted++
 			_, requests, ok := holders[i].TryAcquire(now, limitName)
-			ask(i, requests)
+			send(i, requests)
 			if ok {
 				spent++
 				continue
 			}
-			ask(i, holders[i].Request(now, limitName))
+			send(i, holders[i].Request(now, limitName))
 		}
 		for i := range instances {
 			handleReplies(w.issuers[i].Tick(now)...)
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -200,11 +200,11 @@
 
 // prefetch returns a request for permits ahead of need if the permits held run low.
 func (h *Holder) prefetch(now time.Time, account string, a *accountState) []PermitRequest {
-	used := a.requestRate.value(now)
-	if a.outstanding || now.Before(a.deniedUntil) || used*a.lifetime.Seconds() < minPrefetchRequests {
+	rate := a.requestRate.value(now)
+	if a.outstanding || now.Before(a.deniedUntil) || rate*a.lifetime.Seconds() < minPrefetchRequests {
 		return nil
 	}
-	wanted := used * min(prefetchTime, a.lifetime/2).Seconds()
+	wanted := rate * min(prefetchTime, a.lifetime/2).Seconds()
 	if float64(a.permits.count(now)) >= prefetchThreshold*wanted {
 		return nil
 	}
@@ -216,10 +216,10 @@
 // requestSize returns the number of permits to request: one for each waiting request, plus
 // those to prefetch.
 func (h *Holder) requestSize(now time.Time, a *accountState) int {
-	used := a.requestRate.value(now)
+	rate := a.requestRate.value(now)
 	n := len(a.waiting)
-	if used*a.lifetime.Seconds() >= minPrefetchRequests {
-		n += int(math.Ceil(used*min(prefetchTime, a.lifetime/2).Seconds())) - a.permits.count(now)
+	if rate*a.lifetime.Seconds() >= minPrefetchRequests {
+		n += int(math.Ceil(rate*min(prefetchTime, a.lifetime/2).Seconds())) - a.permits.count(now)
 	}
 	return max(n, 1)
 }
@@ -271,19 +271,19 @@
 
 // HandleReply processes an owner's reply to a permit request that was sent at askedAt. It
 // returns the results of waiting requests and the permit requests to send next.
-func (h *Holder) HandleReply(now, askedAt time.Time, account, from string, grant Grant) ([]Result, []PermitRequest) {
+func (h *Holder) HandleReply(now, requestedAt time.Time, account, from string, grant Grant) ([]Result, []PermitRequest) {
 	a := h.accounts[account]
 	if a == nil {
 		return nil, nil
 	}
 	delete(h.suspended, from)
-	if until := askedAt.Add(min(grant.Lifetime, maxLifetime)); grant.N > 0 && now.Before(until) {
+	if until := requestedAt.Add(min(grant.Lifetime, maxLifetime)); grant.N > 0 && now.Before(until) {
 		a.permits.add(grant.N, until)
 		a.lifetime = grant.Lifetime
 		a.permitRate.add(now, grant.N)
 		a.denials = 0
 	}
-	due := a.outstanding && a.request.To.Name == from && a.requestedAt.Equal(askedAt)
+	due := a.outstanding && a.request.To.Name == from && a.requestedAt.Equal(requestedAt)
 	if due && grant.NotOwner {
 		if a.notOwnerUntil == nil {
 			a.notOwnerUntil = make(map[string]time.Time)
--- a/ratelimit/holder_test.go
+++ b/ratelimit/holder_test.go
@@ -28,8 +28,8 @@
 			return h.HandleReply(start.Add(time.Millisecond), start, "ada", "n1", ratelimit.Grant{NotOwner: true})
 		},
 		"timeout": func(h *ratelimit.Holder) ([]ratelimit.Result, []ratelimit.PermitRequest) {
-			results, requests, silent := h.Tick(start.Add(time.Second))
-			require.Empty(t, silent, "the reply may only be late")
+			results, requests, unresponsive := h.Tick(start.Add(time.Second))
+			require.Empty(t, unresponsive, "the reply may only be late")
 			return results, requests
 		},
 	} {
--- a/ratelimit/issuer.go
+++ b/ratelimit/issuer.go
@@ -387,12 +387,12 @@
 
 // HandleLoan processes a lender's reply to a loan request that was sent at askedAt. It
 // returns the replies to queued requests and the loan requests to send next.
-func (i *Issuer) HandleLoan(now, askedAt time.Time, account, from string, grant Grant) ([]Reply, []LoanRequest) {
+func (i *Issuer) HandleLoan(now, requestedAt time.Time, account, from string, grant Grant) ([]Reply, []LoanRequest) {
 	b := i.buckets[account]
 	if b == nil {
 		return nil, nil
 	}
-	until := askedAt.Add(min(grant.Lifetime, b.lifetime))
+	until := requestedAt.Add(min(grant.Lifetime, b.lifetime))
 	if grant.N > 0 && now.Before(until) {
 		b.borrowed.add(grant.N, until)
 	}
--- a/ratelimit/limit.go
+++ b/ratelimit/limit.go
@@ -57,6 +57,6 @@
 
 // share returns the limit of one of n equal shares.
 func (b Bound) share(l Limit, n int) Limit {
-	parts := float64(max(n, 1))
-	return Limit{Rate: l.Rate / parts, Burst: (burstFraction*l.Burst + slackFraction*b.Slack) / parts}
+	shares := float64(max(n, 1))
+	return Limit{Rate: l.Rate / shares, Burst: (burstFraction*l.Burst + slackFraction*b.Slack) / shares}
 }
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -50,9 +50,9 @@
 				inside[n] = true
 			}
 			w.after(at, func() {
-				w.cut = func(a, b *node) bool { return inside[a] != inside[b] && (!oneWay || inside[a]) }
+				w.partitioned = func(a, b *node) bool { return inside[a] != inside[b] && (!oneWay || inside[a]) }
 			})
-			w.after(at+length, func() { w.cut = nil })
+			w.after(at+length, func() { w.partitioned = nil })
 		}
 		w.run(end)
 		require.LessOrEqual(t, w.worstWindow("a", w.bound.Window, w.bound.MaxRequests(limit)), 1.0)
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -217,11 +217,11 @@
 }
 
 func (t *ownership) dropOld(now time.Time) {
-	ended := 0
-	for ended < len(t.recent)-1 && now.Sub(t.recent[ended].replacedAt) >= t.handoverDelay {
-		ended++
+	expired := 0
+	for expired < len(t.recent)-1 && now.Sub(t.recent[expired].replacedAt) >= t.handoverDelay {
+		expired++
 	}
-	t.recent = append(t.recent[:0], t.recent[ended:]...)
+	t.recent = append(t.recent[:0], t.recent[expired:]...)
 }
 
 // current returns the owners in force, or nil before the first call of set.
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -29,8 +29,8 @@
 
 	// loss is the fraction of messages that is lost.
 	loss float64
-	// cut reports whether messages from a to b are lost.
-	cut func(a, b *node) bool
+	// partitioned reports whether messages from a to b are lost.
+	partitioned func(a, b *node) bool
 
 	admitted map[string][]time.Time
 	// asked counts all requests by account, refused those that were refused, and unavailable
@@ -173,7 +173,7 @@
 	}
 	w.bytes += int64(len(frame))
 	b := w.byName[to]
-	if w.rnd.Float64() < w.loss || w.cut != nil && w.cut(n, b) {
+	if w.rnd.Float64() < w.loss || w.partitioned != nil && w.partitioned(n, b) {
 		return
 	}
 	w.after(w.delay(n, b), func() {
@@ -195,7 +195,7 @@
 	result, requests := n.holder.Acquire(w.now, n.lastID, account)
 	n.waiting[n.lastID] = pending{account: account, since: w.now}
 	n.finish(result)
-	n.ask(requests)
+	n.sendRequests(requests)
 }
 
 func (n *node) finish(results ...ratelimit.Result) {
@@ -221,25 +221,25 @@
 	}
 }
 
-func (n *node) ask(requests []ratelimit.PermitRequest) {
+func (n *node) sendRequests(requests []ratelimit.PermitRequest) {
 	w := n.world
-	for _, ask := range requests {
-		askedAt := w.now
-		if ask.To.Name == n.instance.Name {
-			n.issue(ask.Account, ratelimit.IssueRequest{From: n.instance.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
+	for _, request := range requests {
+		requestedAt := w.now
+		if request.To.Name == n.instance.Name {
+			n.issue(request.Account, ratelimit.IssueRequest{From: n.instance.Name, At: int64(requestedAt.Sub(epoch)), N: request.N})
 			continue
 		}
-		n.send(ask.To.Name, &peer.PermitRequest{Account: ask.Account, From: n.instance.Name, SentAt: int64(askedAt.Sub(epoch)), N: ask.N}, func(owner *node) {
-			owner.issue(ask.Account, ratelimit.IssueRequest{From: n.instance.Name, At: int64(askedAt.Sub(epoch)), N: ask.N})
+		n.send(request.To.Name, &peer.PermitRequest{Account: request.Account, From: n.instance.Name, SentAt: int64(requestedAt.Sub(epoch)), N: request.N}, func(owner *node) {
+			owner.issue(request.Account, ratelimit.IssueRequest{From: n.instance.Name, At: int64(requestedAt.Sub(epoch)), N: request.N})
 		})
 	}
 	n.tick()
 }
 
-func (n *node) handleReply(askedAt time.Time, account, from string, issue ratelimit.Grant) {
-	results, requests := n.holder.HandleReply(n.world.now, askedAt, account, from, issue)
+func (n *node) handleReply(requestedAt time.Time, account, from string, grant ratelimit.Grant) {
+	results, requests := n.holder.HandleReply(n.world.now, requestedAt, account, from, grant)
 	n.finish(results...)
-	n.ask(requests)
+	n.sendRequests(requests)
 }
 
 // issue handles a permit request, and sends loan requests if needed.
@@ -255,14 +255,14 @@
 func (n *node) borrow(requests []ratelimit.LoanRequest) {
 	w := n.world
 	for _, request := range requests {
-		askedAt, process := w.now, n.epoch
-		n.send(request.Lender.Name, &peer.PermitRequest{Account: request.Account, From: n.instance.Name, SentAt: int64(askedAt.Sub(epoch)), N: request.N, Borrow: true}, func(lender *node) {
+		requestedAt, process := w.now, n.epoch
+		n.send(request.Lender.Name, &peer.PermitRequest{Account: request.Account, From: n.instance.Name, SentAt: int64(requestedAt.Sub(epoch)), N: request.N, Borrow: true}, func(lender *node) {
 			lent := lender.issuer.Lend(w.now, request.Account, w.limits[request.Account], request.N)
-			lender.send(n.instance.Name, &peer.PermitGrant{Account: request.Account, From: lender.instance.Name, RequestSentAt: int64(askedAt.Sub(epoch)), Grant: lent, Borrow: true}, func(n *node) {
+			lender.send(n.instance.Name, &peer.PermitGrant{Account: request.Account, From: lender.instance.Name, RequestSentAt: int64(requestedAt.Sub(epoch)), Grant: lent, Borrow: true}, func(n *node) {
 				if n.epoch != process {
 					return
 				}
-				replies, more := n.issuer.HandleLoan(w.now, askedAt, request.Account, lender.instance.Name, lent)
+				replies, more := n.issuer.HandleLoan(w.now, requestedAt, request.Account, lender.instance.Name, lent)
 				n.reply(replies...)
 				n.borrow(more)
 			})
@@ -274,15 +274,15 @@
 // process, because their times come from a different clock.
 func (n *node) reply(replies ...ratelimit.Reply) {
 	for _, r := range replies {
-		askedAt := epoch.Add(time.Duration(r.At))
+		requestedAt := epoch.Add(time.Duration(r.At))
 		if r.To == n.instance.Name {
-			n.handleReply(askedAt, r.Account, n.instance.Name, r.Grant)
+			n.handleReply(requestedAt, r.Account, n.instance.Name, r.Grant)
 			continue
 		}
 		process := n.world.byName[r.To].epoch
 		n.send(r.To, &peer.PermitGrant{Account: r.Account, From: n.instance.Name, RequestSentAt: r.At, Grant: r.Grant}, func(to *node) {
-			if to.epoch == process && !to.startedAt.After(askedAt) {
-				to.handleReply(askedAt, r.Account, n.instance.Name, r.Grant)
+			if to.epoch == process && !to.startedAt.After(requestedAt) {
+				to.handleReply(requestedAt, r.Account, n.instance.Name, r.Grant)
 			}
 		})
 	}
@@ -301,7 +301,7 @@
 		n.ticking = false
 		results, requests, _ := n.holder.Tick(n.world.now)
 		n.finish(results...)
-		n.ask(requests)
+		n.sendRequests(requests)
 		n.reply(n.issuer.Tick(n.world.now)...)
 		n.tick()
 	})
--- a/ratelimit/suspension_test.go
+++ b/ratelimit/suspension_test.go
@@ -56,9 +56,9 @@
 	for now := from; now.Before(from.Add(2 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		_, requests, newlyReported := h.Tick(now)
 		reported = append(reported, newlyReported...)
-		for _, ask := range requests {
-			if ask.To.Name == replier {
-				h.HandleReply(now, now, ask.Account, replier, ratelimit.Grant{N: ask.N, Lifetime: time.Second})
+		for _, request := range requests {
+			if request.To.Name == replier {
+				h.HandleReply(now, now, request.Account, replier, ratelimit.Grant{N: request.N, Lifetime: time.Second})
 			}
 		}
 	}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -22,15 +22,15 @@
 		total := rapid.IntRange(0, 500).Draw(t, "total")
 		holders := rapid.IntRange(1, 70).Draw(t, "holders")
 		offset := rapid.Int().Draw(t, "offset")
-		sum, least, most := 0, total, 0
+		sum, smallest, largest := 0, total, 0
 		for i := range holders {
-			part := share.Split(total, holders, i, offset)
-			require.GreaterOrEqual(t, share.Split(total+1, holders, i, offset), part, "a share decreases when the total increases")
-			sum += part
-			least, most = min(least, part), max(most, part)
+			got := share.Split(total, holders, i, offset)
+			require.GreaterOrEqual(t, share.Split(total+1, holders, i, offset), got, "a share decreases when the total increases")
+			sum += got
+			smallest, largest = min(smallest, got), max(largest, got)
 		}
 		require.Equal(t, total, sum)
-		require.LessOrEqual(t, most-least, 1)
+		require.LessOrEqual(t, largest-smallest, 1)
 	})
 }
 
--- a/share/split.go
+++ b/share/split.go
@@ -15,12 +15,12 @@
 	if total <= 0 {
 		return 0
 	}
-	part := total / holders
+	share := total / holders
 	rest := total % holders
 	if remainderRank(holders, index, offset) < rest {
-		part++
+		share++
 	}
-	return part
+	return share
 }
 
 // remainderRank returns the rank of a holder in the order in which the remainder is
@@ -28,9 +28,9 @@
 // that a few units are spread evenly over any range of holders.
 func remainderRank(holders, index, offset int) int {
 	step := goldenStep(holders)
-	place := positiveMod(index-offset, holders)
+	position := positiveMod(index-offset, holders)
 	t := 0
-	for at := 0; at != place; at = (at + step) % holders {
+	for at := 0; at != position; at = (at + step) % holders {
 		t++
 	}
 	return t
