--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -18,7 +18,8 @@
 	followUpTimeout = maxLoanWait + sameRegionTimeout
 	// maxTries is the largest number of owners that are tried for one request.
 	maxTries = 3
-	// timeoutSuspension is how long an owner that did not reply in time is skipped.
+	// timeoutSuspension is how long an owner that did not reply in time, or refused a
+	// connection, is skipped.
 	// notOwnerSuspension is how long an instance that does not own the share is skipped.
 	timeoutSuspension  = time.Second
 	notOwnerSuspension = 500 * time.Millisecond
@@ -55,7 +56,7 @@
 	Wait
 	// Refuse means that the account is over its limit.
 	Refuse
-	// Unavailable means that there is no owner to send a permit request to.
+	// Unavailable means that no owner could be reached.
 	Unavailable
 )
 
@@ -65,7 +66,8 @@
 	Decision Decision
 	// ExpiresAt is the time until which the permit may be used.
 	ExpiresAt time.Time
-	// RetryAfter is the time until a permit is expected, if the request was refused.
+	// RetryAfter is the time after which a retry is worthwhile, if the request was not
+	// admitted.
 	RetryAfter time.Duration
 	// Owner is the instance to which the last permit request was sent. RequestRate is the
 	// rate of the account's requests at this instance and PermitRate that of the permits
@@ -269,8 +271,8 @@
 	return out
 }
 
-// HandleReply processes an owner's reply to a permit request that was sent at askedAt. It
-// returns the results of waiting requests and the permit requests to send next.
+// HandleReply processes an owner's reply to a permit request that was sent at
+// requestedAt. It returns the results of waiting requests and the permit requests to send next.
 func (h *Holder) HandleReply(now, requestedAt time.Time, account, from string, grant Grant) ([]Result, []PermitRequest) {
 	a := h.accounts[account]
 	if a == nil {
--- a/ratelimit/issuer.go
+++ b/ratelimit/issuer.go
@@ -385,8 +385,8 @@
 	return append(gaveLast, others...)
 }
 
-// HandleLoan processes a lender's reply to a loan request that was sent at askedAt. It
-// returns the replies to queued requests and the loan requests to send next.
+// HandleLoan processes a lender's reply to a loan request that was sent at
+// requestedAt. It returns the replies to queued requests and the loan requests to send next.
 func (i *Issuer) HandleLoan(now, requestedAt time.Time, account, from string, grant Grant) ([]Reply, []LoanRequest) {
 	b := i.buckets[account]
 	if b == nil {
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -54,7 +54,7 @@
 	hall *hallOwners
 }
 
-// domain is a set of instances that divide one share of each limit.
+// domain is a set of instances that use the same share of each limit.
 type domain struct {
 	name       string
 	instances  []string
