--- a/cmd/rainford/gateways.go
+++ b/cmd/rainford/gateways.go
@@ -71,19 +71,19 @@
 			fmt.Fprintf(tw, "%s\tno answer: %s\n", answer.Addr, answer.Error)
 			continue
 		}
-		fmt.Fprintf(tw, "%s\t%s\tconfiguration %d\t%s\t%d targets, %d of them get nothing\n", s.Instance, s.Hall, s.Version, gatewayState(s), s.Targets, len(s.Unavailable))
+		fmt.Fprintf(tw, "%s\t%s\tconfiguration %d\t%s\t%d targets, %d of them get nothing\n", s.Instance, s.Hall, s.ConfigVersion, gatewayState(s), s.Targets, len(s.Unavailable))
 		for _, t := range s.Unavailable {
-			fmt.Fprintf(tw, "  %s\t%s\t%s\t%s by %s\t%s\n", t.Target, t.Hall, t.Service, t.Cause, t.Source, lasting(t.ForMs, t.LeftMs))
+			fmt.Fprintf(tw, "  %s\t%s\t%s\t%s by %s\t%s\n", t.Target, t.Hall, t.Service, t.Cause, t.Source, lasting(t.ForMs, t.RemainingMs))
 		}
 		for _, t := range s.Limited {
-			fmt.Fprintf(tw, "  %s\t%s\t%s\ttakes %g/s by %s\t%s, %.1f/s from here, permits by %s\n", t.Target, t.Hall, t.Service, t.PerSecond, t.Source, lasting(t.ForMs, 0), t.Used, t.Owner)
+			fmt.Fprintf(tw, "  %s\t%s\t%s\ttakes %g/s by %s\t%s, %.1f/s from here, permits by %s\n", t.Target, t.Hall, t.Service, t.PerSecond, t.Source, lasting(t.ForMs, 0), t.UsedRate, t.Owner)
 		}
 		for _, r := range s.Rollouts {
-			fmt.Fprintf(tw, "  %s\tversion %s\t%s\t%s%s\t%.3g of the requests, for %s of %s%s\n", r.Service, r.Version, stateName(r.State), r.Stage, because(r.Why), r.Share,
-				time.Duration(r.ForMs)*time.Millisecond, time.Duration(r.OfMs)*time.Millisecond, ledBy(r))
+			fmt.Fprintf(tw, "  %s\tversion %s\t%s\t%s%s\t%.3g of the requests, for %s of %s%s\n", r.Service, r.Version, stateName(r.State), r.Stage, because(r.Reason), r.Share,
+				time.Duration(r.ForMs)*time.Millisecond, time.Duration(r.DurationMs)*time.Millisecond, ledBy(r))
 		}
 		for _, h := range s.Held {
-			fmt.Fprintf(tw, "  %s\theld\t%d targets ended\t%d trials failed\t%s\n", h.Content, h.Ends, h.Failed, lasting(0, h.LeftMs))
+			fmt.Fprintf(tw, "  %s\theld\t%d targets ended\t%d trials failed\t%s\n", h.Content, h.Crashes, h.FailedTrials, lasting(0, h.RemainingMs))
 		}
 	}
 	_ = tw.Flush()
@@ -123,8 +123,8 @@
 // ledBy says who decides on a rollout, and what the one that does has seen.
 func ledBy(r gateway.RolloutStatus) string {
 	switch {
-	case r.Leads:
-		return fmt.Sprintf(", decided here: %d of %d to new targets, odds of failing %.1f, of slow %.1f", r.SentNew, r.Sent, r.Failing, r.Slow)
+	case r.IsLeader:
+		return fmt.Sprintf(", decided here: %d of %d to new targets, odds of failing %.1f, of slow %.1f", r.SentNew, r.Sent, r.FailureLLR, r.SlowLLR)
 	case r.Leader != "":
 		return ", decided by " + r.Leader
 	default:
--- a/gateway/answered_requests.go
+++ b/gateway/answered_requests.go
@@ -171,7 +171,7 @@
 	message := &peer.AnsweredRequests{Account: account, Digests: digests}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	all := g.view.Len() <= directMembers
+	all := g.view.Len() <= maxDirectRecipients
 	for _, s := range g.view.Others(now) {
 		if s.State == fleet.Alive && (all || s.Hall == g.config.Hall) {
 			g.mesh.Send(s.PeerAddr, message)
--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -18,9 +18,9 @@
 // sourceStore is the source of a delta that the own watch brought.
 const sourceStore = "store"
 
-// sourceLapse is the source of a change that was held back after an outage of the
+// sourceHoldExpired is the source of a change that was held back after an outage of the
 // store.
-const sourceLapse = "lapse"
+const sourceHoldExpired = "lapse"
 
 // provenance is where changes come from.
 type provenance struct {
@@ -33,10 +33,10 @@
 	restored bool
 }
 
-// take applies a delta and puts its changes in force. Source is sourceStore or
+// applyDelta applies a delta and puts its changes in force. Source is sourceStore or
 // the peer address of the instance that sent it. It reports whether the replica
 // now reflects the delta's end.
-func (g *Gateway) take(d feed.Delta, source string) bool {
+func (g *Gateway) applyDelta(d feed.Delta, source string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[d.Kind]
@@ -44,13 +44,13 @@
 		return false
 	}
 	before := replica.Position()
-	own := g.ownObjects(d)
+	own := g.ownObjectsBeforeRestore(d)
 	changes, ok := replica.Apply(d)
 	if !ok {
 		return false
 	}
 	if source != sourceStore && g.catchUp[d.Kind].Received() {
-		g.metrics.question(d.Kind, questionAnswered)
+		g.metrics.deltaRequest(d.Kind, deltaRequestAnswered)
 	}
 	at := replica.Position()
 	if at == before {
@@ -59,7 +59,7 @@
 	now := g.clock.Now()
 	g.enterEra(at.Era, source)
 	if before.IsZero() {
-		g.answerAskers(d.Kind)
+		g.answerPendingDeltaRequests(d.Kind)
 	}
 	if before.IsZero() && d.Kind == KindInstances {
 		g.instancesKnownAt = now
@@ -67,41 +67,41 @@
 	from := provenance{source: source, revision: at.Revision, restored: !before.IsZero() && before.Era != at.Era}
 	if from.restored {
 		g.holdAfterRestore(now, d.Kind)
-		g.noteLost(now, own, changes)
+		g.recordLostObjects(now, own, changes)
 	}
 	if len(changes) > 0 {
-		g.putInForce(now, d.Kind, changes, from)
+		g.applyChanges(now, d.Kind, changes, from)
 	}
 	if before.IsZero() {
-		g.noteKnown(now, d.Kind)
+		g.onKindLoaded(now, d.Kind)
 	}
-	g.noteReady()
+	g.signalReady()
 	if !before.IsZero() && (len(changes) > 0 || from.restored) {
 		if d.Full {
 			d = feed.ExactDelta(d.Kind, before, d.To, changes)
 		}
-		g.passOn(d, source)
+		g.pushDelta(d, source)
 	}
 	if len(changes) > 0 && source != sourceStore {
-		g.watch.missed(d.Kind, now)
+		g.watch.recordMissed(d.Kind, now)
 	}
 	return true
 }
 
-// noteKnown takes in that the first objects of a kind are in force. The caller holds mu.
-func (g *Gateway) noteKnown(now time.Time, kind feed.Kind) {
+// onKindLoaded takes in that the first objects of a kind are in force. The caller holds mu.
+func (g *Gateway) onKindLoaded(now time.Time, kind feed.Kind) {
 	switch kind {
 	case KindInstances:
-		g.shareOut(now)
+		g.updateInstanceShares(now)
 	case KindTargets:
-		g.readiness.knowsTargets.Store(true)
+		g.readiness.targetsLoaded.Store(true)
 	case KindRollouts:
-		g.knowRollouts()
+		g.setRolloutsLoaded()
 	}
 }
 
-// putInForce makes changes count. The caller holds mu.
-func (g *Gateway) putInForce(now time.Time, kind feed.Kind, changes []feed.Change, from provenance) {
+// applyChanges makes changes count. The caller holds mu.
+func (g *Gateway) applyChanges(now time.Time, kind feed.Kind, changes []feed.Change, from provenance) {
 	switch kind {
 	case KindConfig:
 		for _, c := range changes {
@@ -121,7 +121,7 @@
 		g.pools.setTargets(now, g.targetList.specs, g.evacuated)
 	case KindInstances:
 		g.applyInstances(now, changes, from)
-		g.shareOut(now)
+		g.updateInstanceShares(now)
 	case KindRollouts:
 		for _, c := range g.heldChanges[KindRollouts].effective(now, changes, from.restored) {
 			g.applyRollout(now, c, from)
@@ -201,7 +201,7 @@
 		if c.Removed {
 			named = slices.DeleteFunc(named, func(m fleet.Member) bool { return m.Name == c.Name })
 			delete(g.registered, c.Name)
-			g.noteUnregistered(c.Name)
+			g.onInstanceRemoved(c.Name)
 			g.view.Remove(now, c.Name)
 			continue
 		}
@@ -213,8 +213,8 @@
 		if err != nil {
 			// Another writer has made it: what it replaced is no longer listed.
 			delete(g.registered, c.Name)
-			g.noteUnregistered(c.Name)
-			g.metrics.refused.Add(1, string(KindInstances), "entry")
+			g.onInstanceRemoved(c.Name)
+			g.metrics.refusedEntries.Add(1, string(KindInstances), "entry")
 			g.log.Error(logInstanceRefused, "name", c.Name, "error", err.Error())
 			continue
 		}
@@ -224,7 +224,7 @@
 	g.view.Add(named...)
 	g.accountPermits.setInstances(now, g.config, g.registered)
 	g.updateLimitOwners(now)
-	g.readiness.knowsInstances.Store(true)
+	g.readiness.instancesLoaded.Store(true)
 	g.scheduleHeldChanges(now, KindInstances)
 }
 
@@ -243,10 +243,10 @@
 	}
 }
 
-// shareOut divides what all instances share anew. One that has not read which instances there are
+// updateInstanceShares divides what all instances share anew. One that has not read which instances there are
 // has no part: those that it happens to know are fewer than the others divide by, and the parts
 // would add up to more than there is. The caller holds mu.
-func (g *Gateway) shareOut(now time.Time) {
+func (g *Gateway) updateInstanceShares(now time.Time) {
 	if g.replicas[KindInstances].Position().IsZero() {
 		return
 	}
--- a/gateway/apply_test.go
+++ b/gateway/apply_test.go
@@ -29,8 +29,8 @@
 func (noStore) Calls() int64 { return 0 }
 func (noStore) Era() int64   { return 0 }
 
-// newPlain returns a gateway that is not run, and a maker of changes of targets.
-func newPlain(t *testing.T) *Gateway {
+// newTestGateway returns a gateway that is not run, and a maker of changes of targets.
+func newTestGateway(t *testing.T) *Gateway {
 	c := Defaults()
 	c.Name, c.Hall, c.Region, c.RegionOf = "n1", "a1", "a", map[string]string{"a1": "a"}
 	for _, addr := range []*string{&c.Listen, &c.LookupListen, &c.ReadyListen, &c.PeerListen, &c.AdminListen} {
@@ -46,12 +46,12 @@
 	return feed.Change{Object: feed.Object{Name: name, Value: []byte(fmt.Sprint(time.Now().UnixNano()))}, Removed: gone}
 }
 
-// TestOrderWithinADelta checks that the last change of a target in a delta counts:
+// TestChangeOrderWithinDelta checks that the last change of a target in a delta counts:
 // an entry that went and came back is there, one that changed and went is not.
-func TestOrderWithinADelta(t *testing.T) {
-	g := newPlain(t)
-	g.take(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("back", false)}}, sourceStore)
-	g.take(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 5), Changes: []feed.Change{
+func TestChangeOrderWithinDelta(t *testing.T) {
+	g := newTestGateway(t)
+	g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("back", false)}}, sourceStore)
+	g.applyDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 5), Changes: []feed.Change{
 		change("back", true), change("back", false), change("gone", false), change("gone", true),
 	}}, sourceStore)
 	// Three slots take five requests.
@@ -62,11 +62,11 @@
 	}
 }
 
-// TestLapseIsExtended checks that a removal that is held back counts in the end also if
+// TestRemovalHoldIsExtended checks that a removal that is held back counts in the end also if
 // the time for which removals are held back grows meanwhile.
-func TestLapseIsExtended(t *testing.T) {
-	g := newPlain(t)
-	g.take(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("kept", false), change("lapsed", false)}}, sourceStore)
+func TestRemovalHoldIsExtended(t *testing.T) {
+	g := newTestGateway(t)
+	g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("kept", false), change("lapsed", false)}}, sourceStore)
 	learn := func(remaining time.Duration) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -79,7 +79,7 @@
 		return ok
 	}
 	learn(50 * time.Millisecond)
-	g.take(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("lapsed", true)}}, sourceStore)
+	g.applyDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("lapsed", true)}}, sourceStore)
 	learn(300 * time.Millisecond)
 	require.True(t, held("lapsed"))
 	require.Eventually(t, func() bool { return !held("lapsed") }, 10*time.Second, 5*time.Millisecond)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -59,7 +59,7 @@
 		want.Isolated = ex.isTrial()
 		queuedAt := g.clock.Now()
 		decision := p.acquire(ex.ctx, want)
-		g.metrics.queued.Record(g.clock.Since(queuedAt).Seconds(), ex.service)
+		g.metrics.queueDuration.Record(g.clock.Since(queuedAt).Seconds(), ex.service)
 		if decision.Action != upstream.Send {
 			return failedResult(unknown, string(decision.Reason), decision.RetryAfter), nil
 		}
@@ -84,7 +84,7 @@
 		ex.recordAttempt(decision, a)
 		g.observeAttempt(ex, decision.Target, a)
 		if a.TargetResult.SelfReport.Leaving {
-			g.heardLeaving(decision.Target.ID)
+			g.recordDeparture(decision.Target.ID)
 		}
 		if a.Response != nil {
 			ex.answered = true
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -148,8 +148,8 @@
 	return findings
 }
 
-// bringsVersionsIn tells whether new versions of services are brought in by order.
-func (c *Config) bringsVersionsIn() bool { return c.Rollouts.Share > 0 }
+// rolloutsEnabled tells whether new versions of services are brought in by order.
+func (c *Config) rolloutsEnabled() bool { return c.Rollouts.Share > 0 }
 
 // setting is a setting with its name.
 type setting struct{ field, value string }
--- a/gateway/crashing_account_test.go
+++ b/gateway/crashing_account_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, in := range instances {
 		in.awaitReady()
-		require.Eventually(t, func() bool { return in.alive() == "4" }, wait, poll)
+		require.Eventually(t, func() bool { return in.aliveCount() == "4" }, wait, poll)
 		in.awaitKey(adaKey, "/x/", 200)
 	}
 	get := func(key string) func(in *instance, n int) reply {
--- a/gateway/crashing_request_test.go
+++ b/gateway/crashing_request_test.go
@@ -122,7 +122,7 @@
 	}
 	for _, in := range instances {
 		in.awaitReady()
-		require.Eventually(t, func() bool { return in.alive() == "4" }, wait, poll)
+		require.Eventually(t, func() bool { return in.aliveCount() == "4" }, wait, poll)
 		in.awaitStatus("/x/", 200)
 	}
 	return v, instances
--- a/gateway/deaf_test.go
+++ b/gateway/deaf_test.go
@@ -14,7 +14,7 @@
 // aliveMembers matches the number of instances that are alive in an instance's view.
 var aliveMembers = regexp.MustCompile(`rainford_members\{[^}]*state="alive"[^}]*\} (\d+)`)
 
-func (in *instance) alive() string {
+func (in *instance) aliveCount() string {
 	found := aliveMembers.FindStringSubmatch(in.scrape())
 	if found == nil {
 		return ""
@@ -22,8 +22,8 @@
 	return found[1]
 }
 
-// TestHeardAgain guards against an instance that is heard by all and hears nobody, for as long as it runs.
-func TestHeardAgain(t *testing.T) {
+// TestReconnectsAfterSilentConnections guards against an instance that is heard by all and hears nobody, for as long as it runs.
+func TestReconnectsAfterSilentConnections(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
@@ -37,7 +37,7 @@
 		t.Cleanup(network.Close)
 		c.AdvertisePeer = network.Addr()
 	})
-	bothAlive := func() bool { return in.alive() == "2" && other.alive() == "2" }
+	bothAlive := func() bool { return in.aliveCount() == "2" && other.aliveCount() == "2" }
 	require.Eventually(t, bothAlive, wait, 50*time.Millisecond)
 	network.Silence()
 	// Longer than an instance that is not heard stays alive in a view.
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -5,21 +5,21 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// urgent tells whether the changes of a kind are few and have to be in force
+// isUrgent tells whether the changes of a kind are few and have to be in force
 // everywhere soon. They are pushed on every way. Those of other kinds are pushed by
 // one watcher to its own region, however it came to know them, since other regions have
 // watchers of their own; what is lost on the way is made up by gossip.
-func urgent(kind feed.Kind) bool {
+func isUrgent(kind feed.Kind) bool {
 	return kind == KindConfig || kind == KindEvacuations || kind == KindTable || kind == KindRollouts
 }
 
-// passOn sends a delta to the instances that this one is the source of: those of its
+// pushDelta sends a delta to the instances that this one is the source of: those of its
 // region, by way of a few of them, and for urgent kinds the watchers of others. The caller
 // holds mu.
-func (g *Gateway) passOn(d feed.Delta, source string) {
+func (g *Gateway) pushDelta(d feed.Delta, source string) {
 	now := g.clock.Now()
 	fromStore := source == sourceStore
-	if !urgent(d.Kind) && !g.view.IsFirstWatcher(now) {
+	if !isUrgent(d.Kind) && !g.view.IsFirstWatcher(now) {
 		return
 	}
 	if !fromStore && !g.watch.isWatching() {
@@ -34,7 +34,7 @@
 	for _, branch := range g.view.Branches(now) {
 		g.mesh.Send(branch.PeerAddr, message.RelayTo(branch))
 	}
-	if !fromStore || !urgent(d.Kind) {
+	if !fromStore || !isUrgent(d.Kind) {
 		return
 	}
 	for _, m := range g.view.RemoteWatchers(now) {
@@ -51,9 +51,9 @@
 		g.log.Error(logDeltaRefused, "kind", m.Kind, "source", from, "error", err.Error())
 		return
 	}
-	g.learnLapse(m)
-	if !g.take(delta, from) {
-		g.askFor(from, delta)
+	g.inheritRemovalHold(m)
+	if !g.applyDelta(delta, from) {
+		g.requestAfterGap(from, delta)
 	}
 }
 
@@ -69,9 +69,9 @@
 	}
 }
 
-// askFor asks for what is missing before a delta that left a gap, the instance that sent it
+// requestAfterGap asks for what is missing before a delta that left a gap, the instance that sent it
 // first.
-func (g *Gateway) askFor(from string, d feed.Delta) {
+func (g *Gateway) requestAfterGap(from string, d feed.Delta) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[d.Kind]
@@ -79,13 +79,13 @@
 		return
 	}
 	now := g.clock.Now()
-	g.log.Info(logGap, "kind", d.Kind, "source", from, "begins", d.From.Revision, "revision", replica.Position().Revision)
+	g.log.Info(logDeltaGap, "kind", d.Kind, "source", from, "begins", d.From.Revision, "revision", replica.Position().Revision)
 	g.catchUp[d.Kind].AddSourceAfterGap(now, replica.Position(), feed.Source{Addr: from, Position: d.To})
-	g.ask(now, d.Kind)
+	g.sendDeltaRequest(now, d.Kind)
 }
 
-// learnLapse has removals held back as long as the sender of the delta does.
-func (g *Gateway) learnLapse(m *peer.Delta) {
+// inheritRemovalHold has removals held back as long as the sender of the delta does.
+func (g *Gateway) inheritRemovalHold(m *peer.Delta) {
 	if m.Kind != KindTargets || m.RemovalHold <= 0 {
 		return
 	}
@@ -94,33 +94,33 @@
 	g.heldChanges[KindTargets].removals.Inherit(g.clock.Now(), m.RemovalHold)
 }
 
-// answer sends the changes that another instance asks for, at once or when this instance
+// handleDeltaRequest sends the changes that another instance asks for, at once or when this instance
 // has them itself.
-func (g *Gateway) answer(m *peer.DeltaRequest) {
+func (g *Gateway) handleDeltaRequest(m *peer.DeltaRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[m.Kind]
 	switch {
 	case replica == nil:
-	case replica.Position().IsZero() && len(g.pendingDeltaRequests[m.Kind]) < maxAskers:
+	case replica.Position().IsZero() && len(g.pendingDeltaRequests[m.Kind]) < maxPendingDeltaRequests:
 		g.pendingDeltaRequests[m.Kind] = append(g.pendingDeltaRequests[m.Kind], m)
 	case replica.Position().After(m.Position):
-		g.sendSince(replica, m)
+		g.sendDelta(replica, m)
 	}
 }
 
-// answerAskers answers those that have asked for a kind before this instance had it. The
+// answerPendingDeltaRequests answers those that have asked for a kind before this instance had it. The
 // caller holds mu.
-func (g *Gateway) answerAskers(kind feed.Kind) {
+func (g *Gateway) answerPendingDeltaRequests(kind feed.Kind) {
 	for _, m := range g.pendingDeltaRequests[kind] {
-		g.sendSince(g.replicas[kind], m)
+		g.sendDelta(g.replicas[kind], m)
 	}
 	delete(g.pendingDeltaRequests, kind)
 }
 
-// sendSince sends the changes that another instance asks for. The caller holds mu.
-func (g *Gateway) sendSince(replica *feed.Replica, m *peer.DeltaRequest) {
-	answer, err := g.answers.since(replica, m)
+// sendDelta sends the changes that another instance asks for. The caller holds mu.
+func (g *Gateway) sendDelta(replica *feed.Replica, m *peer.DeltaRequest) {
+	answer, err := g.deltaCache.message(replica, m)
 	if err != nil {
 		g.log.Error(logDeltaRefused, "kind", m.Kind, "error", err.Error())
 		return
@@ -129,27 +129,27 @@
 	g.mesh.Send(m.ReplyTo, &answer)
 }
 
-// answers keep the last delta that was packed of each kind: many instances that start
+// deltaCache keep the last delta that was packed of each kind: many instances that start
 // together ask for the same one.
-type answers map[feed.Kind]packedDelta
+type deltaCache map[feed.Kind]cachedDelta
 
-// packedDelta is a delta from one state to another.
-type packedDelta struct {
+// cachedDelta is a delta from one state to another.
+type cachedDelta struct {
 	from    feed.Position
 	digest  uint64
 	to      feed.Position
 	message *peer.Delta
 }
 
-// since returns the message that leads from what an asker holds to what the replica does.
-func (a answers) since(replica *feed.Replica, m *peer.DeltaRequest) (peer.Delta, error) {
+// message returns the message that leads from what an asker holds to what the replica does.
+func (a deltaCache) message(replica *feed.Replica, m *peer.DeltaRequest) (peer.Delta, error) {
 	held, ok := a[m.Kind]
 	if !ok || held.from != m.Position || held.digest != m.Digest || held.to != replica.Position() {
 		message, err := peer.NewDelta(replica.DeltaSince(m.Position, m.Digest))
 		if err != nil {
 			return peer.Delta{}, err
 		}
-		held = packedDelta{from: m.Position, digest: m.Digest, to: replica.Position(), message: message}
+		held = cachedDelta{from: m.Position, digest: m.Digest, to: replica.Position(), message: message}
 		a[m.Kind] = held
 	}
 	return *held.message, nil
--- a/gateway/delta_test.go
+++ b/gateway/delta_test.go
@@ -56,7 +56,7 @@
 		log:                  log,
 		replicas:             make(map[feed.Kind]*feed.Replica),
 		pendingDeltaRequests: make(map[feed.Kind][]*peer.DeltaRequest),
-		answers:              make(answers),
+		deltaCache:           make(deltaCache),
 		view:                 viewOf(time.Now(), 0, 0),
 
 		registered:  make(map[string]fleet.Member),
@@ -73,13 +73,13 @@
 	return g
 }
 
-// TestAskersAreAnswered checks that an instance that is asked for a kind before it has it
+// TestPendingDeltaRequestsAreAnswered checks that an instance that is asked for a kind before it has it
 // answers once it has, and the next one at once.
-func TestAskersAreAnswered(t *testing.T) {
+func TestPendingDeltaRequestsAreAnswered(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
 	g.Receive("", &peer.DeltaRequest{Kind: KindInstances, ReplyTo: in.addr})
 	whole := feed.Delta{Kind: KindInstances, To: feed.At(0, 7), Full: true, Changes: []feed.Change{{Object: feed.Object{Name: "n1", Value: []byte(`{"name":"n1","hall":"a1","region":"a","front_addr":"10.0.0.1:1","peer_addr":"10.0.0.1:2"}`)}}}}
-	require.True(t, g.take(whole, sourceStore))
+	require.True(t, g.applyDelta(whole, sourceStore))
 	g.Receive("", &peer.DeltaRequest{Kind: KindInstances, ReplyTo: in.addr})
 	for range 2 {
 		answer, ok := in.next(t).(*peer.Delta)
--- a/gateway/departures.go
+++ b/gateway/departures.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// departuresPause is the longest time for which departures are collected before all
+	// departureGossipDelay is the longest time for which departures are collected before all
 	// instances are told. Several instances hear of one in the same moment; each waits for
 	// a drawn time, and what it is told meanwhile it need not tell. It is a tenth of the
 	// time within which all are to know.
-	departuresPause = 100 * time.Millisecond
-	// maxDepartures bounds the departures in a message: less than 700 bytes.
-	maxDepartures = 64
+	departureGossipDelay = 100 * time.Millisecond
+	// maxGossipedDepartures bounds the departures in a message: less than 700 bytes.
+	maxGossipedDepartures = 64
 )
 
 // departures keep which targets have said themselves that they leave. It is safe for concurrent
@@ -25,8 +25,8 @@
 type departures struct {
 	mu    sync.Mutex
 	known availability.Departures
-	// untold are those heard from targets here of which the others are not told yet.
-	untold availability.DepartureList
+	// unsent are those heard from targets here of which the others are not told yet.
+	unsent availability.DepartureList
 }
 
 func (d *departures) expire(now time.Time) {
@@ -52,8 +52,8 @@
 	if !d.known.Add(now, id) {
 		return false, false
 	}
-	d.untold = append(d.untold, availability.Departure{ID: id})
-	return true, len(d.untold) == 1
+	d.unsent = append(d.unsent, availability.Departure{ID: id})
+	return true, len(d.unsent) == 1
 }
 
 // merge takes in what another instance has told, which is known to the others too, and returns
@@ -61,23 +61,23 @@
 func (d *departures) merge(now time.Time, told availability.DepartureList) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.untold = slices.DeleteFunc(d.untold, func(own availability.Departure) bool {
+	d.unsent = slices.DeleteFunc(d.unsent, func(own availability.Departure) bool {
 		return slices.ContainsFunc(told, func(other availability.Departure) bool { return other.ID == own.ID })
 	})
 	return d.known.Merge(now, told)
 }
 
-// takeUntold returns what the others are to be told.
-func (d *departures) takeUntold() availability.DepartureList {
+// takeUnsent returns what the others are to be told.
+func (d *departures) takeUnsent() availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	untold := d.untold
-	d.untold = nil
+	untold := d.unsent
+	d.unsent = nil
 	return untold
 }
 
-// sum returns a number by which instances see that they do not know the same.
-func (d *departures) sum(now time.Time) uint32 {
+// checksum returns a number by which instances see that they do not know the same.
+func (d *departures) checksum(now time.Time) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.known.Checksum(now)
@@ -90,7 +90,7 @@
 	if d.known.Checksum(now) == sum {
 		return nil
 	}
-	return d.known.Sample(now, maxDepartures, salt)
+	return d.known.Sample(now, maxGossipedDepartures, salt)
 }
 
 // all returns all departures that are told to others.
@@ -100,42 +100,42 @@
 	return d.known.Sample(now, d.known.Len(), 0)
 }
 
-// heardLeaving takes in that a target has said to this instance that it leaves, and has all
+// recordDeparture takes in that a target has said to this instance that it leaves, and has all
 // instances know: the store may be away, or know of it late.
-func (g *Gateway) heardLeaving(target string) {
+func (g *Gateway) recordDeparture(target string) {
 	now := g.clock.Now()
 	fresh, first := g.departures.add(now, target)
 	if !fresh {
 		return
 	}
-	g.endsAsPlanned(target)
+	g.ignoreInterruptions(target)
 	if first {
-		time.AfterFunc(rand.N(departuresPause), g.tellDepartures)
+		time.AfterFunc(rand.N(departureGossipDelay), g.gossipDepartures)
 	}
 }
 
-// tellDepartures tells all instances of the targets that said here that they leave.
-func (g *Gateway) tellDepartures() {
+// gossipDepartures tells all instances of the targets that said here that they leave.
+func (g *Gateway) gossipDepartures() {
 	now := g.clock.Now()
-	for told := range slices.Chunk(g.departures.takeUntold(), maxDepartures) {
+	for told := range slices.Chunk(g.departures.takeUnsent(), maxGossipedDepartures) {
 		g.broadcast(now, peer.Gossip{Departures: told})
 	}
 }
 
-// hearDepartures takes in which targets have said to other instances that they leave.
-func (g *Gateway) hearDepartures(now time.Time, told availability.DepartureList) {
+// receiveDepartures takes in which targets have said to other instances that they leave.
+func (g *Gateway) receiveDepartures(now time.Time, told availability.DepartureList) {
 	if len(told) == 0 {
 		return
 	}
 	fresh := g.departures.merge(now, told)
 	for _, target := range g.pools.applyDepartures(now, fresh, availability.SourcePeer) {
-		g.endsAsPlanned(target)
+		g.ignoreInterruptions(target)
 	}
 }
 
-// endsAsPlanned takes in that a target leaves: what it breaks off is no sign that requests end
+// ignoreInterruptions takes in that a target leaves: what it breaks off is no sign that requests end
 // targets.
-func (g *Gateway) endsAsPlanned(target string) {
+func (g *Gateway) ignoreInterruptions(target string) {
 	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
--- a/gateway/departures_test.go
+++ b/gateway/departures_test.go
@@ -13,21 +13,21 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// saysLeaving has a target say in each answer that it leaves.
-func saysLeaving(server *origin.Server) {
+// announceLeaving has a target say in each answer that it leaves.
+func announceLeaving(server *origin.Server) {
 	server.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 }
 
-// TestOwnWordOutlivesOlderEntries checks that a target that has said that it leaves is not sent
+// TestAnnouncedDepartureOutlivesOlderEntries checks that a target that has said that it leaves is not sent
 // to again, whatever entries that say that it serves come after its word, and that its next
 // start under the same ID is.
-func TestOwnWordOutlivesOlderEntries(t *testing.T) {
+func TestAnnouncedDepartureOutlivesOlderEntries(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
-	first := s.bornServer("i-1", 1000)
+	first := s.startIncarnation("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
-	saysLeaving(first)
+	announceLeaving(first)
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 	served := len(first.Runs())
 	refused := func() {
@@ -40,44 +40,44 @@
 		State: objects.Ready, WarmupRemaining: "0ms", Sequence: 2, Born: 1000, Version: "v2"}))
 	refused()
 	s.store.Remove(objects.KindServers, "i-1")
-	in.awaitTargets(s.recordBorn(first, objects.Ready, 1000))
+	in.awaitTargets(s.recordIncarnation(first, objects.Ready, 1000))
 	refused()
 	require.Len(t, first.Runs(), served)
-	second := s.bornServer("i-1", 2000)
+	second := s.startIncarnation("i-1", 2000)
 	in.awaitStatus("/x/", 200)
 	require.NotZero(t, len(second.Runs()))
 }
 
-// TestOthersKnowOfDeparture checks that an instance that never heard a target say that it leaves
+// TestDepartureIsGossiped checks that an instance that never heard a target say that it leaves
 // does not send there a second after another one heard it, and neither does one that starts
 // later.
-func TestOthersKnowOfDeparture(t *testing.T) {
+func TestDepartureIsGossiped(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
 	leaver := s.server("i-1", "s", "a1")
 	hears, told := s.instance("n1", "a1"), s.instance("n2", "b1")
 	for _, in := range []*instance{hears, told} {
 		in.awaitReady()
-		require.Eventually(t, func() bool { return in.alive() == "2" }, wait, poll)
+		require.Eventually(t, func() bool { return in.aliveCount() == "2" }, wait, poll)
 		in.awaitStatus("/x/", 200)
 	}
-	saysLeaving(leaver)
+	announceLeaving(leaver)
 	require.Equal(t, 200, hears.send("GET", "/x/", "").status)
 	served := len(leaver.Runs())
 	time.Sleep(propagationTime)
 	require.Equal(t, 503, told.send("GET", "/x/", "").status)
 	late := s.instance("n3", "a2", func(c *gateway.Config) { c.Seeds = []string{hears.config.PeerListen} })
 	late.awaitReady()
-	require.Eventually(t, func() bool { return late.alive() == "3" }, wait, poll)
+	require.Eventually(t, func() bool { return late.aliveCount() == "3" }, wait, poll)
 	time.Sleep(propagationTime)
 	require.Equal(t, 503, late.send("GET", "/x/", "").status)
 	require.Len(t, leaver.Runs(), served)
 }
 
-// TestDepartureEndsNoRequest checks that a request that a target breaks off with its planned end,
+// TestPlannedStopIsNoCrash checks that a request that a target breaks off with its planned end,
 // of which its own word alone has told, is not taken for one that ends targets. The end of one
 // that has said nothing is.
-func TestDepartureEndsNoRequest(t *testing.T) {
+func TestPlannedStopIsNoCrash(t *testing.T) {
 	for _, said := range []bool{true, false} {
 		s := newSite(t)
 		s.configure(1, idempotentRoute)
@@ -89,7 +89,7 @@
 			return origin.Silent
 		})
 		if said {
-			saysLeaving(server)
+			announceLeaving(server)
 		}
 		in := s.instance("n1", "a1")
 		in.awaitReady()
--- a/gateway/forget_test.go
+++ b/gateway/forget_test.go
@@ -11,9 +11,9 @@
 	"github.com/rainford/rainford/gateway"
 )
 
-// TestLostInstanceIsForgotten checks that the entry of an instance that never comes back
+// TestLostInstanceIsRemoved checks that the entry of an instance that never comes back
 // goes, and that one that is there keeps its own or gets it back.
-func TestLostInstanceIsForgotten(t *testing.T) {
+func TestLostInstanceIsRemoved(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -74,7 +74,7 @@
 	reconnectedAt map[string]time.Time
 	// gossipRounds counts the rounds of gossip.
 	gossipRounds int
-	answers      answers
+	deltaCache   deltaCache
 	// instancesKnownAt is when this instance came to know which are registered.
 	instancesKnownAt time.Time
 	// absences are the members of the own region that are not alive.
@@ -131,7 +131,7 @@
 		clock:                config.Clock,
 		readiness:            readiness{reached: make(chan struct{})},
 		catchUp:              make(map[feed.Kind]*feed.CatchUp),
-		answers:              make(answers),
+		deltaCache:           make(deltaCache),
 		pendingDeltaRequests: make(map[feed.Kind][]*peer.DeltaRequest),
 		reconnectedAt:        make(map[string]time.Time),
 		registered:           make(map[string]fleet.Member),
@@ -211,7 +211,7 @@
 	for _, kind := range g.kinds {
 		g.startGoroutine(func() { g.watchLoop(work, kind) })
 	}
-	if config := g.config; config.bringsVersionsIn() {
+	if config := g.config; config.rolloutsEnabled() {
 		g.startGoroutine(func() { g.rolloutLoop(work) })
 	}
 	g.startGoroutine(func() { g.probeLoop(work) })
@@ -270,9 +270,9 @@
 			g.expireLimits(now)
 			g.reviewTargetLimits(now)
 			g.expireTombstones(now)
-			g.forgetLost(ctx, now)
+			g.removeLostInstance(ctx, now)
 			g.removeExpiredRecord(ctx, now)
-			g.rewriteLost(ctx, now)
+			g.rewriteLostObjects(ctx, now)
 		}
 	}
 }
--- a/gateway/held_changes.go
+++ b/gateway/held_changes.go
@@ -132,5 +132,5 @@
 		g.scheduleHeldChanges(now, kind)
 		return
 	}
-	g.putInForce(now, kind, changes, provenance{source: sourceLapse, revision: replica.Position().Revision})
+	g.applyChanges(now, kind, changes, provenance{source: sourceHoldExpired, revision: replica.Position().Revision})
 }
--- a/gateway/incarnation_model_test.go
+++ b/gateway/incarnation_model_test.go
@@ -16,18 +16,18 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// bornEntry is the entry of a target as bornCodec reads it.
-type bornEntry struct {
+// incarnationEntry is the entry of a target as bornCodec reads it.
+type incarnationEntry struct {
 	Born    int64
 	Leaves  bool
 	Foreign bool
 }
 
-// bornCodec decodes entries that tell when a target started.
-type bornCodec struct{ plainCodec }
+// incarnationCodec decodes entries that tell when a target started.
+type incarnationCodec struct{ plainCodec }
 
-func (bornCodec) Target(name string, raw []byte) (catalog.Target, error) {
-	var e bornEntry
+func (incarnationCodec) Target(name string, raw []byte) (catalog.Target, error) {
+	var e incarnationEntry
 	err := json.Unmarshal(raw, &e)
 	if err != nil || e.Foreign {
 		return catalog.Target{}, &catalog.EntryError{Field: "state", Problem: "says nothing known"}
@@ -40,7 +40,7 @@
 	changes []feed.Change
 }
 
-func (s *modelStore) write(e *bornEntry) {
+func (s *modelStore) write(e *incarnationEntry) {
 	c := feed.Change{Object: feed.Object{Name: "i-1"}, Removed: e == nil}
 	if e != nil {
 		raw, err := json.Marshal(e)
@@ -73,24 +73,24 @@
 type reference struct {
 	// latest is the latest start seen, and used what is listed, nil for nothing.
 	latest int64
-	used   *bornEntry
+	used   *incarnationEntry
 	// departed are the incarnations that it knows to have said themselves that they leave.
 	departed map[string]bool
 }
 
-// sends tells whether the instance should send to the target that is listed.
-func (r *reference) sends() bool {
+// shouldSend tells whether the instance should send to the target that is listed.
+func (r *reference) shouldSend() bool {
 	return r.used != nil && !r.used.Leaves && !r.departed[catalog.IncarnationID("i-1", r.used.Born)]
 }
 
-// bring takes in a delta as the naive rule has it: an entry counts unless it is of an earlier
+// deliver takes in a delta as the naive rule has it: an entry counts unless it is of an earlier
 // start than one seen.
-func (r *reference) bring(d feed.Delta) {
+func (r *reference) deliver(d feed.Delta) {
 	if d.Full && len(d.Changes) == 0 {
 		r.used = nil
 	}
 	for _, c := range d.Changes {
-		var e bornEntry
+		var e incarnationEntry
 		switch {
 		case c.Removed:
 			r.used = nil
@@ -111,11 +111,11 @@
 	reference
 }
 
-// bring has the instance take in a delta, and its reference if it was news.
-func (in *modelInstance) bring(d feed.Delta, source string) {
+// deliver has the instance take in a delta, and its reference if it was news.
+func (in *modelInstance) deliver(d feed.Delta, source string) {
 	before := in.replicas[KindTargets].Position()
-	if in.take(d, source) && in.replicas[KindTargets].Position().After(before) {
-		in.reference.bring(d)
+	if in.applyDelta(d, source) && in.replicas[KindTargets].Position().After(before) {
+		in.reference.deliver(d)
 	}
 }
 
@@ -130,18 +130,18 @@
 	spec, listed := in.targetList.specs["i-1"]
 	require.Equal(t, in.used != nil, listed)
 	if listed {
-		require.Equal(t, *in.used, bornEntry{Born: spec.Born, Leaves: spec.Leaves})
+		require.Equal(t, *in.used, incarnationEntry{Born: spec.Born, Leaves: spec.Leaves})
 	}
-	got, ok := in.sent()
-	require.Equal(t, in.sends(), ok)
+	got, ok := in.chosenTarget()
+	require.Equal(t, in.shouldSend(), ok)
 	if ok {
 		require.Equal(t, spec.ID, got)
 	}
 }
 
-// sent returns the target that the instance sends a request to now, false if none. The request
+// chosenTarget returns the target that the instance sends a request to now, false if none. The request
 // ends at once.
-func (in *modelInstance) sent() (string, bool) {
+func (in *modelInstance) chosenTarget() (string, bool) {
 	p := in.pools.get("s")
 	if p == nil {
 		return "", false
@@ -154,22 +154,22 @@
 	return d.Target.ID, true
 }
 
-// answer has the target that the instance sends to say in its answer that it leaves.
-func (in *modelInstance) answer() {
-	target, ok := in.sent()
+// announceLeaving has the target that the instance sends to say in its announceLeaving that it leaves.
+func (in *modelInstance) announceLeaving() {
+	target, ok := in.chosenTarget()
 	if !ok {
 		return
 	}
 	p := in.pools.get("s")
 	d := p.acquire(context.Background(), upstream.Request{Deadline: in.clock.Now().Add(time.Minute)})
 	p.release(d.Target.ID, upstream.Result{Outcome: upstream.Answered, SelfReport: availability.SelfReport{Leaving: true}})
-	in.heardLeaving(target)
+	in.recordDeparture(target)
 	in.departed[target] = true
 }
 
-// tell has another instance tell this one of the departures that it knows.
-func (in *modelInstance) tell(other *modelInstance) {
-	in.hearDepartures(in.clock.Now(), other.departures.all(other.clock.Now()))
+// receiveDeparturesOf has another instance receiveDeparturesOf this one of the departures that it knows.
+func (in *modelInstance) receiveDeparturesOf(other *modelInstance) {
+	in.receiveDepartures(in.clock.Now(), other.departures.all(other.clock.Now()))
 	for target := range other.departed {
 		in.departed[target] = true
 	}
@@ -183,13 +183,13 @@
 func TestIncarnationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &modelStore{}
-		store.write(&bornEntry{Born: 1})
+		store.write(&incarnationEntry{Born: 1})
 		var instances []*modelInstance
 		for range 3 {
-			in := &modelInstance{Gateway: newPlain(t), reference: reference{departed: make(map[string]bool)}}
+			in := &modelInstance{Gateway: newTestGateway(t), reference: reference{departed: make(map[string]bool)}}
 			defer in.closeListeners()
-			in.codec = bornCodec{}
-			in.bring(store.list(), sourceStore)
+			in.codec = incarnationCodec{}
+			in.deliver(store.list(), sourceStore)
 			instances = append(instances, in)
 		}
 		pick := func(label string) *modelInstance { return instances[rapid.IntRange(0, 2).Draw(rt, label)] }
@@ -198,37 +198,37 @@
 			switch rapid.SampledFrom([]string{"start", "late", "leave", "gone", "foreign", "watch", "watch", "list", "delta", "answer", "answer", "tell", "tell"}).Draw(rt, "step") {
 			case "start":
 				newest++
-				store.write(&bornEntry{Born: newest})
+				store.write(&incarnationEntry{Born: newest})
 			case "late":
-				store.write(&bornEntry{Born: rapid.Int64Range(1, newest).Draw(rt, "born"), Leaves: rapid.Bool().Draw(rt, "leaves")})
+				store.write(&incarnationEntry{Born: rapid.Int64Range(1, newest).Draw(rt, "born"), Leaves: rapid.Bool().Draw(rt, "leaves")})
 			case "leave":
-				store.write(&bornEntry{Born: newest, Leaves: true})
+				store.write(&incarnationEntry{Born: newest, Leaves: true})
 			case "gone":
 				store.write(nil)
 			case "foreign":
-				store.write(&bornEntry{Foreign: true})
+				store.write(&incarnationEntry{Foreign: true})
 			case "watch":
 				in := pick("instance")
-				in.bring(store.since(in.replicas[KindTargets].Position()), sourceStore)
+				in.deliver(store.since(in.replicas[KindTargets].Position()), sourceStore)
 			case "list":
-				pick("instance").bring(store.list(), sourceStore)
+				pick("instance").deliver(store.list(), sourceStore)
 			case "delta":
 				from, to := pick("from"), pick("to")
 				replica := to.replicas[KindTargets]
-				to.bring(from.replicas[KindTargets].DeltaSince(replica.Position(), replica.Digest()), "other")
+				to.deliver(from.replicas[KindTargets].DeltaSince(replica.Position(), replica.Digest()), "other")
 			case "answer":
-				pick("instance").answer()
+				pick("instance").announceLeaving()
 			case "tell":
-				pick("to").tell(pick("from"))
+				pick("to").receiveDeparturesOf(pick("from"))
 			}
 			for _, in := range instances {
 				in.check(rt)
 			}
 		}
 		newest++
-		store.write(&bornEntry{Born: newest})
+		store.write(&incarnationEntry{Born: newest})
 		for _, in := range instances {
-			in.bring(store.since(in.replicas[KindTargets].Position()), sourceStore)
+			in.deliver(store.since(in.replicas[KindTargets].Position()), sourceStore)
 			in.check(rt)
 			require.Equal(rt, newest, in.targetList.specs["i-1"].Born)
 		}
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -13,46 +13,46 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// recordBorn writes the entry of a server that tells when it started, and returns its
+// recordIncarnation writes the entry of a server that tells when it started, and returns its
 // revision.
-func (s *site) recordBorn(server *origin.Server, state string, born int64) int64 {
+func (s *site) recordIncarnation(server *origin.Server, state string, born int64) int64 {
 	return s.store.Record(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
 		State: state, WarmupRemaining: "0ms", Sequence: 1, Born: born, Version: "v1"})
 }
 
-// bornServer starts a server that tells when it started.
-func (s *site) bornServer(id string, born int64) *origin.Server {
+// startIncarnation starts a server that tells when it started.
+func (s *site) startIncarnation(id string, born int64) *origin.Server {
 	server, err := origin.Start(id, "s", "a1", 9)
 	require.NoError(s.t, err)
 	s.t.Cleanup(server.Close)
-	s.recordBorn(server, objects.Ready, born)
+	s.recordIncarnation(server, objects.Ready, born)
 	return server
 }
 
-// TestStartsAgainUnderItsID has a target leave, end, and start again under its ID at another
+// TestTargetRestartsUnderSameID has a target leave, end, and start again under its ID at another
 // address, and checks that nothing of the first one sticks to the second: it is used though
 // its ID was leaving, and what the first wrote comes too late to count.
-func TestStartsAgainUnderItsID(t *testing.T) {
+func TestTargetRestartsUnderSameID(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
-	first := s.bornServer("i-1", 1000)
+	first := s.startIncarnation("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
-	s.recordBorn(first, objects.Draining, 1000)
+	s.recordIncarnation(first, objects.Draining, 1000)
 	in.awaitStatus("/x/", 503)
 	first.Close()
-	second := s.bornServer("i-1", 2000)
+	second := s.startIncarnation("i-1", 2000)
 	in.awaitStatus("/x/", 200)
 	served := len(second.Runs())
 	require.NotZero(t, served)
 	// What the first one wrote late.
-	in.awaitTargets(s.recordBorn(first, objects.Draining, 1000))
+	in.awaitTargets(s.recordIncarnation(first, objects.Draining, 1000))
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
-	in.awaitTargets(s.recordBorn(first, objects.Ready, 1000))
+	in.awaitTargets(s.recordIncarnation(first, objects.Ready, 1000))
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 	s.store.Remove(objects.KindServers, "i-1")
 	in.awaitStatus("/x/", 503)
-	in.awaitTargets(s.recordBorn(first, objects.Ready, 1000))
+	in.awaitTargets(s.recordIncarnation(first, objects.Ready, 1000))
 	require.Equal(t, 503, in.send("GET", "/x/", "").status)
 }
 
@@ -76,21 +76,21 @@
 func TestNewIncarnationIsNotSuspected(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
-	server := s.bornServer("i-1", 1000)
+	server := s.startIncarnation("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	server.Close()
 	for range 20 {
 		in.send("GET", "/x/", "")
 	}
-	again := s.bornServer("i-1", 2000)
-	in.awaitTargets(s.recordBorn(again, objects.Ready, 2001))
+	again := s.startIncarnation("i-1", 2000)
+	in.awaitTargets(s.recordIncarnation(again, objects.Ready, 2001))
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 	require.NotEmpty(t, again.Runs())
 }
 
-// foreign are entries of other writers.
-var foreign = []any{
+// foreignEntries are entries of other writers.
+var foreignEntries = []any{
 	map[string]any{"service": "s"},
 	map[string]any{"service": "s", "address": 7, "zone": "a1", "version": "v1", "slots": 3, "state": "ready", "warmupRemaining": "0ms", "sequence": 1},
 	map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "a1", "version": "v1", "slots": 3, "state": "resting", "warmupRemaining": "0ms", "sequence": 1},
@@ -98,13 +98,13 @@
 	"bytes that can't be read", nil, 7, []int{1},
 }
 
-// TestForeignEntriesNameNoTarget has entries of other writers beside that of a target, at the
+// TestForeignEntriesAreRejected has entries of other writers beside that of a target, at the
 // start and later, and checks that only the target is used, and that a target whose entry is
 // written over is no longer.
-func TestForeignEntriesNameNoTarget(t *testing.T) {
+func TestForeignEntriesAreRejected(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
-	for i, entry := range foreign {
+	for i, entry := range foreignEntries {
 		s.store.Set(objects.KindServers, fmt.Sprint("f-", i), entry)
 	}
 	good := s.server("i-1", "s", "a1")
@@ -116,18 +116,18 @@
 		}
 	}
 	serves()
-	for i, entry := range foreign {
+	for i, entry := range foreignEntries {
 		s.store.Set(objects.KindServers, fmt.Sprint("g-", i), entry)
 	}
-	require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreign) }, wait, poll)
+	require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries) }, wait, poll)
 	serves()
 	over := s.server("i-2", "s", "a1")
 	require.Eventually(t, func() bool { in.send("GET", "/x/", ""); in.sendKey("other"); return len(over.Runs()) > 0 }, wait, poll)
-	for i, entry := range foreign {
+	for i, entry := range foreignEntries {
 		s.record(over, objects.Ready)
-		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreign) }, wait, poll)
+		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries) }, wait, poll)
 		s.store.Set(objects.KindServers, "i-2", entry)
-		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreign)+1 }, wait, poll, "%d", i)
+		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries)+1 }, wait, poll, "%d", i)
 		before := len(over.Runs())
 		for n := range 10 {
 			in.sendKey(fmt.Sprint("k", n))
--- a/gateway/logs.go
+++ b/gateway/logs.go
@@ -12,66 +12,66 @@
 
 // The messages of the log lines. docs/OPERATIONS.md lists their fields.
 const (
-	logStart          = "start"
-	logLeaving        = "leaving"
-	logStop           = "stop"
-	logReload         = "reload"
-	logReloadRefused  = "reload refused"
-	logRequest        = "request"
-	logConfig         = "configuration in force"
-	logConfigRefused  = "configuration refused"
-	logConfigOld      = "configuration is not newer"
-	logTarget         = "target"
-	logTargets        = "targets"
-	logTargetRefused  = "target refused"
-	logTargetsRefused = "targets refused"
-	logTargetOld      = "target is not newer"
-	logTargetOfCopy   = "target is as in the store's copy"
-	logTargetGone     = "target gone"
-	logTargetLapsed   = "target lapsed"
-	logTargetBelief   = "target belief"
-	logTargetBeliefs  = "target beliefs"
-	logRollout        = "rollout"
-	logRolloutRefused = "rollout refused"
-	logRolloutLeads   = "rollout led here"
-	logRolloutStage   = "rollout stage"
-	logRolloutState   = "rollout state written"
-	logEvacuation     = "evacuation"
-	logTable          = "table in force"
-	logTableRefused   = "table refused"
-	logMember         = "member"
-	logMembers        = "members"
-	logWatching       = "watching"
-	logStoreLost      = "store lost"
-	logStoreRegained  = "store regained"
-	logHistoryGone    = "history gone"
-	logStoreEra       = "store era"
-	logListBehind     = "list ends before the replica"
-	logNotRegistered  = "not registered"
-	logDeltaRefused   = "delta refused"
-	logGap            = "delta leaves a gap"
-	logUnanswered     = "question not answered"
-	logWasAway        = "was away"
-	logNotHeard       = "not heard by another instance"
-	logTargetLimit    = "target limit"
-	logTargetLimits   = "target limits"
-	logTargetEnded    = "target ended"
-	logRequestHeld    = "request held"
-	logRequestFreed   = "request freed"
-	logAccountHeld    = "account held"
-	logAccountFreed   = "account freed"
-	logObjectsLost    = "own objects lost by the store"
-	logNotKept        = "held request not kept"
-	logKeptRefused    = "held request refused"
+	logStart                  = "start"
+	logLeaving                = "leaving"
+	logStop                   = "stop"
+	logReload                 = "reload"
+	logReloadRefused          = "reload refused"
+	logRequest                = "request"
+	logConfig                 = "configuration in force"
+	logConfigRefused          = "configuration refused"
+	logConfigOld              = "configuration is not newer"
+	logTarget                 = "target"
+	logTargets                = "targets"
+	logTargetRefused          = "target refused"
+	logTargetsRefused         = "targets refused"
+	logTargetOld              = "target is not newer"
+	logTargetFromBackup       = "target is as in the store's copy"
+	logTargetGone             = "target gone"
+	logTargetExpired          = "target lapsed"
+	logTargetEvent            = "target belief"
+	logTargetEvents           = "target beliefs"
+	logRollout                = "rollout"
+	logRolloutRefused         = "rollout refused"
+	logRolloutLeads           = "rollout led here"
+	logRolloutStage           = "rollout stage"
+	logRolloutState           = "rollout state written"
+	logEvacuation             = "evacuation"
+	logTable                  = "table in force"
+	logTableRefused           = "table refused"
+	logMember                 = "member"
+	logMembers                = "members"
+	logWatching               = "watching"
+	logStoreLost              = "store lost"
+	logStoreRegained          = "store regained"
+	logHistoryGone            = "history gone"
+	logStoreEra               = "store era"
+	logListBehind             = "list ends before the replica"
+	logNotRegistered          = "not registered"
+	logDeltaRefused           = "delta refused"
+	logDeltaGap               = "delta leaves a gap"
+	logDeltaRequestUnanswered = "question not answered"
+	logProcessPaused          = "was away"
+	logNotReceivedByPeer      = "not heard by another instance"
+	logTargetLimit            = "target limit"
+	logTargetLimits           = "target limits"
+	logTargetCrashed          = "target ended"
+	logRequestHeld            = "request held"
+	logRequestReleased        = "request freed"
+	logAccountHeld            = "account held"
+	logAccountReleased        = "account freed"
+	logObjectsLost            = "own objects lost by the store"
+	logRecordNotStored        = "held request not kept"
+	logStoredRecordRefused    = "held request refused"
 
 	logChangeLost          = "change of the table lost"
 	logObjectRewritten     = "own object written again"
 	logObjectsNotRewritten = "own objects not written again"
 
-	logStatusNotSent   = "status not sent"
-	logInstanceRefused = "instance refused"
-	logForgotten       = "instance forgotten"
-	logNotForgotten    = "instance not forgotten"
+	logStatusNotSent      = "status not sent"
+	logInstanceRefused    = "instance refused"
+	logInstanceRemoved    = "instance forgotten"
+	logInstanceNotRemoved = "instance not forgotten"
 )
 
 // RequestMessage is the message of the line of a request, by which logs are
@@ -84,8 +84,8 @@
 // instances start.
 const maxMemberLines = 4
 
-// maxMembersNamed bounds the members that a line on many changes names.
-const maxMembersNamed = 8
+// maxNamedMembers bounds the members that a line on many changes names.
+const maxNamedMembers = 8
 
 // reporter logs what changes in the view of the fleet.
 type reporter struct {
@@ -117,11 +117,11 @@
 	return out
 }
 
-// report logs what has changed since the last call. The caller holds mu.
-func (g *Gateway) report(now time.Time, watching bool) {
+// logMemberChanges logs what has changed since the last call. The caller holds mu.
+func (g *Gateway) logMemberChanges(now time.Time, watching bool) {
 	changes := g.reporter.changes(g.view.Others(now))
 	if len(changes) > maxMemberLines {
-		g.reportMany(changes)
+		g.logMemberSummary(changes)
 	} else {
 		for _, c := range changes {
 			g.log.Log(context.Background(), memberLevel(c.State), logMember, "member", c.Name, "hall", c.Hall, "state", c.State, "before", c.before)
@@ -133,9 +133,9 @@
 	}
 }
 
-// reportMany logs many changes in one line: how many came to each state, and some of
+// logMemberSummary logs many changes in one line: how many came to each state, and some of
 // them by name, suspected ones first.
-func (g *Gateway) reportMany(changes []memberChange) {
+func (g *Gateway) logMemberSummary(changes []memberChange) {
 	slices.SortStableFunc(changes, func(a, b memberChange) int {
 		return cmp.Compare(memberLevel(b.State), memberLevel(a.State))
 	})
@@ -143,7 +143,7 @@
 	var named []string
 	for _, c := range changes {
 		counts[c.State]++
-		if len(named) < maxMembersNamed {
+		if len(named) < maxNamedMembers {
 			named = append(named, c.Name+"="+string(c.State))
 		}
 	}
@@ -158,8 +158,8 @@
 	return slog.LevelInfo
 }
 
-// newsAge is the time since the store or another instance was last heard.
-func (g *Gateway) newsAge(now time.Time) time.Duration {
+// contactAge is the time since the store or another instance was last heard.
+func (g *Gateway) contactAge(now time.Time) time.Duration {
 	at := g.lastContactAt.Load()
 	if at == 0 {
 		return -1
@@ -167,4 +167,4 @@
 	return now.Sub(time.Unix(0, at))
 }
 
-func (g *Gateway) heardNews(now time.Time) { g.lastContactAt.Store(now.UnixNano()) }
+func (g *Gateway) recordContact(now time.Time) { g.lastContactAt.Store(now.UnixNano()) }
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -30,9 +30,9 @@
 	return view
 }
 
-// TestMemberLines checks that a few changes in the view of the fleet are told in a line
+// TestMemberLogLines checks that a few changes in the view of the fleet are told in a line
 // each, many in one, and those that nothing is known of in none.
-func TestMemberLines(t *testing.T) {
+func TestMemberLogLines(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	cases := []struct {
 		name         string
@@ -48,21 +48,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			g := &Gateway{log: slog.New(slog.NewJSONHandler(&out, nil)), view: viewOf(now, c.count, c.heard)}
-			g.report(now, false)
+			g.logMemberChanges(now, false)
 			require.Equal(t, c.lines, strings.Count(out.String(), "\n"), out.String())
 			require.Contains(t, out.String(), c.want)
 			out.Reset()
-			g.report(now, false)
+			g.logMemberChanges(now, false)
 			require.Empty(t, out.String(), "what was told is not told again")
-			g.report(now.Add(time.Minute), false)
+			g.logMemberChanges(now.Add(time.Minute), false)
 			require.Equal(t, c.lines, strings.Count(out.String(), `"level":"WARN"`), "all that were heard are silent now")
 		})
 	}
 }
 
-// TestBeliefLines checks that the beliefs on many targets that change together, as when
+// TestTargetEventLogLines checks that the beliefs on many targets that change together, as when
 // new ones join, are told in one line with their number.
-func TestBeliefLines(t *testing.T) {
+func TestTargetEventLogLines(t *testing.T) {
 	var out bytes.Buffer
 	config := Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: slog.New(slog.NewJSONHandler(&out, nil))}
 	ps := newPools(config, new(departures).all, new(targetLimits).all, nil)
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -16,35 +16,35 @@
 type metrics struct {
 	telemetry *telemetry.Metrics
 
-	requests  *telemetry.Counter
-	refusals  *telemetry.Counter
-	attempts  *telemetry.Counter
-	repeats   *telemetry.Counter
-	cold      *telemetry.Counter
-	words     *telemetry.Counter
-	permits   *telemetry.Counter
-	calls     *telemetry.Counter
-	questions *telemetry.Counter
-	ends      *telemetry.Counter
-	refused   *telemetry.Counter
-	versions  *telemetry.Counter
-	whole     *telemetry.Histogram
-	queued    *telemetry.Histogram
-	attempted *telemetry.Histogram
+	requests        *telemetry.Counter
+	refusals        *telemetry.Counter
+	attempts        *telemetry.Counter
+	retries         *telemetry.Counter
+	coldAttempts    *telemetry.Counter
+	selfReports     *telemetry.Counter
+	permits         *telemetry.Counter
+	storeReads      *telemetry.Counter
+	deltaRequests   *telemetry.Counter
+	targetCrashes   *telemetry.Counter
+	refusedEntries  *telemetry.Counter
+	rolloutAttempts *telemetry.Counter
+	requestDuration *telemetry.Histogram
+	queueDuration   *telemetry.Histogram
+	attemptDuration *telemetry.Histogram
 }
 
 // The results of a question to another instance, as the metrics name them.
 const (
-	questionAnswered   = "answered"
-	questionUnanswered = "unanswered"
+	deltaRequestAnswered   = "answered"
+	deltaRequestUnanswered = "unanswered"
 )
 
 // The results of a call to the store, as the metrics name them.
 const (
-	callOK          = "ok"
-	callFailed      = "failed"
-	callHistoryGone = "history-gone"
-	callBehind      = "behind"
+	readOK          = "ok"
+	readFailed      = "failed"
+	readHistoryGone = "history-gone"
+	readBehind      = "behind"
 )
 
 func newMetrics(g *Gateway) (*metrics, error) {
@@ -66,15 +66,15 @@
 	counter(&m.requests, "rainford.requests", "Requests of clients, by the region of the target that answered.", "service", "kind", "region", "outcome")
 	counter(&m.refusals, "rainford.refusals", "Requests that no target answered, by what decided it.", "service", "reason")
 	counter(&m.attempts, "rainford.attempts", "Attempts at targets, by what became of them.", "service", "region", "outcome")
-	counter(&m.repeats, "rainford.repeats", "Attempts after the first one of a request.", "service")
-	counter(&m.cold, "rainford.cold.attempts", "Attempts at targets that are cold.", "service")
-	counter(&m.words, "rainford.target.words", "Answers in which a target spoke of itself, by what it said.", "service", "word")
+	counter(&m.retries, "rainford.repeats", "Attempts after the first one of a request.", "service")
+	counter(&m.coldAttempts, "rainford.cold.attempts", "Attempts at targets that are cold.", "service")
+	counter(&m.selfReports, "rainford.target.words", "Answers in which a target spoke of itself, by what it said.", "service", "word")
 	counter(&m.permits, "rainford.permits", "Requests of accounts with a limit, by what became of their permit.", "result")
-	counter(&m.calls, "rainford.store.reads", "Reads of the store, by what became of them.", "kind", "result")
-	counter(&m.questions, "rainford.questions", "Questions to other instances for changes that this one lacks, by what became of them.", "kind", "result")
-	counter(&m.refused, "rainford.entries.refused", "Entries of the store that could not be taken, by the field at fault.", "kind", "field")
-	counter(&m.versions, "rainford.rollout.attempts", "Attempts at targets of a service that a version is brought in of, by version.", "service", "version", "outcome")
-	counter(&m.ends, "rainford.target.ends", "Targets that ended while they had requests of this instance.")
+	counter(&m.storeReads, "rainford.store.reads", "Reads of the store, by what became of them.", "kind", "result")
+	counter(&m.deltaRequests, "rainford.questions", "Questions to other instances for changes that this one lacks, by what became of them.", "kind", "result")
+	counter(&m.refusedEntries, "rainford.entries.refused", "Entries of the store that could not be taken, by the field at fault.", "kind", "field")
+	counter(&m.rolloutAttempts, "rainford.rollout.attempts", "Attempts at targets of a service that a version is brought in of, by version.", "service", "version", "outcome")
+	counter(&m.targetCrashes, "rainford.target.ends", "Targets that ended while they had requests of this instance.")
 	return errors.Join(errs...)
 }
 
@@ -85,9 +85,9 @@
 		*to = h
 		errs = append(errs, err)
 	}
-	histogram(&m.whole, "rainford.request.duration", "Time from the arrival of a request to the end of its answer.")
-	histogram(&m.queued, "rainford.queue.duration", "Time that a request waited here for a target.")
-	histogram(&m.attempted, "rainford.attempt.duration", "Time from the sending of an attempt to the end of its answer.")
+	histogram(&m.requestDuration, "rainford.request.duration", "Time from the arrival of a request to the end of its answer.")
+	histogram(&m.queueDuration, "rainford.queue.duration", "Time that a request waited here for a target.")
+	histogram(&m.attemptDuration, "rainford.attempt.duration", "Time from the sending of an attempt to the end of its answer.")
 	return errors.Join(errs...)
 }
 
@@ -111,9 +111,9 @@
 	gauge("rainford.requests.held", "Requests, by content, that are held back because targets end under them.", g.quarantine.suspectCount)
 	gauge("rainford.requests.in_flight", "Requests of clients in flight.", g.inFlight.Load)
 	gauge("rainford.requests.ahead", "Requests in flight that were read before those ahead of them on their connections were answered.",
-		func() int64 { requests, _ := g.aheadUsage(); return requests })
+		func() int64 { requests, _ := g.pipeliningUsage(); return requests })
 	gauge("rainford.requests.ahead.held", "Bytes of answers to such requests that wait for those ahead.",
-		func() int64 { _, held := g.aheadUsage(); return held })
+		func() int64 { _, held := g.pipeliningUsage(); return held })
 	gauge("rainford.store.era", "Latest era of the store that its answers name, 0 if they name none, -1 before the first.", g.store.Era)
 	gauge("rainford.store.calls", "Calls made to the store.", g.store.Calls)
 	gauge("rainford.peer.sent", "Bytes sent to other instances.", func() int64 { sent, _, _ := g.mesh.Traffic(); return sent })
@@ -121,12 +121,12 @@
 	errs = append(errs,
 		m.telemetry.Gauges("rainford.rollout.share", "Part of the requests that this instance sends to targets of a version that is brought in.",
 			[]string{"service", "version"}, func(observe func(float64, ...string)) {
-				for _, r := range g.rollouts.list(g.clock.Now()) {
+				for _, r := range g.rollouts.statuses(g.clock.Now()) {
 					observe(r.Share, r.Service, r.Version)
 				}
 			}),
 		m.telemetry.Gauges("rainford.news.age.seconds", "Time since the store or another instance was last heard, -1 before.", nil,
-			func(observe func(float64, ...string)) { observe(g.newsAge(g.clock.Now()).Seconds()) }),
+			func(observe func(float64, ...string)) { observe(g.contactAge(g.clock.Now()).Seconds()) }),
 		m.telemetry.Gauges("rainford.replica.revision", "Revision that is held of each kind of object.", []string{"kind"}, g.observeRevisions),
 		m.telemetry.Gauges("rainford.account.use", "What is asked of the parts of limits that this instance owns, over the part, of the accounts that ask most.",
 			[]string{"account"}, g.accountPermits.observeUtilization),
@@ -134,7 +134,7 @@
 	return errors.Join(errs...)
 }
 
-func (g *Gateway) aheadUsage() (requests, held int64) {
+func (g *Gateway) pipeliningUsage() (requests, held int64) {
 	if g.clientListener == nil {
 		return 0, 0
 	}
@@ -223,10 +223,10 @@
 	}
 	if len(ex.attempts) > 0 {
 		region = ex.attempts[len(ex.attempts)-1].Region
-		m.repeats.Add(int64(len(ex.attempts)-1), ex.service)
+		m.retries.Add(int64(len(ex.attempts)-1), ex.service)
 	}
 	m.requests.Add(1, ex.service, kind, region, outcomeClass(status))
-	m.whole.Record(took.Seconds(), ex.service)
+	m.requestDuration.Record(took.Seconds(), ex.service)
 	if reason != reasonAnswered {
 		m.refusals.Add(1, ex.service, reason)
 	}
@@ -235,59 +235,61 @@
 // attempt counts an attempt at a target.
 func (m *metrics) attempt(service string, target upstream.Choice, r upstream.Result) {
 	m.attempts.Add(1, service, target.Region, r.Outcome.String())
-	m.attempted.Record(r.Latency.Seconds(), service)
+	m.attemptDuration.Record(r.Latency.Seconds(), service)
 	if target.Cold {
-		m.cold.Add(1, service)
+		m.coldAttempts.Add(1, service)
 	}
-	m.word(service, r.SelfReport)
+	m.selfReport(service, r.SelfReport)
 }
 
-// sideNames are the versions of a rollout's targets, as the metrics name them: few, whatever versions are
+// cohortNames are the versions of a rollout's targets, as the metrics name them: few, whatever versions are
 // ordered.
-var sideNames = map[bool]string{false: "old", true: "new"}
+var cohortNames = map[bool]string{false: "old", true: "new"}
 
-// version counts an attempt at a target while a version of its service is brought in.
-func (m *metrics) version(service string, isNew bool, r upstream.Result) {
-	m.versions.Add(1, service, sideNames[isNew], r.Outcome.String())
+// rolloutAttempt counts an attempt at a target while a rolloutAttempt of its service is brought in.
+func (m *metrics) rolloutAttempt(service string, isNew bool, r upstream.Result) {
+	m.rolloutAttempts.Add(1, service, cohortNames[isNew], r.Outcome.String())
 }
 
 // What targets say of themselves, as the metrics name it.
 const (
-	wordLeaves     = "leaves"
-	wordRests      = "rests"
-	wordLimited    = "limited"
-	wordUnreadable = "unreadable"
+	selfReportLeaving   = "leaves"
+	selfReportBackoff   = "rests"
+	selfReportLimited   = "limited"
+	selfReportMalformed = "unreadable"
 )
 
-// word counts what a target said of itself in an answer.
-func (m *metrics) word(service string, w availability.SelfReport) {
+// selfReport counts what a target said of itself in an answer.
+func (m *metrics) selfReport(service string, w availability.SelfReport) {
 	if w.Leaving {
-		m.words.Add(1, service, wordLeaves)
+		m.selfReports.Add(1, service, selfReportLeaving)
 	}
 	if w.Backoff > 0 {
-		m.words.Add(1, service, wordRests)
+		m.selfReports.Add(1, service, selfReportBackoff)
 	}
 	if w.HasLimit {
-		m.words.Add(1, service, wordLimited)
+		m.selfReports.Add(1, service, selfReportLimited)
 	}
 	if len(w.Malformed) > 0 {
-		m.words.Add(1, service, wordUnreadable)
+		m.selfReports.Add(1, service, selfReportMalformed)
 	}
 }
 
-// read counts a read of the store.
-func (m *metrics) read(kind feed.Kind, err error) {
-	result := callOK
+// storeRead counts a storeRead of the store.
+func (m *metrics) storeRead(kind feed.Kind, err error) {
+	result := readOK
 	switch {
 	case errors.Is(err, ErrHistoryGone):
-		result = callHistoryGone
+		result = readHistoryGone
 	case err != nil:
-		result = callFailed
+		result = readFailed
 	}
-	m.calls.Add(1, string(kind), result)
+	m.storeReads.Add(1, string(kind), result)
 }
 
-func (m *metrics) question(kind feed.Kind, result string) { m.questions.Add(1, string(kind), result) }
+func (m *metrics) deltaRequest(kind feed.Kind, result string) {
+	m.deltaRequests.Add(1, string(kind), result)
+}
 
 func (m *metrics) handler() http.Handler { return m.telemetry.Handler() }
 
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -18,16 +18,16 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestDeparturesForOneThatMissedThem checks that an instance that does not know of a departure
+// TestMissedDeparturesAreSent checks that an instance that does not know of a departure
 // is told at its first word, that one that knows the same is not, and that one that knows
 // more is asked for nothing but tells it with its next word.
-func TestDeparturesForOneThatMissedThem(t *testing.T) {
-	g := newPlain(t)
+func TestMissedDeparturesAreSent(t *testing.T) {
+	g := newTestGateway(t)
 	g.departures.add(g.clock.Now(), "i-1")
-	late := newNeighbour(t, "n0")
+	late := newFakePeer(t, "n0")
 	word := func(m peer.Gossip) {
-		late.beat.Sequence++
-		m.Heartbeats, m.Member = fleet.Heartbeats{late.beat}, &late.member
+		late.heartbeat.Sequence++
+		m.Heartbeats, m.Member = fleet.Heartbeats{late.heartbeat}, &late.member
 		g.Receive(late.addr, &m)
 	}
 	word(peer.Gossip{})
@@ -47,9 +47,9 @@
 	require.True(t, g.departures.has("i-2"))
 }
 
-// TestToldDepartureIsNotToldAgain checks that of several instances that hear of a departure in
+// TestReceivedDepartureIsNotSentAgain checks that of several instances that hear of a departure in
 // the same moment one that is told by another does not tell it too.
-func TestToldDepartureIsNotToldAgain(t *testing.T) {
+func TestReceivedDepartureIsNotSentAgain(t *testing.T) {
 	var d departures
 	now := time.Now()
 	fresh, first := d.add(now, "i-1")
@@ -59,34 +59,34 @@
 	fresh, _ = d.add(now, "i-1")
 	require.False(t, fresh)
 	require.Empty(t, d.merge(now, availability.DepartureList{{ID: availability.IDOf("i-1")}}))
-	require.Equal(t, availability.DepartureList{{ID: availability.IDOf("i-2")}}, d.takeUntold())
-	require.Empty(t, d.takeUntold())
+	require.Equal(t, availability.DepartureList{{ID: availability.IDOf("i-2")}}, d.takeUnsent())
+	require.Empty(t, d.takeUnsent())
 }
 
-// TestLapsedEntryOfDeparture checks that a target that has said itself that it leaves is gone with
+// TestDepartedTargetIsRemovedDuringHold checks that a target that has said itself that it leaves is gone with
 // its entry, also while entries that have gone are held to be back soon.
-func TestLapsedEntryOfDeparture(t *testing.T) {
+func TestDepartedTargetIsRemovedDuringHold(t *testing.T) {
 	for _, said := range []bool{true, false} {
-		g := newPlain(t)
-		g.take(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore)
+		g := newTestGateway(t)
+		g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore)
 		if said {
-			g.heardLeaving("i-1")
+			g.recordDeparture("i-1")
 		}
 		g.heldChanges[KindTargets].removals.Inherit(g.clock.Now(), time.Minute)
-		g.take(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("i-1", true)}}, sourceStore)
+		g.applyDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("i-1", true)}}, sourceStore)
 		_, listed := g.targetList.specs["i-1"]
 		require.Equal(t, !said, listed)
 	}
 }
 
-// TestGrantedBeforeTheWord checks that a request that was granted a target is not sent there if the
+// TestGrantedRequestIsWithheldAfterDeparture checks that a request that was granted a target is not sent there if the
 // target has said meanwhile that it leaves.
-func TestGrantedBeforeTheWord(t *testing.T) {
+func TestGrantedRequestIsWithheldAfterDeparture(t *testing.T) {
 	server, err := origin.Start("i-1", "s", "a1", 3)
 	require.NoError(t, err)
 	t.Cleanup(server.Close)
-	g := newPlain(t)
-	g.take(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore)
+	g := newTestGateway(t)
+	g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore)
 	p := g.pools.get("s")
 	ex := &exchange{r: httptest.NewRequest("GET", "/", nil), ctx: t.Context(), route: &catalog.Route{}, deadline: g.clock.Now().Add(time.Minute)}
 	d := p.acquire(t.Context(), upstream.Request{Deadline: ex.deadline})
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// directMembers is the number of instances up to which each is told itself of a
+	// maxDirectRecipients is the number of instances up to which each is told itself of a
 	// target's end. In a larger fleet the news spread like changes of the store.
-	directMembers = 32
-	// maxNews bounds the requests that gossip tells of, for those that missed the news:
+	maxDirectRecipients = 32
+	// maxGossipedSuspects bounds the requests that gossip tells of, for those that missed the news:
 	// less than 1.5 kB.
-	maxNews = 16
+	maxGossipedSuspects = 16
 )
 
-// tell passes on what is known of some requests to all instances at once: a caller may
+// broadcastQuarantine passes on what is known of some requests to all instances at once: a caller may
 // repeat a request within milliseconds, at any of them.
-func (g *Gateway) tell(now time.Time, digests ...quarantine.Digest) {
+func (g *Gateway) broadcastQuarantine(now time.Time, digests ...quarantine.Digest) {
 	g.quarantine.mu.Lock()
 	news := g.quarantine.table.Updates(now, digests...)
 	g.quarantine.mu.Unlock()
@@ -34,34 +34,34 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	message.Heartbeats, message.Reply = fleet.Heartbeats{g.view.OwnHeartbeat()}, true
-	if g.view.Len() <= directMembers {
+	if g.view.Len() <= maxDirectRecipients {
 		for _, m := range g.partners(now, true) {
 			g.mesh.Send(m.PeerAddr, &message)
 		}
 		return
 	}
-	g.spreadNews(now, message)
+	g.broadcastToRegion(now, message)
 	message.RelayToRegion = true
 	for _, m := range g.view.RemoteWatchers(now) {
 		g.mesh.Send(m.PeerAddr, &message)
 	}
 }
 
-// spreadNews sends news to the own region by way of a few instances. The caller holds mu.
-func (g *Gateway) spreadNews(now time.Time, message peer.Gossip) {
+// broadcastToRegion sends news to the own region by way of a few instances. The caller holds mu.
+func (g *Gateway) broadcastToRegion(now time.Time, message peer.Gossip) {
 	for _, branch := range g.view.Branches(now) {
 		message.RelayUntil = branch.Until
 		g.mesh.Send(branch.PeerAddr, &message)
 	}
 }
 
-// relayNews passes news on to those that the sender has left to this instance. The caller
+// relayBroadcast passes news on to those that the sender has left to this instance. The caller
 // holds mu.
-func (g *Gateway) relayNews(now time.Time, m *peer.Gossip) {
+func (g *Gateway) relayBroadcast(now time.Time, m *peer.Gossip) {
 	message := peer.Gossip{Heartbeats: m.Heartbeats, Quarantine: m.Quarantine, Departures: m.Departures, Limits: m.Limits, Stages: m.Stages, Reply: true}
 	switch {
 	case m.RelayToRegion:
-		g.spreadNews(now, message)
+		g.broadcastToRegion(now, message)
 	case m.RelayUntil != 0:
 		for _, branch := range g.view.BranchesUntil(now, m.RelayUntil) {
 			message.RelayUntil = branch.Until
@@ -70,8 +70,8 @@
 	}
 }
 
-// hearNews takes in what another instance knows of requests under which targets have ended.
-func (g *Gateway) hearNews(now time.Time, news quarantine.Updates) {
+// receiveQuarantine takes in what another instance knows of requests under which targets have ended.
+func (g *Gateway) receiveQuarantine(now time.Time, news quarantine.Updates) {
 	if len(news) == 0 {
 		return
 	}
@@ -82,8 +82,8 @@
 	g.logSuspects(now, learned, "peer")
 }
 
-// newsSum returns a number by which instances see that they do not know the same.
-func (g *Gateway) newsSum() uint32 {
+// quarantineChecksum returns a number by which instances see that they do not know the same.
+func (g *Gateway) quarantineChecksum() uint32 {
 	if !g.quarantine.nonEmpty.Load() {
 		return 0
 	}
@@ -92,8 +92,8 @@
 	return g.quarantine.table.Checksum()
 }
 
-// newsFor returns what to tell an instance that does not know the same.
-func (g *Gateway) newsFor(now time.Time, sum uint32) quarantine.Updates {
+// missingQuarantine returns what to tell an instance that does not know the same.
+func (g *Gateway) missingQuarantine(now time.Time, sum uint32) quarantine.Updates {
 	if !g.quarantine.nonEmpty.Load() {
 		return nil
 	}
@@ -102,5 +102,5 @@
 	if g.quarantine.table.Checksum() == sum {
 		return nil
 	}
-	return g.quarantine.table.LatestSuspects(now, maxNews)
+	return g.quarantine.table.LatestSuspects(now, maxGossipedSuspects)
 }
--- a/gateway/news_test.go
+++ b/gateway/news_test.go
@@ -13,20 +13,20 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// TestNewsForOneThatMissedThem checks that an instance that knows less of held requests is told
+// TestMissedQuarantineUpdatesAreSent checks that an instance that knows less of held requests is told
 // at its first word, and that one that knows the same is not.
-func TestNewsForOneThatMissedThem(t *testing.T) {
-	g := newPlain(t)
+func TestMissedQuarantineUpdatesAreSent(t *testing.T) {
+	g := newTestGateway(t)
 	now := g.clock.Now()
 	d := quarantine.Content{URI: "/ends/"}.Digest()
 	for i := range 3 {
 		g.quarantine.table.RecordCrash(now, d, "", quarantine.TargetID(i), i == 2)
 	}
 	g.quarantine.updateNonEmpty()
-	late := newNeighbour(t, "n0")
+	late := newFakePeer(t, "n0")
 	word := func(sum uint32) {
-		late.beat.Sequence++
-		g.Receive(late.addr, &peer.Gossip{Heartbeats: fleet.Heartbeats{late.beat}, Member: &late.member, QuarantineChecksum: sum})
+		late.heartbeat.Sequence++
+		g.Receive(late.addr, &peer.Gossip{Heartbeats: fleet.Heartbeats{late.heartbeat}, Member: &late.member, QuarantineChecksum: sum})
 	}
 	word(0)
 	reply, ok := late.next(t).(*peer.Gossip)
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestReleaseCountsInAnyOrder checks that a release that is read before the ends that it
+// TestReleaseAppliesInAnyOrder checks that a release that is read before the ends that it
 // releases counts all the same, and not for an end after it.
-func TestReleaseCountsInAnyOrder(t *testing.T) {
+func TestReleaseAppliesInAnyOrder(t *testing.T) {
 	d := quarantine.Content{URI: "/ends/"}.Digest()
 	day := time.Now().Add(-time.Minute)
 	held := quarantine.StoredRecord{Digest: d}
@@ -65,14 +65,14 @@
 		"held again":     {[]quarantine.StoredRecord{later, release}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newPlain(t)
+			g := newTestGateway(t)
 			delta := feed.Delta{Kind: KindTable, To: feed.At(0, 5), Full: true}
 			for _, k := range c.kept {
 				raw, err := json.Marshal(k)
 				require.NoError(t, err)
 				delta.Changes = append(delta.Changes, feed.Change{Object: feed.Object{Name: k.Key(), Value: raw}})
 			}
-			require.True(t, g.take(delta, sourceStore))
+			require.True(t, g.applyDelta(delta, sourceStore))
 			standing, _ := g.quarantine.status(g.clock.Now(), d)
 			require.Equal(t, c.want, standing.Crashes)
 		})
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -14,25 +14,25 @@
 const (
 	// maxRewrites bounds the objects that an instance writes again in a round, one round a
 	// rewritePause.
-	maxRewrites  = 8
-	rewritePause = time.Second
-	// rewriteTime is how long it is tried to have a restored store hold what it has lost.
-	rewriteTime = time.Minute
+	maxRewrites     = 8
+	rewriteInterval = time.Second
+	// lostObjectsTimeout is how long it is tried to have a restored store hold what it has lost.
+	lostObjectsTimeout = time.Minute
 )
 
 // lostObjects are what the product itself had kept in the store, and a store that came back from a copy
 // has lost: nobody else writes it again. Names are those of objects of KindTable.
 type lostObjects struct {
 	values map[string][]byte
-	// until is how long it is tried to write them again.
-	until time.Time
+	// deadline is how long it is tried to write them again.
+	deadline time.Time
 	// writing says that it is tried now.
 	writing bool
 }
 
-// ownObjects returns the product's own objects as they are held, if a delta leads to another era of the
+// ownObjectsBeforeRestore returns the product's own objects as they are held, if a delta leads to another era of the
 // store, which may lack some of them. The caller holds mu.
-func (g *Gateway) ownObjects(d feed.Delta) map[string][]byte {
+func (g *Gateway) ownObjectsBeforeRestore(d feed.Delta) map[string][]byte {
 	replica := g.replicas[KindTable]
 	if d.Kind != KindTable || d.To.Era == replica.Position().Era {
 		return nil
@@ -42,32 +42,32 @@
 	return out
 }
 
-// noteLost takes in the changes that led from what was held before to what a restored store holds. The
+// recordLostObjects takes in the changes that led from what was held before to what a restored store holds. The
 // caller holds mu.
-func (g *Gateway) noteLost(now time.Time, before map[string][]byte, changes []feed.Change) {
+func (g *Gateway) recordLostObjects(now time.Time, before map[string][]byte, changes []feed.Change) {
 	for _, c := range changes {
 		held, known := before[c.Name]
 		if !known {
 			continue
 		}
 		if !c.Removed && !config.Supersedes(c.Name, held, c.Value) {
-			g.tellOverwritten(c, held)
+			g.logOverwritten(c, held)
 			continue
 		}
 		if g.lostOwnObjects.values == nil {
 			g.lostOwnObjects.values = make(map[string][]byte)
 		}
 		g.lostOwnObjects.values[c.Name] = held
-		g.lostOwnObjects.until = now.Add(rewriteTime)
+		g.lostOwnObjects.deadline = now.Add(lostObjectsTimeout)
 	}
 	if len(g.lostOwnObjects.values) > 0 {
 		g.log.Warn(logObjectsLost, "objects", len(g.lostOwnObjects.values))
 	}
 }
 
-// tellOverwritten tells which changes of the operators' table are lost for good: another one was made to
+// logOverwritten tells which changes of the operators' table are lost for good: another one was made to
 // what the restored store holds.
-func (g *Gateway) tellOverwritten(c feed.Change, held []byte) {
+func (g *Gateway) logOverwritten(c feed.Change, held []byte) {
 	if c.Name != config.Key {
 		return
 	}
@@ -83,12 +83,12 @@
 	return lost && from.restored
 }
 
-// rewriteLost has the store hold again what it has lost. The first watcher of a region does it; all
+// rewriteLostObjects has the store hold again what it has lost. The first watcher of a region does it; all
 // others know what it is, in case that one ends.
-func (g *Gateway) rewriteLost(ctx context.Context, now time.Time) {
+func (g *Gateway) rewriteLostObjects(ctx context.Context, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	names := g.missing(now)
+	names := g.missingObjects(now)
 	if len(names) == 0 || g.lostOwnObjects.writing || !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
 		return
 	}
@@ -99,19 +99,19 @@
 	g.lostOwnObjects.writing = true
 	g.startGoroutine(func() {
 		for name, value := range batch {
-			g.rewrite(ctx, name, value)
+			g.rewriteObject(ctx, name, value)
 		}
 		// The watch brings what was written.
-		pause.For(ctx, rewritePause)
+		pause.For(ctx, rewriteInterval)
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.lostOwnObjects.writing = false
 	})
 }
 
-// missing returns the names of the lost objects that the store does not hold again, in order, and forgets
+// missingObjects returns the names of the lost objects that the store does not hold again, in order, and forgets
 // those that it does. The caller holds mu.
-func (g *Gateway) missing(now time.Time) []string {
+func (g *Gateway) missingObjects(now time.Time) []string {
 	var names []string
 	replica := g.replicas[KindTable]
 	for name, value := range g.lostOwnObjects.values {
@@ -122,7 +122,7 @@
 		}
 		names = append(names, name)
 	}
-	if len(names) > 0 && now.After(g.lostOwnObjects.until) {
+	if len(names) > 0 && now.After(g.lostOwnObjects.deadline) {
 		g.log.Error(logObjectsNotRewritten, "objects", len(names), "first", names[0])
 		g.lostOwnObjects.values = nil
 		return nil
@@ -131,8 +131,8 @@
 	return names
 }
 
-// rewrite has the store hold an object again, unless it holds one that is no earlier state of it.
-func (g *Gateway) rewrite(ctx context.Context, name string, value []byte) {
+// rewriteObject has the store hold an object again, unless it holds one that is no earlier state of it.
+func (g *Gateway) rewriteObject(ctx context.Context, name string, value []byte) {
 	stored, err := g.store.Get(ctx, KindTable, name)
 	switch {
 	case err != nil:
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -350,5 +350,5 @@
 
 // knowsOwners tells whether the instance can find the owners of limits, if there are any.
 func (g *Gateway) knowsOwners(router *catalog.Router) bool {
-	return !router.Limited() || g.readiness.knowsInstances.Load()
+	return !router.Limited() || g.readiness.instancesLoaded.Load()
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -70,7 +70,7 @@
 		if !e.Until.IsZero() {
 			attrs = append(attrs, slog.Int64("for_ms", p.clock.Until(e.Until).Milliseconds()))
 		}
-		p.log.LogAttrs(context.Background(), p.eventLevel(e), logTargetBelief, attrs...)
+		p.log.LogAttrs(context.Background(), p.eventLevel(e), logTargetEvent, attrs...)
 	}
 }
 
@@ -82,7 +82,7 @@
 		counts[e.Kind]++
 		level = max(level, p.eventLevel(e))
 	}
-	p.log.LogAttrs(context.Background(), level, logTargetBeliefs, slog.Int("changes", len(events)), slog.Any("beliefs", counts))
+	p.log.LogAttrs(context.Background(), level, logTargetEvents, slog.Int("changes", len(events)), slog.Any("beliefs", counts))
 }
 
 // longBackoff is the rest from which on operators should look: a target that is only full asks for
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -143,7 +143,7 @@
 		Hall:            ps.config.Hall,
 		Region:          ps.config.Region,
 		RegionOf:        ps.config.RegionOf,
-		HoldNewVersions: ps.config.bringsVersionsIn(),
+		HoldNewVersions: ps.config.rolloutsEnabled(),
 		ShiftStep:       shiftStepFraction * ps.config.ShiftMost,
 		ShiftWindow:     shiftWindow,
 	})
--- a/gateway/ports.go
+++ b/gateway/ports.go
@@ -34,7 +34,7 @@
 // kindsOf returns the kinds that an instance with the settings replicates. Where versions are brought
 // in by order the orders are one more, and come last, as in messages.
 func kindsOf(c Config) []feed.Kind {
-	if !c.bringsVersionsIn() {
+	if !c.rolloutsEnabled() {
 		return kinds
 	}
 	return append(slices.Clone(kinds), KindRollouts)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -218,8 +218,8 @@
 	if !freed {
 		return
 	}
-	g.log.Info(logRequestFreed, "content", d.String(), "target", target.ID)
-	g.tell(now, d)
+	g.log.Info(logRequestReleased, "content", d.String(), "target", target.ID)
+	g.broadcastQuarantine(now, d)
 	if kept {
 		g.storeRelease(d)
 	}
@@ -340,10 +340,10 @@
 	if len(digests) == 0 {
 		return
 	}
-	g.metrics.ends.Add(1)
-	g.log.Warn(logTargetEnded, "target", target, "contents", contents[:min(len(contents), maxLoggedContents)], "requests", len(contents))
+	g.metrics.targetCrashes.Add(1)
+	g.log.Warn(logTargetCrashed, "target", target, "contents", contents[:min(len(contents), maxLoggedContents)], "requests", len(contents))
 	g.logSuspects(now, digests, "own")
-	g.tell(now, digests...)
+	g.broadcastQuarantine(now, digests...)
 	g.storeRecords(now, digests)
 }
 
--- a/gateway/question_test.go
+++ b/gateway/question_test.go
@@ -15,27 +15,27 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// neighbour is another instance of the region in a test: what it says is made up, and
+// fakePeer is another instance of the region in a test: what it says is made up, and
 // what it is sent is kept.
-type neighbour struct {
+type fakePeer struct {
 	*inbox
-	member fleet.Member
-	beat   fleet.Heartbeat
+	member    fleet.Member
+	heartbeat fleet.Heartbeat
 }
 
-func newNeighbour(t *testing.T, name string) *neighbour {
+func newFakePeer(t *testing.T, name string) *fakePeer {
 	in := newInbox(t)
-	return &neighbour{
-		inbox:  in,
-		member: fleet.Member{Name: name, Hall: "a1", Region: "a", PeerAddr: in.addr},
-		beat:   fleet.Heartbeat{Member: fleet.IDOf(name), Sequence: fleet.SequenceAt(time.Now())},
+	return &fakePeer{
+		inbox:     in,
+		member:    fleet.Member{Name: name, Hall: "a1", Region: "a", PeerAddr: in.addr},
+		heartbeat: fleet.Heartbeat{Member: fleet.IDOf(name), Sequence: fleet.SequenceAt(time.Now())},
 	}
 }
 
 // gossip has the neighbour tell an instance how far its targets are.
-func (n *neighbour) gossip(g *Gateway, targets int64) {
-	n.beat.Sequence++
-	m := &peer.Gossip{Heartbeats: fleet.Heartbeats{n.beat}, Member: &n.member, Positions: make([]feed.Position, len(kinds)), Reply: true}
+func (n *fakePeer) gossip(g *Gateway, targets int64) {
+	n.heartbeat.Sequence++
+	m := &peer.Gossip{Heartbeats: fleet.Heartbeats{n.heartbeat}, Member: &n.member, Positions: make([]feed.Position, len(kinds)), Reply: true}
 	for i, kind := range kinds {
 		if kind == KindTargets {
 			m.Positions[i] = feed.At(0, targets)
@@ -45,7 +45,7 @@
 }
 
 // push has the neighbour send an instance a delta of targets.
-func (n *neighbour) push(t *testing.T, g *Gateway, d feed.Delta) {
+func (n *fakePeer) push(t *testing.T, g *Gateway, d feed.Delta) {
 	m, err := peer.NewDelta(d)
 	require.NoError(t, err)
 	g.Receive(n.addr, m)
@@ -58,14 +58,14 @@
 	return w.Body.String()
 }
 
-// TestUnansweredQuestionIsTold checks that the log and the metrics tell of a delta that
+// TestUnansweredDeltaRequestIsReported checks that the log and the metrics tell of a delta that
 // leaves a gap, and of the instance that was asked for what is missing and said nothing.
-func TestUnansweredQuestionIsTold(t *testing.T) {
-	g := newPlain(t)
+func TestUnansweredDeltaRequestIsReported(t *testing.T) {
+	g := newTestGateway(t)
 	var lines bytes.Buffer
 	g.log = slog.New(slog.NewJSONHandler(&lines, nil))
-	require.True(t, g.take(feed.Delta{Kind: KindTargets, To: feed.At(0, 10), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore))
-	silent := newNeighbour(t, "n0")
+	require.True(t, g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 10), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore))
+	silent := newFakePeer(t, "n0")
 	late := feed.Delta{Kind: KindTargets, From: feed.At(0, 12), To: feed.At(0, 13), Changes: []feed.Change{change("i-1", false)}}
 	silent.push(t, g, late)
 	// Longer than the time for which another question waits for the answer to the first.
@@ -79,13 +79,13 @@
 	require.Contains(t, scrape(g), `result="answered"`)
 }
 
-// leaves returns the change by which a target says that it leaves.
-func leaves(name string) feed.Change {
+// leavingChange returns the change by which a target says that it leavingChange.
+func leavingChange(name string) feed.Change {
 	return feed.Change{Object: feed.Object{Name: name, Value: []byte(leavingValue)}}
 }
 
-// asked returns the last question for targets that the neighbour has been sent, or nil.
-func (n *neighbour) asked() *peer.DeltaRequest {
+// lastDeltaRequest returns the last question for targets that the neighbour has been sent, or nil.
+func (n *fakePeer) lastDeltaRequest() *peer.DeltaRequest {
 	var last *peer.DeltaRequest
 	for {
 		select {
@@ -105,35 +105,35 @@
 	return d.Action == upstream.Send
 }
 
-// TestSilentSourceHoldsNobodyBack guards against a change that is kept from an instance as it asks one that never answers.
-func TestSilentSourceHoldsNobodyBack(t *testing.T) {
+// TestUnresponsiveSourceDoesNotDelayChanges guards against a change that is kept from an instance as it asks one that never answers.
+func TestUnresponsiveSourceDoesNotDelayChanges(t *testing.T) {
 	const (
 		// rounds of gossip that fit into the 2.5 s in which a leaving has to be heeded.
 		rounds = 5
 		// apart is the time between the gossip of the two watchers.
 		apart = 100 * time.Millisecond
 	)
-	g := newPlain(t)
-	require.True(t, g.take(feed.Delta{Kind: KindTargets, To: feed.At(0, 126), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore))
+	g := newTestGateway(t)
+	require.True(t, g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 126), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore))
 	require.True(t, isUsed(t, g))
-	silent, second := newNeighbour(t, "n0"), newNeighbour(t, "n2")
-	silent.push(t, g, feed.Delta{Kind: KindTargets, From: feed.At(0, 128), To: feed.At(0, 129), Changes: []feed.Change{leaves("i-1")}})
+	silent, second := newFakePeer(t, "n0"), newFakePeer(t, "n2")
+	silent.push(t, g, feed.Delta{Kind: KindTargets, From: feed.At(0, 128), To: feed.At(0, 129), Changes: []feed.Change{leavingChange("i-1")}})
 	for range rounds {
 		silent.gossip(g, 129)
 		time.Sleep(apart)
 		second.gossip(g, 129)
 		time.Sleep(fleet.RoundTime - apart)
-		if since := second.asked(); since != nil {
-			second.push(t, g, feed.Delta{Kind: KindTargets, From: since.Position, To: feed.At(0, 129), Changes: []feed.Change{leaves("i-1")}})
+		if since := second.lastDeltaRequest(); since != nil {
+			second.push(t, g, feed.Delta{Kind: KindTargets, From: since.Position, To: feed.At(0, 129), Changes: []feed.Change{leavingChange("i-1")}})
 			break
 		}
 	}
 	require.False(t, isUsed(t, g), "a target that leaves is used since an instance that was asked says nothing")
 }
 
-// TestPatience checks how long an instance that is behind waits for the usual way before
+// TestDeltaRequestDelay checks how long an instance that is behind waits for the usual way before
 // it asks another one.
-func TestPatience(t *testing.T) {
+func TestDeltaRequestDelay(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	cases := []struct {
 		name                string
@@ -143,24 +143,24 @@
 		sinceStart, expects time.Duration
 	}{
 		{name: "urgent", kind: KindConfig, held: true},
-		{name: "near", kind: KindTargets, held: true, near: true, expects: askAfter},
-		{name: "far", kind: KindTargets, held: true, expects: askFarAfter},
-		{name: "far, and nobody else of the region is to bring it", kind: KindTargets, held: true, watches: true, expects: askAfter},
-		{name: "nothing held, just started", kind: KindTargets, near: true, expects: readTime},
-		{name: "nothing held for long", kind: KindTargets, near: true, sinceStart: readTime, expects: 0},
+		{name: "near", kind: KindTargets, held: true, near: true, expects: localRequestDelay},
+		{name: "far", kind: KindTargets, held: true, expects: remoteRequestDelay},
+		{name: "far, and nobody else of the region is to bring it", kind: KindTargets, held: true, watches: true, expects: localRequestDelay},
+		{name: "nothing held, just started", kind: KindTargets, near: true, expects: firstReadTime},
+		{name: "nothing held for long", kind: KindTargets, near: true, sinceStart: firstReadTime, expects: 0},
 		{name: "nothing held at the first start", kind: KindTargets, near: true, first: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := &Gateway{config: Config{FirstStart: c.first}, startedAt: now.Add(-c.sinceStart), watch: newWatchState()}
 			g.watch.setWatching(c.watches)
-			require.Equal(t, c.expects, g.patience(now, c.kind, c.held, c.near))
+			require.Equal(t, c.expects, g.requestDelay(now, c.kind, c.held, c.near))
 		})
 	}
 }
 
-// delta waits for the next delta that the neighbour is sent.
-func (n *neighbour) delta(t *testing.T) feed.Delta {
+// nextDelta waits for the next nextDelta that the neighbour is sent.
+func (n *fakePeer) nextDelta(t *testing.T) feed.Delta {
 	for {
 		m, ok := n.next(t).(*peer.Delta)
 		if !ok {
@@ -172,30 +172,30 @@
 	}
 }
 
-// TestWhatAListBringsIsPassedOn checks that the first watcher of a region pushes what it
+// TestListedChangesArePushed checks that the first watcher of a region pushes what it
 // finds out by a list, when the store has forgotten its history, and that the first list,
 // which everybody makes, is not pushed.
-func TestWhatAListBringsIsPassedOn(t *testing.T) {
-	g := newPlain(t)
+func TestListedChangesArePushed(t *testing.T) {
+	g := newTestGateway(t)
 	g.watch.setWatching(true)
-	other := newNeighbour(t, "n2")
+	other := newFakePeer(t, "n2")
 	other.gossip(g, 1)
 	whole := feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false), change("i-2", false)}}
-	require.True(t, g.take(whole, sourceStore))
-	whole.To, whole.Changes = feed.At(0, 5), []feed.Change{whole.Changes[0], leaves("i-2")}
-	require.True(t, g.take(whole, sourceStore))
-	require.Equal(t, feed.ExactDelta(KindTargets, feed.At(0, 1), feed.At(0, 5), []feed.Change{leaves("i-2")}), other.delta(t))
+	require.True(t, g.applyDelta(whole, sourceStore))
+	whole.To, whole.Changes = feed.At(0, 5), []feed.Change{whole.Changes[0], leavingChange("i-2")}
+	require.True(t, g.applyDelta(whole, sourceStore))
+	require.Equal(t, feed.ExactDelta(KindTargets, feed.At(0, 1), feed.At(0, 5), []feed.Change{leavingChange("i-2")}), other.nextDelta(t))
 }
 
-// TestWhatAWatcherIsToldIsPassedOn checks that the first watcher of a region pushes also
+// TestDeltasReceivedByWatcherArePushed checks that the first watcher of a region pushes also
 // what another instance brings it before its own watch does.
-func TestWhatAWatcherIsToldIsPassedOn(t *testing.T) {
-	g := newPlain(t)
+func TestDeltasReceivedByWatcherArePushed(t *testing.T) {
+	g := newTestGateway(t)
 	g.watch.setWatching(true)
-	other, far := newNeighbour(t, "n2"), newNeighbour(t, "far")
+	other, far := newFakePeer(t, "n2"), newFakePeer(t, "far")
 	other.gossip(g, 1)
-	require.True(t, g.take(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore))
-	d := feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{leaves("i-1")}}
+	require.True(t, g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore))
+	d := feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{leavingChange("i-1")}}
 	far.push(t, g, d)
-	require.Equal(t, d, other.delta(t))
+	require.Equal(t, d, other.nextDelta(t))
 }
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -6,14 +6,14 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.config.Seeds = config.Seeds
-	g.log.Info(logReload, "seeds", config.Seeds, "restart_needed", g.needsRestart(config))
+	g.log.Info(logReload, "seeds", config.Seeds, "restart_needed", g.restartRequired(config))
 }
 
 // ReloadFailed logs that the changed settings were refused.
 func (g *Gateway) ReloadFailed(err error) { g.log.Error(logReloadRefused, "error", err.Error()) }
 
-// needsRestart names the changed settings that are in force after a restart only.
-func (g *Gateway) needsRestart(config Config) []string {
+// restartRequired names the changed settings that are in force after a restart only.
+func (g *Gateway) restartRequired(config Config) []string {
 	var out []string
 	for _, pair := range []struct {
 		name    string
--- a/gateway/restore_model_test.go
+++ b/gateway/restore_model_test.go
@@ -24,8 +24,8 @@
 	return &catalog.Config{Version: version}, err
 }
 
-// kindName stands for an object of restoredModel.
-type kindName struct {
+// objectKey stands for an object of restoredModel.
+type objectKey struct {
 	kind feed.Kind
 	name string
 }
@@ -33,14 +33,14 @@
 // storeState is what a store holds at a position.
 type storeState struct {
 	at      feed.Position
-	objects map[kindName]string
+	objects map[objectKey]string
 }
 
 // storeWrite is one write.
 type storeWrite struct {
-	kindName
-	value string
-	gone  bool
+	objectKey
+	value   string
+	removed bool
 }
 
 // restoreModel is a store that may come back from a copy, with the writes of its era and all that it was.
@@ -48,18 +48,18 @@
 	storeState
 	writes []storeWrite
 	past   []storeState
-	// owed are the writes that a restore has lost, to be written again in order.
-	owed []storeWrite
+	// lostWrites are the writes that a restore has lost, to be written again in order.
+	lostWrites []storeWrite
 }
 
 func (s *restoreModel) write(w storeWrite) {
 	s.past = append(s.past, storeState{at: s.at, objects: maps.Clone(s.objects)})
 	s.at.Revision++
 	s.writes = append(s.writes, w)
-	if w.gone {
-		delete(s.objects, w.kindName)
+	if w.removed {
+		delete(s.objects, w.objectKey)
 	} else {
-		s.objects[w.kindName] = w.value
+		s.objects[w.objectKey] = w.value
 	}
 }
 
@@ -72,7 +72,7 @@
 		return
 	}
 	// What was written again before counts as lost again only if it was.
-	s.owed = append(slices.Clone(s.writes[len(s.writes)-lost:]), s.owed...)
+	s.lostWrites = append(slices.Clone(s.writes[len(s.writes)-lost:]), s.lostWrites...)
 	copied := s.past[len(s.past)-lost]
 	s.past = nil
 	s.writes = nil
@@ -80,14 +80,14 @@
 	s.at = feed.At(s.at.Era+1, copied.at.Revision)
 }
 
-// writeAgain has the first lost write be repeated, unless its object was written since.
-func (s *restoreModel) writeAgain() {
-	if len(s.owed) == 0 {
+// rewriteNext has the first lost write be repeated, unless its object was written since.
+func (s *restoreModel) rewriteNext() {
+	if len(s.lostWrites) == 0 {
 		return
 	}
-	w := s.owed[0]
-	s.owed = s.owed[1:]
-	if !slices.ContainsFunc(s.owed, func(later storeWrite) bool { return later.kindName == w.kindName }) {
+	w := s.lostWrites[0]
+	s.lostWrites = s.lostWrites[1:]
+	if !slices.ContainsFunc(s.lostWrites, func(later storeWrite) bool { return later.objectKey == w.objectKey }) {
 		s.write(w)
 	}
 }
@@ -108,14 +108,14 @@
 }
 
 func (w storeWrite) change() feed.Change {
-	return feed.Change{Object: feed.Object{Name: w.name, Value: []byte(w.value)}, Removed: w.gone}
+	return feed.Change{Object: feed.Object{Name: w.name, Value: []byte(w.value)}, Removed: w.removed}
 }
 
 func (s *restoreModel) list(kind feed.Kind) feed.Delta {
 	d := feed.Delta{Kind: kind, To: s.at, Full: true}
 	for o, value := range s.objects {
 		if o.kind == kind {
-			d.Changes = append(d.Changes, storeWrite{kindName: o, value: value}.change())
+			d.Changes = append(d.Changes, storeWrite{objectKey: o, value: value}.change())
 		}
 	}
 	return d
@@ -125,9 +125,9 @@
 // used, and those of which it has known that they leave or have gone.
 type restoredInstance struct {
 	*Gateway
-	version catalog.Version
-	known   map[string]bool
-	left    map[string]bool
+	version  catalog.Version
+	known    map[string]bool
+	departed map[string]bool
 }
 
 // read has an instance watch a kind, or list it if the store has another history.
@@ -136,7 +136,7 @@
 	if !ok {
 		d = s.list(kind)
 	}
-	in.take(d, sourceStore)
+	in.applyDelta(d, sourceStore)
 }
 
 // check requires that the configuration in force does not go back, and that no target is used that is known
@@ -144,12 +144,12 @@
 func (in *restoredInstance) check(t require.TestingT) {
 	for name := range in.known {
 		if spec, listed := in.targetList.specs[name]; !listed || spec.Leaves {
-			in.left[name] = true
+			in.departed[name] = true
 		}
 	}
-	for _, name := range in.used() {
+	for _, name := range in.usableTargets() {
 		in.known[name] = true
-		require.False(t, in.left[name], name)
+		require.False(t, in.departed[name], name)
 	}
 
 	if router := in.router.Load(); router != nil {
@@ -158,8 +158,8 @@
 	}
 }
 
-// used returns the targets that requests may be sent to.
-func (in *restoredInstance) used() []string {
+// usableTargets returns the targets that requests may be sent to.
+func (in *restoredInstance) usableTargets() []string {
 	var out []string
 	for name, spec := range in.targetList.specs {
 		if !spec.Leaves {
@@ -177,23 +177,23 @@
 // once all has been written again, all use what the store says.
 func TestRestoresInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		store := &restoreModel{storeState: storeState{at: feed.At(1, 0), objects: make(map[kindName]string)}}
+		store := &restoreModel{storeState: storeState{at: feed.At(1, 0), objects: make(map[objectKey]string)}}
 		version, sequence := 0, int64(0)
 		configure := func() {
 			version++
-			store.write(storeWrite{kindName: kindName{KindConfig, "main"}, value: fmt.Sprint(version)})
+			store.write(storeWrite{objectKey: objectKey{KindConfig, "main"}, value: fmt.Sprint(version)})
 		}
 		writeTarget := func(name string, leaves bool) {
 			sequence++
 			raw, err := json.Marshal(sequencedEntry{Sequence: sequence, Leaves: leaves})
 			require.NoError(rt, err)
-			store.write(storeWrite{kindName: kindName{KindTargets, name}, value: string(raw)})
+			store.write(storeWrite{objectKey: objectKey{KindTargets, name}, value: string(raw)})
 		}
 		configure()
 		writeTarget("i0", false)
 		var instances []*restoredInstance
 		for range 3 {
-			in := &restoredInstance{Gateway: newPlain(t), known: make(map[string]bool), left: make(map[string]bool)}
+			in := &restoredInstance{Gateway: newTestGateway(t), known: make(map[string]bool), departed: make(map[string]bool)}
 			defer (&modelInstance{Gateway: in.Gateway}).closeListeners()
 			in.codec = restoreCodec{}
 			in.read(store, KindConfig)
@@ -213,33 +213,33 @@
 				writeTarget(fmt.Sprint("i", targets), false)
 				targets++
 			case "leave":
-				if _, listed := store.objects[kindName{KindTargets, name}]; listed && !left[name] {
+				if _, listed := store.objects[objectKey{KindTargets, name}]; listed && !left[name] {
 					left[name] = true
 					writeTarget(name, true)
 				}
 			case "go":
-				if _, listed := store.objects[kindName{KindTargets, name}]; listed {
+				if _, listed := store.objects[objectKey{KindTargets, name}]; listed {
 					left[name] = true
-					store.write(storeWrite{kindName: kindName{KindTargets, name}, gone: true})
+					store.write(storeWrite{objectKey: objectKey{KindTargets, name}, removed: true})
 				}
 			case "restore":
 				store.restore(rapid.IntRange(0, 12).Draw(rt, "lost"))
 			case "again":
-				store.writeAgain()
+				store.rewriteNext()
 			case "read":
 				pick("instance").read(store, pickKind())
 			case "delta":
 				from, to, kind := pick("from"), pick("to"), pickKind()
 				if from.replicas[kind].Position().After(to.replicas[kind].Position()) {
-					to.take(from.replicas[kind].DeltaSince(to.replicas[kind].Position(), to.replicas[kind].Digest()), "other")
+					to.applyDelta(from.replicas[kind].DeltaSince(to.replicas[kind].Position(), to.replicas[kind].Digest()), "other")
 				}
 			}
 			for _, in := range instances {
 				in.check(rt)
 			}
 		}
-		for len(store.owed) > 0 {
-			store.writeAgain()
+		for len(store.lostWrites) > 0 {
+			store.rewriteNext()
 		}
 		configure()
 		want := []string(nil)
@@ -255,15 +255,15 @@
 			in.read(store, KindTargets)
 			require.EqualValues(rt, version, in.router.Load().Config().Version)
 			require.Equal(rt, store.at, in.replicas[KindConfig].Position())
-			in.settle()
-			require.Equal(rt, want, in.used())
+			in.expireHolds()
+			require.Equal(rt, want, in.usableTargets())
 		}
 	})
 }
 
-// settle has all count that is held back.
-func (in *restoredInstance) settle() {
+// expireHolds has all count that is held back.
+func (in *restoredInstance) expireHolds() {
 	h := in.heldChanges[KindTargets]
 	later := time.Now().Add(time.Hour)
-	in.applyTargets(later, h.expired(later, in.replicas[KindTargets]), provenance{source: sourceLapse})
+	in.applyTargets(later, h.expired(later, in.replicas[KindTargets]), provenance{source: sourceHoldExpired})
 }
--- a/gateway/restored_evacuations_test.go
+++ b/gateway/restored_evacuations_test.go
@@ -15,12 +15,12 @@
 	return g.evacuated[hall]
 }
 
-// TestEvacuationsOutlastARestore checks which halls are emptied after the store came back from a copy, at
+// TestEvacuationsSurviveRestore checks which halls are emptied after the store came back from a copy, at
 // once and once nothing is held back any more.
-func TestEvacuationsOutlastARestore(t *testing.T) {
+func TestEvacuationsSurviveRestore(t *testing.T) {
 	t.Parallel()
 	evacuated := feed.Change{Object: feed.Object{Name: "a1", Value: []byte("{}")}}
-	takenBack := gone("a1")
+	takenBack := removalChange("a1")
 	cases := []struct {
 		name string
 		// before comes in the first era, restored is the copy as listed, and after comes then.
@@ -39,20 +39,20 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			g := newPlain(t)
+			g := newTestGateway(t)
 			at := feed.At(1, 10)
 			take := func(d feed.Delta) {
 				d.Kind = KindEvacuations
-				require.True(t, g.take(d, sourceStore))
+				require.True(t, g.applyDelta(d, sourceStore))
 				at = d.To
 			}
-			take(list(at))
+			take(listDelta(at))
 			for _, change := range c.before {
-				take(event(at, change))
+				take(watchDelta(at, change))
 			}
-			take(list(feed.At(2, 10), c.restored...))
+			take(listDelta(feed.At(2, 10), c.restored...))
 			for _, change := range c.after {
-				take(event(at, change))
+				take(watchDelta(at, change))
 			}
 			require.Equal(t, c.now, g.isEvacuated("a1"))
 			if c.now != c.inTheEnd {
--- a/gateway/restored_instances_test.go
+++ b/gateway/restored_instances_test.go
@@ -20,12 +20,12 @@
 	return feed.Change{Object: feed.Object{Name: name, Value: raw}}
 }
 
-// TestInstancesOutlastARestore checks that an instance of which nothing is heard directly, as of those
+// TestInstancesSurviveRestore checks that an instance of which nothing is heard directly, as of those
 // of other regions in a large fleet, still counts while it has the time to register again with a
 // restored store, and no longer.
-func TestInstancesOutlastARestore(t *testing.T) {
+func TestInstancesSurviveRestore(t *testing.T) {
 	t.Parallel()
-	g := newPlain(t)
+	g := newTestGateway(t)
 	counts := func(name string) bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -37,17 +37,17 @@
 		d.Kind = KindInstances
 		return d
 	}
-	require.True(t, g.take(instances(list(feed.At(1, 10), registration("back"), registration("lost"))), sourceStore))
-	require.True(t, g.take(instances(list(feed.At(2, 5))), sourceStore))
+	require.True(t, g.applyDelta(instances(listDelta(feed.At(1, 10), registration("back"), registration("lost"))), sourceStore))
+	require.True(t, g.applyDelta(instances(listDelta(feed.At(2, 5))), sourceStore))
 	require.True(t, counts("back") && counts("lost"))
-	require.True(t, g.take(instances(event(feed.At(2, 5), registration("back"))), sourceStore))
+	require.True(t, g.applyDelta(instances(watchDelta(feed.At(2, 5), registration("back"))), sourceStore))
 	require.Eventually(t, func() bool { return !counts("lost") }, 30*time.Second, 20*time.Millisecond)
 	require.True(t, counts("back"))
 }
 
-// TestInstanceRegistersWithARestoredStore checks that an instance knows that it has to register again as
+// TestInstanceRegistersAfterRestore checks that an instance knows that it has to register again as
 // soon as it learns of a new era of the store, unless the store still has its entry.
-func TestInstanceRegistersWithARestoredStore(t *testing.T) {
+func TestInstanceRegistersAfterRestore(t *testing.T) {
 	own := registration("n1")
 	for _, c := range []struct {
 		name     string
@@ -58,17 +58,17 @@
 		{"the copy has it", []feed.Change{own}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newPlain(t)
-			d := list(feed.At(1, 10), own)
+			g := newTestGateway(t)
+			d := listDelta(feed.At(1, 10), own)
 			d.Kind = KindInstances
-			require.True(t, g.take(d, sourceStore))
+			require.True(t, g.applyDelta(d, sourceStore))
 			require.True(t, g.isRegistered())
 			g.enterEra(2, sourceStore)
 			require.False(t, g.isRegistered(), "what the store of the new era holds is not known yet")
 			require.Len(t, g.unregistered, 1)
-			d = list(feed.At(2, 5), c.restored...)
+			d = listDelta(feed.At(2, 5), c.restored...)
 			d.Kind = KindInstances
-			require.True(t, g.take(d, sourceStore))
+			require.True(t, g.applyDelta(d, sourceStore))
 			require.Equal(t, c.want, g.isRegistered())
 		})
 	}
--- a/gateway/restored_orders_test.go
+++ b/gateway/restored_orders_test.go
@@ -19,8 +19,8 @@
 	return record, json.Unmarshal(raw, &record)
 }
 
-// ordered is the change by which the store holds an order.
-func ordered(version string, made int64, state rollout.State) feed.Change {
+// orderChange is the change by which the store holds an order.
+func orderChange(version string, made int64, state rollout.State) feed.Change {
 	record := rollout.Record{Order: rollout.Order{Service: "s", Version: version, Duration: time.Minute, Generation: made}, State: state, Revision: made}
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -29,9 +29,9 @@
 	return feed.Change{Object: feed.Object{Name: "s", Value: raw}}
 }
 
-// TestOrdersOutlastARestore checks which order an instance follows after the store came back from a
+// TestRolloutOrdersSurviveRestore checks which order an instance follows after the store came back from a
 // copy, and with which verdict, at once and once nothing is held back any more.
-func TestOrdersOutlastARestore(t *testing.T) {
+func TestRolloutOrdersSurviveRestore(t *testing.T) {
 	t.Parallel()
 	type followed struct {
 		version string
@@ -44,33 +44,33 @@
 		before, restored, after []feed.Change
 		now, inTheEnd           followed
 	}{
-		{name: "verdict lost", before: []feed.Change{ordered("v2", 11, rollout.RolledBack)}, restored: []feed.Change{ordered("v2", 11, rollout.Running)},
+		{name: "verdict lost", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, restored: []feed.Change{orderChange("v2", 11, rollout.Running)},
 			now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "order lost and given again", before: []feed.Change{ordered("v2", 11, rollout.RolledBack)}, after: []feed.Change{ordered("v2", 12, "")},
+		{name: "order lost and given again", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, after: []feed.Change{orderChange("v2", 12, "")},
 			now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "order lost and given again before the list", before: []feed.Change{ordered("v2", 11, rollout.RolledBack)}, restored: []feed.Change{ordered("v2", 12, "")},
+		{name: "order lost and given again before the list", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, restored: []feed.Change{orderChange("v2", 12, "")},
 			now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "another one is given then", before: []feed.Change{ordered("v2", 11, rollout.RolledBack)}, after: []feed.Change{ordered("v3", 12, "")},
+		{name: "another one is given then", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, after: []feed.Change{orderChange("v3", 12, "")},
 			now: followed{"v3", rollout.Running}, inTheEnd: followed{"v3", rollout.Running}},
-		{name: "one that came after the copy", before: []feed.Change{ordered("v2", 5, rollout.RolledBack), ordered("v3", 11, rollout.Running)},
-			restored: []feed.Change{ordered("v2", 5, rollout.RolledBack)}, after: []feed.Change{ordered("v3", 12, "")},
+		{name: "one that came after the copy", before: []feed.Change{orderChange("v2", 5, rollout.RolledBack), orderChange("v3", 11, rollout.Running)},
+			restored: []feed.Change{orderChange("v2", 5, rollout.RolledBack)}, after: []feed.Change{orderChange("v3", 12, "")},
 			now: followed{"v3", rollout.Running}, inTheEnd: followed{"v3", rollout.Running}},
-		{name: "one that came after the copy, and is not given again", before: []feed.Change{ordered("v2", 5, rollout.RolledBack), ordered("v3", 11, rollout.Running)},
-			restored: []feed.Change{ordered("v2", 5, rollout.RolledBack)},
+		{name: "one that came after the copy, and is not given again", before: []feed.Change{orderChange("v2", 5, rollout.RolledBack), orderChange("v3", 11, rollout.Running)},
+			restored: []feed.Change{orderChange("v2", 5, rollout.RolledBack)},
 			now:      followed{"v3", rollout.Running}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "withdrawn after the copy", before: []feed.Change{ordered("v2", 5, rollout.Running), withdrawn}, restored: []feed.Change{ordered("v2", 5, rollout.Running)},
+		{name: "withdrawn after the copy", before: []feed.Change{orderChange("v2", 5, rollout.Running), withdrawn}, restored: []feed.Change{orderChange("v2", 5, rollout.Running)},
 			after: []feed.Change{withdrawn}, now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			g := newPlain(t)
+			g := newTestGateway(t)
 			g.codec = orderCodec{}
 			g.replicas[KindRollouts], g.catchUp[KindRollouts] = feed.NewReplica(KindRollouts), &feed.CatchUp{}
 			at := feed.At(1, 10)
 			take := func(d feed.Delta) {
 				d.Kind = KindRollouts
-				require.True(t, g.take(d, sourceStore))
+				require.True(t, g.applyDelta(d, sourceStore))
 				at = d.To
 			}
 			follows := func() followed {
@@ -86,13 +86,13 @@
 				}
 				return followed{r.follower.Order().Version, verdict}
 			}
-			take(list(at))
+			take(listDelta(at))
 			for _, change := range c.before {
-				take(event(at, change))
+				take(watchDelta(at, change))
 			}
-			take(list(feed.At(2, 10), c.restored...))
+			take(listDelta(feed.At(2, 10), c.restored...))
 			for _, change := range c.after {
-				take(event(at, change))
+				take(watchDelta(at, change))
 			}
 			require.Equal(t, c.now, follows())
 			require.Eventually(t, func() bool { return follows() == c.inTheEnd }, 20*time.Second, 10*time.Millisecond)
--- a/gateway/restored_own_objects_test.go
+++ b/gateway/restored_own_objects_test.go
@@ -33,10 +33,10 @@
 	return doc
 }
 
-// TestOwnObjectsAreWrittenAgain checks that what operators have changed in the table, and requests that
+// TestOwnObjectsAreRewritten checks that what operators have changed in the table, and requests that
 // are held back, are not forgotten when the store comes back from a copy that lacks them: the
 // instances act on them all the while, and have the store hold them again.
-func TestOwnObjectsAreWrittenAgain(t *testing.T) {
+func TestOwnObjectsAreRewritten(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -80,9 +80,9 @@
 	require.NotEmpty(t, s.store.Names(objects.KindConfig))
 }
 
-// TestOperatorsChangeOfARestoredTable checks that a change that an operator makes to the table of a
+// TestTableChangeAfterRestore checks that a change that an operator makes to the table of a
 // restored store counts, though the instances know of one that the store has lost.
-func TestOperatorsChangeOfARestoredTable(t *testing.T) {
+func TestTableChangeAfterRestore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
--- a/gateway/restored_rollouts_test.go
+++ b/gateway/restored_rollouts_test.go
@@ -9,9 +9,9 @@
 	"github.com/rainford/rainford/internal/standin/objects"
 )
 
-// TestVerdictOutlastsARestore checks that a verdict that all act on is not taken back when the store
+// TestVerdictSurvivesRestore checks that a verdict that all act on is not taken back when the store
 // comes back from a copy that lacks it, or even the order, and that it is written again.
-func TestVerdictOutlastsARestore(t *testing.T) {
+func TestVerdictSurvivesRestore(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name                string
--- a/gateway/restored_size_test.go
+++ b/gateway/restored_size_test.go
@@ -25,7 +25,7 @@
 	s := &restoredSite{site: newSite(t), version: 1}
 	s.servers = []*origin.Server{s.server("s1", "s", "a1"), s.server("s2", "s", "b1")}
 	s.server("o1", "other", "a1")
-	s.next()
+	s.configureNext()
 	first := s.instance("n0", "a1")
 	seed := func(c *gateway.Config) { c.Seeds = []string{first.config.PeerListen} }
 	s.instances = []*instance{first}
@@ -40,7 +40,7 @@
 	require.Eventually(t, registered, wait, poll)
 	copied := s.store.Revision() - int64(*restoredInstances)/2
 	for i := range 8 {
-		s.next(fmt.Sprint("before", i))
+		s.configureNext(fmt.Sprint("before", i))
 		s.record(s.servers[1], objects.Ready)
 	}
 	for _, in := range s.instances {
@@ -51,7 +51,7 @@
 		s.store.WriteAgain(lost)
 	}
 	missing := *restoredInstances - len(s.store.Names("rainford-instances"))
-	s.next("after")
+	s.configureNext("after")
 	for _, in := range s.instances {
 		in.awaitStatus("/after/", http.StatusOK)
 	}
--- a/gateway/restored_targets_test.go
+++ b/gateway/restored_targets_test.go
@@ -29,8 +29,8 @@
 		Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaves: e.Leaves}, nil
 }
 
-// written is the change by which a target writes its entry.
-func written(name string, e sequencedEntry) feed.Change {
+// entryChange is the change by which a target writes its entry.
+func entryChange(name string, e sequencedEntry) feed.Change {
 	raw, err := json.Marshal(e)
 	if err != nil {
 		panic(err)
@@ -38,22 +38,22 @@
 	return feed.Change{Object: feed.Object{Name: name, Value: raw}}
 }
 
-func gone(name string) feed.Change {
+func removalChange(name string) feed.Change {
 	return feed.Change{Object: feed.Object{Name: name}, Removed: true}
 }
 
-// list is what a list of targets at a position brings, and event what a watch does at the next one.
-func list(at feed.Position, changes ...feed.Change) feed.Delta {
+// listDelta is what a listDelta of targets at a position brings, and event what a watch does at the next one.
+func listDelta(at feed.Position, changes ...feed.Change) feed.Delta {
 	return feed.Delta{Kind: KindTargets, To: at, Full: true, Changes: changes}
 }
 
-func event(from feed.Position, changes ...feed.Change) feed.Delta {
+func watchDelta(from feed.Position, changes ...feed.Change) feed.Delta {
 	return feed.Delta{Kind: KindTargets, From: from, To: feed.At(from.Era, from.Revision+1), Changes: changes}
 }
 
-// TestConfirmedTargetsOutlastARestore checks what an instance uses after the store came back from a
+// TestTargetsSurviveRestore checks what an instance uses after the store came back from a
 // copy: what was confirmed before holds until a target says otherwise, and then gives way.
-func TestConfirmedTargetsOutlastARestore(t *testing.T) {
+func TestTargetsSurviveRestore(t *testing.T) {
 	var (
 		ready   = sequencedEntry{Sequence: 1}
 		leaves  = sequencedEntry{Sequence: 2, Leaves: true}
@@ -69,78 +69,78 @@
 		before, restored, after []feed.Change
 		used                    bool
 	}{
-		{name: "nothing was lost", before: []feed.Change{written("i", ready)}, restored: []feed.Change{written("i", ready)}, used: true},
-		{name: "it left after the copy", before: []feed.Change{written("i", ready), written("i", leaves)}, restored: []feed.Change{written("i", ready)}},
-		{name: "it left after the copy, and says so again", before: []feed.Change{written("i", ready), written("i", leaves)},
-			restored: []feed.Change{written("i", ready)}, after: []feed.Change{written("i", leaves)}},
-		{name: "it left after the copy, and takes that back", before: []feed.Change{written("i", ready), written("i", leaves)},
-			restored: []feed.Change{written("i", ready)}, after: []feed.Change{written("i", back)}, used: true},
-		{name: "it left after the copy, and took that back before the list", before: []feed.Change{written("i", ready), written("i", leaves)},
-			restored: []feed.Change{written("i", back)}, used: true},
-		{name: "it left after the copy, and has started again", before: []feed.Change{written("i", again), written("i", leavesA)},
-			restored: []feed.Change{written("i", reborn)}, used: true},
-		{name: "it went after the copy", before: []feed.Change{written("i", ready), gone("i")}, restored: []feed.Change{written("i", ready)}},
-		{name: "it left and went after the copy", before: []feed.Change{written("i", ready), written("i", leaves), gone("i")},
-			restored: []feed.Change{written("i", ready)}},
-		{name: "it went after the copy, and the store says so again", before: []feed.Change{written("i", ready), gone("i")},
-			restored: []feed.Change{written("i", ready)}, after: []feed.Change{gone("i")}},
-		{name: "it lapsed after the copy, and writes again", before: []feed.Change{written("i", ready), gone("i")},
-			restored: []feed.Change{written("i", ready)}, after: []feed.Change{written("i", newer)}, used: true},
-		{name: "it lapsed after the copy, and wrote again before the list", before: []feed.Change{written("i", ready), gone("i")},
-			restored: []feed.Change{written("i", newer)}, used: true},
-		{name: "it went after the copy, and has started again", before: []feed.Change{written("i", again), gone("i")},
-			restored: []feed.Change{written("i", reborn)}, used: true},
-		{name: "it came after the copy", before: []feed.Change{written("i", ready)}, used: true},
-		{name: "it came after the copy, and leaves", before: []feed.Change{written("i", leaves)}},
-		{name: "it came after the copy, and writes again", before: []feed.Change{written("i", ready)}, after: []feed.Change{written("i", ready)}, used: true},
+		{name: "nothing was lost", before: []feed.Change{entryChange("i", ready)}, restored: []feed.Change{entryChange("i", ready)}, used: true},
+		{name: "it left after the copy", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)}, restored: []feed.Change{entryChange("i", ready)}},
+		{name: "it left after the copy, and says so again", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
+			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", leaves)}},
+		{name: "it left after the copy, and takes that back", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
+			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", back)}, used: true},
+		{name: "it left after the copy, and took that back before the list", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
+			restored: []feed.Change{entryChange("i", back)}, used: true},
+		{name: "it left after the copy, and has started again", before: []feed.Change{entryChange("i", again), entryChange("i", leavesA)},
+			restored: []feed.Change{entryChange("i", reborn)}, used: true},
+		{name: "it went after the copy", before: []feed.Change{entryChange("i", ready), removalChange("i")}, restored: []feed.Change{entryChange("i", ready)}},
+		{name: "it left and went after the copy", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves), removalChange("i")},
+			restored: []feed.Change{entryChange("i", ready)}},
+		{name: "it went after the copy, and the store says so again", before: []feed.Change{entryChange("i", ready), removalChange("i")},
+			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{removalChange("i")}},
+		{name: "it lapsed after the copy, and writes again", before: []feed.Change{entryChange("i", ready), removalChange("i")},
+			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", newer)}, used: true},
+		{name: "it lapsed after the copy, and wrote again before the list", before: []feed.Change{entryChange("i", ready), removalChange("i")},
+			restored: []feed.Change{entryChange("i", newer)}, used: true},
+		{name: "it went after the copy, and has started again", before: []feed.Change{entryChange("i", again), removalChange("i")},
+			restored: []feed.Change{entryChange("i", reborn)}, used: true},
+		{name: "it came after the copy", before: []feed.Change{entryChange("i", ready)}, used: true},
+		{name: "it came after the copy, and leaves", before: []feed.Change{entryChange("i", leaves)}},
+		{name: "it came after the copy, and writes again", before: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", ready)}, used: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newPlain(t)
+			g := newTestGateway(t)
 			g.codec = sequencedCodec{}
-			other := written("other", sequencedEntry{Sequence: 1})
+			other := entryChange("other", sequencedEntry{Sequence: 1})
 			at := feed.At(1, 10)
-			g.take(list(at, other), sourceStore)
+			g.applyDelta(listDelta(at, other), sourceStore)
 			for _, change := range c.before {
-				d := event(at, change)
-				require.True(t, g.take(d, sourceStore))
+				d := watchDelta(at, change)
+				require.True(t, g.applyDelta(d, sourceStore))
 				at = d.To
 			}
 			at = feed.At(2, 10)
-			require.True(t, g.take(list(at, append(c.restored, other)...), sourceStore))
+			require.True(t, g.applyDelta(listDelta(at, append(c.restored, other)...), sourceStore))
 			for _, change := range c.after {
-				d := event(at, change)
-				require.True(t, g.take(d, sourceStore))
+				d := watchDelta(at, change)
+				require.True(t, g.applyDelta(d, sourceStore))
 				at = d.To
 			}
-			require.Equal(t, c.used, g.uses("i"))
-			require.True(t, g.uses("other"))
+			require.Equal(t, c.used, g.usesTarget("i"))
+			require.True(t, g.usesTarget("other"))
 		})
 	}
 }
 
-// uses tells whether requests may be sent to the target of a name.
-func (g *Gateway) uses(name string) bool {
+// usesTarget tells whether requests may be sent to the target of a name.
+func (g *Gateway) usesTarget(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	spec, ok := g.targetList.specs[name]
 	return ok && !spec.Leaves
 }
 
-// TestTargetsThatNobodyWritesAgain checks that what is held back after a restore of the store comes to
+// TestTargetHoldsExpireAfterRestore checks that what is held back after a restore of the store comes to
 // what the store says in the end: a target that it lacks goes, and one that it lists again after it had
 // gone is used, unless it has said that it leaves.
-func TestTargetsThatNobodyWritesAgain(t *testing.T) {
+func TestTargetHoldsExpireAfterRestore(t *testing.T) {
 	t.Parallel()
-	g := newPlain(t)
+	g := newTestGateway(t)
 	g.codec = sequencedCodec{}
 	at := feed.At(1, 10)
 	entry := sequencedEntry{Sequence: 1}
-	g.take(list(at, written("lapsed", entry), written("leaves", entry), written("new", entry)), sourceStore)
-	g.take(event(at, gone("lapsed"), written("leaves", sequencedEntry{Sequence: 2, Leaves: true})), sourceStore)
-	g.take(list(feed.At(2, 10), written("lapsed", entry), written("leaves", entry)), sourceStore)
-	require.True(t, g.uses("new"))
-	require.False(t, g.uses("lapsed"))
-	require.Eventually(t, func() bool { return !g.uses("new") && g.uses("lapsed") }, 20*time.Second, 10*time.Millisecond)
-	require.False(t, g.uses("leaves"))
+	g.applyDelta(listDelta(at, entryChange("lapsed", entry), entryChange("leaves", entry), entryChange("new", entry)), sourceStore)
+	g.applyDelta(watchDelta(at, removalChange("lapsed"), entryChange("leaves", sequencedEntry{Sequence: 2, Leaves: true})), sourceStore)
+	g.applyDelta(listDelta(feed.At(2, 10), entryChange("lapsed", entry), entryChange("leaves", entry)), sourceStore)
+	require.True(t, g.usesTarget("new"))
+	require.False(t, g.usesTarget("lapsed"))
+	require.Eventually(t, func() bool { return !g.usesTarget("new") && g.usesTarget("lapsed") }, 20*time.Second, 10*time.Millisecond)
+	require.False(t, g.usesTarget("leaves"))
 }
--- a/gateway/restored_test.go
+++ b/gateway/restored_test.go
@@ -39,8 +39,8 @@
 	return s
 }
 
-// next writes the next configuration, with a route for each of the names.
-func (s *restoredSite) next(names ...string) {
+// configureNext writes the configureNext configuration, with a route for each of the names.
+func (s *restoredSite) configureNext(names ...string) {
 	s.version++
 	routes := []route{{prefix: "/x/", service: "s", kind: "idempotent"}}
 	for _, name := range names {
@@ -54,7 +54,7 @@
 func (s *restoredSite) restore() {
 	copied := s.store.Revision()
 	for i := range 8 {
-		s.next(fmt.Sprint("before", i))
+		s.configureNext(fmt.Sprint("before", i))
 		s.record(s.servers[1], objects.Ready)
 	}
 	for _, in := range s.instances {
@@ -66,21 +66,21 @@
 	}
 }
 
-// TestConfigurationConfirmedByARestoredStore checks that a configuration comes into force at every
+// TestConfigurationAfterRestore checks that a configuration comes into force at every
 // instance if its revision was given out before the store was restored.
-func TestConfigurationConfirmedByARestoredStore(t *testing.T) {
+func TestConfigurationAfterRestore(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
-	s.next("after")
+	s.configureNext("after")
 	for _, in := range s.instances {
 		in.awaitStatus("/after/", http.StatusOK)
 		in.awaitStatus("/before7/", http.StatusNotFound)
 	}
 }
 
-// TestDepartureConfirmedByARestoredStore checks that a target gets nothing once a restored store has
+// TestDepartureAfterRestore checks that a target gets nothing once a restored store has
 // confirmed that it leaves.
-func TestDepartureConfirmedByARestoredStore(t *testing.T) {
+func TestDepartureAfterRestore(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
 	leaving := s.servers[0]
@@ -96,9 +96,9 @@
 	}, wait, poll)
 }
 
-// TestRestoredStoreIsNotReadInALoop checks that a store that refuses the watches of before it was
+// TestRestoredStoreIsNotReadInLoop checks that a store that refuses the watches of before it was
 // restored is soon asked no more often than ever.
-func TestRestoredStoreIsNotReadInALoop(t *testing.T) {
+func TestRestoredStoreIsNotReadInLoop(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
 	const window, mostCalls = time.Second, 30
--- a/gateway/rollback_before_targets_test.go
+++ b/gateway/rollback_before_targets_test.go
@@ -23,17 +23,17 @@
 // TestRollbackKnownBeforeTargets checks that an instance that starts after a rollback, and learns of it
 // before it learns of the service's targets, sends nothing to those of the version.
 func TestRollbackKnownBeforeTargets(t *testing.T) {
-	g := newPlain(t)
+	g := newTestGateway(t)
 	g.codec = versionCodec{}
 	g.replicas[KindRollouts], g.catchUp[KindRollouts] = feed.NewReplica(KindRollouts), &feed.CatchUp{}
-	orders := list(feed.At(1, 10), ordered("v2", 5, rollout.RolledBack))
+	orders := listDelta(feed.At(1, 10), orderChange("v2", 5, rollout.RolledBack))
 	orders.Kind = KindRollouts
-	require.True(t, g.take(orders, sourceStore))
+	require.True(t, g.applyDelta(orders, sourceStore))
 	g.tickRollout(t.Context(), g.rollouts.of("s"))
 	running := func(name, version string) feed.Change {
 		return feed.Change{Object: feed.Object{Name: name, Value: []byte(version)}}
 	}
-	require.True(t, g.take(list(feed.At(1, 10), running("old", "v1"), running("new", "v2")), sourceStore))
+	require.True(t, g.applyDelta(listDelta(feed.At(1, 10), running("old", "v1"), running("new", "v2")), sourceStore))
 	for i := range 20 {
 		p := g.pools.get("s")
 		d := p.acquire(t.Context(), upstream.Request{Key: fmt.Sprint(i), Deadline: time.Now().Add(time.Minute)})
--- a/gateway/rollout_observations.go
+++ b/gateway/rollout_observations.go
@@ -26,7 +26,7 @@
 	if r == nil {
 		return
 	}
-	g.metrics.version(ex.service, d.SendState.NewVersion, a.TargetResult)
+	g.metrics.rolloutAttempt(ex.service, d.SendState.NewVersion, a.TargetResult)
 	outcome, tells := rolloutOutcome(a.TargetResult)
 	if !tells {
 		return
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -90,7 +90,7 @@
 	}
 	record, err := g.codec.Rollout(c.Name, c.Value)
 	if err != nil {
-		g.metrics.refused.Add(1, string(KindRollouts), "entry")
+		g.metrics.refusedEntries.Add(1, string(KindRollouts), "entry")
 		g.log.Error(logRolloutRefused, "service", c.Name, "error", err.Error(), "source", from.source, "revision", from.revision)
 		return
 	}
--- a/gateway/self_report_test.go
+++ b/gateway/self_report_test.go
@@ -108,7 +108,7 @@
 	}
 	for _, in := range instances {
 		in.awaitReady()
-		require.Eventually(t, func() bool { return in.alive() == strconv.Itoa(len(halls)) }, wait, poll)
+		require.Eventually(t, func() bool { return in.aliveCount() == strconv.Itoa(len(halls)) }, wait, poll)
 		in.awaitStatus("/x/", 200)
 	}
 	return instances, servers
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -306,7 +306,7 @@
 		slog.String("service", ex.service),
 		slog.String("key", ex.r.Header.Get(g.headers.Key)),
 		slog.Int64("config", int64(ex.version)),
-		slog.Int64("news_age_ms", g.newsAge(g.clock.Now()).Milliseconds()),
+		slog.Int64("news_age_ms", g.contactAge(g.clock.Now()).Milliseconds()),
 		slog.Int("status", status),
 		slog.String("reason", reason),
 		slog.Int64("budget_ms", ex.budget().Milliseconds()),
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -15,49 +15,49 @@
 	// minSeeds is the number of other instances in the settings from which on
 	// an instance waits for them at the first start of the system, for
 	// firstPeersTime. The seeds themselves know fewer others and do not wait.
-	minSeeds       = 3
-	firstPeersTime = 1500 * time.Millisecond
-	peersPoll      = 30 * time.Millisecond
-	// registerWait is how long an instance that starts again waits to learn whether it
+	minSeeds           = 3
+	firstStartPeerWait = 1500 * time.Millisecond
+	peerPollInterval   = 30 * time.Millisecond
+	// registrationWait is how long an instance that starts again waits to learn whether it
 	// is registered.
-	registerWait = 3 * time.Second
+	registrationWait = 3 * time.Second
 	// registerSpacing is the mean time between the writes of two instances that register again
 	// at once: a sixth of what the store of the largest site takes. maxRegisterSpread is the
 	// time over which those of a fleet are spread at most.
 	registerSpacing   = 5 * time.Millisecond
 	maxRegisterSpread = 5 * time.Second
-	// readTime is how long an instance that starts waits for its own first read of a
+	// firstReadTime is how long an instance that starts waits for its own first read of a
 	// kind before it asks any other instance that has it.
-	readTime = time.Second
+	firstReadTime = time.Second
 
-	// oneReaderIn is the number of instances of which one, by its name, reads the
+	// readerDivisor is the number of instances of which one, by its name, reads the
 	// targets from the store when it starts, and brings them to others of its hall.
 	// When all 295 instances of the largest site start again at once and each reads
 	// 350 kB, the store's link of 1,000 Mbit/s is full for 0.8 s.
-	oneReaderIn = 4
-	// instancesTime is how long an instance that starts waits to learn of the readers,
+	readerDivisor = 4
+	// instancesWait is how long an instance that starts waits to learn of the readers,
 	// and readerTime how long it gives a reader before it asks the next one.
-	instancesTime = 400 * time.Millisecond
-	readerTime    = 300 * time.Millisecond
+	instancesWait = 400 * time.Millisecond
+	readerTimeout = 300 * time.Millisecond
 	// maxReaders is the number of readers that are asked before the store is.
 	maxReaders = 2
-	// maxAskers bounds the instances that a reader remembers until it has read.
-	maxAskers = 64
+	// maxPendingDeltaRequests bounds the instances that a reader remembers until it has read.
+	maxPendingDeltaRequests = 64
 )
 
 // awaitPeers gives the instances of the settings a moment to bring a kind at the first
 // start of the system, when there is time, which spares the store a list for each instance.
 // At other starts there is no wait: all may have been killed at once.
 func (g *Gateway) awaitPeers(ctx context.Context, kind feed.Kind) {
-	g.awaitKind(ctx, kind, g.peersTime())
+	g.awaitKind(ctx, kind, g.peerWait())
 }
 
-func (g *Gateway) peersTime() time.Duration {
+func (g *Gateway) peerWait() time.Duration {
 	switch {
 	case g.isSeed():
 		return 0
 	case g.config.FirstStart:
-		return firstPeersTime
+		return firstStartPeerWait
 	default:
 		return 0
 	}
@@ -68,41 +68,41 @@
 // watchers bring what is newer.
 func (g *Gateway) firstRead(ctx context.Context, kind feed.Kind) {
 	if kind == KindTargets {
-		g.askReaders(ctx)
+		g.requestFromReaders(ctx)
 	}
-	wait := firstPause
+	wait := minRetryInterval
 	for ctx.Err() == nil && g.position(kind).IsZero() {
 		delta, err := g.store.ListStale(ctx, kind)
-		g.noteStore(kind, err)
+		g.recordStoreRead(kind, err)
 		if err == nil {
-			g.take(delta, sourceStore)
+			g.applyDelta(delta, sourceStore)
 			if kind == KindRollouts {
-				g.knowRollouts()
+				g.setRolloutsLoaded()
 			}
 			return
 		}
 		pause.For(ctx, wait)
-		wait = min(2*wait, maxPause)
+		wait = min(2*wait, maxRetryInterval)
 	}
 }
 
 // isReader tells whether the instance of a name reads the targets from the store when it
 // starts.
-func isReader(name string) bool { return mix.Pair(name, "reader")%oneReaderIn == 0 }
+func isReader(name string) bool { return mix.Pair(name, "reader")%readerDivisor == 0 }
 
-// askReaders has the readers of the hall bring the targets, if this instance is none and
+// requestFromReaders has the readers of the hall bring the targets, if this instance is none and
 // knows of one. It returns once the targets are there or the readers had their time.
-func (g *Gateway) askReaders(ctx context.Context) {
+func (g *Gateway) requestFromReaders(ctx context.Context) {
 	if isReader(g.config.Name) {
 		return
 	}
-	g.awaitKind(ctx, KindInstances, instancesTime)
+	g.awaitKind(ctx, KindInstances, instancesWait)
 	for _, reader := range g.readers() {
 		if !g.position(KindTargets).IsZero() {
 			return
 		}
 		g.mesh.Send(reader.PeerAddr, &peer.DeltaRequest{Kind: KindTargets, ReplyTo: g.view.Self().PeerAddr})
-		g.awaitKind(ctx, KindTargets, readerTime)
+		g.awaitKind(ctx, KindTargets, readerTimeout)
 	}
 }
 
@@ -128,7 +128,7 @@
 // awaitKind waits until a kind is there, for a time at most.
 func (g *Gateway) awaitKind(ctx context.Context, kind feed.Kind, most time.Duration) {
 	end := g.clock.Now().Add(most)
-	for g.clock.Now().Before(end) && g.position(kind).IsZero() && pause.For(ctx, peersPoll) {
+	for g.clock.Now().Before(end) && g.position(kind).IsZero() && pause.For(ctx, peerPollInterval) {
 	}
 }
 
@@ -147,25 +147,25 @@
 		case <-g.unregistered:
 		}
 		g.awaitInstances(ctx)
-		pause.For(ctx, g.registerSpread())
+		pause.For(ctx, g.registrationDelay())
 	}
 }
 
 // awaitInstances waits until the instances are known that the store of the present era lists, for
 // registerWait at most.
 func (g *Gateway) awaitInstances(ctx context.Context) {
-	end := g.clock.Now().Add(registerWait)
-	for g.clock.Now().Before(end) && !g.knowsInstances() && pause.For(ctx, peersPoll) {
+	end := g.clock.Now().Add(registrationWait)
+	for g.clock.Now().Before(end) && !g.hasCurrentInstances() && pause.For(ctx, peerPollInterval) {
 	}
 }
 
-func (g *Gateway) knowsInstances() bool {
+func (g *Gateway) hasCurrentInstances() bool {
 	at := g.position(KindInstances)
-	return !at.IsZero() && !g.watch.isOver(at)
+	return !at.IsZero() && !g.watch.isPastEra(at)
 }
 
-// registerSpread draws when to register again: all instances may have to at once.
-func (g *Gateway) registerSpread() time.Duration {
+// registrationDelay draws when to register again: all instances may have to at once.
+func (g *Gateway) registrationDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	most := min(time.Duration(g.view.Len())*registerSpacing, maxRegisterSpread)
@@ -174,7 +174,7 @@
 
 // register puts the own member into the store unless it is there from an earlier process.
 func (g *Gateway) register(ctx context.Context) {
-	wait := firstPause
+	wait := minRetryInterval
 	for ctx.Err() == nil && !g.isRegistered() {
 		err := g.store.Create(ctx, KindInstances, g.config.Name, g.view.Self())
 		if err == nil {
@@ -182,20 +182,20 @@
 		}
 		g.log.Warn(logNotRegistered, "error", err.Error())
 		pause.For(ctx, wait)
-		wait = min(2*wait, maxPause)
+		wait = min(2*wait, maxRetryInterval)
 	}
 }
 
-// noteUnregistered notes that an instance's entry has gone from the store. The caller holds
+// onInstanceRemoved notes that an instance's entry has gone from the store. The caller holds
 // mu.
-func (g *Gateway) noteUnregistered(name string) {
+func (g *Gateway) onInstanceRemoved(name string) {
 	if name == g.config.Name {
-		g.lookRegistered()
+		g.checkRegistration()
 	}
 }
 
-// lookRegistered has it looked whether the own entry is in the store.
-func (g *Gateway) lookRegistered() {
+// checkRegistration has it looked whether the own entry is in the store.
+func (g *Gateway) checkRegistration() {
 	select {
 	case g.unregistered <- struct{}{}:
 	default:
@@ -207,5 +207,5 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[KindInstances]
-	return !g.watch.isOver(replica.Position()) && replica.Has(g.config.Name)
+	return !g.watch.isPastEra(replica.Position()) && replica.Has(g.config.Name)
 }
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -16,19 +16,19 @@
 // countingStore counts the first reads of the targets.
 type countingStore struct {
 	*platform.Store
-	targets atomic.Int64
+	targetReads atomic.Int64
 }
 
 // ListStale implements gateway.Store.
 func (s *countingStore) ListStale(ctx context.Context, kind feed.Kind) (feed.Delta, error) {
 	if kind == gateway.KindTargets {
-		s.targets.Add(1)
+		s.targetReads.Add(1)
 	}
 	return s.Store.ListStale(ctx, kind)
 }
 
-// nameOf returns the name of an instance that is a reader, or of one that is none.
-func nameOf(reader bool) string {
+// instanceNameFor returns the name of an instance that is a reader, or of one that is none.
+func instanceNameFor(reader bool) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprint("n", i)
 		if gateway.IsReader(name) == reader {
@@ -45,12 +45,12 @@
 	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	seeded := func(c *gateway.Config) { c.Seeds = []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"} }
-	reader := s.instance(nameOf(true), "a1", seeded)
+	reader := s.instance(instanceNameFor(true), "a1", seeded)
 	require.Eventually(t, func() bool { return len(s.store.Names("rainford-instances")) == 1 }, wait, poll)
 	store := &countingStore{Store: platform.NewStore(s.addr)}
-	other := s.instanceOf(store, nameOf(false), "a1", seeded)
+	other := s.instanceOf(store, instanceNameFor(false), "a1", seeded)
 	other.awaitStatus("/x/", 200)
-	require.Zero(t, store.targets.Load())
+	require.Zero(t, store.targetReads.Load())
 	reader.awaitStatus("/x/", 200)
 }
 
@@ -61,6 +61,6 @@
 	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	store := &countingStore{Store: platform.NewStore(s.addr)}
-	s.instanceOf(store, nameOf(false), "a1").awaitStatus("/x/", 200)
-	require.EqualValues(t, 1, store.targets.Load())
+	s.instanceOf(store, instanceNameFor(false), "a1").awaitStatus("/x/", 200)
+	require.EqualValues(t, 1, store.targetReads.Load())
 }
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -18,12 +18,12 @@
 
 // Status is what an instance tells operators of itself.
 type Status struct {
-	Instance string          `json:"instance"`
-	Hall     string          `json:"hall"`
-	Region   string          `json:"region"`
-	Version  catalog.Version `json:"configuration"`
-	Ready    bool            `json:"ready"`
-	Leaving  bool            `json:"leaving"`
+	Instance      string          `json:"instance"`
+	Hall          string          `json:"hall"`
+	Region        string          `json:"region"`
+	ConfigVersion catalog.Version `json:"configuration"`
+	Ready         bool            `json:"ready"`
+	Leaving       bool            `json:"leaving"`
 	// Targets is the number of targets known, and Unavailable those that get nothing now.
 	Targets     int                 `json:"targets"`
 	Unavailable []UnavailableTarget `json:"unavailable"`
@@ -41,22 +41,22 @@
 	Version string `json:"version"`
 	// State is what the store holds, and Stage what the instance does: Share is the part of the
 	// requests that it sends to new targets, if keys are alike.
-	State rollout.State  `json:"state"`
-	Stage string         `json:"stage"`
-	Share float64        `json:"share"`
-	Why   rollout.Reason `json:"why,omitempty"`
+	State  rollout.State  `json:"state"`
+	Stage  string         `json:"stage"`
+	Share  float64        `json:"share"`
+	Reason rollout.Reason `json:"why,omitempty"`
 	// ForMs is the time since the order was first known, and OfMs the order's duration.
-	ForMs int64 `json:"for_ms"`
-	OfMs  int64 `json:"of_ms"`
+	ForMs      int64 `json:"for_ms"`
+	DurationMs int64 `json:"of_ms"`
 	// Leader is the peer address of the instance that decides. What follows is told by it alone:
 	// the numbers of requests that the instances have reported, those sent to new targets, and the
 	// logarithms of the odds that the version fails more often and is slower.
-	Leader  string  `json:"leader"`
-	Leads   bool    `json:"leads,omitempty"`
-	Sent    int     `json:"sent,omitempty"`
-	SentNew int     `json:"sent_new,omitempty"`
-	Failing float64 `json:"odds_failing,omitempty"`
-	Slow    float64 `json:"odds_slow,omitempty"`
+	Leader     string  `json:"leader"`
+	IsLeader   bool    `json:"leads,omitempty"`
+	Sent       int     `json:"sent,omitempty"`
+	SentNew    int     `json:"sent_new,omitempty"`
+	FailureLLR float64 `json:"odds_failing,omitempty"`
+	SlowLLR    float64 `json:"odds_slow,omitempty"`
 }
 
 // UnavailableTarget is a target that gets nothing, and why.
@@ -68,8 +68,8 @@
 	Source  availability.Source `json:"source"`
 	// ForMs is for how long that is known, and LeftMs how much longer it lasts at least, 0 if
 	// nobody can tell.
-	ForMs  int64 `json:"for_ms"`
-	LeftMs int64 `json:"left_ms,omitempty"`
+	ForMs       int64 `json:"for_ms"`
+	RemainingMs int64 `json:"left_ms,omitempty"`
 }
 
 // LimitedTarget is a target that names how many requests a second it takes from all instances
@@ -82,18 +82,18 @@
 	Source    availability.Source `json:"source"`
 	ForMs     int64               `json:"for_ms"`
 	// Owner is the instance that issues the permits, as far as one was asked here.
-	Owner string  `json:"owner,omitempty"`
-	Got   float64 `json:"permits_per_s"`
-	Used  float64 `json:"sent_per_s"`
+	Owner      string  `json:"owner,omitempty"`
+	PermitRate float64 `json:"permits_per_s"`
+	UsedRate   float64 `json:"sent_per_s"`
 }
 
 // HeldRequest is a request, by its content, or an account that is not sent like others.
 type HeldRequest struct {
-	Content string `json:"content"`
-	Ends    int    `json:"ends"`
-	Failed  int    `json:"failed_trials"`
-	// LeftMs is the time until a trial may be granted, 0 if one may now.
-	LeftMs int64 `json:"left_ms,omitempty"`
+	Content      string `json:"content"`
+	Crashes      int    `json:"ends"`
+	FailedTrials int    `json:"failed_trials"`
+	// RemainingMs is the time until a trial may be granted, 0 if one may now.
+	RemainingMs int64 `json:"left_ms,omitempty"`
 }
 
 // status returns the instance's status.
@@ -101,12 +101,12 @@
 	now := g.clock.Now()
 	s := Status{Instance: g.config.Name, Hall: g.config.Hall, Region: g.config.Region, Ready: g.isReady(), Leaving: g.leaving.Load()}
 	if router := g.router.Load(); router != nil {
-		s.Version = router.Config().Version
+		s.ConfigVersion = router.Config().Version
 	}
-	s.Targets, s.Unavailable = g.pools.unavailable(now)
-	s.Limited = g.pools.limited(now)
-	s.Held = g.quarantine.list(now)
-	s.Rollouts = g.rollouts.list(now)
+	s.Targets, s.Unavailable = g.pools.unavailableTargets(now)
+	s.Limited = g.pools.limitedTargets(now)
+	s.Held = g.quarantine.heldRequests(now)
+	s.Rollouts = g.rollouts.statuses(now)
 	return s
 }
 
@@ -127,8 +127,8 @@
 	return mux
 }
 
-// unavailable returns the number of targets of all services, and those that get nothing now.
-func (ps *pools) unavailable(now time.Time) (all int, out []UnavailableTarget) {
+// unavailableTargets returns the number of targets of all services, and those that get nothing now.
+func (ps *pools) unavailableTargets(now time.Time) (all int, out []UnavailableTarget) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	for service, p := range ps.pools {
@@ -142,7 +142,7 @@
 				t.ForMs = now.Sub(u.Since).Milliseconds()
 			}
 			if !u.Until.IsZero() {
-				t.LeftMs = u.Until.Sub(now).Milliseconds()
+				t.RemainingMs = u.Until.Sub(now).Milliseconds()
 			}
 			out = append(out, t)
 		}
@@ -154,8 +154,8 @@
 	return all, out
 }
 
-// limited returns the targets of all services that name how much they take.
-func (ps *pools) limited(now time.Time) []LimitedTarget {
+// limitedTargets returns the targets of all services that name how much they take.
+func (ps *pools) limitedTargets(now time.Time) []LimitedTarget {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	var out []LimitedTarget
@@ -163,7 +163,7 @@
 		p.mu.Lock()
 		for _, l := range p.upstream.LimitedTargets(now) {
 			out = append(out, LimitedTarget{Service: service, Target: l.ID, Hall: l.Hall, PerSecond: l.PerSecond, Source: l.Source,
-				ForMs: now.Sub(l.Since).Milliseconds(), Owner: l.Owner, Got: l.PermitRate, Used: l.UsedRate})
+				ForMs: now.Sub(l.Since).Milliseconds(), Owner: l.Owner, PermitRate: l.PermitRate, UsedRate: l.UsedRate})
 		}
 		p.mu.Unlock()
 	}
@@ -173,15 +173,15 @@
 	return out
 }
 
-// list returns the requests and accounts that are not free.
-func (h *quarantineState) list(now time.Time) []HeldRequest {
+// heldRequests returns the requests and accounts that are not free.
+func (h *quarantineState) heldRequests(now time.Time) []HeldRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []HeldRequest
 	h.table.ForEachSuspect(now, func(d quarantine.Digest, s quarantine.Status) {
-		held := HeldRequest{Content: d.String(), Ends: s.Crashes, Failed: s.FailedTrials}
+		held := HeldRequest{Content: d.String(), Crashes: s.Crashes, FailedTrials: s.FailedTrials}
 		if s.Verdict == quarantine.Held {
-			held.LeftMs = s.Until.Sub(now).Milliseconds()
+			held.RemainingMs = s.Until.Sub(now).Milliseconds()
 		}
 		out = append(out, held)
 	})
@@ -189,8 +189,8 @@
 	return out
 }
 
-// list returns all rollouts.
-func (rs *rollouts) list(now time.Time) []RolloutStatus {
+// statuses returns all rollouts.
+func (rs *rollouts) statuses(now time.Time) []RolloutStatus {
 	var out []RolloutStatus
 	for _, r := range rs.all() {
 		out = append(out, r.status(now))
@@ -205,11 +205,11 @@
 	order, stage := r.follower.Order(), r.follower.Stage()
 	split, _ := r.follower.Split(now)
 	s := RolloutStatus{Service: order.Service, Version: order.Version, State: r.record.State, Stage: stage.Phase.String(), Share: split.KeyShare * split.RequestShare,
-		Why: stage.Reason, ForMs: now.Sub(r.follower.StartedAt()).Milliseconds(), OfMs: order.Duration.Milliseconds(), Leader: stage.Leader, Leads: r.leader != nil}
+		Reason: stage.Reason, ForMs: now.Sub(r.follower.StartedAt()).Milliseconds(), DurationMs: order.Duration.Milliseconds(), Leader: stage.Leader, IsLeader: r.leader != nil}
 	if r.leader != nil {
 		opinion := r.leader.Assessment()
 		s.Sent, s.SentNew = r.leader.Counts()
-		s.Failing, s.Slow = opinion.FailureLLR, opinion.SlowLLR
+		s.FailureLLR, s.SlowLLR = opinion.FailureLLR, opinion.SlowLLR
 	}
 	return s
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	// lingerShare is the part of the grace for which a stopping instance goes
+	// lingerFraction is the part of the grace for which a stopping instance goes
 	// on taking requests of clients that have not heard of its stop.
-	lingerShare = 0.4
-	// endShare is the part of the grace that is kept for ending the process:
+	lingerFraction = 0.4
+	// exitFraction is the part of the grace that is kept for ending the process:
 	// its log is written out, on a machine that may be slow.
-	endShare = 0.07
+	exitFraction = 0.07
 	// callTimeout bounds the small calls of look-ups, readiness and operators.
 	callTimeout = 2 * time.Second
 )
@@ -33,16 +33,16 @@
 		ErrorLog:          errorLog,
 	}
 	g.clientListener = pipelining.NewListener(g.frontServer, limitedListener{g.listeners.front, g}, pipeliningLimits)
-	g.open(g.frontServer, g.clientListener)
+	g.startServer(g.frontServer, g.clientListener)
 	small := func(h http.Handler) *http.Server {
 		return &http.Server{Handler: h, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: errorLog}
 	}
-	g.open(small(http.HandlerFunc(g.serveLookup)), g.listeners.lookup)
-	g.open(small(http.HandlerFunc(g.serveReady)), g.listeners.ready)
-	g.open(small(g.adminHandler()), g.listeners.admin)
+	g.startServer(small(http.HandlerFunc(g.serveLookup)), g.listeners.lookup)
+	g.startServer(small(http.HandlerFunc(g.serveReady)), g.listeners.ready)
+	g.startServer(small(g.adminHandler()), g.listeners.admin)
 }
 
-func (g *Gateway) open(server *http.Server, ln net.Listener) {
+func (g *Gateway) startServer(server *http.Server, ln net.Listener) {
 	go func() {
 		err := server.Serve(ln)
 		if !errors.Is(err, http.ErrServerClosed) {
@@ -59,10 +59,10 @@
 	g.leaving.Store(true)
 	g.log.Info(logLeaving, "grace_ms", g.config.Grace.Milliseconds(), "in_flight", g.inFlight.Load())
 	g.gossip(g.clock.Now(), true)
-	linger := time.Duration(lingerShare * float64(g.config.Grace))
+	linger := time.Duration(lingerFraction * float64(g.config.Grace))
 	time.Sleep(linger)
 	g.refusing.Store(true)
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(time.Duration((1-endShare)*float64(g.config.Grace))))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(time.Duration((1-exitFraction)*float64(g.config.Grace))))
 	defer cancel()
 	err := g.frontServer.Shutdown(ctx)
 	g.log.Info(logStop, "took_ms", time.Since(began).Milliseconds(), "in_flight", g.inFlight.Load(), "cut", err != nil)
--- a/gateway/stored_records.go
+++ b/gateway/stored_records.go
@@ -41,7 +41,7 @@
 func (g *Gateway) storeRecord(kept quarantine.StoredRecord) {
 	if g.quarantine.pendingWrites.Add(1) > maxPendingWrites {
 		g.quarantine.pendingWrites.Add(-1)
-		g.log.Warn(logNotKept, "content", kept.Digest.String(), "error", "too many writes under way")
+		g.log.Warn(logRecordNotStored, "content", kept.Digest.String(), "error", "too many writes under way")
 		return
 	}
 	g.startGoroutine(func() {
@@ -62,7 +62,7 @@
 		pause.For(ctx, storeRetryInterval)
 	}
 	if err != nil {
-		g.log.Warn(logNotKept, "content", kept.Digest.String(), "error", err.Error())
+		g.log.Warn(logRecordNotStored, "content", kept.Digest.String(), "error", err.Error())
 	}
 }
 
@@ -73,8 +73,8 @@
 	}
 	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
 	if err != nil {
-		g.metrics.refused.Add(1, string(KindTable), "entry")
-		g.log.Error(logKeptRefused, "name", c.Name, "error", err.Error(), "source", from.source, "revision", from.revision)
+		g.metrics.refusedEntries.Add(1, string(KindTable), "entry")
+		g.log.Error(logStoredRecordRefused, "name", c.Name, "error", err.Error(), "source", from.source, "revision", from.revision)
 		return
 	}
 	facts, ok := kept.Update(time.Now())
@@ -87,7 +87,7 @@
 	g.quarantine.updateNonEmpty()
 	g.quarantine.mu.Unlock()
 	if kept.Released > 0 {
-		g.log.Info(logRequestFreed, "content", kept.Digest.String(), "who", kept.ReleasedBy)
+		g.log.Info(logRequestReleased, "content", kept.Digest.String(), "who", kept.ReleasedBy)
 		return
 	}
 	g.logSuspects(now, learned, sourceStore)
@@ -102,7 +102,7 @@
 	}
 	err := g.store.Remove(ctx, KindTable, name)
 	if err != nil {
-		g.log.Warn(logNotKept, "name", name, "error", err.Error())
+		g.log.Warn(logRecordNotStored, "name", name, "error", err.Error())
 	}
 }
 
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -143,7 +143,7 @@
 			before[c.Name] = g.targetList.specs[c.Name]
 		}
 		if c.Removed && !g.hasAnnouncedLeaving(c.Name) && held.removals.Hold(now, c.Name) {
-			g.log.Log(ctx, level, logTargetLapsed, "target", c.Name, "for_ms", held.removals.Remaining(now).Milliseconds(), "source", from.source, "revision", from.revision)
+			g.log.Log(ctx, level, logTargetExpired, "target", c.Name, "for_ms", held.removals.Remaining(now).Milliseconds(), "source", from.source, "revision", from.revision)
 			continue
 		}
 		held.removals.Cancel(c.Name)
@@ -164,7 +164,7 @@
 			continue
 		}
 		if from.restored && g.isStaleAfterRestore(now, spec) {
-			g.log.Log(ctx, level, logTargetOfCopy, "target", c.Name, "sequence", spec.Sequence, "source", from.source, "revision", from.revision)
+			g.log.Log(ctx, level, logTargetFromBackup, "target", c.Name, "sequence", spec.Sequence, "source", from.source, "revision", from.revision)
 			continue
 		}
 		held.tombstones.Rewritten(c.Name)
@@ -208,7 +208,7 @@
 		field = foreign.Field
 		g.targetList.refused[c.Name] = foreign
 	}
-	g.metrics.refused.Add(1, string(KindTargets), field)
+	g.metrics.refusedEntries.Add(1, string(KindTargets), field)
 	if nth <= maxRefusedLines {
 		g.log.Error(logTargetRefused, "target", c.Name, "field", field, "error", err.Error(), "source", from.source, "revision", from.revision)
 	}
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -141,8 +141,8 @@
 	if !acquitted {
 		return
 	}
-	g.log.Info(logAccountFreed, "content", d.String())
-	g.tell(now, d)
+	g.log.Info(logAccountReleased, "content", d.String())
+	g.broadcastQuarantine(now, d)
 	g.storeRelease(d)
 }
 
--- a/gateway/trial_test.go
+++ b/gateway/trial_test.go
@@ -14,7 +14,7 @@
 // takes another one for its first trial only: after a failed one each part of a fleet that is
 // cut in two would grant one.
 func TestCoordinatorAfterFailedTrial(t *testing.T) {
-	g := newPlain(t)
+	g := newTestGateway(t)
 	now := time.Now()
 	for _, name := range []string{"n1", "n2", "n3"} {
 		g.registered[name] = fleet.Member{Name: name, Hall: "a1", Region: "a", PeerAddr: "127.0.0.1:1"}
--- a/gateway/unanswered_test.go
+++ b/gateway/unanswered_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// awaitAgain waits until the neighbour is told that the instance does not hear it.
-func (n *neighbour) awaitAgain(t *testing.T) {
+// awaitReconnectProbe waits until the neighbour is told that the instance does not hear it.
+func (n *fakePeer) awaitReconnectProbe(t *testing.T) {
 	deadline := time.After(5 * time.Second)
 	for {
 		select {
@@ -26,10 +26,10 @@
 	}
 }
 
-// TestSilentOwnerIsToldToRenew guards against an instance that hears all by way of one, and is answered by none.
-func TestSilentOwnerIsToldToRenew(t *testing.T) {
-	g := newPlain(t)
-	silent := newNeighbour(t, "n0")
+// TestUnresponsiveOwnerIsToldToReconnect guards against an instance that hears all by way of one, and is answered by none.
+func TestUnresponsiveOwnerIsToldToReconnect(t *testing.T) {
+	g := newTestGateway(t)
+	silent := newFakePeer(t, "n0")
 	g.registered["n0"] = silent.member
 	g.accountPermits.setInstances(time.Now(), g.config, g.registered)
 	router, err := catalog.NewRouter(&catalog.Config{Version: 1, Accounts: []catalog.Account{{Name: "a", Rate: 10, Burst: 10}, {Name: "b", Rate: 10, Burst: 10},
@@ -39,13 +39,13 @@
 	for _, account := range []string{"a", "b", "c", "d", "e", "f"} {
 		go g.accountPermits.acquire(t.Context(), account)
 	}
-	silent.awaitAgain(t)
+	silent.awaitReconnectProbe(t)
 }
 
-// TestSilentWardenIsToldToRenew checks the same of the warden of a suspect request.
-func TestSilentWardenIsToldToRenew(t *testing.T) {
-	g := newPlain(t)
-	silent := newNeighbour(t, "n0")
+// TestUnresponsiveCoordinatorIsToldToReconnect checks the same of the warden of a suspect request.
+func TestUnresponsiveCoordinatorIsToldToReconnect(t *testing.T) {
+	g := newTestGateway(t)
+	silent := newFakePeer(t, "n0")
 	g.registered["n0"] = silent.member
 	now := g.clock.Now()
 	for i := range 64 {
@@ -56,7 +56,7 @@
 		ex := &exchange{ctx: t.Context(), digest: c.Digest(), deadline: now.Add(time.Second)}
 		granted, _ := g.acquireTrial(ex, c.Digest())
 		require.False(t, granted)
-		silent.awaitAgain(t)
+		silent.awaitReconnectProbe(t)
 		return
 	}
 	require.Fail(t, "no request has the other instance for its warden")
--- a/gateway/warmup_quota_test.go
+++ b/gateway/warmup_quota_test.go
@@ -34,13 +34,13 @@
 		sum += warmup.Quota(name, "t", all, rate)
 	}
 	g := newSender(t)
-	g.shareOut(time.Now())
+	g.updateInstanceShares(time.Now())
 	sum += 2 * warmup.Quota("n0", "t", g.pools.instancesByHall["a1"], rate)
 	require.LessOrEqual(t, float64(sum), rate, "before it knows the others")
 	list := feed.Delta{Kind: KindInstances, To: feed.At(0, 7), Full: true}
-	require.True(t, g.take(list, sourceStore))
+	require.True(t, g.applyDelta(list, sourceStore))
 	require.Equal(t, []string{"n0"}, g.pools.instancesByHall["a1"], "a list without others is one")
 	g.view.Add(fleet.Member{Name: "n1", Hall: "a1", Region: "a"})
-	g.shareOut(time.Now())
+	g.updateInstanceShares(time.Now())
 	require.Equal(t, []string{"n0", "n1"}, g.pools.instancesByHall["a1"])
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change: less than the 20 s of history
+	// watchTimeout is how long a watch waits for a change: less than the 20 s of history
 	// that the store of the sites keeps, so that a watch that is cut can go on.
-	watchWait = 15 * time.Second
-	// idleCheck is how often an instance that does not watch looks whether
+	watchTimeout = 15 * time.Second
+	// idleCheckInterval is how often an instance that does not watch looks whether
 	// it should.
-	idleCheck = 250 * time.Millisecond
-	// missedAfter is how long a watch may lag behind another instance's
+	idleCheckInterval = 250 * time.Millisecond
+	// missedChangeTimeout is how long a watch may lag behind another instance's
 	// before it counts as deaf.
-	missedAfter = time.Second
+	missedChangeTimeout = time.Second
 	// settleTime is the time for which an instance that is no seed leaves watching to
 	// others, from when it knows which instances are registered: three rounds of gossip,
 	// in which it hears of those of its region. settleMost is the same from its start
 	// on if it does not come to know them: the store may be away.
-	settleTime = 3 * fleet.RoundTime
-	settleMost = 10 * fleet.RoundTime
-	// gatherTime is the time between two watches of kinds that change often.
-	gatherTime = 200 * time.Millisecond
-	// deafWait is how long a watch waits that is to find out whether the store is
+	settleTime    = 3 * fleet.RoundTime
+	maxSettleTime = 10 * fleet.RoundTime
+	// batchInterval is the time between two watches of kinds that change often.
+	batchInterval = 200 * time.Millisecond
+	// recoveryWatchTimeout is how long a watch waits that is to find out whether the store is
 	// back.
-	deafWait = 100 * time.Millisecond
-	// probeEvery is the time between two calls that find out whether the store
+	recoveryWatchTimeout = 100 * time.Millisecond
+	// probeInterval is the time between two calls that find out whether the store
 	// still answers while watches are pending.
-	probeEvery = time.Second
-	// firstPause and maxPause bound the time between calls that fail.
-	firstPause = 300 * time.Millisecond
-	maxPause   = 2 * time.Second
+	probeInterval = time.Second
+	// minRetryInterval and maxPause bound the time between calls that fail.
+	minRetryInterval = 300 * time.Millisecond
+	maxRetryInterval = 2 * time.Second
 )
 
 // watchState is what an instance knows of its own watches.
 type watchState struct {
 	mu sync.Mutex
 	// era is the latest that the store or another instance has told of.
-	era      int64
-	deaf     bool
-	watching bool
+	era              int64
+	storeUnreachable bool
+	watching         bool
 	// cancels ends the pending watch of a kind.
 	cancels map[feed.Kind]context.CancelFunc
 	// missedAt is when another instance brought a change that the pending
@@ -67,10 +67,10 @@
 	}
 }
 
-// watches tells whether this instance is to watch the store. One that has just started
+// shouldWatch tells whether this instance is to watch the store. One that has just started
 // knows of nobody and is the first in its own view, as all are that start with it, so it
 // leaves that to the seeds for a while. The caller holds mu.
-func (g *Gateway) watches(now time.Time) bool {
+func (g *Gateway) shouldWatch(now time.Time) bool {
 	return (g.isSeed() || g.hasSettled(now)) && g.view.ShouldWatch(now)
 }
 
@@ -80,7 +80,7 @@
 	if !g.instancesKnownAt.IsZero() && now.Sub(g.instancesKnownAt) >= settleTime {
 		return true
 	}
-	return now.Sub(g.startedAt) >= settleMost
+	return now.Sub(g.startedAt) >= maxSettleTime
 }
 
 // isSeed tells whether the instance is one that others try first, or knows too few such
@@ -100,9 +100,9 @@
 	w.cursors[kind] = to
 }
 
-// enter takes in that the store is in an era. When a new one has begun all pending watches are
+// enterEra takes in that the store is in an era. When a new one has begun all pending watches are
 // given up: they wait for changes after revisions of the era before.
-func (w *watchState) enter(era int64) (before int64, begun bool) {
+func (w *watchState) enterEra(era int64) (before int64, begun bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before = w.era
@@ -116,21 +116,21 @@
 	return before, true
 }
 
-// isOver tells whether a position is of an era that has ended.
-func (w *watchState) isOver(at feed.Position) bool {
+// isPastEra tells whether a position is of an era that has ended.
+func (w *watchState) isPastEra(at feed.Position) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return at.Era < w.era
 }
 
-func (w *watchState) isDeaf() bool {
+func (w *watchState) isStoreUnreachable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.deaf
+	return w.storeUnreachable
 }
 
-// isChosen tells whether the instance is to watch, by its last view of the fleet.
-func (w *watchState) isChosen() bool {
+// isWatcher tells whether the instance is to watch, by its last view of the fleet.
+func (w *watchState) isWatcher() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.watching
@@ -139,17 +139,17 @@
 func (w *watchState) isWatching() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.watching && !w.deaf
+	return w.watching && !w.storeUnreachable
 }
 
-// setDeaf reports whether the state has changed. When the store is lost all pending
+// setStoreUnreachable reports whether the state has changed. When the store is lost all pending
 // watches are given up: one whose answer was lost hears nothing more, even when the
 // store is back.
-func (w *watchState) setDeaf(deaf bool) bool {
+func (w *watchState) setStoreUnreachable(deaf bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	changed := w.deaf != deaf
-	w.deaf = deaf
+	changed := w.storeUnreachable != deaf
+	w.storeUnreachable = deaf
 	if changed && deaf {
 		for _, cancel := range w.cancels {
 			cancel()
@@ -178,8 +178,8 @@
 	delete(w.missedAt, kind)
 }
 
-// missed notes that another instance has brought a change of the kind.
-func (w *watchState) missed(kind feed.Kind, now time.Time) {
+// recordMissed notes that another instance has brought a change of the kind.
+func (w *watchState) recordMissed(kind feed.Kind, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if _, noted := w.missedAt[kind]; !noted && w.cancels[kind] != nil {
@@ -187,15 +187,15 @@
 	}
 }
 
-// review cancels watches that others have overtaken for too long, and all of
+// cancelOutdated cancels watches that others have overtaken for too long, and all of
 // them if the instance is not to watch. It reports whether a watch was deaf.
-func (w *watchState) review(now time.Time, watches bool) bool {
+func (w *watchState) cancelOutdated(now time.Time, watches bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	deaf := false
 	for kind, cancel := range w.cancels {
 		at, noted := w.missedAt[kind]
-		late := noted && now.Sub(at) >= missedAfter
+		late := noted && now.Sub(at) >= missedChangeTimeout
 		if late || !watches {
 			cancel()
 		}
@@ -216,36 +216,36 @@
 func (g *Gateway) watchLoop(ctx context.Context, kind feed.Kind) {
 	g.awaitPeers(ctx, kind)
 	g.firstRead(ctx, kind)
-	wait := firstPause
+	wait := minRetryInterval
 	for ctx.Err() == nil {
-		if !g.watch.isChosen() {
-			pause.For(ctx, idleCheck)
+		if !g.watch.isWatcher() {
+			pause.For(ctx, idleCheckInterval)
 			continue
 		}
-		if g.watch.isDeaf() && kind != KindConfig {
+		if g.watch.isStoreUnreachable() && kind != KindConfig {
 			// One kind is enough to find out whether the store is back.
-			pause.For(ctx, idleCheck)
+			pause.For(ctx, idleCheckInterval)
 			continue
 		}
 		err := g.readOnce(ctx, kind)
 		switch {
 		case err == nil:
-			g.heardStore()
-			wait = firstPause
+			g.recordStoreContact()
+			wait = minRetryInterval
 			continue
 		case errors.Is(err, context.Canceled) || ctx.Err() != nil:
 			continue
 		case errors.Is(err, errUnknownKind):
-			g.heardStore()
-			pause.For(ctx, maxPause)
+			g.recordStoreContact()
+			pause.For(ctx, maxRetryInterval)
 			continue
 		case errors.Is(err, errNothingNewer) || errors.Is(err, ErrHistoryGone):
-			g.heardStore()
+			g.recordStoreContact()
 		default:
-			g.lostStore(kind, err)
+			g.recordStoreLoss(kind, err)
 		}
 		pause.For(ctx, wait)
-		wait = min(2*wait, maxPause)
+		wait = min(2*wait, maxRetryInterval)
 	}
 }
 
@@ -261,15 +261,15 @@
 // a pending watch does not tell.
 func (g *Gateway) probeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, probeEvery)
+		pause.For(ctx, probeInterval)
 		if !g.watch.isWatching() || g.position(KindConfig).IsZero() {
 			continue
 		}
 		err := g.store.Probe(ctx)
-		g.noteEra()
+		g.updateEra()
 		if err != nil && ctx.Err() == nil {
-			g.noteStore(KindEvacuations, err)
-			g.lostStore(KindEvacuations, err)
+			g.recordStoreRead(KindEvacuations, err)
+			g.recordStoreLoss(KindEvacuations, err)
 		}
 	}
 }
@@ -277,23 +277,23 @@
 // readOnce lists the kind if nothing of the store's era is held, and else waits for changes.
 func (g *Gateway) readOnce(ctx context.Context, kind feed.Kind) error {
 	at := g.position(kind)
-	if at.IsZero() || g.watch.isOver(at) {
-		return g.list(ctx, kind)
+	if at.IsZero() || g.watch.isPastEra(at) {
+		return g.listKind(ctx, kind)
 	}
 	watchCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	g.watch.begin(kind, cancel)
-	wait := watchWait
-	if g.watch.isDeaf() {
-		wait = deafWait
+	wait := watchTimeout
+	if g.watch.isStoreUnreachable() {
+		wait = recoveryWatchTimeout
 	}
 	cursor := g.watch.cursor(kind, at)
 	delta, err := g.store.Watch(watchCtx, kind, cursor, wait)
 	g.watch.end(kind)
-	g.noteStore(kind, err)
+	g.recordStoreRead(kind, err)
 	if errors.Is(err, ErrHistoryGone) {
 		g.log.Warn(logHistoryGone, "kind", kind, "revision", cursor.Revision)
-		return g.list(ctx, kind)
+		return g.listKind(ctx, kind)
 	}
 	if err != nil {
 		return err
@@ -306,28 +306,28 @@
 	if at := g.position(kind); at.Era == delta.From.Era && delta.From.After(at) {
 		delta.From = at
 	}
-	g.take(delta, sourceStore)
+	g.applyDelta(delta, sourceStore)
 	if kind == KindTargets || kind == KindInstances {
 		// Many of these change one after the other; one call brings several.
-		pause.For(ctx, gatherTime)
+		pause.For(ctx, batchInterval)
 	}
 	return nil
 }
 
-// list reads the whole kind. It returns errUnknownKind or errNothingNewer if the replica is not further on
+// listKind reads the whole kind. It returns errUnknownKind or errNothingNewer if the replica is not further on
 // for it.
-func (g *Gateway) list(ctx context.Context, kind feed.Kind) error {
+func (g *Gateway) listKind(ctx context.Context, kind feed.Kind) error {
 	before := g.position(kind)
 	delta, err := g.store.List(ctx, kind)
-	g.noteStore(kind, err)
+	g.recordStoreRead(kind, err)
 	if err != nil {
 		return err
 	}
 	if before.After(delta.To) {
-		g.metrics.calls.Add(1, string(kind), callBehind)
+		g.metrics.storeReads.Add(1, string(kind), readBehind)
 		g.log.Warn(logListBehind, "kind", kind, "ends", delta.To.Revision, "era", delta.To.Era, "revision", before.Revision, "held_era", before.Era)
 	}
-	g.take(delta, sourceStore)
+	g.applyDelta(delta, sourceStore)
 	switch at := g.position(kind); {
 	case at.IsZero():
 		return errUnknownKind
@@ -338,12 +338,12 @@
 	}
 }
 
-// noteEra takes in the era that the store's answers name.
-func (g *Gateway) noteEra() { g.enterEra(g.store.Era(), sourceStore) }
+// updateEra takes in the era that the store's answers name.
+func (g *Gateway) updateEra() { g.enterEra(g.store.Era(), sourceStore) }
 
 // enterEra has the instance follow the store into an era of which a source tells.
 func (g *Gateway) enterEra(era int64, source string) {
-	before, begun := g.watch.enter(era)
+	before, begun := g.watch.enterEra(era)
 	if !begun {
 		return
 	}
@@ -351,18 +351,18 @@
 		g.log.Info(logStoreEra, "era", era, "source", source)
 		return
 	}
-	g.lookRegistered()
+	g.checkRegistration()
 	g.log.Warn(logStoreEra, "era", era, "before", before, "source", source)
 }
 
-// noteStore takes in how a read of the store ended, before what it brought is put in
+// recordStoreRead takes in how a read of the store ended, before what it brought is put in
 // force.
-func (g *Gateway) noteStore(kind feed.Kind, err error) {
+func (g *Gateway) recordStoreRead(kind feed.Kind, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
-	g.noteEra()
-	g.metrics.read(kind, err)
+	g.updateEra()
+	g.metrics.storeRead(kind, err)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err == nil || errors.Is(err, ErrHistoryGone) {
@@ -372,15 +372,15 @@
 	g.heldChanges[KindTargets].removals.StoreFailed()
 }
 
-func (g *Gateway) heardStore() {
-	g.heardNews(g.clock.Now())
-	if g.watch.setDeaf(false) {
+func (g *Gateway) recordStoreContact() {
+	g.recordContact(g.clock.Now())
+	if g.watch.setStoreUnreachable(false) {
 		g.log.Info(logStoreRegained)
 	}
 }
 
-func (g *Gateway) lostStore(kind feed.Kind, err error) {
-	if g.watch.setDeaf(true) {
+func (g *Gateway) recordStoreLoss(kind feed.Kind, err error) {
+	if g.watch.setStoreUnreachable(true) {
 		g.log.Warn(logStoreLost, "kind", kind, "error", err.Error())
 	}
 }
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -9,9 +9,9 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestPeersTime checks that an instance that starts again does not wait for seeds before it
+// TestPeerWait checks that an instance that starts again does not wait for seeds before it
 // reads anything: they may all have been killed with it.
-func TestPeersTime(t *testing.T) {
+func TestPeerWait(t *testing.T) {
 	cases := []struct {
 		name  string
 		seeds int
@@ -19,21 +19,21 @@
 		want  time.Duration
 	}{
 		{"few seeds", 2, true, 0},
-		{"first start", 3, true, firstPeersTime},
+		{"first start", 3, true, firstStartPeerWait},
 		{"again", 3, false, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := &Gateway{config: Config{FirstStart: c.first, Seeds: make([]string, c.seeds)}}
-			require.Equal(t, c.want, g.peersTime())
+			require.Equal(t, c.want, g.peerWait())
 		})
 	}
 }
 
-// TestWatchesAtStart checks that an instance that has just started, and takes itself for
+// TestShouldWatchAtStart checks that an instance that has just started, and takes itself for
 // the first of its region since it knows nobody, leaves watching to the seeds until it has
 // had the time to hear of others, however long it takes to learn which there are.
-func TestWatchesAtStart(t *testing.T) {
+func TestShouldWatchAtStart(t *testing.T) {
 	start := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	const never = -1
 	cases := []struct {
@@ -48,7 +48,7 @@
 		{"another, slow to learn of instances", minSeeds, never, settleTime, false},
 		{"another, soon after", minSeeds, settleTime, 2*settleTime - 1, false},
 		{"another that still knows nobody alive", minSeeds, settleTime, 2 * settleTime, true},
-		{"another without a store", minSeeds, never, settleMost, true},
+		{"another without a store", minSeeds, never, maxSettleTime, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,14 +56,14 @@
 			if c.instances != never {
 				g.instancesKnownAt = start.Add(c.instances)
 			}
-			require.Equal(t, c.want, g.watches(start.Add(c.at)))
+			require.Equal(t, c.want, g.shouldWatch(start.Add(c.at)))
 		})
 	}
 }
 
-// TestRegisteredOnce checks that an instance that an earlier process has registered makes
+// TestNoRegistrationIfRegistered checks that an instance that an earlier process has registered makes
 // no call for it: there is no store here.
-func TestRegisteredOnce(t *testing.T) {
+func TestNoRegistrationIfRegistered(t *testing.T) {
 	g := &Gateway{config: Config{Name: "n0"}, replicas: map[feed.Kind]*feed.Replica{KindInstances: feed.NewReplica(KindInstances)}}
 	require.False(t, g.isRegistered())
 	g.replicas[KindInstances].Apply(feed.Delta{Kind: KindInstances, To: feed.At(0, 1), Full: true, Changes: []feed.Change{{Object: feed.Object{Name: "n0"}}}})
