--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -281,7 +281,7 @@
 	}
 }
 
-// start implements requestConn.
+// start implements serverConn.
 func (c *conn) start(ctx context.Context, idempotent bool) error {
 	c.mu.Lock()
 	if c.phase == passThrough {
@@ -313,23 +313,23 @@
 	return nil
 }
 
-// hasLeft implements requestConn.
-func (c *conn) hasLeft() bool {
+// clientGone implements serverConn.
+func (c *conn) clientGone() bool {
 	c.mu.Lock()
 	gone := c.readErr
 	c.mu.Unlock()
 	return gone != nil || sockopt.Closed(c.Conn)
 }
 
-// handled implements requestConn.
-func (c *conn) handled() {
+// handlerReturned implements serverConn.
+func (c *conn) handlerReturned() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current.handled = true
 }
 
-// idle implements requestConn.
-func (c *conn) idle() {
+// responseWritten implements serverConn.
+func (c *conn) responseWritten() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving = false
--- a/pipelining/virtual_conn.go
+++ b/pipelining/virtual_conn.go
@@ -136,23 +136,23 @@
 	return nil
 }
 
-// start implements requestConn.
+// start implements serverConn.
 func (v *virtualConn) start(ctx context.Context, idempotent bool) error {
 	return v.conn.awaitStart(ctx, v.entry, idempotent)
 }
 
-// hasLeft implements requestConn.
-func (v *virtualConn) hasLeft() bool { return v.conn.hasLeft() }
+// clientGone implements serverConn.
+func (v *virtualConn) clientGone() bool { return v.conn.clientGone() }
 
-// handled implements requestConn.
-func (v *virtualConn) handled() {
+// handlerReturned implements serverConn.
+func (v *virtualConn) handlerReturned() {
 	v.conn.mu.Lock()
 	defer v.conn.mu.Unlock()
 	v.entry.handled = true
 }
 
-// idle implements requestConn.
-func (v *virtualConn) idle() {
+// responseWritten implements serverConn.
+func (v *virtualConn) responseWritten() {
 	v.conn.mu.Lock()
 	defer v.conn.mu.Unlock()
 	if !v.entry.done {
