--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -40,13 +40,13 @@
 			switch rapid.IntRange(0, 6).Draw(t, "action") {
 			case 0:
 				n := len(attempts) + 1
-				attempts = append(attempts, &attempt{op: claim.Op{Verb: claim.Take, Key: "k", Owner: fmt.Sprint(n), Attempt: n}})
+				attempts = append(attempts, &attempt{op: claim.Op{Kind: claim.Acquire, Key: "k", Owner: fmt.Sprint(n), Attempt: n}})
 			case 1:
 				if a := pick(t, attempts); a != nil && a.told == "" {
 					// The write takes effect; its reply may be lost.
 					reply := shard.Apply(a.op)
 					a.sent = true
-					a.granted = reply.Answer == claim.Granted && rapid.Bool().Draw(t, "reply comes")
+					a.granted = reply.Result == claim.Granted && rapid.Bool().Draw(t, "reply comes")
 				}
 			case 2:
 				if a := pick(t, attempts); a != nil {
@@ -63,14 +63,14 @@
 					a.ran = true
 					a.told = "ran"
 					finish := a.op
-					finish.Verb, finish.Status = claim.Finish, 200
+					finish.Kind, finish.Status = claim.Finish, 200
 					late = append(late, finish)
 				}
 			case 5:
 				// Given up before it ran: told so at once, released later.
 				if a := pick(t, attempts); a != nil && a.told == "" {
 					release := a.op
-					release.Verb = claim.Release
+					release.Kind = claim.Release
 					if a.granted {
 						a.told = "not run"
 						refused = max(refused, a.op.Attempt)
@@ -113,16 +113,16 @@
 func TestStaleAttemptIsRefused(t *testing.T) {
 	shard := &claim.Shard{}
 	take := func(n int) claim.Reply {
-		return shard.Apply(claim.Op{Verb: claim.Take, Key: "k", Owner: fmt.Sprint(n), Attempt: n})
+		return shard.Apply(claim.Op{Kind: claim.Acquire, Key: "k", Owner: fmt.Sprint(n), Attempt: n})
 	}
-	require.Equal(t, claim.Granted, take(2).Answer)
-	require.Equal(t, claim.Held, take(3).Answer)
-	shard.Apply(claim.Op{Verb: claim.Release, Key: "k", Owner: "2", Attempt: 2})
-	require.Equal(t, claim.Superseded, take(1).Answer, "an earlier attempt that arrives late")
-	require.Equal(t, claim.Superseded, take(2).Answer, "the refused attempt itself")
-	require.Equal(t, claim.Granted, take(3).Answer)
-	shard.Apply(claim.Op{Verb: claim.Finish, Key: "k", Owner: "3", Status: 201})
-	require.Equal(t, claim.Reply{Answer: claim.AlreadyDone, Status: 201}, take(4))
+	require.Equal(t, claim.Granted, take(2).Result)
+	require.Equal(t, claim.Held, take(3).Result)
+	shard.Apply(claim.Op{Kind: claim.Release, Key: "k", Owner: "2", Attempt: 2})
+	require.Equal(t, claim.Superseded, take(1).Result, "an earlier attempt that arrives late")
+	require.Equal(t, claim.Superseded, take(2).Result, "the refused attempt itself")
+	require.Equal(t, claim.Granted, take(3).Result)
+	shard.Apply(claim.Op{Kind: claim.Finish, Key: "k", Owner: "3", Status: 201})
+	require.Equal(t, claim.Reply{Result: claim.AlreadyDone, Status: 201}, take(4))
 }
 
 func TestParseKey(t *testing.T) {
@@ -134,8 +134,8 @@
 		{"fresh", claim.NewKey(now, "abc"), true},
 		{"old", claim.NewKey(now.Add(-claim.MaxAge+time.Minute), "abc"), true},
 		{"too old", claim.NewKey(now.Add(-claim.MaxAge-time.Minute), "abc"), false},
-		{"ahead", claim.NewKey(now.Add(claim.MaxAhead-time.Second), "abc"), true},
-		{"too far ahead", claim.NewKey(now.Add(claim.MaxAhead+time.Second), "abc"), false},
+		{"ahead", claim.NewKey(now.Add(claim.MaxClockSkew-time.Second), "abc"), true},
+		{"too far ahead", claim.NewKey(now.Add(claim.MaxClockSkew+time.Second), "abc"), false},
 		{"no random part", claim.NewKey(now, ""), false},
 		{"no time", "abc-def", false},
 		{"empty", "", false},
@@ -160,39 +160,39 @@
 		if err != nil {
 			return
 		}
-		prefix := claim.Prefix + claim.ShardOf("x", made).Slice + "/"
-		require.NotContains(t, claim.ExpiredSlices(now, 10*time.Minute), prefix)
+		prefix := claim.ObjectPrefix + claim.ShardOf("x", made).TimeSlice + "/"
+		require.NotContains(t, claim.ExpiredSlicePrefixes(now, 10*time.Minute), prefix)
 	})
 }
 
 func TestQueueGroupsByShard(t *testing.T) {
 	var q claim.Queue
-	a, b := claim.ShardID{Slice: "s", Number: 1}, claim.ShardID{Slice: "t", Number: 1}
-	op := func(n int) claim.Op { return claim.Op{Verb: claim.Take, Owner: fmt.Sprint(n)} }
+	a, b := claim.ShardID{TimeSlice: "s", Number: 1}, claim.ShardID{TimeSlice: "t", Number: 1}
+	op := func(n int) claim.Op { return claim.Op{Kind: claim.Acquire, Owner: fmt.Sprint(n)} }
 	q.Add(a, op(1), false)
-	require.False(t, q.Waiting(1, false))
-	require.True(t, q.Waiting(1, true))
+	require.False(t, q.HasBatch(1, false))
+	require.True(t, q.HasBatch(1, true))
 	q.Add(a, op(2), true)
 	q.Add(b, op(3), true)
-	shard, ops := q.Next(1, false)
+	shard, ops := q.NextBatch(1, false)
 	require.Equal(t, a, shard)
 	require.Len(t, ops, 2)
 	q.Add(a, op(4), true)
-	shard, ops = q.Next(1, false)
+	shard, ops = q.NextBatch(1, false)
 	require.Equal(t, b, shard, "a shard has one write at a time")
 	require.Len(t, ops, 1)
-	require.False(t, q.Waiting(1, true))
-	q.Written(a)
+	require.False(t, q.HasBatch(1, true))
+	q.BatchDone(a)
 	require.True(t, q.Withdraw(a, op(4)))
 	require.False(t, q.Withdraw(a, op(2)))
 }
 
 func ExampleShard_Apply() {
 	var s claim.Shard
-	first := claim.Op{Verb: claim.Take, Key: "20260301T120000Z-7f", Owner: "one", Attempt: 1}
-	again := claim.Op{Verb: claim.Take, Key: "20260301T120000Z-7f", Owner: "two", Attempt: 2}
-	fmt.Println(s.Apply(first).Answer == claim.Granted)
-	fmt.Println(s.Apply(again).Answer == claim.Held)
+	first := claim.Op{Kind: claim.Acquire, Key: "20260301T120000Z-7f", Owner: "one", Attempt: 1}
+	again := claim.Op{Kind: claim.Acquire, Key: "20260301T120000Z-7f", Owner: "two", Attempt: 2}
+	fmt.Println(s.Apply(first).Result == claim.Granted)
+	fmt.Println(s.Apply(again).Result == claim.Held)
 	// Output:
 	// true
 	// true
--- a/claim/key.go
+++ b/claim/key.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// TimeForm is the form of the time that a key starts with, in UTC.
-const TimeForm = "20060102T150405Z"
+// TimeLayout is the form of the time that a key starts with, in UTC.
+const TimeLayout = "20060102T150405Z"
 
 // Bounds on a key.
 const (
 	MaxKeyBytes = 128
 	// MaxAge is the oldest key that is taken.
 	MaxAge = 5 * time.Hour
-	// MaxAhead bounds the error of a caller's clock.
-	MaxAhead = 5 * time.Minute
-	// Keep is how long a shard is kept after its slice has ended. It is over
+	// MaxClockSkew bounds the error of a caller's clock.
+	MaxClockSkew = 5 * time.Minute
+	// Retention is how long a shard is kept after its slice has ended. It is over
 	// MaxAge by a margin for the errors of clocks.
-	Keep = MaxAge + time.Hour
+	Retention = MaxAge + time.Hour
 )
 
-// Slice is the length of time whose keys share a set of shards.
-const Slice = 30 * time.Second
+// TimeSlice is the length of time whose keys share a set of shards.
+const TimeSlice = 30 * time.Second
 
-// Shards is the number of shards of a slice. Few shards make large groups, and
+// ShardsPerSlice is the number of shards of a slice. Few shards make large groups, and
 // each is written by one instance as long as all agree which one: see Writer.
-const Shards = 4
+const ShardsPerSlice = 4
 
-// Prefix is the prefix of the shards' object keys.
-const Prefix = "claims/"
+// ObjectPrefix is the prefix of the shards' object keys.
+const ObjectPrefix = "claims/"
 
 // ErrBadKey means that a key has not the form that this package takes, or is
 // too old or too new.
@@ -40,7 +40,7 @@
 // NewKey returns the key of an operation made at a time; random should have
 // at least 64 random bits.
 func NewKey(now time.Time, random string) string {
-	return now.UTC().Format(TimeForm) + "-" + random
+	return now.UTC().Format(TimeLayout) + "-" + random
 }
 
 // ParseKey checks a key and returns the time it was made.
@@ -54,14 +54,14 @@
 			return time.Time{}, fmt.Errorf("%w: want printable ASCII", ErrBadKey)
 		}
 	}
-	made, err := time.Parse(TimeForm, stamp)
+	made, err := time.Parse(TimeLayout, stamp)
 	if err != nil {
 		return time.Time{}, fmt.Errorf("%w: %w", ErrBadKey, err)
 	}
 	if now.Sub(made) > MaxAge {
 		return time.Time{}, fmt.Errorf("%w: made %s ago, at most %s", ErrBadKey, now.Sub(made).Round(time.Second), MaxAge)
 	}
-	if made.Sub(now) > MaxAhead {
+	if made.Sub(now) > MaxClockSkew {
 		return time.Time{}, fmt.Errorf("%w: made %s ahead", ErrBadKey, made.Sub(now).Round(time.Second))
 	}
 	return made, nil
@@ -69,8 +69,8 @@
 
 // ShardID names the record that an operation's claim belongs to.
 type ShardID struct {
-	Slice  string `msgpack:"s"`
-	Number int    `msgpack:"n"`
+	TimeSlice string `msgpack:"s"`
+	Number    int    `msgpack:"n"`
 }
 
 // ShardOf returns the shard of an operation key made at a time. It depends on
@@ -78,32 +78,32 @@
 func ShardOf(key string, made time.Time) ShardID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
-	return ShardID{Slice: sliceOf(made), Number: int(h.Sum32() % Shards)}
+	return ShardID{TimeSlice: sliceOf(made), Number: int(h.Sum32() % ShardsPerSlice)}
 }
 
-func sliceOf(t time.Time) string { return t.UTC().Truncate(Slice).Format(TimeForm) }
+func sliceOf(t time.Time) string { return t.UTC().Truncate(TimeSlice).Format(TimeLayout) }
 
 // ObjectKey returns the platform's key of the shard.
 func (id ShardID) ObjectKey() string {
-	return fmt.Sprintf("%s%s/%02d", Prefix, id.Slice, id.Number)
+	return fmt.Sprintf("%s%s/%02d", ObjectPrefix, id.TimeSlice, id.Number)
 }
 
-// ExpiredSlices returns the prefixes of the shards' object keys of the slices
+// ExpiredSlicePrefixes returns the prefixes of the shards' object keys of the slices
 // whose keys became too old within a time before now.
-func ExpiredSlices(now time.Time, within time.Duration) []string {
+func ExpiredSlicePrefixes(now time.Time, within time.Duration) []string {
 	var out []string
-	last := now.Add(-Keep - Slice)
-	for t := last.Add(-within); !t.After(last); t = t.Add(Slice) {
-		out = append(out, Prefix+sliceOf(t)+"/")
+	last := now.Add(-Retention - TimeSlice)
+	for t := last.Add(-within); !t.After(last); t = t.Add(TimeSlice) {
+		out = append(out, ObjectPrefix+sliceOf(t)+"/")
 	}
 	return out
 }
 
-// Writer returns the instance that should write the shards of a number, out of
+// WriterFor returns the instance that should write the shards of a number, out of
 // those that are alive, by rendezvous hashing (Thaler and Ravishankar, 1998).
 // That all agree saves conflicts; correctness does not rest on it, since every
 // write is conditional. It returns "" when there is none.
-func Writer(number int, instances []string) string {
+func WriterFor(number int, instances []string) string {
 	best, bestHash := "", uint32(0)
 	for _, id := range instances {
 		h := fnv.New32a()
--- a/claim/queue.go
+++ b/claim/queue.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Pace bounds the writes of one instance: Rate a second with bursts of Burst.
-type Pace struct {
+// TokenBucket bounds the writes of one instance: Rate a second with bursts of Burst.
+type TokenBucket struct {
 	Rate  float64
 	Burst float64
 
@@ -13,7 +13,7 @@
 
 // Allow takes one write if the pace permits it. If not, it returns how long to
 // wait.
-func (p *Pace) Allow(now time.Time) (bool, time.Duration) {
+func (p *TokenBucket) Allow(now time.Time) (bool, time.Duration) {
 	if p.last.IsZero() {
 		p.level = p.Burst
 	} else {
@@ -82,8 +82,8 @@
 	return false
 }
 
-// Waiting tells whether Next would return a batch of a number.
-func (q *Queue) Waiting(number int, all bool) bool {
+// HasBatch tells whether Next would return a batch of a number.
+func (q *Queue) HasBatch(number int, all bool) bool {
 	for id, p := range q.shards {
 		if id.Number == number && p.ready(all) {
 			return true
@@ -99,10 +99,10 @@
 	return !p.writing && len(p.ops) > 0 && (p.urgent || all)
 }
 
-// Next returns the operations to write next, of the shard that has waited
+// NextBatch returns the operations to write next, of the shard that has waited
 // longest among those of a number. Unless all is set only shards with an urgent
 // operation count. The caller must call Written when the write has ended.
-func (q *Queue) Next(number int, all bool) (ShardID, []Op) {
+func (q *Queue) NextBatch(number int, all bool) (ShardID, []Op) {
 	var best ShardID
 	var oldest *pending
 	for id, p := range q.shards {
@@ -121,8 +121,8 @@
 	return best, batch
 }
 
-// Written ends the write of a shard's batch.
-func (q *Queue) Written(shard ShardID) {
+// BatchDone ends the write of a shard's batch.
+func (q *Queue) BatchDone(shard ShardID) {
 	p := q.shards[shard]
 	if p == nil {
 		return
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -30,13 +30,13 @@
 	Entries map[string]Entry `json:"e"`
 }
 
-// Verb is what an Op does.
-type Verb int
+// OpKind is what an Op does.
+type OpKind int
 
 // The verbs.
 const (
-	// Take claims a key for an attempt.
-	Take Verb = iota
+	// Acquire claims a key for an attempt.
+	Acquire OpKind = iota
 	// Finish records that the owner's attempt ran.
 	Finish
 	// Release withdraws the owner's claim: the attempt did not run.
@@ -45,20 +45,20 @@
 
 // Op is one change of a shard.
 type Op struct {
-	Verb    Verb   `msgpack:"v"`
+	Kind    OpKind `msgpack:"v"`
 	Key     string `msgpack:"k"`
 	Owner   string `msgpack:"o"`
 	Attempt int    `msgpack:"n"`
 	Status  int    `msgpack:"s"`
 }
 
-// Answer is what became of an Op.
-type Answer int
+// Result is what became of an Op.
+type Result int
 
 // The answers.
 const (
 	// Granted means that the Op took effect: a Take holds the claim.
-	Granted Answer = iota
+	Granted Result = iota
 	// Held means that another attempt holds the claim: whether the operation
 	// ran is not known here.
 	Held
@@ -68,14 +68,14 @@
 	// Superseded means that a later attempt has been refused since, so that
 	// this one must not run any more.
 	Superseded
-	// Unwritten means that the platform did not take the write: no claim is
+	// NotWritten means that the platform did not take the write: no claim is
 	// held.
-	Unwritten
+	NotWritten
 )
 
 // Reply is the answer to an Op.
 type Reply struct {
-	Answer Answer `msgpack:"a"`
+	Result Result `msgpack:"a"`
 	Status int    `msgpack:"s"`
 }
 
@@ -87,10 +87,10 @@
 	}
 	have, ok := s.Entries[op.Key]
 	mine := ok && have.Owner == op.Owner
-	switch op.Verb {
-	case Take:
+	switch op.Kind {
+	case Acquire:
 		if mine && have.State != Released {
-			return Reply{Answer: Granted}
+			return Reply{Result: Granted}
 		}
 		if ok && (have.State != Released || have.Attempt >= op.Attempt) {
 			return held(have)
@@ -112,16 +112,16 @@
 			s.Entries[op.Key] = have
 		}
 	}
-	return Reply{Answer: Granted}
+	return Reply{Result: Granted}
 }
 
 func held(have Entry) Reply {
 	switch have.State {
 	case Done:
-		return Reply{Answer: AlreadyDone, Status: have.Status}
+		return Reply{Result: AlreadyDone, Status: have.Status}
 	case Released:
-		return Reply{Answer: Superseded}
+		return Reply{Result: Superseded}
 	default:
-		return Reply{Answer: Held}
+		return Reply{Result: Held}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -35,11 +35,11 @@
 	// reached, other than this one and those in avoid. Busy tells that some
 	// were left out because they have declined of late.
 	Hops(region, service string, avoid map[string]bool) (hops []Hop, busy bool)
-	// Sent records that a request was sent to an instance. Answered records
+	// RecordSent records that a request was sent to an instance. Answered records
 	// that it ran, and Declined that it did not and when to ask again.
-	Sent(instance, service string)
-	Answered(service, region string, latency time.Duration)
-	Declined(instance, service string, wait time.Duration)
+	RecordSent(instance, service string)
+	RecordAnswered(service, region string, latency time.Duration)
+	RecordDeclined(instance, service string, wait time.Duration)
 }
 
 // Hop is an instance that could take a request.
@@ -51,21 +51,21 @@
 
 // Caps admits requests to rows.
 type Caps interface {
-	Take(row table.Row) (share.Admission, time.Duration)
+	Admit(row table.Row) (share.Admission, time.Duration)
 }
 
 // Claims records claims of once-only operations.
 type Claims interface {
-	// Take claims a key for an attempt before ctx ends. When it returns an
+	// Acquire claims a key for an attempt before ctx ends. When it returns an
 	// error no claim of the attempt is held, and none ever will be.
-	Take(ctx context.Context, attempt Attempt) (claim.Reply, error)
+	Acquire(ctx context.Context, attempt OperationAttempt) (claim.Reply, error)
 	// Finish and Release record the end of the attempt, in the background.
-	Finish(attempt Attempt, status int)
-	Release(attempt Attempt)
+	Finish(attempt OperationAttempt, status int)
+	Release(attempt OperationAttempt)
 }
 
-// Attempt is one attempt at a once-only operation.
-type Attempt struct {
+// OperationAttempt is one attempt at a once-only operation.
+type OperationAttempt struct {
 	Key  string
 	Made time.Time
 	// Owner names the attempt. It is unique.
@@ -89,18 +89,18 @@
 	Hall     *Hall
 	Observer Observer
 	Log      *slog.Logger
-	// Draw returns a random order of rows and picks hops. It must be safe
+	// Chooser returns a random order of rows and picks hops. It must be safe
 	// for concurrent use.
-	Draw Draw
+	Chooser Chooser
 	// DefaultDeadline holds for requests that give none, and MaxDeadline for
 	// all. Stall ends a transfer that does not move.
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
-	Stall           time.Duration
+	StallTimeout    time.Duration
 }
 
-// Draw makes the random choices of a request.
-type Draw interface {
+// Chooser makes the random choices of a request.
+type Chooser interface {
 	Order(candidates []route.Candidate) []table.Row
 	Pick(peers []route.Peer) int
 	Jitter(d time.Duration) time.Duration
@@ -160,7 +160,7 @@
 
 func (e *Entry) handler(stage Stage, hop bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		ex := &Exchange{w: w, r: r, Hop: hop, Start: time.Now(), body: newBody(r)}
+		ex := &Exchange{w: w, r: r, FromHop: hop, Start: time.Now(), body: newBody(r)}
 		w.Header().Set(protocol.HeaderInstance, e.config.Instance)
 		defer e.open.Add(-1)
 		res := notRun(fullStatus, protocol.ReasonCapacity, "too many requests at this instance", e.jitter(time.Second))
@@ -169,10 +169,10 @@
 		}
 		res = ex.cautious(res)
 		switch {
-		case res.Broken:
+		case res.Incomplete:
 			// The caller must not take a part for the whole.
 			panic(http.ErrAbortHandler)
-		case !res.Sent:
+		case !res.ResponseSent:
 			if hop && res.Outcome == retry.NotRun {
 				w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
 			}
@@ -191,17 +191,17 @@
 		ex.w.Header().Set(protocol.HeaderRequestID, ex.ID)
 		res := next(ex)
 		took := time.Since(ex.Start)
-		if !ex.Hop {
+		if !ex.FromHop {
 			e.config.Observer.Observe(ex.Service.Name, res.Outcome, res.Reason, took)
 		}
 		level := slog.LevelDebug
-		if res.Broken || res.Outcome == retry.Unknown {
+		if res.Incomplete || res.Outcome == retry.Unknown {
 			level = slog.LevelWarn
 		}
 		e.config.Log.Log(ex.r.Context(), level, "request",
 			"request_id", ex.ID,
 			"service", ex.Service.Name,
-			"hop", ex.Hop,
+			"hop", ex.FromHop,
 			"to", ex.rowTo,
 			"target", ex.target,
 			"outcome", res.Outcome.String(),
@@ -209,7 +209,7 @@
 			"reason", string(res.Reason),
 			"detail", res.Detail,
 			"tries", ex.tries,
-			"broken", res.Broken,
+			"broken", res.Incomplete,
 			"ms", float64(took.Microseconds())/1000,
 		)
 		return res
@@ -254,7 +254,7 @@
 // classify finds the service and checks the operation key.
 func (e *Entry) classify(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		ex.From = e.config.Region
+		ex.OriginRegion = e.config.Region
 		res, ok := e.findService(ex)
 		if !ok {
 			return res
@@ -273,7 +273,7 @@
 // classifyHop finds the service of a request that another instance checked.
 func (e *Entry) classifyHop(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		ex.From = ex.r.Header.Get(protocol.HeaderFrom)
+		ex.OriginRegion = ex.r.Header.Get(protocol.HeaderFrom)
 		res, ok := e.findService(ex)
 		if !ok {
 			return res
@@ -308,12 +308,12 @@
 		}
 		attempt := attemptOf(ex)
 		ctx, cancel := context.WithDeadline(ex.r.Context(), ex.Deadline)
-		reply, err := e.config.Claims.Take(ctx, attempt)
+		reply, err := e.config.Claims.Acquire(ctx, attempt)
 		cancel()
 		if err != nil {
 			return notRun(fullStatus, protocol.ReasonClaims, err.Error(), e.jitter(time.Second))
 		}
-		if reply.Answer != claim.Granted {
+		if reply.Result != claim.Granted {
 			return e.claimed(reply)
 		}
 		ex.granted = true
@@ -328,19 +328,19 @@
 	}
 }
 
-func attemptOf(ex *Exchange) Attempt {
+func attemptOf(ex *Exchange) OperationAttempt {
 	made, _ := claim.ParseKey(ex.Key, ex.Start)
 	number, err := strconv.Atoi(ex.r.Header.Get(protocol.HeaderAttempt))
 	if err != nil || number < 1 {
 		number = 1
 	}
-	return Attempt{Key: ex.Key, Made: made, Owner: newID(), Number: number}
+	return OperationAttempt{Key: ex.Key, Made: made, Owner: newID(), Number: number}
 }
 
 // claimed is the result of an attempt that found the claim of another.
 func (e *Entry) claimed(reply claim.Reply) Result {
 	var res Result
-	switch reply.Answer {
+	switch reply.Result {
 	case claim.AlreadyDone:
 		res = unknown(protocol.ReasonDone, "an earlier attempt was answered", 0)
 		res.Outcome = retry.Ran
@@ -354,7 +354,7 @@
 	return res
 }
 
-func (e *Entry) jitter(d time.Duration) time.Duration { return e.config.Draw.Jitter(d) }
+func (e *Entry) jitter(d time.Duration) time.Duration { return e.config.Chooser.Jitter(d) }
 
 // mayRetry tells whether another attempt may follow, and takes it from the
 // budget.
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -26,15 +26,15 @@
 	// Start is the arrival, and Deadline when the answer has to begin.
 	Start    time.Time
 	Deadline time.Time
-	// From is the region that the request entered in.
-	From string
+	// OriginRegion is the region that the request entered in.
+	OriginRegion string
 	// granted is set once the claim of the operation is held, which shows
 	// that no earlier attempt ran.
 	granted bool
-	// Hop is set when another instance sent the request.
-	Hop  bool
-	plan *table.Plan
-	body *body
+	// FromHop is set when another instance sent the request.
+	FromHop bool
+	plan    *table.Plan
+	body    *body
 	// rowTo and target tell where the request ran, for the log.
 	rowTo  string
 	target string
@@ -51,10 +51,10 @@
 	RetryAfter time.Duration
 	// EarlierStatus is set for ReasonDone.
 	EarlierStatus int
-	// Sent is set when an answer was passed on from a target. Broken is set
+	// ResponseSent is set when an answer was passed on from a target. Broken is set
 	// when it could not be passed on whole.
-	Sent   bool
-	Broken bool
+	ResponseSent bool
+	Incomplete   bool
 }
 
 // Stage is the rest of a pipe, and Filter wraps one.
@@ -86,7 +86,7 @@
 // attempt did not run, but the operation may have.
 func (ex *Exchange) cautious(res Result) Result {
 	earlier := ex.r.Header.Get(protocol.HeaderEarlier) == retry.Unknown.String()
-	if !ex.Hop && !ex.granted && earlier && res.Outcome == retry.NotRun {
+	if !ex.FromHop && !ex.granted && earlier && res.Outcome == retry.NotRun {
 		res.Outcome = retry.Unknown
 	}
 	return res
--- a/entry/hall.go
+++ b/entry/hall.go
@@ -107,8 +107,8 @@
 	s.hall.deliver(pool.Release(time.Now(), s.Target.ID, result, latency))
 }
 
-// Hear takes in what the slot's target said of itself.
-func (s *Slot) Hear(w availability.SelfReport) {
+// ApplySelfReport takes in what the slot's target said of itself.
+func (s *Slot) ApplySelfReport(w availability.SelfReport) {
 	s.hall.mu.Lock()
 	defer s.hall.mu.Unlock()
 	s.hall.pools[s.service].ApplySelfReport(time.Now(), s.Target.ID, w)
--- a/entry/region.go
+++ b/entry/region.go
@@ -18,7 +18,7 @@
 // table in the order drawn. When none takes the request at once it may wait for
 // a slot at home; else it is given up with the nearest time to come back.
 func (e *Entry) region(ex *Exchange) Result {
-	rows := e.config.Draw.Order(e.config.Fleet.Candidates(ex.Service.Name))
+	rows := e.config.Chooser.Order(e.config.Fleet.Candidates(ex.Service.Name))
 	best := Result{}
 	for _, row := range rows {
 		res, again := e.row(ex, row)
@@ -81,7 +81,7 @@
 
 // admit asks for a unit of the row's cap.
 func (e *Entry) admit(row table.Row) (Result, bool) {
-	admission, wait := e.config.Caps.Take(row)
+	admission, wait := e.config.Caps.Admit(row)
 	if admission == share.Admitted {
 		return Result{}, true
 	}
@@ -104,7 +104,7 @@
 		for i := range hops {
 			peers[i] = hops[i].Peer
 		}
-		i := e.config.Draw.Pick(peers)
+		i := e.config.Chooser.Pick(peers)
 		if i < 0 && busy {
 			return notRun(fullStatus, protocol.ReasonCapacity, "every instance in "+row.To+" is busy", e.jitter(200*time.Millisecond)), true
 		}
@@ -136,11 +136,11 @@
 // may be tried elsewhere.
 func (e *Entry) toHop(ex *Exchange, row table.Row, hop Hop) (Result, bool) {
 	ex.tries++
-	e.config.Fleet.Sent(hop.ID, ex.Service.Name)
+	e.config.Fleet.RecordSent(hop.ID, ex.Service.Name)
 	a := e.transports.send(ex, hop.Addr, ex.r.URL.EscapedPath(), func(h http.Header) {
 		h.Set(protocol.HeaderFrom, e.config.Region)
 		h.Set(protocol.HeaderConfig, strconv.FormatInt(ex.plan.Version, 10))
-	}, e.config.Stall)
+	}, e.config.StallTimeout)
 	defer a.close()
 	outcome := retry.Classify(a.evidence)
 	if outcome == retry.Ran {
@@ -150,13 +150,13 @@
 	switch outcome {
 	case retry.Ran:
 		if a.latency > 0 {
-			e.config.Fleet.Answered(ex.Service.Name, row.To, a.latency)
+			e.config.Fleet.RecordAnswered(ex.Service.Name, row.To, a.latency)
 		}
 		ex.target = a.resp.Header.Get(protocol.HeaderTarget)
 		return e.pass(ex, a, func(http.Header) {}), false
 	case retry.NotRun:
 		res := e.declined(a, "instance "+hop.ID+" in "+row.To)
-		e.config.Fleet.Declined(hop.ID, ex.Service.Name, res.RetryAfter)
+		e.config.Fleet.RecordDeclined(hop.ID, ex.Service.Name, res.RetryAfter)
 		return res, true
 	default:
 		return e.lost(ex, a)
@@ -182,7 +182,7 @@
 	slot, wait := e.config.Hall.Acquire(ex.r.Context(), ex.Service.Name, balance.Request{
 		Deadline:        ex.Deadline,
 		QueueTimeout:    patience,
-		FromOtherRegion: ex.From != e.config.Region,
+		FromOtherRegion: ex.OriginRegion != e.config.Region,
 		Tried:           avoid,
 	})
 	if slot == nil {
@@ -217,10 +217,10 @@
 func (e *Entry) tryTarget(ex *Exchange, slot *Slot) (Result, bool) {
 	ex.tries++
 	ex.target = slot.Target.ID
-	a := e.transports.send(ex, slot.Target.Addr, ex.Path, stripOwn, e.config.Stall)
+	a := e.transports.send(ex, slot.Target.Addr, ex.Path, stripOwn, e.config.StallTimeout)
 	defer a.close()
 	outcome := retry.Classify(a.evidence)
-	slot.Hear(a.word(outcome))
+	slot.ApplySelfReport(a.word(outcome))
 	switch outcome {
 	case retry.Ran:
 		res := e.pass(ex, a, func(h http.Header) {
@@ -282,7 +282,7 @@
 		mark(h)
 	})
 	e.succeeded()
-	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, Sent: true, Broken: !whole}
+	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, ResponseSent: true, Incomplete: !whole}
 }
 
 // declined is the result of an attempt that did not run.
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -130,7 +130,7 @@
 }
 
 func baseline(o Options) node.Baseline {
-	b := node.Baseline{LoanLength: o.LoanLength}
+	b := node.Baseline{LoanDuration: o.LoanLength}
 	switch o.Policy {
 	case RoundRobin:
 		b.Policy = &balance.RoundRobin{}
--- a/internal/experiment/idle.go
+++ b/internal/experiment/idle.go
@@ -99,8 +99,8 @@
 	sent, received, calls := 0.0, 0.0, counts(cluster)
 	for _, in := range cluster.Instances() {
 		st := in.Status()
-		sent -= float64(st.Sent)
-		received -= float64(st.Received)
+		sent -= float64(st.PeerBytesSent)
+		received -= float64(st.PeerBytesReceived)
 	}
 	cpu := cpuSeconds()
 	time.Sleep(length)
@@ -108,8 +108,8 @@
 	after := counts(cluster)
 	for _, in := range cluster.Instances() {
 		st := in.Status()
-		sent += float64(st.Sent)
-		received += float64(st.Received)
+		sent += float64(st.PeerBytesSent)
+		received += float64(st.PeerBytesReceived)
 	}
 	seconds := length.Seconds()
 	result.CorePercent = 100 * used / seconds / n
--- a/node/admin.go
+++ b/node/admin.go
@@ -21,18 +21,18 @@
 
 // Status is what an instance says of itself to operators.
 type Status struct {
-	Instance member.Instance  `json:"instance"`
-	Ready    bool             `json:"ready"`
-	Leaving  bool             `json:"leaving"`
-	Version  int64            `json:"version"`
-	Seats    int              `json:"seats"`
-	LeaseMs  int64            `json:"lease_ms"`
-	Loads    []member.Load    `json:"loads"`
-	Rows     []share.RowState `json:"rows"`
-	Blocks   int              `json:"blocks"`
-	Peers    []PeerStatus     `json:"peers"`
-	Sent     int64            `json:"peer_bytes_sent"`
-	Received int64            `json:"peer_bytes_received"`
+	Instance          member.Instance  `json:"instance"`
+	Ready             bool             `json:"ready"`
+	Leaving           bool             `json:"leaving"`
+	Version           int64            `json:"version"`
+	Seats             int              `json:"seats"`
+	LeaseMs           int64            `json:"lease_ms"`
+	Loads             []member.Load    `json:"loads"`
+	Rows              []share.RowState `json:"rows"`
+	Blocks            int              `json:"blocks"`
+	Peers             []PeerStatus     `json:"peers"`
+	PeerBytesSent     int64            `json:"peer_bytes_sent"`
+	PeerBytesReceived int64            `json:"peer_bytes_received"`
 }
 
 // PeerStatus is another instance as this one sees it.
@@ -81,17 +81,17 @@
 	defer n.mu.Unlock()
 	sent, received, _ := n.mesh.Traffic()
 	out := Status{
-		Instance: n.self,
-		Ready:    n.ready(),
-		Leaving:  n.leaving,
-		Version:  n.Version(),
-		Seats:    len(n.agent.Held(now)),
-		LeaseMs:  max(n.agent.LeaseEnd().Sub(now).Milliseconds(), 0),
-		Loads:    n.hall.Loads(now),
-		Rows:     n.ledger.States(now),
-		Blocks:   n.blocks.Len(),
-		Sent:     sent,
-		Received: received,
+		Instance:          n.self,
+		Ready:             n.ready(),
+		Leaving:           n.leaving,
+		Version:           n.Version(),
+		Seats:             len(n.agent.Held(now)),
+		LeaseMs:           max(n.agent.LeaseEnd().Sub(now).Milliseconds(), 0),
+		Loads:             n.hall.Loads(now),
+		Rows:              n.ledger.States(now),
+		Blocks:            n.blocks.Len(),
+		PeerBytesSent:     sent,
+		PeerBytesReceived: received,
 	}
 	for _, s := range n.view.All(now) {
 		out.Peers = append(out.Peers, PeerStatus{ID: s.ID, Hall: s.Hall, State: s.State, Version: s.Config})
--- a/node/claim_batch.go
+++ b/node/claim_batch.go
@@ -25,7 +25,7 @@
 		case <-ctx.Done():
 			return
 		}
-		for number := range claim.Shards {
+		for number := range claim.ShardsPerSlice {
 			c.startWrites(ctx, number, all)
 		}
 	}
@@ -35,13 +35,13 @@
 func (c *claimWriter) startWrites(ctx context.Context, number int, all bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.queue.Waiting(number, all) {
+	for c.queue.HasBatch(number, all) {
 		ok, wait := c.paces[number].Allow(time.Now())
 		if !ok {
 			time.AfterFunc(wait, c.signal)
 			return
 		}
-		shard, ops := c.queue.Next(number, all)
+		shard, ops := c.queue.NextBatch(number, all)
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
@@ -104,10 +104,10 @@
 func (c *claimWriter) refuse(id claim.ShardID, ops []claim.Op) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.queue.Written(id)
+	c.queue.BatchDone(id)
 	for _, op := range ops {
-		if op.Verb == claim.Take {
-			c.answer(waitName(op), claim.Reply{Answer: claim.Unwritten})
+		if op.Kind == claim.Acquire {
+			c.answer(waitName(op), claim.Reply{Result: claim.NotWritten})
 		} else {
 			c.queue.Add(id, op, false)
 		}
@@ -159,7 +159,7 @@
 	for i, op := range ops {
 		c.answer(waitName(op), replies[i])
 	}
-	c.queue.Written(id)
+	c.queue.BatchDone(id)
 }
 
 // flush waits until every end of a claim is written, or ctx ends.
--- a/node/claim_writer.go
+++ b/node/claim_writer.go
@@ -32,8 +32,8 @@
 
 	mu      sync.Mutex
 	queue   claim.Queue
-	paces   [claim.Shards]claim.Pace
-	writers [claim.Shards]claimRoute
+	paces   [claim.ShardsPerSlice]claim.TokenBucket
+	writers [claim.ShardsPerSlice]claimRoute
 	waiting map[string]*claimWait
 	shards  map[claim.ShardID]shardState
 	wake    chan struct{}
@@ -84,7 +84,7 @@
 	}
 	c.platformUp.Store(true)
 	for i := range c.paces {
-		c.paces[i] = claim.Pace{Rate: budget / claim.Shards, Burst: claimBurst}
+		c.paces[i] = claim.TokenBucket{Rate: budget / claim.ShardsPerSlice, Burst: claimBurst}
 	}
 	return c
 }
@@ -99,9 +99,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range c.writers {
-		id := claim.Writer(i, ids)
+		id := claim.WriterFor(i, ids)
 		c.writers[i] = claimRoute{id: id, addr: addrs[id]}
-		c.paces[i].Rate = c.budget / claim.Shards
+		c.paces[i].Rate = c.budget / claim.ShardsPerSlice
 		if id != c.self {
 			// All that write in the writer's place share one budget, so
 			// that a slow writer is not followed by a rush of all others.
@@ -117,16 +117,16 @@
 	return c.writers[number].id == c.self
 }
 
-func opOf(verb claim.Verb, a entry.Attempt) claim.Op {
-	return claim.Op{Verb: verb, Key: a.Key, Owner: a.Owner, Attempt: a.Number}
+func opOf(verb claim.OpKind, a entry.OperationAttempt) claim.Op {
+	return claim.Op{Kind: verb, Key: a.Key, Owner: a.Owner, Attempt: a.Number}
 }
 
-// Take implements entry.Claims.
-func (c *claimWriter) Take(ctx context.Context, a entry.Attempt) (claim.Reply, error) {
+// Acquire implements entry.Claims.
+func (c *claimWriter) Acquire(ctx context.Context, a entry.OperationAttempt) (claim.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxClaimWait)
 	defer cancel()
 	shard := claim.ShardOf(a.Key, a.Made)
-	op := opOf(claim.Take, a)
+	op := opOf(claim.Acquire, a)
 	replies := make(chan claim.Reply, 1)
 	wait := &claimWait{op: op, reply: func(r claim.Reply) { replies <- r }}
 	c.mu.Lock()
@@ -136,7 +136,7 @@
 	if writer.id != "" && writer.id != c.self {
 		c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, Timeout: writerPatience})
 		reply, ok := await(ctx, replies, writerPatience)
-		if ok && reply.Answer != claim.Unwritten {
+		if ok && reply.Result != claim.NotWritten {
 			return reply, nil
 		}
 		if !c.platformUp.Load() {
@@ -152,7 +152,7 @@
 	}
 	c.add(shard, op, true)
 	reply, ok := await(ctx, replies, maxClaimWait)
-	if ok && reply.Answer != claim.Unwritten {
+	if ok && reply.Result != claim.NotWritten {
 		return reply, nil
 	}
 	return c.giveUp(a, shard, op, replies)
@@ -172,11 +172,11 @@
 
 // giveUp ends the wait for a claim. Should the claim be granted yet, here or
 // at the writer, it is released.
-func (c *claimWriter) giveUp(a entry.Attempt, shard claim.ShardID, op claim.Op, replies <-chan claim.Reply) (claim.Reply, error) {
+func (c *claimWriter) giveUp(a entry.OperationAttempt, shard claim.ShardID, op claim.Op, replies <-chan claim.Reply) (claim.Reply, error) {
 	c.mu.Lock()
 	select {
 	case reply := <-replies:
-		if reply.Answer != claim.Unwritten {
+		if reply.Result != claim.NotWritten {
 			c.mu.Unlock()
 			return reply, nil
 		}
@@ -190,17 +190,17 @@
 }
 
 // Finish implements entry.Claims.
-func (c *claimWriter) Finish(a entry.Attempt, status int) {
+func (c *claimWriter) Finish(a entry.OperationAttempt, status int) {
 	op := opOf(claim.Finish, a)
 	op.Status = status
 	c.later(a, op)
 }
 
 // Release implements entry.Claims.
-func (c *claimWriter) Release(a entry.Attempt) { c.later(a, opOf(claim.Release, a)) }
+func (c *claimWriter) Release(a entry.OperationAttempt) { c.later(a, opOf(claim.Release, a)) }
 
 // later has the end of a claim written, by the shard's writer if there is one.
-func (c *claimWriter) later(a entry.Attempt, op claim.Op) {
+func (c *claimWriter) later(a entry.OperationAttempt, op claim.Op) {
 	shard := claim.ShardOf(a.Key, a.Made)
 	c.mu.Lock()
 	writer := c.writers[shard.Number]
@@ -228,7 +228,7 @@
 func endName(op claim.Op) string { return op.Owner + "/end" }
 
 func waitName(op claim.Op) string {
-	if op.Verb == claim.Take {
+	if op.Kind == claim.Acquire {
 		return op.Owner
 	}
 	return endName(op)
@@ -250,7 +250,7 @@
 		c.mesh.Send(addr, &peer.ClaimReply{Owner: waitName(msg.Op), Reply: r})
 	}}
 	c.mu.Unlock()
-	c.add(msg.Shard, msg.Op, msg.Op.Verb == claim.Take)
+	c.add(msg.Shard, msg.Op, msg.Op.Kind == claim.Acquire)
 }
 
 // receive takes in the reply of a writer.
--- a/node/config.go
+++ b/node/config.go
@@ -32,21 +32,21 @@
 	Secret string
 	// LookupTTL is how long callers may keep the answer to a look-up.
 	LookupTTL time.Duration
-	// DrainMax bounds a planned stop. 0 waits for every request.
-	DrainMax time.Duration
+	// MaxDrainTime bounds a planned stop. 0 waits for every request.
+	MaxDrainTime time.Duration
 	// Heartbeat is the time between two rounds of heartbeats.
 	Heartbeat time.Duration
 	// DefaultDeadline holds for requests that give none, and MaxDeadline for
 	// all. Stall ends a transfer that does not move.
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
-	Stall           time.Duration
-	// ClaimWrites is the part of the platform's writes a second that all
+	StallTimeout    time.Duration
+	// ClaimWriteRate is the part of the platform's writes a second that all
 	// instances together may use for claims.
-	ClaimWrites float64
-	Timing      seat.Timing
-	Members     member.Settings
-	Log         *slog.Logger
+	ClaimWriteRate float64
+	Timing         seat.Timing
+	Members        member.Settings
+	Log            *slog.Logger
 	// Admitted is called for every request admitted to a row, if set. It
 	// must be quick and safe for concurrent use.
 	Admitted func(row table.RowKey, at time.Time)
@@ -59,20 +59,20 @@
 	NoLoans     bool
 	NoSlowStart bool
 	Policy      balance.Policy
-	// LoanLength is the length of loans; 0 leaves the default.
-	LoanLength time.Duration
+	// LoanDuration is the length of loans; 0 leaves the default.
+	LoanDuration time.Duration
 }
 
 // Defaults returns the settings of a daemon, without names and addresses.
 func Defaults() Config {
 	return Config{
 		LookupTTL:       5 * time.Second,
-		DrainMax:        10 * time.Minute,
+		MaxDrainTime:    10 * time.Minute,
 		Heartbeat:       500 * time.Millisecond,
 		DefaultDeadline: 10 * time.Second,
 		MaxDeadline:     2 * time.Minute,
-		Stall:           15 * time.Second,
-		ClaimWrites:     40,
+		StallTimeout:    15 * time.Second,
+		ClaimWriteRate:  40,
 		Timing:          seat.DefaultTiming,
 		Members:         member.DefaultSettings,
 	}
@@ -112,7 +112,7 @@
 		{"heartbeat", c.Heartbeat, 20 * time.Millisecond, 10 * time.Second},
 		{"default-deadline", c.DefaultDeadline, 10 * time.Millisecond, c.MaxDeadline},
 		{"max-deadline", c.MaxDeadline, 10 * time.Millisecond, time.Hour},
-		{"stall", c.Stall, 100 * time.Millisecond, time.Hour},
+		{"stall", c.StallTimeout, 100 * time.Millisecond, time.Hour},
 	} {
 		if s.value < s.min || s.value > s.max {
 			add(s.field, "%s is not in %s to %s", s.value, s.min, s.max)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -193,8 +193,8 @@
 	return hops, busy
 }
 
-// Sent implements entry.Fleet.
-func (n *Node) Sent(instance, service string) {
+// RecordSent implements entry.Fleet.
+func (n *Node) RecordSent(instance, service string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.sent[offer{instance, service}]++
@@ -206,16 +206,16 @@
 	maxDeclined = time.Second
 )
 
-// Declined implements entry.Fleet.
-func (n *Node) Declined(instance, service string, wait time.Duration) {
+// RecordDeclined implements entry.Fleet.
+func (n *Node) RecordDeclined(instance, service string, wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	wait = min(max(wait, minDeclined), maxDeclined)
 	n.declined[offer{instance, service}] = time.Now().Add(wait)
 }
 
-// Answered implements entry.Fleet.
-func (n *Node) Answered(service, region string, latency time.Duration) {
+// RecordAnswered implements entry.Fleet.
+func (n *Node) RecordAnswered(service, region string, latency time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := destination{service, region}
@@ -231,8 +231,8 @@
 	return w == nil || w.Warm()
 }
 
-// Take implements entry.Caps.
-func (n *Node) Take(row table.Row) (share.Admission, time.Duration) {
+// Admit implements entry.Caps.
+func (n *Node) Admit(row table.Row) (share.Admission, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
--- a/node/node.go
+++ b/node/node.go
@@ -162,8 +162,8 @@
 	n.agent = seat.NewAgent(n.self.ID, n.self.PeerAddr, n.self.Hall, n.config.Timing)
 	n.ledger = share.NewLedger(n.self.Hall, n.self.Region, seat.Count, n.rand.Uint64())
 	n.ledger.NoLoans = n.config.Baseline.NoLoans
-	if n.config.Baseline.LoanLength > 0 {
-		n.ledger.Terms.Duration = n.config.Baseline.LoanLength
+	if n.config.Baseline.LoanDuration > 0 {
+		n.ledger.Terms.Duration = n.config.Baseline.LoanDuration
 	}
 	n.hall = entry.NewHall(balance.Config{
 		Policy:      n.config.Baseline.Policy,
@@ -171,7 +171,7 @@
 		NoSlowStart: n.config.Baseline.NoSlowStart,
 	})
 	n.mesh = peer.NewMesh(n.self.ID, n.config.Secret, n, n.log)
-	n.claims = newClaimWriter(n.self.ID, n.store, n.mesh, n.config.ClaimWrites, n.log)
+	n.claims = newClaimWriter(n.self.ID, n.store, n.mesh, n.config.ClaimWriteRate, n.log)
 	n.entry = entry.New(entry.Config{
 		Instance:        n.self.ID,
 		Region:          n.self.Region,
@@ -181,10 +181,10 @@
 		Hall:            n.hall,
 		Observer:        n,
 		Log:             n.log,
-		Draw:            n,
+		Chooser:         n,
 		DefaultDeadline: n.config.DefaultDeadline,
 		MaxDeadline:     n.config.MaxDeadline,
-		Stall:           n.config.Stall,
+		StallTimeout:    n.config.StallTimeout,
 	})
 	n.fleet.Store(&fleet{})
 }
--- a/node/register.go
+++ b/node/register.go
@@ -110,7 +110,7 @@
 	if !n.claims.isWriter(0) {
 		return
 	}
-	for _, prefix := range claim.ExpiredSlices(time.Now(), 2*sweepEvery) {
+	for _, prefix := range claim.ExpiredSlicePrefixes(time.Now(), 2*sweepEvery) {
 		listing, err := n.store.List(ctx, prefix)
 		if err != nil {
 			return
--- a/node/stop.go
+++ b/node/stop.go
@@ -81,8 +81,8 @@
 }
 
 func (n *Node) drainContext() (context.Context, context.CancelFunc) {
-	if n.config.DrainMax > 0 {
-		return context.WithTimeout(context.Background(), n.config.DrainMax)
+	if n.config.MaxDrainTime > 0 {
+		return context.WithTimeout(context.Background(), n.config.MaxDrainTime)
 	}
 	return context.WithCancel(context.Background())
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -28,8 +28,8 @@
 		&Loan{share.Loan{Units: 3, For: time.Second, Nonce: 9, Version: 4}},
 		&Pull{Key: "config/table", Version: 3},
 		&Object{Key: "config/table", Version: 3, Value: []byte("{}")},
-		&Claim{Shard: claim.ShardID{Slice: "x", Number: 1}, Op: claim.Op{Key: "k", Owner: "o", Attempt: 2}},
-		&ClaimReply{Owner: "o", Reply: claim.Reply{Answer: claim.Held, Status: 200}},
+		&Claim{Shard: claim.ShardID{TimeSlice: "x", Number: 1}, Op: claim.Op{Key: "k", Owner: "o", Attempt: 2}},
+		&ClaimReply{Owner: "o", Reply: claim.Reply{Result: claim.Held, Status: 200}},
 	}
 }
 
