--- a/feed/catchup.go
+++ b/feed/catchup.go
@@ -6,57 +6,66 @@
 )
 
 const (
-	// requestInterval is the shortest time between two questions for a replica: three times the
-	// way between the regions of the sites and back, so that an answer has come by then.
+	// requestInterval is the minimum time between two requests for a replica. It is three
+	// times the round-trip time between regions, so that a reply has normally arrived by
+	// then.
 	requestInterval = 300 * time.Millisecond
-	// sourceTTL is how long an instance counts as ahead after it has said so: six rounds
-	// of gossip, in which those of other regions are heard twice.
+	// sourceTTL is how long the position that a source has announced remains valid. It
+	// spans six rounds of gossip, in which an instance of another region announces its
+	// position twice.
 	sourceTTL = 3 * time.Second
 )
 
-// Source is an instance that says that it is ahead with a replica.
+// Source is an instance that has announced a later position than that of the local replica.
 type Source struct {
+	// Addr is the peer address of the instance.
 	Addr string
-	// Position is the one that its replica reflects, as it says.
+	// Position is the announced position of its replica.
 	Position Position
-	// Delay is how long the replica has to be behind before this instance is asked: the
-	// usual way may still bring what is missing.
+	// Delay is how long the replica has to be behind before this source is asked. The
+	// regular distribution may still deliver the missing changes within that time.
 	Delay time.Duration
 }
 
-// Request is what was sent to an instance to get what a replica lacks.
+// Request is a request for missing changes that was sent to the instance with the address
+// To.
 type Request struct {
 	To     string
 	SentAt time.Time
 }
 
-// CatchUp decides, for one replica that is behind, when another instance is asked for
-// what is missing, and which one. Of those that are ahead the one is asked that was not
-// asked for the longest time, whoever speaks up first: an instance that never answers,
-// because the connection to it has fallen silent, costs requestInterval and not the turn of those
-// that would answer. When whoever spoke up first was asked, a change was kept from an
-// instance for 3.1 s, where 2.5 s are allowed, with two others that had it; 0.13 s since
-// (simulated days in which a region's first watcher comes back after a loss of power).
-// CatchUp is not safe for concurrent use; the zero value is ready.
+// CatchUp decides, for one replica that is behind, when to request the missing changes and
+// from which source. It chooses the source that was not asked for the longest time. A
+// source that never replies, for example because the connection to it silently drops
+// packets, therefore delays the catch-up by requestInterval only. Asking the source that
+// announces itself first instead can choose an unresponsive source again and again: it
+// delayed a change by 3.1 s, where 2.5 s are allowed, although two other sources had it.
+//
+// CatchUp is not safe for concurrent use. The zero value is ready to use.
 type CatchUp struct {
-	// position is the replica's own position, and since is when it was first seen to be behind.
+	// position is the position of the replica, and behindSince is when the replica was
+	// first known to be behind.
 	position    Position
 	behindSince time.Time
-	// skipDelays says that the usual way has failed: a delta left a gap, or a question was not
-	// answered.
+	// skipDelays is set once the regular distribution has failed, because a delta left a
+	// gap or a request was not answered. Sources are then asked without their delay.
 	skipDelays bool
-	sources    map[string]*candidate
-	last       Request
-	pending    bool
+	// sources holds the sources that are ahead of the replica, by address.
+	sources map[string]*candidate
+	// last is the last request. It is pending until changes arrive.
+	last    Request
+	pending bool
 }
 
-// candidate is a source with what has been done about it.
+// candidate is a source, with the times of its last announcement and of the last request to
+// it.
 type candidate struct {
 	Source
 	announcedAt, askedAt time.Time
 }
 
-// AddSource takes in that a source is ahead of the replica, which is at a position.
+// AddSource records that source s is ahead of the replica, whose position is at. It ignores
+// a source that is not.
 func (c *CatchUp) AddSource(now time.Time, at Position, s Source) {
 	c.prune(now, at)
 	if !s.Position.After(at) {
@@ -76,15 +85,16 @@
 	known.Source, known.announcedAt = s, now
 }
 
-// AddSourceAfterGap takes in that a delta of a source begins after the replica's position: no other way
-// brings what is between, so that there is nothing to wait for.
+// AddSourceAfterGap is AddSource for a source whose delta begins after the replica's
+// position. The regular distribution does not deliver the changes in between any more, so
+// the sources are asked without their delay.
 func (c *CatchUp) AddSourceAfterGap(now time.Time, at Position, s Source) {
 	c.AddSource(now, at, s)
 	c.skipDelays = c.skipDelays || len(c.sources) > 0
 }
 
-// prune takes in the replica's position, and drops the claims that it has reached or that
-// are old.
+// prune records the replica's position. It drops sources that are no longer ahead or whose
+// announcement has expired.
 func (c *CatchUp) prune(now time.Time, at Position) {
 	if at != c.position {
 		c.position, c.behindSince, c.skipDelays = at, now, false
@@ -99,8 +109,9 @@
 	}
 }
 
-// NextRequest returns the instance to ask now for what a replica at a position lacks, if there is
-// one. The question counts as asked.
+// NextRequest returns the address of the instance from which a replica at position at
+// should request the missing changes now. It returns false if nothing is to be requested
+// yet. Otherwise it records the request as sent.
 func (c *CatchUp) NextRequest(now time.Time, at Position) (addr string, ok bool) {
 	c.prune(now, at)
 	if now.Sub(c.last.SentAt) < requestInterval {
@@ -126,18 +137,19 @@
 	return best.Addr, true
 }
 
-// precedes tells whether a source is asked precedes another one: the one that was not asked
-// for longer, then the one that is to be asked sooner, then the one heard last.
+// precedes reports whether s is asked before other. The source that was not asked for
+// longer comes first, then the one with the shorter delay, then the one that announced its
+// position last.
 func (s *candidate) precedes(other *candidate) bool {
 	order := cmp.Or(s.askedAt.Compare(other.askedAt), cmp.Compare(s.Delay, other.Delay), other.announcedAt.Compare(s.announcedAt), cmp.Compare(s.Addr, other.Addr))
 	return order < 0
 }
 
-// Pending returns the last question if nothing has come since it was asked.
+// Pending returns the last request, and whether no changes have arrived since it was sent.
 func (c *CatchUp) Pending() (Request, bool) { return c.last, c.pending }
 
-// Received takes in that changes have come from another instance, whichever it is. It
-// tells whether a question was open.
+// Received records that changes have arrived from any instance. It reports whether a
+// request was pending.
 func (c *CatchUp) Received() bool {
 	open := c.pending
 	c.pending = false
--- a/feed/catchup_test.go
+++ b/feed/catchup_test.go
@@ -18,9 +18,10 @@
 	gossipRound     = 500 * time.Millisecond
 )
 
-// TestCatchUp plays what a replica at revision 10 hears and checks whom it asks. An event
-// is at a time in milliseconds: a claim of a source, or, with gap set, a delta of it that
-// left a gap; or, if reached is set, changes that bring the replica to a revision.
+// TestCatchUp checks which source a replica at revision 10 asks after a sequence of events.
+// Each event happens at a time in milliseconds. It is the announcement of a source, a delta
+// of a source that leaves a gap (gap), or the arrival of changes up to a revision
+// (reached).
 func TestCatchUp(t *testing.T) {
 	type event struct {
 		at      int
@@ -35,52 +36,52 @@
 		name   string
 		events []event
 	}{
-		{"at once if there is nothing to wait for", []event{{at: 0, from: "a", claims: 11, asks: "a"}}},
-		{"not if it is not ahead", []event{{at: 0, from: "a", claims: 10}}},
-		{"once the usual way had its time", []event{
+		{"a source without a delay is asked at once", []event{{at: 0, from: "a", claims: 11, asks: "a"}}},
+		{"a source that is not ahead is not asked", []event{{at: 0, from: "a", claims: 10}}},
+		{"a source is asked after its delay", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 500, from: "a", claims: 11, after: 700},
 			{at: 1000, from: "a", claims: 11, after: 700, asks: "a"},
 		}},
-		{"not if the usual way has brought it", []event{
+		{"no request after the changes have arrived", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 100, reached: 11},
 			{at: 1000, from: "a", claims: 11, after: 700},
 		}},
-		{"not sooner for what comes later", []event{
+		{"the delay starts again for later changes", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 100, reached: 11},
 			{at: 1000, from: "a", claims: 12, after: 700},
 			{at: 1500, from: "a", claims: 12, after: 700},
 			{at: 2000, from: "a", claims: 12, after: 700, asks: "a"},
 		}},
-		{"at once after a gap, the sender first", []event{
+		{"after a gap the sender is asked at once", []event{
 			{at: 0, from: "b", claims: 13, after: 700},
 			{at: 100, from: "a", claims: 13, gap: true, asks: "a"},
 		}},
-		{"a far one only later", []event{
+		{"a distant source has a longer delay", []event{
 			{at: 0, from: "far", claims: 11, after: 1400},
 			{at: 200, from: "near", claims: 11, after: 700},
 			{at: 800, from: "far", claims: 11, after: 1400, asks: "near"},
 		}},
-		{"another one when there is no answer, the same one in the end", []event{
+		{"another source is asked if there is no reply, then the first one again", []event{
 			{at: 0, from: "a", claims: 13, gap: true, asks: "a"},
 			{at: 200, from: "b", claims: 13, after: 700},
 			{at: 500, from: "a", claims: 13, after: 700, asks: "b"},
 			{at: 700, from: "b", claims: 13, after: 700},
 			{at: 1000, from: "a", claims: 13, after: 700, asks: "a"},
 		}},
-		{"the only one again", []event{
+		{"the only source is asked again", []event{
 			{at: 0, from: "a", claims: 11, asks: "a"},
 			{at: 299, from: "a", claims: 11},
 			{at: 300, from: "a", claims: 11, asks: "a"},
 		}},
-		{"an old claim is forgotten, and so is the wait", []event{
+		{"an announcement expires, and the delay starts again", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 3001, from: "b", claims: 11, after: 700},
 			{at: 3701, from: "b", claims: 11, after: 700, asks: "b"},
 		}},
-		{"an answer that brings a part only", []event{
+		{"a reply that brings only some of the changes", []event{
 			{at: 0, from: "a", claims: 13, gap: true, asks: "a"},
 			{at: 100, reached: 12},
 			{at: 350, from: "b", claims: 13, after: 700, asks: "a"},
@@ -115,9 +116,10 @@
 	}
 }
 
-// TestCatchUpReachesResponsiveSource has any number of sources gossip once a round, each at its
-// own moment, of which some never answer, and checks that one that does is asked before
-// long: each silent one costs a round at most.
+// TestCatchUpReachesResponsiveSource guards against a catch-up that keeps asking sources
+// that never reply. Several sources announce themselves once per gossip round, each at its
+// own time in the round, and some of them never reply. Each of these may delay the request
+// to a responsive source by one round at most.
 func TestCatchUpReachesResponsiveSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const after = 700 * time.Millisecond
@@ -160,6 +162,6 @@
 				}
 			}
 		}
-		t.Fatalf("only silent ones were asked within %v: %v", bound, asked)
+		t.Fatalf("only unresponsive sources were asked within %v: %v", bound, asked)
 	})
 }
--- a/feed/doc.go
+++ b/feed/doc.go
@@ -1,21 +1,23 @@
-// Package feed replicates objects of a store that other parties write, from the
-// instances that watch the store (the watchers) to all others.
+// Package feed replicates the objects of an external store. Instances that watch the store
+// (the watchers) distribute its changes to all other instances.
 //
 // A Position is a point in the history of the store: a revision within an era. The store
-// begins a new era when it comes back from a copy of itself; its latest changes are gone
-// then, and their revisions are given out again. A position of a later era is later.
+// begins a new era when it is restored from a backup. The changes after the backup are lost
+// then, and their revisions are assigned again. A position of a later era is later,
+// whatever its revision.
 //
-// A Replica holds the objects of one kind as of a position. A Delta carries every change
-// of the kind between two positions of an era; a full delta carries the whole kind. A delta
-// applies to a replica only if it begins at or before the replica's position and ends after
-// it, so that a replica moves forward only and leaves nothing out, whatever is lost, delayed
-// or repeated on the way and whoever sends it. Only a full or an exact delta leads to
-// another era. An exact delta is the difference of two states; it applies only
-// to a replica at the first of them.
+// A Replica holds the objects of one kind as of a position. A Delta carries every change of
+// the kind between two positions of an era. A full delta carries all objects of the kind. A
+// delta applies to a replica only if it begins at or before the replica's position and ends
+// after it. A replica therefore only moves forward and misses no change, even if deltas are
+// lost, delayed or duplicated, and whichever instance sends them. Only a full or an exact
+// delta leads to another era. An exact delta is the difference of two states and applies
+// only to a replica at the first of them.
 //
-// CatchUp decides, for a replica that is behind, which instance is asked for what it
-// lacks. Lapse holds back removals that follow an outage of the store.
+// CatchUp chooses the instance from which a replica that is behind requests the missing
+// changes. RemovalHold delays removals that follow an outage of the store. Tombstones
+// suppresses removed objects that a restored store lists again.
 //
-// All three are pure: time comes in as an argument, and there is no goroutine or
-// connection inside.
+// None of these types has goroutines, connections or a clock: the time is an argument of
+// their methods.
 package feed
--- a/feed/position.go
+++ b/feed/position.go
@@ -7,26 +7,26 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Position is a point in the history of the store. The store counts its changes by revisions. When
-// it comes back from a copy it has lost the latest of them, and goes on to count from the copy's: it
-// is in a new era. A position of a later era is later, whatever the revisions are.
+// Position is a point in the history of the store. The store numbers its changes by
+// revisions. When it is restored from a backup, it loses the latest changes and continues
+// to count from the revision of the backup, in a new era. A position of a later era is
+// later, whatever the revisions are.
 //
-// The zero value stands before all history. A position at revision 0 of any era is that too.
+// The zero value precedes all history, and so does any position with revision 0.
 type Position struct {
-	// Era counts how often the store has come back from a copy. It is 0 where the store does not
-	// tell.
+	// Era is the number of restores from a backup. It is 0 if the store does not report it.
 	Era int64
-	// Revision is that of a change, within its era.
+	// Revision is the revision of a change within the era.
 	Revision int64
 }
 
 // At returns the position of a revision in an era.
 func At(era, revision int64) Position { return Position{Era: era, Revision: revision} }
 
-// IsZero tells whether the position stands before all history.
+// IsZero reports whether the position precedes all history.
 func (p Position) IsZero() bool { return p.Revision <= 0 }
 
-// Compare returns -1, 0 or 1 if p is earlier than q, the same or later.
+// Compare returns -1 if p is earlier than q, 0 if both are the same, and 1 if p is later.
 func (p Position) Compare(q Position) int {
 	switch {
 	case p.IsZero() || q.IsZero():
@@ -38,7 +38,7 @@
 	}
 }
 
-// After tells whether p is later than q.
+// After reports whether p is later than q.
 func (p Position) After(q Position) bool { return p.Compare(q) > 0 }
 
 // Later returns the later of two positions.
@@ -49,13 +49,14 @@
 	return p
 }
 
-// ErrPosition means that a position can't be read.
+// ErrPosition is returned for an encoded position that is malformed.
 var ErrPosition = errors.New("feed: malformed position")
 
-// positionFields is the number of values that encode a position.
+// positionFields is the number of values in an encoded position.
 const positionFields = 2
 
-// EncodeMsgpack implements msgpack.CustomEncoder: an array of era and revision.
+// EncodeMsgpack implements msgpack.CustomEncoder. A position is an array of its era and
+// revision.
 func (p Position) EncodeMsgpack(enc *msgpack.Encoder) error {
 	return errors.Join(enc.EncodeArrayLen(positionFields), enc.EncodeInt(p.Era), enc.EncodeInt(p.Revision))
 }
--- a/feed/position_test.go
+++ b/feed/position_test.go
@@ -10,8 +10,8 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestPositionOrder checks the order of positions: by era, then by revision, with all that stand before all
-// history first and alike.
+// TestPositionOrder checks that positions are ordered by era, then by revision, and that
+// all positions that precede history are equal and come first.
 func TestPositionOrder(t *testing.T) {
 	ordered := [][]feed.Position{
 		{{}, feed.At(0, 0), feed.At(4, 0), feed.At(1, -7)},
@@ -33,8 +33,8 @@
 	}
 }
 
-// TestPositionEncoding checks that a position arrives as it was, in few bytes, and that values of another form
-// are refused.
+// TestPositionEncoding checks that an encoded position is decoded unchanged, that it is
+// short, and that values of another form are rejected.
 func TestPositionEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := feed.At(rapid.Int64().Draw(t, "era"), rapid.Int64().Draw(t, "revision"))
--- a/feed/removal_hold.go
+++ b/feed/removal_hold.go
@@ -6,29 +6,38 @@
 )
 
 const (
-	// minOutage is the length of an outage of the store from which on objects
-	// that are kept alive by writes may have lapsed meanwhile.
+	// minOutage is the minimum length of a store outage during which objects may have
+	// expired because their owners could not refresh them.
 	minOutage = 3 * time.Second
-	// removalGrace is how long after it their owners may take to write them again.
+	// removalGrace is the time that owners have to write their objects again after an
+	// outage.
 	removalGrace = 2 * time.Second
 )
 
-// RemovalHold holds back removals that follow an outage of the store, or its return from a copy.
-// Objects that their owners keep alive by writing them lapse while the store is away, and
-// what was written after the copy is gone; both are back soon after it: a removal that an
-// instance learns of in that time counts only if the object is still missing when it is
-// over. RemovalHold is not safe for concurrent use; the zero value is ready.
+// RemovalHold delays removals that follow an outage of the store or its restore from a
+// backup. Objects that their owners keep alive by periodic writes expire while the store is
+// unreachable, and a restored store lacks the objects that were written after the backup.
+// Their owners soon write both kinds again. A removal that is observed in this time
+// therefore takes effect only if the object is still missing at the end of it.
+//
+// RemovalHold is not safe for concurrent use. The zero value is ready to use.
 type RemovalHold struct {
+	// answeredAt is when the store answered last, and failed whether a call has failed
+	// since.
 	answeredAt time.Time
 	failed     bool
-	until      time.Time
-	held       map[string]bool
+	// until is the end of the hold, and held contains the objects whose removals are
+	// delayed.
+	until time.Time
+	held  map[string]bool
 }
 
-// StoreFailed takes in that a call to the store failed.
+// StoreFailed records that a call to the store failed.
 func (h *RemovalHold) StoreFailed() { h.failed = true }
 
-// StoreAnswered takes in that the store answered.
+// StoreAnswered records that the store answered. The answer ends an outage if calls have
+// failed since the previous one. Removals are then held for removalGrace if the outage was
+// long enough for objects to expire.
 func (h *RemovalHold) StoreAnswered(now time.Time) {
 	if h.failed && !h.answeredAt.IsZero() && now.Sub(h.answeredAt) >= minOutage {
 		h.until = now.Add(removalGrace)
@@ -37,11 +46,12 @@
 	h.answeredAt = now
 }
 
-// StoreRestored takes in that the store has come back from a copy: removals are held back for a time.
+// StoreRestored records that the store was restored from a backup, and holds removals for
+// the given time.
 func (h *RemovalHold) StoreRestored(now time.Time, hold time.Duration) { h.extend(now, hold) }
 
-// Inherit takes in that another instance, from which removals come, holds them back
-// for a while.
+// Inherit extends the hold to the remaining hold of the instance that sent removals, but by
+// removalGrace at most.
 func (h *RemovalHold) Inherit(now time.Time, remaining time.Duration) {
 	h.extend(now, min(remaining, removalGrace))
 }
@@ -52,10 +62,10 @@
 	}
 }
 
-// Remaining is how long removals are held back from now on.
+// Remaining returns how long removals are still held, or 0.
 func (h *RemovalHold) Remaining(now time.Time) time.Duration { return max(0, h.until.Sub(now)) }
 
-// Hold tells whether the removal of an object is held back, and notes it.
+// Hold reports whether the removal of an object is held, and records the removal if so.
 func (h *RemovalHold) Hold(now time.Time, name string) bool {
 	if h.Remaining(now) == 0 {
 		return false
@@ -67,14 +77,14 @@
 	return true
 }
 
-// Cancel takes in that an object is there.
+// Cancel drops the held removal of an object that exists again.
 func (h *RemovalHold) Cancel(name string) { delete(h.held, name) }
 
-// Holding tells whether the removal of any object is held back.
+// Holding reports whether the removal of any object is held.
 func (h *RemovalHold) Holding() bool { return len(h.held) > 0 }
 
-// Expired returns the objects whose removal counts from now on, in the order of
-// names. Each is returned once.
+// Expired returns the names of the objects whose held removals take effect now, in
+// ascending order. Each removal is returned once.
 func (h *RemovalHold) Expired(now time.Time) []string {
 	if len(h.held) == 0 || h.Remaining(now) > 0 {
 		return nil
--- a/feed/removal_hold_test.go
+++ b/feed/removal_hold_test.go
@@ -10,9 +10,10 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestRemovalHold draws outages, removals and returns and checks that a removal is held
-// back only for two seconds after an outage of three or more, that what is back is
-// never removed, and that each removal that was held back counts once, in the end.
+// TestRemovalHold checks random sequences of outages, removals and returning objects. A
+// removal must be held only in the two seconds after an outage of at least three seconds.
+// An object that has returned must never be removed, and each held removal must take effect
+// exactly once.
 func TestRemovalHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h feed.RemovalHold
@@ -62,8 +63,8 @@
 	})
 }
 
-// TestRemovalHoldInherited checks that an instance without an outage of its own holds back
-// as long as the one that the removals come from.
+// TestRemovalHoldInherited checks that an instance that has seen no outage holds removals
+// for as long as the instance that sent them.
 func TestRemovalHoldInherited(t *testing.T) {
 	var h feed.RemovalHold
 	now := time.Unix(1000, 0)
@@ -73,5 +74,5 @@
 	require.Empty(t, h.Expired(now.Add(999*time.Millisecond)))
 	require.Equal(t, []string{"a"}, h.Expired(now.Add(time.Second)))
 	h.Inherit(now, time.Hour)
-	require.Equal(t, 2*time.Second, h.Remaining(now), "no longer than the bound")
+	require.Equal(t, 2*time.Second, h.Remaining(now), "the hold is bounded")
 }
--- a/feed/replica.go
+++ b/feed/replica.go
@@ -6,14 +6,15 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Kind names a kind of object. The values are the product's own.
+// Kind names a kind of object. The gateway defines the kinds.
 type Kind string
 
-// Object is one object as the store holds it. The value is opaque here.
+// Object is one object of the store. The package does not interpret its value.
 type Object struct {
 	Name  string `msgpack:"n"`
 	Value []byte `msgpack:"v"`
-	// Revision is that of the object's last change, as far as the store tells.
+	// Revision is the revision of the object's last change, 0 if the store does not report
+	// it.
 	Revision int64 `msgpack:"-"`
 }
 
@@ -23,10 +24,10 @@
 	Removed bool `msgpack:"g,omitempty"`
 }
 
-// Delta carries all changes of a kind after the position From up to the position To, which is of
-// the same era. A full delta carries all objects instead; From is zero. An exact delta carries
-// the difference of the two states alone: what came and went in between is not in it. It may lead
-// from one era to a later one.
+// Delta carries all changes of a kind after the position From up to and including the
+// position To of the same era. A full delta carries all objects instead, and its From is
+// zero. An exact delta carries only the difference between two states: it omits objects
+// that were created and removed in between. It may lead from one era to a later one.
 type Delta struct {
 	Kind    Kind     `msgpack:"k"`
 	From    Position `msgpack:"b"`
@@ -36,7 +37,7 @@
 	Changes []Change `msgpack:"c"`
 }
 
-// maxHistory bounds the deltas that a replica keeps to pass on.
+// maxHistory bounds the number of deltas that a replica keeps for other replicas.
 const maxHistory = 128
 
 // Replica holds the objects of one kind. It is not safe for concurrent use.
@@ -44,50 +45,51 @@
 	kind     Kind
 	position Position
 	objects  map[string][]byte
-	// digest is that of the objects.
+	// digest is the XOR of the digests of all objects.
 	digest uint64
-	// history holds the latest deltas, which join without a gap.
+	// history holds the latest deltas. Each begins at the end of the one before.
 	history []Delta
 }
 
-// NewReplica returns a replica that holds nothing, at the zero position.
+// NewReplica returns an empty replica at the zero position.
 func NewReplica(kind Kind) *Replica {
 	return &Replica{kind: kind, objects: make(map[string][]byte)}
 }
 
-// Position returns the position that the replica reflects, zero before the first delta.
+// Position returns the position that the replica reflects. It is zero before the first
+// delta.
 func (r *Replica) Position() Position { return r.position }
 
-// Digest returns a value that two replicas share if they hold the same objects, whatever
-// positions they reflect: one that was read anew reflects a later one than those that
-// stayed at the last change.
+// Digest returns a value that is equal for replicas with the same objects, whatever their
+// positions. Replicas with the same objects differ in their positions if one was read from
+// the store anew and the other is still at the last change.
 func (r *Replica) Digest() uint64 { return r.digest }
 
 // Len returns the number of objects.
 func (r *Replica) Len() int { return len(r.objects) }
 
-// Has tells whether there is an object of a name.
+// Has reports whether an object with the name exists.
 func (r *Replica) Has(name string) bool {
 	_, ok := r.objects[name]
 	return ok
 }
 
-// Get returns the value of the object of a name.
+// Get returns the value of the object with the name, and whether it exists.
 func (r *Replica) Get(name string) ([]byte, bool) {
 	value, ok := r.objects[name]
 	return value, ok
 }
 
-// Range calls f with each object.
+// Range calls f for each object, in no particular order.
 func (r *Replica) Range(f func(Object)) {
 	for name, value := range r.objects {
 		f(Object{Name: name, Value: value})
 	}
 }
 
-// Apply takes in a delta. It returns the changes that it made, and whether the
-// replica now reflects at least the delta's end; if not, the delta left a gap
-// and the difference has to be asked for.
+// Apply applies a delta. It returns the changes that it made, and whether the replica now
+// reflects at least the position at the end of the delta. If not, the delta left a gap, and
+// the missing changes have to be requested.
 func (r *Replica) Apply(d Delta) (changes []Change, ok bool) {
 	if !d.To.After(r.position) {
 		return nil, true
@@ -106,7 +108,7 @@
 	return changes, true
 }
 
-// canApply tells whether a delta leads on from the replica's state.
+// canApply reports whether the delta can be applied to the replica's state.
 func (r *Replica) canApply(d Delta) bool {
 	switch {
 	case d.Full:
@@ -118,12 +120,12 @@
 	}
 }
 
-// ExactDelta returns the exact delta between two states, of which changes are all that
-// they differ in.
+// ExactDelta returns the exact delta between two states whose differences are changes.
 func ExactDelta(kind Kind, from, to Position, changes []Change) Delta {
 	return Delta{Kind: kind, From: from, To: to, Exact: true, Changes: changes}
 }
 
+// applyChanges applies the changes of a delta, and returns those that had an effect.
 func (r *Replica) applyChanges(d Delta) []Change {
 	var made []Change
 	for _, c := range d.Changes {
@@ -145,6 +147,7 @@
 	return made
 }
 
+// replaceAll replaces all objects with those of a full delta, and returns the changes made.
 func (r *Replica) replaceAll(d Delta) []Change {
 	named := make(map[string]bool, len(d.Changes))
 	for _, c := range d.Changes {
@@ -160,9 +163,10 @@
 	return r.applyChanges(Delta{Changes: append(all, d.Changes...)})
 }
 
-// appendHistory keeps a delta that begins at or before the replica's position, unless the
-// replica held nothing. An empty delta only moves the end of the one before it, except that
-// an exact one, in which something may have come and gone, leaves one that is not as it is.
+// appendHistory adds a delta to the history, unless the replica was empty before. An empty
+// delta only extends the last delta of the history. An empty exact delta extends only an
+// exact one: objects may have been created and removed within it, so that the extended
+// delta must be exact.
 func (r *Replica) appendHistory(d Delta) {
 	if r.position.IsZero() {
 		return
@@ -179,12 +183,13 @@
 	}
 }
 
-// objectDigest returns the part of an object in a digest.
+// objectDigest returns the contribution of an object to a replica's digest.
 func objectDigest(name string, value []byte) uint64 { return mix.Pair(name, string(value)) }
 
-// DeltaSince returns what leads from position from, at which there are the objects of a digest,
-// to the replica's own: a delta if they are the same or the history reaches back that far,
-// else the whole kind.
+// DeltaSince returns a delta that leads from the position from to that of the replica.
+// Digest is the digest of the objects at from, 0 if it is not known. The delta is empty and
+// exact if the objects are the same. Otherwise it joins the deltas of the history after
+// from, or is a full delta if the history does not reach back that far.
 func (r *Replica) DeltaSince(from Position, digest uint64) Delta {
 	start := r.historyIndex(from)
 	switch {
@@ -203,8 +208,9 @@
 	return d
 }
 
-// historyIndex returns the index of the delta of the history from which a replica at a position
-// can go on, or -1. One whose position lies within an exact delta can't.
+// historyIndex returns the index of the first delta of the history that a replica at the
+// position from needs, or -1 if the history does not serve it. It does not serve a position
+// within an exact delta.
 func (r *Replica) historyIndex(from Position) int {
 	start := -1
 	for i, h := range r.history {
@@ -220,6 +226,7 @@
 	return start
 }
 
+// fullDelta returns a full delta with all objects, ordered by name.
 func (r *Replica) fullDelta() Delta {
 	d := Delta{Kind: r.kind, To: r.position, Full: true}
 	for name, value := range r.objects {
--- a/feed/replica_test.go
+++ b/feed/replica_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// store is the reference: every state that the store went through.
+// store is the reference. It records every state that the store has had.
 type store struct {
 	at      feed.Position
 	states  map[feed.Position]map[string]string
@@ -34,19 +34,19 @@
 	s.changes[s.at] = feed.Change{Object: feed.Object{Name: name, Value: []byte(value)}, Removed: gone}
 }
 
-// restore has the store come back from a copy that lacks the latest writes.
+// restore simulates a restore from a backup that lacks the latest writes.
 func (s *store) restore(lost int64) {
 	copied := feed.At(s.at.Era, max(s.at.Revision-lost, 0))
 	state := s.states[copied]
 	if state == nil {
-		// The era before had fewer writes.
+		// The previous era had fewer writes.
 		return
 	}
 	s.at = feed.At(s.at.Era+1, copied.Revision)
 	s.states[s.at] = state
 }
 
-// deltaSince is what a watch from a position of the same era brings.
+// deltaSince returns the delta that a watch from a position of the current era delivers.
 func (s *store) deltaSince(from feed.Position) feed.Delta {
 	d := feed.Delta{From: from, To: s.at}
 	for r := from.Revision + 1; r <= s.at.Revision; r++ {
@@ -69,11 +69,12 @@
 	return out
 }
 
-// TestReplicasFollowTheStore has two watchers and three followers. Deltas are
-// lost, delayed, repeated and passed on by anyone, watchers list anew, and the store comes
-// back from copies of itself. Every replica always holds exactly a state that the store had,
-// and never an older one than before, where a state of a later era counts as later. Once
-// nothing is lost any more, all hold the store's.
+// TestReplicasFollowTheStore checks that replicas converge to the store. Two watchers and
+// three followers receive deltas that are lost, delayed, duplicated and relayed by any of
+// them, while watchers list the store anew and the store is restored from backups. Every
+// replica must always hold exactly one of the states of the store, and must never move to
+// an earlier state, where a state of a later era counts as later. Once no delta is lost any
+// more, all replicas must hold the state of the store.
 func TestReplicasFollowTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -138,11 +139,11 @@
 				watch(r)
 			case 3:
 				list(r)
-			case 4: // A delta arrives, late or again.
+			case 4: // A delta arrives late or again.
 				if len(wire) > 0 {
 					take(r, wire[rapid.IntRange(0, len(wire)-1).Draw(t, "delta")])
 				}
-			case 5: // A replica asks another for what it lacks.
+			case 5: // A replica requests its missing changes from another one.
 				ask(r, replicas[rapid.IntRange(0, 4).Draw(t, "other")])
 			case 6:
 				s.restore(rapid.Int64Range(0, 10).Draw(t, "lost"))
@@ -160,7 +161,7 @@
 func TestGapIsRejected(t *testing.T) {
 	r := feed.NewReplica("k")
 	_, ok := r.Apply(feed.Delta{From: feed.At(0, 0), To: feed.At(0, 3)})
-	require.False(t, ok, "a delta does not start a replica")
+	require.False(t, ok, "an incremental delta does not apply to an empty replica")
 	_, ok = r.Apply(feed.Delta{To: feed.At(0, 3), Full: true})
 	require.True(t, ok)
 	_, ok = r.Apply(feed.Delta{From: feed.At(0, 4), To: feed.At(0, 6)})
@@ -168,9 +169,10 @@
 	require.Equal(t, feed.At(0, 3), r.Position())
 }
 
-// TestEqualReplicasExchangeNoObjects checks that a replica that was read anew, and so reflects a
-// later revision than those of its neighbours, brings them to its own revision without
-// sending them what they hold, and that a change goes on from there without a gap.
+// TestEqualReplicasExchangeNoObjects checks a replica that was read from the store anew and
+// so reflects a later revision than its neighbours, with the same objects. It must advance
+// the neighbours to its own revision without sending these objects, so that the next change
+// applies to them without a gap.
 func TestEqualReplicasExchangeNoObjects(t *testing.T) {
 	object := feed.Change{Object: feed.Object{Name: "o", Value: []byte("1")}}
 	follower, anew := feed.NewReplica("k"), feed.NewReplica("k")
@@ -184,12 +186,13 @@
 	_, ok = follower.Apply(feed.Delta{Kind: "k", From: feed.At(0, 128), To: feed.At(0, 129), Changes: []feed.Change{object}})
 	require.True(t, ok)
 	require.Equal(t, feed.At(0, 129), follower.Position())
-	require.True(t, anew.DeltaSince(feed.At(0, 126), follower.Digest()).Full, "another object is held")
+	require.True(t, anew.DeltaSince(feed.At(0, 126), follower.Digest()).Full, "the objects differ")
 }
 
-// TestPositionInsideExactDelta checks that a replica that holds something which came and went
-// between the two states of an exact delta is brought on by the whole kind, whether or not
-// the delta is empty and whatever was remembered before it.
+// TestPositionInsideExactDelta guards against objects that are never removed. A replica
+// holds an object that was created and removed between the two states of an exact delta. It
+// must get a full delta, whether or not the exact delta is empty and whatever the history
+// holds before it.
 func TestPositionInsideExactDelta(t *testing.T) {
 	object := func(name string, gone bool) feed.Change {
 		return feed.Change{Object: feed.Object{Name: name, Value: []byte("1")}, Removed: gone}
@@ -205,10 +208,10 @@
 		name  string
 		steps []feed.Delta
 	}{
-		{"with a difference", []feed.Delta{whole(1), whole(5, "a")}},
-		{"empty", []feed.Delta{whole(1), whole(5)}},
-		{"empty, after one that is not exact", []feed.Delta{whole(1), {From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{object("a", false)}}, whole(5, "a")}},
-		{"before another one", []feed.Delta{whole(1), whole(5), {From: feed.At(0, 5), To: feed.At(0, 6), Changes: []feed.Change{object("a", false)}}}},
+		{"exact delta with changes", []feed.Delta{whole(1), whole(5, "a")}},
+		{"empty exact delta", []feed.Delta{whole(1), whole(5)}},
+		{"empty exact delta after an incremental one", []feed.Delta{whole(1), {From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{object("a", false)}}, whole(5, "a")}},
+		{"empty exact delta before an incremental one", []feed.Delta{whole(1), whole(5), {From: feed.At(0, 5), To: feed.At(0, 6), Changes: []feed.Change{object("a", false)}}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/feed/tombstones.go
+++ b/feed/tombstones.go
@@ -5,22 +5,26 @@
 	"time"
 )
 
-// maxBackupAge is how old the copy may be from which the store comes back: some seconds, and as much
-// again for the outage before and for what an instance learns late.
+// maxBackupAge is the maximum age of the backup from which the store is restored. Backups
+// are some seconds old. The value adds the duration of the outage before the restore and
+// the delay with which instances observe it.
 const maxBackupAge = 30 * time.Second
 
-// Tombstones holds back objects that had been removed and that a store which came back from a copy
-// lists again: their removal had been confirmed, and whoever removed them does so again before long.
-// An object counts again if it is written anew, or is still listed when the time is over. Tombstones is
-// not safe for concurrent use; the zero value is ready.
+// Tombstones remembers recent removals, and suppresses objects that the store lists again
+// after it was restored from a backup. Their removal was confirmed before, and the party
+// that removed them will soon do so again. An object takes effect again once it is written
+// anew, or if it is still listed at the end of the hold.
+//
+// Tombstones is not safe for concurrent use. The zero value is ready to use.
 type Tombstones struct {
-	// removed is when objects were removed, for copyAge.
+	// removed contains the times of removals for maxBackupAge.
 	removed map[string]time.Time
-	until   time.Time
-	held    map[string]bool
+	// until is the end of the hold, and held contains the suppressed objects.
+	until time.Time
+	held  map[string]bool
 }
 
-// Add takes in that the removal of an object counts.
+// Add records that the removal of an object has taken effect.
 func (t *Tombstones) Add(now time.Time, name string) {
 	delete(t.held, name)
 	if t.removed == nil {
@@ -29,14 +33,15 @@
 	t.removed[name] = now
 }
 
-// StoreRestored takes in that the store has come back from a copy: what it lists again is held back for a
-// time.
+// StoreRestored records that the store was restored from a backup. Removed objects that it
+// lists are suppressed for the given time.
 func (t *Tombstones) StoreRestored(now time.Time, hold time.Duration) { t.until = now.Add(hold) }
 
-// Remaining is how long objects are held back from now on.
+// Remaining returns how long objects are still suppressed, or 0.
 func (t *Tombstones) Remaining(now time.Time) time.Duration { return max(0, t.until.Sub(now)) }
 
-// Hold tells whether an object that the restored store lists is held back, and notes it.
+// Hold reports whether an object that the restored store lists is suppressed, and records
+// the object if so.
 func (t *Tombstones) Hold(now time.Time, name string) bool {
 	at, known := t.removed[name]
 	if !known || now.Sub(at) > maxBackupAge || t.Remaining(now) == 0 {
@@ -49,17 +54,17 @@
 	return true
 }
 
-// Rewritten takes in that an object was written anew: it counts.
+// Rewritten records that an object was written anew. Its tombstone is dropped.
 func (t *Tombstones) Rewritten(name string) {
 	delete(t.held, name)
 	delete(t.removed, name)
 }
 
-// Holding tells whether any object is held back.
+// Holding reports whether any object is suppressed.
 func (t *Tombstones) Holding() bool { return len(t.held) > 0 }
 
-// Expired returns the objects that count from now on if they are still listed, in the order of names.
-// Each is returned once.
+// Expired returns the names of the suppressed objects that take effect now if they are
+// still listed, in ascending order. Each object is returned once.
 func (t *Tombstones) Expired(now time.Time) []string {
 	if len(t.held) == 0 || t.Remaining(now) > 0 {
 		return nil
@@ -74,7 +79,7 @@
 	return names
 }
 
-// Prune drops removals that no copy can lack any more.
+// Prune drops the tombstones that are older than any backup.
 func (t *Tombstones) Prune(now time.Time) {
 	for name, at := range t.removed {
 		if now.Sub(at) > maxBackupAge {
--- a/feed/tombstones_test.go
+++ b/feed/tombstones_test.go
@@ -10,10 +10,10 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestTombstones draws removals, restores of the store, lists and writes, and checks against a naive
-// reference that an object is held back exactly if it was removed within the age of a copy and not
-// written since, for as long as is asked, and that each that was held back and is still there counts
-// once, in the end.
+// TestTombstones compares random sequences of removals, restores, lists and writes with a
+// simple reference. An object must be suppressed exactly if it was removed within the
+// maximum age of a backup and not written since, and only during the hold. Each suppressed
+// object that still exists must take effect exactly once.
 func TestTombstones(t *testing.T) {
 	const hold, copyAge = 2 * time.Second, 30 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
