--- a/caller/attempt.go
+++ b/caller/attempt.go
@@ -16,7 +16,7 @@
 	"github.com/rainford/rainford/retry"
 )
 
-func (c *Client) try(ctx context.Context, r Request, entry lookup.Entry, attempt int) (*http.Response, error) {
+func (c *Client) try(ctx context.Context, r Request, entry lookup.Instance, attempt int) (*http.Response, error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -25,7 +25,7 @@
 	lookups atomic.Int64
 	calls   atomic.Int64
 	// answer is what a look-up gets, and serve what a call does.
-	answer func() lookup.Answer
+	answer func() lookup.Response
 	serve  func(w http.ResponseWriter, r *http.Request)
 }
 
@@ -48,11 +48,11 @@
 
 func (e *entry) addr() string { return e.Listener.Addr().String() }
 
-func answerOf(ttl time.Duration, entries ...*entry) func() lookup.Answer {
-	return func() lookup.Answer {
-		a := lookup.Answer{TTLMillis: ttl.Milliseconds()}
+func answerOf(ttl time.Duration, entries ...*entry) func() lookup.Response {
+	return func() lookup.Response {
+		a := lookup.Response{TTLMillis: ttl.Milliseconds()}
 		for i, e := range entries {
-			a.Instances = append(a.Instances, lookup.Entry{ID: fmt.Sprint(i), Addr: e.addr()})
+			a.Instances = append(a.Instances, lookup.Instance{ID: fmt.Sprint(i), Addr: e.addr()})
 		}
 		return a
 	}
--- a/caller/client.go
+++ b/caller/client.go
@@ -57,7 +57,7 @@
 
 // list is the cached answer to a look-up.
 type list struct {
-	answer lookup.Answer
+	answer lookup.Response
 	at     time.Time
 	// down holds the instances that could not be reached, and until when
 	// they come last.
--- a/caller/list.go
+++ b/caller/list.go
@@ -14,15 +14,15 @@
 )
 
 // choose returns the next instance to try.
-func (c *Client) choose(ctx context.Context, service string, tried map[string]bool) (lookup.Entry, error) {
+func (c *Client) choose(ctx context.Context, service string, tried map[string]bool) (lookup.Instance, error) {
 	l, err := c.list(ctx, service)
 	if err != nil {
-		return lookup.Entry{}, err
+		return lookup.Instance{}, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	var late *lookup.Entry
+	var late *lookup.Instance
 	for i, e := range l.answer.Instances {
 		if tried[e.ID] {
 			continue
@@ -38,7 +38,7 @@
 	if late != nil {
 		return *late, nil
 	}
-	return lookup.Entry{}, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: "no instance answers", RetryAfter: time.Second}
+	return lookup.Instance{}, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: "no instance answers", RetryAfter: time.Second}
 }
 
 // list returns the cached answer, or asks for a new one.
@@ -76,7 +76,7 @@
 	return append(out, c.config.Bootstrap...)
 }
 
-func (c *Client) keep(service string, old *list, answer lookup.Answer) *list {
+func (c *Client) keep(service string, old *list, answer lookup.Response) *list {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := &list{answer: answer, at: time.Now(), down: make(map[string]time.Time)}
@@ -87,10 +87,10 @@
 	return l
 }
 
-func (c *Client) lookup(ctx context.Context, addr, service string) (lookup.Answer, error) {
+func (c *Client) lookup(ctx context.Context, addr, service string) (lookup.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	var answer lookup.Answer
+	var answer lookup.Response
 	query := url.Values{"service": {service}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+protocol.LookupPath+"?"+query.Encode(), nil)
 	if err != nil {
@@ -112,10 +112,10 @@
 }
 
 // Lookup returns the instances that the client would use, in order.
-func (c *Client) Lookup(ctx context.Context, service string) (lookup.Answer, error) {
+func (c *Client) Lookup(ctx context.Context, service string) (lookup.Response, error) {
 	l, err := c.list(ctx, service)
 	if err != nil {
-		return lookup.Answer{}, err
+		return lookup.Response{}, err
 	}
 	return l.answer, nil
 }
--- a/catalog/account.go
+++ b/catalog/account.go
@@ -45,8 +45,8 @@
 	Regions []string
 }
 
-// Limited tells whether the account may send a limited number of requests only.
-func (a *Account) Limited() bool { return a != nil && a.Rate > 0 }
+// HasRateLimit tells whether the account may send a limited number of requests only.
+func (a *Account) HasRateLimit() bool { return a != nil && a.Rate > 0 }
 
 // ErrSharedKey is returned for a configuration in which a key belongs to two accounts.
 var ErrSharedKey = errors.New("catalog: accounts share a key")
@@ -72,10 +72,10 @@
 	return byKey, errors.Join(errs...)
 }
 
-// Homes returns the regions that may serve a request of an account on a route: all if
+// HomeRegions returns the regions that may serve a request of an account on a route: all if
 // neither has home regions, and else those that both allow. The result is false if they
 // have nothing in common. The account may be nil.
-func Homes(route *Route, account *Account) (regions []string, ok bool) {
+func HomeRegions(route *Route, account *Account) (regions []string, ok bool) {
 	if account == nil || len(account.Regions) == 0 {
 		return route.Regions, true
 	}
@@ -90,11 +90,11 @@
 	return regions, len(regions) > 0
 }
 
-// HomeShares returns the part of all requests that each region has to run because accounts
+// HomeRegionShares returns the part of all requests that each region has to run because accounts
 // have it as their home, as far as that can be told from the accounts' limits: an account is
 // taken to send in proportion to its limit, to its homes alike. Accounts without a limit
 // count for nothing. It is the same at all instances.
-func (c *Config) HomeShares() map[string]float64 {
+func (c *Config) HomeRegionShares() map[string]float64 {
 	total := 0.0
 	for i := range c.Accounts {
 		total += c.Accounts[i].Rate
--- a/catalog/account_test.go
+++ b/catalog/account_test.go
@@ -59,12 +59,12 @@
 		{"nothing in common", []string{"a"}, []string{"b"}, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, ok := catalog.Homes(&catalog.Route{Regions: c.route}, &catalog.Account{Regions: c.account})
+			got, ok := catalog.HomeRegions(&catalog.Route{Regions: c.route}, &catalog.Account{Regions: c.account})
 			require.Equal(t, c.want, got)
 			require.Equal(t, c.ok, ok)
 		})
 	}
-	got, ok := catalog.Homes(&catalog.Route{Regions: []string{"a"}}, nil)
+	got, ok := catalog.HomeRegions(&catalog.Route{Regions: []string{"a"}}, nil)
 	require.True(t, ok)
 	require.Equal(t, []string{"a"}, got)
 }
@@ -92,7 +92,7 @@
 		{"some", []catalog.Account{account(70), account(10, "a"), account(20, "a", "b"), account(0, "c")}, map[string]float64{"a": 0.2, "b": 0.1, "c": 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, (&catalog.Config{Accounts: c.accounts}).HomeShares())
+			require.Equal(t, c.want, (&catalog.Config{Accounts: c.accounts}).HomeRegionShares())
 		})
 	}
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestPartsFollowWeights(t *testing.T) {
-	route := &catalog.Route{Parts: []catalog.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+	route := &catalog.Route{Services: []catalog.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 20000 {
 		counts[route.ServiceFor(fmt.Sprintf("%016x", i*7919))]++
--- a/catalog/config.go
+++ b/catalog/config.go
@@ -17,8 +17,8 @@
 	Limits   Limits
 	// Accounts are the client accounts. NeedsKey says that requests have to carry the
 	// key of one, but for those on anonymous routes.
-	Accounts []Account
-	NeedsKey bool
+	Accounts    []Account
+	RequiresKey bool
 }
 
 // RouteKind says what may be repeated.
@@ -28,8 +28,8 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent RouteKind = "idempotent"
-	// Unsafe requests run at most once.
-	Unsafe RouteKind = "unsafe"
+	// NonIdempotent requests run at most once.
+	NonIdempotent RouteKind = "unsafe"
 	// Upload requests have large bodies and run at most once.
 	Upload RouteKind = "upload"
 )
@@ -42,22 +42,22 @@
 	Kind   RouteKind
 	// Timeout is how long a request may be held, 0 without bound.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most.
-	Objective time.Duration
+	// LatencyObjective is the time within which an answer is worth most.
+	LatencyObjective time.Duration
 	// Priority is the rank, 0 the most urgent.
 	Priority int
 	// MaxAttempts bounds the targets that one request is sent to.
 	MaxAttempts int
-	// Parts are the services that share the route's requests.
-	Parts []Part
+	// Services are the services that share the route's requests.
+	Services []WeightedService
 	// Regions are the home regions, empty for any.
 	Regions []string
 	// Anonymous requests need no key of a client account.
 	Anonymous bool
 }
 
-// Part is one service of a route.
-type Part struct {
+// WeightedService is one service of a route.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
@@ -65,21 +65,21 @@
 // ServiceFor draws the service of a request by its ID, so that the parts are
 // divided by weight and every instance draws the same.
 func (r *Route) ServiceFor(requestID string) string {
-	if len(r.Parts) == 0 {
+	if len(r.Services) == 0 {
 		return ""
 	}
 	total := 0.0
-	for _, p := range r.Parts {
+	for _, p := range r.Services {
 		total += p.Weight
 	}
 	point := mix.Unit(mix.Pair(requestID, "part")) * total
-	for _, p := range r.Parts {
+	for _, p := range r.Services {
 		point -= p.Weight
 		if point < 0 {
 			return p.Service
 		}
 	}
-	return r.Parts[len(r.Parts)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
 
 // Service is what is known of all targets of one name.
--- a/catalog/router.go
+++ b/catalog/router.go
@@ -43,10 +43,10 @@
 // AccountNamed returns the client account of a name, or nil.
 func (r *Router) AccountNamed(name string) *Account { return r.named[name] }
 
-// Limited tells whether any account may send a limited number of requests only.
-func (r *Router) Limited() bool {
+// HasRateLimits tells whether any account may send a limited number of requests only.
+func (r *Router) HasRateLimits() bool {
 	for i := range r.config.Accounts {
-		if r.config.Accounts[i].Limited() {
+		if r.config.Accounts[i].HasRateLimit() {
 			return true
 		}
 	}
--- a/catalog/target.go
+++ b/catalog/target.go
@@ -13,9 +13,9 @@
 	ID string
 	// Name is what the target calls itself, also after it has started again.
 	Name string
-	// Born is when the incarnation started, in Unix milliseconds, 0 where the platform
+	// StartedAt is when the incarnation started, in Unix milliseconds, 0 where the platform
 	// does not tell it. Of two with the same name the one born later counts.
-	Born int64
+	StartedAt int64
 	// Sequence orders what an incarnation has written of itself.
 	Sequence int64
 	Service  string
@@ -26,11 +26,11 @@
 	Addr  string
 	Hall  string
 	Slots int
-	// Leaves says that the list says that the target leaves, and Drained that operators
+	// Leaving says that the list says that the target leaves, and Drained that operators
 	// drain it.
-	Leaves, Drained bool
-	// ColdFor is how much longer the target stays cold, as it said itself.
-	ColdFor time.Duration
+	Leaving, Drained bool
+	// RemainingWarmup is how much longer the target stays cold, as it said itself.
+	RemainingWarmup time.Duration
 }
 
 // IncarnationID returns the ID of the incarnation of a target that was born at a time, in
--- a/cmd/rainford/common.go
+++ b/cmd/rainford/common.go
@@ -64,7 +64,7 @@
 	if c.who == "" {
 		return nil, usagef("say who you are with -who or RAINFORD_WHO: the audit trail needs it")
 	}
-	return &config.Editor{Store: client, Who: c.who, What: what, NewID: newID, Now: time.Now}, nil
+	return &config.Editor{Store: client, Operator: c.who, Command: what, NewID: newID, Now: time.Now}, nil
 }
 
 func newID() string {
@@ -96,7 +96,7 @@
 	if c.json {
 		return a.printJSON(change)
 	}
-	fmt.Fprintf(a.stdout, "version %d accepted: %s\n", change.Number, change.What)
+	fmt.Fprintf(a.stdout, "version %d accepted: %s\n", change.Number, change.Command)
 	for _, cell := range change.Cells {
 		fmt.Fprintf(a.stdout, "  %s: %s -> %s\n", cell.Cell, orNone(cell.Before), orNone(cell.After))
 	}
--- a/cmd/rainford/estate.go
+++ b/cmd/rainford/estate.go
@@ -43,7 +43,7 @@
 		if len(args) != 1 {
 			return usagef("service set takes one name")
 		}
-		service := table.Service{Name: args[0], Once: *once, Floor: *floor}
+		service := table.Service{Name: args[0], NonIdempotent: *once, Reserve: *floor}
 		return a.edit(ctx, c, "service set "+args[0], func(t *table.Table) error {
 			for i := range t.Services {
 				if t.Services[i].Name == service.Name {
@@ -119,7 +119,7 @@
 		if err != nil {
 			return err
 		}
-		err = lookup.Store(ctx, c.client(), blocks)
+		err = lookup.StoreBlocks(ctx, c.client(), blocks)
 		if err != nil {
 			return err
 		}
@@ -145,7 +145,7 @@
 		if len(args) != 2 {
 			return usagef("%s takes a scope (region, hall or target) and a name", name)
 		}
-		d := table.Drain{Scope: table.Scope(args[0]), Name: args[1]}
+		d := table.Drain{Scope: table.DrainScope(args[0]), Name: args[1]}
 		return a.edit(ctx, c, name+" "+strings.Join(args, " "), func(t *table.Table) error {
 			t.SetDrain(d, on)
 			return nil
--- a/cmd/rainford/status.go
+++ b/cmd/rainford/status.go
@@ -260,7 +260,7 @@
 		return a.printJSON(line)
 	}
 	fmt.Fprintf(a.stdout, "version %d by %s at %s: %s; in force after %.2f s, %d instances silent\n",
-		change.Number, change.Who, change.At.Format(time.RFC3339), change.What, line.InForceSeconds, line.Silent)
+		change.Number, change.Operator, change.At.Format(time.RFC3339), change.Command, line.InForceSeconds, line.Silent)
 	return nil
 }
 
@@ -275,7 +275,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		defer cancel()
-		trail, err := config.Trail(ctx, c.client())
+		trail, err := config.AuditTrail(ctx, c.client())
 		if err != nil {
 			return err
 		}
@@ -286,7 +286,7 @@
 			return a.printJSON(trail)
 		}
 		for _, change := range trail {
-			fmt.Fprintf(a.stdout, "version %d  %s  %s  %s\n", change.Number, change.At.Format(time.RFC3339), change.Who, change.What)
+			fmt.Fprintf(a.stdout, "version %d  %s  %s  %s\n", change.Number, change.At.Format(time.RFC3339), change.Operator, change.Command)
 			for _, cell := range change.Cells {
 				fmt.Fprintf(a.stdout, "  %s: %s -> %s\n", cell.Cell, orNone(cell.Before), orNone(cell.After))
 			}
@@ -306,7 +306,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
-		var answer lookup.Answer
+		var answer lookup.Response
 		query := url.Values{"service": {args[0]}}
 		err := getJSON(ctx, "http://"+*entry+protocol.LookupPath+"?"+query.Encode(), &answer)
 		if err != nil {
@@ -315,7 +315,7 @@
 		if c.json {
 			return a.printJSON(answer)
 		}
-		fmt.Fprintf(a.stdout, "home %s, valid for %s\n", answer.Home, time.Duration(answer.TTLMillis)*time.Millisecond)
+		fmt.Fprintf(a.stdout, "home %s, valid for %s\n", answer.HomeHall, time.Duration(answer.TTLMillis)*time.Millisecond)
 		for _, e := range answer.Instances {
 			fmt.Fprintf(a.stdout, "%s  %s  %s  %s\n", e.Addr, e.ID, e.Hall, e.Region)
 		}
--- a/config/audit.go
+++ b/config/audit.go
@@ -100,14 +100,14 @@
 	return false
 }
 
-// Lister is what reading the audit trail needs of the platform.
-type Lister interface {
+// AuditStore is what reading the audit trail needs of the platform.
+type AuditStore interface {
 	Get(ctx context.Context, key string) (objectstore.Object, error)
 	List(ctx context.Context, prefix string) (objectstore.Listing, error)
 }
 
-// Trail returns all accepted changes, oldest first.
-func Trail(ctx context.Context, store Lister) ([]Change, error) {
+// AuditTrail returns all accepted changes, oldest first.
+func AuditTrail(ctx context.Context, store AuditStore) ([]Change, error) {
 	byNumber := make(map[int64]Change)
 	listing, err := store.List(ctx, AuditPrefix)
 	if err != nil {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -123,7 +123,7 @@
 
 func editor(s *fakeStore, who string) *config.Editor {
 	return &config.Editor{
-		Store: s, Who: who, What: "test", Pause: time.Microsecond,
+		Store: s, Operator: who, Command: "test", RetryInterval: time.Microsecond,
 		NewID: func() string { ids++; return fmt.Sprint(ids) },
 		Now:   func() time.Time { return time.Unix(0, 0) },
 	}
@@ -200,7 +200,7 @@
 			history = append(history, number)
 		}
 		s.stale = false
-		trail, err := config.Trail(ctx, s)
+		trail, err := config.AuditTrail(ctx, s)
 		require.NoError(t, err)
 		for i, c := range trail {
 			require.EqualValues(t, i+1, c.Number, "a gap in the audit trail")
@@ -231,7 +231,7 @@
 	doc := s.document(t)
 	inTrail := false
 	for _, c := range doc.Recent {
-		inTrail = inTrail || c.ID == change.ID && c.Who == "me"
+		inTrail = inTrail || c.ID == change.ID && c.Operator == "me"
 	}
 	var conflict *config.ConflictError
 	switch {
@@ -311,11 +311,11 @@
 	seed(t, s)
 	for i := range edits {
 		e := editor(s, "me")
-		e.What = strings.Repeat("long command ", 200)
+		e.Command = strings.Repeat("long command ", 200)
 		_, err := e.Edit(context.Background(), setWeight(10+i%2))
 		require.NoError(t, err)
 	}
-	trail, err := config.Trail(context.Background(), s)
+	trail, err := config.AuditTrail(context.Background(), s)
 	require.NoError(t, err)
 	require.Len(t, trail, edits+1)
 	for i, c := range trail {
@@ -325,6 +325,6 @@
 		require.Less(t, len(obj.Value), 300<<10, key)
 	}
 	require.Less(t, len(s.document(t).Recent), edits)
-	_, err = s.document(t).At(1)
+	_, err = s.document(t).TableAt(1)
 	require.ErrorIs(t, err, config.ErrTooOld)
 }
--- a/config/document.go
+++ b/config/document.go
@@ -24,13 +24,13 @@
 
 // Change is one accepted change, as kept in the audit trail.
 type Change struct {
-	Number int64     `json:"number"`
-	ID     string    `json:"id"`
-	Who    string    `json:"who"`
-	At     time.Time `json:"at"`
-	// What is the command that made the change.
-	What  string         `json:"what"`
-	Cells []table.Change `json:"cells"`
+	Number   int64     `json:"number"`
+	ID       string    `json:"id"`
+	Operator string    `json:"who"`
+	At       time.Time `json:"at"`
+	// Command is the command that made the change.
+	Command string         `json:"what"`
+	Cells   []table.Change `json:"cells"`
 }
 
 // ErrTooOld means that a version lies before the changes that the document
@@ -50,9 +50,9 @@
 	return doc, nil
 }
 
-// At returns the table as it was after change number, by undoing the later
+// TableAt returns the table as it was after change number, by undoing the later
 // changes.
-func (d *Document) At(number int64) (*table.Table, error) {
+func (d *Document) TableAt(number int64) (*table.Table, error) {
 	if number < 0 || number > d.Number {
 		return nil, fmt.Errorf("config: no version %d: the latest is %d", number, d.Number)
 	}
--- a/config/editor.go
+++ b/config/editor.go
@@ -21,16 +21,16 @@
 // Editor makes changes of the configuration for one operator.
 type Editor struct {
 	Store Store
-	// Who is the operator, for the audit trail.
-	Who string
-	// What is the command, for the audit trail.
-	What string
+	// Operator is the operator, for the audit trail.
+	Operator string
+	// Command is the command, for the audit trail.
+	Command string
 	// NewID returns an ID that no other change has.
 	NewID func() string
 	Now   func() time.Time
-	// Pause is the time between two tries to find out what became of a
+	// RetryInterval is the time between two tries to find out what became of a
 	// write. 0 stands for 200 ms.
-	Pause time.Duration
+	RetryInterval time.Duration
 }
 
 // ErrNoChange means that the edit leaves the table as it is.
@@ -83,7 +83,7 @@
 	if err != nil {
 		return Change{}, err
 	}
-	base, err := doc.At(number)
+	base, err := doc.TableAt(number)
 	if err != nil {
 		return Change{}, err
 	}
@@ -113,7 +113,7 @@
 	if err := findings.Err(); err != nil {
 		return Change{}, err
 	}
-	change := Change{ID: e.NewID(), Who: e.Who, What: e.What, At: e.Now().UTC()}
+	change := Change{ID: e.NewID(), Operator: e.Operator, Command: e.Command, At: e.Now().UTC()}
 	for range maxTries {
 		next, err := e.next(ctx, doc, base, mine, change)
 		if err != nil {
@@ -193,7 +193,7 @@
 }
 
 func (e *Editor) pause(ctx context.Context) error {
-	d := e.Pause
+	d := e.RetryInterval
 	if d == 0 {
 		d = defaultPause
 	}
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -12,11 +12,11 @@
 
 func ExampleEditor_Edit() {
 	editor := &config.Editor{
-		Store: newFakeStore(),
-		Who:   "ama",
-		What:  "region set accra a1 a2",
-		NewID: func() string { return "1" },
-		Now:   func() time.Time { return time.Unix(0, 0) },
+		Store:    newFakeStore(),
+		Operator: "ama",
+		Command:  "region set accra a1 a2",
+		NewID:    func() string { return "1" },
+		Now:      func() time.Time { return time.Unix(0, 0) },
 	}
 	addAccra := func(t *table.Table) error {
 		t.Regions = []table.Region{{Name: "accra", Halls: []string{"a1", "a2"}}}
--- a/config/supersede.go
+++ b/config/supersede.go
@@ -49,8 +49,8 @@
 	return true
 }
 
-// IsSame tells whether two values of the document are of the same latest change.
-func IsSame(a, b []byte) bool {
+// SameLatestChange tells whether two values of the document are of the same latest change.
+func SameLatestChange(a, b []byte) bool {
 	one, err := Decode(a)
 	if err != nil {
 		return false
@@ -62,9 +62,9 @@
 	return one.Recent[len(one.Recent)-1].ID == other.Recent[len(other.Recent)-1].ID
 }
 
-// Lost returns the latest changes of the document that was held which a stored one lacks, the earliest
+// LostChanges returns the latest changes of the document that was held which a stored one lacks, the earliest
 // first. It returns none where either can't be read.
-func Lost(held, stored []byte) []Change {
+func LostChanges(held, stored []byte) []Change {
 	mine, err := Decode(held)
 	if err != nil {
 		return nil
--- a/config/supersede_test.go
+++ b/config/supersede_test.go
@@ -49,14 +49,14 @@
 			require.Equal(t, c.want, config.Supersedes(c.key, held, stored))
 			if c.key == config.Key {
 				var lost []string
-				for _, change := range config.Lost(held, stored) {
+				for _, change := range config.LostChanges(held, stored) {
 					lost = append(lost, change.ID)
 				}
 				require.Equal(t, c.lost, lost)
-				require.Equal(t, c.name == "the same", config.IsSame(held, stored))
-				require.False(t, config.IsSame([]byte("["), stored) || config.IsSame(held, []byte("[")))
-				require.Empty(t, config.Lost([]byte("["), stored))
-				require.Empty(t, config.Lost(held, []byte("[")))
+				require.Equal(t, c.name == "the same", config.SameLatestChange(held, stored))
+				require.False(t, config.SameLatestChange([]byte("["), stored) || config.SameLatestChange(held, []byte("[")))
+				require.Empty(t, config.LostChanges([]byte("["), stored))
+				require.Empty(t, config.LostChanges(held, []byte("[")))
 			}
 			require.False(t, config.Supersedes(c.key, []byte("["), stored))
 			require.False(t, config.Supersedes(c.key, held, []byte("[")))
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -259,7 +259,7 @@
 		if !ok {
 			return res
 		}
-		if !ex.Service.Once {
+		if !ex.Service.NonIdempotent {
 			return next(ex)
 		}
 		ex.Key = ex.r.Header.Get(protocol.HeaderKey)
@@ -303,7 +303,7 @@
 // claim holds the claim of a once-only operation while it runs.
 func (e *Entry) claim(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		if !ex.Service.Once {
+		if !ex.Service.NonIdempotent {
 			return next(ex)
 		}
 		attempt := attemptOf(ex)
@@ -362,7 +362,7 @@
 	if ex.tries >= maxTries || !ex.body.replayable() || !time.Now().Before(ex.Deadline) {
 		return false
 	}
-	if !retry.Allowed(outcome, !ex.Service.Once) || ex.r.Context().Err() != nil {
+	if !retry.Allowed(outcome, !ex.Service.NonIdempotent) || ex.r.Context().Err() != nil {
 		return false
 	}
 	e.mu.Lock()
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -79,7 +79,7 @@
 	sent := int64(0)
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodPut} {
 		for range 3 {
-			ex := exchange(t, table.Service{Name: "s", Once: true}, method, nil)
+			ex := exchange(t, table.Service{Name: "s", NonIdempotent: true}, method, nil)
 			a := tr.send(ex, addr, "/x", func(http.Header) {}, time.Second)
 			sent++
 			require.NoError(t, a.err)
@@ -119,7 +119,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			defer c.server.Close()
-			ex := exchange(t, table.Service{Name: "s", Once: true}, http.MethodPost, []byte("rent"))
+			ex := exchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, []byte("rent"))
 			a := tr.send(ex, c.server.Listener.Addr().String(), "/x", func(http.Header) {}, 5*time.Second)
 			defer a.close()
 			require.Equal(t, c.want, retry.Classify(a.evidence))
@@ -139,7 +139,7 @@
 		{"earlier in doubt, no claim", true, false, retry.Unknown},
 		{"earlier in doubt, claim held", true, true, retry.NotRun},
 	} {
-		ex := exchange(t, table.Service{Name: "s", Once: true}, http.MethodPost, nil)
+		ex := exchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, nil)
 		if c.earlier {
 			ex.r.Header.Set(protocol.HeaderEarlier, "unknown")
 		}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -142,7 +142,7 @@
 }
 
 func (t *Transports) of(ex *Exchange) *http.Transport {
-	if ex.Service.Once {
+	if ex.Service.NonIdempotent {
 		return t.fresh
 	}
 	return t.kept
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	req.ContentLength = ex.body.length
-	if ex.body.length == 0 && !ex.Service.Once {
+	if ex.body.length == 0 && !ex.Service.NonIdempotent {
 		req.Body = http.NoBody
 	}
 	copyHeader(req.Header, ex.r.Header)
--- a/entry/region.go
+++ b/entry/region.go
@@ -311,5 +311,5 @@
 	if !time.Now().Before(ex.Deadline) {
 		reason = protocol.ReasonDeadline
 	}
-	return unknown(reason, detail, e.jitter(time.Second)), !ex.Service.Once
+	return unknown(reason, detail, e.jitter(time.Second)), !ex.Service.NonIdempotent
 }
--- a/gateway/account.go
+++ b/gateway/account.go
@@ -27,7 +27,7 @@
 	if given {
 		ex.account = router.Account(key)
 	}
-	if ex.account == nil && router.Config().NeedsKey && !ex.route.Anonymous {
+	if ex.account == nil && router.Config().RequiresKey && !ex.route.Anonymous {
 		reason := reasonUnknownKey
 		if !given {
 			reason = reasonNoKey
@@ -35,7 +35,7 @@
 		return unauthorized(ex, reason), false
 	}
 	var ok bool
-	ex.homeRegions, ok = catalog.Homes(ex.route, ex.account)
+	ex.homeRegions, ok = catalog.HomeRegions(ex.route, ex.account)
 	if !ok {
 		return beforeBody(ex, notRunResult(reasonNoCommonHome, noCommonHomeRetryAfter)), false
 	}
--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -166,7 +166,7 @@
 	}
 	g.router.Store(router)
 	g.pools.setServices(config.Services)
-	g.pools.setHomeShares(config.HomeShares())
+	g.pools.setHomeShares(config.HomeRegionShares())
 	g.log.Info(logConfig, "version", config.Version, "routes", len(config.Routes), "source", from.source, "revision", from.revision)
 }
 
--- a/gateway/apply_test.go
+++ b/gateway/apply_test.go
@@ -20,7 +20,7 @@
 const leavingValue = "leaving"
 
 func (plainCodec) Target(name string, raw []byte) (catalog.Target, error) {
-	return catalog.Target{ID: name, Name: name, Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaves: string(raw) == leavingValue}, nil
+	return catalog.Target{ID: name, Name: name, Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaving: string(raw) == leavingValue}, nil
 }
 
 // noStore is a store that nobody calls.
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -176,8 +176,8 @@
 		// Objects of different services and kinds are different ones.
 		want.Key = ex.route.Name + "/" + key
 	}
-	if ex.route.Objective > 0 {
-		want.QueueTimeout = ex.route.Objective / queueTimeoutDivisor
+	if ex.route.LatencyObjective > 0 {
+		want.QueueTimeout = ex.route.LatencyObjective / queueTimeoutDivisor
 	}
 	return want
 }
--- a/gateway/incarnation_model_test.go
+++ b/gateway/incarnation_model_test.go
@@ -32,7 +32,7 @@
 	if err != nil || e.Foreign {
 		return catalog.Target{}, &catalog.EntryError{Field: "state", Problem: "says nothing known"}
 	}
-	return catalog.Target{ID: catalog.IncarnationID(name, e.Born), Name: name, Born: e.Born, Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaves: e.Leaves}, nil
+	return catalog.Target{ID: catalog.IncarnationID(name, e.Born), Name: name, StartedAt: e.Born, Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaving: e.Leaves}, nil
 }
 
 // modelStore is a store that keeps one entry, with its whole history.
@@ -130,7 +130,7 @@
 	spec, listed := in.targetList.specs["i-1"]
 	require.Equal(t, in.used != nil, listed)
 	if listed {
-		require.Equal(t, *in.used, incarnationEntry{Born: spec.Born, Leaves: spec.Leaves})
+		require.Equal(t, *in.used, incarnationEntry{Born: spec.StartedAt, Leaves: spec.Leaving})
 	}
 	got, ok := in.chosenTarget()
 	require.Equal(t, in.shouldSend(), ok)
@@ -230,7 +230,7 @@
 		for _, in := range instances {
 			in.deliver(store.since(in.replicas[KindTargets].Position()), sourceStore)
 			in.check(rt)
-			require.Equal(rt, newest, in.targetList.specs["i-1"].Born)
+			require.Equal(rt, newest, in.targetList.specs["i-1"].StartedAt)
 		}
 	})
 }
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -69,7 +69,7 @@
 	specs := make(map[string]*catalog.Target)
 	for i := range 300 {
 		name := fmt.Sprint("t", i)
-		specs[name] = &catalog.Target{ID: name, Service: "s", Hall: "a1", Slots: 9, ColdFor: 3 * time.Second}
+		specs[name] = &catalog.Target{ID: name, Service: "s", Hall: "a1", Slots: 9, RemainingWarmup: 3 * time.Second}
 	}
 	ps.setTargets(time.Now(), specs, nil)
 	require.Equal(t, 1, strings.Count(out.String(), "\n"), out.String())
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -71,8 +71,8 @@
 	if c.Name != config.Key {
 		return
 	}
-	for _, change := range config.Lost(held, c.Value) {
-		g.log.Error(logChangeLost, "number", change.Number, "id", change.ID, "who", change.Who, "what", change.What)
+	for _, change := range config.LostChanges(held, c.Value) {
+		g.log.Error(logChangeLost, "number", change.Number, "id", change.ID, "who", change.Operator, "what", change.Command)
 	}
 }
 
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -64,7 +64,7 @@
 		return ratelimit.Limit{}, false
 	}
 	a := router.AccountNamed(account)
-	if !a.Limited() {
+	if !a.HasRateLimit() {
 		return ratelimit.Limit{}, false
 	}
 	return ratelimit.Limit{Rate: a.Rate, Burst: a.Burst}, true
@@ -317,7 +317,7 @@
 // admit takes a permit for the request if its account is limited, or returns the answer
 // to one beyond the limit. No body is read before it.
 func (g *Gateway) admit(ex *exchange) (requestResult, bool) {
-	if !ex.account.Limited() {
+	if !ex.account.HasRateLimit() {
 		return requestResult{}, true
 	}
 	began := g.clock.Now()
@@ -350,5 +350,5 @@
 
 // knowsOwners tells whether the instance can find the owners of limits, if there are any.
 func (g *Gateway) knowsOwners(router *catalog.Router) bool {
-	return !router.Limited() || g.readiness.instancesLoaded.Load()
+	return !router.HasRateLimits() || g.readiness.instancesLoaded.Load()
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -271,7 +271,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	spec, ok := g.targetList.specs[target.Name]
-	return !ok || (spec.ID == target.ID && spec.Leaves)
+	return !ok || (spec.ID == target.ID && spec.Leaving)
 }
 
 // probeTarget connects to a target at which a request was broken off. One that refuses has ended.
@@ -301,7 +301,7 @@
 		return
 	}
 	for _, spec := range changed {
-		if spec.Leaves {
+		if spec.Leaving {
 			g.quarantine.mu.Lock()
 			g.quarantine.correlator.TargetLeaving(spec.ID)
 			g.quarantine.mu.Unlock()
--- a/gateway/restore_model_test.go
+++ b/gateway/restore_model_test.go
@@ -143,7 +143,7 @@
 // to leave or to have gone.
 func (in *restoredInstance) check(t require.TestingT) {
 	for name := range in.known {
-		if spec, listed := in.targetList.specs[name]; !listed || spec.Leaves {
+		if spec, listed := in.targetList.specs[name]; !listed || spec.Leaving {
 			in.departed[name] = true
 		}
 	}
@@ -162,7 +162,7 @@
 func (in *restoredInstance) usableTargets() []string {
 	var out []string
 	for name, spec := range in.targetList.specs {
-		if !spec.Leaves {
+		if !spec.Leaving {
 			out = append(out, name)
 		}
 	}
--- a/gateway/restored_own_objects_test.go
+++ b/gateway/restored_own_objects_test.go
@@ -25,7 +25,7 @@
 		Rows:     []table.Row{{Service: "s", From: "a", To: "b", Weight: 1}},
 	}}
 	for i := range number {
-		doc.Recent = append(doc.Recent, config.Change{Number: int64(i + 1), ID: string(rune('a' + i)), Who: "op", What: "edit"})
+		doc.Recent = append(doc.Recent, config.Change{Number: int64(i + 1), ID: string(rune('a' + i)), Operator: "op", Command: "edit"})
 	}
 	if number > 1 {
 		doc.Table.Drains = []table.Drain{{Scope: table.ScopeRegion, Name: "b"}}
--- a/gateway/restored_targets_test.go
+++ b/gateway/restored_targets_test.go
@@ -25,8 +25,8 @@
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return catalog.Target{}, &catalog.EntryError{Field: "entry", Problem: "can't be read"}
 	}
-	return catalog.Target{ID: catalog.IncarnationID(name, e.Born), Name: name, Born: e.Born, Sequence: e.Sequence,
-		Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaves: e.Leaves}, nil
+	return catalog.Target{ID: catalog.IncarnationID(name, e.Born), Name: name, StartedAt: e.Born, Sequence: e.Sequence,
+		Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaving: e.Leaves}, nil
 }
 
 // entryChange is the change by which a target writes its entry.
@@ -124,7 +124,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	spec, ok := g.targetList.specs[name]
-	return ok && !spec.Leaves
+	return ok && !spec.Leaving
 }
 
 // TestTargetHoldsExpireAfterRestore checks that what is held back after a restore of the store comes to
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -317,7 +317,7 @@
 
 // limitAttrs says how the limit of the request's account decided, if it has one.
 func (ex *exchange) limitAttrs() []slog.Attr {
-	if !ex.account.Limited() {
+	if !ex.account.HasRateLimit() {
 		return nil
 	}
 	attrs := []slog.Attr{slog.Int64("permit_ms", ex.permitWait.Milliseconds())}
@@ -384,7 +384,7 @@
 	if route == nil {
 		return 0
 	}
-	return route.Objective
+	return route.LatencyObjective
 }
 
 // outcomeClass is the class of a final status, for the metrics.
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -52,15 +52,15 @@
 
 // born returns when the latest known incarnation of a name started, 0 if that is not known.
 func (l *targetList) born(name string) int64 {
-	if spec := l.specs[name]; spec != nil && spec.Born > 0 {
-		return spec.Born
+	if spec := l.specs[name]; spec != nil && spec.StartedAt > 0 {
+		return spec.StartedAt
 	}
 	return l.removed[name].born
 }
 
 // isOutdated tells whether an entry is that of an earlier incarnation than the one known.
 func (l *targetList) isOutdated(spec catalog.Target) bool {
-	return spec.Born > 0 && spec.Born < l.born(spec.Name)
+	return spec.StartedAt > 0 && spec.StartedAt < l.born(spec.Name)
 }
 
 // put takes in the entry of a target to use.
@@ -70,7 +70,7 @@
 	l.specs[spec.Name] = &spec
 	delete(l.refused, spec.Name)
 	switch {
-	case spec.Born > 0:
+	case spec.StartedAt > 0:
 		delete(l.removed, spec.Name)
 	case known > 0:
 		l.removed[spec.Name] = incarnation{born: known}
@@ -113,7 +113,7 @@
 		return known.ID == spec.ID && spec.Sequence < known.Sequence
 	}
 	last, went := l.removed[spec.Name]
-	return went && last.born == spec.Born && spec.Sequence <= last.sequence
+	return went && last.born == spec.StartedAt && spec.Sequence <= last.sequence
 }
 
 // expire forgets when targets had started that are gone for long.
@@ -160,7 +160,7 @@
 			continue
 		}
 		if g.targetList.isOutdated(spec) {
-			g.log.Log(ctx, level, logTargetOld, "target", c.Name, "born", spec.Born, "known", g.targetList.born(c.Name), "source", from.source, "revision", from.revision)
+			g.log.Log(ctx, level, logTargetOld, "target", c.Name, "born", spec.StartedAt, "known", g.targetList.born(c.Name), "source", from.source, "revision", from.revision)
 			continue
 		}
 		if from.restored && g.isStaleAfterRestore(now, spec) {
@@ -170,7 +170,7 @@
 		held.tombstones.Rewritten(c.Name)
 		g.targetList.put(spec)
 		g.log.Log(ctx, level, logTarget, "target", spec.ID, "service", spec.Service, "version", spec.Version, "hall", spec.Hall, "addr", spec.Addr,
-			"leaves", spec.Leaves, "cold_ms", spec.ColdFor.Milliseconds(), "source", from.source, "revision", from.revision)
+			"leaves", spec.Leaving, "cold_ms", spec.RemainingWarmup.Milliseconds(), "source", from.source, "revision", from.revision)
 	}
 	if refused > maxRefusedLines {
 		g.log.Error(logTargetsRefused, "entries", refused, "source", from.source, "revision", from.revision)
@@ -183,7 +183,7 @@
 // word. The caller holds mu.
 func (g *Gateway) hasAnnouncedLeaving(name string) bool {
 	spec, ok := g.targetList.specs[name]
-	return ok && (spec.Leaves || g.departures.has(spec.ID))
+	return ok && (spec.Leaving || g.departures.has(spec.ID))
 }
 
 // decodeTarget returns the target that an entry names. It has to be in a hall of the settings.
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -257,12 +257,12 @@
 	if err != nil {
 		return err
 	}
-	return lookup.Store(ctx, c.Client, c.Estate.Blocks())
+	return lookup.StoreBlocks(ctx, c.Client, c.Estate.Blocks())
 }
 
 // Editor returns an editor of the configuration.
 func (c *Cluster) Editor(what string) *config.Editor {
-	return &config.Editor{Store: c.Client, Who: "demo", What: what, NewID: caller.NewKey, Now: time.Now}
+	return &config.Editor{Store: c.Client, Operator: "demo", Command: what, NewID: caller.NewKey, Now: time.Now}
 }
 
 // StartInstance starts one entry instance on free addresses.
--- a/internal/demo/estate.go
+++ b/internal/demo/estate.go
@@ -94,7 +94,7 @@
 		t.Regions = append(t.Regions, table.Region{Name: r, Halls: Halls(r)})
 	}
 	for _, s := range e.Services {
-		t.Services = append(t.Services, table.Service{Name: s.Name, Once: s.Once, Floor: floorPercent})
+		t.Services = append(t.Services, table.Service{Name: s.Name, NonIdempotent: s.Once, Reserve: floorPercent})
 		for _, from := range e.Regions {
 			for _, to := range e.Regions {
 				t.Rows = append(t.Rows, demoRow(s.Name, from, to))
--- a/internal/demo/flow.go
+++ b/internal/demo/flow.go
@@ -42,7 +42,7 @@
 	times = times[first:]
 	worst, from := 0, 0
 	for i, t := range times {
-		for !t.Before(times[from].Add(table.Window)) {
+		for !t.Before(times[from].Add(table.CapWindow)) {
 			from++
 		}
 		worst = max(worst, i-from+1)
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	d.caps[key] = capSpan{before: remoteCap, lowered: time.Now().Add(table.Window)}
+	d.caps[key] = capSpan{before: remoteCap, lowered: time.Now().Add(table.CapWindow)}
 	if !pause.For(ctx, quarter) {
 		return ctx.Err()
 	}
--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -63,7 +63,7 @@
 	times = times[first:]
 	worst, from := 0, 0
 	for i, t := range times {
-		for t >= times[from]+table.Window.Nanoseconds() {
+		for t >= times[from]+table.CapWindow.Nanoseconds() {
 			from++
 		}
 		worst = max(worst, i-from+1)
@@ -113,7 +113,7 @@
 		}
 	})
 	took := s.awaitVersion(change.Number)
-	lowered := time.Now().Add(table.Window)
+	lowered := time.Now().Add(table.CapWindow)
 	time.Sleep(4 * time.Second)
 	cancel()
 	wg.Wait()
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -61,7 +61,7 @@
 		client := s.caller(hall)
 		answer, err := client.Lookup(context.Background(), reads)
 		require.NoError(t, err)
-		require.Equal(t, s.halls[hall], answer.Home)
+		require.Equal(t, s.halls[hall], answer.HomeHall)
 		require.Equal(t, s.halls[hall], answer.Instances[0].Hall, "the home hall comes first")
 		require.Len(t, answer.Instances, len(s.instances))
 		checkUpload(t, client, 5<<20)
--- a/internal/e2e/system_test.go
+++ b/internal/e2e/system_test.go
@@ -150,7 +150,7 @@
 )
 
 func testTable(limit int) *table.Table {
-	t := &table.Table{Services: []table.Service{{Name: reads, Floor: 20}, {Name: pays, Once: true, Floor: 20}}}
+	t := &table.Table{Services: []table.Service{{Name: reads, Reserve: 20}, {Name: pays, NonIdempotent: true, Reserve: 20}}}
 	for _, r := range regions {
 		t.Regions = append(t.Regions, table.Region{Name: r, Halls: hallsOf(r)})
 		for _, s := range t.Services {
@@ -189,7 +189,7 @@
 			s.publish(hall)
 		}
 	}
-	require.NoError(t, lookup.Store(context.Background(), s.client, blocks))
+	require.NoError(t, lookup.StoreBlocks(context.Background(), s.client, blocks))
 	for _, r := range regions {
 		for _, hall := range hallsOf(r) {
 			for i := range perHall {
@@ -220,7 +220,7 @@
 
 func (s *system) edit(what string, f func(*table.Table)) config.Change {
 	s.t.Helper()
-	editor := &config.Editor{Store: s.client, Who: "test", What: what, NewID: caller.NewKey, Now: time.Now}
+	editor := &config.Editor{Store: s.client, Operator: "test", Command: what, NewID: caller.NewKey, Now: time.Now}
 	change, err := editor.Edit(context.Background(), func(t *table.Table) error {
 		f(t)
 		return nil
--- a/lookup/block.go
+++ b/lookup/block.go
@@ -20,33 +20,33 @@
 	Hall   string       `json:"h"`
 }
 
-// BlockShards is the number of objects that the table of blocks is split into,
+// BlockShardCount is the number of objects that the table of blocks is split into,
 // so that a change of one block moves a small part of it.
-const BlockShards = 256
+const BlockShardCount = 256
 
-// BlockPrefix is the prefix of the shards' object keys.
-const BlockPrefix = "blocks/"
+// BlockKeyPrefix is the prefix of the shards' object keys.
+const BlockKeyPrefix = "blocks/"
 
 // BlockShard is one object of the table of blocks.
 type BlockShard struct {
 	Blocks []Block `json:"blocks"`
 }
 
-// ShardOf returns the object key of the shard that holds a prefix.
-func ShardOf(p netip.Prefix) string {
+// ShardKey returns the object key of the shard that holds a prefix.
+func ShardKey(p netip.Prefix) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(p.Masked().String()))
-	return fmt.Sprintf("%s%03d", BlockPrefix, h.Sum32()%BlockShards)
+	return fmt.Sprintf("%s%03d", BlockKeyPrefix, h.Sum32()%BlockShardCount)
 }
 
-// Blocks is the table of blocks. The zero value is empty.
-type Blocks struct {
+// BlockTable is the table of blocks. The zero value is empty.
+type BlockTable struct {
 	tree bart.Table[string]
 }
 
-// NewBlocks returns the table of the given blocks.
-func NewBlocks(blocks []Block) *Blocks {
-	b := &Blocks{}
+// NewBlockTable returns the table of the given blocks.
+func NewBlockTable(blocks []Block) *BlockTable {
+	b := &BlockTable{}
 	for _, block := range blocks {
 		b.tree.Insert(block.Prefix, block.Hall)
 	}
@@ -55,8 +55,8 @@
 
 // Replace returns a table in which the blocks of old are replaced by those of
 // now. The receiver is unchanged, and what both have in common is shared.
-func (b *Blocks) Replace(old, now []Block) *Blocks {
-	next := &Blocks{tree: *b.tree.Clone()}
+func (b *BlockTable) Replace(old, now []Block) *BlockTable {
+	next := &BlockTable{tree: *b.tree.Clone()}
 	for _, block := range old {
 		next.tree.Delete(block.Prefix)
 	}
@@ -67,10 +67,10 @@
 }
 
 // Len returns the number of blocks.
-func (b *Blocks) Len() int { return b.tree.Size() }
+func (b *BlockTable) Len() int { return b.tree.Size() }
 
 // Hall returns the hall of the longest prefix that holds addr.
-func (b *Blocks) Hall(addr netip.Addr) (string, bool) {
+func (b *BlockTable) Hall(addr netip.Addr) (string, bool) {
 	return b.tree.Lookup(addr.Unmap())
 }
 
--- a/lookup/directory.go
+++ b/lookup/directory.go
@@ -11,20 +11,20 @@
 	"github.com/rainford/rainford/member"
 )
 
-// Entry is one instance of an answer.
-type Entry struct {
+// Instance is one instance of an answer.
+type Instance struct {
 	ID     string `json:"id"`
 	Addr   string `json:"addr"`
 	Hall   string `json:"hall"`
 	Region string `json:"region"`
 }
 
-// Answer is the answer to a look-up.
-type Answer struct {
+// Response is the answer to a look-up.
+type Response struct {
 	// TTLMillis is how long the caller may keep the answer.
-	TTLMillis int64   `json:"ttl_ms"`
-	Home      string  `json:"home"`
-	Instances []Entry `json:"instances"`
+	TTLMillis int64      `json:"ttl_ms"`
+	HomeHall  string     `json:"home"`
+	Instances []Instance `json:"instances"`
 }
 
 // maxEntries bounds an answer: a caller needs a few to fail over to.
@@ -32,7 +32,7 @@
 
 // Directory answers look-ups. It is immutable and safe for concurrent use.
 type Directory struct {
-	blocks  *Blocks
+	blocks  *BlockTable
 	answers map[string][][]byte
 	// fallback is the hall of callers that no block holds.
 	fallback string
@@ -41,7 +41,7 @@
 // NewDirectory prepares the answers for the instances in view. Halls maps each
 // hall to its region. Own is the hall that callers of no block are taken to be
 // in, and must be among halls.
-func NewDirectory(blocks *Blocks, instances []member.Status, halls map[string]string, own string, ttl time.Duration) (*Directory, error) {
+func NewDirectory(blocks *BlockTable, instances []member.Status, halls map[string]string, own string, ttl time.Duration) (*Directory, error) {
 	if _, ok := halls[own]; !ok {
 		panic("lookup: own hall is not among the halls")
 	}
@@ -85,7 +85,7 @@
 	turns := max(len(groups[0]), 1)
 	out := make([][]byte, turns)
 	for i := range turns {
-		a := Answer{TTLMillis: ttl.Milliseconds(), Home: hall}
+		a := Response{TTLMillis: ttl.Milliseconds(), HomeHall: hall}
 		for _, g := range groups {
 			a.Instances = appendTurned(a.Instances, g, i)
 		}
@@ -99,10 +99,10 @@
 }
 
 // group returns the instances that are listed, by distance.
-func group(instances []member.Status, hall, region string) [4][]Entry {
-	var out [4][]Entry
+func group(instances []member.Status, hall, region string) [4][]Instance {
+	var out [4][]Instance
 	for _, in := range instances {
-		e := Entry{ID: in.ID, Addr: in.CallerAddr, Hall: in.Hall, Region: in.Region}
+		e := Instance{ID: in.ID, Addr: in.CallerAddr, Hall: in.Hall, Region: in.Region}
 		switch {
 		case in.State == member.Leaving:
 		case in.State == member.Suspect || !in.Ready:
@@ -124,7 +124,7 @@
 }
 
 // sortMixed sorts entries in an order of the hall's own.
-func sortMixed(entries []Entry, hall string) {
+func sortMixed(entries []Instance, hall string) {
 	order := make(map[string]uint32, len(entries))
 	for _, e := range entries {
 		h := fnv.New32a()
@@ -137,7 +137,7 @@
 
 // appendTurned appends entries from number by on, then those before it, as far
 // as there is room in an answer.
-func appendTurned(out, entries []Entry, by int) []Entry {
+func appendTurned(out, entries []Instance, by int) []Instance {
 	for i := range entries {
 		if len(out) == maxEntries {
 			break
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -25,16 +25,16 @@
 
 func find(t *testing.T, d *lookup.Directory, addr string) (home string, ids []string) {
 	t.Helper()
-	var a lookup.Answer
+	var a lookup.Response
 	require.NoError(t, json.Unmarshal(d.Find(netip.MustParseAddr(addr)), &a))
 	for _, e := range a.Instances {
 		ids = append(ids, e.ID)
 	}
-	return a.Home, ids
+	return a.HomeHall, ids
 }
 
 func TestDirectory(t *testing.T) {
-	blocks := lookup.NewBlocks([]lookup.Block{block("127.1.0.0/16", "a1"), block("127.1.9.0/24", "b1"), block("::/0", "b1"), block("127.2.0.0/16", "gone")})
+	blocks := lookup.NewBlockTable([]lookup.Block{block("127.1.0.0/16", "a1"), block("127.1.9.0/24", "b1"), block("::/0", "b1"), block("127.2.0.0/16", "gone")})
 	all := []member.Status{
 		instance("a1-1", "a1", "a", member.Live), instance("a1-2", "a1", "a", member.Live),
 		instance("a2-1", "a2", "a", member.Live), instance("b1-1", "b1", "b", member.Live),
@@ -65,7 +65,7 @@
 
 func TestReplaceLeavesOldTableAsItWas(t *testing.T) {
 	old := []lookup.Block{block("127.1.0.0/16", "a1")}
-	b := lookup.NewBlocks(old)
+	b := lookup.NewBlockTable(old)
 	next := b.Replace(old, []lookup.Block{block("127.1.0.0/16", "b1"), block("127.3.0.0/16", "b1")})
 	hall, _ := b.Hall(netip.MustParseAddr("127.1.0.1"))
 	require.Equal(t, "a1", hall)
@@ -107,7 +107,7 @@
 				halls[hall] = region
 				all = append(all, instance(fmt.Sprintf("%s-%03d", hall, i), hall, region, member.Live))
 			}
-			d, err := lookup.NewDirectory(lookup.NewBlocks(manyBlocks(n)), all, halls, "hall-00", time.Second)
+			d, err := lookup.NewDirectory(lookup.NewBlockTable(manyBlocks(n)), all, halls, "hall-00", time.Second)
 			require.NoError(b, err)
 			addrs := make([]netip.Addr, 1024)
 			for i := range addrs {
@@ -129,11 +129,11 @@
 	for _, n := range []int{1000, 20_000, 220_000} {
 		b.Run(fmt.Sprintf("blocks%d", n), func(b *testing.B) {
 			all := manyBlocks(n)
-			shard := all[:max(n/lookup.BlockShards, 1)]
+			shard := all[:max(n/lookup.BlockShardCount, 1)]
 			raw, err := json.Marshal(lookup.BlockShard{Blocks: shard})
 			require.NoError(b, err)
 			before := heap()
-			blocks := lookup.NewBlocks(all)
+			blocks := lookup.NewBlockTable(all)
 			used := heap() - before
 			for b.Loop() {
 				blocks = blocks.Replace(shard, shard)
@@ -163,7 +163,7 @@
 				halls[hall] = fmt.Sprintf("region-%d", i/perHall%7)
 				all = append(all, instance(fmt.Sprintf("%s-%03d", hall, i), hall, halls[hall], member.Live))
 			}
-			blocks := lookup.NewBlocks(nil)
+			blocks := lookup.NewBlockTable(nil)
 			b.ReportAllocs()
 			for b.Loop() {
 				_, err := lookup.NewDirectory(blocks, all, halls, "hall-00", time.Second)
@@ -173,8 +173,8 @@
 	}
 }
 
-func ExampleBlocks_Hall() {
-	b := lookup.NewBlocks([]lookup.Block{
+func ExampleBlockTable_Hall() {
+	b := lookup.NewBlockTable([]lookup.Block{
 		{Prefix: netip.MustParsePrefix("127.16.0.0/16"), Hall: "accra-1"},
 		{Prefix: netip.MustParsePrefix("127.16.8.0/24"), Hall: "accra-2"},
 	})
--- a/lookup/store.go
+++ b/lookup/store.go
@@ -10,22 +10,22 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// Writer is what storing blocks needs of the platform.
-type Writer interface {
+// BlockStore is what storing blocks needs of the platform.
+type BlockStore interface {
 	List(ctx context.Context, prefix string) (objectstore.Listing, error)
 	Put(ctx context.Context, key string, version int64, value any) (objectstore.Object, error)
 	Delete(ctx context.Context, key string, version int64) error
 }
 
-// Store replaces the table of blocks in the platform. Only shards that differ
+// StoreBlocks replaces the table of blocks in the platform. Only shards that differ
 // are written.
-func Store(ctx context.Context, w Writer, blocks []Block) error {
+func StoreBlocks(ctx context.Context, w BlockStore, blocks []Block) error {
 	want := make(map[string][]Block)
 	for _, b := range blocks {
-		key := ShardOf(b.Prefix)
+		key := ShardKey(b.Prefix)
 		want[key] = append(want[key], b)
 	}
-	listing, err := w.List(ctx, BlockPrefix)
+	listing, err := w.List(ctx, BlockKeyPrefix)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	return errors.Join(errs...)
 }
 
-func storeShard(ctx context.Context, w Writer, key string, have objectstore.Object, blocks []Block) error {
+func storeShard(ctx context.Context, w BlockStore, key string, have objectstore.Object, blocks []Block) error {
 	sort.Slice(blocks, func(i, j int) bool { return blocks[i].Prefix.String() < blocks[j].Prefix.String() })
 	shard := BlockShard{Blocks: blocks}
 	raw, err := json.Marshal(shard)
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -51,7 +51,7 @@
 			}
 			d := destination{l.Service, s.Region}
 			f.hops[d] = append(f.hops[d], entry.Hop{
-				Peer: route.Peer{ID: s.ID, Free: l.Free},
+				Peer: route.Peer{ID: s.ID, FreeSlots: l.Free},
 				Addr: s.HopAddr,
 				Hall: s.Hall,
 			})
@@ -75,7 +75,7 @@
 // listing is what the answers to look-ups are made of.
 type listing struct {
 	plan    *table.Plan
-	blocks  *lookup.Blocks
+	blocks  *lookup.BlockTable
 	entries []listed
 }
 
@@ -154,18 +154,18 @@
 		if now.Sub(since) < drainGrace {
 			return route.Draining
 		}
-		return route.Closed
+		return route.Unavailable
 	}
 	if row.To == n.self.Region && n.HallOpen() {
-		return route.Open
+		return route.Available
 	}
 	hops := n.fleet.Load().hops[destination{row.Service, row.To}]
 	if len(hops) == 0 {
-		return route.Closed
+		return route.Unavailable
 	}
 	for _, h := range hops {
-		if h.Free > 0 {
-			return route.Open
+		if h.FreeSlots > 0 {
+			return route.Available
 		}
 	}
 	return route.Full
@@ -187,7 +187,7 @@
 			busy = true
 			continue
 		}
-		h.Pending = n.sent[o]
+		h.SentSinceReport = n.sent[o]
 		hops = append(hops, h)
 	}
 	return hops, busy
@@ -220,7 +220,7 @@
 	defer n.mu.Unlock()
 	d := destination{service, region}
 	if n.warmth[d] == nil {
-		n.warmth[d] = &route.Warmth{}
+		n.warmth[d] = &route.LatencyTracker{}
 	}
 	n.warmth[d].Observe(latency)
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -173,7 +173,7 @@
 	if hb.Config > n.Version() {
 		n.mesh.Send(hb.From.PeerAddr, &peer.Pull{Key: config.Key, Version: n.objects.version(config.Key)})
 		if n.Version() == 0 {
-			n.mesh.Send(hb.From.PeerAddr, &peer.Pull{Key: lookup.BlockPrefix})
+			n.mesh.Send(hb.From.PeerAddr, &peer.Pull{Key: lookup.BlockKeyPrefix})
 		}
 	}
 	key := TargetPrefix + n.self.Hall
@@ -204,7 +204,7 @@
 // shared tells whether instances pass an object on to each other. Rosters go
 // by the platform alone.
 func shared(key string) bool {
-	return key == config.Key || strings.HasPrefix(key, TargetPrefix) || strings.HasPrefix(key, lookup.BlockPrefix)
+	return key == config.Key || strings.HasPrefix(key, TargetPrefix) || strings.HasPrefix(key, lookup.BlockKeyPrefix)
 }
 
 func (n *Node) addrOf(id string) string {
--- a/node/lookup_test.go
+++ b/node/lookup_test.go
@@ -41,7 +41,7 @@
 		Services: []table.Service{{Name: "s"}},
 		Rows:     []table.Row{{Service: "s", From: "r", To: "r", Weight: 1, Cap: table.NoCap, Shift: 100}},
 	}, 1))
-	n.blocks = lookup.NewBlocks([]lookup.Block{{Prefix: netip.MustParsePrefix("127.0.0.0/8"), Hall: "h"}})
+	n.blocks = lookup.NewBlockTable([]lookup.Block{{Prefix: netip.MustParsePrefix("127.0.0.0/8"), Hall: "h"}})
 	n.rebuild(time.Now())
 }
 
@@ -61,15 +61,15 @@
 	require.Equal(t, http.StatusNotFound, ask("service=x").Code)
 	w = ask("service=s")
 	require.Equal(t, http.StatusOK, w.Code)
-	var a lookup.Answer
+	var a lookup.Response
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &a))
-	require.Equal(t, "h", a.Home)
+	require.Equal(t, "h", a.HomeHall)
 	require.Equal(t, n.self.ID, a.Instances[0].ID)
 	n.leaving = true
 	n.mu.Lock()
 	n.rebuild(time.Now())
 	n.mu.Unlock()
-	a = lookup.Answer{}
+	a = lookup.Response{}
 	require.NoError(t, json.Unmarshal(ask("service=s").Body.Bytes(), &a))
 	require.Empty(t, a.Instances, "a leaving instance drops out at once")
 }
--- a/node/lost_config.go
+++ b/node/lost_config.go
@@ -23,7 +23,7 @@
 		obj.Value, obj.Deleted = held.Value, false
 		return true
 	}
-	return config.IsSame(held.Value, obj.Value)
+	return config.SameLatestChange(held.Value, obj.Value)
 }
 
 // rewriteConfig has a platform that has lost the accepted configuration hold it again. One instance does it,
--- a/node/node.go
+++ b/node/node.go
@@ -55,11 +55,11 @@
 	view       *member.View
 	agent      *seat.Agent
 	ledger     *share.Ledger
-	warmth     map[destination]*route.Warmth
+	warmth     map[destination]*route.LatencyTracker
 	declined   map[offer]time.Time
 	sent       map[offer]int
 	drainedAt  map[string]time.Time
-	blocks     *lookup.Blocks
+	blocks     *lookup.BlockTable
 	listing    *listing
 	leaving    bool
 	// closing is set when a stopping instance wants no more from others.
@@ -104,11 +104,11 @@
 		metrics:   metrics,
 		store:     objectstore.NewClient(config.Platform, 0),
 		objects:   newObjects(),
-		warmth:    make(map[destination]*route.Warmth),
+		warmth:    make(map[destination]*route.LatencyTracker),
 		declined:  make(map[offer]time.Time),
 		sent:      make(map[offer]int),
 		drainedAt: make(map[string]time.Time),
-		blocks:    lookup.NewBlocks(nil),
+		blocks:    lookup.NewBlockTable(nil),
 		rand:      newRand(),
 		kick:      make(chan struct{}, 1),
 		killed:    make(chan struct{}),
--- a/node/targets.go
+++ b/node/targets.go
@@ -64,7 +64,7 @@
 func floorsOf(plan *table.Plan) map[string]int {
 	out := make(map[string]int, len(plan.Table.Services))
 	for _, s := range plan.Table.Services {
-		out[s.Name] = s.Floor
+		out[s.Name] = s.Reserve
 	}
 	return out
 }
--- a/node/watch.go
+++ b/node/watch.go
@@ -54,7 +54,7 @@
 		TargetPrefix + n.self.Hall,
 		RosterPrefix + n.self.Hall,
 		InstancePrefix,
-		lookup.BlockPrefix,
+		lookup.BlockKeyPrefix,
 	}
 }
 
@@ -104,7 +104,7 @@
 	blocksBefore := make(map[string][]lookup.Block)
 	for _, obj := range objs {
 		known := obj.Key == config.Key && n.knowsConfig(&obj)
-		if strings.HasPrefix(obj.Key, lookup.BlockPrefix) {
+		if strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix) {
 			blocksBefore[obj.Key] = n.blocksOf(n.objects.byKey[obj.Key])
 		}
 		if n.objects.offer(obj) && !known {
@@ -126,7 +126,7 @@
 			n.setRoster(obj)
 		case strings.HasPrefix(obj.Key, InstancePrefix):
 			n.fleetOld = true
-		case strings.HasPrefix(obj.Key, lookup.BlockPrefix):
+		case strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix):
 			old = append(old, blocksBefore[obj.Key]...)
 			now = append(now, n.blocksOf(obj)...)
 		}
--- a/route/order.go
+++ b/route/order.go
@@ -11,16 +11,16 @@
 
 // The states, best first.
 const (
-	// Open destinations take requests.
-	Open State = iota
+	// Available destinations take requests.
+	Available State = iota
 	// Full destinations said that they have no free slot. What they said
 	// lags, so they are tried after the open ones.
 	Full
 	// Draining destinations get requests for a short time after the drain,
 	// and only if no other takes them.
 	Draining
-	// Closed destinations get nothing: drained, or no instance is reachable.
-	Closed
+	// Unavailable destinations get nothing: drained, or no instance is reachable.
+	Unavailable
 )
 
 // Candidate is a row with the state of its destination.
@@ -34,7 +34,7 @@
 // out.
 func Order(candidates []Candidate, rnd *rand.Rand) []table.Row {
 	var out []table.Row
-	for state := Open; state < Closed; state++ {
+	for state := Available; state < Unavailable; state++ {
 		out = append(out, draw(ofState(candidates, state), rnd)...)
 	}
 	return out
@@ -71,10 +71,10 @@
 // Peer is an instance of the destination that could take the request.
 type Peer struct {
 	ID string
-	// Free is the number of slots that the instance said to have free.
-	Free int
-	// Pending is the number of requests sent to it since it said so.
-	Pending int
+	// FreeSlots is the number of slots that the instance said to have free.
+	FreeSlots int
+	// SentSinceReport is the number of requests sent to it since it said so.
+	SentSinceReport int
 }
 
 // Pick returns the index of the better of two peers drawn at random, or -1
@@ -92,7 +92,7 @@
 	if b >= a {
 		b++
 	}
-	if peers[b].Free-peers[b].Pending > peers[a].Free-peers[a].Pending {
+	if peers[b].FreeSlots-peers[b].SentSinceReport > peers[a].FreeSlots-peers[a].SentSinceReport {
 		return b
 	}
 	return a
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -44,7 +44,7 @@
 func TestOrderByState(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	cs := candidates(1, 1000, 1000, 1000)
-	cs[1].State, cs[2].State, cs[3].State = route.Full, route.Draining, route.Closed
+	cs[1].State, cs[2].State, cs[3].State = route.Full, route.Draining, route.Unavailable
 	for range 100 {
 		rows := route.Order(cs, rnd)
 		require.Len(t, rows, 3, "a closed one gets nothing")
@@ -58,14 +58,14 @@
 	require.Equal(t, 0, route.Pick([]route.Peer{{ID: "a"}}, rnd))
 	counts := make([]int, 3)
 	for range 3000 {
-		counts[route.Pick([]route.Peer{{Free: 1}, {Free: 9, Pending: 9}, {Free: 5}}, rnd)]++
+		counts[route.Pick([]route.Peer{{FreeSlots: 1}, {FreeSlots: 9, SentSinceReport: 9}, {FreeSlots: 5}}, rnd)]++
 	}
 	require.Greater(t, counts[2], counts[0])
 	require.Zero(t, counts[1], "what was sent since the report counts")
 }
 
 func TestWarmth(t *testing.T) {
-	var w route.Warmth
+	var w route.LatencyTracker
 	require.True(t, w.Warm())
 	for range 100 {
 		w.Observe(40 * time.Millisecond)
@@ -85,7 +85,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	rows := route.Order([]route.Candidate{
 		{Row: table.Row{To: "accra", Weight: 90}},
-		{Row: table.Row{To: "kumasi", Weight: 10}, State: route.Closed},
+		{Row: table.Row{To: "kumasi", Weight: 10}, State: route.Unavailable},
 	}, rnd)
 	for _, r := range rows {
 		fmt.Println(r.To)
--- a/route/warmth.go
+++ b/route/warmth.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Warmth compares the latency of a destination now with its usual one. The
+// LatencyTracker compares the latency of a destination now with its usual one. The
 // zero value is ready and counts as warm.
-type Warmth struct {
+type LatencyTracker struct {
 	now   time.Duration
 	usual time.Duration
 }
@@ -19,7 +19,7 @@
 
 // Observe takes in the latency of one answer. The usual latency follows a
 // faster one quickly and a slower one slowly.
-func (w *Warmth) Observe(latency time.Duration) {
+func (w *LatencyTracker) Observe(latency time.Duration) {
 	if w.usual == 0 {
 		w.now, w.usual = latency, latency
 		return
@@ -33,6 +33,6 @@
 }
 
 // Warm tells whether the destination answers about as fast as usual.
-func (w *Warmth) Warm() bool {
+func (w *LatencyTracker) Warm() bool {
 	return w.now <= warmFactor*w.usual+warmSlack
 }
--- a/share/ledger.go
+++ b/share/ledger.go
@@ -41,7 +41,7 @@
 
 // limiterWindow exceeds the window of the caps by the largest error of a clock's
 // rate. Otherwise, windows would end early on a clock that runs fast.
-const limiterWindow = table.Window + table.Window/1000
+const limiterWindow = table.CapWindow + table.CapWindow/1000
 
 // NewLedger returns the ledger of an instance in a hall, without units. Nonce
 // is the number from which the instance's loan requests are numbered. It should
@@ -324,11 +324,11 @@
 func (l *Ledger) TimeToUnit(now time.Time, row table.RowKey) time.Duration {
 	entry := l.rows[row]
 	if entry == nil {
-		return table.Window
+		return table.CapWindow
 	}
 	oldest, ok := entry.limiter.uses.oldest()
 	if !ok {
-		return table.Window
+		return table.CapWindow
 	}
-	return max(oldest.Add(table.Window).Sub(now), 0)
+	return max(oldest.Add(table.CapWindow).Sub(now), 0)
 }
--- a/share/model_test.go
+++ b/share/model_test.go
@@ -245,7 +245,7 @@
 func (w *simulation) worstWindow() (over, most int) {
 	from := 0
 	for i, t := range w.uses {
-		for !t.Before(w.uses[from].Add(table.Window)) {
+		for !t.Before(w.uses[from].Add(table.CapWindow)) {
 			from++
 		}
 		n := i - from + 1
--- a/table/cell.go
+++ b/table/cell.go
@@ -67,8 +67,8 @@
 		out[Cell{CellRegion, r.Name, fieldHalls}] = strings.Join(r.Halls, " ")
 	}
 	for _, s := range t.Services {
-		out[Cell{CellService, s.Name, fieldOnce}] = strconv.FormatBool(s.Once)
-		out[Cell{CellService, s.Name, fieldFloor}] = strconv.Itoa(s.Floor)
+		out[Cell{CellService, s.Name, fieldOnce}] = strconv.FormatBool(s.NonIdempotent)
+		out[Cell{CellService, s.Name, fieldFloor}] = strconv.Itoa(s.Reserve)
 	}
 	for _, r := range t.Rows {
 		name := r.Service + "/" + r.From + "/" + r.To
@@ -103,7 +103,7 @@
 			setRow(entryOf(rows, cell.Name), cell, value)
 		case CellDrain:
 			scope, name, _ := strings.Cut(cell.Name, "/")
-			t.Drains = append(t.Drains, Drain{Scope: Scope(scope), Name: name})
+			t.Drains = append(t.Drains, Drain{Scope: DrainScope(scope), Name: name})
 		}
 	}
 	for _, name := range sortedKeys(regions) {
@@ -142,9 +142,9 @@
 	s.Name = cell.Name
 	switch cell.Field {
 	case fieldOnce:
-		s.Once = value == "true"
+		s.NonIdempotent = value == "true"
 	case fieldFloor:
-		s.Floor, _ = strconv.Atoi(value)
+		s.Reserve, _ = strconv.Atoi(value)
 	}
 }
 
--- a/table/check.go
+++ b/table/check.go
@@ -101,8 +101,8 @@
 			c.add("service", "%s stands twice", s.Name)
 		}
 		seen[s.Name] = true
-		if s.Floor < 0 || s.Floor > 100 {
-			c.add("floor", "%s: %d is not in 0 to 100", s.Name, s.Floor)
+		if s.Reserve < 0 || s.Reserve > 100 {
+			c.add("floor", "%s: %d is not in 0 to 100", s.Name, s.Reserve)
 		}
 	}
 }
--- a/table/table.go
+++ b/table/table.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Window is the length of the sliding window that caps are counted over.
-const Window = time.Second
+// CapWindow is the length of the sliding window that caps are counted over.
+const CapWindow = time.Second
 
 // NoCap is the Cap of a row without a limit.
 const NoCap = -1
@@ -36,12 +36,12 @@
 // Service is one service that targets offer.
 type Service struct {
 	Name string `json:"name"`
-	// Once marks a service whose operations run at most once. Requests of
+	// NonIdempotent marks a service whose operations run at most once. Requests of
 	// other services may be retried freely.
-	Once bool `json:"once,omitempty"`
-	// Floor is the percentage of each hall's slots that requests from other
+	NonIdempotent bool `json:"once,omitempty"`
+	// Reserve is the percentage of each hall's slots that requests from other
 	// regions may not fill.
-	Floor int `json:"floor,omitempty"`
+	Reserve int `json:"floor,omitempty"`
 }
 
 // Row is one line of weights and limits. See the package comment.
@@ -72,20 +72,20 @@
 	return k.Service + " " + k.From + ">" + k.To
 }
 
-// Scope is the kind of thing that a drain names.
-type Scope string
+// DrainScope is the kind of thing that a drain names.
+type DrainScope string
 
 // The scopes of a drain.
 const (
-	ScopeRegion Scope = "region"
-	ScopeHall   Scope = "hall"
-	ScopeTarget Scope = "target"
+	ScopeRegion DrainScope = "region"
+	ScopeHall   DrainScope = "hall"
+	ScopeTarget DrainScope = "target"
 )
 
 // Drain takes a region, a hall or a target out of use: it gets no new work.
 type Drain struct {
-	Scope Scope  `json:"scope"`
-	Name  string `json:"name"`
+	Scope DrainScope `json:"scope"`
+	Name  string     `json:"name"`
 }
 
 // Region returns the region called name.
@@ -109,7 +109,7 @@
 }
 
 // Drained tells whether a drain of the scope names name.
-func (t *Table) Drained(scope Scope, name string) bool {
+func (t *Table) Drained(scope DrainScope, name string) bool {
 	for _, d := range t.Drains {
 		if d.Scope == scope && d.Name == name {
 			return true
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -20,7 +20,7 @@
 func small() *table.Table {
 	return &table.Table{
 		Regions:  []table.Region{{Name: "accra", Halls: []string{"a1", "a2"}}, {Name: "kumasi", Halls: []string{"k1"}}},
-		Services: []table.Service{{Name: "ledger", Once: true}, {Name: "listings"}},
+		Services: []table.Service{{Name: "ledger", NonIdempotent: true}, {Name: "listings"}},
 		Rows: []table.Row{
 			{Service: "listings", From: "accra", To: "accra", Weight: 90, Cap: table.NoCap, Shift: 100},
 			{Service: "listings", From: "accra", To: "kumasi", Weight: 10, Cap: 40, Shift: 25, Ramp: 2 * time.Second},
--- a/upstream/bench_test.go
+++ b/upstream/bench_test.go
@@ -69,7 +69,7 @@
 			p := newPool()
 			p.SetTargets(start, specsInEachHall(n/4), nil)
 			spec := &catalog.Target{ID: "t", Service: "s", Addr: "x", Hall: "a1", Slots: 5}
-			leaving := changedSpec(spec, func(s *catalog.Target) { s.Leaves = true })
+			leaving := changedSpec(spec, func(s *catalog.Target) { s.Leaving = true })
 			b.ReportAllocs()
 			for b.Loop() {
 				p.ChangeTargets(start, []*catalog.Target{spec}, nil, nil)
--- a/upstream/placement_test.go
+++ b/upstream/placement_test.go
@@ -40,7 +40,7 @@
 		b.ReportAllocs()
 		for i := range b.N {
 			spec, leaving := versionedSpec(fmt.Sprint("k", i%50), "a1", "v1"), versionedSpec(fmt.Sprint("k", i%50), "a1", "v1")
-			leaving.Leaves = true
+			leaving.Leaving = true
 			began := time.Now()
 			p.ChangeTargets(now, []*catalog.Target{spec}, nil, nil)
 			p.ChangeTargets(now, []*catalog.Target{leaving}, nil, nil)
@@ -125,7 +125,7 @@
 		hash := func() availability.ID { return availability.ID(affinity.Hash(id())) }
 		spec := func() *catalog.Target {
 			s := versionedSpec(id(), rapid.SampledFrom([]string{"a1", "a2", "b1"}).Draw(t, "hall"), rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version"))
-			s.Leaves, s.Drained = rapid.Bool().Draw(t, "leaves"), rapid.Bool().Draw(t, "drained")
+			s.Leaving, s.Drained = rapid.Bool().Draw(t, "leaves"), rapid.Bool().Draw(t, "drained")
 			s.Slots = rapid.IntRange(1, 3).Draw(t, "slots")
 			return s
 		}
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -167,7 +167,7 @@
 			evacuated[hall] = rapid.IntRange(0, 3).Draw(t, hall) == 0
 		}
 		for i := range specs {
-			specs[i].Leaves = rapid.IntRange(0, 3).Draw(t, "leaves") == 0
+			specs[i].Leaving = rapid.IntRange(0, 3).Draw(t, "leaves") == 0
 		}
 		p.SetTargets(start, specsInEachHall(2), nil)
 		p.SetTargets(start, specs, evacuated)
@@ -182,7 +182,7 @@
 				continue
 			}
 			spec := byID[d.Target.ID]
-			require.False(t, spec.Leaves)
+			require.False(t, spec.Leaving)
 			require.False(t, evacuated[spec.Hall])
 			require.False(t, replaced[spec.ID])
 			outcome := upstream.Answered
@@ -207,7 +207,7 @@
 			var removed []string
 			for range rapid.IntRange(1, 6).Draw(t, "changes") {
 				spec := changedSpec(all[rapid.IntRange(0, len(all)-1).Draw(t, "target")], func(s *catalog.Target) {
-					s.Leaves = rapid.IntRange(0, 4).Draw(t, "leaves") == 0
+					s.Leaving = rapid.IntRange(0, 4).Draw(t, "leaves") == 0
 				})
 				changed = append(changed, spec)
 				listed[spec.ID] = spec
@@ -240,7 +240,7 @@
 	cases := map[string]func(p *upstream.Pool, specs []*catalog.Target){
 		"reported cold": func(p *upstream.Pool, specs []*catalog.Target) {
 			for i := range specs {
-				specs[i].ColdFor = 3 * time.Second
+				specs[i].RemainingWarmup = 3 * time.Second
 			}
 			p.SetTargets(start, specs, nil)
 		},
@@ -248,7 +248,7 @@
 			p.SetTargets(start, specs, nil)
 			var again []*catalog.Target
 			for _, spec := range specs {
-				again = append(again, changedSpec(spec, func(s *catalog.Target) { s.ColdFor = 3 * time.Second }))
+				again = append(again, changedSpec(spec, func(s *catalog.Target) { s.RemainingWarmup = 3 * time.Second }))
 			}
 			p.SetTargets(start, again, nil)
 		},
--- a/upstream/target_list.go
+++ b/upstream/target_list.go
@@ -86,12 +86,12 @@
 	if t == nil {
 		t = p.newTarget(now, spec.ID)
 	} else {
-		listedCold = t.spec.ColdFor
+		listedCold = t.spec.RemainingWarmup
 		p.versions.remove(t.spec.Version)
 	}
 	before := t.eventState()
-	if spec.ColdFor > listedCold {
-		t.markCold(now, spec.ColdFor)
+	if spec.RemainingWarmup > listedCold {
+		t.markCold(now, spec.RemainingWarmup)
 	}
 	if t.state.Evacuated() && !evacuated {
 		// A server may have become cold while it got no requests.
@@ -99,7 +99,7 @@
 	}
 	t.group, t.weight = p.groups[spec.Hall], float64(max(spec.Slots, 1))
 	t.spec, t.region = spec, p.regionFor(p.config.RegionOf[spec.Hall])
-	t.state.SetListed(now, spec.Leaves)
+	t.state.SetListed(now, spec.Leaving)
 	t.state.SetDrained(now, spec.Drained)
 	t.state.SetEvacuated(now, evacuated)
 	p.applyRateLimit(now, t, availability.SourcePeer)
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -165,7 +165,7 @@
 	var leaving []*catalog.Target
 	for _, spec := range old {
 		left := *spec
-		left.Leaves = true
+		left.Leaving = true
 		leaving = append(leaving, &left)
 	}
 	p.ChangeTargets(now, leaving, nil, nil)
