--- a/catalog/account_test.go
+++ b/catalog/account_test.go
@@ -13,8 +13,8 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// TestKeyIsNeverShown checks every way in which a value gets into a text.
-func TestKeyIsNeverShown(t *testing.T) {
+// TestKeyIsRedacted checks every way in which a value gets into a text.
+func TestKeyIsRedacted(t *testing.T) {
 	const secret = "s3cret"
 	key := catalog.NewKey(secret)
 	account := catalog.Account{Name: "ada", Keys: []catalog.Key{key}}
@@ -31,7 +31,7 @@
 	require.NotContains(t, shown.String(), fmt.Sprintf("%x", secret))
 }
 
-func TestSharedKeyIsNotValid(t *testing.T) {
+func TestSharedKeyIsRejected(t *testing.T) {
 	a, b := catalog.NewKey("a"), catalog.NewKey("b")
 	account := func(name string, keys ...catalog.Key) catalog.Account { return catalog.Account{Name: name, Keys: keys} }
 	_, err := catalog.NewRouter(&catalog.Config{Accounts: []catalog.Account{account("x", a, b), account("y", b), account("z", a)}})
@@ -45,7 +45,7 @@
 	require.Nil(t, router.Account(catalog.Key{}))
 }
 
-func TestHomes(t *testing.T) {
+func TestHomeRegions(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		route, account []string
@@ -69,7 +69,7 @@
 	require.Equal(t, []string{"a"}, got)
 }
 
-func TestPriorityOfAccountGoesFirst(t *testing.T) {
+func TestAccountPriorityOverridesRoute(t *testing.T) {
 	zero := 0
 	route := &catalog.Route{Priority: 2}
 	require.Equal(t, 2, catalog.PriorityOf(route, nil))
@@ -77,7 +77,7 @@
 	require.Equal(t, 0, catalog.PriorityOf(route, &catalog.Account{Priority: &zero}))
 }
 
-func TestHomeShares(t *testing.T) {
+func TestHomeRegionShares(t *testing.T) {
 	account := func(rate float64, regions ...string) catalog.Account {
 		return catalog.Account{Rate: rate, Regions: regions}
 	}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -11,9 +11,9 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// findNaive is the definition: of the host's routes, the longest prefix that
+// findByDefinition is the definition: of the host's routes, the longest prefix that
 // begins the path.
-func findNaive(config *catalog.Config, host, path string) string {
+func findByDefinition(config *catalog.Config, host, path string) string {
 	name, longest := "", -1
 	for _, r := range config.Routes {
 		if r.Host == host && strings.HasPrefix(path, r.Prefix) && len(r.Prefix) > longest {
@@ -50,11 +50,11 @@
 		if r := router.Find(host+":8080", path); r != nil {
 			got = r.Name
 		}
-		require.Equal(t, findNaive(config, host, path), got)
+		require.Equal(t, findByDefinition(config, host, path), got)
 	})
 }
 
-func TestPartsFollowWeights(t *testing.T) {
+func TestServicesFollowWeights(t *testing.T) {
 	route := &catalog.Route{Services: []catalog.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 20000 {
--- a/catalog/router.go
+++ b/catalog/router.go
@@ -4,11 +4,11 @@
 
 // Router finds the route and the client account of a request.
 type Router struct {
-	config   *Config
-	hosts    map[string]map[string]*Route
-	accounts map[Key]*Account
-	// named are the accounts by name.
-	named map[string]*Account
+	config        *Config
+	routesByHost  map[string]map[string]*Route
+	accountsByKey map[Key]*Account
+	// accountsByName are the accounts by name.
+	accountsByName map[string]*Account
 }
 
 // NewRouter returns the router of a configuration, which must not be changed
@@ -18,17 +18,17 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{config: config, hosts: make(map[string]map[string]*Route), accounts: accounts, named: make(map[string]*Account)}
+	r := &Router{config: config, routesByHost: make(map[string]map[string]*Route), accountsByKey: accounts, accountsByName: make(map[string]*Account)}
 	for i := range config.Accounts {
-		r.named[config.Accounts[i].Name] = &config.Accounts[i]
+		r.accountsByName[config.Accounts[i].Name] = &config.Accounts[i]
 	}
 	for i := range config.Routes {
 		route := &config.Routes[i]
 		host := strings.ToLower(route.Host)
-		if r.hosts[host] == nil {
-			r.hosts[host] = make(map[string]*Route)
+		if r.routesByHost[host] == nil {
+			r.routesByHost[host] = make(map[string]*Route)
 		}
-		r.hosts[host][route.Prefix] = route
+		r.routesByHost[host][route.Prefix] = route
 	}
 	return r, nil
 }
@@ -38,10 +38,10 @@
 
 // Account returns the client account that holds a key, or nil. Its cost does not grow with
 // the number of accounts: 14 to 19 ns at 79, 10,000 and 100,000 (BenchmarkAccount).
-func (r *Router) Account(key Key) *Account { return r.accounts[key] }
+func (r *Router) Account(key Key) *Account { return r.accountsByKey[key] }
 
 // AccountNamed returns the client account of a name, or nil.
-func (r *Router) AccountNamed(name string) *Account { return r.named[name] }
+func (r *Router) AccountNamed(name string) *Account { return r.accountsByName[name] }
 
 // HasRateLimits tells whether any account may send a limited number of requests only.
 func (r *Router) HasRateLimits() bool {
@@ -60,7 +60,7 @@
 	if i := strings.LastIndexByte(host, ':'); i > 0 {
 		host = host[:i]
 	}
-	prefixes := r.hosts[strings.ToLower(host)]
+	prefixes := r.routesByHost[strings.ToLower(host)]
 	if prefixes == nil {
 		return nil
 	}
--- a/config/audit.go
+++ b/config/audit.go
@@ -13,32 +13,32 @@
 // AuditPrefix is the prefix of the audit pages' object keys.
 const AuditPrefix = "audit/"
 
-// pageSpan is the number of changes of one audit page. A change of the largest
+// changesPerPage is the number of changes of one audit page. A change of the largest
 // table has about 0.7 MB, so large changes make pages of their own: see
 // pageKey.
-const pageSpan = 20
+const changesPerPage = 20
 
-// page is one object of archived changes.
-type page struct {
+// auditPage is one object of archived changes.
+type auditPage struct {
 	Changes []Change `json:"changes"`
 }
 
 // pageKey returns the key of the page for a change. Changes over largeBytes
 // get a page of their own.
 func pageKey(c Change, size int) string {
-	if size > largeBytes {
+	if size > largeChangeBytes {
 		return fmt.Sprintf("%s%010d-large", AuditPrefix, c.Number)
 	}
-	return fmt.Sprintf("%s%010d", AuditPrefix, c.Number/pageSpan*pageSpan)
+	return fmt.Sprintf("%s%010d", AuditPrefix, c.Number/changesPerPage*changesPerPage)
 }
 
-// largeBytes keeps a page of small changes below the platform's value limit.
-const largeBytes = 40 << 10
+// largeChangeBytes keeps a page of small changes below the platform's value limit.
+const largeChangeBytes = 40 << 10
 
 // archive copies changes to the audit pages. Copying one twice is harmless.
 func archive(ctx context.Context, store Store, changes []Change) error {
 	for _, c := range changes {
-		err := archiveOne(ctx, store, c)
+		err := archiveChange(ctx, store, c)
 		if err != nil {
 			return fmt.Errorf("config: archive change %d: %w", c.Number, err)
 		}
@@ -46,24 +46,24 @@
 	return nil
 }
 
-func archiveOne(ctx context.Context, store Store, c Change) error {
+func archiveChange(ctx context.Context, store Store, c Change) error {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
 	key := pageKey(c, len(raw))
-	for range maxTries {
+	for range maxAttempts {
 		obj, err := store.Get(ctx, key)
 		if errors.Is(err, objectstore.ErrNotFound) {
 			obj = objectstore.Object{}
 		} else if err != nil {
 			return err
 		}
-		p, err := decodePage(obj.Value)
+		p, err := decodeAuditPage(obj.Value)
 		if err != nil {
 			return err
 		}
-		if p.has(c.Number) {
+		if p.contains(c.Number) {
 			return nil
 		}
 		p.Changes = append(p.Changes, c)
@@ -79,8 +79,8 @@
 	return errors.New("too many conflicts")
 }
 
-func decodePage(raw []byte) (*page, error) {
-	p := &page{}
+func decodeAuditPage(raw []byte) (*auditPage, error) {
+	p := &auditPage{}
 	if len(raw) == 0 {
 		return p, nil
 	}
@@ -91,7 +91,7 @@
 	return p, nil
 }
 
-func (p *page) has(number int64) bool {
+func (p *auditPage) contains(number int64) bool {
 	for _, c := range p.Changes {
 		if c.Number == number {
 			return true
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	for _, obj := range listing.Objects {
-		p, err := decodePage(obj.Value)
+		p, err := decodeAuditPage(obj.Value)
 		if err != nil {
 			return nil, err
 		}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -25,34 +25,34 @@
 // fakeStore is a store whose replies to writes can be lost, whose writes can
 // take effect late, and in whose gaps others write.
 type fakeStore struct {
-	objects  map[string]objectstore.Object
-	previous map[string]objectstore.Object
-	revision int64
-	// before is called before each write.
-	before func(key string)
+	objects          map[string]objectstore.Object
+	previousVersions map[string]objectstore.Object
+	revision         int64
+	// beforeWrite is called beforeWrite each write.
+	beforeWrite func(key string)
 	// fault gives what happens to a write.
-	fault func(key string) writeFault
-	stale bool
-	// late holds writes that may still take effect.
-	late []func()
+	fault      func(key string) writeFault
+	staleReads bool
+	// delayed holds writes that may still take effect.
+	delayed []func()
 }
 
 type writeFault int
 
 const (
-	fine writeFault = iota
+	noFault writeFault = iota
 	refused
 	lostReply
-	lostBefore
-	takesEffectLate
+	lostRequest
+	delayedEffect
 )
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{objects: map[string]objectstore.Object{}, previous: map[string]objectstore.Object{}}
+	return &fakeStore{objects: map[string]objectstore.Object{}, previousVersions: map[string]objectstore.Object{}}
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (objectstore.Object, error) {
-	if old, ok := s.previous[key]; ok && s.stale {
+	if old, ok := s.previousVersions[key]; ok && s.staleReads {
 		return old, nil
 	}
 	obj, ok := s.objects[key]
@@ -77,20 +77,20 @@
 	if err != nil {
 		return objectstore.Object{}, err
 	}
-	if s.before != nil {
-		s.before(key)
+	if s.beforeWrite != nil {
+		s.beforeWrite(key)
 	}
-	fault := fine
+	fault := noFault
 	if s.fault != nil {
 		fault = s.fault(key)
 	}
 	switch fault {
 	case refused:
 		return objectstore.Object{}, objectstore.ErrUnavailable
-	case lostBefore:
+	case lostRequest:
 		return objectstore.Object{}, objectstore.ErrUncertain
-	case takesEffectLate:
-		s.late = append(s.late, func() { _, _ = s.put(key, version, raw) })
+	case delayedEffect:
+		s.delayed = append(s.delayed, func() { _, _ = s.put(key, version, raw) })
 		return objectstore.Object{}, objectstore.ErrUncertain
 	}
 	obj, err := s.put(key, version, raw)
@@ -106,7 +106,7 @@
 		return objectstore.Object{}, &objectstore.ConflictError{Key: key, Current: have}
 	}
 	if have.Version > 0 {
-		s.previous[key] = have
+		s.previousVersions[key] = have
 	}
 	s.revision++
 	s.objects[key] = objectstore.Object{Key: key, Version: s.revision, Value: raw}
@@ -119,18 +119,18 @@
 	return doc
 }
 
-var ids int
+var lastID int
 
-func editor(s *fakeStore, who string) *config.Editor {
+func newEditor(s *fakeStore, who string) *config.Editor {
 	return &config.Editor{
 		Store: s, Operator: who, Command: "test", RetryInterval: time.Microsecond,
-		NewID: func() string { ids++; return fmt.Sprint(ids) },
+		NewID: func() string { lastID++; return fmt.Sprint(lastID) },
 		Now:   func() time.Time { return time.Unix(0, 0) },
 	}
 }
 
 func seed(t require.TestingT, s *fakeStore) {
-	_, err := editor(s, "seed").Edit(context.Background(), func(tab *table.Table) error {
+	_, err := newEditor(s, "seed").Edit(context.Background(), func(tab *table.Table) error {
 		tab.Regions = []table.Region{{Name: "a", Halls: []string{"a1"}}, {Name: "b", Halls: []string{"b1"}}}
 		tab.Services = []table.Service{{Name: "s"}}
 		tab.Rows = []table.Row{
@@ -151,55 +151,55 @@
 	return func(tab *table.Table) error { tab.Rows[1].Cap = n; return nil }
 }
 
-// TestEditThroughFaults edits one cell again and again while writes are lost
+// TestEditWithStoreFaults edits one cell again and again while writes are lost
 // before and after they take effect, take effect late, or are refused, reads
 // are stale, and another operator edits other cells and the same one in
 // between. What Edit says must be true, and no cell is lost without a conflict.
-func TestEditThroughFaults(t *testing.T) {
+func TestEditWithStoreFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFakeStore()
 		seed(t, s)
 		var history []int64
 		ctx := context.Background()
 		for step := range rapid.IntRange(1, 12).Draw(t, "edits") {
-			s.stale = rapid.IntRange(0, 3).Draw(t, "stale") == 0
+			s.staleReads = rapid.IntRange(0, 3).Draw(t, "stale") == 0
 			left := rapid.IntRange(0, 4).Draw(t, "faults")
 			s.fault = func(string) writeFault {
 				if left == 0 {
-					return fine
+					return noFault
 				}
 				left--
 				return writeFault(rapid.IntRange(0, 4).Draw(t, "fault"))
 			}
 			rival := rapid.IntRange(0, 3).Draw(t, "rival")
-			s.before = func(key string) {
+			s.beforeWrite = func(key string) {
 				if key != config.Key {
 					return
 				}
-				if len(s.late) > 0 && rapid.Bool().Draw(t, "late lands") {
-					s.late[0]()
-					s.late = s.late[1:]
+				if len(s.delayed) > 0 && rapid.Bool().Draw(t, "late lands") {
+					s.delayed[0]()
+					s.delayed = s.delayed[1:]
 				}
 				if rival > 0 {
-					rivalWrites(t, s, rival, step)
+					writeAsRival(t, s, rival, step)
 					rival = 0
 				}
 			}
 			want := 100 + step
-			change, err := editor(s, "me").Edit(ctx, setWeight(want))
-			s.before = nil
-			for _, land := range s.late {
+			change, err := newEditor(s, "me").Edit(ctx, setWeight(want))
+			s.beforeWrite = nil
+			for _, land := range s.delayed {
 				land()
 			}
-			s.late = nil
-			verdict(t, s, want, change, err)
+			s.delayed = nil
+			requireConsistent(t, s, want, change, err)
 			number := s.document(t).Number
 			if len(history) > 0 {
 				require.GreaterOrEqual(t, number, history[len(history)-1], "the number fell")
 			}
 			history = append(history, number)
 		}
-		s.stale = false
+		s.staleReads = false
 		trail, err := config.AuditTrail(ctx, s)
 		require.NoError(t, err)
 		for i, c := range trail {
@@ -209,8 +209,8 @@
 	})
 }
 
-// rivalWrites has another operator change the cap (1), the weight (2) or both.
-func rivalWrites(t *rapid.T, s *fakeStore, what, step int) {
+// writeAsRival has another operator change the cap (1), the weight (2) or both.
+func writeAsRival(t *rapid.T, s *fakeStore, what, step int) {
 	doc := s.document(t)
 	before := doc.Table.Clone()
 	if what != 2 {
@@ -227,7 +227,7 @@
 	require.NoError(t, err)
 }
 
-func verdict(t *rapid.T, s *fakeStore, want int, change config.Change, err error) {
+func requireConsistent(t *rapid.T, s *fakeStore, want int, change config.Change, err error) {
 	doc := s.document(t)
 	inTrail := false
 	for _, c := range doc.Recent {
@@ -247,27 +247,27 @@
 	}
 }
 
-func TestTwoOperators(t *testing.T) {
+func TestConcurrentOperators(t *testing.T) {
 	ctx := context.Background()
 	s := newFakeStore()
 	seed(t, s)
-	s.before = func(string) {
-		s.before = nil
-		_, err := editor(s, "other").Edit(ctx, setCap(7))
+	s.beforeWrite = func(string) {
+		s.beforeWrite = nil
+		_, err := newEditor(s, "other").Edit(ctx, setCap(7))
 		require.NoError(t, err)
 	}
-	change, err := editor(s, "me").Edit(ctx, setWeight(9))
+	change, err := newEditor(s, "me").Edit(ctx, setWeight(9))
 	require.NoError(t, err, "different cells are merged")
 	require.EqualValues(t, 3, change.Number)
 	row := s.document(t).Table.Rows[1]
 	require.Equal(t, []int{9, 7}, []int{row.Weight, row.Cap})
 
-	s.before = func(string) {
-		s.before = nil
-		_, err := editor(s, "other").Edit(ctx, setCap(8))
+	s.beforeWrite = func(string) {
+		s.beforeWrite = nil
+		_, err := newEditor(s, "other").Edit(ctx, setCap(8))
 		require.NoError(t, err)
 	}
-	_, err = editor(s, "me").Edit(ctx, setCap(9))
+	_, err = newEditor(s, "me").Edit(ctx, setCap(9))
 	var conflict *config.ConflictError
 	require.ErrorAs(t, err, &conflict, "the same cell never silently")
 	require.Equal(t, []table.Conflict{{Cell: table.Cell{Kind: table.CellRow, Name: "s/a/b", Field: "cap"}, Base: "7", Mine: "9", Theirs: "8"}}, conflict.Cells)
@@ -278,13 +278,13 @@
 	ctx := context.Background()
 	s := newFakeStore()
 	seed(t, s)
-	_, err := editor(s, "other").Edit(ctx, setCap(7))
+	_, err := newEditor(s, "other").Edit(ctx, setCap(7))
 	require.NoError(t, err)
-	_, err = editor(s, "me").Replace(ctx, 1, setWeight(9), nil)
+	_, err = newEditor(s, "me").Replace(ctx, 1, setWeight(9), nil)
 	require.NoError(t, err)
 	row := s.document(t).Table.Rows[1]
 	require.Equal(t, []int{9, 7}, []int{row.Weight, row.Cap}, "the file's old cap must not undo the other's")
-	_, err = editor(s, "me").Replace(ctx, 99, setWeight(9), nil)
+	_, err = newEditor(s, "me").Replace(ctx, 99, setWeight(9), nil)
 	require.Error(t, err)
 }
 
@@ -292,7 +292,7 @@
 	s := newFakeStore()
 	seed(t, s)
 	version := s.objects[config.Key].Version
-	_, err := editor(s, "me").Edit(context.Background(), func(tab *table.Table) error {
+	_, err := newEditor(s, "me").Edit(context.Background(), func(tab *table.Table) error {
 		tab.Rows[1].Cap = table.NoCap
 		tab.Rows[0].Shift = 0
 		return nil
@@ -303,14 +303,14 @@
 	require.Equal(t, version, s.objects[config.Key].Version)
 }
 
-// TestTrailOutlivesDocument checks that changes leave the document for the
+// TestAuditTrailKeepsTrimmedChanges checks that changes leave the document for the
 // audit pages before it grows too large, and that none is lost.
-func TestTrailOutlivesDocument(t *testing.T) {
+func TestAuditTrailKeepsTrimmedChanges(t *testing.T) {
 	const edits = 300
 	s := newFakeStore()
 	seed(t, s)
 	for i := range edits {
-		e := editor(s, "me")
+		e := newEditor(s, "me")
 		e.Command = strings.Repeat("long command ", 200)
 		_, err := e.Edit(context.Background(), setWeight(10+i%2))
 		require.NoError(t, err)
--- a/config/document.go
+++ b/config/document.go
@@ -66,8 +66,8 @@
 	return t, nil
 }
 
-// find returns the change called id.
-func (d *Document) find(id string) (Change, bool) {
+// changeByID returns the change called id.
+func (d *Document) changeByID(id string) (Change, bool) {
 	for _, c := range d.Recent {
 		if c.ID == id {
 			return c, true
@@ -76,12 +76,12 @@
 	return Change{}, false
 }
 
-// recentBytes bounds the changes kept in the document, as encoded. Every
+// maxRecentBytes bounds the changes kept in the document, as encoded. Every
 // instance gets them with every change, see docs/CAPACITY.md.
-const recentBytes = 32 << 10
+const maxRecentBytes = 32 << 10
 
-// trim returns how many of the oldest changes have to leave the document.
-func trim(changes []Change) (int, error) {
+// countExcess returns how many of the oldest changes have to leave the document.
+func countExcess(changes []Change) (int, error) {
 	total := 0
 	for i := len(changes) - 1; i >= 0; i-- {
 		raw, err := json.Marshal(changes[i])
@@ -89,7 +89,7 @@
 			return 0, fmt.Errorf("config: encode change: %w", err)
 		}
 		total += len(raw)
-		if total > recentBytes && i < len(changes)-1 {
+		if total > maxRecentBytes && i < len(changes)-1 {
 			return i + 1, nil
 		}
 	}
--- a/config/editor.go
+++ b/config/editor.go
@@ -54,8 +54,8 @@
 }
 
 const (
-	maxTries     = 20
-	defaultPause = 200 * time.Millisecond
+	maxAttempts          = 20
+	defaultRetryInterval = 200 * time.Millisecond
 )
 
 // Edit reads the configuration, applies edit to the table and writes it. When
@@ -114,7 +114,7 @@
 		return Change{}, err
 	}
 	change := Change{ID: e.NewID(), Operator: e.Operator, Command: e.Command, At: e.Now().UTC()}
-	for range maxTries {
+	for range maxAttempts {
 		next, err := e.next(ctx, doc, base, mine, change)
 		if err != nil {
 			return Change{}, err
@@ -131,11 +131,11 @@
 		if err != nil {
 			return Change{}, err
 		}
-		if done, ok := doc.find(change.ID); ok {
+		if done, ok := doc.changeByID(change.ID); ok {
 			return done, nil
 		}
 	}
-	return Change{}, fmt.Errorf("config: gave up after %d tries: others write all the time", maxTries)
+	return Change{}, fmt.Errorf("config: gave up after %d tries: others write all the time", maxAttempts)
 }
 
 // next returns the document that follows doc with the edits from base to mine.
@@ -153,7 +153,7 @@
 		return nil, ErrNoChange
 	}
 	recent := append(append([]Change(nil), doc.Recent...), change)
-	drop, err := trim(recent)
+	drop, err := countExcess(recent)
 	if err != nil {
 		return nil, err
 	}
@@ -185,17 +185,17 @@
 		}
 		// The same conditional write again settles it: either it takes
 		// effect now, or the conflict shows who came first.
-		err = e.pause(ctx)
+		err = e.waitToRetry(ctx)
 		if err != nil {
 			return false, objectstore.Object{}, fmt.Errorf("config: change may have been accepted, look in the audit trail for %s: %w", doc.Recent[len(doc.Recent)-1].ID, err)
 		}
 	}
 }
 
-func (e *Editor) pause(ctx context.Context) error {
+func (e *Editor) waitToRetry(ctx context.Context) error {
 	d := e.RetryInterval
 	if d == 0 {
-		d = defaultPause
+		d = defaultRetryInterval
 	}
 	pause.For(ctx, d)
 	return ctx.Err()
--- a/config/supersede.go
+++ b/config/supersede.go
@@ -10,7 +10,7 @@
 	case key == Key:
 		return supersedesDocument(held, stored)
 	case strings.HasPrefix(key, AuditPrefix):
-		return supersedesPage(held, stored)
+		return supersedesAuditPage(held, stored)
 	default:
 		return false
 	}
@@ -28,21 +28,21 @@
 	if len(theirs.Recent) == 0 {
 		return theirs.Number == 0
 	}
-	_, known := mine.find(theirs.Recent[len(theirs.Recent)-1].ID)
+	_, known := mine.changeByID(theirs.Recent[len(theirs.Recent)-1].ID)
 	return known
 }
 
-func supersedesPage(held, stored []byte) bool {
-	mine, err := decodePage(held)
+func supersedesAuditPage(held, stored []byte) bool {
+	mine, err := decodeAuditPage(held)
 	if err != nil {
 		return false
 	}
-	theirs, err := decodePage(stored)
+	theirs, err := decodeAuditPage(stored)
 	if err != nil || len(theirs.Changes) >= len(mine.Changes) {
 		return false
 	}
 	for _, c := range theirs.Changes {
-		if !mine.has(c.Number) {
+		if !mine.contains(c.Number) {
 			return false
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	var out []Change
 	for _, c := range mine.Recent {
-		_, known := theirs.find(c.ID)
+		_, known := theirs.changeByID(c.ID)
 		if !known && (len(theirs.Recent) == 0 || c.Number >= theirs.Recent[0].Number) {
 			out = append(out, c)
 		}
--- a/lookup/directory.go
+++ b/lookup/directory.go
@@ -27,15 +27,15 @@
 	Instances []Instance `json:"instances"`
 }
 
-// maxEntries bounds an answer: a caller needs a few to fail over to.
-const maxEntries = 16
+// maxInstances bounds an answer: a caller needs a few to fail over to.
+const maxInstances = 16
 
 // Directory answers look-ups. It is immutable and safe for concurrent use.
 type Directory struct {
-	blocks  *BlockTable
-	answers map[string][][]byte
-	// fallback is the hall of callers that no block holds.
-	fallback string
+	blocks    *BlockTable
+	responses map[string][][]byte
+	// defaultHall is the hall of callers that no block holds.
+	defaultHall string
 }
 
 // NewDirectory prepares the answers for the instances in view. Halls maps each
@@ -45,13 +45,13 @@
 	if _, ok := halls[own]; !ok {
 		panic("lookup: own hall is not among the halls")
 	}
-	d := &Directory{blocks: blocks, answers: make(map[string][][]byte), fallback: own}
+	d := &Directory{blocks: blocks, responses: make(map[string][][]byte), defaultHall: own}
 	for hall, region := range halls {
-		variants, err := prepare(instances, hall, region, ttl)
+		variants, err := encodeResponses(instances, hall, region, ttl)
 		if err != nil {
 			return nil, err
 		}
-		d.answers[hall] = variants
+		d.responses[hall] = variants
 	}
 	return d, nil
 }
@@ -60,15 +60,15 @@
 // changed.
 func (d *Directory) Find(addr netip.Addr) []byte {
 	hall, ok := d.blocks.Hall(addr)
-	variants := d.answers[hall]
+	variants := d.responses[hall]
 	if !ok || len(variants) == 0 {
-		variants = d.answers[d.fallback]
+		variants = d.responses[d.defaultHall]
 	}
-	return variants[int(turn(addr)%uint32(len(variants)))]
+	return variants[int(addressHash(addr)%uint32(len(variants)))]
 }
 
-// turn returns a number that spreads callers over the instances of a hall.
-func turn(addr netip.Addr) uint32 {
+// addressHash returns a number that spreads callers over the instances of a hall.
+func addressHash(addr netip.Addr) uint32 {
 	raw := addr.Unmap().As16()
 	h := uint32(2166136261)
 	for _, b := range raw {
@@ -78,16 +78,16 @@
 	return h >> 8
 }
 
-// prepare returns one encoded answer for each turn of the home hall's
+// encodeResponses returns one encoded answer for each turn of the home hall's
 // instances.
-func prepare(instances []member.Status, hall, region string, ttl time.Duration) ([][]byte, error) {
-	groups := group(instances, hall, region)
+func encodeResponses(instances []member.Status, hall, region string, ttl time.Duration) ([][]byte, error) {
+	groups := groupByDistance(instances, hall, region)
 	turns := max(len(groups[0]), 1)
 	out := make([][]byte, turns)
 	for i := range turns {
 		a := Response{TTLMillis: ttl.Milliseconds(), HomeHall: hall}
 		for _, g := range groups {
-			a.Instances = appendTurned(a.Instances, g, i)
+			a.Instances = appendRotated(a.Instances, g, i)
 		}
 		raw, err := json.Marshal(a)
 		if err != nil {
@@ -98,8 +98,8 @@
 	return out, nil
 }
 
-// group returns the instances that are listed, by distance.
-func group(instances []member.Status, hall, region string) [4][]Instance {
+// groupByDistance returns the instances that are listed, by distance.
+func groupByDistance(instances []member.Status, hall, region string) [4][]Instance {
 	var out [4][]Instance
 	for _, in := range instances {
 		e := Instance{ID: in.ID, Addr: in.CallerAddr, Hall: in.Hall, Region: in.Region}
@@ -118,13 +118,13 @@
 	// The order of the others differs from hall to hall, so that callers of
 	// many halls do not fail over to the same instance.
 	for i := range out {
-		sortMixed(out[i], hall)
+		sortByHash(out[i], hall)
 	}
 	return out
 }
 
-// sortMixed sorts entries in an order of the hall's own.
-func sortMixed(entries []Instance, hall string) {
+// sortByHash sorts entries in an order of the hall's own.
+func sortByHash(entries []Instance, hall string) {
 	order := make(map[string]uint32, len(entries))
 	for _, e := range entries {
 		h := fnv.New32a()
@@ -135,11 +135,11 @@
 	sort.Slice(entries, func(a, b int) bool { return order[entries[a].ID] < order[entries[b].ID] })
 }
 
-// appendTurned appends entries from number by on, then those before it, as far
+// appendRotated appends entries from number by on, then those before it, as far
 // as there is room in an answer.
-func appendTurned(out, entries []Instance, by int) []Instance {
+func appendRotated(out, entries []Instance, by int) []Instance {
 	for i := range entries {
-		if len(out) == maxEntries {
+		if len(out) == maxInstances {
 			break
 		}
 		out = append(out, entries[(by+i)%len(entries)])
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -63,7 +63,7 @@
 	require.Greater(t, firsts["a1-2"], 50)
 }
 
-func TestReplaceLeavesOldTableAsItWas(t *testing.T) {
+func TestReplaceKeepsReceiver(t *testing.T) {
 	old := []lookup.Block{block("127.1.0.0/16", "a1")}
 	b := lookup.NewBlockTable(old)
 	next := b.Replace(old, []lookup.Block{block("127.1.0.0/16", "b1"), block("127.3.0.0/16", "b1")})
@@ -86,8 +86,8 @@
 	require.Equal(t, []lookup.Block{block("127.1.0.0/16", "a1")}, blocks)
 }
 
-// manyBlocks returns n blocks of /24 spread over halls.
-func manyBlocks(n int) []lookup.Block {
+// blocksOfSize returns n blocks of /24 spread over halls.
+func blocksOfSize(n int) []lookup.Block {
 	out := make([]lookup.Block, n)
 	for i := range out {
 		addr := netip.AddrFrom4([4]byte{byte(1 + i>>16), byte(i >> 8), byte(i), 0})
@@ -107,7 +107,7 @@
 				halls[hall] = region
 				all = append(all, instance(fmt.Sprintf("%s-%03d", hall, i), hall, region, member.Live))
 			}
-			d, err := lookup.NewDirectory(lookup.NewBlockTable(manyBlocks(n)), all, halls, "hall-00", time.Second)
+			d, err := lookup.NewDirectory(lookup.NewBlockTable(blocksOfSize(n)), all, halls, "hall-00", time.Second)
 			require.NoError(b, err)
 			addrs := make([]netip.Addr, 1024)
 			for i := range addrs {
@@ -128,13 +128,13 @@
 func BenchmarkBlocks(b *testing.B) {
 	for _, n := range []int{1000, 20_000, 220_000} {
 		b.Run(fmt.Sprintf("blocks%d", n), func(b *testing.B) {
-			all := manyBlocks(n)
+			all := blocksOfSize(n)
 			shard := all[:max(n/lookup.BlockShardCount, 1)]
 			raw, err := json.Marshal(lookup.BlockShard{Blocks: shard})
 			require.NoError(b, err)
-			before := heap()
+			before := heapInUse()
 			blocks := lookup.NewBlockTable(all)
-			used := heap() - before
+			used := heapInUse() - before
 			for b.Loop() {
 				blocks = blocks.Replace(shard, shard)
 			}
@@ -145,7 +145,7 @@
 	}
 }
 
-func heap() float64 {
+func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/route/order.go
+++ b/route/order.go
@@ -35,12 +35,12 @@
 func Order(candidates []Candidate, rnd *rand.Rand) []table.Row {
 	var out []table.Row
 	for state := Available; state < Unavailable; state++ {
-		out = append(out, draw(ofState(candidates, state), rnd)...)
+		out = append(out, weightedShuffle(rowsInState(candidates, state), rnd)...)
 	}
 	return out
 }
 
-func ofState(candidates []Candidate, state State) []table.Row {
+func rowsInState(candidates []Candidate, state State) []table.Row {
 	var out []table.Row
 	for _, c := range candidates {
 		if c.State == state && c.Row.Weight > 0 {
@@ -50,7 +50,7 @@
 	return out
 }
 
-func draw(rows []table.Row, rnd *rand.Rand) []table.Row {
+func weightedShuffle(rows []table.Row, rnd *rand.Rand) []table.Row {
 	total := 0
 	for _, r := range rows {
 		total += r.Weight
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -64,7 +64,7 @@
 	require.Zero(t, counts[1], "what was sent since the report counts")
 }
 
-func TestWarmth(t *testing.T) {
+func TestLatencyTracker(t *testing.T) {
 	var w route.LatencyTracker
 	require.True(t, w.Warm())
 	for range 100 {
--- a/table/bench_test.go
+++ b/table/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// manyRows returns a table of 7 regions with about n rows.
-func manyRows(n int) *table.Table {
+// tableOfSize returns a table of 7 regions with about n rows.
+func tableOfSize(n int) *table.Table {
 	t := &table.Table{}
 	halls := 0
 	for r := range 7 {
@@ -33,16 +33,16 @@
 	return t
 }
 
-var sizes = []int{98, 490, 1960}
+var rowCounts = []int{98, 490, 1960}
 
 func BenchmarkCheckAndCompile(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range rowCounts {
 		b.Run(fmt.Sprintf("rows%d", n), func(b *testing.B) {
-			t := manyRows(n)
+			t := tableOfSize(n)
 			raw, _ := json.Marshal(t)
-			before := heap()
+			before := heapInUse()
 			plan := table.Compile(t, 1)
-			used := heap() - before
+			used := heapInUse() - before
 			for b.Loop() {
 				if len(table.Check(t, nil)) > 0 {
 					b.Fatal("invalid")
@@ -56,7 +56,7 @@
 	}
 }
 
-func heap() float64 {
+func heapInUse() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/table/cell.go
+++ b/table/cell.go
@@ -56,13 +56,13 @@
 	Theirs string `json:"theirs"`
 }
 
-type cellSet map[Cell]string
+type cellValues map[Cell]string
 
 // noCapText stands for NoCap in a cell, where empty means "no such cell".
 const noCapText = "none"
 
-func cellsOf(t *Table) cellSet {
-	out := make(cellSet)
+func cellsOf(t *Table) cellValues {
+	out := make(cellValues)
 	for _, r := range t.Regions {
 		out[Cell{CellRegion, r.Name, fieldHalls}] = strings.Join(r.Halls, " ")
 	}
@@ -88,7 +88,7 @@
 }
 
 // tableOf rebuilds a table, sorted by name, from cells made by cellsOf.
-func tableOf(cells cellSet) *Table {
+func tableOf(cells cellValues) *Table {
 	t := &Table{}
 	regions := make(map[string]*Region)
 	services := make(map[string]*Service)
@@ -98,9 +98,9 @@
 		case CellRegion:
 			regions[cell.Name] = &Region{Name: cell.Name, Halls: strings.Fields(value)}
 		case CellService:
-			setService(entryOf(services, cell.Name), cell, value)
+			setService(getOrCreate(services, cell.Name), cell, value)
 		case CellRow:
-			setRow(entryOf(rows, cell.Name), cell, value)
+			setRow(getOrCreate(rows, cell.Name), cell, value)
 		case CellDrain:
 			scope, name, _ := strings.Cut(cell.Name, "/")
 			t.Drains = append(t.Drains, Drain{Scope: DrainScope(scope), Name: name})
@@ -122,7 +122,7 @@
 	return t
 }
 
-func entryOf[T any](m map[string]*T, name string) *T {
+func getOrCreate[T any](m map[string]*T, name string) *T {
 	if m[name] == nil {
 		m[name] = new(T)
 	}
@@ -170,7 +170,7 @@
 func Diff(before, after *Table) []Change {
 	old, now := cellsOf(before), cellsOf(after)
 	var out []Change
-	for _, cell := range unionOf(old, now) {
+	for _, cell := range sortedUnion(old, now) {
 		if old[cell] != now[cell] {
 			out = append(out, Change{Cell: cell, Before: old[cell], After: now[cell]})
 		}
@@ -183,12 +183,12 @@
 // merged table is then nil.
 func Merge(base, mine, theirs *Table) (*Table, []Conflict) {
 	was, ours, other := cellsOf(base), cellsOf(mine), cellsOf(theirs)
-	out := make(cellSet, len(other))
+	out := make(cellValues, len(other))
 	for cell, value := range other {
 		out[cell] = value
 	}
 	var conflicts []Conflict
-	for _, cell := range unionOf(was, ours) {
+	for _, cell := range sortedUnion(was, ours) {
 		if ours[cell] == was[cell] || ours[cell] == other[cell] {
 			continue
 		}
@@ -202,18 +202,18 @@
 			delete(out, cell)
 		}
 	}
-	conflicts = append(conflicts, removedRows(was, ours, other)...)
+	conflicts = append(conflicts, removalConflicts(was, ours, other)...)
 	if len(conflicts) > 0 {
 		return nil, conflicts
 	}
 	return tableOf(out), nil
 }
 
-// removedRows finds rows and services that one side removed while the other
+// removalConflicts finds rows and services that one side removed while the other
 // changed a cell of them: a merge would leave half of a row.
-func removedRows(was, ours, other cellSet) []Conflict {
+func removalConflicts(was, ours, other cellValues) []Conflict {
 	var out []Conflict
-	for _, cell := range unionOf(was, nil) {
+	for _, cell := range sortedUnion(was, nil) {
 		_, inOurs := ours[cell]
 		_, inOther := other[cell]
 		if inOurs == inOther {
@@ -230,7 +230,7 @@
 	return out
 }
 
-func changedSibling(was, kept cellSet, cell Cell) (bool, Cell) {
+func changedSibling(was, kept cellValues, cell Cell) (bool, Cell) {
 	for other, value := range was {
 		if other.Kind == cell.Kind && other.Name == cell.Name && kept[other] != value {
 			return true, other
@@ -239,7 +239,7 @@
 	return false, Cell{}
 }
 
-func unionOf(a, b cellSet) []Cell {
+func sortedUnion(a, b cellValues) []Cell {
 	out := make([]Cell, 0, len(a)+len(b))
 	for cell := range a {
 		out = append(out, cell)
--- a/table/check.go
+++ b/table/check.go
@@ -5,8 +5,8 @@
 	"regexp"
 )
 
-// nameForm is the form of the names of regions, halls and services.
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+// namePattern is the form of the names of regions, halls and services.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 // Limits on the size of a table; docs/CAPACITY.md gives the sizes to come.
 const (
@@ -42,7 +42,7 @@
 func (c *checker) addRow(row Row, col int, format string, args ...any) {
 	f := Finding{Field: Header[col], Message: row.Key().String() + ": " + fmt.Sprintf(format, args...)}
 	if c.sheet != nil {
-		at := c.sheet.places[row.Key()]
+		at := c.sheet.positions[row.Key()]
 		f.Line = at.line
 		f.Column = at.columns[col]
 	}
@@ -88,7 +88,7 @@
 }
 
 func (c *checker) name(field, name string) {
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		c.add(field, "%q: want 1 to 63 of a-z, 0-9 and -", name)
 	}
 }
@@ -123,11 +123,11 @@
 		if _, ok := c.table.Region(r.To); !ok {
 			c.addRow(r, colTo, "no region %q", r.To)
 		}
-		c.limits(r)
+		c.rowValues(r)
 	}
 }
 
-func (c *checker) limits(r Row) {
+func (c *checker) rowValues(r Row) {
 	if r.Weight < 0 || r.Weight > MaxWeight {
 		c.addRow(r, colWeight, "%d is not in 0 to %d", r.Weight, MaxWeight)
 	}
--- a/table/csv.go
+++ b/table/csv.go
@@ -27,16 +27,16 @@
 // MaxCSVBytes is the largest text that ReadCSV takes.
 const MaxCSVBytes = 1 << 20
 
-// place is where a row stands in a text.
-type place struct {
+// position is where a row stands in a text.
+type position struct {
 	line    int
 	columns [7]int
 }
 
 // Sheet is a table's rows as read from CSV, with the place of each.
 type Sheet struct {
-	Rows   []Row
-	places map[RowKey]place
+	Rows      []Row
+	positions map[RowKey]position
 }
 
 // ReadCSV reads rows from CSV. It reads to the end whatever it meets, and
@@ -47,7 +47,7 @@
 	reader.FieldsPerRecord = -1
 	reader.TrimLeadingSpace = true
 	reader.Comment = '#'
-	p := &csvParser{reader: reader, sheet: &Sheet{places: make(map[RowKey]place)}}
+	p := &csvParser{reader: reader, sheet: &Sheet{positions: make(map[RowKey]position)}}
 	p.run()
 	return p.sheet, p.findings.Err()
 }
@@ -56,7 +56,7 @@
 	reader   *csv.Reader
 	sheet    *Sheet
 	findings Findings
-	at       place
+	current  position
 }
 
 func (p *csvParser) run() {
@@ -106,12 +106,12 @@
 }
 
 func (p *csvParser) locate(record []string) {
-	p.at = place{}
+	p.current = position{}
 	for i := range record {
 		if i >= len(Header) {
 			return
 		}
-		p.at.line, p.at.columns[i] = p.reader.FieldPos(i)
+		p.current.line, p.current.columns[i] = p.reader.FieldPos(i)
 	}
 }
 
@@ -120,9 +120,9 @@
 	column := 1
 	if col >= 0 && col < len(Header) {
 		field = Header[col]
-		column = p.at.columns[col]
+		column = p.current.columns[col]
 	}
-	p.findings = append(p.findings, Finding{Line: p.at.line, Column: column, Field: field, Message: message})
+	p.findings = append(p.findings, Finding{Line: p.current.line, Column: column, Field: field, Message: message})
 }
 
 func (p *csvParser) record(record []string) {
@@ -143,11 +143,11 @@
 		Shift:   p.number(record, colShift, FullShift, FullShift),
 		Ramp:    p.duration(record, colRamp),
 	}
-	if first, twice := p.sheet.places[row.Key()]; twice {
+	if first, twice := p.sheet.positions[row.Key()]; twice {
 		p.add(colService, fmt.Sprintf("row %s stands already on line %d", row.Key(), first.line))
 		return
 	}
-	p.sheet.places[row.Key()] = p.at
+	p.sheet.positions[row.Key()] = p.current
 	p.sheet.Rows = append(p.sheet.Rows, row)
 }
 
@@ -239,7 +239,7 @@
 		return row, fmt.Errorf("table: no cell %q: want weight, cap, shift or ramp", field)
 	}
 	record[col] = text
-	p := &csvParser{sheet: &Sheet{places: make(map[RowKey]place)}}
+	p := &csvParser{sheet: &Sheet{positions: make(map[RowKey]position)}}
 	row.Weight = p.number(record, colWeight, 0, MaxWeight)
 	row.Cap = p.number(record, colCap, NoCap, MaxCap)
 	row.Shift = p.number(record, colShift, FullShift, FullShift)
--- a/table/plan.go
+++ b/table/plan.go
@@ -8,30 +8,30 @@
 	Version int64
 	Table   *Table
 
-	routes   map[routeKey][]Row
-	services map[string]Service
-	regionOf map[string]string
-	hallsOf  map[string][]string
-	drained  map[Drain]bool
+	rows          map[rowGroup][]Row
+	services      map[string]Service
+	regionByHall  map[string]string
+	hallsByRegion map[string][]string
+	drained       map[Drain]bool
 }
 
-type routeKey struct{ service, from string }
+type rowGroup struct{ service, from string }
 
 // Compile makes a plan of t, which must have passed Check.
 func Compile(t *Table, version int64) *Plan {
 	p := &Plan{
-		Version:  version,
-		Table:    t,
-		routes:   make(map[routeKey][]Row),
-		services: make(map[string]Service),
-		regionOf: make(map[string]string),
-		hallsOf:  make(map[string][]string),
-		drained:  make(map[Drain]bool),
+		Version:       version,
+		Table:         t,
+		rows:          make(map[rowGroup][]Row),
+		services:      make(map[string]Service),
+		regionByHall:  make(map[string]string),
+		hallsByRegion: make(map[string][]string),
+		drained:       make(map[Drain]bool),
 	}
 	for _, r := range t.Regions {
-		p.hallsOf[r.Name] = r.Halls
+		p.hallsByRegion[r.Name] = r.Halls
 		for _, h := range r.Halls {
-			p.regionOf[h] = r.Name
+			p.regionByHall[h] = r.Name
 		}
 	}
 	for _, s := range t.Services {
@@ -41,10 +41,10 @@
 		p.drained[d] = true
 	}
 	for _, r := range t.Rows {
-		k := routeKey{r.Service, r.From}
-		p.routes[k] = append(p.routes[k], r)
+		k := rowGroup{r.Service, r.From}
+		p.rows[k] = append(p.rows[k], r)
 	}
-	for _, rows := range p.routes {
+	for _, rows := range p.rows {
 		sort.SliceStable(rows, func(i, j int) bool { return rows[i].Weight > rows[j].Weight })
 	}
 	return p
@@ -53,7 +53,7 @@
 // Rows returns the rows of a service from a region, the heaviest first. The
 // caller must not change them.
 func (p *Plan) Rows(service, from string) []Row {
-	return p.routes[routeKey{service, from}]
+	return p.rows[rowGroup{service, from}]
 }
 
 // Service returns the service called name.
@@ -63,10 +63,10 @@
 }
 
 // RegionOf returns the region that a hall belongs to, or "".
-func (p *Plan) RegionOf(hall string) string { return p.regionOf[hall] }
+func (p *Plan) RegionOf(hall string) string { return p.regionByHall[hall] }
 
 // Halls returns the halls of a region. The caller must not change them.
-func (p *Plan) Halls(region string) []string { return p.hallsOf[region] }
+func (p *Plan) Halls(region string) []string { return p.hallsByRegion[region] }
 
 // RegionDrained tells whether a region gets no new work.
 func (p *Plan) RegionDrained(region string) bool {
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -17,7 +17,7 @@
 // otherwise.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-func small() *table.Table {
+func smallTable() *table.Table {
 	return &table.Table{
 		Regions:  []table.Region{{Name: "accra", Halls: []string{"a1", "a2"}}, {Name: "kumasi", Halls: []string{"k1"}}},
 		Services: []table.Service{{Name: "ledger", NonIdempotent: true}, {Name: "listings"}},
@@ -81,7 +81,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			tab := small()
+			tab := smallTable()
 			c.change(tab)
 			findings := table.Check(tab, nil)
 			if c.want == "" {
@@ -94,7 +94,7 @@
 }
 
 func drawTable(t *rapid.T, label string) *table.Table {
-	tab := small()
+	tab := smallTable()
 	for i := range tab.Rows {
 		tab.Rows[i].Weight = rapid.IntRange(1, 4).Draw(t, label+"weight")
 		tab.Rows[i].Shift = rapid.IntRange(98, 100).Draw(t, label+"shift")
@@ -121,10 +121,10 @@
 	})
 }
 
-// TestMergeLosesNoCell checks against the definition: a cell that one side
+// TestMergeMatchesDefinition checks against the definition: a cell that one side
 // changed has that side's value, one that both changed differently is a
 // conflict, and nothing else changes.
-func TestMergeLosesNoCell(t *testing.T) {
+func TestMergeMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, mine, theirs := drawTable(t, "base "), drawTable(t, "mine "), drawTable(t, "theirs ")
 		merged, conflicts := table.Merge(base, mine, theirs)
