--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/seat"
 )
 
-// BenchmarkHeartbeat reports the bytes of a heartbeat and the time to write and
-// read one, by the instances of the hall and the services.
+// BenchmarkHeartbeat reports the size of a heartbeat, and the time to encode and decode
+// one, by the numbers of instances in the hall and of services.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range []struct{ heard, services int }{{1, 3}, {11, 3}, {37, 3}, {37, 10}, {37, 20}} {
 		b.Run(fmt.Sprintf("heard%d-services%d", size.heard, size.services), func(b *testing.B) {
--- a/peer/delta.go
+++ b/peer/delta.go
@@ -15,39 +15,41 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// maxDeltaBytes bounds what a delta may unpack to: a kind of 100,000 objects of 300 bytes.
+// maxDeltaBytes bounds the decompressed size of a delta. It has room for a kind of 100,000
+// objects of 300 bytes.
 const maxDeltaBytes = 32 << 20
 
-// ErrDelta means that a delta can't be unpacked.
-var ErrDelta = errors.New("peer: delta can't be unpacked")
+// ErrDelta is returned for a delta that can't be decompressed or decoded.
+var ErrDelta = errors.New("peer: malformed delta")
 
-// Delta passes changes of a kind on. The changes are packed once, by the instance that has
-// read them, and passed on as they are.
+// Delta carries changes of a kind. The changes are compressed once, by the instance that
+// has read them, and relayed unchanged.
 type Delta struct {
 	Kind feed.Kind `msgpack:"k"`
-	// Packed is a feed.Delta in msgpack, compressed: entries of targets are much alike.
+	// Packed is a compressed feed.Delta in msgpack. Compression pays since the entries of
+	// targets resemble each other.
 	Packed []byte `msgpack:"p"`
-	// RemovalHold is how long the sender holds removals back after an outage of the
-	// store.
+	// RemovalHold is how long the sender still holds removals after an outage of the store.
 	RemovalHold time.Duration `msgpack:"l,omitempty"`
-	// Relay says that the receiver has to pass the delta on, up to the member Until.
+	// Relay asks the receiver to relay the delta to further members, up to and including
+	// RelayUntil.
 	Relay      bool     `msgpack:"r,omitempty"`
 	RelayUntil fleet.ID `msgpack:"u,omitempty"`
 }
 
-// compressors and decompressors keep the buffers of the compression, which are large.
+// compressors and decompressors reuse the buffers of the compression, which are large.
 var (
 	compressors = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(nil, flate.BestSpeed)
 		if err != nil {
-			panic(err) // The level is a constant.
+			panic(err) // The level is valid.
 		}
 		return w
 	}}
 	decompressors = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
-// NewDelta packs a delta.
+// NewDelta encodes and compresses a delta.
 func NewDelta(d feed.Delta) (*Delta, error) {
 	var buf bytes.Buffer
 	w := compressors.Get().(*flate.Writer)
@@ -64,8 +66,8 @@
 	return &Delta{Kind: d.Kind, Packed: buf.Bytes()}, nil
 }
 
-// Unpack returns the changes. It returns an error that wraps ErrDelta if they can't be
-// read or are of another kind than the message says.
+// Unpack decompresses and decodes the delta. It returns an error that wraps ErrDelta if the
+// delta is malformed or of another kind than that of the message.
 func (m *Delta) Unpack() (feed.Delta, error) {
 	r := decompressors.Get().(io.ReadCloser)
 	defer decompressors.Put(r)
@@ -77,12 +79,13 @@
 		return d, fmt.Errorf("%w: %w", ErrDelta, err)
 	}
 	if d.Kind != m.Kind {
-		return d, fmt.Errorf("%w: of %q, not %q", ErrDelta, d.Kind, m.Kind)
+		return d, fmt.Errorf("%w: kind is %q in the delta and %q in the message", ErrDelta, d.Kind, m.Kind)
 	}
 	return d, nil
 }
 
-// RelayTo returns the message for a branch, which has to pass it on.
+// RelayTo returns the message for the root of a branch of the broadcast tree, which relays
+// it within that branch.
 func (m *Delta) RelayTo(b fleet.Branch) *Delta {
 	relayed := *m
 	relayed.Relay, relayed.RelayUntil = true, b.Until
--- a/peer/delta_test.go
+++ b/peer/delta_test.go
@@ -12,7 +12,8 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// targetDelta returns a delta of n new targets, as alike as those of a site.
+// targetDelta returns a delta of n new targets, which resemble each other as those of one
+// site do.
 func targetDelta(n int) feed.Delta {
 	d := feed.Delta{Kind: "targets", From: feed.At(0, 1), To: feed.At(0, int64(n)+1)}
 	for i := range n {
@@ -23,8 +24,8 @@
 	return d
 }
 
-// TestDelta checks that a delta arrives as it was, relayed or not, in a sixth of its
-// length.
+// TestDelta checks that a relayed delta arrives unchanged, and that compression reduces its
+// size to less than a sixth.
 func TestDelta(t *testing.T) {
 	want := targetDelta(366)
 	message, err := peer.NewDelta(want)
@@ -48,8 +49,8 @@
 	require.Equal(t, want, unpacked)
 }
 
-// TestMalformedDelta checks that a delta that can't be unpacked, or is not of the kind that
-// the message says, is an error.
+// TestMalformedDelta checks that Unpack returns an error for a truncated delta and for one
+// whose kind differs from that of the message.
 func TestMalformedDelta(t *testing.T) {
 	message, err := peer.NewDelta(targetDelta(3))
 	require.NoError(t, err)
@@ -65,8 +66,8 @@
 	require.NoError(t, err)
 }
 
-// BenchmarkDelta measures packing and unpacking of a release of 366 targets and of all of
-// a large site.
+// BenchmarkDelta measures packing and unpacking of the 366 targets of a release and of all
+// 1,617 targets of a large site.
 func BenchmarkDelta(b *testing.B) {
 	for _, n := range []int{366, 1617} {
 		d := targetDelta(n)
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,13 +1,13 @@
-// Package peer provides the messages between instances: msgpack values in
-// frames on TCP connections.
+// Package peer provides the messages between instances, and a Mesh that sends and receives
+// them over TCP connections.
 //
-// A frame is a length of four bytes (big endian, of what follows), a kind of
-// one byte and a msgpack body. A connection carries frames one way only, from
-// the instance that opened it, and starts with a Hello that names the sender
-// and holds the secret that all instances share. A frame that is too long,
-// malformed or of an unknown kind, or a first frame that is no valid Hello,
-// closes that connection and nothing else.
+// A message is sent as a frame: the length of the rest of the frame in four bytes (big
+// endian), the kind of the message in one byte, and the message in msgpack. A connection
+// carries frames in one direction only, from the instance that opened it. Its first frame
+// is a Hello, which contains the sender's name and the secret that all instances share. A
+// connection is closed if a frame is too long, malformed or of an unknown kind, or if the
+// first frame is not a valid Hello. Other connections are not affected.
 //
-// Sending never blocks: frames for a peer that does not read are dropped, as
-// the network may drop them.
+// Sending never blocks. Frames for a peer that does not read are dropped, just as the
+// network may lose them.
 package peer
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -12,15 +12,15 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// Limits on a frame.
+// Sizes of frames, in bytes.
 const (
 	headerBytes = 4
-	// maxFrameBytes holds the largest value of the platform.
+	// maxFrameBytes has room for the largest object of the platform.
 	maxFrameBytes = objectstore.MaxValueBytes + 4<<10
 	maxHelloBytes = 4 << 10
 )
 
-// ErrFrame means that a frame is malformed.
+// ErrFrame is returned for a malformed frame.
 var ErrFrame = errors.New("peer: malformed frame")
 
 // Encode returns the frame of a message.
@@ -30,11 +30,11 @@
 	enc.UseCompactInts(true)
 	err := enc.Encode(m)
 	if err != nil {
-		return nil, fmt.Errorf("peer: encode: %w", err)
+		return nil, fmt.Errorf("peer: message not encoded: %w", err)
 	}
 	body := buf.Bytes()
 	if len(body)+1 > maxFrameBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, len(body))
+		return nil, fmt.Errorf("%w: body of %d bytes is too long", ErrFrame, len(body))
 	}
 	frame := make([]byte, headerBytes+1, headerBytes+1+len(body))
 	binary.BigEndian.PutUint32(frame, uint32(len(body)+1))
@@ -42,12 +42,13 @@
 	return append(frame, body...), nil
 }
 
-// ReadFrame reads one message. It returns io.EOF at the end of the stream and
-// an error that wraps ErrFrame for a malformed frame.
+// ReadFrame reads one message. It returns io.EOF at the end of the stream, and an error
+// that wraps ErrFrame if the frame is malformed.
 func ReadFrame(r io.Reader) (Message, error) {
 	return readFrame(r, maxFrameBytes)
 }
 
+// readFrame is ReadFrame with a limit on the length of the frame, in bytes.
 func readFrame(r io.Reader, limit int) (Message, error) {
 	var header [headerBytes]byte
 	_, err := io.ReadFull(r, header[:])
@@ -56,10 +57,9 @@
 	}
 	n := int(binary.BigEndian.Uint32(header[:]))
 	if n < 1 || n > limit {
-		return nil, fmt.Errorf("%w: %d bytes", ErrFrame, n)
+		return nil, fmt.Errorf("%w: length of %d bytes is out of range", ErrFrame, n)
 	}
-	// The buffer grows with what arrives, so that a length alone takes no
-	// memory.
+	// The buffer grows with the received data, so that a length alone allocates no memory.
 	body, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	}
 	m := newMessage(kind(body[0]))
 	if m == nil {
-		return nil, fmt.Errorf("%w: kind %d", ErrFrame, body[0])
+		return nil, fmt.Errorf("%w: unknown kind %d", ErrFrame, body[0])
 	}
 	err = msgpack.Unmarshal(body[1:], m)
 	if err != nil {
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// FuzzDelta has any bytes for packed changes, and checks that a replica takes what can be
-// unpacked or refuses it, and is then where it says.
+// FuzzDelta unpacks arbitrary bytes. If that succeeds, a replica must either apply the
+// delta and reach its end, or reject it and stay at its position.
 func FuzzDelta(f *testing.F) {
 	for _, d := range []feed.Delta{
 		targetDelta(3),
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -19,27 +19,29 @@
 const (
 	queueCapacity = 64
 	dialTimeout   = 2 * time.Second
-	// unackedTimeout ends a connection whose bytes the other side does not acknowledge: it
-	// may be silent for good while new ones work. Frames on the way are lost by that, as
-	// they are anyway. The way between regions and back takes a tenth of it.
+	// unackedTimeout is how long sent bytes may remain unacknowledged before a connection
+	// is closed: an established connection may silently drop all packets while new ones
+	// work. Frames in transit are then lost, which the senders tolerate. The round-trip
+	// time between regions is a tenth of it.
 	unackedTimeout = time.Second
 	writeTimeout   = 5 * time.Second
 	helloTimeout   = 5 * time.Second
-	// idleTimeout ends a connection that carries nothing, on both sides.
+	// idleTimeout is how long a connection may carry no frame before either side closes it.
 	idleTimeout     = time.Minute
 	redialBackoff   = 500 * time.Millisecond
 	maxInboundConns = 4096
 	readBufferBytes = 2 << 10
 )
 
-// Receiver takes the messages that arrive. It is called from many goroutines.
+// Receiver handles received messages. Its methods are called concurrently.
 type Receiver interface {
+	// Receive handles a message. From is the name under which the sender introduced itself.
 	Receive(from string, m Message)
-	// Unreachable says that no connection to a peer could be had.
+	// Unreachable is called when no connection to a peer could be established.
 	Unreachable(addr string)
 }
 
-// Mesh sends messages to peers and receives theirs.
+// Mesh sends messages to peers and receives theirs. It is safe for concurrent use.
 type Mesh struct {
 	self     string
 	secret   string
@@ -57,7 +59,8 @@
 	wg     sync.WaitGroup
 }
 
-// NewMesh returns the mesh of an instance. Secret is shared by all instances.
+// NewMesh returns a mesh that introduces itself to peers as self. ReconnectBoth requires
+// that self is the peer address of this instance. The secret is shared by all instances.
 func NewMesh(self, secret string, receiver Receiver, log *slog.Logger) *Mesh {
 	return &Mesh{
 		self:     self,
@@ -69,12 +72,12 @@
 	}
 }
 
-// Traffic returns the bytes sent and received and the frames dropped.
+// Traffic returns the numbers of bytes sent, bytes received and frames dropped.
 func (m *Mesh) Traffic() (sent, received, dropped int64) {
 	return m.sentBytes.Load(), m.receivedBytes.Load(), m.dropped.Load()
 }
 
-// Serve takes connections from ln until it is closed.
+// Serve accepts connections on ln until ln is closed.
 func (m *Mesh) Serve(ln net.Listener) error {
 	for {
 		conn, err := ln.Accept()
@@ -95,6 +98,8 @@
 	}
 }
 
+// track registers a received connection. It returns false if the mesh is closed or has too
+// many connections.
 func (m *Mesh) track(conn net.Conn) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,24 +119,24 @@
 	m.wg.Done()
 }
 
-// receive reads one connection to its end.
+// receive reads frames from a connection until it ends.
 func (m *Mesh) receive(conn net.Conn) {
 	_ = conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	first, err := readFrame(conn, maxHelloBytes)
 	hello, ok := first.(*Hello)
 	if err != nil || !ok || subtle.ConstantTimeCompare([]byte(hello.Secret), []byte(m.secret)) != 1 {
-		m.log.Warn("peer refused", "addr", conn.RemoteAddr().String(), "error", refusalReason(err))
+		m.log.Warn("peer connection rejected", "addr", conn.RemoteAddr().String(), "error", refusalReason(err))
 		return
 	}
 	counted := &countingReader{r: conn, n: &m.receivedBytes}
-	// A frame is read in one call of the system instead of two or more.
+	// With a buffer, a frame is read with one system call instead of two or more.
 	buffered := bufio.NewReaderSize(counted, readBufferBytes)
 	for {
 		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		msg, err := ReadFrame(buffered)
 		if err != nil {
 			if errors.Is(err, ErrFrame) {
-				m.log.Warn("peer frame refused", "from", hello.From, "error", err.Error())
+				m.log.Warn("peer connection closed after a malformed frame", "from", hello.From, "error", err.Error())
 			}
 			return
 		}
@@ -139,13 +144,15 @@
 	}
 }
 
+// refusalReason returns why the first frame of a connection is not accepted.
 func refusalReason(err error) string {
 	if err == nil {
-		return "bad hello"
+		return "first frame is no valid hello"
 	}
 	return err.Error()
 }
 
+// countingReader adds the number of bytes read from r to n.
 type countingReader struct {
 	r io.Reader
 	n *atomic.Int64
@@ -157,12 +164,11 @@
 	return n, err
 }
 
-// Send queues a message for the peer at addr. It drops the message when the
-// queue is full.
+// Send queues a message for the peer at addr. It drops the message if the queue is full.
 func (m *Mesh) Send(addr string, msg Message) {
 	frame, err := Encode(msg)
 	if err != nil {
-		m.log.Error("peer message not sent", "error", err.Error())
+		m.log.Error("peer message not sent: it can't be encoded", "error", err.Error())
 		return
 	}
 	l := m.link(addr)
@@ -176,6 +182,8 @@
 	}
 }
 
+// link returns the link to a peer, which it creates if there is none. It returns nil if the
+// mesh is closed.
 func (m *Mesh) link(addr string) *link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -193,8 +201,9 @@
 	return l
 }
 
-// Reconnect ends the connection to a peer that has not answered what was sent to it: it may
-// carry nothing any more without a sign of it. The next frame opens another one.
+// Reconnect closes the connection to a peer that has not replied. The connection may
+// silently drop all packets without any sign of it on this side. The next frame opens a new
+// one.
 func (m *Mesh) Reconnect(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,15 +212,16 @@
 	}
 }
 
-// ReconnectBoth ends the connection to a peer that has not answered, and asks the peer to open
-// another one too: its answers may go over one that carries nothing, of which only this side
-// can know. That the peer is heard of says nothing of it, as others pass on what it says.
+// ReconnectBoth closes the connection to a peer that has not replied, and asks the peer to
+// open a new one too. The peer's replies may go over a connection that silently drops all
+// packets, which only this side can detect. Gossip about the peer is no evidence that its
+// connection works, since other instances relay the peer's heartbeats.
 func (m *Mesh) ReconnectBoth(addr string) {
 	m.Reconnect(addr)
 	m.Send(addr, &Probe{ReplyTo: m.self, Reconnect: true})
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close closes all connections and waits until their goroutines have returned.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -225,18 +235,19 @@
 	m.wg.Wait()
 }
 
-// link is the outgoing connection to one peer. It ends after idleTimeout
-// without a message.
+// link is the outgoing connection to one peer. It is removed after idleTimeout without a
+// message.
 type link struct {
 	mesh   *Mesh
 	addr   string
 	queue  chan []byte
 	cancel context.CancelFunc
 	conn   net.Conn
-	// reconnect asks for another connection.
+	// reconnect requests a new connection for the next frame.
 	reconnect atomic.Bool
 }
 
+// run sends queued frames until the link has been idle for idleTimeout or ctx is canceled.
 func (l *link) run(ctx context.Context) {
 	defer l.mesh.wg.Done()
 	defer l.remove()
@@ -255,6 +266,7 @@
 	}
 }
 
+// remove closes the link and removes it from the mesh.
 func (l *link) remove() {
 	l.close()
 	l.cancel()
@@ -270,13 +282,13 @@
 	}
 }
 
-// deliver writes one frame, over a new connection if need be. A frame that
-// can't be written is dropped.
+// deliver writes one frame, over a new connection if necessary. It drops the frame if that
+// fails.
 func (l *link) deliver(ctx context.Context, frame []byte) {
 	if l.reconnect.Swap(false) || (l.conn != nil && !sockopt.Quiet(l.conn)) {
-		// The peer sends nothing on it, so that anything there is its end: written to it,
-		// the first message to a peer that has started again would be lost, and those
-		// after it until the next write fails.
+		// The peer sends nothing on this connection, so anything to read is its end.
+		// Writing to the connection would lose the first message to a peer that has
+		// restarted, and those after it until a write fails.
 		l.close()
 	}
 	if l.conn == nil && !l.open(ctx) {
@@ -293,8 +305,8 @@
 	}
 }
 
-// drainQueue drops what has queued up while the peer could not be reached: old
-// heartbeats would only pretend that all is well.
+// drainQueue drops the frames that were queued while the peer was unreachable. Outdated
+// heartbeats would make the instance appear healthy for that time.
 func (l *link) drainQueue() {
 	for {
 		select {
@@ -306,6 +318,7 @@
 	}
 }
 
+// open establishes a connection and sends the Hello. It reports whether both succeeded.
 func (l *link) open(ctx context.Context) bool {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: sockopt.LimitUnacked(unackedTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", l.addr)
@@ -317,6 +330,7 @@
 	return err == nil && l.write(hello)
 }
 
+// write sends a frame, and closes the connection if that fails.
 func (l *link) write(frame []byte) bool {
 	_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n, err := l.conn.Write(frame)
--- a/peer/message.go
+++ b/peer/message.go
@@ -16,10 +16,10 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// kind is the kind of a frame.
+// kind identifies the type of the message in a frame.
 type kind byte
 
-// The kinds of frames.
+// The kinds of frames. Their values are part of the protocol.
 const (
 	kindHello kind = iota + 1
 	kindHeartbeat
@@ -46,8 +46,9 @@
 	kind() kind
 }
 
-// Hello opens a connection.
+// Hello is the first message of a connection.
 type Hello struct {
+	// From is the name under which the sender introduces itself, see NewMesh.
 	From   string `msgpack:"f"`
 	Secret string `msgpack:"s"`
 }
@@ -57,31 +58,31 @@
 	member.Heartbeat
 }
 
-// LoanRequest asks for a loan.
+// LoanRequest asks another instance for a loan of idle units of a cap.
 type LoanRequest struct {
 	share.LoanRequest
 }
 
-// Loan answers an Ask.
+// Loan replies to a LoanRequest.
 type Loan struct {
 	share.Loan
 }
 
-// Pull asks for an object of the platform that the receiver has a newer
-// version of.
+// Pull requests an object of the platform of which the receiver has a version later than
+// Version.
 type Pull struct {
 	Key     string `msgpack:"k"`
 	Version int64  `msgpack:"v"`
 }
 
-// Object passes an object of the platform on.
+// Object carries an object of the platform.
 type Object struct {
 	Key     string `msgpack:"k"`
 	Version int64  `msgpack:"v"`
 	Value   []byte `msgpack:"b"`
 }
 
-// Claim asks the receiver to write a claim.
+// Claim asks the receiver to write a claim of an operation to the store.
 type Claim struct {
 	Shard claim.ShardID `msgpack:"s"`
 	Op    claim.Op      `msgpack:"o"`
@@ -89,82 +90,85 @@
 	Timeout time.Duration `msgpack:"d"`
 }
 
-// ClaimReply answers a Claim once the claim is in force.
+// ClaimReply replies to a Claim once the claim is in effect.
 type ClaimReply struct {
 	Owner string      `msgpack:"o"`
 	Reply claim.Reply `msgpack:"r"`
 }
 
-// Gossip tells of the beats that the sender knows and the positions that its replicas
-// reflect.
+// Gossip carries the heartbeats that the sender knows of, the positions of its replicas,
+// and replicated state.
 type Gossip struct {
-	// Heartbeats begin with the sender's own, which names it.
+	// Heartbeats begin with that of the sender, which identifies it.
 	Heartbeats fleet.Heartbeats `msgpack:"b"`
-	// Member is the sender itself, for receivers that may not know it; nil in most
+	// Member describes the sender, for receivers that may not know it. It is nil in most
 	// messages.
 	Member *fleet.Member `msgpack:"m,omitempty"`
-	// Positions are those of the sender's replicas, in an order of kinds that all
-	// instances share. New kinds come last.
+	// Positions are the positions of the sender's replicas, in an order of kinds that all
+	// instances share. New kinds are appended.
 	Positions []feed.Position `msgpack:"p,omitempty"`
-	// Overloaded are the loads of targets that have more requests than they can work on.
+	// Overloaded contains the loads of targets that have more requests than slots.
 	Overloaded upstream.TargetReports `msgpack:"l,omitempty"`
-	// Reply marks an answer to gossip, which is not answered again.
+	// Reply marks a reply to gossip. A reply is not replied to.
 	Reply bool `msgpack:"a,omitempty"`
-	// NotReceiving says that the sender should hear the receiver and does not.
+	// NotReceiving is set if the sender should receive heartbeats from the receiver and
+	// does not.
 	NotReceiving bool `msgpack:"h,omitempty"`
-	// Quarantine are of requests under which targets have ended, and NewsSum is the same for
-	// instances that know the same of those that are held back.
+	// Quarantine contains updates about requests that may crash targets. QuarantineChecksum
+	// is equal for instances that have the same such requests in quarantine.
 	Quarantine         quarantine.Updates `msgpack:"e,omitempty"`
 	QuarantineChecksum uint32             `msgpack:"s,omitempty"`
-	// Departures are targets that have said themselves that they leave, and DeparturesSum
-	// is the same for instances that know of the same ones.
+	// Departures are the targets that have announced that they are leaving.
+	// DeparturesChecksum is equal for instances that know the same departures.
 	Departures         availability.DepartureList `msgpack:"d,omitempty"`
 	DeparturesChecksum uint32                     `msgpack:"c,omitempty"`
-	// Limits are what targets have named of how much they take, and LimitsSum is the same for
-	// instances that know the same.
+	// Limits are the rate limits that targets have announced. LimitsChecksum is equal for
+	// instances that know the same limits.
 	Limits         availability.RateLimitList `msgpack:"t,omitempty"`
 	LimitsChecksum uint32                     `msgpack:"q,omitempty"`
-	// Stages are those of rollouts that go on.
+	// Stages are the current stages of rollouts.
 	Stages []rollout.Stage `msgpack:"g,omitempty"`
-	// RelayUntil is the last member of the region that the receiver has to pass News, Departures, Limits
-	// and Stages on to, 0 for none, and Enter has it pass them on to its whole region.
+	// RelayUntil is the last member of the region to which the receiver relays Quarantine,
+	// Departures, Limits and Stages, or 0 if it relays them to no member. RelayToRegion
+	// asks the receiver to relay them to its whole region.
 	RelayUntil    fleet.ID `msgpack:"u,omitempty"`
 	RelayToRegion bool     `msgpack:"w,omitempty"`
 }
 
-// TrialRequest asks the warden of a request under which targets have ended whether it may be
-// sent.
+// TrialRequest asks the trial coordinator of a request that may crash targets whether the
+// request may be sent.
 type TrialRequest struct {
 	Digest quarantine.Digest `msgpack:"d"`
-	// From is the asker's name and ReplyTo its peer address.
+	// From is the name of the requesting instance, and ReplyTo its peer address.
 	From    string `msgpack:"f"`
 	ReplyTo string `msgpack:"a"`
-	// Timeout is how long the trial takes at most.
+	// Timeout is the maximum duration of the trial.
 	Timeout time.Duration `msgpack:"t"`
-	// Updates are what the asker knows of the request.
+	// Updates are the facts about the request that the requesting instance knows.
 	Updates quarantine.Updates `msgpack:"e,omitempty"`
-	// Done says that the asker's trial has ended, and Answered that a target has answered.
+	// Done is set when the trial of the requesting instance has ended, and Answered if a
+	// target has responded.
 	Done     bool `msgpack:"o,omitempty"`
 	Answered bool `msgpack:"w,omitempty"`
 }
 
-// TrialReply answers a TrialAsk.
+// TrialReply replies to a TrialRequest.
 type TrialReply struct {
 	Digest  quarantine.Digest `msgpack:"d"`
 	Granted bool              `msgpack:"g"`
-	// RetryAfter is when to ask again if it was not granted.
+	// RetryAfter is when to ask again if the trial was not granted.
 	RetryAfter time.Duration `msgpack:"t"`
 }
 
-// AnsweredRequests tells which requests of an account the sender has had answered, by the first parts of
-// their digests.
+// AnsweredRequests lists requests of a client account to which the sender has received
+// responses, by the first parts of their digests.
 type AnsweredRequests struct {
 	// Account is the hash of the account's name.
 	Account uint32   `msgpack:"c"`
 	Digests []uint64 `msgpack:"d"`
 }
 
-// RolloutReport tells the leader of a rollout what an instance has seen of it.
+// RolloutReport reports the observations of an instance to the leader of a rollout.
 type RolloutReport struct {
 	rollout.Report
 }
@@ -173,50 +177,60 @@
 type DeltaRequest struct {
 	Kind     feed.Kind     `msgpack:"k"`
 	Position feed.Position `msgpack:"p"`
-	// Digest is that of the objects that the asker holds at the position.
+	// Digest is the digest of the objects that the requesting instance holds at the
+	// position.
 	Digest uint64 `msgpack:"d,omitempty"`
-	// ReplyTo is the asker's peer address.
+	// ReplyTo is the peer address of the requesting instance.
 	ReplyTo string `msgpack:"a"`
 }
 
-// Probe asks whether the receiver is alive. The answer is Gossip with the receiver's own
-// beat alone.
+// Probe checks whether the receiver is alive. The receiver replies with Gossip that
+// contains only its own heartbeat.
 type Probe struct {
-	// ReplyTo is the asker's peer address.
+	// ReplyTo is the peer address of the sender.
 	ReplyTo string `msgpack:"a"`
-	// Reconnect says that the Probe before was not answered.
+	// Reconnect is set if the previous probe was not answered. The receiver then opens a
+	// new connection to the sender.
 	Reconnect bool `msgpack:"g,omitempty"`
 }
 
-// PermitRequest asks the owner of a part of an account's limit, or of a target's limit, for permits.
+// PermitRequest asks the owner of a share of an account's rate limit, or of the rate limit
+// of a target, for permits.
 type PermitRequest struct {
-	// Account and From are the names of the account, or of the target's permits, and of the
-	// asker.
+	// Account is the name of the account, or that of the target's limit. From is the name
+	// of the requesting instance.
 	Account string `msgpack:"c"`
 	From    string `msgpack:"f"`
-	// SentAt is the asker's own time, which the answer brings back.
+	// SentAt is the time of the request by the clock of the requesting instance. The grant
+	// returns it.
 	SentAt int64 `msgpack:"t"`
-	N      int   `msgpack:"n"`
-	// Borrow says that the asker owns the part of another domain.
+	// N is the number of permits requested.
+	N int `msgpack:"n"`
+	// Borrow is set if the requesting instance owns the account in another domain and
+	// borrows permits for it.
 	Borrow bool `msgpack:"l,omitempty"`
-	// ForTarget says that it is about a target's limit, and Limits is what the asker knows of it.
+	// ForTarget is set if the request concerns the limit of a target. Limits contains what
+	// the requesting instance knows of that limit.
 	ForTarget bool                       `msgpack:"g,omitempty"`
 	Limits    availability.RateLimitList `msgpack:"v,omitempty"`
 }
 
-// PermitGrant answers a PermitAsk.
+// PermitGrant replies to a PermitRequest.
 type PermitGrant struct {
-	Account       string          `msgpack:"c"`
-	From          string          `msgpack:"f"`
+	// Account is that of the request, and From the name of the owner.
+	Account string `msgpack:"c"`
+	From    string `msgpack:"f"`
+	// RequestSentAt is the SentAt of the request.
 	RequestSentAt int64           `msgpack:"t"`
 	Grant         ratelimit.Grant `msgpack:"i"`
 	Borrow        bool            `msgpack:"l,omitempty"`
-	// ForTarget says that it is about a target's limit, and Limits is what the owner knows of it.
+	// ForTarget is set if the grant concerns the limit of a target. Limits contains what
+	// the owner knows of that limit.
 	ForTarget bool                       `msgpack:"g,omitempty"`
 	Limits    availability.RateLimitList `msgpack:"v,omitempty"`
 }
 
-// NewObject returns the message that passes obj on.
+// NewObject returns the message that carries obj.
 func NewObject(obj objectstore.Object) *Object {
 	return &Object{Key: obj.Key, Version: obj.Version, Value: obj.Value}
 }
@@ -241,7 +255,7 @@
 
 func (*RolloutReport) kind() kind { return kindRolloutReport }
 
-// newMessage returns a new message of a kind, or nil for an unknown one.
+// newMessage returns an empty message of a kind, or nil if the kind is unknown.
 func newMessage(k kind) Message {
 	switch k {
 	case kindHello:
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -104,8 +104,9 @@
 	return m, ln.Addr().String()
 }
 
-// TestInvalidConnectionsAreClosed checks that each closes its own connection
-// and nothing else.
+// TestInvalidConnectionsAreClosed checks that a connection with an invalid Hello or a
+// malformed frame is closed, and that the mesh continues to receive messages of other
+// peers.
 func TestInvalidConnectionsAreClosed(t *testing.T) {
 	r := &recorder{}
 	_, addr := startMesh(t, "a", "secret", r)
@@ -123,7 +124,7 @@
 		"large first frame":    append(binary.BigEndian.AppendUint32(nil, maxHelloBytes+1), 1),
 		"too long":             append(append([]byte(nil), hello...), long...),
 		"unknown kind":         append(append([]byte(nil), hello...), 0, 0, 0, 1, 99),
-		"no msgpack":           append(append([]byte(nil), hello...), 0, 0, 0, 2, byte(kindHeartbeat), 0xc1),
+		"not msgpack":          append(append([]byte(nil), hello...), 0, 0, 0, 2, byte(kindHeartbeat), 0xc1),
 		"text of another kind": []byte("GET / HTTP/1.1\r\n\r\n"),
 	}
 	for name, data := range cases {
@@ -159,8 +160,8 @@
 	require.Eventually(t, func() bool { return r.unreachableCount() > 0 }, 10*time.Second, 5*time.Millisecond)
 }
 
-// TestSendNeverBlocks checks that a peer that does not read loses frames and
-// holds nobody up.
+// TestSendNeverBlocks guards against a peer that does not read and thereby blocks the
+// sender. Its frames must be dropped instead.
 func TestSendNeverBlocks(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -175,8 +176,8 @@
 	m.Close()
 }
 
-// TestReconnect has the connection to a peer go silent for good, and checks that frames arrive
-// again once it is renewed.
+// TestReconnect guards against a connection that silently drops all packets for good. After
+// Reconnect, frames must arrive over a new connection.
 func TestReconnect(t *testing.T) {
 	r := &recorder{}
 	_, addr := startMesh(t, "b", "", r)
--- a/peer/restart_test.go
+++ b/peer/restart_test.go
@@ -9,15 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// collector keeps the messages that arrive.
+// collector passes received messages to a channel.
 type collector struct{ messages chan Message }
 
 func (c collector) Receive(_ string, m Message) { c.messages <- m }
 func (collector) Unreachable(string)            {}
 
-// TestFirstFrameAfterRestart checks that the first message to a peer that has started again
-// arrives: the connection to the process before is known to have ended before it is written
-// to. What is lost otherwise is what a peer needs first, such as the news that it missed.
+// TestFirstFrameAfterRestart guards against the loss of the first message to a restarted
+// peer, which is written to the connection of the previous process. The end of that
+// connection must be noticed before the write. The first messages after a restart matter
+// most, since they carry the changes that the peer has missed.
 func TestFirstFrameAfterRestart(t *testing.T) {
 	log := slog.New(slog.DiscardHandler)
 	serve := func(addr string) (func(), collector, string) {
@@ -38,7 +39,7 @@
 	sender.Send(addr, &Probe{ReplyTo: "1"})
 	require.Equal(t, &Probe{ReplyTo: "1"}, <-received.messages)
 	endFirst()
-	// The end of the connection is on its way for a moment.
+	// The end of the connection takes a moment to arrive.
 	time.Sleep(50 * time.Millisecond)
 	endSecond, received, _ := serve(addr)
 	defer endSecond()
@@ -47,6 +48,6 @@
 	case m := <-received.messages:
 		require.Equal(t, &Probe{ReplyTo: "2"}, m)
 	case <-time.After(5 * time.Second):
-		require.Fail(t, "the message was written to the connection of the process before")
+		require.Fail(t, "the message was written to the connection of the previous process")
 	}
 }
