--- a/forward/buffered_response_test.go
+++ b/forward/buffered_response_test.go
@@ -15,7 +15,7 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// noCodec reads nothing.
+// noCodec parses nothing.
 type noCodec struct{}
 
 func (noCodec) ParseLoad(string) *upstream.LoadReport { return nil }
@@ -25,7 +25,7 @@
 	return availability.SelfReport{}
 }
 
-// connPair returns a connection to a target and the target's side of it.
+// connPair returns a connection to a target, and the target's end of it.
 func connPair(t *testing.T) (*conn, net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,9 +39,9 @@
 	return &conn{Conn: c, reader: bufio.NewReader(c)}, server
 }
 
-// TestBufferedResponseIsReadAfterDeadline checks that an answer that has arrived is read although the
-// deadline has passed, as after a pause of the process, and that one that has not is
-// given up at once.
+// TestBufferedResponseIsReadAfterDeadline guards against the loss of a response that
+// arrived in time while the process was suspended until after the deadline. Without a
+// buffered response the read must fail at once.
 func TestBufferedResponseIsReadAfterDeadline(t *testing.T) {
 	client := NewClient(Headers{RequestID: "Request-Id", Signature: "Signed"}, noCodec{}, nil)
 	r := &Request{Method: http.MethodGet, ID: "q1"}
--- a/forward/client.go
+++ b/forward/client.go
@@ -18,35 +18,36 @@
 )
 
 const (
-	// maxInlineBody is the largest body that is written before the answer is
-	// read. A larger one is written beside: a target that answers early need
-	// not read on, and would hold the writer up.
+	// maxInlineBody is the largest body, in bytes, that is written before the response is
+	// read. A larger one is written concurrently: a target that responds early may stop
+	// reading and block the write.
 	maxInlineBody = 8 << 10
-	// maxSkippedResponses bounds the answers to other requests that are skipped.
+	// maxSkippedResponses bounds the number of responses to other requests that are
+	// skipped.
 	maxSkippedResponses = 8
-	// bufferedReadTimeout is how long an answer is read that had arrived when the deadline had
-	// passed: its bytes lie in the kernel's buffer.
+	// bufferedReadTimeout is the time to read a response that had arrived when the deadline
+	// passed. Its bytes are already in the receive buffer of the kernel.
 	bufferedReadTimeout = 5 * time.Millisecond
-	// keepAliveMargin is taken off the time that a target says it keeps a
-	// connection.
+	// keepAliveMargin is subtracted from the keep-alive timeout that a target announces.
 	keepAliveMargin = time.Second
 )
 
 // Errors of an attempt.
 var (
 	ErrUnsigned   = errors.New("forward: success without a signature")
-	ErrMismatched = errors.New("forward: answers to other requests only")
-	ErrEncoded    = errors.New("forward: body is encoded")
-	ErrWithheld   = errors.New("forward: the target is no longer to be sent to")
+	ErrMismatched = errors.New("forward: only responses to other requests arrived")
+	ErrEncoded    = errors.New("forward: response body has a content encoding")
+	ErrWithheld   = errors.New("forward: target became unavailable before the request was sent")
 )
 
-// Codec reads what answers say in the target's format.
+// Codec parses what responses contain in the format of the targets.
 type Codec interface {
+	// ParseLoad parses the load header. It returns nil if the text is malformed.
 	ParseLoad(text string) *upstream.LoadReport
-	// IsReplaced tells whether a status says that another incarnation or
-	// service has the address.
+	// IsReplaced reports whether a status means that the address belongs to another
+	// incarnation or service now.
 	IsReplaced(status int) bool
-	// ParseSelfReport reads what the target says of itself.
+	// ParseSelfReport parses what the target reports about its own availability.
 	ParseSelfReport(status int, header http.Header) availability.SelfReport
 }
 
@@ -59,21 +60,21 @@
 	spares  sparePolicy
 }
 
-// NewClient returns a client without connections. The deadlines of its requests are times of
-// a clock.
+// NewClient returns a client without connections. The deadlines of its requests are times
+// of the clock.
 func NewClient(headers Headers, codec Codec, clock *clock.Clock) *Client {
 	return &Client{headers: headers, codec: codec, clock: clock, idle: idlePool{clock: clock, conns: make(map[string][]*conn)},
 		spares: sparePolicy{slowDial: slowDial, targets: make(map[string]*spareState)}}
 }
 
-// CloseExpired closes connections that were idle for too long. It is to be called now
-// and then.
+// CloseExpired closes connections that have been idle for too long. It should be called
+// periodically.
 func (c *Client) CloseExpired(now time.Time) {
 	c.idle.expire(now)
 	c.spares.expire(now)
 }
 
-// Do sends a request and reads the answer.
+// Do sends a request and reads the response. It stops early if ctx is canceled.
 func (c *Client) Do(ctx context.Context, r *Request) Attempt {
 	start := c.clock.Now()
 	cn, err := c.connect(ctx, r)
@@ -91,7 +92,7 @@
 		a.TargetResult.Outcome = upstream.Abandoned
 		return a
 	}
-	// Once the exchange is over the connection may be another request's.
+	// After the exchange another request may use the connection.
 	reused := cn.reused
 	a := c.exchange(ctx, cn, r)
 	a.Sent = true
@@ -100,6 +101,8 @@
 	return a
 }
 
+// connect returns an idle connection for the request, or opens one. It also opens a spare
+// connection in the background if the target should have one.
 func (c *Client) connect(ctx context.Context, r *Request) (*conn, error) {
 	limit := maxIdle
 	if r.NonIdempotent {
@@ -120,9 +123,8 @@
 	return cn, err
 }
 
-// exchange writes the request and reads the answer. The connection is kept if
-// nothing speaks against it, and closed otherwise, which also tells the target
-// to drop the request.
+// exchange writes the request and reads the response. It keeps the connection only if it
+// can be used again. Closing it otherwise also makes the target cancel the request.
 func (c *Client) exchange(ctx context.Context, cn *conn, r *Request) Attempt {
 	reused := cn.reused
 	_ = cn.SetDeadline(c.clock.System(r.Deadline))
@@ -142,8 +144,8 @@
 	if err != nil {
 		a := c.failed(ctx, r, resp, err)
 		if reused && resp == nil && a.TargetResult.Outcome != upstream.Abandoned {
-			// What silenced or forgot a kept connection has most often done so to all that
-			// were open at the time. New ones may well work.
+			// What made a kept connection silent, or made the target forget it, has usually
+			// affected all connections that were open at the time. New ones may well work.
 			c.idle.closeAll(r.endpoint())
 		}
 		return a
@@ -151,8 +153,8 @@
 	return c.completed(resp)
 }
 
-// write sends the request and returns a channel that is closed once all of it is
-// written. A failure to write shows when the answer is read.
+// write sends the request. It returns a channel that is closed once the whole request is
+// written. A write error shows when the response is read.
 func (c *Client) write(cn *conn, r *Request) <-chan struct{} {
 	done := make(chan struct{})
 	head := c.head(r)
@@ -175,6 +177,7 @@
 	return done
 }
 
+// isDone reports whether the channel is closed.
 func isDone(ch <-chan struct{}) bool {
 	select {
 	case <-ch:
@@ -184,7 +187,8 @@
 	}
 }
 
-// head returns the request line and the headers.
+// head returns the request line and the headers. The capacity has room for a body that is
+// written with them.
 func (c *Client) head(r *Request) []byte {
 	buf := make([]byte, 0, 512+len(r.Body)*boolInt(len(r.Body) <= maxInlineBody))
 	buf = append(buf, r.Method...)
@@ -212,8 +216,9 @@
 	return append(buf, "\r\n"...)
 }
 
-// isReserved tells whether a header of a client's request is not passed on: the system sets
-// it itself, or it is a secret between the client and the system.
+// isReserved reports whether a header of the client's request is not forwarded. The gateway
+// sets some headers itself, and the credential of a client account is a secret that targets
+// must not see.
 func (c *Client) isReserved(name string) bool {
 	switch name {
 	case c.headers.Deadline, c.headers.Expected, c.headers.Account, c.headers.Credential:
@@ -237,13 +242,15 @@
 	return append(buf, "\r\n"...)
 }
 
-// fullResponse is an fullResponse read to its end, or as far as it came.
+// fullResponse is a response whose body has been read, to its end or to the point of a read
+// error.
 type fullResponse struct {
 	*http.Response
 	body []byte
 }
 
-// read reads answers until one that belongs to the request.
+// read reads responses until one that belongs to the request. If its body is incomplete,
+// read returns both the response and an error.
 func (c *Client) read(cn *conn, r *Request) (*fullResponse, error) {
 	for range maxSkippedResponses {
 		err := c.awaitResponse(cn)
@@ -275,9 +282,9 @@
 	return nil, ErrMismatched
 }
 
-// awaitResponse waits for the first byte of an answer until the connection's deadline. An answer
-// that has arrived by then is read even if this process was paused meanwhile and the
-// deadline has passed: the target has run the request.
+// awaitResponse waits for the first byte of a response until the connection's deadline. A
+// response that has arrived by then is read even if the deadline has passed because this
+// process was suspended: the target has run the request.
 func (c *Client) awaitResponse(cn *conn) error {
 	_, err := cn.reader.Peek(1)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -295,8 +302,8 @@
 	return fallback
 }
 
-// matches tells whether an answer is to the request. One that says that the
-// request did not run may lack the ID.
+// matches reports whether a response belongs to the request. A response that says that the
+// request was not run may lack the request ID.
 func (c *Client) matches(resp *http.Response, r *Request) bool {
 	id := resp.Header.Get(c.headers.RequestID)
 	if id == "" {
@@ -305,11 +312,13 @@
 	return id == r.ID
 }
 
+// notRun reports whether a response says that the request was not run.
 func (c *Client) notRun(resp *http.Response) bool {
 	return resp.Header.Get(c.headers.NotRun) != "" || c.codec.IsReplaced(resp.StatusCode)
 }
 
-// validate finds what a success must have and lacks.
+// validate checks that a successful response is signed and that its body has no content
+// encoding.
 func (c *Client) validate(resp *http.Response) error {
 	if resp.StatusCode/100 != 2 {
 		return nil
@@ -323,9 +332,10 @@
 	return nil
 }
 
-// selfReport returns what the head of an answer to the request says of its target. It counts whatever
-// became of the rest of the answer, and whether or not the client is still there. What another
-// incarnation says does not, nor what a success says that no target has signed.
+// selfReport returns what the head of a response reports about the target. The report
+// counts even if the rest of the response did not arrive or the client has disconnected.
+// The report of another incarnation does not count, nor that of a successful response
+// without a signature.
 func (c *Client) selfReport(resp *http.Response) availability.SelfReport {
 	unsigned := resp.StatusCode/100 == 2 && resp.Header.Get(c.headers.Signature) == ""
 	if unsigned || c.codec.IsReplaced(resp.StatusCode) {
@@ -334,7 +344,7 @@
 	return c.codec.ParseSelfReport(resp.StatusCode, resp.Header)
 }
 
-// completed turns a whole answer into an attempt.
+// completed returns the attempt for a complete response.
 func (c *Client) completed(resp *fullResponse) Attempt {
 	a := Attempt{Outcome: retry.Ran}
 	a.TargetResult.LoadReport = c.codec.ParseLoad(resp.Header.Get(c.headers.Load))
@@ -351,7 +361,7 @@
 	return a
 }
 
-// failed turns a missing or broken answer into an attempt.
+// failed returns the attempt for a missing or incomplete response.
 func (c *Client) failed(ctx context.Context, r *Request, resp *fullResponse, err error) Attempt {
 	a := Attempt{Outcome: retry.Unknown, Err: err}
 	if resp != nil {
@@ -368,7 +378,8 @@
 	return a
 }
 
-// keepAliveTimeout is how long a connection may be idle by what the answer says.
+// keepAliveTimeout returns how long the connection may be idle according to the response,
+// at most maxIdle.
 func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
--- a/forward/client_test.go
+++ b/forward/client_test.go
@@ -31,7 +31,7 @@
 
 var lastID atomic.Int64
 
-// newRequest returns a newRequest with an ID of its own. It may be called by many at a time.
+// newRequest returns a request with a new ID. It is safe for concurrent use.
 func newRequest(s *origin.Server) *forward.Request {
 	id := fmt.Sprint(lastID.Add(1))
 	return &forward.Request{
@@ -52,9 +52,9 @@
 	require.Equal(t, []origin.Run{{ID: r.ID, Method: "POST", URI: "/a//b/%2f?q=1", Body: []byte("body")}}, s.Runs())
 }
 
-// TestOutcomes brings each fault of a server about and checks what the attempt
-// claims: that it did not run only if it did not, and an answer only if it is
-// whole, signed and the request's own.
+// TestOutcomes checks the attempt for each fault of a server. An attempt must count as not
+// run only if the server did not run it, and must have a response only if that is complete,
+// signed and matches the request.
 func TestOutcomes(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -63,18 +63,18 @@
 		answer  bool
 		ran     bool
 	}{
-		{"sound", origin.None, retry.Ran, true, true},
-		{"shed", origin.Shed, retry.NotRun, false, false},
-		{"answer to another first", origin.Foreign, retry.Ran, true, true},
-		{"surplus answer", origin.Surplus, retry.Ran, true, true},
-		{"no length", origin.Unframed, retry.Ran, true, true},
-		{"no length, reset", origin.UnframedReset, retry.Unknown, false, true},
-		{"cut", origin.Cut, retry.Unknown, false, true},
-		{"no answer", origin.Lost, retry.Unknown, false, true},
+		{"no fault", origin.None, retry.Ran, true, true},
+		{"request shed", origin.Shed, retry.NotRun, false, false},
+		{"response to another request first", origin.Foreign, retry.Ran, true, true},
+		{"surplus response", origin.Surplus, retry.Ran, true, true},
+		{"no content length", origin.Unframed, retry.Ran, true, true},
+		{"no content length, then a reset", origin.UnframedReset, retry.Unknown, false, true},
+		{"truncated response", origin.Cut, retry.Unknown, false, true},
+		{"no response", origin.Lost, retry.Unknown, false, true},
 		{"garbage", origin.Garbage, retry.Unknown, false, false},
 		{"unsigned", origin.Unsigned, retry.Unknown, false, true},
-		{"failure of its own", origin.Failed, retry.Ran, true, true},
-		{"silent", origin.Silent, retry.Unknown, false, true},
+		{"server error", origin.Failed, retry.Ran, true, true},
+		{"server never responds", origin.Silent, retry.Unknown, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -92,8 +92,9 @@
 	}
 }
 
-// TestNextRequestGetsItsOwnResponse sends a request after each fault: it must get its own
-// answer, whatever the one before left on the connection.
+// TestNextRequestGetsItsOwnResponse guards against a request that gets the response to
+// another one. After each fault, the next requests must get their own responses, whatever
+// the fault left on the connection.
 func TestNextRequestGetsItsOwnResponse(t *testing.T) {
 	for fault := origin.None; fault <= origin.Failed; fault++ {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
@@ -136,8 +137,8 @@
 	require.Equal(t, upstream.Unreachable, a.TargetResult.Outcome)
 }
 
-// TestClientDisconnectCancelsRequest checks that the target sees the end of a request whose
-// client has left.
+// TestClientDisconnectCancelsRequest checks that the target observes the end of a request
+// whose client has disconnected.
 func TestClientDisconnectCancelsRequest(t *testing.T) {
 	s, c := startTarget(t, origin.Silent)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -150,8 +151,8 @@
 	require.Eventually(t, func() bool { return s.Canceled() == 1 }, 5*time.Second, time.Millisecond)
 }
 
-// TestResetConnectionIsNotReused checks that a connection that the target has reset
-// while it was idle is not used again.
+// TestResetConnectionIsNotReused checks that an idle connection that the target has reset
+// is not used for another request.
 func TestResetConnectionIsNotReused(t *testing.T) {
 	s, c := startTarget(t, origin.None)
 	c.Do(context.Background(), newRequest(s))
@@ -165,8 +166,9 @@
 	require.Equal(t, 2, s.Accepted())
 }
 
-// TestSilentConnectionClosesIdleOnes has all kept connections to a target go silent for good, and
-// checks that one request finds out for all of them.
+// TestSilentConnectionClosesIdleOnes guards against a series of timeouts when all idle
+// connections to a target silently drop packets for good. After the first request times
+// out, the next one must use a new connection.
 func TestSilentConnectionClosesIdleOnes(t *testing.T) {
 	s, c := startTarget(t, origin.None)
 	network, err := relay.Start(s.Addr())
@@ -178,7 +180,7 @@
 		r.Deadline = time.Now().Add(length)
 		return c.Do(context.Background(), r)
 	}
-	// Several connections are open at a time, and then kept.
+	// Concurrent requests open several connections, which are then idle.
 	s.SetWork(100 * time.Millisecond)
 	var wg sync.WaitGroup
 	for range 4 {
@@ -210,6 +212,6 @@
 		"Content-Length": {"4"}, "Affinity-Key": {"17"}, "Te": {"trailers"},
 	}
 	require.Equal(t, http.Header{"Affinity-Key": {"17"}}, forward.EndToEndHeaders(h))
-	require.Len(t, h, 7, "the original is unchanged")
+	require.Len(t, h, 7, "the argument must not change")
 	require.False(t, strings.Contains(fmt.Sprint(forward.EndToEndHeaders(h)), "chunked"))
 }
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -13,16 +13,17 @@
 
 const (
 	maxDialTime = 800 * time.Millisecond
-	// unackedTimeout ends a connection whose bytes the other side does not
-	// acknowledge: it is cut off or has lost power.
+	// unackedTimeout is how long sent bytes may remain unacknowledged before a connection
+	// is closed. The target is then cut off from the network or has lost power.
 	unackedTimeout = 2 * time.Second
 	readBuffer     = 4 << 10
 
-	// maxIdle is how long a connection is kept for requests that may run
-	// more than once, and maxIdleOnce for those that may not.
+	// maxIdle is how long an idle connection is used for idempotent requests, and
+	// maxIdleNonIdempotent for others. A target may close an idle connection just when a
+	// request is sent on it, and a request that must not run twice can't be retried then.
 	maxIdle              = 8 * time.Second
 	maxIdleNonIdempotent = 3 * time.Second
-	// maxIdlePerTarget bounds the connections kept to one target.
+	// maxIdlePerTarget bounds the number of idle connections to a target.
 	maxIdlePerTarget = 16
 )
 
@@ -31,12 +32,13 @@
 	net.Conn
 	reader    *bufio.Reader
 	idleSince time.Time
-	// maxIdle is what the target allows.
+	// maxIdle is how long the target keeps the connection open when it is idle.
 	maxIdle time.Duration
-	reused  bool
+	// reused is set once the connection has been taken from the idle pool.
+	reused bool
 }
 
-// dial opens a connection to a target within the time that is left.
+// dial opens a connection to a target. It takes at most the remaining time left.
 func dial(ctx context.Context, addr string, left time.Duration) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout:   min(maxDialTime, left),
@@ -50,9 +52,9 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), maxIdle: maxIdle}, nil
 }
 
-// isQuiet tells whether the connection is open and nothing has arrived on it since
-// the last answer: a kept connection with bytes on it carries something that is
-// nobody's answer, and one at its end is of no use.
+// isQuiet reports whether the connection is open and nothing has arrived on it since the
+// last response. Bytes on an idle connection belong to no response that this client
+// expects, and a closed connection is of no use.
 func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -60,7 +62,7 @@
 	return sockopt.Quiet(c.Conn)
 }
 
-// idlePool holds the kept connections by target.
+// idlePool holds idle connections by endpoint.
 type idlePool struct {
 	clock *clock.Clock
 
@@ -68,8 +70,8 @@
 	conns map[string][]*conn
 }
 
-// take returns the connection used last, if it was used less than limit ago and
-// is quiet.
+// take returns the most recently used connection that is quiet, or nil if there is none or
+// it has been idle for limit or longer. It closes connections that can no longer be used.
 func (i *idlePool) take(target string, limit time.Duration) *conn {
 	now := i.clock.Now()
 	for {
@@ -83,7 +85,7 @@
 			return c
 		}
 		if age < c.maxIdle && age >= limit && c.isQuiet() {
-			// Good enough for others.
+			// Requests with a longer limit can use it.
 			i.put(target, c)
 			return nil
 		}
@@ -91,6 +93,7 @@
 	}
 }
 
+// pop removes and returns the connection that was added last, or nil.
 func (i *idlePool) pop(target string) *conn {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -103,18 +106,20 @@
 	return c
 }
 
-// size returns the number of connections to a target that are kept.
+// size returns the number of idle connections to a target.
 func (i *idlePool) size(target string) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return len(i.conns[target])
 }
 
+// release adds a connection that has become idle now.
 func (i *idlePool) release(target string, c *conn) {
 	c.idleSince = i.clock.Now()
 	i.put(target, c)
 }
 
+// put adds a connection, or closes it if there are maxIdlePerTarget.
 func (i *idlePool) put(target string, c *conn) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -125,7 +130,7 @@
 	i.conns[target] = append(i.conns[target], c)
 }
 
-// closeAll closes all connections kept to a target.
+// closeAll closes all idle connections to a target.
 func (i *idlePool) closeAll(target string) {
 	i.mu.Lock()
 	list := i.conns[target]
@@ -136,7 +141,7 @@
 	}
 }
 
-// expire closes connections that were idle for too long.
+// expire closes the connections that have been idle for too long.
 func (i *idlePool) expire(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -1,9 +1,9 @@
-// Package forward sends one request to one target over HTTP/1.1 and reads its
-// answer, over connections that it keeps for later requests.
+// Package forward sends a request to a target over HTTP/1.1 and reads the response, over
+// connections that it keeps open for later requests.
 //
-// It tells three things apart that net/http's own client does not: whether any
-// byte of the request may have gone out, whether an answer belongs to the request
-// (targets send surplus and late answers; the request's ID shows which is which),
-// and whether an answer is whole. An answer is read to its end before it is
-// handed on, so that one that breaks off never looks complete to the client.
+// It distinguishes three things that the client of net/http does not: whether any byte of
+// the request may have been sent, whether a response belongs to the request, and whether a
+// response is complete. Targets send surplus and late responses, so a response is matched
+// to its request by the request ID. A response is read completely before it is returned, so
+// that a truncated one never looks complete to the client.
 package forward
--- a/forward/head_test.go
+++ b/forward/head_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// FuzzRequestHead has any head of a client's request passed on, and checks that a target reads one
-// request of it, with the account's name, its own ID and its time as the system sets them,
-// and without the client's key.
+// FuzzRequestHead forwards arbitrary request heads of clients. A target must read exactly
+// one request, with the account, target name and timeout that the gateway sets, and without
+// the credential of the client account.
 func FuzzRequestHead(f *testing.F) {
 	const secret = "s3cret-key"
 	for _, seed := range []string{
@@ -42,16 +42,16 @@
 		reader := bufio.NewReader(bytes.NewReader(head))
 		out, err := http.ReadRequest(reader)
 		if err != nil {
-			t.Fatalf("no request: %v in %q", err, head)
+			t.Fatalf("the head is not a request: %v in %q", err, head)
 		}
 		if _, err := reader.ReadByte(); err == nil {
-			t.Fatalf("something behind the request: %q", head)
+			t.Fatalf("bytes follow the request: %q", head)
 		}
 		for name, want := range map[string][]string{
 			headers.Account: {"ada"}, headers.Credential: nil, headers.Expected: {"i-1"}, headers.Deadline: {"1000"},
 		} {
 			if got := out.Header.Values(name); !slices.Equal(got, want) {
-				t.Fatalf("%s is %q, not %q, in %q", name, got, want, head)
+				t.Fatalf("%s is %q, want %q, in %q", name, got, want, head)
 			}
 		}
 	})
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -13,8 +13,9 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestRejectedRequest checks that a request counts as not run, whatever the status, if the target
-// says so, and that the time that it asks for counts with the statuses that speak of it.
+// TestRejectedRequest checks that a request counts as not run, whatever the status, if the
+// target says so. The requested back-off must count only with the statuses for which
+// Retry-After is defined.
 func TestRejectedRequest(t *testing.T) {
 	for status, rests := range map[string]bool{
 		"503 Service Unavailable": true, "429 Too Many Requests": true, "400 Bad Request": false, "408 Request Timeout": false,
@@ -32,20 +33,20 @@
 	}
 }
 
-// TestKeepAliveHeaders checks that a connection is not used again after an answer that says
-// that it ends, and not after the time that the target keeps it, and is where neither is said in
-// a way that can be read.
+// TestKeepAliveHeaders checks that a connection is not used again after a response that
+// closes it, nor after the keep-alive timeout that the target announces. If neither header
+// is present or valid, the connection must be used again.
 func TestKeepAliveHeaders(t *testing.T) {
 	for _, c := range []struct {
 		name, line string
 		reused     bool
 	}{
-		{"nothing", "", true},
-		{"it ends", "Connection: close\r\n", false},
-		{"kept for long", "Keep-Alive: timeout=60\r\n", true},
-		{"kept for a second, less than the margin", "Keep-Alive: max=5, timeout=1\r\n", false},
-		{"kept for no number", "Keep-Alive: timeout=soon\r\n", true},
-		{"kept for less than nothing", "Keep-Alive: timeout=-4\r\n", false},
+		{"no header", "", true},
+		{"close", "Connection: close\r\n", false},
+		{"long timeout", "Keep-Alive: timeout=60\r\n", true},
+		{"timeout of a second, not above the margin", "Keep-Alive: max=5, timeout=1\r\n", false},
+		{"timeout not a number", "Keep-Alive: timeout=soon\r\n", true},
+		{"negative timeout", "Keep-Alive: timeout=-4\r\n", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, client := startTarget(t, origin.None)
--- a/forward/message.go
+++ b/forward/message.go
@@ -10,95 +10,99 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// Headers are the names of the headers that mean something to the system.
+// Headers are the names of the headers that the gateway interprets.
 type Headers struct {
-	// RequestID identifies a client's attempt; answers carry it back.
+	// RequestID identifies an attempt of a client. Responses repeat it.
 	RequestID string
-	// Deadline is how long the sender waits, in milliseconds.
+	// Deadline is how long the sender waits for the response, in milliseconds.
 	Deadline string
-	// Key names the object of a request.
+	// Key names the object that a request concerns.
 	Key string
-	// Expected names the target incarnation that alone may run the request.
+	// Expected names the target incarnation that the request is for. No other one may run
+	// it.
 	Expected string
-	// Signature is on every answer of a target that ran the request.
+	// Signature is present in every response of a target that has run the request.
 	Signature string
-	// Load tells the load of the target that answers.
+	// Load is the load of the responding target.
 	Load string
-	// NotRun marks an answer that says that the request did not run.
+	// NotRun is present in a response that says that the request was not run.
 	NotRun string
-	// RetryAfter tells when to come back, in seconds with fractions.
+	// RetryAfter is the time after which to retry, in seconds with a fraction.
 	RetryAfter string
-	// Credential carries the key of a client account. It is never passed on.
+	// Credential is the key of a client account. It is never forwarded.
 	Credential string
-	// Account tells a target the name of the client account.
+	// Account is the name of the client account, for targets.
 	Account string
 }
 
 // Request is a request to a target.
 type Request struct {
 	Method string
-	// URI is the path and query as the client sent them.
+	// URI is the path and query, as the client sent them.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is the client's ID of the request.
+	// ID is the request ID that the client has chosen.
 	ID string
-	// Account is the name of the client account, "" if there is none.
+	// Account is the name of the client account, or "" if there is none.
 	Account string
-	// Target and Addr are the incarnation to run the request and its address, and TargetName
-	// is what the target calls itself.
+	// Target is the incarnation that should run the request, and Addr its address.
+	// TargetName is the name of the target in its Expected header.
 	Target, Addr, TargetName string
-	// Timeout is the time that the target is given.
+	// Timeout is the time that the target has to respond.
 	Timeout time.Duration
-	// Deadline is when the attempt is given up here.
+	// Deadline is when the client stops waiting for the response.
 	Deadline time.Time
-	// MaySend tells whether the request may still be sent, nil for always. It is asked last, when
-	// the connection stands: opening one takes up to maxDialTime, and the target may speak
-	// of itself to others meanwhile.
+	// MaySend reports whether the request may still be sent. If nil, it may. It is called
+	// last, when the connection is established: that takes up to maxDialTime, and the
+	// target may become unavailable in the meantime.
 	MaySend func() bool
-	// NonIdempotent marks a request that must not run twice, for which a connection
-	// that the target may have closed meanwhile is not good enough.
+	// NonIdempotent marks a request that must not run twice. It is not sent over a
+	// connection that has been idle for so long that the target may have closed it.
 	NonIdempotent bool
 }
 
-// endpoint names the end of a connection: a target, or what is listed for one, may come to
-// have another address, and connections to the earlier one are not its.
+// endpoint returns the key of the request's connections. It contains the address because
+// the address of a target may change, and connections to the previous address do not lead
+// to the target.
 func (r *Request) endpoint() string { return endpointKey(r.Target, r.Addr) }
 
 func endpointKey(target, addr string) string { return target + " " + addr }
 
-// Response is a whole answer.
+// Response is a complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Attempt is what became of a request at a target.
+// Attempt is the result of sending a request to a target.
 type Attempt struct {
-	// Outcome says whether the request ran.
+	// Outcome is whether the request was run.
 	Outcome retry.Outcome
-	// Response is the whole answer, if the target ran the request and it came.
+	// Response is the complete response, or nil if the target has not run the request or
+	// its response did not arrive.
 	Response *Response
-	// TargetResult is what the attempt says of the target.
+	// TargetResult is the result with regard to the target.
 	TargetResult upstream.Result
-	// Sent says that some of the request may have arrived.
+	// Sent is set if some of the request may have reached the target.
 	Sent bool
-	// Reused says that the connection was open before the request came.
+	// Reused is set if the connection was open before the request was made.
 	Reused bool
-	// Err says why there is no answer.
+	// Err is why there is no response.
 	Err error
 }
 
-// connectionHeaders belong to one connection and are not passed on (RFC 9110,
-// section 7.6.1). Content-Length is set from the body.
+// connectionHeaders apply to a single connection and are not forwarded (RFC 9110, section
+// 7.6.1). Content-Length is set according to the body.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// EndToEndHeaders returns the headers that are not of the connection.
+// EndToEndHeaders returns the headers that do not apply to a single connection. It does not
+// change h.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
 	for name, values := range h {
--- a/forward/response_fuzz_test.go
+++ b/forward/response_fuzz_test.go
@@ -14,7 +14,7 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// scriptedConn is a connection on which bytes have arrived and that ends after them.
+// scriptedConn is a connection on which some bytes have arrived and that ends after them.
 type scriptedConn struct{ *bytes.Reader }
 
 func (scriptedConn) Write(p []byte) (int, error)      { return len(p), nil }
@@ -25,7 +25,8 @@
 func (scriptedConn) SetReadDeadline(time.Time) error  { return nil }
 func (scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// plainCodec knows no loads, and 421 as the answer of another target.
+// plainCodec parses no loads and no self-reports. Status 421 means that the target was
+// replaced.
 type plainCodec struct{}
 
 func (plainCodec) ParseLoad(string) *upstream.LoadReport { return nil }
@@ -35,9 +36,9 @@
 	return availability.SelfReport{}
 }
 
-// FuzzResponse has a target answer with any bytes and close, and checks that a request counts
-// as not run only if a head says so, and that an answer is taken only if it carries the
-// request's ID, and as a success only with the target's signature.
+// FuzzResponse has a target send arbitrary bytes and close the connection. A request must
+// count as not run only if a response head says so. A response must be accepted only if it
+// contains the ID of the request, and as a success only with a signature.
 func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{
 		"",
@@ -60,19 +61,19 @@
 		})
 		text := strings.ToLower(string(data))
 		if a.Outcome == retry.NotRun && !strings.Contains(text, "not-executed") && !strings.Contains(text, "421") {
-			t.Fatalf("not run, by %q", data)
+			t.Fatalf("counted as not run after %q", data)
 		}
 		if a.Response == nil {
 			return
 		}
 		if a.Outcome != retry.Ran || a.Response.Header.Get("Request-Id") != "q" {
-			t.Fatalf("not an answer to the request: %q", data)
+			t.Fatalf("accepted a response to another request: %q", data)
 		}
 		if a.Response.Status/100 == 2 && a.Response.Header.Get("Server-Signature") == "" {
-			t.Fatalf("a success without a signature: %q", data)
+			t.Fatalf("accepted a success without a signature: %q", data)
 		}
 		if !bytes.Contains(data, a.Response.Body) && !strings.Contains(text, "chunked") {
-			t.Fatalf("a body that was not sent: %q of %q", a.Response.Body, data)
+			t.Fatalf("the body %q is not in the bytes sent, %q", a.Response.Body, data)
 		}
 	})
 }
--- a/forward/self_report_test.go
+++ b/forward/self_report_test.go
@@ -15,8 +15,9 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestSelfReportInResponse checks which answers count for what a target says of itself: whole heads of
-// answers to the request, and none of another request, another incarnation, or nobody known.
+// TestSelfReportInResponse checks which responses count for what a target reports about
+// itself. The complete head of a response to the request is sufficient. Responses to other
+// requests, of other incarnations or of unknown origin do not count.
 func TestSelfReportInResponse(t *testing.T) {
 	leaves := availability.SelfReport{Leaving: true}
 	rests := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
@@ -26,18 +27,18 @@
 		want  availability.SelfReport
 	}{
 		{"success", origin.None, leaves},
-		{"failure", origin.Failed, leaves},
+		{"server error", origin.Failed, leaves},
 		{"rejection", origin.Shed, rests},
-		{"with a surplus answer", origin.Surplus, leaves},
-		{"answer before the body is in", origin.Early, leaves},
-		{"without a length", origin.Unframed, leaves},
-		{"reset within the body", origin.UnframedReset, leaves},
-		{"cut within the body", origin.Cut, leaves},
-		{"silent within the body", origin.Stalled, leaves},
-		{"in the answer to another request", origin.Foreign, availability.SelfReport{}},
+		{"surplus response", origin.Surplus, leaves},
+		{"response before the body is read", origin.Early, leaves},
+		{"no content length", origin.Unframed, leaves},
+		{"reset in the body", origin.UnframedReset, leaves},
+		{"truncated body", origin.Cut, leaves},
+		{"body never completed", origin.Stalled, leaves},
+		{"response to another request", origin.Foreign, availability.SelfReport{}},
 		{"success without a signature", origin.Unsigned, availability.SelfReport{}},
 		{"garbage", origin.Garbage, availability.SelfReport{}},
-		{"no answer", origin.Lost, availability.SelfReport{}},
+		{"no response", origin.Lost, availability.SelfReport{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, client := startTarget(t, c.fault)
@@ -48,8 +49,8 @@
 	}
 }
 
-// TestSelfReportOfReplacedTarget checks that what the server says that has a target's address
-// now is not taken for the target's word.
+// TestSelfReportOfReplacedTarget checks that the self-report of a server that now has the
+// address of a target does not count for that target.
 func TestSelfReportOfReplacedTarget(t *testing.T) {
 	s, client := startTarget(t, origin.None)
 	s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
@@ -60,9 +61,9 @@
 	require.Zero(t, a.TargetResult.SelfReport)
 }
 
-// TestSelfReportAfterClientDisconnect checks that the head of an answer counts although its client leaves
-// before the rest has come. A client that leaves before the head has arrived is tried again
-// with more time.
+// TestSelfReportAfterClientDisconnect checks that the self-report in a response head counts
+// although the client disconnects before the rest of the response arrives. The test repeats
+// the request with a later disconnect until the head arrives before it.
 func TestSelfReportAfterClientDisconnect(t *testing.T) {
 	s, client := startTarget(t, origin.Stalled)
 	s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
@@ -77,11 +78,11 @@
 			return
 		}
 	}
-	t.Fatal("no head of an answer counted")
+	t.Fatal("no self-report counted")
 }
 
-// TestWithheldRequest checks that a request that may no longer be sent when its connection stands
-// is not, and that the connection is used by the next one.
+// TestWithheldRequest checks that a request is not sent if MaySend returns false once the
+// connection is established, and that the next request uses that connection.
 func TestWithheldRequest(t *testing.T) {
 	s, client := startTarget(t, origin.None)
 	r := newRequest(s)
--- a/forward/spare.go
+++ b/forward/spare.go
@@ -7,37 +7,41 @@
 )
 
 const (
-	// slowDial is how long it takes to open a connection to a target from which on one
-	// more is kept ready: within a region it takes one to three milliseconds, between
-	// regions forty and more, which a request that has to wait for it adds to its time.
+	// slowDial is the dial time from which on a spare connection to a target is kept. A
+	// dial takes one to three milliseconds within a region, and forty or more between
+	// regions, which are added to the latency of a request that has to wait for it.
 	slowDial = 10 * time.Millisecond
-	// minIdleConns is the number of idle connections to a far target below which one
-	// more is opened with a request.
+	// minIdleConns is the number of idle connections to a distant target below which a
+	// request opens a spare one.
 	minIdleConns = 2
-	// spareUseWindow is how recently a target must have had the request before, for
-	// another one to be likely before the target closes an idle connection.
+	// spareUseWindow is the maximum time since the previous request to a target for a spare
+	// connection to be opened. A target with less frequent requests would probably close
+	// the connection unused.
 	spareUseWindow = time.Second
-	// spareStateTTL is when what is known of a target's connections is dropped.
+	// spareStateTTL is how long the state of a target without requests is kept.
 	spareStateTTL = time.Minute
 )
 
-// sparePolicy decides for which targets a connection is opened ahead of need. It is safe for
-// concurrent use.
+// sparePolicy decides for which targets a spare connection is opened before it is needed.
+// It is safe for concurrent use.
 type sparePolicy struct {
-	// slowDial is slowDial, or less in tests.
+	// slowDial is the constant slowDial, or less in tests.
 	slowDial time.Duration
 
 	mu      sync.Mutex
 	targets map[string]*spareState
 }
 
-// spareState is what is known of the connections to one target.
+// spareState is the state of one target: the time of its last request, its last dial time,
+// and whether a spare connection is being opened.
 type spareState struct {
 	lastUsed time.Time
 	dialTime time.Duration
 	opening  bool
 }
 
+// state returns the state of a target, which it creates if there is none. The caller holds
+// mu.
 func (s *sparePolicy) state(target string) *spareState {
 	state := s.targets[target]
 	if state == nil {
@@ -47,15 +51,16 @@
 	return state
 }
 
-// recordDial notes how long it took to open a connection.
+// recordDial records the time that it took to open a connection.
 func (s *sparePolicy) recordDial(target string, took time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state(target).dialTime = took
 }
 
-// startOpening notes a request to a target that leaves fewer than sparesAhead idle connections
-// there. It reports whether one is to be opened; end has to be called once it is.
+// startOpening records a request to a target with fewer than minIdleConns idle connections.
+// It reports whether a spare one should be opened. If so, finishOpening must be called
+// afterwards.
 func (s *sparePolicy) startOpening(now time.Time, target string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,13 +74,14 @@
 	return true
 }
 
+// finishOpening records that a spare connection is no longer being opened.
 func (s *sparePolicy) finishOpening(target string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state(target).opening = false
 }
 
-// expire forgets targets that have had no request for long.
+// expire drops the state of targets that have had no request for spareStateTTL.
 func (s *sparePolicy) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,8 +92,7 @@
 	}
 }
 
-// Preconnect opens a connection to a target and keeps it for a request to come. Its error says
-// why there is none.
+// Preconnect opens a connection to a target and keeps it for a later request.
 func (c *Client) Preconnect(target, addr string) error {
 	cn, err := dial(context.Background(), addr, maxDialTime)
 	if err != nil {
@@ -97,9 +102,9 @@
 	return nil
 }
 
-// openSpare opens a connection to a target and keeps it for a request to come.
+// openSpare opens a spare connection to a target.
 func (c *Client) openSpare(target, addr string) {
 	defer c.spares.finishOpening(target)
-	// If it fails the next request to the target dials by itself and says why.
+	// If this fails, the next request to the target dials itself and reports the error.
 	_ = c.Preconnect(target, addr)
 }
--- a/forward/spare_test.go
+++ b/forward/spare_test.go
@@ -12,30 +12,30 @@
 	return &sparePolicy{slowDial: slowDial, targets: make(map[string]*spareState)}
 }
 
-// TestSpareForDistantTargets checks that a connection is opened ahead only where it takes
-// long to open one and the last request is recent, and one at a time.
+// TestSpareForDistantTargets checks that a spare connection is opened only if a dial takes
+// long and the previous request is recent, and only one at a time.
 func TestSpareForDistantTargets(t *testing.T) {
 	s := newSpares()
 	now := time.Unix(0, 0)
-	require.False(t, s.startOpening(now, "far"), "nothing is known yet")
+	require.False(t, s.startOpening(now, "far"), "no dial time is known yet")
 	s.recordDial("far", 45*time.Millisecond)
 	s.recordDial("near", 3*time.Millisecond)
 	now = now.Add(100 * time.Millisecond)
 	require.True(t, s.startOpening(now, "far"))
-	require.False(t, s.startOpening(now, "far"), "one is being opened")
+	require.False(t, s.startOpening(now, "far"), "a spare connection is being opened")
 	s.finishOpening("far")
 	require.True(t, s.startOpening(now, "far"))
 	s.finishOpening("far")
 	s.startOpening(now, "near")
-	require.False(t, s.startOpening(now, "near"), "opening one takes no time")
+	require.False(t, s.startOpening(now, "near"), "a dial takes little time")
 	now = now.Add(2 * time.Second)
-	require.False(t, s.startOpening(now, "far"), "it would be closed before its use")
+	require.False(t, s.startOpening(now, "far"), "the target would close it unused")
 	s.expire(now.Add(2 * spareStateTTL))
 	require.Empty(t, s.targets)
 }
 
-// TestSpareIsUsed checks that a spare connection is opened beside a request and used by
-// the next one.
+// TestSpareIsUsed checks that a request opens a spare connection in the background, and
+// that a later request uses it.
 func TestSpareIsUsed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -62,14 +62,14 @@
 	require.Eventually(t, func() bool { return c.idle.size(r.endpoint()) > 0 }, 5*time.Second, time.Millisecond)
 	third, err := c.connect(t.Context(), r)
 	require.NoError(t, err)
-	require.True(t, third.reused, "it was open before it was needed")
+	require.True(t, third.reused, "the spare connection was not used")
 	for range 3 {
 		_ = (<-accepted).Close()
 	}
 }
 
-// TestClosedSpareIsNotUsed checks that a spare connection that the target has closed is
-// not taken for a request.
+// TestClosedSpareIsNotUsed checks that a spare connection that the target has closed is not
+// used for a request.
 func TestClosedSpareIsNotUsed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
