--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -22,15 +22,15 @@
 	sent    bool
 	granted bool
 	ran     bool
-	// told is the last word to the caller: "", "not run" or "ran".
-	told string
+	// reported is the last word to the caller: "", "not run" or "ran".
+	reported string
 }
 
-// TestNeverRunsTwice drives one key through attempts whose writes are applied
+// TestOperationRunsAtMostOnce drives one key through attempts whose writes are applied
 // late, twice, out of order or never, whose replies are lost, and whose
 // instances die between claim and answer. The operation must run once at most,
 // and never after the caller was told that the latest attempt did not run.
-func TestNeverRunsTwice(t *testing.T) {
+func TestOperationRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shard := &claim.Shard{}
 		var attempts []*attempt
@@ -42,7 +42,7 @@
 				n := len(attempts) + 1
 				attempts = append(attempts, &attempt{op: claim.Op{Kind: claim.Acquire, Key: "k", Owner: fmt.Sprint(n), Attempt: n}})
 			case 1:
-				if a := pick(t, attempts); a != nil && a.told == "" {
+				if a := pick(t, attempts); a != nil && a.reported == "" {
 					// The write takes effect; its reply may be lost.
 					reply := shard.Apply(a.op)
 					a.sent = true
@@ -58,33 +58,33 @@
 					shard.Apply(late[i])
 				}
 			case 4:
-				if a := pick(t, attempts); a != nil && a.granted && a.told == "" {
+				if a := pick(t, attempts); a != nil && a.granted && a.reported == "" {
 					require.Greater(t, a.op.Attempt, refused, "ran after a later attempt was said not to have run")
 					a.ran = true
-					a.told = "ran"
+					a.reported = "ran"
 					finish := a.op
 					finish.Kind, finish.Status = claim.Finish, 200
 					late = append(late, finish)
 				}
 			case 5:
 				// Given up before it ran: told so at once, released later.
-				if a := pick(t, attempts); a != nil && a.told == "" {
+				if a := pick(t, attempts); a != nil && a.reported == "" {
 					release := a.op
 					release.Kind = claim.Release
 					if a.granted {
-						a.told = "not run"
+						a.reported = "not run"
 						refused = max(refused, a.op.Attempt)
 					} else {
-						a.told = "unknown"
+						a.reported = "unknown"
 					}
 					late = append(late, release)
 				}
 			case 6:
-				if a := pick(t, attempts); a != nil && a.told == "" {
-					a.told = "dead"
+				if a := pick(t, attempts); a != nil && a.reported == "" {
+					a.reported = "dead"
 				}
 			}
-			check(t, attempts)
+			checkSingleRun(t, attempts)
 		}
 	})
 }
@@ -96,13 +96,13 @@
 	return attempts[rapid.IntRange(0, len(attempts)-1).Draw(t, "attempt")]
 }
 
-func check(t *rapid.T, attempts []*attempt) {
+func checkSingleRun(t *rapid.T, attempts []*attempt) {
 	runs, holders := 0, 0
 	for _, a := range attempts {
 		if a.ran {
 			runs++
 		}
-		if a.granted && a.told == "" {
+		if a.granted && a.reported == "" {
 			holders++
 		}
 	}
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestShardOutlivesKeys checks that no shard is swept while a key of it would
+// TestShardsOutliveKeys checks that no shard is swept while a key of it would
 // still be taken.
-func TestShardOutlivesKeys(t *testing.T) {
+func TestShardsOutliveKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(rapid.Int64Range(1e9, 2e9).Draw(t, "now"), 0)
 		age := time.Duration(rapid.Int64Range(0, int64(claim.MaxAge)).Draw(t, "age"))
--- a/claim/merge.go
+++ b/claim/merge.go
@@ -10,24 +10,24 @@
 	}
 	for key, e := range known.Entries {
 		held, ok := merged.Entries[key]
-		if !ok || e.goesBefore(held) {
+		if !ok || e.supersedes(held) {
 			merged.Entries[key] = e
 		}
 	}
 	return merged
 }
 
-// progress orders the states of an attempt.
-var progress = map[State]int{Claimed: 0, Released: 1, Done: 2}
+// stateOrder orders the states of an attempt.
+var stateOrder = map[State]int{Claimed: 0, Released: 1, Done: 2}
 
-// goesBefore tells whether a claim counts rather than another one of the same operation. An operation that
+// supersedes tells whether a claim counts rather than another one of the same operation. An operation that
 // has run counts whatever comes later.
-func (e Entry) goesBefore(other Entry) bool {
+func (e Entry) supersedes(other Entry) bool {
 	if (e.State == Done) != (other.State == Done) {
 		return e.State == Done
 	}
 	if e.Attempt != other.Attempt {
 		return e.Attempt > other.Attempt
 	}
-	return progress[e.State] >= progress[other.State]
+	return stateOrder[e.State] >= stateOrder[other.State]
 }
--- a/claim/queue.go
+++ b/claim/queue.go
@@ -7,43 +7,43 @@
 	Rate  float64
 	Burst float64
 
-	level float64
-	last  time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
 // Allow takes one write if the pace permits it. If not, it returns how long to
 // wait.
 func (p *TokenBucket) Allow(now time.Time) (bool, time.Duration) {
-	if p.last.IsZero() {
-		p.level = p.Burst
+	if p.updatedAt.IsZero() {
+		p.tokens = p.Burst
 	} else {
-		p.level = min(p.Burst, p.level+now.Sub(p.last).Seconds()*p.Rate)
+		p.tokens = min(p.Burst, p.tokens+now.Sub(p.updatedAt).Seconds()*p.Rate)
 	}
-	p.last = now
-	if p.level >= 1 {
-		p.level--
+	p.updatedAt = now
+	if p.tokens >= 1 {
+		p.tokens--
 		return true, 0
 	}
 	if p.Rate <= 0 {
 		return false, time.Second
 	}
-	return false, time.Duration((1 - p.level) / p.Rate * float64(time.Second))
+	return false, time.Duration((1 - p.tokens) / p.Rate * float64(time.Second))
 }
 
 // Queue groups operations by shard until they are written. The zero value is
 // ready. It is not safe for concurrent use.
 type Queue struct {
-	shards map[ShardID]*pending
-	next   int64
+	shards       map[ShardID]*shardQueue
+	lastSequence int64
 }
 
-type pending struct {
-	// arrived numbers the oldest operation, so that shards are served in the
+type shardQueue struct {
+	// sequence numbers the oldest operation, so that shards are served in the
 	// order of their oldest claim.
-	arrived int64
-	urgent  bool
-	ops     []Op
-	writing bool
+	sequence int64
+	urgent   bool
+	ops      []Op
+	writing  bool
 }
 
 // MaxBatch bounds the operations of one write, so that the shard's growth by
@@ -54,12 +54,12 @@
 // urgent; others wait for an urgent one or for a call of Next with all set.
 func (q *Queue) Add(shard ShardID, op Op, urgent bool) {
 	if q.shards == nil {
-		q.shards = make(map[ShardID]*pending)
+		q.shards = make(map[ShardID]*shardQueue)
 	}
 	p := q.shards[shard]
 	if p == nil {
-		q.next++
-		p = &pending{arrived: q.next}
+		q.lastSequence++
+		p = &shardQueue{sequence: q.lastSequence}
 		q.shards[shard] = p
 	}
 	p.ops = append(p.ops, op)
@@ -95,7 +95,7 @@
 // Idle tells whether nothing is queued or being written.
 func (q *Queue) Idle() bool { return len(q.shards) == 0 }
 
-func (p *pending) ready(all bool) bool {
+func (p *shardQueue) ready(all bool) bool {
 	return !p.writing && len(p.ops) > 0 && (p.urgent || all)
 }
 
@@ -104,9 +104,9 @@
 // operation count. The caller must call Written when the write has ended.
 func (q *Queue) NextBatch(number int, all bool) (ShardID, []Op) {
 	var best ShardID
-	var oldest *pending
+	var oldest *shardQueue
 	for id, p := range q.shards {
-		if id.Number == number && p.ready(all) && (oldest == nil || p.arrived < oldest.arrived) {
+		if id.Number == number && p.ready(all) && (oldest == nil || p.sequence < oldest.sequence) {
 			best, oldest = id, p
 		}
 	}
@@ -132,6 +132,6 @@
 		delete(q.shards, shard)
 		return
 	}
-	q.next++
-	p.arrived = q.next
+	q.lastSequence++
+	p.sequence = q.lastSequence
 }
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -93,7 +93,7 @@
 			return Reply{Result: Granted}
 		}
 		if ok && (have.State != Released || have.Attempt >= op.Attempt) {
-			return held(have)
+			return refusalFor(have)
 		}
 		s.Entries[op.Key] = Entry{Owner: op.Owner, Attempt: op.Attempt, State: Claimed}
 	case Finish:
@@ -115,7 +115,7 @@
 	return Reply{Result: Granted}
 }
 
-func held(have Entry) Reply {
+func refusalFor(have Entry) Reply {
 	switch have.State {
 	case Done:
 		return Reply{Result: AlreadyDone, Status: have.Status}
--- a/entry/body.go
+++ b/entry/body.go
@@ -7,12 +7,12 @@
 	"sync"
 )
 
-// replayBytes is the part of a request's body that is kept, so that a request
+// maxReplayBytes is the part of a request's body that is kept, so that a request
 // that was refused can be tried elsewhere.
-const replayBytes = 64 << 10
+const maxReplayBytes = 64 << 10
 
-// errSpent means that a body can't be sent a second time.
-var errSpent = errors.New("entry: body can't be sent again")
+// errNotReplayable means that a body can't be sent a second time.
+var errNotReplayable = errors.New("entry: body can't be sent again")
 
 // body is the body of a request. It keeps what has been read of it up to
 // replayBytes, and can be read again from the start as long as that is all.
@@ -24,45 +24,45 @@
 	reading sync.Mutex
 
 	// mu guards what follows and is held briefly.
-	mu     sync.Mutex
-	kept   []byte
-	total  int
-	lost   bool
-	ended  bool
-	err    error
-	active *bodyReader
+	mu        sync.Mutex
+	buffered  []byte
+	readBytes int
+	discarded bool
+	eof       bool
+	err       error
+	current   *bodyReader
 }
 
 func newBody(r *http.Request) *body {
 	b := &body{length: r.ContentLength, src: r.Body}
 	if r.Body == nil || r.Body == http.NoBody {
 		b.length = 0
-		b.ended = true
+		b.eof = true
 	}
 	return b
 }
 
 // large tells whether the body may be over what is kept.
 func (b *body) large() bool {
-	return b.length < 0 || b.length > replayBytes
+	return b.length < 0 || b.length > maxReplayBytes
 }
 
 // unread tells whether some of the body has not been read.
 func (b *body) unread() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.ended
+	return !b.eof
 }
 
 // replayable tells whether open would succeed.
 func (b *body) replayable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.lost
+	return !b.discarded
 }
 
-// failed returns the error that reading the caller's body met, if any.
-func (b *body) failed() error {
+// readError returns the error that reading the caller's body met, if any.
+func (b *body) readError() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.err
@@ -74,23 +74,23 @@
 func (b *body) open(touch func()) (io.ReadCloser, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.lost {
-		return nil, errSpent
+	if b.discarded {
+		return nil, errNotReplayable
 	}
-	b.active = &bodyReader{body: b, touch: touch}
-	return b.active, nil
+	b.current = &bodyReader{body: b, onRead: touch}
+	return b.current, nil
 }
 
 // bodyReader is one pass over a body.
 type bodyReader struct {
-	body  *body
-	touch func()
-	off   int
+	body   *body
+	onRead func()
+	off    int
 }
 
 // Read implements io.Reader.
 func (r *bodyReader) Read(p []byte) (int, error) {
-	n, err, done := r.readKept(p)
+	n, err, done := r.readBuffered(p)
 	if done {
 		return n, err
 	}
@@ -98,31 +98,31 @@
 	b.reading.Lock()
 	defer b.reading.Unlock()
 	// A reader opened before may have read on meanwhile.
-	n, err, done = r.readKept(p)
+	n, err, done = r.readBuffered(p)
 	if done {
 		return n, err
 	}
 	n, err = b.src.Read(p)
 	b.record(p[:n], err)
 	r.off += n
-	r.touch()
+	r.onRead()
 	return n, err
 }
 
-// readKept reads what needs no read of the source. Done is false when there is
+// readBuffered reads what needs no read of the source. Done is false when there is
 // nothing of that kind.
-func (r *bodyReader) readKept(p []byte) (n int, err error, done bool) {
+func (r *bodyReader) readBuffered(p []byte) (n int, err error, done bool) {
 	b := r.body
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case b.active != r || b.lost && r.off < b.total:
-		return 0, errSpent, true
-	case r.off < b.total:
-		n = copy(p, b.kept[r.off:])
+	case b.current != r || b.discarded && r.off < b.readBytes:
+		return 0, errNotReplayable, true
+	case r.off < b.readBytes:
+		n = copy(p, b.buffered[r.off:])
 		r.off += n
 		return n, nil, true
-	case b.ended:
+	case b.eof:
 		return 0, io.EOF, true
 	case b.err != nil:
 		return 0, b.err, true
@@ -134,16 +134,16 @@
 func (b *body) record(p []byte, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.total += len(p)
-	if b.total > replayBytes {
-		b.lost = true
-		b.kept = nil
+	b.readBytes += len(p)
+	if b.readBytes > maxReplayBytes {
+		b.discarded = true
+		b.buffered = nil
 	} else {
-		b.kept = append(b.kept, p...)
+		b.buffered = append(b.buffered, p...)
 	}
 	switch {
 	case errors.Is(err, io.EOF):
-		b.ended = true
+		b.eof = true
 	case err != nil:
 		b.err = err
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -108,34 +108,34 @@
 
 // Settings that are not operators' business.
 const (
-	// localPatience is the wait in the own hall that is shorter than going
+	// localQueueTimeout is the wait in the own hall that is shorter than going
 	// elsewhere.
-	localPatience = 30 * time.Millisecond
-	// homeWait bounds the wait for a slot at home. A longer queue serves no
+	localQueueTimeout = 30 * time.Millisecond
+	// homeQueueTimeout bounds the wait for a slot at home. A longer queue serves no
 	// more requests, each of them later.
-	homeWait = time.Second
-	// hopPatience is the wait in another hall, which saves the way back.
-	hopPatience = 100 * time.Millisecond
-	// answerPart and maxAnswerTime are the part of a deadline that is kept
+	homeQueueTimeout = time.Second
+	// hopQueueTimeout is the wait in another hall, which saves the way back.
+	hopQueueTimeout = 100 * time.Millisecond
+	// returnTimeDivisor and maxAnswerTime are the part of a deadline that is kept
 	// for the way back.
-	answerPart    = 20
-	maxAnswerTime = 100 * time.Millisecond
-	maxTries      = 4
-	// maxOpen bounds the requests under way at an instance.
-	maxOpen    = 8192
-	maxHops    = 2
-	fullStatus = http.StatusServiceUnavailable
+	returnTimeDivisor = 20
+	maxReturnTime     = 100 * time.Millisecond
+	maxAttempts       = 4
+	// maxInFlight bounds the requests under way at an instance.
+	maxInFlight   = 8192
+	maxHops       = 2
+	statusRefused = http.StatusServiceUnavailable
 )
 
 // Entry serves requests of callers and of other instances.
 type Entry struct {
-	config     Config
-	transports *Transports
-	callers    Stage
-	hops       Stage
+	config      Config
+	transports  *Transports
+	callerStage Stage
+	hopStage    Stage
 
-	// open counts the requests under way.
-	open atomic.Int64
+	// inFlight counts the requests under way.
+	inFlight atomic.Int64
 
 	mu     sync.Mutex
 	budget retry.Budget
@@ -144,8 +144,8 @@
 // New returns an entry. All fields of config must be set.
 func New(config Config) *Entry {
 	e := &Entry{config: config, transports: NewTransports()}
-	e.callers = pipe(e.region, e.log, e.deadline, e.classify, e.claim)
-	e.hops = pipe(e.ownHall, e.log, e.deadline, e.classifyHop)
+	e.callerStage = pipe(e.serveCaller, e.log, e.deadline, e.classify, e.claim)
+	e.hopStage = pipe(e.serveHop, e.log, e.deadline, e.classifyHop)
 	return e
 }
 
@@ -153,21 +153,21 @@
 func (e *Entry) Close() { e.transports.Close() }
 
 // CallerHandler serves requests of callers below protocol.CallPath.
-func (e *Entry) CallerHandler() http.Handler { return e.handler(e.callers, false) }
+func (e *Entry) CallerHandler() http.Handler { return e.handler(e.callerStage, false) }
 
 // HopHandler serves requests that other instances pass on.
-func (e *Entry) HopHandler() http.Handler { return e.handler(e.hops, true) }
+func (e *Entry) HopHandler() http.Handler { return e.handler(e.hopStage, true) }
 
 func (e *Entry) handler(stage Stage, hop bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		ex := &Exchange{w: w, r: r, FromHop: hop, Start: time.Now(), body: newBody(r)}
 		w.Header().Set(protocol.HeaderInstance, e.config.Instance)
-		defer e.open.Add(-1)
-		res := notRun(fullStatus, protocol.ReasonCapacity, "too many requests at this instance", e.jitter(time.Second))
-		if e.open.Add(1) <= maxOpen {
+		defer e.inFlight.Add(-1)
+		res := notRun(statusRefused, protocol.ReasonCapacity, "too many requests at this instance", e.jitter(time.Second))
+		if e.inFlight.Add(1) <= maxInFlight {
 			res = stage(ex)
 		}
-		res = ex.cautious(res)
+		res = ex.adjustForEarlier(res)
 		switch {
 		case res.Incomplete:
 			// The caller must not take a part for the whole.
@@ -176,7 +176,7 @@
 			if hop && res.Outcome == retry.NotRun {
 				w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
 			}
-			ex.answer(res)
+			ex.writeRefusal(res)
 		}
 	})
 }
@@ -202,13 +202,13 @@
 			"request_id", ex.ID,
 			"service", ex.Service.Name,
 			"hop", ex.FromHop,
-			"to", ex.rowTo,
+			"to", ex.destination,
 			"target", ex.target,
 			"outcome", res.Outcome.String(),
 			"status", res.Status,
 			"reason", string(res.Reason),
 			"detail", res.Detail,
-			"tries", ex.tries,
+			"tries", ex.attempts,
 			"broken", res.Incomplete,
 			"ms", float64(took.Microseconds())/1000,
 		)
@@ -245,7 +245,7 @@
 		}
 		left = min(left, e.config.MaxDeadline)
 		// The final answer has to be back in time too.
-		left -= min(left/answerPart, maxAnswerTime)
+		left -= min(left/returnTimeDivisor, maxReturnTime)
 		ex.Deadline = ex.Start.Add(left)
 		return next(ex)
 	}
@@ -306,17 +306,17 @@
 		if !ex.Service.NonIdempotent {
 			return next(ex)
 		}
-		attempt := attemptOf(ex)
+		attempt := newOperationAttempt(ex)
 		ctx, cancel := context.WithDeadline(ex.r.Context(), ex.Deadline)
 		reply, err := e.config.Claims.Acquire(ctx, attempt)
 		cancel()
 		if err != nil {
-			return notRun(fullStatus, protocol.ReasonClaims, err.Error(), e.jitter(time.Second))
+			return notRun(statusRefused, protocol.ReasonClaims, err.Error(), e.jitter(time.Second))
 		}
 		if reply.Result != claim.Granted {
-			return e.claimed(reply)
+			return e.claimConflict(reply)
 		}
-		ex.granted = true
+		ex.claimHeld = true
 		res := next(ex)
 		switch res.Outcome {
 		case retry.Ran:
@@ -328,7 +328,7 @@
 	}
 }
 
-func attemptOf(ex *Exchange) OperationAttempt {
+func newOperationAttempt(ex *Exchange) OperationAttempt {
 	made, _ := claim.ParseKey(ex.Key, ex.Start)
 	number, err := strconv.Atoi(ex.r.Header.Get(protocol.HeaderAttempt))
 	if err != nil || number < 1 {
@@ -337,8 +337,8 @@
 	return OperationAttempt{Key: ex.Key, Made: made, Owner: newID(), Number: number}
 }
 
-// claimed is the result of an attempt that found the claim of another.
-func (e *Entry) claimed(reply claim.Reply) Result {
+// claimConflict is the result of an attempt that found the claim of another.
+func (e *Entry) claimConflict(reply claim.Reply) Result {
 	var res Result
 	switch reply.Result {
 	case claim.AlreadyDone:
@@ -359,7 +359,7 @@
 // mayRetry tells whether another attempt may follow, and takes it from the
 // budget.
 func (e *Entry) mayRetry(ex *Exchange, outcome retry.Outcome) bool {
-	if ex.tries >= maxTries || !ex.body.replayable() || !time.Now().Before(ex.Deadline) {
+	if ex.attempts >= maxAttempts || !ex.body.replayable() || !time.Now().Before(ex.Deadline) {
 		return false
 	}
 	if !retry.Allowed(outcome, !ex.Service.NonIdempotent) || ex.r.Context().Err() != nil {
@@ -370,21 +370,21 @@
 	return e.budget.Spend()
 }
 
-func (e *Entry) succeeded() {
+func (e *Entry) recordSuccess() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.budget.Success()
 }
 
-// soonest keeps the refusal whose time to come back is the nearest.
-func soonest(a, b Result) Result {
-	if rank(b) < rank(a) {
+// earliestRetry keeps the refusal whose time to come back is the nearest.
+func earliestRetry(a, b Result) Result {
+	if retryRank(b) < retryRank(a) {
 		return b
 	}
 	return a
 }
 
-func rank(r Result) int64 {
+func retryRank(r Result) int64 {
 	if r.Status == 0 {
 		return math.MaxInt64
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -21,7 +21,7 @@
 	"github.com/rainford/rainford/table"
 )
 
-func exchange(t *testing.T, service table.Service, method string, data []byte) *Exchange {
+func newExchange(t *testing.T, service table.Service, method string, data []byte) *Exchange {
 	t.Helper()
 	r := httptest.NewRequest(method, "/v1/call/s/x", bytes.NewReader(data))
 	if len(data) == 0 {
@@ -69,17 +69,17 @@
 	}
 }
 
-// TestTransportNeverRepeats sends once-only requests to a server that runs the
+// TestTransportNeverRetries sends once-only requests to a server that runs the
 // second request of a connection and ends it without an answer: net/http would
 // repeat such a request by itself.
-func TestTransportNeverRepeats(t *testing.T) {
+func TestTransportNeverRetries(t *testing.T) {
 	addr, runs := staleServer(t)
 	tr := NewTransports()
 	defer tr.Close()
 	sent := int64(0)
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodPut} {
 		for range 3 {
-			ex := exchange(t, table.Service{Name: "s", NonIdempotent: true}, method, nil)
+			ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, method, nil)
 			a := tr.send(ex, addr, "/x", func(http.Header) {}, time.Second)
 			sent++
 			require.NoError(t, a.err)
@@ -119,7 +119,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			defer c.server.Close()
-			ex := exchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, []byte("rent"))
+			ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, []byte("rent"))
 			a := tr.send(ex, c.server.Listener.Addr().String(), "/x", func(http.Header) {}, 5*time.Second)
 			defer a.close()
 			require.Equal(t, c.want, retry.Classify(a.evidence))
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestCautious checks that "not run" is said of an operation only when its claim
+// TestOutcomeAfterUnknownEarlierAttempt checks that "not run" is said of an operation only when its claim
 // was held or no earlier attempt is in doubt.
-func TestCautious(t *testing.T) {
+func TestOutcomeAfterUnknownEarlierAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		earlier, granted bool
@@ -139,12 +139,12 @@
 		{"earlier in doubt, no claim", true, false, retry.Unknown},
 		{"earlier in doubt, claim held", true, true, retry.NotRun},
 	} {
-		ex := exchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, nil)
+		ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, nil)
 		if c.earlier {
 			ex.r.Header.Set(protocol.HeaderEarlier, "unknown")
 		}
-		ex.granted = c.granted
-		require.Equal(t, c.want, ex.cautious(notRun(503, protocol.ReasonNotReady, "", 0)).Outcome, c.name)
+		ex.claimHeld = c.granted
+		require.Equal(t, c.want, ex.adjustForEarlier(notRun(503, protocol.ReasonNotReady, "", 0)).Outcome, c.name)
 	}
 }
 
@@ -166,9 +166,9 @@
 	require.Equal(t, "hello world", whole, "from the start again")
 	require.False(t, small.unread())
 
-	data := strings.Repeat("x", replayBytes+1)
+	data := strings.Repeat("x", maxReplayBytes+1)
 	large := newBody(httptest.NewRequest(http.MethodPost, "/", strings.NewReader(data)))
-	_, err = read(large, replayBytes/2)
+	_, err = read(large, maxReplayBytes/2)
 	require.NoError(t, err)
 	require.True(t, large.replayable())
 	whole, err = read(large, len(data))
@@ -176,19 +176,19 @@
 	require.Equal(t, data, whole)
 	require.False(t, large.replayable())
 	_, err = read(large, 1)
-	require.ErrorIs(t, err, errSpent)
+	require.ErrorIs(t, err, errNotReplayable)
 }
 
-// TestOldReaderGetsNothing checks that a reader left over from an attempt that
+// TestSupersededReaderFails checks that a reader left over from an attempt that
 // was given up takes nothing from the next one.
-func TestOldReaderGetsNothing(t *testing.T) {
+func TestSupersededReaderFails(t *testing.T) {
 	b := newBody(httptest.NewRequest(http.MethodPost, "/", strings.NewReader("hello")))
 	old, err := b.open(func() {})
 	require.NoError(t, err)
 	_, err = b.open(func() {})
 	require.NoError(t, err)
 	_, err = old.Read(make([]byte, 5))
-	require.ErrorIs(t, err, errSpent)
+	require.ErrorIs(t, err, errNotReplayable)
 }
 
 func TestCopyHeaderDropsConnectionHeaders(t *testing.T) {
@@ -198,8 +198,8 @@
 	require.Equal(t, http.Header{"X-Two": {"2"}}, dst)
 }
 
-// TestHallHandsEachGrantOnce has many requests wait and go away at random.
-func TestHallHandsEachGrantOnce(t *testing.T) {
+// TestHallDeliversEachGrantOnce has many requests wait and go away at random.
+func TestHallDeliversEachGrantOnce(t *testing.T) {
 	h := NewHall(balance.Config{Rand: rand.New(rand.NewPCG(1, 1)), NoSlowStart: true})
 	h.SetTargets(time.Now(), map[string][]balance.Spec{"s": {{ID: "a", Addr: "a", Slots: 3}}}, nil)
 	done := make(chan bool)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -28,17 +28,17 @@
 	Deadline time.Time
 	// OriginRegion is the region that the request entered in.
 	OriginRegion string
-	// granted is set once the claim of the operation is held, which shows
+	// claimHeld is set once the claim of the operation is held, which shows
 	// that no earlier attempt ran.
-	granted bool
+	claimHeld bool
 	// FromHop is set when another instance sent the request.
 	FromHop bool
 	plan    *table.Plan
 	body    *body
-	// rowTo and target tell where the request ran, for the log.
-	rowTo  string
-	target string
-	tries  int
+	// destination and target tell where the request ran, for the log.
+	destination string
+	target      string
+	attempts    int
 }
 
 // Result is what became of an exchange.
@@ -81,19 +81,19 @@
 	return Result{Outcome: retry.Unknown, Status: http.StatusBadGateway, Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// cautious turns "not run" into "unknown" for an attempt that was given up
+// adjustForEarlier turns "not run" into "unknown" for an attempt that was given up
 // before its claim, when the caller does not know how an earlier one ended: this
 // attempt did not run, but the operation may have.
-func (ex *Exchange) cautious(res Result) Result {
+func (ex *Exchange) adjustForEarlier(res Result) Result {
 	earlier := ex.r.Header.Get(protocol.HeaderEarlier) == retry.Unknown.String()
-	if !ex.FromHop && !ex.granted && earlier && res.Outcome == retry.NotRun {
+	if !ex.FromHop && !ex.claimHeld && earlier && res.Outcome == retry.NotRun {
 		res.Outcome = retry.Unknown
 	}
 	return res
 }
 
-// answer writes the final answer of a request that no target answered.
-func (ex *Exchange) answer(res Result) {
+// writeRefusal writes the final writeRefusal of a request that no target answered.
+func (ex *Exchange) writeRefusal(res Result) {
 	h := ex.w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(protocol.HeaderOutcome, res.Outcome.String())
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -17,13 +17,13 @@
 
 // Transports are the connections to targets and to other instances.
 type Transports struct {
-	// kept reuses connections. It serves requests that may be retried.
-	kept *http.Transport
-	// fresh opens a connection for each request, so that a once-only request
+	// pooled reuses connections. It serves requests that may be retried.
+	pooled *http.Transport
+	// unpooled opens a connection for each request, so that a once-only request
 	// never meets one that the other side has closed already: its outcome
 	// would be unknown without need. It also keeps net/http from repeating a
 	// request by itself, which it does on reused connections only.
-	fresh *http.Transport
+	unpooled *http.Transport
 }
 
 const (
@@ -33,10 +33,10 @@
 	idleConnTimeout = 2 * time.Second
 	// expectTimeout is how long a large body waits for the other side to
 	// take the request.
-	expectTimeout     = 2 * time.Second
-	maxAnswerHead     = 64 << 10
-	maxConnsPerTarget = 130
-	copyBytes         = 32 << 10
+	expectTimeout          = 2 * time.Second
+	maxResponseHeaderBytes = 64 << 10
+	maxConnsPerTarget      = 130
+	copyBufferBytes        = 32 << 10
 )
 
 // NewTransports returns transports with the project's settings.
@@ -45,29 +45,29 @@
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		IdleConnTimeout:        idleConnTimeout,
 		ExpectContinueTimeout:  expectTimeout,
-		MaxResponseHeaderBytes: maxAnswerHead,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		MaxIdleConnsPerHost:    maxConnsPerTarget,
 		DisableCompression:     true,
 	}
 	kept := base.Clone()
 	fresh := base.Clone()
 	fresh.DisableKeepAlives = true
-	return &Transports{kept: kept, fresh: fresh}
+	return &Transports{pooled: kept, unpooled: fresh}
 }
 
 // Close ends idle connections.
 func (t *Transports) Close() {
-	t.kept.CloseIdleConnections()
-	t.fresh.CloseIdleConnections()
+	t.pooled.CloseIdleConnections()
+	t.unpooled.CloseIdleConnections()
 }
 
 // attempt is one try to have a request answered by another process.
 type attempt struct {
-	evidence retry.Evidence
-	resp     *http.Response
-	err      error
-	watch    *stallWatch
-	began    time.Time
+	evidence  retry.Evidence
+	resp      *http.Response
+	err       error
+	watchdog  *stallWatchdog
+	startedAt time.Time
 	// latency is the time to the head of the answer, or 0 for a large body:
 	// that takes as long as its sender does.
 	latency time.Duration
@@ -78,36 +78,36 @@
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
 	}
-	a.watch.stop()
+	a.watchdog.stop()
 }
 
 // unreachable tells whether no connection could be had.
 func (a *attempt) unreachable() bool { return !a.evidence.Connected }
 
-// stallWatch cancels a context when nothing has moved for a while.
-type stallWatch struct {
-	cancel context.CancelFunc
-	timer  *time.Timer
-	limit  time.Duration
-	ended  atomic.Bool
+// stallWatchdog cancels a context when nothing has moved for a while.
+type stallWatchdog struct {
+	cancel  context.CancelFunc
+	timer   *time.Timer
+	timeout time.Duration
+	stopped atomic.Bool
 }
 
-func newStallWatch(parent context.Context, limit time.Duration) (context.Context, *stallWatch) {
+func newStallWatchdog(parent context.Context, limit time.Duration) (context.Context, *stallWatchdog) {
 	ctx, cancel := context.WithCancel(parent)
-	w := &stallWatch{cancel: cancel, limit: limit}
+	w := &stallWatchdog{cancel: cancel, timeout: limit}
 	w.timer = time.AfterFunc(limit, cancel)
 	return ctx, w
 }
 
-// touch says that something has moved.
-func (w *stallWatch) touch() {
-	if !w.ended.Load() {
-		w.timer.Reset(w.limit)
+// reset says that something has moved.
+func (w *stallWatchdog) reset() {
+	if !w.stopped.Load() {
+		w.timer.Reset(w.timeout)
 	}
 }
 
-func (w *stallWatch) stop() {
-	w.ended.Store(true)
+func (w *stallWatchdog) stop() {
+	w.stopped.Store(true)
 	w.timer.Stop()
 	w.cancel()
 }
@@ -115,8 +115,8 @@
 // send sends the exchange's request to addr and returns with the head of the
 // answer, or without one.
 func (t *Transports) send(ex *Exchange, addr, path string, mark func(http.Header), stall time.Duration) *attempt {
-	ctx, watch := newStallWatch(ex.r.Context(), stall)
-	a := &attempt{watch: watch, began: time.Now()}
+	ctx, watch := newStallWatchdog(ex.r.Context(), stall)
+	a := &attempt{watchdog: watch, startedAt: time.Now()}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -127,25 +127,25 @@
 		limit := time.AfterFunc(time.Until(ex.Deadline), watch.cancel)
 		defer limit.Stop()
 	}
-	req, err := t.request(ctx, ex, addr, path, watch)
+	req, err := t.newRequest(ctx, ex, addr, path, watch)
 	if err != nil {
 		a.err = err
 		return a
 	}
 	mark(req.Header)
-	a.resp, a.err = t.of(ex).RoundTrip(req)
+	a.resp, a.err = t.transportFor(ex).RoundTrip(req)
 	if !ex.body.large() {
-		a.latency = time.Since(a.began)
+		a.latency = time.Since(a.startedAt)
 	}
 	a.evidence = evidenceOf(connected.Load(), a.resp)
 	return a
 }
 
-func (t *Transports) of(ex *Exchange) *http.Transport {
+func (t *Transports) transportFor(ex *Exchange) *http.Transport {
 	if ex.Service.NonIdempotent {
-		return t.fresh
+		return t.unpooled
 	}
-	return t.kept
+	return t.pooled
 }
 
 func evidenceOf(connected bool, resp *http.Response) retry.Evidence {
@@ -156,9 +156,9 @@
 	return e
 }
 
-func (t *Transports) request(ctx context.Context, ex *Exchange, addr, path string, watch *stallWatch) (*http.Request, error) {
+func (t *Transports) newRequest(ctx context.Context, ex *Exchange, addr, path string, watch *stallWatchdog) (*http.Request, error) {
 	// The body hides its type, so that net/http has no GetBody.
-	src, err := ex.body.open(watch.touch)
+	src, err := ex.body.open(watch.reset)
 	if err != nil {
 		return nil, err
 	}
@@ -204,16 +204,16 @@
 		return true
 	}
 	control := http.NewResponseController(ex.w)
-	buf := make([]byte, copyBytes)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := a.resp.Body.Read(buf)
-		a.watch.touch()
+		a.watchdog.reset()
 		if n > 0 {
 			_, writeErr := ex.w.Write(buf[:n])
 			if writeErr != nil {
 				return false
 			}
-			a.watch.touch()
+			a.watchdog.reset()
 		}
 		if errors.Is(err, io.EOF) {
 			return true
--- a/entry/hall.go
+++ b/entry/hall.go
@@ -17,7 +17,7 @@
 	config  balance.Config
 	pools   map[string]*balance.Pool
 	waiters map[uint64]chan balance.Decision
-	next    uint64
+	lastID  uint64
 }
 
 // NewHall returns a hall without targets. Config.Rand is used under the hall's
@@ -48,10 +48,10 @@
 
 // Slot is a target's slot taken for a request.
 type Slot struct {
-	Target  balance.Spec
-	hall    *Hall
-	service string
-	taken   time.Time
+	Target     balance.Spec
+	hall       *Hall
+	service    string
+	acquiredAt time.Time
 }
 
 // Acquire takes a slot for a request of a service. It waits as long as the
@@ -64,8 +64,8 @@
 		h.mu.Unlock()
 		return nil, time.Second
 	}
-	h.next++
-	req.ID = h.next
+	h.lastID++
+	req.ID = h.lastID
 	now := time.Now()
 	decision := pool.Acquire(now, req)
 	var wait chan balance.Decision
@@ -80,7 +80,7 @@
 	if decision.Action != balance.Run {
 		return nil, decision.RetryAfter
 	}
-	return &Slot{Target: decision.Target, hall: h, service: service, taken: time.Now()}, 0
+	return &Slot{Target: decision.Target, hall: h, service: service, acquiredAt: time.Now()}, 0
 }
 
 func (h *Hall) await(ctx context.Context, pool *balance.Pool, id uint64, wait chan balance.Decision) balance.Decision {
--- a/entry/region.go
+++ b/entry/region.go
@@ -14,43 +14,43 @@
 	"github.com/rainford/rainford/table"
 )
 
-// region is the last stage for requests of callers: it tries the rows of the
+// serveCaller is the last stage for requests of callers: it tries the rows of the
 // table in the order drawn. When none takes the request at once it may wait for
 // a slot at home; else it is given up with the nearest time to come back.
-func (e *Entry) region(ex *Exchange) Result {
+func (e *Entry) serveCaller(ex *Exchange) Result {
 	rows := e.config.Chooser.Order(e.config.Fleet.Candidates(ex.Service.Name))
 	best := Result{}
 	for _, row := range rows {
-		res, again := e.row(ex, row)
+		res, again := e.tryRow(ex, row)
 		if !again {
 			return res
 		}
-		best = soonest(best, res)
+		best = earliestRetry(best, res)
 	}
 	for _, row := range rows {
 		if row.To != e.config.Region || !e.config.Fleet.HallOpen() {
 			continue
 		}
-		ex.rowTo = row.To
-		res, again := e.local(ex, row, homeWait)
+		ex.destination = row.To
+		res, again := e.tryLocal(ex, row, homeQueueTimeout)
 		if !again {
 			return res
 		}
-		best = soonest(best, res)
+		best = earliestRetry(best, res)
 	}
 	if best.Status == 0 {
-		return notRun(fullStatus, protocol.ReasonUnreachable, "no region takes the service now", e.jitter(time.Second))
+		return notRun(statusRefused, protocol.ReasonUnreachable, "no region takes the service now", e.jitter(time.Second))
 	}
 	return best
 }
 
-// row tries to have the request served on one row. Again is true when it
-// certainly did not run and another row may be tried.
-func (e *Entry) row(ex *Exchange, row table.Row) (res Result, again bool) {
-	ex.rowTo = row.To
+// tryRow tries to have the request served on one tryRow. Again is true when it
+// certainly did not run and another tryRow may be tried.
+func (e *Entry) tryRow(ex *Exchange, row table.Row) (res Result, again bool) {
+	ex.destination = row.To
 	best := Result{}
 	if row.To == e.config.Region && e.config.Fleet.HallOpen() {
-		res, again = e.local(ex, row, localPatience)
+		res, again = e.tryLocal(ex, row, localQueueTimeout)
 		if !again {
 			return res, false
 		}
@@ -59,16 +59,16 @@
 	if best.Reason == protocol.ReasonCap {
 		return best, true
 	}
-	res, again = e.remote(ex, row)
+	res, again = e.tryRemote(ex, row)
 	if !again {
 		return res, false
 	}
-	return soonest(best, res), true
+	return earliestRetry(best, res), true
 }
 
-// local serves the request at a target of the own hall.
-func (e *Entry) local(ex *Exchange, row table.Row, patience time.Duration) (Result, bool) {
-	slot, refused := e.slot(ex, patience, "")
+// tryLocal serves the request at a target of the own hall.
+func (e *Entry) tryLocal(ex *Exchange, row table.Row, patience time.Duration) (Result, bool) {
+	slot, refused := e.acquireSlot(ex, patience, "")
 	if slot == nil {
 		return refused, true
 	}
@@ -76,7 +76,7 @@
 		slot.Release(balance.Abandoned, 0)
 		return res, true
 	}
-	return e.toTarget(ex, slot)
+	return e.tryTargets(ex, slot)
 }
 
 // admit asks for a unit of the row's cap.
@@ -89,13 +89,13 @@
 	if admission == share.RampLimited {
 		detail = "the shift on " + row.Key().String() + " is still ramping"
 	}
-	return notRun(fullStatus, protocol.ReasonCap, detail, e.jitter(max(wait, 50*time.Millisecond))), false
+	return notRun(statusRefused, protocol.ReasonCap, detail, e.jitter(max(wait, 50*time.Millisecond))), false
 }
 
-// remote serves the request through an instance that is near the row's
+// tryRemote serves the request through an instance that is near the row's
 // targets.
-func (e *Entry) remote(ex *Exchange, row table.Row) (Result, bool) {
-	best := notRun(fullStatus, protocol.ReasonUnreachable, "no instance in "+row.To+" takes the service now", e.jitter(time.Second))
+func (e *Entry) tryRemote(ex *Exchange, row table.Row) (Result, bool) {
+	best := notRun(statusRefused, protocol.ReasonUnreachable, "no instance in "+row.To+" takes the service now", e.jitter(time.Second))
 	tried := make(map[string]bool)
 	admitted := false
 	for range maxHops {
@@ -106,7 +106,7 @@
 		}
 		i := e.config.Chooser.Pick(peers)
 		if i < 0 && busy {
-			return notRun(fullStatus, protocol.ReasonCapacity, "every instance in "+row.To+" is busy", e.jitter(200*time.Millisecond)), true
+			return notRun(statusRefused, protocol.ReasonCapacity, "every instance in "+row.To+" is busy", e.jitter(200*time.Millisecond)), true
 		}
 		if i < 0 {
 			break
@@ -120,11 +120,11 @@
 			admitted = true
 		}
 		tried[hops[i].ID] = true
-		res, again := e.toHop(ex, row, hops[i])
+		res, again := e.tryHop(ex, row, hops[i])
 		if !again {
 			return res, false
 		}
-		best = soonest(Result{}, res)
+		best = earliestRetry(Result{}, res)
 		if !e.mayRetry(ex, res.Outcome) {
 			return res, res.Outcome == retry.NotRun && ex.body.replayable()
 		}
@@ -132,10 +132,10 @@
 	return best, true
 }
 
-// toHop sends the request to another instance. Again is true when the request
+// tryHop sends the request to another instance. Again is true when the request
 // may be tried elsewhere.
-func (e *Entry) toHop(ex *Exchange, row table.Row, hop Hop) (Result, bool) {
-	ex.tries++
+func (e *Entry) tryHop(ex *Exchange, row table.Row, hop Hop) (Result, bool) {
+	ex.attempts++
 	e.config.Fleet.RecordSent(hop.ID, ex.Service.Name)
 	a := e.transports.send(ex, hop.Addr, ex.r.URL.EscapedPath(), func(h http.Header) {
 		h.Set(protocol.HeaderFrom, e.config.Region)
@@ -153,32 +153,32 @@
 			e.config.Fleet.RecordAnswered(ex.Service.Name, row.To, a.latency)
 		}
 		ex.target = a.resp.Header.Get(protocol.HeaderTarget)
-		return e.pass(ex, a, func(http.Header) {}), false
+		return e.relayResponse(ex, a, func(http.Header) {}), false
 	case retry.NotRun:
-		res := e.declined(a, "instance "+hop.ID+" in "+row.To)
+		res := e.refusalResult(a, "instance "+hop.ID+" in "+row.To)
 		e.config.Fleet.RecordDeclined(hop.ID, ex.Service.Name, res.RetryAfter)
 		return res, true
 	default:
-		return e.lost(ex, a)
+		return e.unknownResult(ex, a)
 	}
 }
 
-// ownHall is the last stage for requests of other instances.
-func (e *Entry) ownHall(ex *Exchange) Result {
+// serveHop is the last stage for requests of other instances.
+func (e *Entry) serveHop(ex *Exchange) Result {
 	if !e.config.Fleet.HallOpen() {
-		return notRun(fullStatus, protocol.ReasonUnreachable, "hall is drained", e.jitter(time.Second))
+		return notRun(statusRefused, protocol.ReasonUnreachable, "hall is drained", e.jitter(time.Second))
 	}
-	ex.rowTo = e.config.Region
-	slot, refused := e.slot(ex, hopPatience, "")
+	ex.destination = e.config.Region
+	slot, refused := e.acquireSlot(ex, hopQueueTimeout, "")
 	if slot == nil {
 		return refused
 	}
-	res, _ := e.toTarget(ex, slot)
+	res, _ := e.tryTargets(ex, slot)
 	return res
 }
 
-// slot takes a slot of a target of the own hall.
-func (e *Entry) slot(ex *Exchange, patience time.Duration, avoid string) (*Slot, Result) {
+// acquireSlot takes a acquireSlot of a target of the own hall.
+func (e *Entry) acquireSlot(ex *Exchange, patience time.Duration, avoid string) (*Slot, Result) {
 	slot, wait := e.config.Hall.Acquire(ex.r.Context(), ex.Service.Name, balance.Request{
 		Deadline:        ex.Deadline,
 		QueueTimeout:    patience,
@@ -186,15 +186,15 @@
 		Tried:           avoid,
 	})
 	if slot == nil {
-		return nil, notRun(fullStatus, protocol.ReasonCapacity, "every target in reach is busy", wait)
+		return nil, notRun(statusRefused, protocol.ReasonCapacity, "every target in reach is busy", wait)
 	}
 	return slot, Result{}
 }
 
-// toTarget sends the request to the slot's target, and to others of the hall
+// tryTargets sends the request to the slot's target, and to others of the hall
 // while it is refused. Again is true when it certainly did not run and its
 // body can be sent again.
-func (e *Entry) toTarget(ex *Exchange, slot *Slot) (Result, bool) {
+func (e *Entry) tryTargets(ex *Exchange, slot *Slot) (Result, bool) {
 	for {
 		res, again := e.tryTarget(ex, slot)
 		if !again {
@@ -203,7 +203,7 @@
 		if !e.mayRetry(ex, res.Outcome) {
 			return res, res.Outcome == retry.NotRun && ex.body.replayable()
 		}
-		next, refused := e.slot(ex, localPatience, slot.Target.ID)
+		next, refused := e.acquireSlot(ex, localQueueTimeout, slot.Target.ID)
 		if next == nil {
 			if res.Outcome == retry.Unknown {
 				return res, false
@@ -215,15 +215,15 @@
 }
 
 func (e *Entry) tryTarget(ex *Exchange, slot *Slot) (Result, bool) {
-	ex.tries++
+	ex.attempts++
 	ex.target = slot.Target.ID
-	a := e.transports.send(ex, slot.Target.Addr, ex.Path, stripOwn, e.config.StallTimeout)
+	a := e.transports.send(ex, slot.Target.Addr, ex.Path, stripInstanceHeaders, e.config.StallTimeout)
 	defer a.close()
 	outcome := retry.Classify(a.evidence)
-	slot.ApplySelfReport(a.word(outcome))
+	slot.ApplySelfReport(a.selfReport(outcome))
 	switch outcome {
 	case retry.Ran:
-		res := e.pass(ex, a, func(h http.Header) {
+		res := e.relayResponse(ex, a, func(h http.Header) {
 			h.Set(protocol.HeaderOutcome, retry.Ran.String())
 			h.Set(protocol.HeaderRegion, e.config.Region)
 			h.Set(protocol.HeaderTarget, slot.Target.ID)
@@ -238,16 +238,16 @@
 		} else {
 			slot.Release(balance.Refused, a.latency)
 		}
-		return e.declined(a, "target "+slot.Target.ID), true
+		return e.refusalResult(a, "target "+slot.Target.ID), true
 	default:
 		e.releaseBroken(ex, slot)
-		return e.lost(ex, a)
+		return e.unknownResult(ex, a)
 	}
 }
 
-// word returns what a target said of itself in its answer. The time after which to come back
+// selfReport returns what a target said of itself in its answer. The time after which to come back
 // counts for the target only in a refusal: else it is for the caller.
-func (a *attempt) word(outcome retry.Outcome) availability.SelfReport {
+func (a *attempt) selfReport(outcome retry.Outcome) availability.SelfReport {
 	if a.resp == nil {
 		return availability.SelfReport{}
 	}
@@ -261,48 +261,48 @@
 // releaseBroken gives back the slot of an exchange that broke. When the
 // caller's side broke it the target is not to blame.
 func (e *Entry) releaseBroken(ex *Exchange, slot *Slot) {
-	if ex.r.Context().Err() != nil || ex.body.failed() != nil || !time.Now().Before(ex.Deadline) {
+	if ex.r.Context().Err() != nil || ex.body.readError() != nil || !time.Now().Before(ex.Deadline) {
 		slot.Release(balance.Abandoned, 0)
 		return
 	}
 	slot.Release(balance.Broken, 0)
 }
 
-// stripOwn removes the headers that only instances use.
-func stripOwn(h http.Header) {
+// stripInstanceHeaders removes the headers that only instances use.
+func stripInstanceHeaders(h http.Header) {
 	h.Del(protocol.HeaderFrom)
 	h.Del(protocol.HeaderConfig)
 }
 
-// pass relays an answer.
-func (e *Entry) pass(ex *Exchange, a *attempt, mark func(http.Header)) Result {
+// relayResponse relays an answer.
+func (e *Entry) relayResponse(ex *Exchange, a *attempt, mark func(http.Header)) Result {
 	whole := relay(ex, a, func(h http.Header) {
 		h.Set(protocol.HeaderInstance, e.config.Instance)
 		h.Set(protocol.HeaderRequestID, ex.ID)
 		mark(h)
 	})
-	e.succeeded()
+	e.recordSuccess()
 	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, ResponseSent: true, Incomplete: !whole}
 }
 
-// declined is the result of an attempt that did not run.
-func (e *Entry) declined(a *attempt, who string) Result {
+// refusalResult is the result of an attempt that did not run.
+func (e *Entry) refusalResult(a *attempt, who string) Result {
 	if a.resp == nil {
 		detail := who + " can't be reached"
 		if a.err != nil {
 			detail += ": " + a.err.Error()
 		}
-		return notRun(fullStatus, protocol.ReasonUnreachable, detail, e.jitter(500*time.Millisecond))
+		return notRun(statusRefused, protocol.ReasonUnreachable, detail, e.jitter(500*time.Millisecond))
 	}
 	wait := protocol.RetryAfter(a.resp.Header)
 	if wait == 0 {
 		wait = e.jitter(200 * time.Millisecond)
 	}
-	return notRun(fullStatus, protocol.ReasonCapacity, who+" refused", wait)
+	return notRun(statusRefused, protocol.ReasonCapacity, who+" refused", wait)
 }
 
-// lost is the result of an attempt whose end is not known.
-func (e *Entry) lost(ex *Exchange, a *attempt) (Result, bool) {
+// unknownResult is the result of an attempt whose end is not known.
+func (e *Entry) unknownResult(ex *Exchange, a *attempt) (Result, bool) {
 	detail := "the answer was lost"
 	if a.err != nil {
 		detail += ": " + a.err.Error()
--- a/node/claim_batch.go
+++ b/node/claim_batch.go
@@ -13,7 +13,7 @@
 
 // run writes batches until ctx ends.
 func (c *claimWriter) run(ctx context.Context) {
-	ticker := time.NewTicker(settleEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	defer c.wg.Wait()
 	for {
@@ -36,9 +36,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.queue.HasBatch(number, all) {
-		ok, wait := c.paces[number].Allow(time.Now())
+		ok, wait := c.limiters[number].Allow(time.Now())
 		if !ok {
-			time.AfterFunc(wait, c.signal)
+			time.AfterFunc(wait, c.wakeUp)
 			return
 		}
 		shard, ops := c.queue.NextBatch(number, all)
@@ -46,7 +46,7 @@
 		go func() {
 			defer c.wg.Done()
 			c.write(ctx, shard, ops)
-			c.signal()
+			c.wakeUp()
 		}()
 	}
 }
@@ -64,32 +64,32 @@
 		var conflict *objectstore.ConflictError
 		switch {
 		case err == nil:
-			c.settle(id, shardState{shard: next, version: obj.Version, used: time.Now()}, ops, replies)
+			c.completeBatch(id, shardState{shard: next, version: obj.Version, used: time.Now()}, ops, replies)
 			return
 		case errors.As(err, &conflict):
 			// A write on an older version can't take effect any more.
 			uncertain = false
-			state = afterConflict(state, conflict.Current)
-			c.awaitPace(ctx, id.Number)
+			state = resolveConflict(state, conflict.Current)
+			c.awaitToken(ctx, id.Number)
 		case ctx.Err() != nil:
 			return
 		default:
 			c.log.Debug("claims", "shard", id.ObjectKey(), "error", err.Error())
 			uncertain = uncertain || errors.Is(err, objectstore.ErrUncertain)
 			if !uncertain {
-				c.refuse(id, ops)
+				c.failBatch(id, ops)
 				return
 			}
-			pause.For(ctx, retryPause)
+			pause.For(ctx, retryDelay)
 		}
 	}
 }
 
-// awaitPace waits until another write of the shard is permitted.
-func (c *claimWriter) awaitPace(ctx context.Context, number int) {
+// awaitToken waits until another write of the shard is permitted.
+func (c *claimWriter) awaitToken(ctx context.Context, number int) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		ok, wait := c.paces[number].Allow(time.Now())
+		ok, wait := c.limiters[number].Allow(time.Now())
 		c.mu.Unlock()
 		if ok {
 			return
@@ -98,16 +98,16 @@
 	}
 }
 
-// refuse ends a batch that the platform did not take. Claims are answered, so
+// failBatch ends a batch that the platform did not take. Claims are answered, so
 // that nobody waits for them; the ends of claims are queued again, so that the
 // next claim of the shard does not wait behind them.
-func (c *claimWriter) refuse(id claim.ShardID, ops []claim.Op) {
+func (c *claimWriter) failBatch(id claim.ShardID, ops []claim.Op) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue.BatchDone(id)
 	for _, op := range ops {
 		if op.Kind == claim.Acquire {
-			c.answer(waitName(op), claim.Reply{Result: claim.NotWritten})
+			c.deliverReply(replyID(op), claim.Reply{Result: claim.NotWritten})
 		} else {
 			c.queue.Add(id, op, false)
 		}
@@ -128,9 +128,9 @@
 	return next, replies
 }
 
-// afterConflict returns the state of a shard that a write was in conflict with. What a platform that came back
+// resolveConflict returns the state of a shard that a write was in conflict with. What a platform that came back
 // from a copy has lost of it goes on to count.
-func afterConflict(known shardState, current objectstore.Object) shardState {
+func resolveConflict(known shardState, current objectstore.Object) shardState {
 	state := decodeShard(current)
 	if objectstore.IsLaterEra(current.Version, known.version) {
 		state.shard = claim.Merge(known.shard, state.shard)
@@ -146,18 +146,18 @@
 	return state
 }
 
-// settle hands out the replies of a batch that is in force.
-func (c *claimWriter) settle(id claim.ShardID, state shardState, ops []claim.Op, replies []claim.Reply) {
+// completeBatch hands out the replies of a batch that is in force.
+func (c *claimWriter) completeBatch(id claim.ShardID, state shardState, ops []claim.Op, replies []claim.Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shards[id] = state
 	for other, s := range c.shards {
-		if time.Since(s.used) > forgetShardAfter {
+		if time.Since(s.used) > shardCacheTTL {
 			delete(c.shards, other)
 		}
 	}
 	for i, op := range ops {
-		c.answer(waitName(op), replies[i])
+		c.deliverReply(replyID(op), replies[i])
 	}
 	c.queue.BatchDone(id)
 }
@@ -166,11 +166,11 @@
 func (c *claimWriter) flush(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		idle := c.queue.Idle() && len(c.waiting) == 0
+		idle := c.queue.Idle() && len(c.pending) == 0
 		c.mu.Unlock()
 		if idle {
 			return
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 }
--- a/node/claim_writer.go
+++ b/node/claim_writer.go
@@ -30,21 +30,21 @@
 	// platformUp is false while the platform does not answer this instance.
 	platformUp atomic.Bool
 
-	mu      sync.Mutex
-	queue   claim.Queue
-	paces   [claim.ShardsPerSlice]claim.TokenBucket
-	writers [claim.ShardsPerSlice]claimRoute
-	waiting map[string]*claimWait
-	shards  map[claim.ShardID]shardState
-	wake    chan struct{}
-	wg      sync.WaitGroup
+	mu       sync.Mutex
+	queue    claim.Queue
+	limiters [claim.ShardsPerSlice]claim.TokenBucket
+	writers  [claim.ShardsPerSlice]shardWriter
+	pending  map[string]*pendingClaim
+	shards   map[claim.ShardID]shardState
+	wake     chan struct{}
+	wg       sync.WaitGroup
 }
 
-// claimRoute is the writer of the shards of a number.
-type claimRoute struct{ id, addr string }
+// shardWriter is the writer of the shards of a number.
+type shardWriter struct{ id, addr string }
 
-// claimWait is an attempt that waits for its claim.
-type claimWait struct {
+// pendingClaim is an attempt that waits for its claim.
+type pendingClaim struct {
 	// reply is nil once nobody waits any more: a claim that is granted later
 	// is released.
 	reply func(claim.Reply)
@@ -59,16 +59,16 @@
 }
 
 const (
-	claimBurst = 2
-	// settleEvery is how often the ends of claims are written if no claim
+	writeBurst = 2
+	// flushInterval is how often the ends of claims are written if no claim
 	// takes them along.
-	settleEvery = 250 * time.Millisecond
-	retryPause  = 100 * time.Millisecond
-	// forgetShardAfter bounds the shards kept in memory.
-	forgetShardAfter = time.Minute
-	// writerPatience is how long to wait for another instance's reply.
-	writerPatience = 600 * time.Millisecond
-	maxClaimWait   = 1500 * time.Millisecond
+	flushInterval = 250 * time.Millisecond
+	retryDelay    = 100 * time.Millisecond
+	// shardCacheTTL bounds the shards kept in memory.
+	shardCacheTTL = time.Minute
+	// writerTimeout is how long to wait for another instance's reply.
+	writerTimeout  = 600 * time.Millisecond
+	acquireTimeout = 1500 * time.Millisecond
 )
 
 func newClaimWriter(self string, client *objectstore.Client, mesh *peer.Mesh, budget float64, log *slog.Logger) *claimWriter {
@@ -78,13 +78,13 @@
 		mesh:    mesh,
 		budget:  budget,
 		log:     log,
-		waiting: make(map[string]*claimWait),
+		pending: make(map[string]*pendingClaim),
 		shards:  make(map[claim.ShardID]shardState),
 		wake:    make(chan struct{}, 1),
 	}
 	c.platformUp.Store(true)
-	for i := range c.paces {
-		c.paces[i] = claim.TokenBucket{Rate: budget / claim.ShardsPerSlice, Burst: claimBurst}
+	for i := range c.limiters {
+		c.limiters[i] = claim.TokenBucket{Rate: budget / claim.ShardsPerSlice, Burst: writeBurst}
 	}
 	return c
 }
@@ -100,12 +100,12 @@
 	defer c.mu.Unlock()
 	for i := range c.writers {
 		id := claim.WriterFor(i, ids)
-		c.writers[i] = claimRoute{id: id, addr: addrs[id]}
-		c.paces[i].Rate = c.budget / claim.ShardsPerSlice
+		c.writers[i] = shardWriter{id: id, addr: addrs[id]}
+		c.limiters[i].Rate = c.budget / claim.ShardsPerSlice
 		if id != c.self {
 			// All that write in the writer's place share one budget, so
 			// that a slow writer is not followed by a rush of all others.
-			c.paces[i].Rate /= float64(len(ids))
+			c.limiters[i].Rate /= float64(len(ids))
 		}
 	}
 }
@@ -117,48 +117,48 @@
 	return c.writers[number].id == c.self
 }
 
-func opOf(verb claim.OpKind, a entry.OperationAttempt) claim.Op {
+func newOp(verb claim.OpKind, a entry.OperationAttempt) claim.Op {
 	return claim.Op{Kind: verb, Key: a.Key, Owner: a.Owner, Attempt: a.Number}
 }
 
 // Acquire implements entry.Claims.
 func (c *claimWriter) Acquire(ctx context.Context, a entry.OperationAttempt) (claim.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, maxClaimWait)
+	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	shard := claim.ShardOf(a.Key, a.Made)
-	op := opOf(claim.Acquire, a)
+	op := newOp(claim.Acquire, a)
 	replies := make(chan claim.Reply, 1)
-	wait := &claimWait{op: op, reply: func(r claim.Reply) { replies <- r }}
+	wait := &pendingClaim{op: op, reply: func(r claim.Reply) { replies <- r }}
 	c.mu.Lock()
-	c.waiting[a.Owner] = wait
+	c.pending[a.Owner] = wait
 	writer := c.writers[shard.Number]
 	c.mu.Unlock()
 	if writer.id != "" && writer.id != c.self {
-		c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, Timeout: writerPatience})
-		reply, ok := await(ctx, replies, writerPatience)
+		c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, Timeout: writerTimeout})
+		reply, ok := awaitReply(ctx, replies, writerTimeout)
 		if ok && reply.Result != claim.NotWritten {
 			return reply, nil
 		}
 		if !c.platformUp.Load() {
 			// The platform does not answer this instance either.
-			return c.giveUp(a, shard, op, replies)
+			return c.abandon(a, shard, op, replies)
 		}
 		// The writer is silent or cut off from the platform; this instance
 		// may not be.
 		c.log.Debug("claim writer of no use", "writer", writer.id)
 		c.mu.Lock()
-		c.waiting[a.Owner] = wait
+		c.pending[a.Owner] = wait
 		c.mu.Unlock()
 	}
-	c.add(shard, op, true)
-	reply, ok := await(ctx, replies, maxClaimWait)
+	c.enqueue(shard, op, true)
+	reply, ok := awaitReply(ctx, replies, acquireTimeout)
 	if ok && reply.Result != claim.NotWritten {
 		return reply, nil
 	}
-	return c.giveUp(a, shard, op, replies)
+	return c.abandon(a, shard, op, replies)
 }
 
-func await(ctx context.Context, replies <-chan claim.Reply, limit time.Duration) (claim.Reply, bool) {
+func awaitReply(ctx context.Context, replies <-chan claim.Reply, limit time.Duration) (claim.Reply, bool) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -170,9 +170,9 @@
 	return claim.Reply{}, false
 }
 
-// giveUp ends the wait for a claim. Should the claim be granted yet, here or
+// abandon ends the wait for a claim. Should the claim be granted yet, here or
 // at the writer, it is released.
-func (c *claimWriter) giveUp(a entry.OperationAttempt, shard claim.ShardID, op claim.Op, replies <-chan claim.Reply) (claim.Reply, error) {
+func (c *claimWriter) abandon(a entry.OperationAttempt, shard claim.ShardID, op claim.Op, replies <-chan claim.Reply) (claim.Reply, error) {
 	c.mu.Lock()
 	select {
 	case reply := <-replies:
@@ -182,94 +182,94 @@
 		}
 	default:
 	}
-	delete(c.waiting, a.Owner)
+	delete(c.pending, a.Owner)
 	c.queue.Withdraw(shard, op)
-	c.queue.Add(shard, opOf(claim.Release, a), false)
+	c.queue.Add(shard, newOp(claim.Release, a), false)
 	c.mu.Unlock()
 	return claim.Reply{}, objectstore.ErrUnavailable
 }
 
 // Finish implements entry.Claims.
 func (c *claimWriter) Finish(a entry.OperationAttempt, status int) {
-	op := opOf(claim.Finish, a)
+	op := newOp(claim.Finish, a)
 	op.Status = status
-	c.later(a, op)
+	c.recordEnd(a, op)
 }
 
 // Release implements entry.Claims.
-func (c *claimWriter) Release(a entry.OperationAttempt) { c.later(a, opOf(claim.Release, a)) }
+func (c *claimWriter) Release(a entry.OperationAttempt) { c.recordEnd(a, newOp(claim.Release, a)) }
 
-// later has the end of a claim written, by the shard's writer if there is one.
-func (c *claimWriter) later(a entry.OperationAttempt, op claim.Op) {
+// recordEnd has the end of a claim written, by the shard's writer if there is one.
+func (c *claimWriter) recordEnd(a entry.OperationAttempt, op claim.Op) {
 	shard := claim.ShardOf(a.Key, a.Made)
 	c.mu.Lock()
 	writer := c.writers[shard.Number]
 	c.mu.Unlock()
 	if writer.id == "" || writer.id == c.self {
-		c.add(shard, op, false)
+		c.enqueue(shard, op, false)
 		return
 	}
 	c.mu.Lock()
-	c.waiting[endName(op)] = &claimWait{op: op, reply: func(claim.Reply) {}}
+	c.pending[endReplyID(op)] = &pendingClaim{op: op, reply: func(claim.Reply) {}}
 	c.mu.Unlock()
-	c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, Timeout: writerPatience})
-	time.AfterFunc(writerPatience, func() {
+	c.mesh.Send(writer.addr, &peer.Claim{Shard: shard, Op: op, Timeout: writerTimeout})
+	time.AfterFunc(writerTimeout, func() {
 		c.mu.Lock()
-		_, open := c.waiting[endName(op)]
+		_, open := c.pending[endReplyID(op)]
 		c.mu.Unlock()
 		if open {
-			c.add(shard, op, false)
+			c.enqueue(shard, op, false)
 		}
 	})
 }
 
-// endName is the name under which the end of a claim waits. Takes wait under
+// endReplyID is the name under which the end of a claim waits. Takes wait under
 // the owner's name.
-func endName(op claim.Op) string { return op.Owner + "/end" }
+func endReplyID(op claim.Op) string { return op.Owner + "/end" }
 
-func waitName(op claim.Op) string {
+func replyID(op claim.Op) string {
 	if op.Kind == claim.Acquire {
 		return op.Owner
 	}
-	return endName(op)
+	return endReplyID(op)
 }
 
-func (c *claimWriter) add(shard claim.ShardID, op claim.Op, urgent bool) {
+func (c *claimWriter) enqueue(shard claim.ShardID, op claim.Op, urgent bool) {
 	c.mu.Lock()
 	c.queue.Add(shard, op, urgent)
 	c.mu.Unlock()
 	if urgent {
-		c.signal()
+		c.wakeUp()
 	}
 }
 
 // serve writes a claim for another instance, and answers once it is in force.
 func (c *claimWriter) serve(addr string, msg *peer.Claim) {
 	c.mu.Lock()
-	c.waiting[waitName(msg.Op)] = &claimWait{op: msg.Op, reply: func(r claim.Reply) {
-		c.mesh.Send(addr, &peer.ClaimReply{Owner: waitName(msg.Op), Reply: r})
+	c.pending[replyID(msg.Op)] = &pendingClaim{op: msg.Op, reply: func(r claim.Reply) {
+		c.mesh.Send(addr, &peer.ClaimReply{Owner: replyID(msg.Op), Reply: r})
 	}}
 	c.mu.Unlock()
-	c.add(msg.Shard, msg.Op, msg.Op.Kind == claim.Acquire)
+	c.enqueue(msg.Shard, msg.Op, msg.Op.Kind == claim.Acquire)
 }
 
-// receive takes in the reply of a writer.
-func (c *claimWriter) receive(msg *peer.ClaimReply) {
+// handleReply takes in the reply of a writer.
+func (c *claimWriter) handleReply(msg *peer.ClaimReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.answer(msg.Owner, msg.Reply)
+	c.deliverReply(msg.Owner, msg.Reply)
 }
 
-func (c *claimWriter) answer(name string, reply claim.Reply) {
-	w := c.waiting[name]
+func (c *claimWriter) deliverReply(name string, reply claim.Reply) {
+	w := c.pending[name]
 	if w == nil {
 		return
 	}
-	delete(c.waiting, name)
+	delete(c.pending, name)
 	w.reply(reply)
 }
 
-func (c *claimWriter) signal() {
+func (c *claimWriter) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -14,24 +14,24 @@
 	"github.com/rainford/rainford/table"
 )
 
-// drainGrace is how long a drained region may still get requests that no other
+// drainGracePeriod is how long a drained region may still get requests that no other
 // region takes.
-const drainGrace = 3 * time.Second
+const drainGracePeriod = 3 * time.Second
 
-// fleet is what requests need to know of the other instances. It is made anew
+// fleetSnapshot is what requests need to know of the other instances. It is made anew
 // when something has changed, and then only read.
-type fleet struct {
+type fleetSnapshot struct {
 	hops map[destination][]entry.Hop
-	// open tells whether the own hall takes new work.
-	open bool
+	// hallOpen tells whether the own hall takes new work.
+	hallOpen bool
 }
 
-// rebuild makes the fleet and the directory anew.
-func (n *Node) rebuild(now time.Time) {
-	n.fleetOld = false
+// rebuildFleet makes the fleet and the directory anew.
+func (n *Node) rebuildFleet(now time.Time) {
+	n.fleetStale = false
 	all := n.view.All(now)
 	plan := n.plan.Load()
-	f := &fleet{hops: make(map[destination][]entry.Hop), open: plan != nil && n.hallOpen(plan, n.self.Hall, now)}
+	f := &fleetSnapshot{hops: make(map[destination][]entry.Hop), hallOpen: plan != nil && n.hallOpen(plan, n.self.Hall, now)}
 	alive := map[string]string{n.self.ID: n.self.PeerAddr}
 	for _, s := range all {
 		// One of the own hall that leaves still has slots for a while.
@@ -59,7 +59,7 @@
 	}
 	n.fleet.Store(f)
 	n.claims.setInstances(alive)
-	n.setDirectory(all, plan)
+	n.updateDirectory(all, plan)
 }
 
 // hallOpen tells whether a hall takes new work: it is not drained, and its
@@ -69,41 +69,41 @@
 	if plan.HallDrained(hall) {
 		return false
 	}
-	return !plan.RegionDrained(region) || now.Sub(n.drainedAt[region]) < drainGrace
+	return !plan.RegionDrained(region) || now.Sub(n.drainedAt[region]) < drainGracePeriod
 }
 
-// listing is what the answers to look-ups are made of.
-type listing struct {
+// directoryInput is what the answers to look-ups are made of.
+type directoryInput struct {
 	plan    *table.Plan
 	blocks  *lookup.BlockTable
-	entries []listed
+	entries []directoryEntry
 }
 
-// listed is one instance of a listing.
-type listed struct {
+// directoryEntry is one instance of a listing.
+type directoryEntry struct {
 	id    string
 	state member.State
 	ready bool
 }
 
-// same tells whether two listings give the same answers.
-func (l *listing) same(other *listing) bool {
+// equal tells whether two listings give the equal answers.
+func (l *directoryInput) equal(other *directoryInput) bool {
 	return other != nil && l.plan == other.plan && l.blocks == other.blocks && slices.Equal(l.entries, other.entries)
 }
 
-// setDirectory prepares the answers to look-ups anew if they have changed:
+// updateDirectory prepares the answers to look-ups anew if they have changed:
 // heartbeats come often, changes of who is listed do not.
-func (n *Node) setDirectory(all []member.Status, plan *table.Plan) {
+func (n *Node) updateDirectory(all []member.Status, plan *table.Plan) {
 	own := member.Status{Instance: n.self, State: member.Live, Ready: n.ready()}
 	if n.leaving {
 		own.State = member.Leaving
 	}
 	all = append(all, own)
-	now := &listing{plan: plan, blocks: n.blocks, entries: make([]listed, len(all))}
+	now := &directoryInput{plan: plan, blocks: n.blocks, entries: make([]directoryEntry, len(all))}
 	for i, s := range all {
-		now.entries[i] = listed{s.ID, s.State, s.Ready}
+		now.entries[i] = directoryEntry{s.ID, s.State, s.Ready}
 	}
-	if now.same(n.listing) {
+	if now.equal(n.directoryInput) {
 		return
 	}
 	halls := map[string]string{n.self.Hall: n.self.Region}
@@ -119,7 +119,7 @@
 		n.log.Error("directory", "error", err.Error())
 		return
 	}
-	n.listing = now
+	n.directoryInput = now
 	n.directory.Store(dir)
 }
 
@@ -132,7 +132,7 @@
 func (n *Node) Plan() *table.Plan { return n.plan.Load() }
 
 // HallOpen implements entry.Fleet.
-func (n *Node) HallOpen() bool { return n.fleet.Load().open }
+func (n *Node) HallOpen() bool { return n.fleet.Load().hallOpen }
 
 // Candidates implements entry.Fleet.
 func (n *Node) Candidates(service string) []route.Candidate {
@@ -141,17 +141,17 @@
 	now := time.Now()
 	out := make([]route.Candidate, 0, len(rows))
 	for _, row := range rows {
-		out = append(out, route.Candidate{Row: row, State: n.stateOf(plan, row, now)})
+		out = append(out, route.Candidate{Row: row, State: n.rowState(plan, row, now)})
 	}
 	return out
 }
 
-func (n *Node) stateOf(plan *table.Plan, row table.Row, now time.Time) route.State {
+func (n *Node) rowState(plan *table.Plan, row table.Row, now time.Time) route.State {
 	if plan.RegionDrained(row.To) {
 		n.mu.Lock()
 		since := n.drainedAt[row.To]
 		n.mu.Unlock()
-		if now.Sub(since) < drainGrace {
+		if now.Sub(since) < drainGracePeriod {
 			return route.Draining
 		}
 		return route.Unavailable
@@ -179,15 +179,15 @@
 	defer n.mu.Unlock()
 	hops = make([]entry.Hop, 0, len(all))
 	for _, h := range all {
-		o := offer{h.ID, service}
+		o := instanceService{h.ID, service}
 		if avoid[h.ID] {
 			continue
 		}
-		if now.Before(n.declined[o]) {
+		if now.Before(n.declinedUntil[o]) {
 			busy = true
 			continue
 		}
-		h.SentSinceReport = n.sent[o]
+		h.SentSinceReport = n.sentSinceHeartbeat[o]
 		hops = append(hops, h)
 	}
 	return hops, busy
@@ -197,21 +197,21 @@
 func (n *Node) RecordSent(instance, service string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sent[offer{instance, service}]++
+	n.sentSinceHeartbeat[instanceService{instance, service}]++
 }
 
 // Bounds on how long an instance that declined is left alone.
 const (
-	minDeclined = 20 * time.Millisecond
-	maxDeclined = time.Second
+	minDeclineBackoff = 20 * time.Millisecond
+	maxDeclineBackoff = time.Second
 )
 
 // RecordDeclined implements entry.Fleet.
 func (n *Node) RecordDeclined(instance, service string, wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	wait = min(max(wait, minDeclined), maxDeclined)
-	n.declined[offer{instance, service}] = time.Now().Add(wait)
+	wait = min(max(wait, minDeclineBackoff), maxDeclineBackoff)
+	n.declinedUntil[instanceService{instance, service}] = time.Now().Add(wait)
 }
 
 // RecordAnswered implements entry.Fleet.
@@ -219,15 +219,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := destination{service, region}
-	if n.warmth[d] == nil {
-		n.warmth[d] = &route.LatencyTracker{}
+	if n.latencies[d] == nil {
+		n.latencies[d] = &route.LatencyTracker{}
 	}
-	n.warmth[d].Observe(latency)
+	n.latencies[d].Observe(latency)
 }
 
-// warm tells whether a region answers about as fast as it usually does.
-func (n *Node) warm(service, region string) bool {
-	w := n.warmth[destination{service, region}]
+// isWarm tells whether a region answers about as fast as it usually does.
+func (n *Node) isWarm(service, region string) bool {
+	w := n.latencies[destination{service, region}]
 	return w == nil || w.Warm()
 }
 
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -23,7 +23,7 @@
 		n.heartbeat(ctx)
 		select {
 		case <-ticker.C:
-		case <-n.kick:
+		case <-n.heartbeatNow:
 		case <-ctx.Done():
 			return
 		}
@@ -43,9 +43,9 @@
 	n.agent.BeginRound(now)
 	n.agent.Tick(now, n.ledger.LastLoanEnd())
 	n.updateSeats(now)
-	n.ledger.Observe(now, n.warm)
+	n.ledger.Observe(now, n.isWarm)
 	n.view.Forget(now)
-	n.rebuild(now)
+	n.rebuildFleet(now)
 	messages := n.messages(now)
 	write := n.agent.Propose(now)
 	n.mu.Unlock()
@@ -78,7 +78,7 @@
 			}
 		}
 	}
-	return append(out, n.asks(now)...)
+	return append(out, n.loanRequests(now)...)
 }
 
 func (n *Node) heartbeatOf(now time.Time) *member.Heartbeat {
@@ -91,18 +91,18 @@
 		Heard:   n.view.HeardInHall(now),
 	}
 	hb.From.Leaving = n.leaving
-	if n.closing {
+	if n.hopsClosed {
 		hb.Loads = nil
 	}
 	return hb
 }
 
-// askCount is the number of lenders asked for one row at a time.
-const askCount = 2
+// lendersPerRow is the number of lenders asked for one row at a time.
+const lendersPerRow = 2
 
-// asks makes the requests for loans, to instances of the own region drawn at
+// loanRequests makes the requests for loans, to instances of the own region drawn at
 // random.
-func (n *Node) asks(now time.Time) []outgoing {
+func (n *Node) loanRequests(now time.Time) []outgoing {
 	var lenders []string
 	for _, s := range n.view.All(now) {
 		if s.Region == n.self.Region && s.State == member.Live {
@@ -113,8 +113,8 @@
 		return nil
 	}
 	var out []outgoing
-	for i, ask := range n.ledger.LoanRequests(now, min(askCount, len(lenders))) {
-		if i%askCount == 0 {
+	for i, ask := range n.ledger.LoanRequests(now, min(lendersPerRow, len(lenders))) {
+		if i%lendersPerRow == 0 {
 			n.rand.Shuffle(len(lenders), func(a, b int) { lenders[a], lenders[b] = lenders[b], lenders[a] })
 		}
 		out = append(out, outgoing{lenders[i%len(lenders)], &peer.LoanRequest{LoanRequest: ask}})
@@ -126,21 +126,21 @@
 func (n *Node) Receive(from string, m peer.Message) {
 	switch msg := m.(type) {
 	case *peer.Heartbeat:
-		n.hear(msg.Heartbeat)
+		n.handleHeartbeat(msg.Heartbeat)
 	case *peer.LoanRequest:
-		n.lend(from, msg)
+		n.handleLoanRequest(from, msg)
 	case *peer.Loan:
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		n.ledger.Receive(time.Now(), msg.Loan)
 	case *peer.Pull:
-		n.answerPull(from, msg)
+		n.handlePull(from, msg)
 	case *peer.Claim:
-		n.serveClaim(from, msg)
+		n.handleClaim(from, msg)
 	case *peer.ClaimReply:
-		n.claims.receive(msg)
+		n.claims.handleReply(msg)
 	case *peer.Object:
-		n.takeIn([]objectstore.Object{{Key: msg.Key, Version: msg.Version, Value: msg.Value}})
+		n.applyObjects([]objectstore.Object{{Key: msg.Key, Version: msg.Version, Value: msg.Value}})
 	}
 }
 
@@ -149,27 +149,27 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.view.MarkUnreachable(addr)
-	n.fleetOld = true
+	n.fleetStale = true
 }
 
-func (n *Node) hear(hb member.Heartbeat) {
+func (n *Node) handleHeartbeat(hb member.Heartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	n.view.HandleHeartbeat(now, hb)
-	n.fleetOld = true
+	n.fleetStale = true
 	for _, l := range hb.Loads {
-		delete(n.sent, offer{hb.From.ID, l.Service})
+		delete(n.sentSinceHeartbeat, instanceService{hb.From.ID, l.Service})
 	}
 	if hb.From.Hall == n.self.Hall {
 		n.agent.HandleHeartbeat(now, hb.From.ID, hb.Seat)
 		n.ledger.SetSeats(n.agent.Held(now), n.agent.LeaseEnd())
 	}
-	n.pull(hb)
+	n.requestNewer(hb)
 }
 
-// pull asks the sender of a heartbeat for what it has newer.
-func (n *Node) pull(hb member.Heartbeat) {
+// requestNewer asks the sender of a heartbeat for what it has newer.
+func (n *Node) requestNewer(hb member.Heartbeat) {
 	if hb.Config > n.Version() {
 		n.mesh.Send(hb.From.PeerAddr, &peer.Pull{Key: config.Key, Version: n.objects.version(config.Key)})
 		if n.Version() == 0 {
@@ -182,13 +182,13 @@
 	}
 }
 
-// answerPull passes the objects below a key on.
-func (n *Node) answerPull(from string, msg *peer.Pull) {
+// handlePull passes the objects below a key on.
+func (n *Node) handlePull(from string, msg *peer.Pull) {
 	n.mu.Lock()
-	addr := n.addrOf(from)
+	addr := n.peerAddr(from)
 	var objs []objectstore.Object
-	for _, obj := range n.objects.below(msg.Key) {
-		if obj.Version > msg.Version && shared(obj.Key) {
+	for _, obj := range n.objects.withPrefix(msg.Key) {
+		if obj.Version > msg.Version && isGossiped(obj.Key) {
 			objs = append(objs, obj)
 		}
 	}
@@ -201,50 +201,50 @@
 	}
 }
 
-// shared tells whether instances pass an object on to each other. Rosters go
+// isGossiped tells whether instances pass an object on to each other. Rosters go
 // by the platform alone.
-func shared(key string) bool {
+func isGossiped(key string) bool {
 	return key == config.Key || strings.HasPrefix(key, TargetPrefix) || strings.HasPrefix(key, lookup.BlockKeyPrefix)
 }
 
-func (n *Node) addrOf(id string) string {
+func (n *Node) peerAddr(id string) string {
 	s, _ := n.view.Get(time.Now(), id)
 	return s.PeerAddr
 }
 
-func (n *Node) lend(from string, msg *peer.LoanRequest) {
+func (n *Node) handleLoanRequest(from string, msg *peer.LoanRequest) {
 	n.mu.Lock()
 	loan, ok := n.ledger.Lend(time.Now(), msg.LoanRequest)
-	addr := n.addrOf(from)
+	addr := n.peerAddr(from)
 	n.mu.Unlock()
 	if ok && addr != "" {
 		n.mesh.Send(addr, &peer.Loan{Loan: loan})
 	}
 }
 
-func (n *Node) serveClaim(from string, msg *peer.Claim) {
+func (n *Node) handleClaim(from string, msg *peer.Claim) {
 	n.mu.Lock()
-	addr := n.addrOf(from)
+	addr := n.peerAddr(from)
 	n.mu.Unlock()
 	if addr != "" {
 		n.claims.serve(addr, msg)
 	}
 }
 
-// refreshEvery bounds how often the fleet is made anew.
-const refreshEvery = 50 * time.Millisecond
+// refreshInterval bounds how often the fleet is made anew.
+const refreshInterval = 50 * time.Millisecond
 
 // refreshLoop keeps what requests read up to date.
 func (n *Node) refreshLoop(ctx context.Context) {
-	ticker := time.NewTicker(refreshEvery)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
 			n.hall.Tick(now)
 			n.mu.Lock()
-			if n.fleetOld {
-				n.rebuild(now)
+			if n.fleetStale {
+				n.rebuildFleet(now)
 			}
 			n.mu.Unlock()
 		case <-ctx.Done():
@@ -263,7 +263,7 @@
 	defer n.mu.Unlock()
 	switch {
 	case err == nil:
-		n.learnRoster(w.Roster, obj.Version)
+		n.applyRoster(w.Roster, obj.Version)
 	case errors.As(err, &conflict):
 		n.agent.WriteFailed(w)
 		if conflict.Current.Version > 0 {
--- a/node/lookup_test.go
+++ b/node/lookup_test.go
@@ -33,7 +33,7 @@
 	return n
 }
 
-func inForce(n *Node) {
+func publishTestTable(n *Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.publish(table.Compile(&table.Table{
@@ -42,7 +42,7 @@
 		Rows:     []table.Row{{Service: "s", From: "r", To: "r", Weight: 1, Cap: table.NoCap, Shift: 100}},
 	}, 1))
 	n.blocks = lookup.NewBlockTable([]lookup.Block{{Prefix: netip.MustParsePrefix("127.0.0.0/8"), Hall: "h"}})
-	n.rebuild(time.Now())
+	n.rebuildFleet(time.Now())
 }
 
 func TestLookupHandler(t *testing.T) {
@@ -57,7 +57,7 @@
 	w := ask("service=s")
 	require.Equal(t, http.StatusServiceUnavailable, w.Code, "no table yet")
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
-	inForce(n)
+	publishTestTable(n)
 	require.Equal(t, http.StatusNotFound, ask("service=x").Code)
 	w = ask("service=s")
 	require.Equal(t, http.StatusOK, w.Code)
@@ -67,14 +67,14 @@
 	require.Equal(t, n.self.ID, a.Instances[0].ID)
 	n.leaving = true
 	n.mu.Lock()
-	n.rebuild(time.Now())
+	n.rebuildFleet(time.Now())
 	n.mu.Unlock()
 	a = lookup.Response{}
 	require.NoError(t, json.Unmarshal(ask("service=s").Body.Bytes(), &a))
 	require.Empty(t, a.Instances, "a leaving instance drops out at once")
 }
 
-func TestSettingsAreCheckedTogether(t *testing.T) {
+func TestCheckReportsAllFindings(t *testing.T) {
 	c := Defaults()
 	c.HopAddr = "localhost:1"
 	c.Heartbeat = time.Hour
@@ -92,7 +92,7 @@
 // BenchmarkLookupHandler measures a look-up without and with the network.
 func BenchmarkLookupHandler(b *testing.B) {
 	n := testNode(b)
-	inForce(n)
+	publishTestTable(n)
 	mux := n.callerMux()
 	b.Run("handler", func(b *testing.B) {
 		r := httptest.NewRequest(http.MethodGet, "/v1/lookup?service=s", nil)
--- a/node/lost_config.go
+++ b/node/lost_config.go
@@ -8,10 +8,10 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// knowsConfig tells whether the configuration's object brings nothing that is not in force. A platform that came
+// reconcileConfig tells whether the configuration's object brings nothing that is not in force. A platform that came
 // back from a copy may hold an earlier state of it than was accepted: then obj is made to hold the accepted
 // one, which goes on to count and is to be written again. The caller holds mu.
-func (n *Node) knowsConfig(obj *objectstore.Object) bool {
+func (n *Node) reconcileConfig(obj *objectstore.Object) bool {
 	held := n.objects.byKey[config.Key]
 	if held.Version == 0 || obj.Version <= held.Version {
 		return false
@@ -43,5 +43,5 @@
 		return
 	}
 	n.log.Info("configuration written again", "object_version", obj.Version)
-	n.takeIn([]objectstore.Object{obj})
+	n.applyObjects([]objectstore.Object{obj})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -51,32 +51,32 @@
 	// revision is that of the platform up to which objects are known. It holds the era.
 	revision int64
 	// configLost says that the platform holds an earlier configuration than was accepted.
-	configLost bool
-	view       *member.View
-	agent      *seat.Agent
-	ledger     *share.Ledger
-	warmth     map[destination]*route.LatencyTracker
-	declined   map[offer]time.Time
-	sent       map[offer]int
-	drainedAt  map[string]time.Time
-	blocks     *lookup.BlockTable
-	listing    *listing
-	leaving    bool
-	// closing is set when a stopping instance wants no more from others.
-	closing  bool
-	rand     *rand.Rand
-	round    uint64
-	fleetOld bool
+	configLost         bool
+	view               *member.View
+	agent              *seat.Agent
+	ledger             *share.Ledger
+	latencies          map[destination]*route.LatencyTracker
+	declinedUntil      map[instanceService]time.Time
+	sentSinceHeartbeat map[instanceService]int
+	drainedAt          map[string]time.Time
+	blocks             *lookup.BlockTable
+	directoryInput     *directoryInput
+	leaving            bool
+	// hopsClosed is set when a stopping instance wants no more from others.
+	hopsClosed bool
+	rand       *rand.Rand
+	round      uint64
+	fleetStale bool
 
-	plan      atomic.Pointer[table.Plan]
-	fleet     atomic.Pointer[fleet]
-	directory atomic.Pointer[lookup.Directory]
-	targetsOK atomic.Bool
-	kick      chan struct{}
-	killed    chan struct{}
-	killOnce  sync.Once
-	wg        sync.WaitGroup
-	cancel    context.CancelFunc
+	plan         atomic.Pointer[table.Plan]
+	fleet        atomic.Pointer[fleetSnapshot]
+	directory    atomic.Pointer[lookup.Directory]
+	targetsOK    atomic.Bool
+	heartbeatNow chan struct{}
+	killed       chan struct{}
+	killOnce     sync.Once
+	wg           sync.WaitGroup
+	cancel       context.CancelFunc
 }
 
 type listeners struct {
@@ -86,8 +86,8 @@
 // destination is a service in a region.
 type destination struct{ service, region string }
 
-// offer is a service at an instance.
-type offer struct{ instance, service string }
+// instanceService is a service at an instance.
+type instanceService struct{ instance, service string }
 
 // New opens the instance's addresses. The caller must call Run or Close.
 func New(config Config) (*Node, error) {
@@ -99,19 +99,19 @@
 		return nil, err
 	}
 	n := &Node{
-		config:    config,
-		log:       config.Log,
-		metrics:   metrics,
-		store:     objectstore.NewClient(config.Platform, 0),
-		objects:   newObjects(),
-		warmth:    make(map[destination]*route.LatencyTracker),
-		declined:  make(map[offer]time.Time),
-		sent:      make(map[offer]int),
-		drainedAt: make(map[string]time.Time),
-		blocks:    lookup.NewBlockTable(nil),
-		rand:      newRand(),
-		kick:      make(chan struct{}, 1),
-		killed:    make(chan struct{}),
+		config:             config,
+		log:                config.Log,
+		metrics:            metrics,
+		store:              objectstore.NewClient(config.Platform, 0),
+		objects:            newObjects(),
+		latencies:          make(map[destination]*route.LatencyTracker),
+		declinedUntil:      make(map[instanceService]time.Time),
+		sentSinceHeartbeat: make(map[instanceService]int),
+		drainedAt:          make(map[string]time.Time),
+		blocks:             lookup.NewBlockTable(nil),
+		rand:               newRand(),
+		heartbeatNow:       make(chan struct{}, 1),
+		killed:             make(chan struct{}),
 	}
 	if n.log == nil {
 		n.log = slog.New(slog.DiscardHandler)
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	n.build()
-	return n, n.gauges()
+	return n, n.registerGauges()
 }
 
 func newRand() *rand.Rand {
@@ -186,10 +186,10 @@
 		MaxDeadline:     n.config.MaxDeadline,
 		StallTimeout:    n.config.StallTimeout,
 	})
-	n.fleet.Store(&fleet{})
+	n.fleet.Store(&fleetSnapshot{})
 }
 
-func (n *Node) gauges() error {
+func (n *Node) registerGauges() error {
 	gauges := []struct {
 		name, text string
 		read       func() int64
@@ -198,7 +198,7 @@
 		{"rainford.requests.in_flight", "Requests that hold or wait for a target's slot.", func() int64 { return int64(n.hall.InFlight()) }},
 		{"rainford.peer.sent", "Bytes sent to other instances.", func() int64 { s, _, _ := n.mesh.Traffic(); return s }},
 		{"rainford.peer.received", "Bytes received from other instances.", func() int64 { _, r, _ := n.mesh.Traffic(); return r }},
-		{"rainford.seats", "Seats that the instance may use.", func() int64 { return int64(n.seats()) }},
+		{"rainford.seats", "Seats that the instance may use.", func() int64 { return int64(n.seatCount()) }},
 	}
 	for _, g := range gauges {
 		err := n.metrics.Gauge(g.name, g.text, g.read)
@@ -209,7 +209,7 @@
 	return nil
 }
 
-func (n *Node) seats() int {
+func (n *Node) seatCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.agent.Held(time.Now()))
@@ -228,9 +228,9 @@
 
 // Limits on HTTP connections.
 const (
-	headTimeout  = 5 * time.Second
-	idleTimeout  = 30 * time.Second
-	maxHeadBytes = 32 << 10
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 30 * time.Second
+	maxHeaderBytes    = 32 << 10
 )
 
 // Run serves until ctx ends and then stops as planned: see stop.
@@ -274,9 +274,9 @@
 func (n *Node) serve(ln net.Listener, h http.Handler) {
 	server := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeadBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	n.servers = append(n.servers, server)
--- a/node/objects.go
+++ b/node/objects.go
@@ -18,9 +18,9 @@
 	return &objects{byKey: make(map[string]objectstore.Object)}
 }
 
-// offer takes obj in if it is newer than what is held, and reports whether it
+// update takes obj in if it is newer than what is held, and reports whether it
 // is.
-func (o *objects) offer(obj objectstore.Object) bool {
+func (o *objects) update(obj objectstore.Object) bool {
 	if have, ok := o.byKey[obj.Key]; ok && obj.Version <= have.Version {
 		return false
 	}
@@ -31,8 +31,8 @@
 // version returns the version held of key, or 0.
 func (o *objects) version(key string) int64 { return o.byKey[key].Version }
 
-// below returns the objects whose keys start with prefix, less deleted ones.
-func (o *objects) below(prefix string) []objectstore.Object {
+// withPrefix returns the objects whose keys start with prefix, less deleted ones.
+func (o *objects) withPrefix(prefix string) []objectstore.Object {
 	var out []objectstore.Object
 	for key, obj := range o.byKey {
 		if strings.HasPrefix(key, prefix) && !obj.Deleted {
--- a/node/register.go
+++ b/node/register.go
@@ -11,25 +11,25 @@
 )
 
 const (
-	registerEvery = 2 * time.Second
-	// removeAfter is the silence after which an instance of the own hall is
+	registerInterval = 2 * time.Second
+	// removalTimeout is the silence after which an instance of the own hall is
 	// taken off the platform's list.
-	removeAfter = time.Minute
-	// sweepEvery is the time between two looks for claims that have expired.
-	sweepEvery = 5 * time.Minute
+	removalTimeout = time.Minute
+	// sweepInterval is the time between two looks for claims that have expired.
+	sweepInterval = 5 * time.Minute
 )
 
 // registerLoop keeps the instance on the platform's list, takes dead instances
 // of its hall off it, and deletes expired claims.
 func (n *Node) registerLoop(ctx context.Context) {
-	ticker := time.NewTicker(registerEvery)
+	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
 	swept := time.Now()
 	for {
 		n.register(ctx)
 		n.rewriteConfig(ctx)
-		n.removeDead(ctx)
-		if time.Since(swept) > sweepEvery {
+		n.removeDeadInstances(ctx)
+		if time.Since(swept) > sweepInterval {
 			swept = time.Now()
 			n.sweepClaims(ctx)
 		}
@@ -50,7 +50,7 @@
 	have := n.objects.byKey[key]
 	lost := objectstore.IsLaterEra(n.revision, have.Version)
 	n.mu.Unlock()
-	if sameInstance(have, want) && !lost {
+	if isRegistered(have, want) && !lost {
 		return
 	}
 	version := have.Version
@@ -61,15 +61,15 @@
 	var conflict *objectstore.ConflictError
 	switch {
 	case err == nil:
-		n.takeIn([]objectstore.Object{obj})
+		n.applyObjects([]objectstore.Object{obj})
 	case errors.As(err, &conflict):
-		n.takeIn([]objectstore.Object{conflict.Current})
+		n.applyObjects([]objectstore.Object{conflict.Current})
 	default:
 		n.log.Debug("register", "error", err.Error())
 	}
 }
 
-func sameInstance(obj objectstore.Object, want member.Instance) bool {
+func isRegistered(obj objectstore.Object, want member.Instance) bool {
 	if obj.Deleted || len(obj.Value) == 0 {
 		return false
 	}
@@ -77,14 +77,14 @@
 	return decodeInto(obj, &have) == nil && have == want
 }
 
-// removeDead takes instances of the own hall off the list that have been
+// removeDeadInstances takes instances of the own hall off the list that have been
 // silent for long. One that lives after all puts itself back.
-func (n *Node) removeDead(ctx context.Context) {
+func (n *Node) removeDeadInstances(ctx context.Context) {
 	now := time.Now()
 	var dead []objectstore.Object
 	n.mu.Lock()
 	for _, s := range n.view.All(now) {
-		silent := now.Sub(s.LastAlive) > removeAfter
+		silent := now.Sub(s.LastAlive) > removalTimeout
 		obj, listed := n.objects.byKey[InstancePrefix+s.ID]
 		if s.Hall == n.self.Hall && silent && listed && !obj.Deleted {
 			dead = append(dead, obj)
@@ -110,7 +110,7 @@
 	if !n.claims.isWriter(0) {
 		return
 	}
-	for _, prefix := range claim.ExpiredSlicePrefixes(time.Now(), 2*sweepEvery) {
+	for _, prefix := range claim.ExpiredSlicePrefixes(time.Now(), 2*sweepInterval) {
 		listing, err := n.store.List(ctx, prefix)
 		if err != nil {
 			return
--- a/node/stop.go
+++ b/node/stop.go
@@ -11,13 +11,13 @@
 	// minLinger is the shortest time that a stopping instance goes on
 	// serving. It outlasts the idle connections that others keep to it.
 	minLinger = 3 * time.Second
-	// hopRest is the part of the linger in which other instances send nothing
+	// hopDrainTime is the part of the linger in which other instances send nothing
 	// more: longer than a heartbeat and the idle time of their connections.
-	hopRest = 2500 * time.Millisecond
-	// flushMax bounds the wait for the ends of claims at a stop.
-	flushMax = 5 * time.Second
-	// lastBeats is the number of rounds in which the last state is told.
-	lastBeats = 3
+	hopDrainTime = 2500 * time.Millisecond
+	// maxFlushTime bounds the wait for the ends of claims at a stop.
+	maxFlushTime = 5 * time.Second
+	// finalHeartbeats is the number of rounds in which the last state is told.
+	finalHeartbeats = 3
 )
 
 // stop ends the instance without cutting off a request:
@@ -35,26 +35,26 @@
 	n.leaving = true
 	n.ledger.StopLending()
 	n.agent.Retire()
-	n.rebuild(began)
+	n.rebuildFleet(began)
 	n.mu.Unlock()
-	n.announce()
+	n.triggerHeartbeat()
 	n.log.Info("stopping", "linger", max(n.config.LookupTTL, minLinger).String())
 
 	ctx, cancel := n.drainContext()
 	defer cancel()
 	go n.register(ctx)
 	linger := max(n.config.LookupTTL, minLinger)
-	pause.For(ctx, linger-hopRest)
+	pause.For(ctx, linger-hopDrainTime)
 	n.mu.Lock()
-	n.closing = true
+	n.hopsClosed = true
 	n.mu.Unlock()
-	n.announce()
-	pause.For(ctx, hopRest)
-	cut := n.closeServers(ctx)
-	flush, stopFlush := context.WithTimeout(ctx, flushMax)
+	n.triggerHeartbeat()
+	pause.For(ctx, hopDrainTime)
+	cut := n.shutdownServers(ctx)
+	flush, stopFlush := context.WithTimeout(ctx, maxFlushTime)
 	n.claims.flush(flush)
 	stopFlush()
-	n.giveBack(ctx)
+	n.releaseSeats(ctx)
 	n.deregister()
 	n.cancel()
 	_ = n.listeners.peer.Close()
@@ -87,9 +87,9 @@
 	return context.WithCancel(context.Background())
 }
 
-// closeServers waits for the requests in flight. It returns the number of
+// shutdownServers waits for the requests in flight. It returns the number of
 // requests cut off because ctx ended first.
-func (n *Node) closeServers(ctx context.Context) int {
+func (n *Node) shutdownServers(ctx context.Context) int {
 	cut := 0
 	for _, server := range n.servers {
 		err := server.Shutdown(ctx)
@@ -101,16 +101,16 @@
 	return cut
 }
 
-// giveBack returns the seats and tells the peers, which write it down. It does
+// releaseSeats returns the seats and tells the peers, which write it down. It does
 // not wait for loans: the seats that they hold back pass on when the lease ends.
-func (n *Node) giveBack(ctx context.Context) {
+func (n *Node) releaseSeats(ctx context.Context) {
 	n.mu.Lock()
 	n.agent.Leave()
 	n.mu.Unlock()
-	n.announce()
+	n.triggerHeartbeat()
 	pause.For(ctx, n.config.Timing.Window+n.config.Heartbeat)
-	for range lastBeats {
-		n.announce()
+	for range finalHeartbeats {
+		n.triggerHeartbeat()
 		pause.For(ctx, n.config.Heartbeat/2)
 	}
 }
--- a/node/targets.go
+++ b/node/targets.go
@@ -34,7 +34,7 @@
 		n.log.Error("targets refused", "error", err.Error())
 		return
 	}
-	n.hall.SetTargets(time.Now(), specsOf(list.Targets, plan, n.agent.SlotSeats(time.Now())), floorsOf(plan))
+	n.hall.SetTargets(time.Now(), specsOf(list.Targets, plan, n.agent.SlotSeats(time.Now())), reservesOf(plan))
 	n.targetsOK.Store(true)
 }
 
@@ -48,20 +48,20 @@
 		}
 		slots := 0
 		for _, s := range seats {
-			slots += share.Split(t.Slots, seat.Count, s, offsetOf(t.ID))
+			slots += share.Split(t.Slots, seat.Count, s, splitOffset(t.ID))
 		}
 		out[t.Service] = append(out[t.Service], balance.Spec{ID: t.ID, Addr: t.Addr, Slots: slots})
 	}
 	return out
 }
 
-func offsetOf(id string) int {
+func splitOffset(id string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return int(h.Sum32() >> 1)
 }
 
-func floorsOf(plan *table.Plan) map[string]int {
+func reservesOf(plan *table.Plan) map[string]int {
 	out := make(map[string]int, len(plan.Table.Services))
 	for _, s := range plan.Table.Services {
 		out[s.Name] = s.Reserve
--- a/node/watch.go
+++ b/node/watch.go
@@ -43,12 +43,12 @@
 }
 
 const (
-	watchWait    = 20 * time.Second
-	minWatchWait = 200 * time.Millisecond
-	maxWatchWait = 3 * time.Second
+	watchTimeout    = 20 * time.Second
+	minWatchBackoff = 200 * time.Millisecond
+	maxWatchBackoff = 3 * time.Second
 )
 
-func (n *Node) prefixes() []string {
+func (n *Node) watchedPrefixes() []string {
 	return []string{
 		config.Key,
 		TargetPrefix + n.self.Hall,
@@ -62,21 +62,21 @@
 func (n *Node) watchLoop(ctx context.Context) {
 	after := int64(0)
 	first := true
-	backoff := minWatchWait
+	backoff := minWatchBackoff
 	for ctx.Err() == nil {
-		wait := watchWait
+		wait := watchTimeout
 		if first {
 			wait = 0
 		}
-		listing, err := n.store.Watch(ctx, n.prefixes(), after, wait)
+		listing, err := n.store.Watch(ctx, n.watchedPrefixes(), after, wait)
 		n.claims.platformUp.Store(err == nil)
 		if err != nil {
 			n.log.Debug("watch", "error", err.Error())
 			pause.For(ctx, n.Jitter(backoff))
-			backoff = min(2*backoff, maxWatchWait)
+			backoff = min(2*backoff, maxWatchBackoff)
 			continue
 		}
-		backoff = minWatchWait
+		backoff = minWatchBackoff
 		if listing.Revision < after {
 			// A stale answer; the next one continues from where we are.
 			pause.For(ctx, backoff)
@@ -86,7 +86,7 @@
 		n.mu.Lock()
 		n.revision = after
 		n.mu.Unlock()
-		n.takeIn(listing.Objects)
+		n.applyObjects(listing.Objects)
 		if first {
 			first = false
 			n.mu.Lock()
@@ -96,25 +96,25 @@
 	}
 }
 
-// takeIn puts newer objects in force.
-func (n *Node) takeIn(objs []objectstore.Object) {
+// applyObjects puts newer objects in force.
+func (n *Node) applyObjects(objs []objectstore.Object) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var newer []objectstore.Object
 	blocksBefore := make(map[string][]lookup.Block)
 	for _, obj := range objs {
-		known := obj.Key == config.Key && n.knowsConfig(&obj)
+		known := obj.Key == config.Key && n.reconcileConfig(&obj)
 		if strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix) {
-			blocksBefore[obj.Key] = n.blocksOf(n.objects.byKey[obj.Key])
+			blocksBefore[obj.Key] = n.decodeBlocks(n.objects.byKey[obj.Key])
 		}
-		if n.objects.offer(obj) && !known {
+		if n.objects.update(obj) && !known {
 			newer = append(newer, obj)
 		}
 	}
-	n.putInForce(newer, blocksBefore)
+	n.applyChanges(newer, blocksBefore)
 }
 
-func (n *Node) putInForce(newer []objectstore.Object, blocksBefore map[string][]lookup.Block) {
+func (n *Node) applyChanges(newer []objectstore.Object, blocksBefore map[string][]lookup.Block) {
 	var old, now []lookup.Block
 	for _, obj := range newer {
 		switch {
@@ -125,22 +125,22 @@
 		case obj.Key == RosterPrefix+n.self.Hall:
 			n.setRoster(obj)
 		case strings.HasPrefix(obj.Key, InstancePrefix):
-			n.fleetOld = true
+			n.fleetStale = true
 		case strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix):
 			old = append(old, blocksBefore[obj.Key]...)
-			now = append(now, n.blocksOf(obj)...)
+			now = append(now, n.decodeBlocks(obj)...)
 		}
 	}
-	if n.fleetOld {
+	if n.fleetStale {
 		n.setInstances()
 	}
 	if len(old)+len(now) > 0 {
 		n.blocks = n.blocks.Replace(old, now)
-		n.fleetOld = true
+		n.fleetStale = true
 	}
 }
 
-func (n *Node) blocksOf(obj objectstore.Object) []lookup.Block {
+func (n *Node) decodeBlocks(obj objectstore.Object) []lookup.Block {
 	if len(obj.Value) == 0 || obj.Deleted {
 		return nil
 	}
@@ -196,15 +196,15 @@
 	n.ledger.SetPlan(plan)
 	n.plan.Store(plan)
 	n.setTargets()
-	n.rebuild(now)
+	n.rebuildFleet(now)
 	n.log.Info("configuration in force", "version", plan.Version)
-	n.announce()
+	n.triggerHeartbeat()
 }
 
-// announce has the next heartbeats sent at once.
-func (n *Node) announce() {
+// triggerHeartbeat has the next heartbeats sent at once.
+func (n *Node) triggerHeartbeat() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
@@ -219,17 +219,17 @@
 		n.log.Error("roster refused", "error", err.Error())
 		return
 	}
-	n.learnRoster(&roster, obj.Version)
+	n.applyRoster(&roster, obj.Version)
 }
 
-func (n *Node) learnRoster(roster *seat.Roster, version int64) {
+func (n *Node) applyRoster(roster *seat.Roster, version int64) {
 	n.agent.ObserveRoster(time.Now(), roster, version)
 	n.updateSeats(time.Now())
 }
 
 func (n *Node) setInstances() {
 	var list []member.Instance
-	for _, obj := range n.objects.below(InstancePrefix) {
+	for _, obj := range n.objects.withPrefix(InstancePrefix) {
 		var in member.Instance
 		err := json.Unmarshal(obj.Value, &in)
 		if err != nil {
