--- a/catalog/account.go
+++ b/catalog/account.go
@@ -7,51 +7,54 @@
 	"slices"
 )
 
-// Key is the secret that a client account's requests carry. It prints, logs and encodes
-// as redactedKey, so that no log line, error or dump can hold it by accident. The zero
-// value is no key.
+// Key is the secret that the requests of a client account carry. It is printed, logged and
+// encoded as redactedKey, so that no log line, error or dump contains the secret by
+// accident. The zero value means that there is no key.
 type Key struct{ secret string }
 
-// redactedKey is what a key looks like wherever it is shown.
+// redactedKey is the text that replaces a key in all output.
 const redactedKey = "[key]"
 
-// NewKey returns the key of a secret text.
+// NewKey returns the key for the text of a secret.
 func NewKey(secret string) Key { return Key{secret: secret} }
 
-// String implements fmt.Stringer.
+// String implements fmt.Stringer. It returns redactedKey.
 func (Key) String() string { return redactedKey }
 
-// GoString implements fmt.GoStringer.
+// GoString implements fmt.GoStringer. It returns redactedKey.
 func (Key) GoString() string { return redactedKey }
 
-// LogValue implements slog.LogValuer.
+// LogValue implements slog.LogValuer. It returns redactedKey.
 func (Key) LogValue() slog.Value { return slog.StringValue(redactedKey) }
 
-// MarshalText implements encoding.TextMarshaler.
+// MarshalText implements encoding.TextMarshaler. It returns redactedKey.
 func (Key) MarshalText() ([]byte, error) { return []byte(redactedKey), nil }
 
-// Account is a client account: who a request belongs to, by the key that it carries.
+// Account is a client account. A request belongs to the account whose key it carries.
 type Account struct {
 	Name string
-	// Keys are the keys in force. Operators add the next one before they take the last
-	// one away.
+	// Keys are the valid keys. There can be several, because operators rotate keys by
+	// adding the new one before they remove the old one.
 	Keys []Key
-	// Rate is the number of requests a second, over all instances, that the account may
-	// send, 0 for any number, and Burst what it may send beyond that at once.
+	// Rate is the rate limit in requests per second, over all instances. 0 means that
+	// the account has no rate limit. Burst is the number of requests that the account
+	// may send at once beyond the rate.
 	Rate, Burst float64
-	// Priority goes before that of the route, if it is given.
+	// Priority overrides the priority of the route, unless it is nil.
 	Priority *int
-	// Regions are the home regions, empty for any.
+	// Regions are the home regions, in which the account's requests have to run. An
+	// empty list allows all regions.
 	Regions []string
 }
 
-// HasRateLimit tells whether the account may send a limited number of requests only.
+// HasRateLimit reports whether the account has a rate limit. The account may be nil.
 func (a *Account) HasRateLimit() bool { return a != nil && a.Rate > 0 }
 
-// ErrSharedKey is returned for a configuration in which a key belongs to two accounts.
+// ErrSharedKey is returned for a configuration in which two accounts have the same key.
 var ErrSharedKey = errors.New("catalog: accounts share a key")
 
-// accountsByKey maps each key to its account. It reports all pairs that share one.
+// accountsByKey returns the accounts by key. If a key belongs to several accounts, it
+// returns an error that joins an ErrSharedKey for each conflicting pair.
 func accountsByKey(accounts []Account) (map[Key]*Account, error) {
 	var errs []error
 	byKey := make(map[Key]*Account, len(accounts))
@@ -61,7 +64,8 @@
 			other := byKey[key]
 			switch {
 			case key == Key{}:
-				// A request without a key must not find an account.
+				// The zero key is left out, so that a request without a key matches no
+				// account.
 			case other == nil:
 				byKey[key] = account
 			case other != account:
@@ -72,9 +76,10 @@
 	return byKey, errors.Join(errs...)
 }
 
-// HomeRegions returns the regions that may serve a request of an account on a route: all if
-// neither has home regions, and else those that both allow. The result is false if they
-// have nothing in common. The account may be nil.
+// HomeRegions returns the regions that may serve a request of an account on a route. These
+// are all regions (an empty result) if neither the route nor the account has home regions,
+// and the regions that both allow otherwise. The result ok is false if the route and the
+// account have no region in common. The account may be nil.
 func HomeRegions(route *Route, account *Account) (regions []string, ok bool) {
 	if account == nil || len(account.Regions) == 0 {
 		return route.Regions, true
@@ -90,10 +95,11 @@
 	return regions, len(regions) > 0
 }
 
-// HomeRegionShares returns the part of all requests that each region has to run because accounts
-// have it as their home, as far as that can be told from the accounts' limits: an account is
-// taken to send in proportion to its limit, to its homes alike. Accounts without a limit
-// count for nothing. It is the same at all instances.
+// HomeRegionShares returns an estimate of the fraction of all requests that each region has
+// to run because it is a home region of their accounts. The estimate assumes that each
+// account sends requests in proportion to its rate limit, divided equally among its home
+// regions. Accounts without a rate limit do not count. The result depends only on the
+// configuration, so that it is the same at all instances.
 func (c *Config) HomeRegionShares() map[string]float64 {
 	total := 0.0
 	for i := range c.Accounts {
@@ -112,7 +118,8 @@
 	return shares
 }
 
-// PriorityOf returns the rank of an account's requests on a route. The account may be nil.
+// PriorityOf returns the priority of an account's requests on a route, where 0 is the most
+// urgent. The account may be nil.
 func PriorityOf(route *Route, account *Account) int {
 	if account != nil && account.Priority != nil {
 		return *account.Priority
--- a/catalog/account_test.go
+++ b/catalog/account_test.go
@@ -13,7 +13,8 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// TestKeyIsRedacted checks every way in which a value gets into a text.
+// TestKeyIsRedacted checks that no formatting verb, JSON encoding or log handler outputs the
+// secret of a key.
 func TestKeyIsRedacted(t *testing.T) {
 	const secret = "s3cret"
 	key := catalog.NewKey(secret)
@@ -97,7 +98,8 @@
 	}
 }
 
-// BenchmarkAccount measures the look-up by key and the memory of an account with two keys.
+// BenchmarkAccount measures the time of Router.Account and the memory of an account with two
+// keys.
 func BenchmarkAccount(b *testing.B) {
 	for _, n := range []int{79, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
--- a/catalog/config.go
+++ b/catalog/config.go
@@ -6,25 +6,27 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Version orders configurations. 0 stands for none.
+// Version is the version of a configuration. Later configurations have higher versions, and
+// 0 means that there is none.
 type Version int64
 
-// Config is one whole configuration.
+// Config is a complete configuration.
 type Config struct {
 	Version  Version
 	Routes   []Route
 	Services map[string]Service
 	Limits   Limits
-	// Accounts are the client accounts. NeedsKey says that requests have to carry the
-	// key of one, but for those on anonymous routes.
-	Accounts    []Account
+	// Accounts are the client accounts.
+	Accounts []Account
+	// RequiresKey states that requests have to carry the key of an account, except on
+	// anonymous routes.
 	RequiresKey bool
 }
 
-// RouteKind says what may be repeated.
+// RouteKind states whether the requests of a route may be retried.
 type RouteKind string
 
-// The kinds. A kind that is not known counts as Unsafe.
+// Kinds of routes. An unknown kind is treated as NonIdempotent.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent RouteKind = "idempotent"
@@ -34,69 +36,76 @@
 	Upload RouteKind = "upload"
 )
 
-// Route says how the requests of a host below a prefix are served.
+// Route describes how requests are served whose host is Host and whose path begins with
+// Prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is how long a request may be held, 0 without bound.
+	// Timeout bounds the time that an instance spends on a request. 0 means no bound.
 	Timeout time.Duration
-	// LatencyObjective is the time within which an answer is worth most.
+	// LatencyObjective is the time within which a response has its full value to the
+	// client. 0 means that the route has no objective.
 	LatencyObjective time.Duration
-	// Priority is the rank, 0 the most urgent.
+	// Priority is the priority of the requests, where 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the targets that one request is sent to.
+	// MaxAttempts is the maximum number of targets that a request is sent to.
 	MaxAttempts int
-	// Services are the services that share the route's requests.
+	// Services are the services that run the route's requests.
 	Services []WeightedService
-	// Regions are the home regions, empty for any.
+	// Regions are the home regions, in which the requests have to run. An empty list
+	// allows all regions.
 	Regions []string
-	// Anonymous requests need no key of a client account.
+	// Anonymous states that requests need no key of a client account.
 	Anonymous bool
 }
 
-// WeightedService is one service of a route.
+// WeightedService is a service of a route. It gets a fraction of the route's requests that is
+// proportional to Weight.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// ServiceFor draws the service of a request by its ID, so that the parts are
-// divided by weight and every instance draws the same.
+// ServiceFor returns the service that runs a request. It chooses among the route's services
+// by weight and by a hash of the request ID, so that all instances choose the same service
+// for a request. It returns "" if the route has no services.
 func (r *Route) ServiceFor(requestID string) string {
 	if len(r.Services) == 0 {
 		return ""
 	}
 	total := 0.0
-	for _, p := range r.Services {
-		total += p.Weight
+	for _, s := range r.Services {
+		total += s.Weight
 	}
 	point := mix.Unit(mix.Pair(requestID, "part")) * total
-	for _, p := range r.Services {
-		point -= p.Weight
+	for _, s := range r.Services {
+		point -= s.Weight
 		if point < 0 {
-			return p.Service
+			return s.Service
 		}
 	}
 	return r.Services[len(r.Services)-1].Service
 }
 
-// Service is what is known of all targets of one name.
+// Service holds the settings that all targets of a service share.
 type Service struct {
 	Name string
-	// HealthPath answers whether a target is healthy.
+	// HealthPath is the URL path of the targets' health check.
 	HealthPath string
-	// MaxConnections bounds the connections that a target accepts from all
-	// callers together.
+	// MaxConnections is the number of connections that a target accepts from all
+	// instances together.
 	MaxConnections int
-	// Warmup is how long a target stays cold after a start.
+	// Warmup is the time for which a target is cold after a start.
 	Warmup time.Duration
-	// WarmupRate is how many requests a second a cold target bears.
+	// WarmupRate is the number of requests per second that a cold target admits.
 	WarmupRate float64
 }
 
-// Limits bound what callers may send. 0 stands for no bound.
+// Limits are the limits on the requests and connections of clients: the bytes of a header
+// and a body, the time until a header is complete, and the time for which a connection may
+// be idle. 0 means that the configuration sets no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -1,9 +1,12 @@
-// Package catalog provides what an instance steers by: the configuration
-// (routes, services, limits), the targets, and the evacuated halls. All of it is
-// immutable once made.
+// Package catalog provides the data by which an instance steers requests: the configuration
+// (routes, services, limits and client accounts) and the targets.
 //
-// A route is picked by the host and the longest prefix of the path. It names the
-// service that runs the request, or several with weights. A target is one
-// incarnation of a server: a server that starts again, under its name or another one, is
-// another target.
+// A Router selects the route of a request by its host and the longest matching prefix of its
+// path. A route names the service that runs the request, or several services with weights.
+// A client account is the party that a request belongs to, identified by a secret key.
+//
+// A target is one incarnation of a server that runs requests. A server that starts again,
+// under the same name or another, is a new target.
+//
+// Configurations and targets are not modified after they have been created.
 package catalog
--- a/catalog/router.go
+++ b/catalog/router.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// Router finds the route and the client account of a request.
+// Router finds the route and the client account of a request. It is immutable and safe for
+// concurrent use.
 type Router struct {
-	config        *Config
-	routesByHost  map[string]map[string]*Route
-	accountsByKey map[Key]*Account
-	// accountsByName are the accounts by name.
+	config         *Config
+	routesByHost   map[string]map[string]*Route
+	accountsByKey  map[Key]*Account
 	accountsByName map[string]*Account
 }
 
-// NewRouter returns the router of a configuration, which must not be changed
-// afterwards. It fails if the configuration is not valid, with all that is wrong.
+// NewRouter returns the router for a configuration, which must not be changed afterwards. If
+// accounts share keys, it returns an error that lists all conflicts, each an ErrSharedKey.
 func NewRouter(config *Config) (*Router, error) {
 	accounts, err := accountsByKey(config.Accounts)
 	if err != nil {
@@ -33,17 +33,17 @@
 	return r, nil
 }
 
-// Config returns the configuration.
+// Config returns the configuration of the router. The caller must not change it.
 func (r *Router) Config() *Config { return r.config }
 
-// Account returns the client account that holds a key, or nil. Its cost does not grow with
-// the number of accounts: 14 to 19 ns at 79, 10,000 and 100,000 (BenchmarkAccount).
+// Account returns the client account of a key, or nil if there is none. Its cost does not
+// grow with the number of accounts: BenchmarkAccount measures it for up to 100,000.
 func (r *Router) Account(key Key) *Account { return r.accountsByKey[key] }
 
-// AccountNamed returns the client account of a name, or nil.
+// AccountNamed returns the client account with the given name, or nil if there is none.
 func (r *Router) AccountNamed(name string) *Account { return r.accountsByName[name] }
 
-// HasRateLimits tells whether any account may send a limited number of requests only.
+// HasRateLimits reports whether any account has a rate limit.
 func (r *Router) HasRateLimits() bool {
 	for i := range r.config.Accounts {
 		if r.config.Accounts[i].HasRateLimit() {
@@ -53,9 +53,9 @@
 	return false
 }
 
-// Find returns the route of host with the longest prefix that begins path, or
-// nil. The host may carry a port. Its cost grows with the slashes of the path,
-// not with the number of routes.
+// Find returns the route of host whose prefix is the longest prefix of path, or nil if no
+// route matches. The host may include a port. The cost grows with the number of slashes in
+// the path, not with the number of routes.
 func (r *Router) Find(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i > 0 {
 		host = host[:i]
--- a/catalog/router_test.go
+++ b/catalog/router_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// findByDefinition is the definition: of the host's routes, the longest prefix that
-// begins the path.
+// findByDefinition is the reference implementation of Router.Find. It searches all routes
+// of the host for the longest prefix of the path.
 func findByDefinition(config *catalog.Config, host, path string) string {
 	name, longest := "", -1
 	for _, r := range config.Routes {
