--- a/pipelining/bench_test.go
+++ b/pipelining/bench_test.go
@@ -11,9 +11,8 @@
 	"github.com/rainford/rainford/pipelining"
 )
 
-// BenchmarkRequest sends one request after the other on a connection, as most clients do, to a server that
-// runs requests ahead and to one that does not. Without 9.2 µs and 1,546 B, with 9.6 µs and 1,549 B a
-// request, its client included.
+// BenchmarkRequest measures sequential requests on one connection, which most clients send,
+// with and without a Listener. It includes the cost of the client.
 func BenchmarkRequest(b *testing.B) {
 	for _, ahead := range []bool{false, true} {
 		b.Run(fmt.Sprint("ahead=", ahead), func(b *testing.B) {
--- a/pipelining/close.go
+++ b/pipelining/close.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// lingerTime is how long the rest of what a client sends is read after the last answer, so that
-// the answer is not lost by a reset.
+// lingerTime is how long the remaining bytes of the client are read after the last
+// response. Closing the connection with unread bytes would reset it, and the client might
+// lose the response.
 const lingerTime = 500 * time.Millisecond
 
 // Write implements net.Conn.
@@ -11,7 +12,7 @@
 	return c.write(&c.current, p)
 }
 
-// write writes a part of the answer to the request of a turn.
+// write writes a part of the response to the request of an entry.
 func (c *conn) write(e *entry, p []byte) (int, error) {
 	at, closes := findConnectionClose(p)
 	if !closes {
@@ -24,7 +25,8 @@
 	if isLast {
 		return c.Conn.Write(p)
 	}
-	// Others that run already are answered behind this one.
+	// Requests behind this one are running, and their responses follow. The header that
+	// announces the end of the connection is therefore omitted.
 	shorter := append(append(make([]byte, 0, len(p)), p[:at]...), p[at+len(closeLine)-len("\r\n"):]...)
 	_, err := c.Conn.Write(shorter)
 	if err != nil {
@@ -33,9 +35,9 @@
 	return len(p), nil
 }
 
-// Close implements net.Conn. The server closes a connection after the last answer, when it rests,
-// or when a request ends without an answer. The answers to others that were read before the end
-// are still written.
+// Close implements net.Conn. The server closes a connection after the last response, when
+// it has been idle for too long, or when a request ends without a response. Responses to
+// other requests that were read before are still written.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,16 +55,17 @@
 	return nil
 }
 
-// finishEntry takes in that the request of a lane has been answered. The caller holds mu.
+// finishEntry records that the request of a virtual connection has been answered. The
+// caller holds mu.
 func (c *conn) finishEntry(e *entry) {
 	c.queue.finish(e)
 	c.closeIfDone()
 	c.interruptRead()
 }
 
-// closeEntry takes in that the server has closed the connection of a request: with the last
-// answer, or without one, in which case none behind it may be answered either. The caller holds
-// mu.
+// closeEntry records that the server has closed the connection of a request. If the handler
+// has not returned, the request gets no response, and neither do those behind it. The
+// caller holds mu.
 func (c *conn) closeEntry(e *entry) {
 	if e.handled {
 		c.queue.finish(e)
@@ -73,8 +76,8 @@
 	c.closing = c.closing || c.draining
 }
 
-// closeIfDone ends the client's connection if it is to end and no turn is left. The caller holds
-// mu.
+// closeIfDone closes the connection of the client if it is to be closed and the response
+// queue is empty. The caller holds mu.
 func (c *conn) closeIfDone() {
 	if !c.closing || c.connClosed || len(c.queue.entries) > 0 {
 		return
@@ -88,8 +91,8 @@
 	go c.linger()
 }
 
-// watchClient notices that the client leaves while requests run that were read before the server closed
-// the connection.
+// watchClient waits until the client disconnects, after the server has closed the
+// connection while requests that were read before are running.
 func (c *conn) watchClient() {
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	var ignored [512]byte
@@ -106,7 +109,8 @@
 	}
 }
 
-// linger reads what the client still sends, and closes the connection then.
+// linger reads and discards what the client still sends for lingerTime, and then closes the
+// connection.
 func (c *conn) linger() {
 	_ = c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
 	var rest [512]byte
--- a/pipelining/close_test.go
+++ b/pipelining/close_test.go
@@ -9,10 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestResponseClosesConnection checks that nothing is answered behind an answer that ends the connection,
-// and that it does not end while requests run that were read before.
+// TestResponseClosesConnection checks that no response follows one that closes the
+// connection, and that the connection is not closed while requests that were read before
+// are running.
 func TestResponseClosesConnection(t *testing.T) {
-	t.Run("last", func(t *testing.T) {
+	t.Run("last request", func(t *testing.T) {
 		s := newTestServer(t, defaultLimits)
 		c := s.dial()
 		c.send(get("/1"), get("/close2"))
@@ -22,7 +23,7 @@
 		c.expectEnd()
 	})
 	for _, first := range []string{"/close1", "/now-close1"} {
-		t.Run("before others", func(t *testing.T) {
+		t.Run("before other requests", func(t *testing.T) {
 			s := newTestServer(t, defaultLimits)
 			c := s.dial()
 			c.send(get("/0"), get(first), get("/2"), get("/3"))
@@ -36,7 +37,7 @@
 			c.expect("/2", "/3")
 		})
 	}
-	t.Run("by the first", func(t *testing.T) {
+	t.Run("first request", func(t *testing.T) {
 		s := newTestServer(t, defaultLimits)
 		c := s.dial()
 		c.send(get("/close1"), get("/2"))
@@ -47,7 +48,7 @@
 		c.expect("/2")
 		c.expectEnd()
 	})
-	t.Run("asked for by the client", func(t *testing.T) {
+	t.Run("requested by the client", func(t *testing.T) {
 		s := newTestServer(t, defaultLimits)
 		c := s.dial()
 		c.send(get("/1"), "GET /now2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n", get("/3"))
@@ -59,8 +60,8 @@
 	})
 }
 
-// TestHandlerAborts checks that the requests ahead of one that ends without an answer are
-// answered, and those behind it not.
+// TestHandlerAborts checks that the requests before one that ends without a response are
+// answered, and those behind it are not.
 func TestHandlerAborts(t *testing.T) {
 	s := newTestServer(t, defaultLimits)
 	c := s.dial()
@@ -73,7 +74,8 @@
 	c.expectEnd()
 }
 
-// TestShutdown checks that a planned stop lets all requests end that were read ahead.
+// TestShutdown checks that all requests that were read ahead complete during a graceful
+// shutdown.
 func TestShutdown(t *testing.T) {
 	for _, firstDone := range []bool{false, true} {
 		t.Run(fmt.Sprint("first done=", firstDone), func(t *testing.T) {
--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -12,68 +12,74 @@
 )
 
 const (
-	// maxReadAhead bounds the bytes that are read ahead on one connection and belong to no request
-	// that runs yet.
+	// maxReadAhead bounds the bytes that are read ahead on a connection and belong to no
+	// running request.
 	maxReadAhead = 32 << 10
-	// chunkBytes is the number of bytes that are read ahead at once: about a head. Each connection
-	// holds as many, since most have nothing more to read ahead.
+	// chunkBytes is the number of bytes that are read ahead at a time, about the size of a
+	// head. Each connection has a buffer of this size, which is small since most
+	// connections have nothing to read ahead.
 	chunkBytes = 512
-	// hangUpPollInterval is how often a connection on which no more is read ahead is looked at for its
-	// end.
+	// hangUpPollInterval is how often a connection is checked for its end while no more is
+	// read ahead.
 	hangUpPollInterval = 100 * time.Millisecond
 )
 
-// phase is what the bytes that come next on a connection are.
+// phase is what the next bytes on a connection belong to.
 type phase int
 
 const (
-	// inHead: those of a head, or nothing has come yet.
+	// inHead: a head that has not arrived completely, or not at all.
 	inHead phase = iota
-	// inBody: those of the body of a request whose length is known.
+	// inBody: the body of a request whose length is known.
 	inBody
-	// afterRequest: those behind the request that is served.
+	// afterRequest: the bytes after the request that is being served.
 	afterRequest
-	// passThrough: it is not known where requests end. All is passed on as it comes.
+	// passThrough: it is not known where requests end. All bytes are passed on as they
+	// arrive.
 	passThrough
-	// afterPassThrough: as beyond, where it was not known before where the request ends.
+	// afterPassThrough: the bytes after a request whose end was not known before. The phase
+	// is passThrough again when that request has been answered.
 	afterPassThrough
 )
 
-// pastDeadline is a deadline that ends a read at once.
+// pastDeadline is a deadline that ends a read immediately.
 var pastDeadline = time.Unix(1, 0)
 
-// conn is the connection of a client. The server reads one request after the other from it, those
-// excepted that get a lane.
+// conn is the connection of a client. The server reads its requests one after another,
+// except those that get a virtual connection.
 type conn struct {
 	net.Conn
 	listener *Listener
 
-	// The server reads from one goroutine at a time. Only that one uses what follows.
+	// The server reads from one goroutine at a time. The fields up to mu are used by it only.
 
-	// readAhead are bytes that were read ahead, and step is what they are read into.
+	// readAhead contains the bytes that were read ahead, and chunk is the buffer to read
+	// them into.
 	readAhead []byte
 	chunk     [chunkBytes]byte
-	// head is the part of a head that has come, if it comes in pieces.
+	// head is the part of a head that has arrived if it arrives in several reads.
 	head []byte
-	// bodyLeft is what has not come of the body, in bytes.
+	// bodyLeft is the number of bytes of the body that have not arrived.
 	bodyLeft int64
 
 	mu    sync.Mutex
 	phase phase
 	queue responseQueue
-	// current is the turn of the request that the server has read from this connection.
+	// current is the entry of the request that the server has read from this connection.
 	current entry
-	// serving says that there is one.
+	// serving is set while there is such a request.
 	serving bool
-	// readErr is why nothing more can be read, nil while it can.
+	// readErr is why nothing more can be read, or nil.
 	readErr error
-	// draining says that nothing more is run ahead, as an answer says that the connection ends.
+	// draining is set once a response closes the connection. No further requests are run
+	// then.
 	draining bool
-	// closing says that the connection ends when no turn is left, serverClosed that the server has
-	// serverClosed it besides, and connClosed that the client's connection was serverClosed.
+	// closing is set if the connection is to be closed when the response queue is empty.
+	// serverClosed is set if the server has closed it, and connClosed if the connection of
+	// the client is closed.
 	closing, serverClosed, connClosed bool
-	// reading is set during a read, interrupted when it was ended by one for whom it has to look
-	// again, and deadline is what the server has set for it.
+	// reading is set during a read. interrupted is set if that read was ended because the
+	// state has changed. readDeadline is the read deadline that the server has set.
 	reading, interrupted bool
 	readDeadline         time.Time
 	wakeUp               chan struct{}
@@ -83,9 +89,9 @@
 	return &conn{Conn: c, listener: l, wakeUp: make(chan struct{}, 1)}
 }
 
-// Read implements net.Conn. While a request is served the server reads one byte ahead, to notice
-// that its client leaves: then all that can run ahead is read and handed over, and nothing is
-// returned.
+// Read implements net.Conn. While a request is served, the server reads one byte ahead to
+// notice that the client disconnects. Read then reads all requests that can run ahead and
+// dispatches them, and returns no bytes.
 func (c *conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,8 +130,9 @@
 	}
 }
 
-// mustReadAhead tells whether the server is to get nothing more for now: it serves a request, or
-// others that were read ahead have not been answered. The caller holds mu.
+// mustReadAhead reports whether the server should get no more bytes for now, because it
+// serves a request or because requests that were read ahead have not been answered. The
+// caller holds mu.
 func (c *conn) mustReadAhead() bool {
 	if c.phase == afterRequest || c.phase == afterPassThrough {
 		return true
@@ -133,8 +140,8 @@
 	return c.phase == inHead && len(c.queue.entries) > 0
 }
 
-// readInto reads from the client while mu, which the caller holds, is released. It returns neither
-// bytes nor an error if it was poked.
+// readInto reads from the client. The caller holds mu, which is released during the read.
+// If the read is interrupted, readInto returns neither bytes nor an error.
 func (c *conn) readInto(p []byte) (int, error) {
 	c.reading = true
 	c.mu.Unlock()
@@ -154,15 +161,16 @@
 	return n, err
 }
 
+// isPast reports whether t is a deadline that ends reads immediately.
 func isPast(t time.Time) bool { return !t.IsZero() && !t.After(pastDeadline) }
 
-// readMore waits for more bytes, or for a turn to end. The caller holds mu.
+// readMore waits until more bytes arrive or a response is finished. The caller holds mu.
 func (c *conn) readMore() error {
 	if len(c.readAhead) >= maxReadAhead {
 		return c.pollHangUp()
 	}
 	if !c.serving && !c.readDeadline.IsZero() {
-		// The time for which a connection may rest begins with the last answer.
+		// The idle timeout of the connection starts with the last response.
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	}
 	n, err := c.readInto(c.chunk[:])
@@ -173,8 +181,8 @@
 	return err
 }
 
-// pollHangUp waits for a moment without reading, and finds out whether the client has left. The caller
-// holds mu.
+// pollHangUp waits for hangUpPollInterval without reading, and checks whether the client
+// has disconnected. The caller holds mu.
 func (c *conn) pollHangUp() error {
 	c.mu.Unlock()
 	timer := time.NewTimer(hangUpPollInterval)
@@ -192,14 +200,14 @@
 	return nil
 }
 
-// fail takes in that nothing more can be read. The caller holds mu.
+// fail records that nothing more can be read, and aborts all requests. The caller holds mu.
 func (c *conn) fail(err error) {
 	c.readErr = err
 	c.queue.abortAll()
 }
 
-// consume decides how many of the bytes that have come the server gets now, and takes in where they
-// lead. The caller holds mu.
+// consume returns how many of the bytes that have arrived the server gets now, and updates
+// the phase accordingly. The caller holds mu.
 func (c *conn) consume(data []byte) int {
 	switch c.phase {
 	case inBody:
@@ -216,7 +224,7 @@
 	}
 }
 
-// consumeHead is pass for bytes of a head. The caller holds mu.
+// consumeHead is consume for bytes of a head. The caller holds mu.
 func (c *conn) consumeHead(data []byte) int {
 	whole := data
 	if len(c.head) > 0 {
@@ -249,8 +257,8 @@
 	}
 }
 
-// beginRequest takes in that the server has the head of a request, and whether others may run beside it.
-// The caller holds mu.
+// beginRequest records that the server has the head of a request, and whether other
+// requests may run concurrently with it. The caller holds mu.
 func (c *conn) beginRequest(next phase, others bool) {
 	c.phase, c.head = next, nil
 	c.current = entry{exclusive: !others}
@@ -258,7 +266,8 @@
 	c.queue.push(&c.current)
 }
 
-// dispatchAhead hands the plain requests that were read ahead to the server. The caller holds mu.
+// dispatchAhead dispatches the plain requests that were read ahead to the server. The
+// caller holds mu.
 func (c *conn) dispatchAhead() {
 	for c.phase == afterRequest || c.phase == inHead {
 		length := headLength(c.readAhead)
@@ -292,7 +301,7 @@
 	return c.awaitStart(ctx, &c.current, idempotent)
 }
 
-// awaitStart waits until the request of a turn may run.
+// awaitStart waits until the request of an entry may run.
 func (c *conn) awaitStart(ctx context.Context, e *entry, idempotent bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -363,14 +372,16 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// restoreDeadline sets the deadline of reads to what the server has set last. The caller holds mu.
+// restoreDeadline sets the read deadline to the one that the server has set. The caller
+// holds mu.
 func (c *conn) restoreDeadline() {
 	if !isPast(c.readDeadline) {
 		_ = c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// interruptRead has the goroutine that reads look again. The caller holds mu.
+// interruptRead ends a read or poll in progress, so that its goroutine checks the state
+// again. The caller holds mu.
 func (c *conn) interruptRead() {
 	if c.reading && !c.interrupted {
 		c.interrupted = true
@@ -379,7 +390,7 @@
 	c.interruptPoll()
 }
 
-// interruptPoll ends a look.
+// interruptPoll ends a pollHangUp in progress.
 func (c *conn) interruptPoll() {
 	select {
 	case c.wakeUp <- struct{}{}:
--- a/pipelining/doc.go
+++ b/pipelining/doc.go
@@ -1,16 +1,19 @@
-// Package pipelining has an http.Server run requests that a client sends behind one another on
-// one connection side by side, and answer them in their order.
+// Package pipelining lets an http.Server run pipelined requests concurrently and respond to
+// them in order. Pipelined requests are requests that a client sends on one connection
+// without waiting for the responses to earlier ones (RFC 9112, section 9.3.2).
 //
-// The server of net/http runs one request of a connection at a time, and notices that a client
-// has left only if nothing lies unread before the end of its connection. A Listener stands
-// between the two. It reads on while a request runs. Each whole head that comes meanwhile and
-// belongs to a plain request becomes a connection of its own to the server, a lane, whose answer
-// is held back until its turn has come. All else, such as a request with a body or one that can't
-// be parsed, waits until what is ahead of it has been answered, and is then served as if it had
-// just come; what is behind it waits for it.
+// The server of net/http runs one request of a connection at a time. It notices that a
+// client has disconnected only if no unread bytes precede the end of the connection. A
+// Listener sits between the clients and the server, and continues to read while a request
+// runs. If a complete head arrives in that time and belongs to a plain request, the
+// Listener passes it to the server as a connection of its own, a virtual connection, and
+// buffers the response until those to all earlier requests are written. Anything else, such
+// as a request with a body or one that can't be parsed, waits until all earlier requests
+// are answered, and is then served as if it had just arrived. Everything behind it waits
+// too.
 //
-// Terms: a plain request has the method GET or HEAD, no body, and nothing in its head that
-// concerns the connection. A turn is the place of a request among those of its connection that
-// have not been answered yet. A request may be repeated if running it twice does no harm; only
-// such requests run beside others, and a Handler tells by calling Start.
+// A plain request has the method GET or HEAD, no body, and no header that concerns the
+// connection. The response queue of a connection contains its unanswered requests, in
+// request order. Only idempotent requests run concurrently. A Handler says whether its
+// request is idempotent by calling AwaitStart.
 package pipelining
--- a/pipelining/fuzz_test.go
+++ b/pipelining/fuzz_test.go
@@ -16,7 +16,8 @@
 	"github.com/rainford/rainford/pipelining"
 )
 
-// scriptedConn is a connection whose client sends pieces of bytes and keeps what it gets.
+// scriptedConn is a connection whose client sends bytes in pieces. It records what the
+// client receives.
 type scriptedConn struct {
 	mu       sync.Mutex
 	changed  *sync.Cond
@@ -25,7 +26,7 @@
 	expired  bool
 	closed   bool
 	starving bool
-	// steps counts all that happens.
+	// steps is the number of events so far.
 	steps int
 }
 
@@ -91,14 +92,15 @@
 func (s *scriptedConn) LocalAddr() net.Addr                { return &net.TCPAddr{} }
 func (s *scriptedConn) RemoteAddr() net.Addr               { return &net.TCPAddr{} }
 
-// idle tells whether all bytes are read, or the connection has ended, and how much has happened.
+// idle reports whether all bytes are read or the connection has ended, and returns the
+// number of events.
 func (s *scriptedConn) idle() (bool, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed || s.starving, s.steps
 }
 
-// singleConnListener is a listener of one connection.
+// singleConnListener is a listener that accepts one connection.
 type singleConnListener struct {
 	once sync.Once
 	conn net.Conn
@@ -122,8 +124,8 @@
 
 func (l *singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// exchangeAll has a server serve some pieces, until nothing has happened for a time. It returns what
-// the client got, and the requests that ran in the order of their texts.
+// exchangeAll serves a connection until nothing has happened on it for the time quiet. It
+// returns what the client received, and the requests that ran, sorted.
 func exchangeAll(pieces [][]byte, pipelined bool, quiet time.Duration) (string, []string) {
 	conn := newScriptedConn(pieces)
 	var mu sync.Mutex
@@ -162,7 +164,7 @@
 	return conn.got.String(), seen
 }
 
-// cutAt divides bytes at places that are drawn by a number.
+// cutAt splits data into pieces whose sizes depend on draw.
 func cutAt(data []byte, draw uint16) [][]byte {
 	var pieces [][]byte
 	size := 1 + int(draw>>4)
@@ -177,9 +179,9 @@
 	return pieces
 }
 
-// FuzzConnection has a client send any bytes in any pieces, and checks that the handlers see the same
-// requests, and the client gets the same answers, as without requests that are run ahead: a request
-// must never be found within another one, and none lost.
+// FuzzConnection guards against request smuggling and lost requests. A client sends
+// arbitrary bytes in arbitrary pieces. The handlers must receive the same requests, and the
+// client the same responses, as from a server without pipelining.
 func FuzzConnection(f *testing.F) {
 	for _, text := range []string{
 		get("/1") + get("/2") + get("/3"),
@@ -206,7 +208,8 @@
 		f.Add([]byte(text), uint16(37))
 	}
 	f.Fuzz(func(t *testing.T, data []byte, draw uint16) {
-		// A process that waits for a processor looks as one that has nothing to do.
+		// A process that waits for a processor looks idle. A difference is therefore
+		// checked again with more time.
 		const quick, patient = 3 * time.Millisecond, 500 * time.Millisecond
 		if compare(data, draw, quick) == "" {
 			return
@@ -218,14 +221,14 @@
 	})
 }
 
-// compare says how what becomes of some bytes with requests that are run ahead differs from what
-// becomes of them without. Requests may run besides that could be repeated and were not answered,
-// since the connection ended before.
+// compare returns how the results with and without pipelining differ, or "". With
+// pipelining, additional idempotent requests may run that are not answered because the
+// connection ends before.
 func compare(data []byte, draw uint16, quiet time.Duration) string {
 	got, seen := exchangeAll(cutAt(data, draw), false, quiet)
 	gotAhead, seenAhead := exchangeAll(cutAt(data, draw), true, quiet)
 	if got != gotAhead {
-		return fmt.Sprintf("the client got\n%q\nand without requests ahead\n%q", gotAhead, got)
+		return fmt.Sprintf("the client received\n%q\nand without pipelining\n%q", gotAhead, got)
 	}
 	for _, request := range seenAhead {
 		if len(seen) > 0 && seen[0] == request {
@@ -234,11 +237,11 @@
 		}
 		again := strings.HasPrefix(request, "GET ") || strings.HasPrefix(request, "HEAD ")
 		if !again || strings.Contains(request, "once") || !strings.HasSuffix(request, ` "" false`) {
-			return "ran with requests ahead only: " + request
+			return "ran only with pipelining: " + request
 		}
 	}
 	if len(seen) > 0 {
-		return "ran without requests ahead only: " + seen[0]
+		return "ran only without pipelining: " + seen[0]
 	}
 	return ""
 }
--- a/pipelining/head.go
+++ b/pipelining/head.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// maxHeadBytes bounds the head of a request that is looked at, in bytes. The requests of a connection
-// with a longer one are left to the server as they come.
+// maxHeadBytes bounds the head of a request that is classified. If a head is longer, all
+// requests of the connection are passed to the server as they arrive.
 const maxHeadBytes = 64 << 10
 
 var endOfHead = []byte("\r\n\r\n")
@@ -15,16 +15,17 @@
 type framing int
 
 const (
-	// ambiguous requests may end anywhere: their bodies come in chunks, or their heads are such
-	// that another reader might see them otherwise.
+	// ambiguous requests may end anywhere. Their bodies are chunked, or another parser
+	// might read their heads differently.
 	ambiguous framing = iota
 	// sized requests have a body of a known length, which may be 0.
 	sized
-	// plain requests have no body, and may run beside others.
+	// plain requests have no body and may run concurrently with others.
 	plain
 )
 
-// headLength returns the length of the head that text begins with, 0 if it is not whole.
+// headLength returns the length of the head at the beginning of text, or 0 if it is
+// incomplete.
 func headLength(text []byte) int {
 	at := bytes.Index(text, endOfHead)
 	if at < 0 {
@@ -33,9 +34,9 @@
 	return at + len(endOfHead)
 }
 
-// classify tells where the request of a whole head ends, and the length of its body in bytes. It
-// is strict: what a lenient reader may take for the end of a line or for another field makes the
-// request unclear.
+// classify returns the framing of the request with the given complete head, and the length
+// of its body in bytes. It is strict: if a lenient parser might see the end of a line or
+// another field somewhere, the request is ambiguous. This guards against request smuggling.
 func classify(head []byte) (framing, int64) {
 	head = head[:len(head)-len("\r\n")]
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
@@ -73,8 +74,8 @@
 	return sized, max(length, 0)
 }
 
-// classifyRequestLine tells whether a request line is that of a request without a body, and
-// whether it is one of HTTP/1.1 at all.
+// classifyRequestLine reports whether a request line has a method without a body, and
+// whether it is a valid request line of HTTP/1.1.
 func classifyRequestLine(line []byte) (isPlain, ok bool) {
 	method, rest, _ := bytes.Cut(line, []byte(" "))
 	uri, protocol, _ := bytes.Cut(rest, []byte(" "))
@@ -89,9 +90,10 @@
 	return string(method) == "GET" || string(method) == "HEAD", true
 }
 
+// equalFold reports whether text is word, ignoring case.
 func equalFold(text []byte, word string) bool { return bytes.EqualFold(text, []byte(word)) }
 
-// isToken tells whether text is a name by RFC 9110, section 5.6.2.
+// isToken reports whether text is a token according to RFC 9110, section 5.6.2.
 func isToken(text []byte) bool {
 	for _, c := range text {
 		letter := 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
@@ -104,8 +106,8 @@
 
 var closeLine = []byte("\r\nConnection: close\r\n")
 
-// findConnectionClose tells whether the head of an answer, with which text begins, says that the
-// connection ends with it, and returns where.
+// findConnectionClose returns the position of the header that closes the connection in the
+// response head at the beginning of text, and whether there is one.
 func findConnectionClose(text []byte) (at int, ok bool) {
 	length := headLength(text)
 	if length == 0 {
--- a/pipelining/listener.go
+++ b/pipelining/listener.go
@@ -10,26 +10,28 @@
 
 // Limits bound what is read and run ahead.
 type Limits struct {
-	// PerConn is the number of requests of one connection that run side by side, the first one
-	// included, and Total that of all connections, the first one of each not included.
+	// PerConn is the maximum number of requests of one connection that run concurrently,
+	// including the first one. Total is the maximum for all connections, excluding the
+	// first one of each.
 	PerConn, Total int
-	// HeldBytes is the number of bytes of answers that may wait for their turn, over all connections,
-	// beyond which no more requests are run ahead. Answers of requests that run already may
-	// exceed it.
+	// HeldBytes is the total size in bytes of buffered responses above which no more
+	// requests are run ahead. The responses of requests that are already running may exceed
+	// it.
 	HeldBytes int64
 }
 
-// Listener accepts connections whose clients may send requests ahead. Serve has a server use it.
+// Listener accepts connections whose clients may pipeline requests.
 type Listener struct {
 	inner  net.Listener
 	limits Limits
 
-	// conns carries what Accept returns: connections of clients, and lanes.
+	// conns contains the connections that Accept returns: those of clients and virtual
+	// connections.
 	conns chan net.Conn
 
-	// mu guards what follows.
+	// mu guards the fields below, up to the atomic ones.
 	mu sync.Mutex
-	// closed is closed when no more are accepted, and failed says why.
+	// closed is closed when no more connections are accepted, and err says why.
 	closed   chan struct{}
 	isClosed bool
 	err      error
@@ -38,8 +40,8 @@
 	heldBytes atomic.Int64
 }
 
-// NewListener returns a listener that hands the connections of another one to a server. The
-// server's ConnState and ConnContext must not be set.
+// NewListener returns a listener that passes the connections of inner to a server. It sets
+// the server's ConnState and ConnContext, which must not be in use, and wraps its Handler.
 func NewListener(server *http.Server, inner net.Listener, limits Limits) *Listener {
 	l := &Listener{inner: inner, limits: limits, conns: make(chan net.Conn, limits.Total), closed: make(chan struct{})}
 	server.Handler = reportReturns(server.Handler)
@@ -49,11 +51,11 @@
 	return l
 }
 
-// Usage returns the number of requests that run and were read ahead, and that of bytes of answers
-// that wait for their turn.
+// Usage returns the number of requests that run ahead, and the number of bytes of responses
+// that wait for earlier ones.
 func (l *Listener) Usage() (requests, held int64) { return l.ahead.Load(), l.heldBytes.Load() }
 
-// accept takes connections of clients until the listener is closed.
+// accept accepts connections of clients until the listener is closed.
 func (l *Listener) accept() {
 	for {
 		c, err := l.inner.Accept()
@@ -69,8 +71,9 @@
 	}
 }
 
-// Accept implements net.Listener. Lanes that were handed over before the end are accepted: their
-// requests have been taken from their connections.
+// Accept implements net.Listener. Virtual connections that were dispatched before the
+// listener was closed are still accepted, since their requests have been taken from their
+// connections.
 func (l *Listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -85,7 +88,7 @@
 	}
 }
 
-// closeWith ends the listener.
+// closeWith closes the listener with the error that Accept returns.
 func (l *Listener) closeWith(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,8 +108,9 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.inner.Addr() }
 
-// dispatch gives a lane to the server. It reports false if there are too many, if answers that wait
-// for their turn take too much memory, or if the server takes no more connections.
+// dispatch passes a virtual connection to the server. It returns false if there are too
+// many, if the buffered responses are too large, or if the server accepts no more
+// connections.
 func (l *Listener) dispatch(c *virtualConn) bool {
 	if l.heldBytes.Load() > l.limits.HeldBytes || l.ahead.Load() >= int64(l.limits.Total) {
 		return false
@@ -125,16 +129,17 @@
 	}
 }
 
-// serverConn is a connection as the server sees it: that of a client, or a lane.
+// serverConn is a connection as the server sees it: that of a client, or a virtual
+// connection.
 type serverConn interface {
 	net.Conn
-	// start waits until the request that is served may run.
+	// start waits until the request that is being served may run.
 	start(ctx context.Context, idempotent bool) error
-	// clientGone tells whether the client has closed or reset its connection.
+	// clientGone reports whether the client has closed or reset its connection.
 	clientGone() bool
-	// handlerReturned takes in that the handler of the request has returned.
+	// handlerReturned records that the handler of the request has returned.
 	handlerReturned()
-	// responseWritten takes in that the answer is written.
+	// responseWritten records that the response is written.
 	responseWritten()
 }
 
@@ -155,8 +160,8 @@
 	}
 }
 
-// reportReturns has connections know which requests have been answered: the handler of one that
-// has not does not return, but panics.
+// reportReturns wraps a handler to notify the connection when the handler has returned. A
+// handler that does not answer its request panics instead.
 func reportReturns(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.ServeHTTP(w, r)
@@ -166,9 +171,10 @@
 	})
 }
 
-// AwaitStart waits until a request that a Handler serves may run: at once if it may be repeated and
-// all those ahead of it on its connection may be too, else when those have been answered. It has
-// to be called once the request's body is read. It fails when the request's client has left.
+// AwaitStart waits until the request of a Handler may run. That is immediately if this
+// request and all earlier ones on the connection are idempotent, and otherwise when the
+// earlier ones have been answered. It must be called after the request's body is read. It
+// returns an error if the client has disconnected.
 func AwaitStart(r *http.Request, idempotent bool) error {
 	c, ok := serverConnOf(r.Context())
 	if !ok {
@@ -177,8 +183,8 @@
 	return c.start(r.Context(), idempotent)
 }
 
-// ClientGone tells whether the client of a request has closed or reset its connection, also if the
-// server has not noticed it yet.
+// ClientGone reports whether the client of a request has closed or reset its connection,
+// even if the server has not noticed it yet.
 func ClientGone(r *http.Request) bool {
 	if r.Context().Err() != nil {
 		return true
--- a/pipelining/pipelining_test.go
+++ b/pipelining/pipelining_test.go
@@ -21,7 +21,7 @@
 	poll = time.Millisecond
 )
 
-// testServer is what became of the requests of a server whose handlers wait to be let go on.
+// testServer is a server whose handlers wait until the test lets them finish.
 type testServer struct {
 	t    *testing.T
 	addr string
@@ -30,17 +30,19 @@
 	listener *pipelining.Listener
 
 	mu sync.Mutex
-	// running are the requests whose handlers run, by path, with what lets them go on.
+	// running contains the paths of requests whose handlers run, with a channel that lets
+	// each finish.
 	running map[string]chan struct{}
-	// disconnected are those whose clients were found to have disconnected.
+	// disconnected contains the paths of requests whose clients were found to have
+	// disconnected.
 	disconnected map[string]bool
-	// seen are all requests in the order in which their handlers were called.
+	// seen contains all requests in the order in which their handlers were called.
 	seen []string
 }
 
-// newTestServer starts a server. A path that begins with "/once" may not be repeated, one that begins
-// with "/now" is answered at once, "/panic" ends without an answer, and "/close" is answered with
-// the end of the connection.
+// newTestServer starts a server. The beginning of a path determines how its requests are
+// handled: "/once" is not idempotent, "/now" is answered at once, "/panic" ends without a
+// response, and "/close" closes the connection after the response.
 func newTestServer(t *testing.T, limits pipelining.Limits) *testServer {
 	s := &testServer{t: t, running: make(map[string]chan struct{}), disconnected: make(map[string]bool)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -101,7 +103,7 @@
 	s.disconnected[path] = true
 }
 
-// runs tells whether the handlers of all these paths run.
+// runs reports whether the handlers of all these paths are running.
 func (s *testServer) runs(paths ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,7 +120,7 @@
 	require.Eventually(s.t, func() bool { return s.runs(paths...) }, wait, poll, paths)
 }
 
-// neverRuns checks that the handler of a path does not run for a while.
+// neverRuns checks that the handler of a path does not run within 50 ms.
 func (s *testServer) neverRuns(path string) {
 	s.t.Helper()
 	require.Never(s.t, func() bool { return s.runs(path) }, 50*time.Millisecond, poll)
@@ -177,7 +179,8 @@
 	require.NoError(c.t, err)
 }
 
-// expect reads the answers to some paths, and reports whether the last one ends the connection.
+// expect reads the responses to some paths, and reports whether the last one closes the
+// connection.
 func (c *client) expect(paths ...string) (closes bool) {
 	c.t.Helper()
 	for _, path := range paths {
@@ -191,7 +194,7 @@
 	return closes
 }
 
-// expectEnd checks that the connection ends, and that nothing comes before.
+// expectEnd checks that the connection ends without further bytes.
 func (c *client) expectEnd() {
 	c.t.Helper()
 	rest, err := io.ReadAll(c.reader)
@@ -213,7 +216,7 @@
 	c.expect("/now5")
 }
 
-// TestHeadsInPieces has every byte come by itself.
+// TestHeadsInPieces checks requests of which every byte arrives separately.
 func TestHeadsInPieces(t *testing.T) {
 	s := newTestServer(t, defaultLimits)
 	c := s.dial()
@@ -229,8 +232,8 @@
 	c.expect("/1", "/2", "/now3", "/4", "/5")
 }
 
-// TestNonIdempotentWaits checks that a request that may not be repeated waits for those ahead, and
-// those behind it for it.
+// TestNonIdempotentWaits checks that a non-idempotent request waits for the earlier ones,
+// and that later ones wait for it.
 func TestNonIdempotentWaits(t *testing.T) {
 	s := newTestServer(t, defaultLimits)
 	c := s.dial()
@@ -254,8 +257,8 @@
 	c.expect("/once4", "/5")
 }
 
-// TestBodiesWait checks that a request with a body waits for those ahead, and that what is behind
-// it is read from the right place.
+// TestBodiesWait checks that a request with a body waits for the earlier ones, and that the
+// next request is read from the right position.
 func TestBodiesWait(t *testing.T) {
 	for name, with := range map[string]func(path, body string) string{"length": post, "chunks": chunked} {
 		t.Run(name, func(t *testing.T) {
@@ -279,8 +282,8 @@
 	}
 }
 
-// TestExpectWaits checks that a client that waits to be told to send a body is told so once the
-// requests ahead have been answered.
+// TestExpectWaits checks that a client that waits for "100 Continue" gets it once the
+// earlier requests have been answered.
 func TestExpectWaits(t *testing.T) {
 	s := newTestServer(t, defaultLimits)
 	c := s.dial()
@@ -297,7 +300,8 @@
 	c.expect("/now2")
 }
 
-// TestMalformedHeadAfterValidRequests checks that the requests ahead of bytes that are none are answered.
+// TestMalformedHeadAfterValidRequests checks that the requests before a malformed one are
+// answered.
 func TestMalformedHeadAfterValidRequests(t *testing.T) {
 	s := newTestServer(t, defaultLimits)
 	c := s.dial()
@@ -311,7 +315,8 @@
 	require.False(t, s.runs("/3"))
 }
 
-// TestClientDisconnects checks that all requests of a client end when it leaves, whatever lies unread.
+// TestClientDisconnects guards against requests that go on after their client has
+// disconnected. All of them must end, whatever bytes are unread.
 func TestClientDisconnects(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		for name, behind := range map[string]string{
@@ -335,8 +340,8 @@
 	}
 }
 
-// TestClientDisconnectsAfterBody checks that a client is noticed to have left that has sent requests
-// behind one with a body.
+// TestClientDisconnectsAfterBody checks that a disconnect is noticed if the client has sent
+// requests behind one with a body.
 func TestClientDisconnectsAfterBody(t *testing.T) {
 	for name, with := range map[string]func(path, body string) string{"length": post, "chunks": chunked} {
 		t.Run(name, func(t *testing.T) {
@@ -352,7 +357,7 @@
 	}
 }
 
-// TestLimits checks the bounds on what runs side by side.
+// TestLimits checks the limits on concurrent requests.
 func TestLimits(t *testing.T) {
 	t.Run("connection", func(t *testing.T) {
 		s := newTestServer(t, pipelining.Limits{PerConn: 2, Total: 64, HeldBytes: 1 << 20})
@@ -396,7 +401,7 @@
 	})
 }
 
-// TestSlowReader has a client read its answers slowly.
+// TestSlowReader checks a client that reads its responses slowly.
 func TestSlowReader(t *testing.T) {
 	s := newTestServer(t, defaultLimits)
 	c := s.dial()
--- a/pipelining/queue.go
+++ b/pipelining/queue.go
@@ -1,28 +1,29 @@
 package pipelining
 
-// entry is the place of a request among those of its connection that have not been answered. It
-// is guarded by the mu of its connection.
+// entry is a request in the response queue of its connection. It is guarded by the mu of
+// the connection.
 type entry struct {
-	// exclusive requests run beside no others. Of those that may, started says that Start was called,
-	// and idempotent what it was told.
+	// exclusive requests never run concurrently with others. started is set when AwaitStart
+	// was called for the request, and idempotent is the argument of that call.
 	exclusive, started, idempotent bool
-	// handled says that the handler has returned, and done that the whole answer is written
-	// or that there will be none.
+	// handled is set when the handler has returned. done is set when the whole response is
+	// written, or when there will be none.
 	handled, done bool
-	// front is closed when all requests ahead have been answered, and aborted when this one
-	// will not be answered any more. Both are nil for a request that has none ahead.
+	// front is closed when all earlier requests have been answered, and aborted when this
+	// request will not be answered. Both are nil for a request that has no earlier ones.
 	front, aborted chan struct{}
 }
 
-// newEntry returns the turn of a request that may have others ahead.
+// newEntry returns the entry of a request that may have earlier ones.
 func newEntry() *entry {
 	return &entry{front: make(chan struct{}), aborted: make(chan struct{})}
 }
 
-// concurrent tells whether the request is known to be one that may run beside others.
+// concurrent reports whether the request is known to be one that may run concurrently with
+// others.
 func (e *entry) concurrent() bool { return e.started && e.idempotent && !e.exclusive }
 
-// abort has the request end without an answer.
+// abort ends the request without a response.
 func (e *entry) abort() {
 	if e.done {
 		return
@@ -33,14 +34,15 @@
 	}
 }
 
-// responseQueue are those of a connection, in the order of their requests.
+// responseQueue contains the unanswered requests of a connection, in request order.
 type responseQueue struct {
 	entries []*entry
-	// changed is closed when one of them has begun or ended, nil if nobody waits for that.
+	// changed is closed when the state of an entry changes. It is nil if no goroutine waits
+	// for that.
 	changed chan struct{}
 }
 
-// push puts a turn at the end.
+// push appends an entry.
 func (q *responseQueue) push(e *entry) {
 	q.entries = append(q.entries, e)
 	if len(q.entries) == 1 && e.front != nil {
@@ -48,13 +50,13 @@
 	}
 }
 
-// finish takes in that a request was answered.
+// finish records that a request was answered.
 func (q *responseQueue) finish(e *entry) {
 	e.done = true
 	q.popDone()
 }
 
-// popDone takes away the turns at the front that are done.
+// popDone removes the entries at the front that are done.
 func (q *responseQueue) popDone() {
 	ended := 0
 	for ended < len(q.entries) && q.entries[ended].done {
@@ -71,7 +73,7 @@
 	q.notify()
 }
 
-// abortFrom drops a turn and all behind it.
+// abortFrom aborts an entry and all later ones.
 func (q *responseQueue) abortFrom(e *entry) {
 	found := false
 	for _, other := range q.entries {
@@ -83,20 +85,21 @@
 	q.popDone()
 }
 
-// abortAll drops all turns.
+// abortAll aborts all entries.
 func (q *responseQueue) abortAll() {
 	if len(q.entries) > 0 {
 		q.abortFrom(q.entries[0])
 	}
 }
 
-// isLast tells whether there is none behind a turn.
+// isLast reports whether no entry follows e.
 func (q *responseQueue) isLast(e *entry) bool {
 	return len(q.entries) == 0 || q.entries[len(q.entries)-1] == e
 }
 
-// mayRun tells whether the request of a turn may run: beside those ahead if all of them may be
-// repeated, else only once they have been answered.
+// mayRun reports whether the request of an entry may run. It may run concurrently with the
+// earlier requests if all of them are idempotent, and otherwise once they have been
+// answered.
 func (q *responseQueue) mayRun(e *entry) bool {
 	for _, ahead := range q.entries {
 		if ahead == e {
@@ -110,7 +113,7 @@
 	return true
 }
 
-// notify wakes those who wait for a change.
+// notify wakes the goroutines that wait for a change.
 func (q *responseQueue) notify() {
 	if q.changed != nil {
 		close(q.changed)
@@ -118,7 +121,7 @@
 	}
 }
 
-// changes returns what is closed at the changes change.
+// changes returns a channel that is closed at the next change.
 func (q *responseQueue) changes() <-chan struct{} {
 	if q.changed == nil {
 		q.changed = make(chan struct{})
--- a/pipelining/virtual_conn.go
+++ b/pipelining/virtual_conn.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// virtualConn is a connection that holds one request, which was read ahead. What the server writes to it
-// goes to the client once all requests ahead have been answered.
+// virtualConn is a connection to the server that carries a single request, which was read
+// ahead. What the server writes to it goes to the client once all earlier requests have
+// been answered.
 type virtualConn struct {
 	conn  *conn
 	entry *entry
 
 	mu sync.Mutex
-	// head is what has not been read of the request.
+	// head is the part of the request that the server has not read.
 	head []byte
-	// expired is closed when the deadline of reads has passed, and timer closes it.
+	// expired is closed when the read deadline has passed. timer closes it.
 	expired chan struct{}
 	timer   *time.Timer
-	// writeDeadline is the deadline of writes. It holds from the lane's turn on.
+	// writeDeadline applies once all earlier requests have been answered.
 	writeDeadline time.Time
-	// heldBytes is the number of bytes of the answer that wait for the lane's turn.
+	// heldBytes is the size of the response while it waits for earlier ones.
 	heldBytes int64
 
 	closeOnce sync.Once
@@ -35,8 +36,8 @@
 	return &virtualConn{conn: c, entry: newEntry(), head: bytes.Clone(head), expired: make(chan struct{})}
 }
 
-// Read implements net.Conn. Behind the request it waits, as the server does for a client that
-// sends nothing, until the client has left or the answer is written.
+// Read implements net.Conn. After the request it blocks until the client has disconnected
+// or the response is written, as it would for a client that sends nothing.
 func (v *virtualConn) Read(p []byte) (int, error) {
 	v.mu.Lock()
 	n := copy(p, v.head)
@@ -57,6 +58,7 @@
 	}
 }
 
+// isDone reports whether the request has been answered or aborted.
 func (v *virtualConn) isDone() bool {
 	v.conn.mu.Lock()
 	defer v.conn.mu.Unlock()
@@ -75,7 +77,8 @@
 	return v.conn.write(v.entry, p)
 }
 
-// addHeld counts an answer as one that waits for its turn, if it does. Text is the beginning of it.
+// addHeld adds a response that waits for earlier ones to the listener's held bytes. Text is
+// the beginning of the response.
 func (v *virtualConn) addHeld(text []byte) {
 	select {
 	case <-v.entry.front:
@@ -90,7 +93,7 @@
 	}
 }
 
-// releaseHeld takes back what hold has counted, and has the deadline of writes hold.
+// releaseHeld subtracts what addHeld has added, and applies the write deadline.
 func (v *virtualConn) releaseHeld() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -103,8 +106,8 @@
 
 var lengthField = []byte("\r\nContent-Length: ")
 
-// responseLength returns the length in bytes that the head of an answer tells, or that of its
-// beginning if it tells none.
+// responseLength returns the content length that the head of a response states, or the
+// length of text if that is larger or the head states none.
 func responseLength(text []byte) int64 {
 	length := int64(len(text))
 	_, rest, ok := bytes.Cut(text, lengthField)
@@ -185,7 +188,7 @@
 	return nil
 }
 
-// closeIfOpen closes a channel that may be closed.
+// closeIfOpen closes a channel unless it is closed already.
 func closeIfOpen(ch chan struct{}) {
 	select {
 	case <-ch:
