--- a/gateway/departures.go
+++ b/gateway/departures.go
@@ -58,22 +58,22 @@
 
 // merge takes in what another instance has told, which is known to the others too, and returns
 // what is new.
-func (d *departures) merge(now time.Time, told availability.DepartureList) availability.DepartureList {
+func (d *departures) merge(now time.Time, received availability.DepartureList) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unsent = slices.DeleteFunc(d.unsent, func(own availability.Departure) bool {
-		return slices.ContainsFunc(told, func(other availability.Departure) bool { return other.ID == own.ID })
+		return slices.ContainsFunc(received, func(other availability.Departure) bool { return other.ID == own.ID })
 	})
-	return d.known.Merge(now, told)
+	return d.known.Merge(now, received)
 }
 
 // takeUnsent returns what the others are to be told.
 func (d *departures) takeUnsent() availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	untold := d.unsent
+	unsent := d.unsent
 	d.unsent = nil
-	return untold
+	return unsent
 }
 
 // checksum returns a number by which instances see that they do not know the same.
@@ -117,17 +117,17 @@
 // gossipDepartures tells all instances of the targets that said here that they leave.
 func (g *Gateway) gossipDepartures() {
 	now := g.clock.Now()
-	for told := range slices.Chunk(g.departures.takeUnsent(), maxGossipedDepartures) {
-		g.broadcast(now, peer.Gossip{Departures: told})
+	for batch := range slices.Chunk(g.departures.takeUnsent(), maxGossipedDepartures) {
+		g.broadcast(now, peer.Gossip{Departures: batch})
 	}
 }
 
 // receiveDepartures takes in which targets have said to other instances that they leave.
-func (g *Gateway) receiveDepartures(now time.Time, told availability.DepartureList) {
-	if len(told) == 0 {
+func (g *Gateway) receiveDepartures(now time.Time, received availability.DepartureList) {
+	if len(received) == 0 {
 		return
 	}
-	fresh := g.departures.merge(now, told)
+	fresh := g.departures.merge(now, received)
 	for _, target := range g.pools.applyDepartures(now, fresh, availability.SourcePeer) {
 		g.ignoreInterruptions(target)
 	}
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -95,9 +95,9 @@
 // probeMembers asks members of which nothing was heard for a while whether they are alive. One
 // that did not answer the last time is asked over a new connection: the open one may be
 // silent for good while the member is well. The caller holds mu.
-func (g *Gateway) probeMembers(doubtful []fleet.Member) {
-	probed := make(map[string]bool, len(doubtful))
-	for _, m := range doubtful {
+func (g *Gateway) probeMembers(unresponsive []fleet.Member) {
+	probed := make(map[string]bool, len(unresponsive))
+	for _, m := range unresponsive {
 		probed[m.Name] = true
 		if g.probed[m.Name] {
 			g.mesh.ReconnectBoth(m.PeerAddr)
@@ -268,7 +268,7 @@
 		g.reconnectTo(now, sender.PeerAddr)
 	}
 	ahead := g.comparePositions(now, sender, m.Positions)
-	outlived, behindItself := g.view.NewerHeartbeat(m.Heartbeats)
+	newer, newerKnown := g.view.NewerHeartbeat(m.Heartbeats)
 	var missed quarantine.Updates
 	var left availability.DepartureList
 	var limits availability.RateLimitList
@@ -277,12 +277,12 @@
 		left = g.departures.missing(now, m.DeparturesChecksum, g.rand.Uint64())
 		limits = g.targetLimits.missing(now, m.LimitsChecksum, g.rand.Uint64())
 	}
-	if (ahead || behindItself || m.NotReceiving || len(missed)+len(left)+len(limits) > 0) && !m.Reply {
+	if (ahead || newerKnown || m.NotReceiving || len(missed)+len(left)+len(limits) > 0) && !m.Reply {
 		reply := g.gossipMessage(now, sender.Region)
 		reply.Reply = true
 		reply.Quarantine, reply.Departures, reply.Limits = missed, left, limits
-		if behindItself {
-			reply.Heartbeats = append(reply.Heartbeats, outlived)
+		if newerKnown {
+			reply.Heartbeats = append(reply.Heartbeats, newer)
 		}
 		g.mesh.Send(sender.PeerAddr, reply)
 	}
--- a/gateway/quarantine_gossip.go
+++ b/gateway/quarantine_gossip.go
@@ -21,12 +21,12 @@
 // repeat a request within milliseconds, at any of them.
 func (g *Gateway) broadcastQuarantine(now time.Time, digests ...quarantine.Digest) {
 	g.quarantine.mu.Lock()
-	news := g.quarantine.table.Updates(now, digests...)
+	updates := g.quarantine.table.Updates(now, digests...)
 	g.quarantine.mu.Unlock()
-	if len(news) == 0 {
+	if len(updates) == 0 {
 		return
 	}
-	g.broadcast(now, peer.Gossip{Quarantine: news})
+	g.broadcast(now, peer.Gossip{Quarantine: updates})
 }
 
 // broadcast sends news to all instances.
@@ -71,15 +71,15 @@
 }
 
 // receiveQuarantine takes in what another instance knows of requests under which targets have ended.
-func (g *Gateway) receiveQuarantine(now time.Time, news quarantine.Updates) {
-	if len(news) == 0 {
+func (g *Gateway) receiveQuarantine(now time.Time, updates quarantine.Updates) {
+	if len(updates) == 0 {
 		return
 	}
 	g.quarantine.mu.Lock()
-	learned := g.quarantine.table.Merge(now, news)
+	changed := g.quarantine.table.Merge(now, updates)
 	g.quarantine.updateNonEmpty()
 	g.quarantine.mu.Unlock()
-	g.logSuspects(now, learned, "peer")
+	g.logSuspects(now, changed, "peer")
 }
 
 // quarantineChecksum returns a number by which instances see that they do not know the same.
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -126,8 +126,8 @@
 }
 
 // awaitKind waits until a kind is there, for a time at most.
-func (g *Gateway) awaitKind(ctx context.Context, kind feed.Kind, most time.Duration) {
-	end := g.clock.Now().Add(most)
+func (g *Gateway) awaitKind(ctx context.Context, kind feed.Kind, limit time.Duration) {
+	end := g.clock.Now().Add(limit)
 	for g.clock.Now().Before(end) && g.position(kind).IsZero() && pause.For(ctx, peerPollInterval) {
 	}
 }
@@ -168,8 +168,8 @@
 func (g *Gateway) registrationDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	most := min(time.Duration(g.view.Len())*registerSpacing, maxRegisterSpread)
-	return time.Duration(g.rand.Int64N(int64(most) + 1))
+	limit := min(time.Duration(g.view.Len())*registerSpacing, maxRegisterSpread)
+	return time.Duration(g.rand.Int64N(int64(limit) + 1))
 }
 
 // register puts the own member into the store unless it is there from an earlier process.
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -102,7 +102,7 @@
 
 // enterEra takes in that the store is in an era. When a new one has begun all pending watches are
 // given up: they wait for changes after revisions of the era before.
-func (w *watchState) enterEra(era int64) (before int64, begun bool) {
+func (w *watchState) enterEra(era int64) (before int64, entered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	before = w.era
@@ -145,12 +145,12 @@
 // setStoreUnreachable reports whether the state has changed. When the store is lost all pending
 // watches are given up: one whose answer was lost hears nothing more, even when the
 // store is back.
-func (w *watchState) setStoreUnreachable(deaf bool) bool {
+func (w *watchState) setStoreUnreachable(unreachable bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	changed := w.storeUnreachable != deaf
-	w.storeUnreachable = deaf
-	if changed && deaf {
+	changed := w.storeUnreachable != unreachable
+	w.storeUnreachable = unreachable
+	if changed && unreachable {
 		for _, cancel := range w.cancels {
 			cancel()
 		}
@@ -192,16 +192,16 @@
 func (w *watchState) cancelOutdated(now time.Time, watches bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	deaf := false
+	lagged := false
 	for kind, cancel := range w.cancels {
 		at, noted := w.missedAt[kind]
 		late := noted && now.Sub(at) >= missedChangeTimeout
 		if late || !watches {
 			cancel()
 		}
-		deaf = deaf || late
+		lagged = lagged || late
 	}
-	return deaf
+	return lagged
 }
 
 // position returns the position of the replica of a kind.
@@ -343,8 +343,8 @@
 
 // enterEra has the instance follow the store into an era of which a source tells.
 func (g *Gateway) enterEra(era int64, source string) {
-	before, begun := g.watch.enterEra(era)
-	if !begun {
+	before, entered := g.watch.enterEra(era)
+	if !entered {
 		return
 	}
 	if before == UnknownEra {
