--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -15,27 +15,29 @@
 	"github.com/rainford/rainford/table"
 )
 
-// sourceStore is the source of a delta that the own watch brought.
+// sourceStore is the source of a delta that this instance has read from the store.
 const sourceStore = "store"
 
-// sourceHoldExpired is the source of a change that was held back after an outage of the
-// store.
+// sourceHoldExpired is the source of a change that was held after an outage or a restore of the
+// store, and whose hold has ended.
 const sourceHoldExpired = "lapse"
 
-// provenance is where changes come from.
+// provenance describes where changes come from.
 type provenance struct {
-	// source is sourceStore, the peer address of the instance that sent them, or sourceLapse.
+	// source is sourceStore, the peer address of the instance that sent the changes, or
+	// sourceHoldExpired.
 	source string
-	// revision is that of the replica with them.
+	// revision is the revision of the replica after the changes.
 	revision int64
-	// restored says that they lead from what was held to what a store holds that came back from a
-	// copy: some are no changes that anybody has made.
+	// restored states that the changes lead to the contents of a store that was restored from
+	// a backup. Some of them undo writes that the backup lacks, and were made by no writer.
 	restored bool
 }
 
-// applyDelta applies a delta and puts its changes in force. Source is sourceStore or
-// the peer address of the instance that sent it. It reports whether the replica
-// now reflects the delta's end.
+// applyDelta applies a delta to the replica of its kind, applies the resulting changes to the
+// instance and pushes them to others. Source is sourceStore or the peer address of the instance
+// that sent the delta. The result is false if the replica does not reach the end of the delta,
+// because the delta leaves a gap or the kind is not replicated here.
 func (g *Gateway) applyDelta(d feed.Delta, source string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,7 +90,8 @@
 	return true
 }
 
-// onKindLoaded takes in that the first objects of a kind are in force. The caller holds mu.
+// onKindLoaded updates the state that depends on the first objects of a kind, after they have
+// been applied. The caller holds mu.
 func (g *Gateway) onKindLoaded(now time.Time, kind feed.Kind) {
 	switch kind {
 	case KindInstances:
@@ -100,7 +103,7 @@
 	}
 }
 
-// applyChanges makes changes count. The caller holds mu.
+// applyChanges puts changes of a kind in force. The caller holds mu.
 func (g *Gateway) applyChanges(now time.Time, kind feed.Kind, changes []feed.Change, from provenance) {
 	switch kind {
 	case KindConfig:
@@ -112,8 +115,8 @@
 	case KindEvacuations:
 		g.applyEvacuations(now, changes, from)
 	case KindTable:
-		// What releases held requests comes last: it counts for all that is told of them
-		// before.
+		// Releases of held requests are applied last, so that they cover all crashes that
+		// the other records hold.
 		slices.SortStableFunc(changes, func(a, b feed.Change) int { return cmp.Compare(releaseRank(a), releaseRank(b)) })
 		for _, c := range changes {
 			g.applyTable(c, from)
@@ -130,7 +133,7 @@
 	}
 }
 
-// applyEvacuations has halls be emptied or taken back. The caller holds mu.
+// applyEvacuations begins and ends evacuations of halls. The caller holds mu.
 func (g *Gateway) applyEvacuations(now time.Time, changes []feed.Change, from provenance) {
 	for _, c := range g.heldChanges[KindEvacuations].effective(now, changes, from.restored) {
 		g.evacuated[c.Name] = !c.Removed
@@ -143,8 +146,8 @@
 	g.scheduleHeldChanges(now, KindEvacuations)
 }
 
-// applyConfig puts a configuration in force unless it is older than the one
-// that is.
+// applyConfig puts a configuration in force if it is valid and its version is higher than that of
+// the current one. The caller holds mu.
 func (g *Gateway) applyConfig(c feed.Change, from provenance) {
 	if c.Removed {
 		return
@@ -170,9 +173,10 @@
 	g.log.Info(logConfig, "version", config.Version, "routes", len(config.Routes), "source", from.source, "revision", from.revision)
 }
 
-// applyTable puts the operators' table in force: their rows in place of the shares
-// computed from slots, and their drains. Other objects of the kind are not for
-// instances.
+// applyTable applies an object of KindTable. The rows of the operators' table replace the shares
+// that are computed from the targets' slots, and its drains are put in force. Records of the
+// quarantine are passed to applyStoredRecord. Other objects of the kind do not concern instances.
+// The caller holds mu.
 func (g *Gateway) applyTable(c feed.Change, from provenance) {
 	if strings.HasPrefix(c.Name, quarantine.StoredPrefix) {
 		g.applyStoredRecord(c, from)
@@ -194,7 +198,8 @@
 	g.log.Info(logTable, "number", doc.Number, "rows", len(doc.Table.Rows), "source", from.source, "revision", from.revision)
 }
 
-// applyInstances takes in changes of instances' entries. The caller holds mu.
+// applyInstances applies changes of instances' entries to the view of the fleet and to the
+// ownership of limits. The caller holds mu.
 func (g *Gateway) applyInstances(now time.Time, changes []feed.Change, from provenance) {
 	var named []fleet.Member
 	for _, c := range g.heldChanges[KindInstances].effective(now, changes, from.restored) {
@@ -211,7 +216,7 @@
 			err = g.checkInstance(c.Name, m)
 		}
 		if err != nil {
-			// Another writer has made it: what it replaced is no longer listed.
+			// A foreign writer has overwritten the entry, so the instance is no longer listed.
 			delete(g.registered, c.Name)
 			g.onInstanceRemoved(c.Name)
 			g.metrics.refusedEntries.Add(1, string(KindInstances), "entry")
@@ -228,14 +233,14 @@
 	g.scheduleHeldChanges(now, KindInstances)
 }
 
-// checkInstance tells why the entry of an instance can't be one that an instance has made.
+// checkInstance returns an error if an entry cannot have been written by the instance of its name.
 func (g *Gateway) checkInstance(name string, m fleet.Member) error {
 	_, hall := g.config.RegionOf[m.Hall]
 	switch {
 	case m.Name != name:
-		return &catalog.EntryError{Field: "name", Problem: "is not that of the object"}
+		return &catalog.EntryError{Field: "name", Problem: "differs from the name of the object"}
 	case !hall || g.config.RegionOf[m.Hall] != m.Region:
-		return &catalog.EntryError{Field: "hall", Problem: "is not one of the settings, or in another region"}
+		return &catalog.EntryError{Field: "hall", Problem: "is not in the settings, or belongs to another region there"}
 	case m.PeerAddr == "" || m.FrontAddr == "":
 		return &catalog.EntryError{Field: "address", Problem: "is missing"}
 	default:
@@ -243,9 +248,10 @@
 	}
 }
 
-// updateInstanceShares divides what all instances share anew. One that has not read which instances there are
-// has no part: those that it happens to know are fewer than the others divide by, and the parts
-// would add up to more than there is. The caller holds mu.
+// updateInstanceShares divides the quotas that all instances share by the current number of
+// instances. An instance that has not read the list of instances takes no share. It would divide
+// by fewer instances than the others do, and the shares would add up to more than the quota. The
+// caller holds mu.
 func (g *Gateway) updateInstanceShares(now time.Time) {
 	if g.replicas[KindInstances].Position().IsZero() {
 		return
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -13,61 +13,61 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Config are the settings of an instance.
+// Config holds the settings of an instance.
 type Config struct {
 	Name, Hall, Region string
 	// RegionOf maps each hall to its region.
 	RegionOf map[string]string
-	// Listen takes requests of clients, LookupListen their look-ups,
-	// ReadyListen the platform's readiness checks, PeerListen messages of
-	// other instances and AdminListen operators. All are IP:PORT.
+	// Listen is the address for requests of clients, LookupListen for their look-ups,
+	// ReadyListen for the platform's readiness checks, PeerListen for messages of
+	// other instances and AdminListen for operators. All have the form IP:PORT.
 	Listen, LookupListen, ReadyListen, PeerListen, AdminListen string
-	// AdvertiseFront and AdvertisePeer are the addresses that others are told
-	// of instead of Listen and PeerListen, where something stands before them.
+	// AdvertiseFront and AdvertisePeer are published in place of Listen and PeerListen
+	// if they are set, for instances behind a proxy or an address translation.
 	AdvertiseFront, AdvertisePeer string
-	// Seeds are peer addresses to try before any instance is known.
+	// Seeds are the peer addresses that are contacted before any other instance is known.
 	Seeds []string
 
-	// FirstStart says that the whole system starts for the first time, so that
-	// nobody has anything yet and there is time.
+	// FirstStart states that the whole system starts for the first time. No instance holds
+	// any objects then, and there are no clients yet that a wait would delay.
 	FirstStart bool
 
-	// ForgetAfter is how long an instance may be silent before its entry in the store is
-	// removed.
+	// ForgetAfter is the time without a heartbeat after which the entry of an instance is
+	// removed from the store.
 	ForgetAfter time.Duration
 
-	// Grace is how long a planned stop may take.
+	// Grace bounds the duration of a planned stop.
 	Grace time.Duration
-	// LookupTTL is how long clients may keep a look-up.
+	// LookupTTL is the TTL of look-up responses at the clients.
 	LookupTTL time.Duration
-	// RetryRatio and RetrySlack bound the repeats of all instances together:
-	// the ratio of the requests, plus the slack, in a window.
+	// RetryRatio and RetrySlack bound the retries of all instances together. In a window
+	// there are at most RetryRatio times as many retries as requests, plus RetrySlack.
 	RetryRatio, RetrySlack float64
-	// ShiftMost is the largest part of a region's requests that may change
-	// the region that runs them within ShiftWindow.
+	// ShiftMost is the largest fraction of a region's requests that may move to another
+	// region within shiftWindow.
 	ShiftMost float64
-	// Limits is what is promised of the limits of client accounts.
+	// Limits bounds by how much the requests of a client account may exceed its limit.
 	Limits ratelimit.Bound
-	// Rollouts is what is promised of versions that are brought in by order and turn out to be bad.
-	// Where its share is 0 there are no such orders, and all versions get requests alike.
+	// Rollouts bounds the requests that a bad new version may receive during its rollout.
+	// If its share is 0, there are no rollout orders, and all versions receive requests alike.
 	Rollouts rollout.ExposureBound
-	// DefaultDeadline is the deadline of a request that gives none.
+	// DefaultDeadline is the time allowed for a request that does not state any.
 	DefaultDeadline time.Duration
 
-	// LogSample is one in how many ordinary successes is logged, 0 for none.
+	// LogSample logs one in so many ordinary successful requests, or none if it is 0.
 	LogSample int
 
-	// Clock tells the times by which everything is judged that lapses; nil for one that
-	// does not count suspensions of the machine.
+	// Clock provides the time for all expiries and time-outs. If it is nil, suspensions of
+	// the machine are not counted.
 	Clock *clock.Clock
 
 	Log *slog.Logger
 }
 
-// shiftWindow is the window of Config.ShiftMost.
+// shiftWindow is the window of time in which Config.ShiftMost holds.
 const shiftWindow = 2 * time.Second
 
-// Defaults returns the settings that have defaults.
+// Defaults returns a Config in which each setting that has a default has its default.
 func Defaults() Config {
 	return Config{
 		ForgetAfter:     10 * time.Minute,
@@ -82,7 +82,7 @@
 	}
 }
 
-// Check returns what is wrong with the settings, all together.
+// Check returns all faults of the settings, or nil if there are none.
 func (c *Config) Check() table.Findings {
 	var findings table.Findings
 	add := func(field, message string) {
@@ -94,7 +94,7 @@
 		}
 	}
 	if c.Hall != "" && c.RegionOf[c.Hall] != c.Region {
-		add("halls", "does not give "+c.Hall+" the region "+c.Region)
+		add("halls", "do not assign hall "+c.Hall+" to region "+c.Region)
 	}
 	for _, named := range []setting{
 		{"listen", c.Listen}, {"lookup-listen", c.LookupListen}, {"ready-listen", c.ReadyListen},
@@ -148,10 +148,10 @@
 	return findings
 }
 
-// rolloutsEnabled tells whether new versions of services are brought in by order.
+// rolloutsEnabled reports whether new versions of services are rolled out by orders.
 func (c *Config) rolloutsEnabled() bool { return c.Rollouts.Share > 0 }
 
-// setting is a setting with its name.
+// setting is the value of a setting, with the name by which findings refer to it.
 type setting struct{ field, value string }
 
 func checkAddr(addr string) error {
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -5,17 +5,18 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// isUrgent tells whether the changes of a kind are few and have to be in force
-// everywhere soon. They are pushed on every way. Those of other kinds are pushed by
-// one watcher to its own region, however it came to know them, since other regions have
-// watchers of their own; what is lost on the way is made up by gossip.
+// isUrgent reports whether changes of a kind are rare and have to be in force at all instances
+// soon. Every watcher pushes them to its region, and those that it reads from the store also to
+// the watchers of other regions. Changes of other kinds are pushed by the first watcher of a
+// region only, and to its own region only, since other regions have their own watchers. Gossip
+// repairs the losses of messages.
 func isUrgent(kind feed.Kind) bool {
 	return kind == KindConfig || kind == KindEvacuations || kind == KindTable || kind == KindRollouts
 }
 
-// pushDelta sends a delta to the instances that this one is the source of: those of its
-// region, by way of a few of them, and for urgent kinds the watchers of others. The caller
-// holds mu.
+// pushDelta pushes a delta along the broadcast tree of the region, if this instance is
+// responsible for that. A delta of an urgent kind that comes from the store is also sent to the
+// watchers of other regions. See isUrgent. The caller holds mu.
 func (g *Gateway) pushDelta(d feed.Delta, source string) {
 	now := g.clock.Now()
 	fromStore := source == sourceStore
@@ -42,8 +43,8 @@
 	}
 }
 
-// receiveDelta passes a delta on to those that the sender has left to this instance, and
-// takes it in.
+// receiveDelta relays a delta along the broadcast tree and applies it. If the delta leaves a gap,
+// the missing changes are requested.
 func (g *Gateway) receiveDelta(from string, m *peer.Delta) {
 	g.relayDelta(m)
 	delta, err := m.Unpack()
@@ -57,7 +58,8 @@
 	}
 }
 
-// relayDelta passes a delta on if its sender asks for it.
+// relayDelta sends a delta to the next instances of the broadcast tree, if it is part of a
+// broadcast.
 func (g *Gateway) relayDelta(m *peer.Delta) {
 	if !m.Relay {
 		return
@@ -69,8 +71,8 @@
 	}
 }
 
-// requestAfterGap asks for what is missing before a delta that left a gap, the instance that sent it
-// first.
+// requestAfterGap requests the changes that are missing before a delta that leaves a gap. The
+// sender of the delta is the first source.
 func (g *Gateway) requestAfterGap(from string, d feed.Delta) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -84,7 +86,8 @@
 	g.sendDeltaRequest(now, d.Kind)
 }
 
-// inheritRemovalHold has removals held back as long as the sender of the delta does.
+// inheritRemovalHold holds the removals of targets for at least as long as the sender of the
+// delta does.
 func (g *Gateway) inheritRemovalHold(m *peer.Delta) {
 	if m.Kind != KindTargets || m.RemovalHold <= 0 {
 		return
@@ -94,8 +97,8 @@
 	g.heldChanges[KindTargets].removals.Inherit(g.clock.Now(), m.RemovalHold)
 }
 
-// handleDeltaRequest sends the changes that another instance asks for, at once or when this instance
-// has them itself.
+// handleDeltaRequest sends the changes that another instance has requested. If this instance has
+// no objects of the kind yet, the request is kept until it has some.
 func (g *Gateway) handleDeltaRequest(m *peer.DeltaRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -109,8 +112,8 @@
 	}
 }
 
-// answerPendingDeltaRequests answers those that have asked for a kind before this instance had it. The
-// caller holds mu.
+// answerPendingDeltaRequests replies to the delta requests that were kept until this instance had
+// objects of the kind. The caller holds mu.
 func (g *Gateway) answerPendingDeltaRequests(kind feed.Kind) {
 	for _, m := range g.pendingDeltaRequests[kind] {
 		g.sendDelta(g.replicas[kind], m)
@@ -118,7 +121,7 @@
 	delete(g.pendingDeltaRequests, kind)
 }
 
-// sendDelta sends the changes that another instance asks for. The caller holds mu.
+// sendDelta replies to a delta request. The caller holds mu.
 func (g *Gateway) sendDelta(replica *feed.Replica, m *peer.DeltaRequest) {
 	answer, err := g.deltaCache.message(replica, m)
 	if err != nil {
@@ -129,11 +132,11 @@
 	g.mesh.Send(m.ReplyTo, &answer)
 }
 
-// deltaCache keep the last delta that was packed of each kind: many instances that start
-// together ask for the same one.
+// deltaCache holds the last packed delta of each kind, since many instances that start at the
+// same time request the same delta.
 type deltaCache map[feed.Kind]cachedDelta
 
-// cachedDelta is a delta from one state to another.
+// cachedDelta is a packed delta with the states that it leads from and to.
 type cachedDelta struct {
 	from    feed.Position
 	digest  uint64
@@ -141,7 +144,7 @@
 	message *peer.Delta
 }
 
-// message returns the message that leads from what an asker holds to what the replica does.
+// message returns the delta from the state of the requesting instance to that of the replica.
 func (a deltaCache) message(replica *feed.Replica, m *peer.DeltaRequest) (peer.Delta, error) {
 	held, ok := a[m.Kind]
 	if !ok || held.from != m.Position || held.digest != m.Digest || held.to != replica.Position() {
--- a/gateway/departures.go
+++ b/gateway/departures.go
@@ -11,31 +11,34 @@
 )
 
 const (
-	// departureGossipDelay is the longest time for which departures are collected before all
-	// instances are told. Several instances hear of one in the same moment; each waits for
-	// a drawn time, and what it is told meanwhile it need not tell. It is a tenth of the
-	// time within which all are to know.
+	// departureGossipDelay bounds the random delay after which a departure is broadcast.
+	// Several instances receive the announcement of a target at about the same time. Because
+	// of the random delay the first one broadcasts it, and the others drop it from their own
+	// broadcasts. The bound is a tenth of the time within which all instances have to know of
+	// a departure.
 	departureGossipDelay = 100 * time.Millisecond
-	// maxGossipedDepartures bounds the departures in a message: less than 700 bytes.
+	// maxGossipedDepartures bounds the departures in a message, to less than 700 bytes.
 	maxGossipedDepartures = 64
 )
 
-// departures keep which targets have said themselves that they leave. It is safe for concurrent
-// use.
+// departures holds the targets that have announced their planned shutdown themselves. It is safe
+// for concurrent use.
 type departures struct {
 	mu    sync.Mutex
 	known availability.Departures
-	// unsent are those heard from targets here of which the others are not told yet.
+	// unsent are the departures that targets have announced to this instance and that have
+	// not been broadcast yet.
 	unsent availability.DepartureList
 }
 
+// expire drops the departures whose TTL is over.
 func (d *departures) expire(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.known.Expire(now)
 }
 
-// has tells whether a target has said that it leaves.
+// has reports whether a target has announced its departure.
 func (d *departures) has(target string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,8 +46,8 @@
 	return ok
 }
 
-// add takes in that a target has said to this instance that it leaves. It reports whether that
-// is new, and whether it is the first of which the others have to be told.
+// add records a departure that a target has announced to this instance. Fresh reports whether it
+// was unknown, and first whether it is the only one to broadcast so far.
 func (d *departures) add(now time.Time, target string) (fresh, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,8 +59,8 @@
 	return true, len(d.unsent) == 1
 }
 
-// merge takes in what another instance has told, which is known to the others too, and returns
-// what is new.
+// merge records departures that another instance has sent, and returns those that were unknown.
+// They need no broadcast by this instance, since the sender has sent them to the others too.
 func (d *departures) merge(now time.Time, received availability.DepartureList) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +70,7 @@
 	return d.known.Merge(now, received)
 }
 
-// takeUnsent returns what the others are to be told.
+// takeUnsent returns the departures to broadcast, and counts them as sent.
 func (d *departures) takeUnsent() availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,14 +79,16 @@
 	return unsent
 }
 
-// checksum returns a number by which instances see that they do not know the same.
+// checksum returns a checksum of the departures, by which instances detect that they do not hold
+// the same ones.
 func (d *departures) checksum(now time.Time) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.known.Checksum(now)
 }
 
-// missing returns what to tell an instance that does not know the same.
+// missing returns departures for an instance whose checksum is sum, or nil if it holds the same
+// ones. The salt selects which ones if there are more than fit into a message.
 func (d *departures) missing(now time.Time, sum uint32, salt uint64) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,15 +98,16 @@
 	return d.known.Sample(now, maxGossipedDepartures, salt)
 }
 
-// all returns all departures that are told to others.
+// all returns all departures that are still gossiped.
 func (d *departures) all(now time.Time) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.known.Sample(now, d.known.Len(), 0)
 }
 
-// recordDeparture takes in that a target has said to this instance that it leaves, and has all
-// instances know: the store may be away, or know of it late.
+// recordDeparture records a departure that a target has announced to this instance, and schedules
+// its broadcast. The other instances may learn of it from the store only late, or not at all
+// while the store is unreachable.
 func (g *Gateway) recordDeparture(target string) {
 	now := g.clock.Now()
 	fresh, first := g.departures.add(now, target)
@@ -114,7 +120,7 @@
 	}
 }
 
-// gossipDepartures tells all instances of the targets that said here that they leave.
+// gossipDepartures broadcasts the departures that targets have announced to this instance.
 func (g *Gateway) gossipDepartures() {
 	now := g.clock.Now()
 	for batch := range slices.Chunk(g.departures.takeUnsent(), maxGossipedDepartures) {
@@ -122,7 +128,7 @@
 	}
 }
 
-// receiveDepartures takes in which targets have said to other instances that they leave.
+// receiveDepartures applies departures that another instance has sent.
 func (g *Gateway) receiveDepartures(now time.Time, received availability.DepartureList) {
 	if len(received) == 0 {
 		return
@@ -133,8 +139,8 @@
 	}
 }
 
-// ignoreInterruptions takes in that a target leaves: what it breaks off is no sign that requests end
-// targets.
+// ignoreInterruptions excludes a leaving target from the crash correlation. The connections that
+// it closes during its planned shutdown are no sign that a request crashes targets.
 func (g *Gateway) ignoreInterruptions(target string) {
 	if !g.quarantine.nonEmpty.Load() {
 		return
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,11 +1,26 @@
-// Package gateway wires one instance that stands between clients and targets on
-// machines whose platform is a store of objects. The deciding parts are in
-// packages catalog (routes), locality (regions), upstream (targets), warmup,
-// retry, feed (changes) and fleet (members); this package gives them time, locks
-// and connections.
-//
-// The way of a request: serve.go reads it and finds its route, attempt.go sends
-// it to targets until one answers or it is given up, pools.go holds the targets
-// of each service. The way of a change: watch.go reads it from the store, or
-// gossip.go takes it from another instance, and apply.go puts it in force.
+// Package gateway implements one instance: a reverse proxy that accepts the requests of
+// clients and forwards each of them to a target of the service that its route names. The
+// instances of a site share no component but the platform's store of objects, which holds
+// their configuration and the entries of targets and instances.
+//
+// The decisions are made in packages that perform no I/O, among them catalog (routes),
+// locality (regions), upstream (targets), warmup (slow start), retry (retry budgets),
+// quarantine (requests that crash targets), ratelimit (limits of client accounts), rollout
+// (canary analysis), feed (replication) and fleet (membership). This package provides them
+// with time, locks and connections.
+//
+// A request passes through these files: serve.go reads it and finds its route, attempt.go
+// sends it to targets until one responds or no attempt is left, and pools.go holds the
+// targets of each service.
+//
+// A change of an object passes through these files: watch.go reads it from the store, or
+// gossip.go and delta.go receive it from another instance, and apply.go applies it. Each
+// instance holds a replica of every kind of object, at a position in the history of the
+// store. A delta carries the changes between two positions. A watcher is an instance that
+// watches the store on behalf of its region; it pushes the changes to the others. An instance
+// that has missed a change learns from gossip that it is behind, and sends a delta request.
+//
+// The store begins a new era when it is restored from a backup. The changes that the backup
+// lacks are lost. Until their writers have had the time to write them again, the instances
+// hold the effect of such a loss, and they write their own objects again themselves.
 package gateway
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -12,32 +12,35 @@
 )
 
 const (
-	// introduceFor is the time from its start on for which an instance introduces
-	// itself in all its messages, and introduceEvery the number of rounds between
-	// two introductions later: most others know it from the store or from the first
-	// time, and those of a hall that was cut off until then learn of it late.
+	// introduceFor is the time after its start during which an instance includes its own
+	// member record in all its gossip. introduceEvery is the number of rounds from one such
+	// message to the next after that time. By then most instances know the member from the
+	// store or from earlier messages, except for those that were partitioned.
 	introduceFor   = 10 * time.Second
 	introduceEvery = 8
-	// maxTargetReports bounds the loads of busy targets in a message: 150 bytes, less than
-	// a fifth of the message.
+	// maxTargetReports bounds the reports of overloaded targets in a message, to 150 bytes,
+	// which is less than a fifth of the message.
 	maxTargetReports = 24
-	// heartbeatsExpectedAfter is how long after its start an instance takes it that it should hear the
-	// others: by then each has sent it several messages.
+	// heartbeatsExpectedAfter is the time after its start from which an instance expects
+	// heartbeats of all others. By then each of them has sent it several messages.
 	heartbeatsExpectedAfter = 4 * fleet.RoundTime
-	// pauseThreshold is how long an instance may stand still, frozen or suspended, before it asks
-	// all others at once for what it missed: they take it for gone by then.
+	// pauseThreshold is the pause of the process, frozen or suspended, after which its next
+	// round of gossip goes to all instances, to learn what it has missed. The other instances
+	// suspect it by then.
 	pauseThreshold = 4 * fleet.RoundTime
-	// reconnectInterval is the least time between two connections to an instance that does not
-	// hear this one, for what is on the way to it over the first.
+	// reconnectInterval is the least time between two reconnections to an instance that does
+	// not receive the messages of this one. Messages over the new connection need this time
+	// to take effect.
 	reconnectInterval = time.Second
-	// localRequestDelay and askFarAfter are how long a watcher's push may take before an
-	// instance asks one of its own or of another region.
+	// localRequestDelay and remoteRequestDelay are the times for which an instance that is
+	// behind waits for the push of a watcher, before it sends a delta request to an instance
+	// of its own region or of another region.
 	localRequestDelay  = 700 * time.Millisecond
 	remoteRequestDelay = 1400 * time.Millisecond
 )
 
-// gossipLoop tells others what this instance knows of the fleet and how far its
-// replicas are.
+// gossipLoop sends a round of gossip every fleet.RoundTime. The messages carry heartbeats of the
+// fleet and the positions of the own replicas.
 func (g *Gateway) gossipLoop(ctx context.Context) {
 	ticker := time.NewTicker(fleet.RoundTime)
 	defer ticker.Stop()
@@ -58,7 +61,8 @@
 	}
 }
 
-// gossip sends one round, to all that are alive if wide is set.
+// gossip sends one round of gossip: to all living members if wide is set, and otherwise to the
+// partners of this round. If there are none, it goes to the seeds.
 func (g *Gateway) gossip(now time.Time, wide bool) {
 	g.updateEra()
 	g.mu.Lock()
@@ -67,7 +71,7 @@
 	g.watch.setWatching(watches)
 	g.logMemberChanges(now, watches)
 	if g.watch.cancelOutdated(now, watches) && g.watch.setStoreUnreachable(true) {
-		g.log.Warn(logStoreLost, "error", "others hear changes that the own watch does not bring")
+		g.log.Warn(logStoreLost, "error", "other instances receive changes that the own watch does not return")
 	}
 	g.view.SetFlags(g.flags())
 	g.view.AdvanceHeartbeat(now)
@@ -92,9 +96,9 @@
 	}
 }
 
-// probeMembers asks members of which nothing was heard for a while whether they are alive. One
-// that did not answer the last time is asked over a new connection: the open one may be
-// silent for good while the member is well. The caller holds mu.
+// probeMembers sends probes to members without recent heartbeats. If a member did not reply to
+// the previous probe, both directions are reconnected instead, because the open connections may
+// drop all packets without an error while the member is alive. The caller holds mu.
 func (g *Gateway) probeMembers(unresponsive []fleet.Member) {
 	probed := make(map[string]bool, len(unresponsive))
 	for _, m := range unresponsive {
@@ -108,7 +112,7 @@
 	g.probed = probed
 }
 
-// gossipMessage returns what this instance tells one of a region. The caller holds mu.
+// gossipMessage returns the gossip for an instance of the given region. The caller holds mu.
 func (g *Gateway) gossipMessage(now time.Time, region string) *peer.Gossip {
 	m := &peer.Gossip{Heartbeats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), QuarantineChecksum: g.quarantineChecksum(), DeparturesChecksum: g.departures.checksum(now), LimitsChecksum: g.targetLimits.checksum(now)}
 	for _, kind := range g.kinds {
@@ -121,6 +125,7 @@
 	return m
 }
 
+// flags returns the flags of the own heartbeat.
 func (g *Gateway) flags() fleet.Flags {
 	var flags fleet.Flags
 	if g.isReady() {
@@ -138,7 +143,8 @@
 	return flags
 }
 
-// partners returns the members that a round goes to. The caller holds mu.
+// partners returns the members that a round of gossip goes to: all that are alive or stopping if
+// wide is set. The caller holds mu.
 func (g *Gateway) partners(now time.Time, wide bool) []fleet.Member {
 	if !wide {
 		return g.view.Partners(now, g.rand)
@@ -178,7 +184,8 @@
 	}
 }
 
-// answerProbe tells an instance that doubts it that this one is alive.
+// answerProbe replies to a probe with a new heartbeat of this instance. If the sender does not
+// receive the messages of this instance, it also reconnects.
 func (g *Gateway) answerProbe(m *peer.Probe) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -190,11 +197,11 @@
 	g.mesh.Send(m.ReplyTo, &peer.Gossip{Heartbeats: fleet.Heartbeats{g.view.OwnHeartbeat()}, Reply: true})
 }
 
-// reconnectTo opens another connection to an instance that says that it does not hear this one.
-// The open one may be silent for good without a sign of it on this side: something on the way
-// still acknowledges what is sent. Only the instance that does not hear can tell; where it
-// does not, one whose connections from others fall silent hears nobody for as long as it runs
-// (TestHeardAgain). The caller holds mu.
+// reconnectTo replaces the connection to an instance that reports that it does not receive the
+// messages of this one. The open connection may drop all packets without an error on this side,
+// if something on the path still acknowledges them. Only the receiver can detect this. Without its
+// report, an instance whose incoming connections have failed in this way would receive nothing
+// for as long as it runs, see TestReconnectsAfterSilentConnections. The caller holds mu.
 func (g *Gateway) reconnectTo(now time.Time, addr string) {
 	if now.Sub(g.reconnectedAt[addr]) < reconnectInterval {
 		return
@@ -204,14 +211,16 @@
 	g.log.Info(logNotReceivedByPeer, "addr", addr)
 }
 
-// Unreachable implements peer.Receiver.
+// Unreachable implements peer.Receiver. Addr is the peer address of an instance to which no
+// connection can be opened.
 func (g *Gateway) Unreachable(addr string) {
 	g.markRefused(addr)
 	g.accountPermits.ownerUnreachable(addr)
 	g.pools.ownerUnreachable(g.clock.Now(), g.targetLimitOwner.instanceAt(addr))
 }
 
-// receivePermitRequest answers a question for permits of an account's or a target's limit.
+// receivePermitRequest handles a request for permits under the limit of a client account or of a
+// target.
 func (g *Gateway) receivePermitRequest(m *peer.PermitRequest) {
 	if m.ForTarget {
 		g.receiveTargetPermitRequest(m)
@@ -220,7 +229,7 @@
 	g.accountPermits.receiveRequest(m)
 }
 
-// receivePermitGrant takes in the answer to such a question.
+// receivePermitGrant handles the reply to a permit request.
 func (g *Gateway) receivePermitGrant(m *peer.PermitGrant) {
 	if m.ForTarget {
 		g.receiveTargetPermitGrant(m)
@@ -229,14 +238,15 @@
 	g.accountPermits.receiveGrant(m)
 }
 
+// markRefused records that a connection to a peer address was refused.
 func (g *Gateway) markRefused(addr string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.view.MarkRefused(g.clock.Now(), addr)
 }
 
-// receiveGossip takes in gossip and asks for what the sender is ahead with. A sender that is
-// behind is told so, and will ask.
+// receiveGossip applies gossip. It sends delta requests for the kinds in which the sender is ahead.
+// If the sender is behind, it replies with the own positions, and the sender sends delta requests.
 func (g *Gateway) receiveGossip(m *peer.Gossip) {
 	if len(m.Heartbeats) == 0 {
 		return
@@ -261,7 +271,7 @@
 	}
 	sender, ok := g.view.Member(m.Heartbeats[0].Member)
 	if !ok {
-		// It introduces itself before long.
+		// The sender will soon include its member record, see introduceEvery.
 		return
 	}
 	if m.NotReceiving {
@@ -291,9 +301,10 @@
 	}
 }
 
-// comparePositions holds the positions of another instance against the own ones. It notes the kinds
-// with which the other is ahead, and tells whether it has to be told that it is behind. The
-// caller holds mu.
+// comparePositions compares the positions of the sender's replicas with the own ones. It registers
+// the sender as a source for the kinds in which it is ahead. It reports whether this instance is
+// ahead in a kind for which the sender needs a reply: an urgent one, or one that it lacks
+// altogether. The caller holds mu.
 func (g *Gateway) comparePositions(now time.Time, sender fleet.Member, positions []feed.Position) (ahead bool) {
 	for i, kind := range g.kinds {
 		if i >= len(positions) {
@@ -314,11 +325,15 @@
 	return ahead
 }
 
-// requestDelay is how long a replica, which holds something or not, may be behind before an instance, which is
-// near or not, is asked for what is missing: not at all if the kind is urgent, until the own
-// first read had its time if the replica holds nothing and the instance is near, and else as
-// long as a push may take. That is longer while a watcher of the own region may be about to
-// push, for which a watcher does not wait: its own watch would have told it.
+// requestDelay returns how long a replica may be behind before a delta request is sent to an
+// instance that is ahead. Held states whether the replica has any objects, and near whether that
+// instance belongs to the own region.
+//
+// There is no delay for urgent kinds. A replica without objects waits for the own first read, if
+// the other instance is near, but not at the first start of the system. Otherwise the delay is
+// the time that a push may take. This time is longer for an instance of another region, because a
+// watcher of the own region may be about to push the changes. A watcher does not wait that long,
+// since its own watch would have returned the changes.
 func (g *Gateway) requestDelay(now time.Time, kind feed.Kind, held, near bool) time.Duration {
 	switch {
 	case isUrgent(kind):
@@ -334,8 +349,8 @@
 	}
 }
 
-// sendDeltaRequest asks an instance that is ahead with a kind for the changes since the own revision, if
-// it is time. The caller holds mu.
+// sendDeltaRequest sends a delta request for a kind to an instance that is ahead, if one is due.
+// If the previous request has had no reply, this is logged and counted. The caller holds mu.
 func (g *Gateway) sendDeltaRequest(now time.Time, kind feed.Kind) {
 	at := g.replicas[kind].Position()
 	last, open := g.catchUp[kind].Pending()
--- a/gateway/interfaces.go
+++ b/gateway/interfaces.go
@@ -19,20 +19,19 @@
 	KindTargets     feed.Kind = "targets"
 	KindEvacuations feed.Kind = "evacuations"
 	KindInstances   feed.Kind = "instances"
-	// KindTable holds the product's own objects, the operators' table among
-	// them.
+	// KindTable covers rainford's own objects: the operators' routing table and the
+	// records of the quarantine.
 	KindTable feed.Kind = "table"
-	// KindRollouts are the orders to bring in new versions of services, with what has become of
-	// them.
+	// KindRollouts covers the rollout orders of services, with their states.
 	KindRollouts feed.Kind = "rollouts"
 )
 
-// kinds are the kinds that every instance replicates, in the order in which they are read at the
-// start.
+// kinds are the kinds that every instance replicates, in the order of their positions in gossip
+// messages.
 var kinds = []feed.Kind{KindConfig, KindTargets, KindEvacuations, KindInstances, KindTable}
 
-// kindsOf returns the kinds that an instance with the settings replicates. Where versions are brought
-// in by order the orders are one more, and come last, as in messages.
+// kindsOf returns the kinds that an instance with the given settings replicates. If rollouts are
+// enabled, KindRollouts is added as the last one, as in gossip messages.
 func kindsOf(c Config) []feed.Kind {
 	if !c.rolloutsEnabled() {
 		return kinds
@@ -40,56 +39,60 @@
 	return append(slices.Clone(kinds), KindRollouts)
 }
 
-// ErrHistoryGone means that the store no longer has the changes after a
-// position, so that the kind has to be listed again.
+// ErrHistoryGone is returned by a watch if the store no longer has the changes after the
+// requested position. The kind has to be listed again.
 var ErrHistoryGone = errors.New("gateway: history gone")
 
-// UnknownEra is the era of a store that has not answered yet.
+// UnknownEra stands for the era of a store that has not answered yet.
 const UnknownEra = -1
 
-// ErrConflict means that an object has changed since the revision that a write named.
+// ErrConflict is returned by a conditional write if the object has changed since the revision
+// that the write is based on.
 var ErrConflict = errors.New("gateway: object has changed")
 
-// Store is what an instance needs of the platform's store.
+// Store is the platform's store of objects, as an instance uses it.
 type Store interface {
+	// List returns all objects of a kind as a full delta.
 	List(ctx context.Context, kind feed.Kind) (feed.Delta, error)
-	// ListStale returns the objects as they may have been some seconds ago, which
-	// costs the store less.
+	// ListStale is like List, but the objects may be some seconds old. It costs the store
+	// less than List.
 	ListStale(ctx context.Context, kind feed.Kind) (feed.Delta, error)
-	// Watch returns the changes after a position, or waits for one.
+	// Watch returns the changes after a position. If there are none, it waits for a change,
+	// for at most the given time.
 	Watch(ctx context.Context, kind feed.Kind, after feed.Position, wait time.Duration) (feed.Delta, error)
-	// Probe tells whether the store answers. It is the cheapest call that there is.
+	// Probe returns an error if the store does not answer. It is the cheapest call.
 	Probe(ctx context.Context) error
-	// Get reads an object. One that is not there has the revision 0.
+	// Get reads an object. If the object does not exist, the result has the revision 0.
 	Get(ctx context.Context, kind feed.Kind, name string) (feed.Object, error)
-	// Replace writes an object unless it has changed since the revision that it names: then the error
-	// wraps ErrConflict.
+	// Replace writes an object that exists. If the object has changed since the revision of
+	// o, the error wraps ErrConflict.
 	Replace(ctx context.Context, kind feed.Kind, o feed.Object) error
-	// Create makes an object unless it is there.
+	// Create creates an object unless it exists.
 	Create(ctx context.Context, kind feed.Kind, name string, spec any) error
-	// Remove removes an object. One that is not there is no error.
+	// Remove removes an object. It returns no error if the object does not exist.
 	Remove(ctx context.Context, kind feed.Kind, name string) error
-	// SetRolloutState writes what has become of an order, unless the object has changed since it
-	// was read: then the error wraps ErrConflict.
+	// SetRolloutState writes the state of a rollout order. If the object has changed since
+	// it was read, the error wraps ErrConflict.
 	SetRolloutState(ctx context.Context, record rollout.Record, state rollout.State) error
-	// Era returns the highest era of the store that an answer to any call has named, UnknownEra
-	// before the first answer and 0 if none names one.
-	// The store begins a new era when it comes back from a copy: what was written after the copy
-	// is gone, and its revisions are given out again.
+	// Era returns the highest era that the store's responses have named. It is UnknownEra
+	// before the first response, and 0 if the responses name none. The store begins a new
+	// era when it is restored from a backup: what was written after the backup is lost, and
+	// the revisions of these writes are assigned again.
 	Era() int64
-	// Calls returns the number of calls made.
+	// Calls returns the number of calls to the store so far.
 	Calls() int64
 }
 
-// Codec turns the platform's formats into the product's types and back.
+// Codec converts between the platform's formats and the types of this module.
 type Codec interface {
 	forward.Codec
 	Config(name string, raw []byte) (*catalog.Config, error)
 	Target(name string, raw []byte) (catalog.Target, error)
 	Rollout(name string, raw []byte) (rollout.Record, error)
-	// Lookup decodes a look-up of a client.
+	// Lookup decodes a client's look-up. It returns the client's region and hall, and
+	// whether the request is a valid look-up.
 	Lookup(r *http.Request) (region, hall string, ok bool)
 	LookupAnswer(addrs []string, ttl time.Duration) ([]byte, error)
-	// IsReady tells whether a call asks for readiness.
+	// IsReady reports whether a request is a readiness check.
 	IsReady(r *http.Request) bool
 }
--- a/gateway/logs.go
+++ b/gateway/logs.go
@@ -10,7 +10,7 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// The messages of the log lines. docs/OPERATIONS.md lists their fields.
+// Messages of log lines. docs/OPERATIONS.md lists their fields.
 const (
 	logStart                  = "start"
 	logLeaving                = "leaving"
@@ -74,33 +74,32 @@
 	logInstanceNotRemoved = "instance not forgotten"
 )
 
-// RequestMessage is the message of the line of a request, by which logs are
-// thinned out under load.
+// RequestMessage is the message of the log line of a request. Under load, log handlers may drop
+// lines with this message.
 const RequestMessage = logRequest
 
-// maxMemberLines is the number of changes in the view of the fleet that a round of
-// gossip tells in a line each. More are told in one line, so that the lines of an
-// instance are bounded whatever the size of the fleet, as when a hall is lost or all
-// instances start.
+// maxMemberLines is the number of state changes of members up to which a round of gossip logs each
+// of them in its own line. A larger number is logged in one line, which bounds the log whatever
+// the size of the fleet, for example when a hall is lost or all instances start.
 const maxMemberLines = 4
 
-// maxNamedMembers bounds the members that a line on many changes names.
+// maxNamedMembers bounds the members that the line on many changes names.
 const maxNamedMembers = 8
 
-// reporter logs what changes in the view of the fleet.
+// reporter holds the states of the members as they were last logged.
 type reporter struct {
 	states   map[string]fleet.State
 	watching bool
 }
 
-// memberChange is a member whose state has changed.
+// memberChange is a member whose state has changed, with the state before.
 type memberChange struct {
 	fleet.Status
 	before fleet.State
 }
 
-// changes returns the members whose state differs from the one told last. That nothing is
-// known of a member is not told.
+// changes returns the members whose state differs from the one that was last returned. It leaves
+// out members whose state is unknown.
 func (r *reporter) changes(members []fleet.Status) []memberChange {
 	if r.states == nil {
 		r.states = make(map[string]fleet.State)
@@ -117,7 +116,8 @@
 	return out
 }
 
-// logMemberChanges logs what has changed since the last call. The caller holds mu.
+// logMemberChanges logs the changes of members' states, and of whether this instance watches,
+// since the last call. The caller holds mu.
 func (g *Gateway) logMemberChanges(now time.Time, watching bool) {
 	changes := g.reporter.changes(g.view.Others(now))
 	if len(changes) > maxMemberLines {
@@ -133,8 +133,8 @@
 	}
 }
 
-// logMemberSummary logs many changes in one line: how many came to each state, and some of
-// them by name, suspected ones first.
+// logMemberSummary logs many changes in one line, which holds the number of members for each new
+// state and the names of some members, suspected ones first.
 func (g *Gateway) logMemberSummary(changes []memberChange) {
 	slices.SortStableFunc(changes, func(a, b memberChange) int {
 		return cmp.Compare(memberLevel(b.State), memberLevel(a.State))
@@ -158,7 +158,8 @@
 	return slog.LevelInfo
 }
 
-// contactAge is the time since the store or another instance was last heard.
+// contactAge returns the time since the last contact with the store or another instance, or -1 ns
+// if there has been none.
 func (g *Gateway) contactAge(now time.Time) time.Duration {
 	at := g.lastContactAt.Load()
 	if at == 0 {
@@ -167,4 +168,5 @@
 	return now.Sub(time.Unix(0, at))
 }
 
+// recordContact records a contact with the store or another instance.
 func (g *Gateway) recordContact(now time.Time) { g.lastContactAt.Store(now.UnixNano()) }
--- a/gateway/lost_instances.go
+++ b/gateway/lost_instances.go
@@ -7,11 +7,11 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// removeLostInstance removes the entry of an instance of the own region that has been silent for
-// Config.ForgetAfter, one at a time. Instances that were replaced never come back, and
-// would be left their parts of what all share, such as the limits of accounts, for ever.
-// One that was only cut off for so long registers again. The first watcher of the region
-// does it, while it hears most of the region.
+// removeLostInstance removes the entry of one instance of the own region that has not been alive
+// for Config.ForgetAfter. An instance that was replaced never returns, and its share of what all
+// instances divide, such as the limits of client accounts, would remain unused for ever. An
+// instance that was only partitioned for that long registers again. Only the first watcher of a
+// region removes entries, and only while it receives heartbeats of most of the region.
 func (g *Gateway) removeLostInstance(ctx context.Context, now time.Time) {
 	name, ok := g.lostInstance(now)
 	if !ok {
@@ -25,7 +25,8 @@
 	g.log.Info(logInstanceRemoved, "member", name, "silent_for_s", g.config.ForgetAfter.Seconds())
 }
 
-// lostInstance returns the name of an instance whose entry this one is to remove.
+// lostInstance returns the name of an instance whose entry has to be removed by this one, and
+// whether there is any.
 func (g *Gateway) lostInstance(now time.Time) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// metrics are the instance's figures. docs/OPERATIONS.md lists them.
+// metrics holds the instance's metrics. docs/OPERATIONS.md lists them.
 type metrics struct {
 	telemetry *telemetry.Metrics
 
@@ -33,13 +33,13 @@
 	attemptDuration *telemetry.Histogram
 }
 
-// The results of a question to another instance, as the metrics name them.
+// Results of a delta request, as label values.
 const (
 	deltaRequestAnswered   = "answered"
 	deltaRequestUnanswered = "unanswered"
 )
 
-// The results of a call to the store, as the metrics name them.
+// Results of a read of the store, as label values.
 const (
 	readOK          = "ok"
 	readFailed      = "failed"
@@ -47,6 +47,7 @@
 	readBehind      = "behind"
 )
 
+// newMetrics registers the metrics of an instance.
 func newMetrics(g *Gateway) (*metrics, error) {
 	t, err := telemetry.New()
 	if err != nil {
@@ -56,6 +57,7 @@
 	return m, errors.Join(m.counters(), m.histograms(), m.gauges(g), m.poolGauges(g.pools))
 }
 
+// counters registers the counters.
 func (m *metrics) counters() error {
 	var errs []error
 	counter := func(to **telemetry.Counter, name, description string, labels ...string) {
@@ -78,6 +80,7 @@
 	return errors.Join(errs...)
 }
 
+// histograms registers the histograms, all in seconds.
 func (m *metrics) histograms() error {
 	var errs []error
 	histogram := func(to **telemetry.Histogram, name, description string) {
@@ -91,7 +94,7 @@
 	return errors.Join(errs...)
 }
 
-// gauges registers the instance's own values.
+// gauges registers the gauges of the instance itself.
 func (m *metrics) gauges(g *Gateway) error {
 	var errs []error
 	gauge := func(name, description string, read func() int64) {
@@ -134,6 +137,8 @@
 	return errors.Join(errs...)
 }
 
+// pipeliningUsage returns the number of pipelined requests in flight whose predecessors are still
+// unanswered, and the bytes of their buffered responses.
 func (g *Gateway) pipeliningUsage() (requests, held int64) {
 	if g.clientListener == nil {
 		return 0, 0
@@ -141,7 +146,7 @@
 	return g.clientListener.Usage()
 }
 
-// poolGauges registers the values of each service's targets.
+// poolGauges registers the gauges of each service's pool of targets.
 func (m *metrics) poolGauges(ps *pools) error {
 	return errors.Join(
 		m.telemetry.Gauges("rainford.repeats.left", "Attempts after the first one that the budget allows now.", []string{"service"},
@@ -176,11 +181,10 @@
 			})))
 }
 
-// emit observes a value of one service, with the values of the labels after the
-// service's name.
+// emit reports a value of one service. Values are those of the labels after the service.
 type emit func(value float64, values ...string)
 
-// observe returns a reader of all pools' values.
+// observe returns a callback for a gauge that calls read for each pool, with the pool locked.
 func (ps *pools) observe(read func(*pool, emit)) func(observe func(float64, ...string)) {
 	return func(observe func(float64, ...string)) {
 		ps.mu.RLock()
@@ -195,6 +199,7 @@
 	}
 }
 
+// observeRevisions reports the revision of each replica.
 func (g *Gateway) observeRevisions(observe func(float64, ...string)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -203,6 +208,7 @@
 	}
 }
 
+// observeMembers reports the number of members in each state.
 func (g *Gateway) observeMembers(observe func(float64, ...string)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -215,7 +221,7 @@
 	}
 }
 
-// request counts a request of a client and its attempts.
+// request counts a client's request, its retries and its result, and records its duration.
 func (m *metrics) request(ex *exchange, status int, reason string, took time.Duration) {
 	kind, region := "", ""
 	if ex.route != nil {
@@ -232,7 +238,7 @@
 	}
 }
 
-// attempt counts an attempt at a target.
+// attempt counts an attempt at a target and the target's self-report, and records the duration.
 func (m *metrics) attempt(service string, target upstream.Choice, r upstream.Result) {
 	m.attempts.Add(1, service, target.Region, r.Outcome.String())
 	m.attemptDuration.Record(r.Latency.Seconds(), service)
@@ -242,16 +248,16 @@
 	m.selfReport(service, r.SelfReport)
 }
 
-// cohortNames are the versions of a rollout's targets, as the metrics name them: few, whatever versions are
-// ordered.
+// cohortNames are the label values of a rollout's cohorts, by whether the targets have the new
+// version. The names of versions are not used as label values, which bounds their number.
 var cohortNames = map[bool]string{false: "old", true: "new"}
 
-// rolloutAttempt counts an attempt at a target while a rolloutAttempt of its service is brought in.
+// rolloutAttempt counts an attempt at a target during a rollout of its service.
 func (m *metrics) rolloutAttempt(service string, isNew bool, r upstream.Result) {
 	m.rolloutAttempts.Add(1, service, cohortNames[isNew], r.Outcome.String())
 }
 
-// What targets say of themselves, as the metrics name it.
+// Contents of a target's self-report, as label values.
 const (
 	selfReportLeaving   = "leaves"
 	selfReportBackoff   = "rests"
@@ -259,7 +265,7 @@
 	selfReportMalformed = "unreadable"
 )
 
-// selfReport counts what a target said of itself in an answer.
+// selfReport counts what a target has reported about itself with a response.
 func (m *metrics) selfReport(service string, w availability.SelfReport) {
 	if w.Leaving {
 		m.selfReports.Add(1, service, selfReportLeaving)
@@ -275,7 +281,7 @@
 	}
 }
 
-// storeRead counts a storeRead of the store.
+// storeRead counts a read of the store, by kind and result.
 func (m *metrics) storeRead(kind feed.Kind, err error) {
 	result := readOK
 	switch {
@@ -287,13 +293,14 @@
 	m.storeReads.Add(1, string(kind), result)
 }
 
+// deltaRequest counts a delta request, by kind and result.
 func (m *metrics) deltaRequest(kind feed.Kind, result string) {
 	m.deltaRequests.Add(1, string(kind), result)
 }
 
 func (m *metrics) handler() http.Handler { return m.telemetry.Handler() }
 
-// routeName returns the name of a route, "" if there is none.
+// routeName returns the name of a route, or "" if r is nil.
 func routeName(r *catalog.Route) string {
 	if r == nil {
 		return ""
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -12,26 +12,29 @@
 )
 
 const (
-	// maxRewrites bounds the objects that an instance writes again in a round, one round a
-	// rewritePause.
+	// maxRewrites bounds the objects that an instance writes again in one round. The rounds
+	// are rewriteInterval apart.
 	maxRewrites     = 8
 	rewriteInterval = time.Second
-	// lostObjectsTimeout is how long it is tried to have a restored store hold what it has lost.
+	// lostObjectsTimeout is the time after a restore of the store after which lost objects
+	// are no longer written again.
 	lostObjectsTimeout = time.Minute
 )
 
-// lostObjects are what the product itself had kept in the store, and a store that came back from a copy
-// has lost: nobody else writes it again. Names are those of objects of KindTable.
+// lostObjects holds objects of KindTable, by name, that were in the store and are missing since it
+// was restored from a backup. They are rainford's own objects, so the instances have to write them
+// again.
 type lostObjects struct {
 	values map[string][]byte
-	// deadline is how long it is tried to write them again.
+	// deadline is the end of the attempts to write the objects again.
 	deadline time.Time
-	// writing says that it is tried now.
+	// writing is set while a round of writes is under way.
 	writing bool
 }
 
-// ownObjectsBeforeRestore returns the product's own objects as they are held, if a delta leads to another era of the
-// store, which may lack some of them. The caller holds mu.
+// ownObjectsBeforeRestore returns rainford's own objects as the replica holds them, if a delta
+// leads to another era of the store. The restored store may lack some of them. In all other cases
+// it returns nil. The caller holds mu.
 func (g *Gateway) ownObjectsBeforeRestore(d feed.Delta) map[string][]byte {
 	replica := g.replicas[KindTable]
 	if d.Kind != KindTable || d.To.Era == replica.Position().Era {
@@ -42,7 +45,8 @@
 	return out
 }
 
-// recordLostObjects takes in the changes that led from what was held before to what a restored store holds. The
+// recordLostObjects records the own objects that a restored store has lost. Before is the result of
+// ownObjectsBeforeRestore, and changes lead from there to the contents of the restored store. The
 // caller holds mu.
 func (g *Gateway) recordLostObjects(now time.Time, before map[string][]byte, changes []feed.Change) {
 	for _, c := range changes {
@@ -65,8 +69,8 @@
 	}
 }
 
-// logOverwritten tells which changes of the operators' table are lost for good: another one was made to
-// what the restored store holds.
+// logOverwritten logs the changes of the operators' table that are lost for good, because operators
+// have changed the restored table before the instances could write the lost changes again.
 func (g *Gateway) logOverwritten(c feed.Change, held []byte) {
 	if c.Name != config.Key {
 		return
@@ -76,15 +80,16 @@
 	}
 }
 
-// isLost tells whether a change is that a restored store has lost an object: what it held still counts.
-// The caller holds mu.
+// isLost reports whether a change only reflects that a restored store has lost an object. Such a
+// change is not applied. The caller holds mu.
 func (g *Gateway) isLost(c feed.Change, from provenance) bool {
 	_, lost := g.lostOwnObjects.values[c.Name]
 	return lost && from.restored
 }
 
-// rewriteLostObjects has the store hold again what it has lost. The first watcher of a region does it; all
-// others know what it is, in case that one ends.
+// rewriteLostObjects writes lost objects to the store again, in the background. Only the first
+// watcher of a region does so. All other instances record the lost objects too, so that any of
+// them can take over.
 func (g *Gateway) rewriteLostObjects(ctx context.Context, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -101,7 +106,7 @@
 		for name, value := range batch {
 			g.rewriteObject(ctx, name, value)
 		}
-		// The watch brings what was written.
+		// The next round follows once the watch has returned what was written.
 		pause.For(ctx, rewriteInterval)
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -109,8 +114,9 @@
 	})
 }
 
-// missingObjects returns the names of the lost objects that the store does not hold again, in order, and forgets
-// those that it does. The caller holds mu.
+// missingObjects returns the sorted names of the lost objects that the store still lacks. It drops
+// the record of those that the store holds again, and of all after the deadline. The caller holds
+// mu.
 func (g *Gateway) missingObjects(now time.Time) []string {
 	var names []string
 	replica := g.replicas[KindTable]
@@ -131,7 +137,8 @@
 	return names
 }
 
-// rewriteObject has the store hold an object again, unless it holds one that is no earlier state of it.
+// rewriteObject writes an object to the store again, unless the store holds a version of it that
+// value does not supersede.
 func (g *Gateway) rewriteObject(ctx context.Context, name string, value []byte) {
 	stored, err := g.store.Get(ctx, KindTable, name)
 	switch {
--- a/gateway/quarantine_gossip.go
+++ b/gateway/quarantine_gossip.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxDirectRecipients is the number of instances up to which each is told itself of a
-	// target's end. In a larger fleet the news spread like changes of the store.
+	// maxDirectRecipients is the size of the fleet up to which a broadcast is sent to each
+	// instance directly. In a larger fleet it is relayed along the broadcast trees.
 	maxDirectRecipients = 32
-	// maxGossipedSuspects bounds the requests that gossip tells of, for those that missed the news:
-	// less than 1.5 kB.
+	// maxGossipedSuspects bounds the suspect digests in a message to an instance that has
+	// missed updates, to less than 1.5 kB.
 	maxGossipedSuspects = 16
 )
 
-// broadcastQuarantine passes on what is known of some requests to all instances at once: a caller may
-// repeat a request within milliseconds, at any of them.
+// broadcastQuarantine sends the quarantine's state of some digests to all instances at once,
+// because a client may repeat a request within milliseconds at any of them.
 func (g *Gateway) broadcastQuarantine(now time.Time, digests ...quarantine.Digest) {
 	g.quarantine.mu.Lock()
 	updates := g.quarantine.table.Updates(now, digests...)
@@ -29,7 +29,8 @@
 	g.broadcast(now, peer.Gossip{Quarantine: updates})
 }
 
-// broadcast sends news to all instances.
+// broadcast sends a message to all instances: directly in a small fleet, otherwise along the
+// broadcast tree of the own region and through the watchers of the other regions.
 func (g *Gateway) broadcast(now time.Time, message peer.Gossip) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,7 +48,8 @@
 	}
 }
 
-// broadcastToRegion sends news to the own region by way of a few instances. The caller holds mu.
+// broadcastToRegion sends a message to the first instances of the region's broadcast tree, which
+// relay it. The caller holds mu.
 func (g *Gateway) broadcastToRegion(now time.Time, message peer.Gossip) {
 	for _, branch := range g.view.Branches(now) {
 		message.RelayUntil = branch.Until
@@ -55,8 +57,8 @@
 	}
 }
 
-// relayBroadcast passes news on to those that the sender has left to this instance. The caller
-// holds mu.
+// relayBroadcast relays the updates of a message to the instances of the broadcast tree for which
+// the sender has made this instance responsible. The caller holds mu.
 func (g *Gateway) relayBroadcast(now time.Time, m *peer.Gossip) {
 	message := peer.Gossip{Heartbeats: m.Heartbeats, Quarantine: m.Quarantine, Departures: m.Departures, Limits: m.Limits, Stages: m.Stages, Reply: true}
 	switch {
@@ -70,7 +72,7 @@
 	}
 }
 
-// receiveQuarantine takes in what another instance knows of requests under which targets have ended.
+// receiveQuarantine merges another instance's quarantine updates into the own table.
 func (g *Gateway) receiveQuarantine(now time.Time, updates quarantine.Updates) {
 	if len(updates) == 0 {
 		return
@@ -82,7 +84,8 @@
 	g.logSuspects(now, changed, "peer")
 }
 
-// quarantineChecksum returns a number by which instances see that they do not know the same.
+// quarantineChecksum returns a checksum of the quarantine's table, by which instances detect that
+// their tables differ. It is 0 for an empty table.
 func (g *Gateway) quarantineChecksum() uint32 {
 	if !g.quarantine.nonEmpty.Load() {
 		return 0
@@ -92,7 +95,8 @@
 	return g.quarantine.table.Checksum()
 }
 
-// missingQuarantine returns what to tell an instance that does not know the same.
+// missingQuarantine returns updates for an instance whose checksum is sum, or nil if its table is
+// the same.
 func (g *Gateway) missingQuarantine(now time.Time, sum uint32) quarantine.Updates {
 	if !g.quarantine.nonEmpty.Load() {
 		return nil
--- a/gateway/ready.go
+++ b/gateway/ready.go
@@ -7,47 +7,50 @@
 	"time"
 )
 
-// readyWaitDivisor is the part of the time that a client waits for which a request may wait for
-// an instance that has just started. It is about what a request waits for a target at most:
-// an eighth of an objective, of which the clients of the sites wait six to ten.
+// readyWaitDivisor is the ratio of the client's time-out to the time that a request may wait
+// for an instance that has just started. The wait is about the same as the longest wait for a
+// target, which is an eighth of the latency objective: the time-outs of clients are six to ten
+// times the objective.
 const readyWaitDivisor = 64
 
-// readiness tells when the instance can serve: once it has a configuration and knows the
-// targets, and the instances too where these own the limits of accounts, and the orders where new
-// versions are brought in by order: targets of a version that is to get few requests must not get
-// more from an instance that has just started.
+// readiness records whether the instance can serve. It needs a configuration and the targets.
+// If the configuration has limits of client accounts, it also needs the list of instances,
+// which own these limits. If rollouts are enabled, it also needs the rollout orders; otherwise
+// an instance that has just started would send a new version more requests than the rollout
+// allows.
 type readiness struct {
 	targetsLoaded, instancesLoaded, rolloutsLoaded atomic.Bool
 
 	once sync.Once
-	// reached is closed when the instance is ready.
+	// reached is closed once the instance is ready.
 	reached chan struct{}
 }
 
-// isReady tells whether the instance can serve.
+// isReady reports whether the instance can serve.
 func (g *Gateway) isReady() bool {
 	router := g.router.Load()
 	return router != nil && g.readiness.targetsLoaded.Load() && g.knowsOwners(router) &&
 		(!g.config.rolloutsEnabled() || g.readiness.rolloutsLoaded.Load())
 }
 
-// setRolloutsLoaded takes in that the instance knows all orders that there are, also if there are none.
+// setRolloutsLoaded records that the instance knows all rollout orders that exist, which may be
+// none.
 func (g *Gateway) setRolloutsLoaded() {
 	if !g.readiness.rolloutsLoaded.Swap(true) {
 		g.signalReady()
 	}
 }
 
-// signalReady lets the requests go on that wait for the instance to be ready, if it is.
+// signalReady releases the requests that wait in awaitReady, if the instance is ready.
 func (g *Gateway) signalReady() {
 	if g.isReady() {
 		g.readiness.once.Do(func() { close(g.readiness.reached) })
 	}
 }
 
-// awaitReady has a request wait for an instance that has just started, for a small part of
-// the time that its client waits: the instance has what it needs within a second, and a
-// request that is refused has to come back.
+// awaitReady blocks a request until the instance is ready, for at most a small fraction of the
+// client's time-out. An instance is ready within a second of its start, while a refusal
+// would force the client to send its request again.
 func (g *Gateway) awaitReady(ctx context.Context, clientWaits time.Duration) {
 	if g.isReady() {
 		return
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -1,7 +1,7 @@
 package gateway
 
-// Reload takes in the settings that may change while the instance runs. The
-// others need a restart, which the log says.
+// Reload applies the settings that may change while the instance runs, which are the seeds. It
+// logs the names of other settings that have changed and need a restart.
 func (g *Gateway) Reload(config Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -9,10 +9,10 @@
 	g.log.Info(logReload, "seeds", config.Seeds, "restart_needed", g.restartRequired(config))
 }
 
-// ReloadFailed logs that the changed settings were refused.
+// ReloadFailed logs that changed settings were rejected.
 func (g *Gateway) ReloadFailed(err error) { g.log.Error(logReloadRefused, "error", err.Error()) }
 
-// restartRequired names the changed settings that are in force after a restart only.
+// restartRequired returns the names of the changed settings that need a restart.
 func (g *Gateway) restartRequired(config Config) []string {
 	var out []string
 	for _, pair := range []struct {
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -12,46 +12,50 @@
 )
 
 const (
-	// minSeeds is the number of other instances in the settings from which on
-	// an instance waits for them at the first start of the system, for
-	// firstPeersTime. The seeds themselves know fewer others and do not wait.
+	// minSeeds is the number of seeds in the settings from which an instance waits for
+	// them at the first start of the system, for up to firstStartPeerWait. The seeds
+	// themselves have fewer seeds in their settings and do not wait.
 	minSeeds           = 3
 	firstStartPeerWait = 1500 * time.Millisecond
 	peerPollInterval   = 30 * time.Millisecond
-	// registrationWait is how long an instance that starts again waits to learn whether it
-	// is registered.
+	// registrationWait is how long a restarted instance waits for the list of instances,
+	// which shows whether it is still registered.
 	registrationWait = 3 * time.Second
-	// registerSpacing is the mean time between the writes of two instances that register again
-	// at once: a sixth of what the store of the largest site takes. maxRegisterSpread is the
-	// time over which those of a fleet are spread at most.
+	// registerSpacing is the mean time between the writes of instances that all have to
+	// register again. It uses a sixth of the writes that the store of the largest site
+	// accepts. maxRegisterSpread bounds the time over which the writes of a fleet are spread.
 	registerSpacing   = 5 * time.Millisecond
 	maxRegisterSpread = 5 * time.Second
-	// firstReadTime is how long an instance that starts waits for its own first read of a
-	// kind before it asks any other instance that has it.
+	// firstReadTime is how long a starting instance waits for its own first read of a kind
+	// before it requests the kind from another instance.
 	firstReadTime = time.Second
 
-	// readerDivisor is the number of instances of which one, by its name, reads the
-	// targets from the store when it starts, and brings them to others of its hall.
-	// When all 295 instances of the largest site start again at once and each reads
-	// 350 kB, the store's link of 1,000 Mbit/s is full for 0.8 s.
+	// readerDivisor is the mean number of instances per reader. A reader is an instance
+	// that reads the targets from the store when it starts, and sends them to others of its
+	// hall. A hash of the name decides which instances are readers. If all 295 instances of
+	// the largest site restarted at the same time and each of them read 350 kB, the store's
+	// link of 1,000 Mbit/s would be saturated for 0.8 s.
 	readerDivisor = 4
-	// instancesWait is how long an instance that starts waits to learn of the readers,
-	// and readerTime how long it gives a reader before it asks the next one.
+	// instancesWait is how long a starting instance waits for the list of instances, which
+	// names the readers. readerTimeout is how long it waits for a reader's reply before it
+	// sends a request to the next reader.
 	instancesWait = 400 * time.Millisecond
 	readerTimeout = 300 * time.Millisecond
-	// maxReaders is the number of readers that are asked before the store is.
+	// maxReaders bounds the readers that are tried before the store is read.
 	maxReaders = 2
-	// maxPendingDeltaRequests bounds the instances that a reader remembers until it has read.
+	// maxPendingDeltaRequests bounds the delta requests of a kind that a reader keeps until
+	// it has read the kind.
 	maxPendingDeltaRequests = 64
 )
 
-// awaitPeers gives the instances of the settings a moment to bring a kind at the first
-// start of the system, when there is time, which spares the store a list for each instance.
-// At other starts there is no wait: all may have been killed at once.
+// awaitPeers waits for the seeds to send a kind at the first start of the system. This spares
+// the store one list operation per instance. At other starts it returns at once, since all
+// instances, the seeds too, may have been killed at the same time.
 func (g *Gateway) awaitPeers(ctx context.Context, kind feed.Kind) {
 	g.awaitKind(ctx, kind, g.peerWait())
 }
 
+// peerWait returns how long awaitPeers waits at most.
 func (g *Gateway) peerWait() time.Duration {
 	switch {
 	case g.isSeed():
@@ -63,9 +67,9 @@
 	}
 }
 
-// firstRead reads a kind that nobody has brought, whether or not this instance is to watch,
-// until the store answers or others bring it. What it reads may be some seconds old: the
-// watchers bring what is newer.
+// firstRead lists a kind of which this instance has no objects yet, whether or not it is a
+// watcher. It retries until the store answers or another instance has sent the kind. The list
+// may be some seconds old, since the watchers push the later changes.
 func (g *Gateway) firstRead(ctx context.Context, kind feed.Kind) {
 	if kind == KindTargets {
 		g.requestFromReaders(ctx)
@@ -86,12 +90,12 @@
 	}
 }
 
-// isReader tells whether the instance of a name reads the targets from the store when it
-// starts.
+// isReader reports whether the instance with the given name is a reader.
 func isReader(name string) bool { return mix.Pair(name, "reader")%readerDivisor == 0 }
 
-// requestFromReaders has the readers of the hall bring the targets, if this instance is none and
-// knows of one. It returns once the targets are there or the readers had their time.
+// requestFromReaders requests the targets from readers of the hall, unless this instance is a
+// reader itself. It returns once the targets have arrived or the time-outs of the readers are
+// over.
 func (g *Gateway) requestFromReaders(ctx context.Context) {
 	if isReader(g.config.Name) {
 		return
@@ -106,8 +110,8 @@
 	}
 }
 
-// readers returns the readers of the hall that this instance is to ask: different ones for
-// each instance.
+// readers returns up to maxReaders readers of the hall in the order in which to try them. The
+// order depends on the name of this instance, so that the load is spread over the readers.
 func (g *Gateway) readers() []fleet.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -125,16 +129,16 @@
 	return ordered[:min(len(ordered), maxReaders)]
 }
 
-// awaitKind waits until a kind is there, for a time at most.
+// awaitKind waits until objects of a kind have arrived, for at most the given time.
 func (g *Gateway) awaitKind(ctx context.Context, kind feed.Kind, limit time.Duration) {
 	end := g.clock.Now().Add(limit)
 	for g.clock.Now().Before(end) && g.position(kind).IsZero() && pause.For(ctx, peerPollInterval) {
 	}
 }
 
-// keepRegistered puts the own member into the store, so that others find it, and again if
-// its entry goes: others take an instance that was cut off for long for lost, and a store that
-// came back from a copy may have forgotten it.
+// keepRegistered writes the instance's own entry to the store, by which other instances find
+// it, and writes it again whenever it is gone. Other instances remove the entry of an instance
+// that was partitioned for long, and a store that was restored from a backup may lack it.
 func (g *Gateway) keepRegistered(ctx context.Context) {
 	if !g.config.FirstStart {
 		g.awaitInstances(ctx)
@@ -151,20 +155,22 @@
 	}
 }
 
-// awaitInstances waits until the instances are known that the store of the present era lists, for
-// registerWait at most.
+// awaitInstances waits until the list of instances of the store's current era is known, for at
+// most registrationWait.
 func (g *Gateway) awaitInstances(ctx context.Context) {
 	end := g.clock.Now().Add(registrationWait)
 	for g.clock.Now().Before(end) && !g.hasCurrentInstances() && pause.For(ctx, peerPollInterval) {
 	}
 }
 
+// hasCurrentInstances reports whether the list of instances is one of the store's current era.
 func (g *Gateway) hasCurrentInstances() bool {
 	at := g.position(KindInstances)
 	return !at.IsZero() && !g.watch.isPastEra(at)
 }
 
-// registrationDelay draws when to register again: all instances may have to at once.
+// registrationDelay returns a random delay before this instance registers again, since all
+// instances may have to register at the same time.
 func (g *Gateway) registrationDelay() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -172,7 +178,8 @@
 	return time.Duration(g.rand.Int64N(int64(limit) + 1))
 }
 
-// register puts the own member into the store unless it is there from an earlier process.
+// register writes the own entry to the store, with retries. It does nothing if the entry of an
+// earlier process of this instance is still there.
 func (g *Gateway) register(ctx context.Context) {
 	wait := minRetryInterval
 	for ctx.Err() == nil && !g.isRegistered() {
@@ -186,15 +193,16 @@
 	}
 }
 
-// onInstanceRemoved notes that an instance's entry has gone from the store. The caller holds
-// mu.
+// onInstanceRemoved triggers a check of the own registration if the removed entry is the own
+// one. The caller holds mu.
 func (g *Gateway) onInstanceRemoved(name string) {
 	if name == g.config.Name {
 		g.checkRegistration()
 	}
 }
 
-// checkRegistration has it looked whether the own entry is in the store.
+// checkRegistration makes keepRegistered check whether the own entry is in the store. It does
+// not block.
 func (g *Gateway) checkRegistration() {
 	select {
 	case g.unregistered <- struct{}{}:
@@ -202,7 +210,7 @@
 	}
 }
 
-// isRegistered tells whether the own member is known to be in the store.
+// isRegistered reports whether the store of the current era is known to hold the own entry.
 func (g *Gateway) isRegistered() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -16,7 +16,7 @@
 // StatusPath is the path of an instance's status on its admin address.
 const StatusPath = "/status"
 
-// Status is what an instance tells operators of itself.
+// Status is the state of an instance, as operators can query it.
 type Status struct {
 	Instance      string          `json:"instance"`
 	Hall          string          `json:"hall"`
@@ -24,33 +24,38 @@
 	ConfigVersion catalog.Version `json:"configuration"`
 	Ready         bool            `json:"ready"`
 	Leaving       bool            `json:"leaving"`
-	// Targets is the number of targets known, and Unavailable those that get nothing now.
+	// Targets is the number of all targets. Unavailable lists those that currently receive no
+	// requests.
 	Targets     int                 `json:"targets"`
 	Unavailable []UnavailableTarget `json:"unavailable"`
-	// Limited are the targets that name how much they take.
+	// Limited lists the targets that have announced a rate limit.
 	Limited []LimitedTarget `json:"limited"`
-	// Held are the requests and accounts that are not sent like others.
+	// Held lists the requests and client accounts that are suspected of crashing targets, or
+	// held for that reason.
 	Held []HeldRequest `json:"held"`
-	// Rollouts are the versions of services that are, or were, brought in by order.
+	// Rollouts lists the latest rollout order of each service, in progress or ended.
 	Rollouts []RolloutStatus `json:"rollouts,omitempty"`
 }
 
-// RolloutStatus is how a version of a service is brought in, as far as an instance knows.
+// RolloutStatus is the state of a rollout as an instance knows it.
 type RolloutStatus struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
-	// State is what the store holds, and Stage what the instance does: Share is the part of the
-	// requests that it sends to new targets, if keys are alike.
+	// State is the state in the store, and Stage the phase that this instance is in. Share is
+	// the fraction of its requests that it sends to new targets, if all affinity keys have
+	// the same number of requests.
 	State  rollout.State  `json:"state"`
 	Stage  string         `json:"stage"`
 	Share  float64        `json:"share"`
 	Reason rollout.Reason `json:"why,omitempty"`
-	// ForMs is the time since the order was first known, and OfMs the order's duration.
+	// ForMs is the time since this instance received the order, and DurationMs the duration
+	// of the order, both in milliseconds.
 	ForMs      int64 `json:"for_ms"`
 	DurationMs int64 `json:"of_ms"`
-	// Leader is the peer address of the instance that decides. What follows is told by it alone:
-	// the numbers of requests that the instances have reported, those sent to new targets, and the
-	// logarithms of the odds that the version fails more often and is slower.
+	// Leader is the peer address of the instance that decides on the stages. The fields below
+	// are set by the leader only: the number of requests that the instances have reported, the
+	// number of those sent to new targets, and the log-likelihood ratios of the hypotheses
+	// that the new version fails more often and that it is slower.
 	Leader     string  `json:"leader"`
 	IsLeader   bool    `json:"leads,omitempty"`
 	Sent       int     `json:"sent,omitempty"`
@@ -59,21 +64,21 @@
 	SlowLLR    float64 `json:"odds_slow,omitempty"`
 }
 
-// UnavailableTarget is a target that gets nothing, and why.
+// UnavailableTarget is a target that receives no requests, with the cause.
 type UnavailableTarget struct {
 	Service string              `json:"service"`
 	Target  string              `json:"target"`
 	Hall    string              `json:"hall"`
 	Cause   availability.Cause  `json:"cause"`
 	Source  availability.Source `json:"source"`
-	// ForMs is for how long that is known, and LeftMs how much longer it lasts at least, 0 if
-	// nobody can tell.
+	// ForMs is the time since the cause was recorded. RemainingMs is the least time until it
+	// ends, or 0 if that is unknown. Both are in milliseconds.
 	ForMs       int64 `json:"for_ms"`
 	RemainingMs int64 `json:"left_ms,omitempty"`
 }
 
-// LimitedTarget is a target that names how many requests a second it takes from all instances
-// together. What is got and used is this instance's part.
+// LimitedTarget is a target that has announced a rate limit for all instances together, in requests
+// per second. PermitRate and UsedRate are the permits and requests per second of this instance.
 type LimitedTarget struct {
 	Service   string              `json:"service"`
 	Target    string              `json:"target"`
@@ -81,22 +86,25 @@
 	PerSecond float64             `json:"limit_per_s"`
 	Source    availability.Source `json:"source"`
 	ForMs     int64               `json:"for_ms"`
-	// Owner is the instance that issues the permits, as far as one was asked here.
+	// Owner is the instance that issues the permits of the limit. It is empty if this instance
+	// has not requested any.
 	Owner      string  `json:"owner,omitempty"`
 	PermitRate float64 `json:"permits_per_s"`
 	UsedRate   float64 `json:"sent_per_s"`
 }
 
-// HeldRequest is a request, by its content, or an account that is not sent like others.
+// HeldRequest is a request, identified by its content, or a client account that is suspected of
+// crashing targets. Crashes counts the targets that have crashed under it.
 type HeldRequest struct {
 	Content      string `json:"content"`
 	Crashes      int    `json:"ends"`
 	FailedTrials int    `json:"failed_trials"`
-	// RemainingMs is the time until a trial may be granted, 0 if one may now.
+	// RemainingMs is the time until the next trial, in milliseconds, or 0 if a trial may be
+	// granted now.
 	RemainingMs int64 `json:"left_ms,omitempty"`
 }
 
-// status returns the instance's status.
+// status returns the current status of the instance.
 func (g *Gateway) status() Status {
 	now := g.clock.Now()
 	s := Status{Instance: g.config.Name, Hall: g.config.Hall, Region: g.config.Region, Ready: g.isReady(), Leaving: g.leaving.Load()}
@@ -110,7 +118,7 @@
 	return s
 }
 
-// serveStatus answers an operator who asks for the status.
+// serveStatus writes the status as JSON.
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	err := json.NewEncoder(w).Encode(g.status())
@@ -119,7 +127,8 @@
 	}
 }
 
-// adminHandler answers operators: the status on its path, the metrics on any other.
+// adminHandler returns the handler for operators. It serves the status on StatusPath and the metrics
+// on all other paths.
 func (g *Gateway) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatusPath, g.serveStatus)
@@ -127,7 +136,8 @@
 	return mux
 }
 
-// unavailableTargets returns the number of targets of all services, and those that get nothing now.
+// unavailableTargets returns the number of targets of all services, and the targets that currently
+// receive no requests.
 func (ps *pools) unavailableTargets(now time.Time) (all int, out []UnavailableTarget) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -154,7 +164,7 @@
 	return all, out
 }
 
-// limitedTargets returns the targets of all services that name how much they take.
+// limitedTargets returns the targets of all services that have announced a rate limit.
 func (ps *pools) limitedTargets(now time.Time) []LimitedTarget {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -173,7 +183,7 @@
 	return out
 }
 
-// heldRequests returns the requests and accounts that are not free.
+// heldRequests returns the requests and client accounts that are suspected or held.
 func (h *quarantineState) heldRequests(now time.Time) []HeldRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -189,7 +199,7 @@
 	return out
 }
 
-// statuses returns all rollouts.
+// statuses returns the status of each service's rollout.
 func (rs *rollouts) statuses(now time.Time) []RolloutStatus {
 	var out []RolloutStatus
 	for _, r := range rs.all() {
@@ -199,6 +209,7 @@
 	return out
 }
 
+// status returns the status of the rollout.
 func (r *serviceRollout) status(now time.Time) RolloutStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// lingerFraction is the part of the grace for which a stopping instance goes
-	// on taking requests of clients that have not heard of its stop.
+	// lingerFraction is the fraction of the grace period during which a stopping instance
+	// still accepts requests, from clients that have not yet learned of the stop.
 	lingerFraction = 0.4
-	// exitFraction is the part of the grace that is kept for ending the process:
-	// its log is written out, on a machine that may be slow.
+	// exitFraction is the fraction of the grace period that is reserved for the exit of the
+	// process, which has to flush its log on a machine that may be slow.
 	exitFraction = 0.07
-	// callTimeout bounds the small calls of look-ups, readiness and operators.
+	// callTimeout bounds the reading and writing of look-ups, readiness checks and requests
+	// of operators.
 	callTimeout = 2 * time.Second
 )
 
-// serveClients opens the HTTP servers.
+// serveClients starts the HTTP servers for clients, look-ups, readiness checks and operators.
 func (g *Gateway) serveClients() {
 	errorLog := slog.NewLogLogger(g.log.Handler(), slog.LevelDebug)
 	g.frontServer = &http.Server{
@@ -42,6 +43,7 @@
 	g.startServer(small(g.adminHandler()), g.listeners.admin)
 }
 
+// startServer serves a listener in a new goroutine, until the server is shut down.
 func (g *Gateway) startServer(server *http.Server, ln net.Listener) {
 	go func() {
 		err := server.Serve(ln)
@@ -51,9 +53,10 @@
 	}()
 }
 
-// stop ends the instance as planned: it tells the platform and the others that
-// it is leaving, serves on while clients hear of it, then takes no new requests
-// and waits for those in flight.
+// stop performs a planned stop. The instance first announces to the platform and to the other
+// instances that it is leaving. It continues to serve while clients learn of that. Then it accepts
+// no new requests and waits for those in flight. Requests that are still in flight at the end of
+// the grace period are cut off.
 func (g *Gateway) stop() {
 	began := time.Now()
 	g.leaving.Store(true)
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -12,48 +12,53 @@
 )
 
 const (
-	// watchTimeout is how long a watch waits for a change: less than the 20 s of history
-	// that the store of the sites keeps, so that a watch that is cut can go on.
+	// watchTimeout is the longest time for which a watch waits for a change. It is less than
+	// the 20 s of history that the store of the sites keeps, so that a watch whose connection
+	// broke can resume from its cursor.
 	watchTimeout = 15 * time.Second
-	// idleCheckInterval is how often an instance that does not watch looks whether
-	// it should.
+	// idleCheckInterval is the interval at which an instance that does not watch checks
+	// whether it should.
 	idleCheckInterval = 250 * time.Millisecond
-	// missedChangeTimeout is how long a watch may lag behind another instance's
-	// before it counts as deaf.
+	// missedChangeTimeout is how long a watch may lag behind the changes that other instances
+	// send, before it counts as broken.
 	missedChangeTimeout = time.Second
-	// settleTime is the time for which an instance that is no seed leaves watching to
-	// others, from when it knows which instances are registered: three rounds of gossip,
-	// in which it hears of those of its region. settleMost is the same from its start
-	// on if it does not come to know them: the store may be away.
+	// settleTime is how long an instance that is no seed does not watch after it has learned
+	// which instances are registered. It is three rounds of gossip, in which the instance
+	// receives the heartbeats of its region. maxSettleTime is the limit from the start of the
+	// instance. It applies if the list of instances does not arrive, as when the store is
+	// unreachable.
 	settleTime    = 3 * fleet.RoundTime
 	maxSettleTime = 10 * fleet.RoundTime
-	// batchInterval is the time between two watches of kinds that change often.
+	// batchInterval is the pause between two watches of a kind that changes often, so that
+	// one call returns several changes.
 	batchInterval = 200 * time.Millisecond
-	// recoveryWatchTimeout is how long a watch waits that is to find out whether the store is
-	// back.
+	// recoveryWatchTimeout is the timeout of a watch that checks whether the store answers
+	// again.
 	recoveryWatchTimeout = 100 * time.Millisecond
-	// probeInterval is the time between two calls that find out whether the store
-	// still answers while watches are pending.
+	// probeInterval is the time between two probes of the store while watches are pending.
 	probeInterval = time.Second
-	// minRetryInterval and maxPause bound the time between calls that fail.
+	// minRetryInterval and maxRetryInterval bound the exponential back-off between calls to
+	// the store that fail.
 	minRetryInterval = 300 * time.Millisecond
 	maxRetryInterval = 2 * time.Second
 )
 
-// watchState is what an instance knows of its own watches.
+// watchState is the state of the instance's own watches. It is safe for concurrent use.
 type watchState struct {
 	mu sync.Mutex
-	// era is the latest that the store or another instance has told of.
-	era              int64
+	// era is the latest era that the store or another instance has reported.
+	era int64
+	// storeUnreachable is set while the store does not answer, and watching while the
+	// instance should watch.
 	storeUnreachable bool
 	watching         bool
-	// cancels ends the pending watch of a kind.
+	// cancels holds the function that cancels the pending watch of a kind.
 	cancels map[feed.Kind]context.CancelFunc
-	// missedAt is when another instance brought a change that the pending
-	// watch has not.
+	// missedAt is the time at which another instance first sent a change that the pending
+	// watch of a kind has not returned.
 	missedAt map[feed.Kind]time.Time
-	// cursors hold the position up to which the own watch has seen that
-	// nothing has changed. A replica stays at its last change, so that
+	// cursors holds the position up to which the own watch of a kind has observed that
+	// nothing has changed. The position of a replica remains that of its last change, so that
 	// instances with the same objects have the same position.
 	cursors map[feed.Kind]feed.Position
 }
@@ -67,15 +72,16 @@
 	}
 }
 
-// shouldWatch tells whether this instance is to watch the store. One that has just started
-// knows of nobody and is the first in its own view, as all are that start with it, so it
-// leaves that to the seeds for a while. The caller holds mu.
+// shouldWatch reports whether this instance should watch the store. An instance that has just
+// started has no heartbeats of others and is the first of its region in its own view, and so are
+// all instances that start at the same time. Therefore an instance that is no seed leaves the
+// watching to the seeds at first. The caller holds mu.
 func (g *Gateway) shouldWatch(now time.Time) bool {
 	return (g.isSeed() || g.hasSettled(now)) && g.view.ShouldWatch(now)
 }
 
-// hasSettled tells whether the instance has had the time to hear of the others. The caller
-// holds mu.
+// hasSettled reports whether the instance has had enough time to receive heartbeats of the others.
+// The caller holds mu.
 func (g *Gateway) hasSettled(now time.Time) bool {
 	if !g.instancesKnownAt.IsZero() && now.Sub(g.instancesKnownAt) >= settleTime {
 		return true
@@ -83,25 +89,28 @@
 	return now.Sub(g.startedAt) >= maxSettleTime
 }
 
-// isSeed tells whether the instance is one that others try first, or knows too few such
-// to wait for them.
+// isSeed reports whether the instance counts as a seed, because its settings have fewer than
+// minSeeds seeds.
 func (g *Gateway) isSeed() bool { return len(g.config.Seeds) < minSeeds }
 
-// cursor returns where the next watch begins for a replica at a position.
+// cursor returns the position from which the next watch of a kind begins, given the position of the
+// replica.
 func (w *watchState) cursor(kind feed.Kind, at feed.Position) feed.Position {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return feed.Later(w.cursors[kind], at)
 }
 
+// advance sets the cursor of a kind.
 func (w *watchState) advance(kind feed.Kind, to feed.Position) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cursors[kind] = to
 }
 
-// enterEra takes in that the store is in an era. When a new one has begun all pending watches are
-// given up: they wait for changes after revisions of the era before.
+// enterEra records an era of the store. It returns the latest era before, and whether the given
+// one is later. If it is, all pending watches are cancelled, since they wait for changes after
+// revisions of the previous era.
 func (w *watchState) enterEra(era int64) (before int64, entered bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,35 +125,37 @@
 	return before, true
 }
 
-// isPastEra tells whether a position is of an era that has ended.
+// isPastEra reports whether a position belongs to an earlier era than the current one.
 func (w *watchState) isPastEra(at feed.Position) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return at.Era < w.era
 }
 
+// isStoreUnreachable reports whether the store does not answer.
 func (w *watchState) isStoreUnreachable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.storeUnreachable
 }
 
-// isWatcher tells whether the instance is to watch, by its last view of the fleet.
+// isWatcher reports whether the instance should watch, according to the last round of gossip.
 func (w *watchState) isWatcher() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.watching
 }
 
+// isWatching reports whether the instance is a watcher and the store answers.
 func (w *watchState) isWatching() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.watching && !w.storeUnreachable
 }
 
-// setStoreUnreachable reports whether the state has changed. When the store is lost all pending
-// watches are given up: one whose answer was lost hears nothing more, even when the
-// store is back.
+// setStoreUnreachable sets whether the store is unreachable, and reports whether that has changed.
+// When the store becomes unreachable, all pending watches are cancelled. A watch whose response was
+// lost would not return even after the store has recovered.
 func (w *watchState) setStoreUnreachable(unreachable bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -158,12 +169,14 @@
 	return changed
 }
 
+// setWatching sets whether the instance should watch.
 func (w *watchState) setWatching(watching bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.watching = watching
 }
 
+// begin records that a watch of a kind is pending.
 func (w *watchState) begin(kind feed.Kind, cancel context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -171,6 +184,7 @@
 	delete(w.missedAt, kind)
 }
 
+// end records that the watch of a kind has returned.
 func (w *watchState) end(kind feed.Kind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -178,7 +192,8 @@
 	delete(w.missedAt, kind)
 }
 
-// recordMissed notes that another instance has brought a change of the kind.
+// recordMissed records that another instance has sent a change of a kind before the pending watch
+// has returned it.
 func (w *watchState) recordMissed(kind feed.Kind, now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,8 +202,9 @@
 	}
 }
 
-// cancelOutdated cancels watches that others have overtaken for too long, and all of
-// them if the instance is not to watch. It reports whether a watch was deaf.
+// cancelOutdated cancels the watches that have lagged behind other instances for
+// missedChangeTimeout, and all watches if the instance should not watch. It reports whether any
+// watch has lagged for that long.
 func (w *watchState) cancelOutdated(now time.Time, watches bool) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -204,15 +220,15 @@
 	return lagged
 }
 
-// position returns the position of the replica of a kind.
+// position returns the position of the replica of a kind, which is zero before its first objects.
 func (g *Gateway) position(kind feed.Kind) feed.Position {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.replicas[kind].Position()
 }
 
-// watchLoop keeps the replica of a kind up to date from the store while this
-// instance is a watcher.
+// watchLoop reads a kind at the start and then keeps its replica up to date from the store while
+// this instance is a watcher.
 func (g *Gateway) watchLoop(ctx context.Context, kind feed.Kind) {
 	g.awaitPeers(ctx, kind)
 	g.firstRead(ctx, kind)
@@ -223,7 +239,7 @@
 			continue
 		}
 		if g.watch.isStoreUnreachable() && kind != KindConfig {
-			// One kind is enough to find out whether the store is back.
+			// The watch of one kind is enough to detect that the store answers again.
 			pause.For(ctx, idleCheckInterval)
 			continue
 		}
@@ -250,15 +266,15 @@
 }
 
 var (
-	// errUnknownKind means that the store does not know a kind yet, of which nothing is held.
+	// errUnknownKind is returned if the store does not know a kind yet and the replica is empty.
 	errUnknownKind = errors.New("gateway: kind is not known to the store")
-	// errNothingNewer means that a list has not brought the replica forward: the store answers
-	// as of some time ago.
-	errNothingNewer = errors.New("gateway: list brings nothing newer")
+	// errNothingNewer is returned if a list has not advanced the replica, because the store
+	// returned an old state.
+	errNothingNewer = errors.New("gateway: list is not newer than the replica")
 )
 
-// probeLoop finds out whether the store still answers while this instance is a watcher:
-// a pending watch does not tell.
+// probeLoop probes the store while this instance is a watcher, since a pending watch does not show
+// whether the store still answers.
 func (g *Gateway) probeLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, probeInterval)
@@ -274,7 +290,8 @@
 	}
 }
 
-// readOnce lists the kind if nothing of the store's era is held, and else waits for changes.
+// readOnce lists a kind if the replica holds no objects of the store's current era, and otherwise
+// watches it once. It applies the result.
 func (g *Gateway) readOnce(ctx context.Context, kind feed.Kind) error {
 	at := g.position(kind)
 	if at.IsZero() || g.watch.isPastEra(at) {
@@ -308,14 +325,14 @@
 	}
 	g.applyDelta(delta, sourceStore)
 	if kind == KindTargets || kind == KindInstances {
-		// Many of these change one after the other; one call brings several.
+		// These kinds change in bursts. After the pause one call returns several changes.
 		pause.For(ctx, batchInterval)
 	}
 	return nil
 }
 
-// listKind reads the whole kind. It returns errUnknownKind or errNothingNewer if the replica is not further on
-// for it.
+// listKind lists a kind and applies the result. It returns errUnknownKind if the replica remains
+// without a position, and errNothingNewer if its position has not advanced.
 func (g *Gateway) listKind(ctx context.Context, kind feed.Kind) error {
 	before := g.position(kind)
 	delta, err := g.store.List(ctx, kind)
@@ -338,10 +355,11 @@
 	}
 }
 
-// updateEra takes in the era that the store's answers name.
+// updateEra follows the store into the era that its responses name.
 func (g *Gateway) updateEra() { g.enterEra(g.store.Era(), sourceStore) }
 
-// enterEra has the instance follow the store into an era of which a source tells.
+// enterEra follows the store into an era that a source has reported. Source is sourceStore or the
+// peer address of an instance. On a new era the instance also checks its registration.
 func (g *Gateway) enterEra(era int64, source string) {
 	before, entered := g.watch.enterEra(era)
 	if !entered {
@@ -355,8 +373,8 @@
 	g.log.Warn(logStoreEra, "era", era, "before", before, "source", source)
 }
 
-// recordStoreRead takes in how a read of the store ended, before what it brought is put in
-// force.
+// recordStoreRead records the result of a read of the store. It must be called before the objects
+// that the read returned are applied.
 func (g *Gateway) recordStoreRead(kind feed.Kind, err error) {
 	if errors.Is(err, context.Canceled) {
 		return
@@ -372,6 +390,7 @@
 	g.heldChanges[KindTargets].removals.StoreFailed()
 }
 
+// recordStoreContact records that the store has answered.
 func (g *Gateway) recordStoreContact() {
 	g.recordContact(g.clock.Now())
 	if g.watch.setStoreUnreachable(false) {
@@ -379,6 +398,7 @@
 	}
 }
 
+// recordStoreLoss records that the store has not answered a read of a kind.
 func (g *Gateway) recordStoreLoss(kind feed.Kind, err error) {
 	if g.watch.setStoreUnreachable(true) {
 		g.log.Warn(logStoreLost, "kind", kind, "error", err.Error())
