--- a/claim/key.go
+++ b/claim/key.go
@@ -54,17 +54,17 @@
 			return time.Time{}, fmt.Errorf("%w: want printable ASCII", ErrBadKey)
 		}
 	}
-	made, err := time.Parse(TimeLayout, stamp)
+	createdAt, err := time.Parse(TimeLayout, stamp)
 	if err != nil {
 		return time.Time{}, fmt.Errorf("%w: %w", ErrBadKey, err)
 	}
-	if now.Sub(made) > MaxAge {
-		return time.Time{}, fmt.Errorf("%w: made %s ago, at most %s", ErrBadKey, now.Sub(made).Round(time.Second), MaxAge)
+	if now.Sub(createdAt) > MaxAge {
+		return time.Time{}, fmt.Errorf("%w: made %s ago, at most %s", ErrBadKey, now.Sub(createdAt).Round(time.Second), MaxAge)
 	}
-	if made.Sub(now) > MaxClockSkew {
-		return time.Time{}, fmt.Errorf("%w: made %s ahead", ErrBadKey, made.Sub(now).Round(time.Second))
+	if createdAt.Sub(now) > MaxClockSkew {
+		return time.Time{}, fmt.Errorf("%w: made %s ahead", ErrBadKey, createdAt.Sub(now).Round(time.Second))
 	}
-	return made, nil
+	return createdAt, nil
 }
 
 // ShardID names the record that an operation's claim belongs to.
@@ -75,10 +75,10 @@
 
 // ShardOf returns the shard of an operation key made at a time. It depends on
 // nothing else, so every instance finds the same shard.
-func ShardOf(key string, made time.Time) ShardID {
+func ShardOf(key string, createdAt time.Time) ShardID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
-	return ShardID{TimeSlice: sliceOf(made), Number: int(h.Sum32() % ShardsPerSlice)}
+	return ShardID{TimeSlice: sliceOf(createdAt), Number: int(h.Sum32() % ShardsPerSlice)}
 }
 
 func sliceOf(t time.Time) string { return t.UTC().Truncate(TimeSlice).Format(TimeLayout) }
--- a/claim/merge.go
+++ b/claim/merge.go
@@ -9,8 +9,8 @@
 		merged.Entries[key] = e
 	}
 	for key, e := range known.Entries {
-		held, ok := merged.Entries[key]
-		if !ok || e.supersedes(held) {
+		other, ok := merged.Entries[key]
+		if !ok || e.supersedes(other) {
 			merged.Entries[key] = e
 		}
 	}
--- a/claim/queue.go
+++ b/claim/queue.go
@@ -13,21 +13,21 @@
 
 // Allow takes one write if the pace permits it. If not, it returns how long to
 // wait.
-func (p *TokenBucket) Allow(now time.Time) (bool, time.Duration) {
-	if p.updatedAt.IsZero() {
-		p.tokens = p.Burst
+func (b *TokenBucket) Allow(now time.Time) (bool, time.Duration) {
+	if b.updatedAt.IsZero() {
+		b.tokens = b.Burst
 	} else {
-		p.tokens = min(p.Burst, p.tokens+now.Sub(p.updatedAt).Seconds()*p.Rate)
+		b.tokens = min(b.Burst, b.tokens+now.Sub(b.updatedAt).Seconds()*b.Rate)
 	}
-	p.updatedAt = now
-	if p.tokens >= 1 {
-		p.tokens--
+	b.updatedAt = now
+	if b.tokens >= 1 {
+		b.tokens--
 		return true, 0
 	}
-	if p.Rate <= 0 {
+	if b.Rate <= 0 {
 		return false, time.Second
 	}
-	return false, time.Duration((1 - p.tokens) / p.Rate * float64(time.Second))
+	return false, time.Duration((1 - b.tokens) / b.Rate * float64(time.Second))
 }
 
 // Queue groups operations by shard until they are written. The zero value is
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -85,40 +85,40 @@
 	if s.Entries == nil {
 		s.Entries = make(map[string]Entry)
 	}
-	have, ok := s.Entries[op.Key]
-	mine := ok && have.Owner == op.Owner
+	existing, ok := s.Entries[op.Key]
+	owned := ok && existing.Owner == op.Owner
 	switch op.Kind {
 	case Acquire:
-		if mine && have.State != Released {
+		if owned && existing.State != Released {
 			return Reply{Result: Granted}
 		}
-		if ok && (have.State != Released || have.Attempt >= op.Attempt) {
-			return refusalFor(have)
+		if ok && (existing.State != Released || existing.Attempt >= op.Attempt) {
+			return refusalFor(existing)
 		}
 		s.Entries[op.Key] = Entry{Owner: op.Owner, Attempt: op.Attempt, State: Claimed}
 	case Finish:
-		if mine {
-			have.State = Done
-			have.Status = op.Status
-			s.Entries[op.Key] = have
+		if owned {
+			existing.State = Done
+			existing.Status = op.Status
+			s.Entries[op.Key] = existing
 		}
 	case Release:
-		if !ok || have.State == Released && have.Attempt < op.Attempt {
+		if !ok || existing.State == Released && existing.Attempt < op.Attempt {
 			// The Take has not arrived yet and must not take effect when
 			// it does.
 			s.Entries[op.Key] = Entry{Owner: op.Owner, Attempt: op.Attempt, State: Released}
-		} else if mine && have.State == Claimed {
-			have.State = Released
-			s.Entries[op.Key] = have
+		} else if owned && existing.State == Claimed {
+			existing.State = Released
+			s.Entries[op.Key] = existing
 		}
 	}
 	return Reply{Result: Granted}
 }
 
-func refusalFor(have Entry) Reply {
-	switch have.State {
+func refusalFor(existing Entry) Reply {
+	switch existing.State {
 	case Done:
-		return Reply{Result: AlreadyDone, Status: have.Status}
+		return Reply{Result: AlreadyDone, Status: existing.Status}
 	case Released:
 		return Reply{Result: Superseded}
 	default:
--- a/entry/body.go
+++ b/entry/body.go
@@ -71,13 +71,13 @@
 // open returns a reader of the whole body. Readers opened before end with
 // errSpent. It fails when part of the body is gone. Touch is called whenever
 // something was read.
-func (b *body) open(touch func()) (io.ReadCloser, error) {
+func (b *body) open(onRead func()) (io.ReadCloser, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.discarded {
 		return nil, errNotReplayable
 	}
-	b.current = &bodyReader{body: b, onRead: touch}
+	b.current = &bodyReader{body: b, onRead: onRead}
 	return b.current, nil
 }
 
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -114,7 +114,7 @@
 
 // send sends the exchange's request to addr and returns with the head of the
 // answer, or without one.
-func (t *Transports) send(ex *Exchange, addr, path string, mark func(http.Header), stall time.Duration) *attempt {
+func (t *Transports) send(ex *Exchange, addr, path string, setHeaders func(http.Header), stall time.Duration) *attempt {
 	ctx, watch := newStallWatchdog(ex.r.Context(), stall)
 	a := &attempt{watchdog: watch, startedAt: time.Now()}
 	var connected atomic.Bool
@@ -132,7 +132,7 @@
 		a.err = err
 		return a
 	}
-	mark(req.Header)
+	setHeaders(req.Header)
 	a.resp, a.err = t.transportFor(ex).RoundTrip(req)
 	if !ex.body.large() {
 		a.latency = time.Since(a.startedAt)
@@ -192,13 +192,13 @@
 
 // relay passes the answer on to the caller. It returns false when the answer
 // broke midway, whichever side broke it.
-func relay(ex *Exchange, a *attempt, mark func(http.Header)) bool {
+func relay(ex *Exchange, a *attempt, setHeaders func(http.Header)) bool {
 	h := ex.w.Header()
 	copyHeader(h, a.resp.Header)
 	if a.resp.ContentLength >= 0 {
 		h["Content-Length"] = a.resp.Header["Content-Length"]
 	}
-	mark(h)
+	setHeaders(h)
 	ex.w.WriteHeader(a.resp.StatusCode)
 	if ex.r.Method == http.MethodHead {
 		return true
--- a/entry/hall.go
+++ b/entry/hall.go
@@ -32,7 +32,7 @@
 
 // SetTargets replaces the targets of all services. Floors gives each service's
 // floor in percent.
-func (h *Hall) SetTargets(now time.Time, targets map[string][]balance.Spec, floors map[string]int) {
+func (h *Hall) SetTargets(now time.Time, targets map[string][]balance.Spec, reserves map[string]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for service := range targets {
@@ -41,7 +41,7 @@
 		}
 	}
 	for service, pool := range h.pools {
-		pool.SetReserve(floors[service])
+		pool.SetReserve(reserves[service])
 		h.deliver(pool.SetTargets(now, targets[service]))
 	}
 }
@@ -68,14 +68,14 @@
 	req.ID = h.lastID
 	now := time.Now()
 	decision := pool.Acquire(now, req)
-	var wait chan balance.Decision
+	var decided chan balance.Decision
 	if decision.Action == balance.Wait {
-		wait = make(chan balance.Decision, 1)
-		h.waiters[req.ID] = wait
+		decided = make(chan balance.Decision, 1)
+		h.waiters[req.ID] = decided
 	}
 	h.mu.Unlock()
-	if wait != nil {
-		decision = h.await(ctx, pool, req.ID, wait)
+	if decided != nil {
+		decision = h.await(ctx, pool, req.ID, decided)
 	}
 	if decision.Action != balance.Run {
 		return nil, decision.RetryAfter
@@ -83,9 +83,9 @@
 	return &Slot{Target: decision.Target, hall: h, service: service, acquiredAt: time.Now()}, 0
 }
 
-func (h *Hall) await(ctx context.Context, pool *balance.Pool, id uint64, wait chan balance.Decision) balance.Decision {
+func (h *Hall) await(ctx context.Context, pool *balance.Pool, id uint64, decided chan balance.Decision) balance.Decision {
 	select {
-	case d := <-wait:
+	case d := <-decided:
 		return d
 	case <-ctx.Done():
 	}
@@ -96,7 +96,7 @@
 		return balance.Decision{Action: balance.Refuse, RetryAfter: time.Second}
 	}
 	// The grant came at the same moment.
-	return <-wait
+	return <-decided
 }
 
 // Release gives the slot back with the result of the request.
@@ -126,10 +126,10 @@
 // deliver hands grants to those who wait for them.
 func (h *Hall) deliver(grants []balance.Grant) {
 	for _, g := range grants {
-		wait := h.waiters[g.ID]
+		decided := h.waiters[g.ID]
 		delete(h.waiters, g.ID)
-		if wait != nil {
-			wait <- g.Decision
+		if decided != nil {
+			decided <- g.Decision
 		}
 	}
 }
--- a/entry/region.go
+++ b/entry/region.go
@@ -21,8 +21,8 @@
 	rows := e.config.Chooser.Order(e.config.Fleet.Candidates(ex.Service.Name))
 	best := Result{}
 	for _, row := range rows {
-		res, again := e.tryRow(ex, row)
-		if !again {
+		res, tryNext := e.tryRow(ex, row)
+		if !tryNext {
 			return res
 		}
 		best = earliestRetry(best, res)
@@ -32,8 +32,8 @@
 			continue
 		}
 		ex.destination = row.To
-		res, again := e.tryLocal(ex, row, homeQueueTimeout)
-		if !again {
+		res, tryNext := e.tryLocal(ex, row, homeQueueTimeout)
+		if !tryNext {
 			return res
 		}
 		best = earliestRetry(best, res)
@@ -46,12 +46,12 @@
 
 // tryRow tries to have the request served on one tryRow. Again is true when it
 // certainly did not run and another tryRow may be tried.
-func (e *Entry) tryRow(ex *Exchange, row table.Row) (res Result, again bool) {
+func (e *Entry) tryRow(ex *Exchange, row table.Row) (res Result, tryNext bool) {
 	ex.destination = row.To
 	best := Result{}
 	if row.To == e.config.Region && e.config.Fleet.HallOpen() {
-		res, again = e.tryLocal(ex, row, localQueueTimeout)
-		if !again {
+		res, tryNext = e.tryLocal(ex, row, localQueueTimeout)
+		if !tryNext {
 			return res, false
 		}
 		best = res
@@ -59,16 +59,16 @@
 	if best.Reason == protocol.ReasonCap {
 		return best, true
 	}
-	res, again = e.tryRemote(ex, row)
-	if !again {
+	res, tryNext = e.tryRemote(ex, row)
+	if !tryNext {
 		return res, false
 	}
 	return earliestRetry(best, res), true
 }
 
 // tryLocal serves the request at a target of the own hall.
-func (e *Entry) tryLocal(ex *Exchange, row table.Row, patience time.Duration) (Result, bool) {
-	slot, refused := e.acquireSlot(ex, patience, "")
+func (e *Entry) tryLocal(ex *Exchange, row table.Row, queueTimeout time.Duration) (Result, bool) {
+	slot, refused := e.acquireSlot(ex, queueTimeout, "")
 	if slot == nil {
 		return refused, true
 	}
@@ -120,8 +120,8 @@
 			admitted = true
 		}
 		tried[hops[i].ID] = true
-		res, again := e.tryHop(ex, row, hops[i])
-		if !again {
+		res, tryNext := e.tryHop(ex, row, hops[i])
+		if !tryNext {
 			return res, false
 		}
 		best = earliestRetry(Result{}, res)
@@ -178,12 +178,12 @@
 }
 
 // acquireSlot takes a acquireSlot of a target of the own hall.
-func (e *Entry) acquireSlot(ex *Exchange, patience time.Duration, avoid string) (*Slot, Result) {
+func (e *Entry) acquireSlot(ex *Exchange, queueTimeout time.Duration, tried string) (*Slot, Result) {
 	slot, wait := e.config.Hall.Acquire(ex.r.Context(), ex.Service.Name, balance.Request{
 		Deadline:        ex.Deadline,
-		QueueTimeout:    patience,
+		QueueTimeout:    queueTimeout,
 		FromOtherRegion: ex.OriginRegion != e.config.Region,
-		Tried:           avoid,
+		Tried:           tried,
 	})
 	if slot == nil {
 		return nil, notRun(statusRefused, protocol.ReasonCapacity, "every target in reach is busy", wait)
@@ -196,8 +196,8 @@
 // body can be sent again.
 func (e *Entry) tryTargets(ex *Exchange, slot *Slot) (Result, bool) {
 	for {
-		res, again := e.tryTarget(ex, slot)
-		if !again {
+		res, tryNext := e.tryTarget(ex, slot)
+		if !tryNext {
 			return res, false
 		}
 		if !e.mayRetry(ex, res.Outcome) {
@@ -275,20 +275,20 @@
 }
 
 // relayResponse relays an answer.
-func (e *Entry) relayResponse(ex *Exchange, a *attempt, mark func(http.Header)) Result {
+func (e *Entry) relayResponse(ex *Exchange, a *attempt, setHeaders func(http.Header)) Result {
 	whole := relay(ex, a, func(h http.Header) {
 		h.Set(protocol.HeaderInstance, e.config.Instance)
 		h.Set(protocol.HeaderRequestID, ex.ID)
-		mark(h)
+		setHeaders(h)
 	})
 	e.recordSuccess()
 	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, ResponseSent: true, Incomplete: !whole}
 }
 
 // refusalResult is the result of an attempt that did not run.
-func (e *Entry) refusalResult(a *attempt, who string) Result {
+func (e *Entry) refusalResult(a *attempt, peer string) Result {
 	if a.resp == nil {
-		detail := who + " can't be reached"
+		detail := peer + " can't be reached"
 		if a.err != nil {
 			detail += ": " + a.err.Error()
 		}
@@ -298,7 +298,7 @@
 	if wait == 0 {
 		wait = e.jitter(200 * time.Millisecond)
 	}
-	return notRun(statusRefused, protocol.ReasonCapacity, who+" refused", wait)
+	return notRun(statusRefused, protocol.ReasonCapacity, peer+" refused", wait)
 }
 
 // unknownResult is the result of an attempt whose end is not known.
--- a/node/claim_writer.go
+++ b/node/claim_writer.go
@@ -158,8 +158,8 @@
 	return c.abandon(a, shard, op, replies)
 }
 
-func awaitReply(ctx context.Context, replies <-chan claim.Reply, limit time.Duration) (claim.Reply, bool) {
-	timer := time.NewTimer(limit)
+func awaitReply(ctx context.Context, replies <-chan claim.Reply, timeout time.Duration) (claim.Reply, bool) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case reply := <-replies:
