--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -12,8 +12,8 @@
 	"github.com/rainford/rainford/claim"
 )
 
-// The properties draw the same cases in every run unless -rapid.seed says
-// otherwise.
+// A fixed seed makes the property tests generate the same cases in every run, unless
+// -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 // attempt is one attempt at an operation, as an entry instance makes it.
@@ -22,14 +22,15 @@
 	sent    bool
 	granted bool
 	ran     bool
-	// reported is the last word to the caller: "", "not run" or "ran".
+	// reported is the outcome reported to the caller: "", "ran", "not run", "unknown", or
+	// "dead" if the instance died without a report.
 	reported string
 }
 
-// TestOperationRunsAtMostOnce drives one key through attempts whose writes are applied
-// late, twice, out of order or never, whose replies are lost, and whose
-// instances die between claim and answer. The operation must run once at most,
-// and never after the caller was told that the latest attempt did not run.
+// TestOperationRunsAtMostOnce applies the operations of several attempts at one key late,
+// twice, out of order or never. Replies get lost, and instances die between acquiring the claim
+// and responding. The operation must run at most once, and no attempt may run after a later
+// attempt was reported as not run.
 func TestOperationRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shard := &claim.Shard{}
@@ -59,7 +60,7 @@
 				}
 			case 4:
 				if a := pick(t, attempts); a != nil && a.granted && a.reported == "" {
-					require.Greater(t, a.op.Attempt, refused, "ran after a later attempt was said not to have run")
+					require.Greater(t, a.op.Attempt, refused, "ran after a later attempt was reported as not run")
 					a.ran = true
 					a.reported = "ran"
 					finish := a.op
@@ -67,7 +68,8 @@
 					late = append(late, finish)
 				}
 			case 5:
-				// Given up before it ran: told so at once, released later.
+				// The attempt is abandoned before it runs. The outcome is reported at once, and
+				// the release is written later.
 				if a := pick(t, attempts); a != nil && a.reported == "" {
 					release := a.op
 					release.Kind = claim.Release
@@ -107,7 +109,7 @@
 		}
 	}
 	require.LessOrEqual(t, runs, 1, "runs")
-	require.LessOrEqual(t, runs+holders, 1, "an attempt may run beside another")
+	require.LessOrEqual(t, runs+holders, 1, "two attempts may run at the same time")
 }
 
 func TestStaleAttemptIsRefused(t *testing.T) {
@@ -119,7 +121,7 @@
 	require.Equal(t, claim.Held, take(3).Result)
 	shard.Apply(claim.Op{Kind: claim.Release, Key: "k", Owner: "2", Attempt: 2})
 	require.Equal(t, claim.Superseded, take(1).Result, "an earlier attempt that arrives late")
-	require.Equal(t, claim.Superseded, take(2).Result, "the refused attempt itself")
+	require.Equal(t, claim.Superseded, take(2).Result, "the released attempt itself")
 	require.Equal(t, claim.Granted, take(3).Result)
 	shard.Apply(claim.Op{Kind: claim.Finish, Key: "k", Owner: "3", Status: 201})
 	require.Equal(t, claim.Reply{Result: claim.AlreadyDone, Status: 201}, take(4))
@@ -150,8 +152,8 @@
 	}
 }
 
-// TestShardsOutliveKeys checks that no shard is swept while a key of it would
-// still be taken.
+// TestShardsOutliveKeys checks that no shard is deleted while ParseKey still accepts one of its
+// keys.
 func TestShardsOutliveKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(rapid.Int64Range(1e9, 2e9).Draw(t, "now"), 0)
@@ -179,7 +181,7 @@
 	require.Len(t, ops, 2)
 	q.Add(a, op(4), true)
 	shard, ops = q.NextBatch(1, false)
-	require.Equal(t, b, shard, "a shard has one write at a time")
+	require.Equal(t, b, shard, "a shard has at most one write in progress")
 	require.Len(t, ops, 1)
 	require.False(t, q.HasBatch(1, true))
 	q.BatchDone(a)
--- a/claim/doc.go
+++ b/claim/doc.go
@@ -1,19 +1,21 @@
-// Package claim provides the record that makes an operation run at most once.
+// Package claim provides the records that make an operation run at most once.
 //
-// The caller names an operation by a key. Before the first byte of a request
-// of a once-only service goes to a target, the entry instance records a claim
-// of the key in the platform. A key is claimed by one attempt at a time: a
-// second attempt, through whichever instance, finds the claim and is told what
-// became of the first. A claim ends in one of two ways: done, with the status
-// of the answer, or released, when the attempt provably did not run. A claim
-// that ends in neither way stays, and the operation is never run again.
+// An operation is identified by an operation key (an idempotency key), which the caller
+// chooses. Each request of the caller for that operation is an attempt. Before an entry
+// instance sends the first byte of an attempt to a target, for a service whose requests must
+// not run twice, it records a claim of the key in the platform's object store. At most one
+// attempt holds the claim of a key at a time. Another attempt, through any instance, finds the
+// claim and gets a reply that states the result of the first attempt, as far as it is known.
 //
-// Claims are grouped: all claims of an instance that fall into one shard go
-// into one conditional write. That the unit of cost is the write and not the
-// claim follows the related paper on batches ("Batches are assembled to a token
-// budget, not an item count"); docs/MEASUREMENTS.md has the figure.
+// A claim ends in one of two states: Done, with the HTTP status of the response, or Released,
+// if the attempt provably did not run. A claim that reaches neither state remains, and the
+// operation is never run again.
 //
-// A key starts with the time it was made. That bounds how long claims must be
-// kept: a key older than MaxAge is refused, and its shard is deleted only after
+// A shard is one stored object that holds the claims of many keys. Claims of the same shard are
+// grouped into batches, and each batch is one conditional write, because the cost of a claim is
+// determined by the number of writes and not by the number of claims.
+//
+// A key starts with the time at which it was created. This time bounds how long claims must be
+// stored: a key older than MaxAge is refused, and the shard of a key is deleted only after
 // that.
 package claim
--- a/claim/key.go
+++ b/claim/key.go
@@ -8,42 +8,46 @@
 	"time"
 )
 
-// TimeLayout is the form of the time that a key starts with, in UTC.
+// TimeLayout is the layout of the UTC time at the start of a key.
 const TimeLayout = "20060102T150405Z"
 
-// Bounds on a key.
+// Bounds on keys and shards.
 const (
 	MaxKeyBytes = 128
-	// MaxAge is the oldest key that is taken.
+	// MaxAge is the age up to which a key is accepted.
 	MaxAge = 5 * time.Hour
-	// MaxClockSkew bounds the error of a caller's clock.
+	// MaxClockSkew is the largest time by which a key may lie in the future. It allows for
+	// errors of the caller's clock.
 	MaxClockSkew = 5 * time.Minute
-	// Retention is how long a shard is kept after its slice has ended. It is over
-	// MaxAge by a margin for the errors of clocks.
+	// Retention is the time for which a shard is stored after the end of its time slice. It
+	// exceeds MaxAge by a margin for clock errors.
 	Retention = MaxAge + time.Hour
 )
 
-// TimeSlice is the length of time whose keys share a set of shards.
+// TimeSlice is the length of a time slice. All keys created within a time slice share its
+// shards.
 const TimeSlice = 30 * time.Second
 
-// ShardsPerSlice is the number of shards of a slice. Few shards make large groups, and
-// each is written by one instance as long as all agree which one: see Writer.
+// ShardsPerSlice is the number of shards of a time slice. A small number makes the batches
+// large. Each shard is written by one instance, as long as all instances agree on it; see
+// WriterFor.
 const ShardsPerSlice = 4
 
-// ObjectPrefix is the prefix of the shards' object keys.
+// ObjectPrefix is the prefix of the shards' object keys in the store.
 const ObjectPrefix = "claims/"
 
-// ErrBadKey means that a key has not the form that this package takes, or is
-// too old or too new.
+// ErrBadKey is returned for a key that is malformed, older than MaxAge, or further in the
+// future than MaxClockSkew.
 var ErrBadKey = errors.New("claim: bad operation key")
 
-// NewKey returns the key of an operation made at a time; random should have
+// NewKey returns the key of an operation created at the time now. The string random should hold
 // at least 64 random bits.
 func NewKey(now time.Time, random string) string {
 	return now.UTC().Format(TimeLayout) + "-" + random
 }
 
-// ParseKey checks a key and returns the time it was made.
+// ParseKey checks a key and returns the time at which it was created. The error wraps
+// ErrBadKey.
 func ParseKey(key string, now time.Time) (time.Time, error) {
 	stamp, random, ok := strings.Cut(key, "-")
 	if !ok || random == "" || len(key) > MaxKeyBytes {
@@ -67,14 +71,14 @@
 	return createdAt, nil
 }
 
-// ShardID names the record that an operation's claim belongs to.
+// ShardID identifies the shard that holds the claim of an operation.
 type ShardID struct {
 	TimeSlice string `msgpack:"s"`
 	Number    int    `msgpack:"n"`
 }
 
-// ShardOf returns the shard of an operation key made at a time. It depends on
-// nothing else, so every instance finds the same shard.
+// ShardOf returns the shard of an operation key that was created at the time made. The result
+// depends only on the arguments, so every instance determines the same shard.
 func ShardOf(key string, createdAt time.Time) ShardID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
@@ -83,13 +87,13 @@
 
 func sliceOf(t time.Time) string { return t.UTC().Truncate(TimeSlice).Format(TimeLayout) }
 
-// ObjectKey returns the platform's key of the shard.
+// ObjectKey returns the key of the shard's object in the store.
 func (id ShardID) ObjectKey() string {
 	return fmt.Sprintf("%s%s/%02d", ObjectPrefix, id.TimeSlice, id.Number)
 }
 
-// ExpiredSlicePrefixes returns the prefixes of the shards' object keys of the slices
-// whose keys became too old within a time before now.
+// ExpiredSlicePrefixes returns the object key prefixes of the time slices whose retention ended
+// within the given time before now.
 func ExpiredSlicePrefixes(now time.Time, within time.Duration) []string {
 	var out []string
 	last := now.Add(-Retention - TimeSlice)
@@ -99,10 +103,12 @@
 	return out
 }
 
-// WriterFor returns the instance that should write the shards of a number, out of
-// those that are alive, by rendezvous hashing (Thaler and Ravishankar, 1998).
-// That all agree saves conflicts; correctness does not rest on it, since every
-// write is conditional. It returns "" when there is none.
+// WriterFor returns the instance that writes the shards with the given number, chosen among the
+// given live instances by rendezvous hashing (Thaler and Ravishankar, 1998). It returns "" if
+// instances is empty.
+//
+// Agreement on the writer avoids write conflicts. Correctness does not depend on it, because
+// every write is conditional.
 func WriterFor(number int, instances []string) string {
 	best, bestHash := "", uint32(0)
 	for _, id := range instances {
--- a/claim/merge.go
+++ b/claim/merge.go
@@ -1,8 +1,11 @@
 package claim
 
-// Merge returns the claims of a shard that was known to be in force, and of the same shard as a platform
-// holds it that has lost its latest changes. Of two claims of an operation the one of the later attempt
-// counts, and of the same attempt the one that has gone further.
+// Merge combines two states of one shard after the store has lost its latest writes, for
+// example after a restore from a backup. The argument known is the latest state that an
+// instance has seen, and stored is the state that the store holds now. If both have a claim of
+// an operation, the merged shard holds the one that supersedes the other: a Done claim first,
+// otherwise the claim of the later attempt, and for the same attempt the claim in the more
+// advanced state.
 func Merge(known, stored Shard) Shard {
 	merged := Shard{Entries: make(map[string]Entry, len(known.Entries)+len(stored.Entries))}
 	for key, e := range stored.Entries {
@@ -17,11 +20,11 @@
 	return merged
 }
 
-// stateOrder orders the states of an attempt.
+// stateOrder ranks the states of an attempt by their progress.
 var stateOrder = map[State]int{Claimed: 0, Released: 1, Done: 2}
 
-// supersedes tells whether a claim counts rather than another one of the same operation. An operation that
-// has run counts whatever comes later.
+// supersedes reports whether e takes precedence over another claim of the same operation. A
+// Done claim takes precedence over any other state, because the operation has run.
 func (e Entry) supersedes(other Entry) bool {
 	if (e.State == Done) != (other.State == Done) {
 		return e.State == Done
--- a/claim/queue.go
+++ b/claim/queue.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// TokenBucket bounds the writes of one instance: Rate a second with bursts of Burst.
+// TokenBucket limits the writes of one instance to Rate per second, with bursts of up to Burst
+// writes.
 type TokenBucket struct {
 	Rate  float64
 	Burst float64
@@ -11,8 +12,8 @@
 	updatedAt time.Time
 }
 
-// Allow takes one write if the pace permits it. If not, it returns how long to
-// wait.
+// Allow takes one token if one is available. Otherwise it returns false and the time until the
+// next token is available.
 func (b *TokenBucket) Allow(now time.Time) (bool, time.Duration) {
 	if b.updatedAt.IsZero() {
 		b.tokens = b.Burst
@@ -30,28 +31,29 @@
 	return false, time.Duration((1 - b.tokens) / b.Rate * float64(time.Second))
 }
 
-// Queue groups operations by shard until they are written. The zero value is
-// ready. It is not safe for concurrent use.
+// Queue groups operations by shard until they are written. The zero value is an empty queue. A
+// Queue is not safe for concurrent use.
 type Queue struct {
 	shards       map[ShardID]*shardQueue
 	lastSequence int64
 }
 
 type shardQueue struct {
-	// sequence numbers the oldest operation, so that shards are served in the
-	// order of their oldest claim.
+	// sequence determines the order in which shards are served: shards with a lower sequence
+	// have waited longer.
 	sequence int64
 	urgent   bool
 	ops      []Op
 	writing  bool
 }
 
-// MaxBatch bounds the operations of one write, so that the shard's growth by
-// one write stays far below the platform's value limit.
+// MaxBatch is the largest number of operations in one write. It keeps the growth of a shard by
+// one write far below the store's limit on the size of a value.
 const MaxBatch = 512
 
-// Add queues an operation of a shard. An operation that a caller waits for is
-// urgent; others wait for an urgent one or for a call of Next with all set.
+// Add queues an operation of a shard. An operation is urgent if a caller waits for its result.
+// Other operations are written together with an urgent operation, or when NextBatch is called
+// with all set.
 func (q *Queue) Add(shard ShardID, op Op, urgent bool) {
 	if q.shards == nil {
 		q.shards = make(map[ShardID]*shardQueue)
@@ -66,8 +68,8 @@
 	p.urgent = p.urgent || urgent
 }
 
-// Withdraw takes an operation that is not being written out of the queue. It
-// reports whether it was there.
+// Withdraw removes an operation from the queue, unless a batch with it is being written. It
+// reports whether the operation was removed.
 func (q *Queue) Withdraw(shard ShardID, op Op) bool {
 	p := q.shards[shard]
 	if p == nil {
@@ -82,7 +84,7 @@
 	return false
 }
 
-// HasBatch tells whether Next would return a batch of a number.
+// HasBatch reports whether NextBatch would return a batch for the same arguments.
 func (q *Queue) HasBatch(number int, all bool) bool {
 	for id, p := range q.shards {
 		if id.Number == number && p.ready(all) {
@@ -92,16 +94,17 @@
 	return false
 }
 
-// Idle tells whether nothing is queued or being written.
+// Idle reports whether no operation is queued or being written.
 func (q *Queue) Idle() bool { return len(q.shards) == 0 }
 
 func (p *shardQueue) ready(all bool) bool {
 	return !p.writing && len(p.ops) > 0 && (p.urgent || all)
 }
 
-// NextBatch returns the operations to write next, of the shard that has waited
-// longest among those of a number. Unless all is set only shards with an urgent
-// operation count. The caller must call Written when the write has ended.
+// NextBatch removes the next batch of operations from the queue and returns it with its shard.
+// Among the shards with the given number, it selects the one that has waited longest. Unless
+// all is set, only shards with an urgent operation are eligible. The caller must call BatchDone
+// when the write has ended.
 func (q *Queue) NextBatch(number int, all bool) (ShardID, []Op) {
 	var best ShardID
 	var oldest *shardQueue
@@ -121,7 +124,7 @@
 	return best, batch
 }
 
-// BatchDone ends the write of a shard's batch.
+// BatchDone marks the write of a shard's batch as ended.
 func (q *Queue) BatchDone(shard ShardID) {
 	p := q.shards[shard]
 	if p == nil {
--- a/claim/shard.go
+++ b/claim/shard.go
@@ -3,47 +3,47 @@
 // State is the state of a claim.
 type State string
 
-// The states of a claim.
+// States of a claim.
 const (
-	// Claimed means that an attempt may run the operation or has run it.
+	// Claimed means that the attempt may run the operation or has run it.
 	Claimed State = "c"
-	// Done means that the operation ran and was answered.
+	// Done means that the operation ran and that its response is known.
 	Done State = "d"
-	// Released means that the attempt did not run. Later attempts may; it
-	// and earlier ones, which may still be under way, may not.
+	// Released means that the attempt did not run. Later attempts may run. The released attempt
+	// and earlier ones, which may still be in flight, may not.
 	Released State = "r"
 )
 
 // Entry is the claim of one operation.
 type Entry struct {
-	// Owner names the attempt that holds the claim. It is unique.
+	// Owner identifies the attempt that holds the claim. It is unique.
 	Owner string `json:"o"`
-	// Attempt is the caller's number of that attempt.
+	// Attempt is the number that the caller gave the attempt.
 	Attempt int   `json:"n"`
 	State   State `json:"s"`
-	// Status is the HTTP status of the answer once the claim is done.
+	// Status is the HTTP status of the response if State is Done.
 	Status int `json:"c,omitempty"`
 }
 
-// Shard is the platform's record of the claims of some operations.
+// Shard is a stored object with the claims of several operations, by operation key.
 type Shard struct {
 	Entries map[string]Entry `json:"e"`
 }
 
-// OpKind is what an Op does.
+// OpKind is the kind of an Op.
 type OpKind int
 
-// The verbs.
+// Kinds of an Op.
 const (
 	// Acquire claims a key for an attempt.
 	Acquire OpKind = iota
 	// Finish records that the owner's attempt ran.
 	Finish
-	// Release withdraws the owner's claim: the attempt did not run.
+	// Release withdraws the owner's claim, because the attempt did not run.
 	Release
 )
 
-// Op is one change of a shard.
+// Op is an operation that changes one claim of a shard.
 type Op struct {
 	Kind    OpKind `msgpack:"v"`
 	Key     string `msgpack:"k"`
@@ -52,35 +52,34 @@
 	Status  int    `msgpack:"s"`
 }
 
-// Result is what became of an Op.
+// Result is the result of an Op.
 type Result int
 
-// The answers.
+// Results of an Op.
 const (
-	// Granted means that the Op took effect: a Take holds the claim.
+	// Granted means that the Op took effect. After an Acquire, its owner holds the claim.
 	Granted Result = iota
-	// Held means that another attempt holds the claim: whether the operation
-	// ran is not known here.
+	// Held means that another attempt holds the claim. Whether the operation ran is not
+	// recorded.
 	Held
-	// AlreadyDone means that the operation ran before; Status tells how it
-	// was answered.
+	// AlreadyDone means that the operation ran before. Reply.Status holds the HTTP status of
+	// its response.
 	AlreadyDone
-	// Superseded means that a later attempt has been refused since, so that
-	// this one must not run any more.
+	// Superseded means that this attempt, or a later one, has been released, so that this
+	// attempt must not run.
 	Superseded
-	// NotWritten means that the platform did not take the write: no claim is
-	// held.
+	// NotWritten means that the store did not accept the write. No claim is held.
 	NotWritten
 )
 
-// Reply is the answer to an Op.
+// Reply is the reply to an Op.
 type Reply struct {
 	Result Result `msgpack:"a"`
 	Status int    `msgpack:"s"`
 }
 
-// Apply changes the shard by op. Applying an Op twice is the same as once, so
-// that a write whose reply was lost can be tried again.
+// Apply applies op to the shard. Applying an Op twice has the same effect as applying it once,
+// so a write whose reply was lost can be retried.
 func (s *Shard) Apply(op Op) Reply {
 	if s.Entries == nil {
 		s.Entries = make(map[string]Entry)
@@ -104,8 +103,8 @@
 		}
 	case Release:
 		if !ok || existing.State == Released && existing.Attempt < op.Attempt {
-			// The Take has not arrived yet and must not take effect when
-			// it does.
+			// The Acquire of this attempt has not been applied yet. It must not take effect if
+			// it is applied later.
 			s.Entries[op.Key] = Entry{Owner: op.Owner, Attempt: op.Attempt, State: Released}
 		} else if owned && existing.State == Claimed {
 			existing.State = Released
