--- a/table/cell.go
+++ b/table/cell.go
@@ -182,27 +182,27 @@
 // both sides changed to different values are returned as conflicts, and the
 // merged table is then nil.
 func Merge(base, mine, theirs *Table) (*Table, []Conflict) {
-	was, ours, other := cellsOf(base), cellsOf(mine), cellsOf(theirs)
-	out := make(cellValues, len(other))
-	for cell, value := range other {
+	baseCells, myCells, theirCells := cellsOf(base), cellsOf(mine), cellsOf(theirs)
+	out := make(cellValues, len(theirCells))
+	for cell, value := range theirCells {
 		out[cell] = value
 	}
 	var conflicts []Conflict
-	for _, cell := range sortedUnion(was, ours) {
-		if ours[cell] == was[cell] || ours[cell] == other[cell] {
+	for _, cell := range sortedUnion(baseCells, myCells) {
+		if myCells[cell] == baseCells[cell] || myCells[cell] == theirCells[cell] {
 			continue
 		}
-		if other[cell] != was[cell] {
-			conflicts = append(conflicts, Conflict{Cell: cell, Base: was[cell], Mine: ours[cell], Theirs: other[cell]})
+		if theirCells[cell] != baseCells[cell] {
+			conflicts = append(conflicts, Conflict{Cell: cell, Base: baseCells[cell], Mine: myCells[cell], Theirs: theirCells[cell]})
 			continue
 		}
-		if value, ok := ours[cell]; ok {
+		if value, ok := myCells[cell]; ok {
 			out[cell] = value
 		} else {
 			delete(out, cell)
 		}
 	}
-	conflicts = append(conflicts, removalConflicts(was, ours, other)...)
+	conflicts = append(conflicts, removalConflicts(baseCells, myCells, theirCells)...)
 	if len(conflicts) > 0 {
 		return nil, conflicts
 	}
@@ -211,29 +211,29 @@
 
 // removalConflicts finds rows and services that one side removed while the other
 // changed a cell of them: a merge would leave half of a row.
-func removalConflicts(was, ours, other cellValues) []Conflict {
+func removalConflicts(baseCells, myCells, theirCells cellValues) []Conflict {
 	var out []Conflict
-	for _, cell := range sortedUnion(was, nil) {
-		_, inOurs := ours[cell]
-		_, inOther := other[cell]
-		if inOurs == inOther {
+	for _, cell := range sortedUnion(baseCells, nil) {
+		_, inMine := myCells[cell]
+		_, inTheirs := theirCells[cell]
+		if inMine == inTheirs {
 			continue
 		}
-		kept := ours
-		if inOther {
-			kept = other
+		kept := myCells
+		if inTheirs {
+			kept = theirCells
 		}
-		if changed, at := changedSibling(was, kept, cell); changed {
-			out = append(out, Conflict{Cell: at, Base: was[at], Mine: ours[at], Theirs: other[at]})
+		if changed, sibling := changedSibling(baseCells, kept, cell); changed {
+			out = append(out, Conflict{Cell: sibling, Base: baseCells[sibling], Mine: myCells[sibling], Theirs: theirCells[sibling]})
 		}
 	}
 	return out
 }
 
-func changedSibling(was, kept cellValues, cell Cell) (bool, Cell) {
-	for other, value := range was {
-		if other.Kind == cell.Kind && other.Name == cell.Name && kept[other] != value {
-			return true, other
+func changedSibling(baseCells, kept cellValues, cell Cell) (bool, Cell) {
+	for sibling, value := range baseCells {
+		if sibling.Kind == cell.Kind && sibling.Name == cell.Name && kept[sibling] != value {
+			return true, sibling
 		}
 	}
 	return false, Cell{}
--- a/table/csv.go
+++ b/table/csv.go
@@ -158,7 +158,7 @@
 	return record[col]
 }
 
-func (p *csvParser) number(record []string, col, empty, most int) int {
+func (p *csvParser) number(record []string, col, empty, maximum int) int {
 	text := record[col]
 	if text == "" {
 		return empty
@@ -168,8 +168,8 @@
 		p.add(col, fmt.Sprintf("%q is not a whole number", text))
 		return empty
 	}
-	if n < 0 || n > most {
-		p.add(col, fmt.Sprintf("%d is not in 0 to %d", n, most))
+	if n < 0 || n > maximum {
+		p.add(col, fmt.Sprintf("%d is not in 0 to %d", n, maximum))
 		return empty
 	}
 	return n
