--- a/table/bench_test.go
+++ b/table/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/rainford/rainford/table"
 )
 
-// tableOfSize returns a table of 7 regions with about n rows.
+// tableOfSize returns a table of 7 regions with at least n rows.
 func tableOfSize(n int) *table.Table {
 	t := &table.Table{}
 	halls := 0
--- a/table/cell.go
+++ b/table/cell.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// CellKind is the kind of thing that a cell belongs to.
+// CellKind is the kind of object that a cell belongs to.
 type CellKind string
 
-// The kinds of cells.
+// Kinds of cells.
 const (
 	CellRegion  CellKind = "region"
 	CellService CellKind = "service"
@@ -19,7 +19,7 @@
 	CellDrain   CellKind = "drain"
 )
 
-// Names of the cells of regions, services and drains.
+// Fields of regions, services and drains.
 const (
 	fieldHalls = "halls"
 	fieldOnce  = "once"
@@ -27,28 +27,29 @@
 	fieldSet   = "set"
 )
 
-// Cell names one value of a table. Name is the region, the service, the row's
-// "service/from/to" or the drain's "scope/name".
+// Cell identifies one value of a table. Name is the name of the region or service, the
+// "service/from/to" of the row, or the "scope/name" of the drain.
 type Cell struct {
 	Kind  CellKind `json:"kind"`
 	Name  string   `json:"name"`
 	Field string   `json:"field"`
 }
 
-// String returns the cell as "row listings/accra/kumasi weight".
+// String returns the cell in the form "row listings/accra/kumasi weight".
 func (c Cell) String() string {
 	return fmt.Sprintf("%s %s %s", c.Kind, c.Name, c.Field)
 }
 
-// Change is one cell's value before and after. A cell that does not exist has
-// an empty value.
+// Change is the change of a cell, with its values before and after. The value of a cell that
+// does not exist is empty.
 type Change struct {
 	Cell   Cell   `json:"cell"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// Conflict is one cell that two operators changed to different values.
+// Conflict is a cell that two operators changed to different values. Base is the value that
+// both started from.
 type Conflict struct {
 	Cell   Cell   `json:"cell"`
 	Base   string `json:"base"`
@@ -56,11 +57,14 @@
 	Theirs string `json:"theirs"`
 }
 
+// cellValues holds the values of a table's cells as text.
 type cellValues map[Cell]string
 
-// noCapText stands for NoCap in a cell, where empty means "no such cell".
+// noCapText is the text of NoCap in a cell. An empty text can't be used, since it means that
+// the cell does not exist.
 const noCapText = "none"
 
+// cellsOf returns the cells of t.
 func cellsOf(t *Table) cellValues {
 	out := make(cellValues)
 	for _, r := range t.Regions {
@@ -87,7 +91,8 @@
 	return out
 }
 
-// tableOf rebuilds a table, sorted by name, from cells made by cellsOf.
+// tableOf returns the table with the given cells, which come from cellsOf. Its regions,
+// services, rows and drains are sorted by name.
 func tableOf(cells cellValues) *Table {
 	t := &Table{}
 	regions := make(map[string]*Region)
@@ -122,6 +127,7 @@
 	return t
 }
 
+// getOrCreate returns the entry of m under name. It adds a zero entry if there is none.
 func getOrCreate[T any](m map[string]*T, name string) *T {
 	if m[name] == nil {
 		m[name] = new(T)
@@ -166,7 +172,7 @@
 	}
 }
 
-// Diff returns the cells that differ, in the order of their names.
+// Diff returns the changes of the cells that differ between two tables, sorted by cell.
 func Diff(before, after *Table) []Change {
 	old, now := cellsOf(before), cellsOf(after)
 	var out []Change
@@ -178,9 +184,9 @@
 	return out
 }
 
-// Merge applies to theirs the edits that lead from base to mine. Cells that
-// both sides changed to different values are returned as conflicts, and the
-// merged table is then nil.
+// Merge returns theirs with the changes that lead from base to mine. If there are cells that
+// both sides changed to different values, Merge returns these as conflicts and a nil table.
+// A row or service that one side removed and the other changed is a conflict as well.
 func Merge(base, mine, theirs *Table) (*Table, []Conflict) {
 	baseCells, myCells, theirCells := cellsOf(base), cellsOf(mine), cellsOf(theirs)
 	out := make(cellValues, len(theirCells))
@@ -209,8 +215,8 @@
 	return tableOf(out), nil
 }
 
-// removalConflicts finds rows and services that one side removed while the other
-// changed a cell of them: a merge would leave half of a row.
+// removalConflicts returns conflicts for the rows and services that one side removed while the
+// other side changed one of their cells. A merge would leave only some cells of such a row.
 func removalConflicts(baseCells, myCells, theirCells cellValues) []Conflict {
 	var out []Conflict
 	for _, cell := range sortedUnion(baseCells, nil) {
@@ -230,6 +236,8 @@
 	return out
 }
 
+// changedSibling reports whether a cell of the same object as cell differs between baseCells
+// and kept, and returns such a cell.
 func changedSibling(baseCells, kept cellValues, cell Cell) (bool, Cell) {
 	for sibling, value := range baseCells {
 		if sibling.Kind == cell.Kind && sibling.Name == cell.Name && kept[sibling] != value {
@@ -239,6 +247,7 @@
 	return false, Cell{}
 }
 
+// sortedUnion returns the cells of a and b without duplicates, sorted by their texts.
 func sortedUnion(a, b cellValues) []Cell {
 	out := make([]Cell, 0, len(a)+len(b))
 	for cell := range a {
@@ -253,7 +262,7 @@
 	return out
 }
 
-// Undo returns the table before the changes.
+// Undo returns t as it was before the changes.
 func Undo(t *Table, changes []Change) *Table {
 	cells := cellsOf(t)
 	for _, c := range changes {
--- a/table/check.go
+++ b/table/check.go
@@ -5,10 +5,11 @@
 	"regexp"
 )
 
-// namePattern is the form of the names of regions, halls and services.
+// namePattern matches the valid names of regions, halls and services.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Limits on the size of a table; docs/CAPACITY.md gives the sizes to come.
+// Maximum sizes of a table. docs/CAPACITY.md describes the expected sizes. MaxHalls is the
+// maximum number of halls of a region.
 const (
 	MaxRows     = 2_000
 	MaxRegions  = 64
@@ -16,8 +17,7 @@
 	MaxServices = 512
 )
 
-// Check returns everything that is wrong with t. The sheet gives the places of
-// rows and may be nil.
+// Check returns all faults of t. It takes the positions of rows from sheet, which may be nil.
 func Check(t *Table, sheet *Sheet) Findings {
 	c := &checker{table: t, sheet: sheet}
 	c.sizes()
@@ -60,7 +60,7 @@
 	}
 	for _, s := range sizes {
 		if s.have > s.max {
-			c.add(s.field, "%d, at most %d", s.have, s.max)
+			c.add(s.field, "%d exceeds the maximum of %d", s.have, s.max)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	for _, r := range c.table.Regions {
 		c.name("region", r.Name)
 		if regions[r.Name] {
-			c.add("region", "%s stands twice", r.Name)
+			c.add("region", "%s is listed twice", r.Name)
 		}
 		regions[r.Name] = true
 		if len(r.Halls) == 0 || len(r.Halls) > MaxHalls {
@@ -98,7 +98,7 @@
 	for _, s := range c.table.Services {
 		c.name("service", s.Name)
 		if seen[s.Name] {
-			c.add("service", "%s stands twice", s.Name)
+			c.add("service", "%s is listed twice", s.Name)
 		}
 		seen[s.Name] = true
 		if s.Reserve < 0 || s.Reserve > 100 {
@@ -111,7 +111,7 @@
 	seen := make(map[RowKey]bool)
 	for _, r := range c.table.Rows {
 		if seen[r.Key()] {
-			c.addRow(r, colService, "stands twice")
+			c.addRow(r, colService, "row is listed twice")
 		}
 		seen[r.Key()] = true
 		if _, ok := c.table.Service(r.Service); !ok {
@@ -127,6 +127,7 @@
 	}
 }
 
+// rowValues checks the weight, cap, shift and ramp of a row.
 func (c *checker) rowValues(r Row) {
 	if r.Weight < 0 || r.Weight > MaxWeight {
 		c.addRow(r, colWeight, "%d is not in 0 to %d", r.Weight, MaxWeight)
@@ -148,8 +149,9 @@
 	}
 }
 
-// weights finds a service whose rows from some region all weigh nothing:
-// every request there would be refused. A drain says that more plainly.
+// weights checks that the rows of a service from a region do not all have weight 0, because
+// every request for the service from that region would be refused. Operators who intend this
+// can use a drain.
 func (c *checker) weights() {
 	type group struct{ service, from string }
 	sums := make(map[group]int)
@@ -182,8 +184,8 @@
 				c.add("drain", "no hall %q", d.Name)
 			}
 		case ScopeTarget:
-			// Targets come and go with the platform's list, so an
-			// unknown one is no fault.
+			// An unknown target is no fault, because targets are added
+			// to the platform's list and removed from it at any time.
 			if d.Name == "" {
 				c.add("drain", "a target needs a name")
 			}
--- a/table/csv.go
+++ b/table/csv.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Header is the first line of a table as CSV.
+// Header is the first line of a table in CSV.
 var Header = []string{"service", "from", "to", "weight", "cap", "shift", "ramp"}
 
-// Column numbers in Header.
+// Indices of the columns in Header.
 const (
 	colService = iota
 	colFrom
@@ -24,24 +24,25 @@
 	colRamp
 )
 
-// MaxCSVBytes is the largest text that ReadCSV takes.
+// MaxCSVBytes is the number of bytes after which ReadCSV stops reading.
 const MaxCSVBytes = 1 << 20
 
-// position is where a row stands in a text.
+// position is the position of a row in a text: its line and the columns of its cells, all
+// counted from 1.
 type position struct {
 	line    int
 	columns [7]int
 }
 
-// Sheet is a table's rows as read from CSV, with the place of each.
+// Sheet holds the rows of a table that were read from CSV, with their positions in the text.
 type Sheet struct {
 	Rows      []Row
 	positions map[RowKey]position
 }
 
-// ReadCSV reads rows from CSV. It reads to the end whatever it meets, and
-// returns all faults together as Findings. Empty cells stand for: weight 0, no
-// cap, shift 100, ramp 0.
+// ReadCSV reads rows from CSV. It continues after a fault, unless the CSV syntax is invalid,
+// and returns all faults together as Findings. An empty cell means weight 0, no cap,
+// shift 100 or ramp 0.
 func ReadCSV(r io.Reader) (*Sheet, error) {
 	reader := csv.NewReader(io.LimitReader(r, MaxCSVBytes))
 	reader.FieldsPerRecord = -1
@@ -144,7 +145,7 @@
 		Ramp:    p.duration(record, colRamp),
 	}
 	if first, twice := p.sheet.positions[row.Key()]; twice {
-		p.add(colService, fmt.Sprintf("row %s stands already on line %d", row.Key(), first.line))
+		p.add(colService, fmt.Sprintf("row %s is already on line %d", row.Key(), first.line))
 		return
 	}
 	p.sheet.positions[row.Key()] = p.current
@@ -192,7 +193,7 @@
 	return d
 }
 
-// WriteCSV writes rows as CSV in the form that ReadCSV reads.
+// WriteCSV writes rows in the CSV format that ReadCSV reads.
 func WriteCSV(w io.Writer, rows []Row) error {
 	out := csv.NewWriter(w)
 	err := out.Write(Header)
@@ -225,8 +226,8 @@
 	}
 }
 
-// SetCell parses text as the cell called field of row and returns the row with
-// it. Field is one of weight, cap, shift and ramp.
+// SetCell returns row with the cell field set to the value of text. The field is one of weight,
+// cap, shift and ramp. If the text is invalid, SetCell returns Findings.
 func SetCell(row Row, field, text string) (Row, error) {
 	record := row.record()
 	col := -1
--- a/table/finding.go
+++ b/table/finding.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// Finding is one fault of a table, with its place.
+// Finding is a fault of a table, with its position in the text that was read.
 type Finding struct {
-	// Line and Column count from 1 in the text that was read. They are 0
-	// when the fault belongs to no place in a text.
+	// Line and Column are counted from 1. They are 0 if the fault has no position in
+	// a text.
 	Line    int    `json:"line,omitempty"`
 	Column  int    `json:"column,omitempty"`
 	Field   string `json:"field,omitempty"`
 	Message string `json:"message"`
 }
 
-// String returns the finding as "line 3, column 9: cap: …".
+// String returns the finding in the form "line 3, column 9: cap: …".
 func (f Finding) String() string {
 	var b strings.Builder
 	if f.Line > 0 {
@@ -28,11 +28,10 @@
 	return b.String()
 }
 
-// Findings are all the faults of one table. As an error it prints one per
-// line.
+// Findings holds all faults of a table. As an error, it has one line for each fault.
 type Findings []Finding
 
-// Error implements error.
+// Error implements error. It returns the findings separated by newlines.
 func (fs Findings) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
--- a/table/fuzz_test.go
+++ b/table/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// FuzzReadCSV has any text for a table, and checks that rows that are taken without a
-// finding are the same after they were written and read again.
+// FuzzReadCSV checks for arbitrary texts that rows that ReadCSV accepts without a finding are the
+// same after they have been written and read again.
 func FuzzReadCSV(f *testing.F) {
 	f.Add("service,from,to,weight,cap,shift,ramp\nlistings,accra,kumasi,40,120,15,10s\n")
 	f.Add("service,from,to,weight,cap,shift,ramp\r\n# a comment\r\n\"a\"\"b\",accra,accra,,,,\r\n")
--- a/table/plan.go
+++ b/table/plan.go
@@ -2,9 +2,10 @@
 
 import "sort"
 
-// Plan is a checked table in the form that routing uses. It is immutable.
+// Plan is a checked table, indexed for the look-ups of routing. It is immutable and safe for
+// concurrent use.
 type Plan struct {
-	// Version is the version of the configuration that the plan was made of.
+	// Version is the version of the configuration from which the plan was compiled.
 	Version int64
 	Table   *Table
 
@@ -15,9 +16,11 @@
 	drained       map[Drain]bool
 }
 
+// rowGroup identifies the rows of a service and an origin region.
 type rowGroup struct{ service, from string }
 
-// Compile makes a plan of t, which must have passed Check.
+// Compile returns the plan for t, which must have passed Check and must not be changed
+// afterwards.
 func Compile(t *Table, version int64) *Plan {
 	p := &Plan{
 		Version:       version,
@@ -50,35 +53,36 @@
 	return p
 }
 
-// Rows returns the rows of a service from a region, the heaviest first. The
+// Rows returns the rows of a service and an origin region, sorted by decreasing weight. The
 // caller must not change them.
 func (p *Plan) Rows(service, from string) []Row {
 	return p.rows[rowGroup{service, from}]
 }
 
-// Service returns the service called name.
+// Service returns the service with the given name, and whether there is one.
 func (p *Plan) Service(name string) (Service, bool) {
 	s, ok := p.services[name]
 	return s, ok
 }
 
-// RegionOf returns the region that a hall belongs to, or "".
+// RegionOf returns the region of a hall, or "" for an unknown hall.
 func (p *Plan) RegionOf(hall string) string { return p.regionByHall[hall] }
 
 // Halls returns the halls of a region. The caller must not change them.
 func (p *Plan) Halls(region string) []string { return p.hallsByRegion[region] }
 
-// RegionDrained tells whether a region gets no new work.
+// RegionDrained reports whether a region is drained, so that it gets no new requests.
 func (p *Plan) RegionDrained(region string) bool {
 	return p.drained[Drain{ScopeRegion, region}]
 }
 
-// HallDrained tells whether a drain names the hall itself.
+// HallDrained reports whether there is a drain of the hall itself, regardless of its region.
 func (p *Plan) HallDrained(hall string) bool {
 	return p.drained[Drain{ScopeHall, hall}]
 }
 
-// TargetDrained tells whether a drain names the target.
+// TargetDrained reports whether there is a drain of the target itself, regardless of its hall
+// and region.
 func (p *Plan) TargetDrained(target string) bool {
 	return p.drained[Drain{ScopeTarget, target}]
 }
--- a/table/table.go
+++ b/table/table.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// CapWindow is the length of the sliding window that caps are counted over.
+// CapWindow is the length of the sliding window in which a cap limits the requests.
 const CapWindow = time.Second
 
-// NoCap is the Cap of a row without a limit.
+// NoCap is the value of Row.Cap for a row without a cap.
 const NoCap = -1
 
-// Bounds of the numbers in a table.
+// Maximum values in a table. FullShift is the shift, in percent, that permits the whole cap
+// at once.
 const (
 	MaxWeight = 1_000_000
 	MaxCap    = 1_000_000
@@ -18,7 +19,7 @@
 	FullShift = 100
 )
 
-// Table is everything that operators set. Its zero value is empty and valid.
+// Table is the operators' table. The zero value is empty and valid.
 type Table struct {
 	Regions  []Region  `json:"regions"`
 	Services []Service `json:"services"`
@@ -26,25 +27,25 @@
 	Drains   []Drain   `json:"drains,omitempty"`
 }
 
-// Region is a region with its halls. The order of the halls decides how a cap
-// that does not divide evenly is split.
+// Region is a region with its halls. If a cap can't be divided evenly among the halls, their
+// order determines the distribution of the remainder.
 type Region struct {
 	Name  string   `json:"name"`
 	Halls []string `json:"halls"`
 }
 
-// Service is one service that targets offer.
+// Service is a service that targets run.
 type Service struct {
 	Name string `json:"name"`
-	// NonIdempotent marks a service whose operations run at most once. Requests of
-	// other services may be retried freely.
+	// NonIdempotent states that a request of the service must run at most once.
+	// Requests of other services may be retried without restriction.
 	NonIdempotent bool `json:"once,omitempty"`
-	// Reserve is the percentage of each hall's slots that requests from other
-	// regions may not fill.
+	// Reserve is the percentage of each hall's slots that is reserved for requests
+	// from the hall's own region.
 	Reserve int `json:"floor,omitempty"`
 }
 
-// Row is one line of weights and limits. See the package comment.
+// Row is a row of the table. The package comment describes its fields.
 type Row struct {
 	Service string        `json:"service"`
 	From    string        `json:"from"`
@@ -55,40 +56,40 @@
 	Ramp    time.Duration `json:"ramp"`
 }
 
-// Key names the row.
+// Key returns the key of the row.
 func (r Row) Key() RowKey {
 	return RowKey{Service: r.Service, From: r.From, To: r.To}
 }
 
-// RowKey names a row.
+// RowKey identifies a row.
 type RowKey struct {
 	Service string `json:"service" msgpack:"s"`
 	From    string `json:"from" msgpack:"f"`
 	To      string `json:"to" msgpack:"t"`
 }
 
-// String returns the key as "service from>to".
+// String returns the key in the form "service from>to".
 func (k RowKey) String() string {
 	return k.Service + " " + k.From + ">" + k.To
 }
 
-// DrainScope is the kind of thing that a drain names.
+// DrainScope is the kind of object that a drain applies to.
 type DrainScope string
 
-// The scopes of a drain.
+// Scopes of a drain.
 const (
 	ScopeRegion DrainScope = "region"
 	ScopeHall   DrainScope = "hall"
 	ScopeTarget DrainScope = "target"
 )
 
-// Drain takes a region, a hall or a target out of use: it gets no new work.
+// Drain takes a region, a hall or a target out of use, so that it gets no new requests.
 type Drain struct {
 	Scope DrainScope `json:"scope"`
 	Name  string     `json:"name"`
 }
 
-// Region returns the region called name.
+// Region returns the region with the given name, and whether there is one.
 func (t *Table) Region(name string) (Region, bool) {
 	for _, r := range t.Regions {
 		if r.Name == name {
@@ -98,7 +99,7 @@
 	return Region{}, false
 }
 
-// Service returns the service called name.
+// Service returns the service with the given name, and whether there is one.
 func (t *Table) Service(name string) (Service, bool) {
 	for _, s := range t.Services {
 		if s.Name == name {
@@ -108,7 +109,7 @@
 	return Service{}, false
 }
 
-// Drained tells whether a drain of the scope names name.
+// Drained reports whether the table has a drain of the given scope and name.
 func (t *Table) Drained(scope DrainScope, name string) bool {
 	for _, d := range t.Drains {
 		if d.Scope == scope && d.Name == name {
@@ -118,7 +119,7 @@
 	return false
 }
 
-// Clone returns a deep copy.
+// Clone returns a deep copy of the table.
 func (t *Table) Clone() *Table {
 	out := &Table{
 		Services: append([]Service(nil), t.Services...),
@@ -132,7 +133,7 @@
 	return out
 }
 
-// SetRow replaces the row with the same key, or adds it.
+// SetRow replaces the row that has the same key, or adds the row if there is none.
 func (t *Table) SetRow(row Row) {
 	for i, r := range t.Rows {
 		if r.Key() == row.Key() {
@@ -143,7 +144,8 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// SetDrain adds or removes a drain. It reports whether the table changed.
+// SetDrain adds the drain if on is true, and removes it otherwise. It reports whether the table
+// changed.
 func (t *Table) SetDrain(d Drain, on bool) bool {
 	for i, have := range t.Drains {
 		if have != d {
--- a/table/table_test.go
+++ b/table/table_test.go
@@ -13,8 +13,7 @@
 	"github.com/rainford/rainford/table"
 )
 
-// The properties draw the same cases in every run unless -rapid.seed says
-// otherwise.
+// The property tests draw the same cases in every run, unless -rapid.seed sets another seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func smallTable() *table.Table {
@@ -28,8 +27,8 @@
 	}
 }
 
-// TestReadCSVFindings checks that all faults of a sheet come together, each
-// with its line and column.
+// TestReadCSVFindings checks that ReadCSV returns all faults of a text together, each with its
+// line and column.
 func TestReadCSVFindings(t *testing.T) {
 	cases := []struct {
 		name, text string
@@ -51,7 +50,7 @@
 		{
 			"twice",
 			"service,from,to,weight,cap,shift,ramp\ns,a,a,1,,100,0s\ns,a,a,2,,100,0s\n",
-			[]string{"line 3, column 1: service: row s a>a stands already on line 2"},
+			[]string{"line 3, column 1: service: row s a>a is already on line 2"},
 		},
 	}
 	for _, c := range cases {
@@ -121,9 +120,9 @@
 	})
 }
 
-// TestMergeMatchesDefinition checks against the definition: a cell that one side
-// changed has that side's value, one that both changed differently is a
-// conflict, and nothing else changes.
+// TestMergeMatchesDefinition checks Merge against its definition: a cell that one side changed has
+// the value of that side, a cell that both sides changed to different values is a conflict, and no
+// other cell changes. It also checks that Undo reverts the result.
 func TestMergeMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base, mine, theirs := drawTable(t, "base "), drawTable(t, "mine "), drawTable(t, "theirs ")
