--- a/entry/body.go
+++ b/entry/body.go
@@ -7,23 +7,24 @@
 	"sync"
 )
 
-// maxReplayBytes is the part of a request's body that is kept, so that a request
-// that was refused can be tried elsewhere.
+// maxReplayBytes bounds the buffered part of a request body. The buffer allows a request that
+// was refused to be sent again to another target or instance.
 const maxReplayBytes = 64 << 10
 
-// errNotReplayable means that a body can't be sent a second time.
+// errNotReplayable is returned when a body cannot be read again from its start, or when a
+// reader has been replaced by a newer one.
 var errNotReplayable = errors.New("entry: body can't be sent again")
 
-// body is the body of a request. It keeps what has been read of it up to
-// replayBytes, and can be read again from the start as long as that is all.
+// body is the body of a request. It buffers what has been read of the source, up to
+// maxReplayBytes, and can be read again from its start until more than that has been read.
 type body struct {
-	// length is the length of the whole, or -1.
+	// length is the length of the body in bytes, or -1 if it is unknown.
 	length int64
 	src    io.Reader
-	// reading is held during a read of src, which may take long.
+	// reading serializes reads of src, which may block for a long time.
 	reading sync.Mutex
 
-	// mu guards what follows and is held briefly.
+	// mu guards the fields below and is held only briefly.
 	mu        sync.Mutex
 	buffered  []byte
 	readBytes int
@@ -42,35 +43,35 @@
 	return b
 }
 
-// large tells whether the body may be over what is kept.
+// large reports whether the body may be longer than maxReplayBytes.
 func (b *body) large() bool {
 	return b.length < 0 || b.length > maxReplayBytes
 }
 
-// unread tells whether some of the body has not been read.
+// unread reports whether a part of the body has not been read.
 func (b *body) unread() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.eof
 }
 
-// replayable tells whether open would succeed.
+// replayable reports whether open would succeed.
 func (b *body) replayable() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return !b.discarded
 }
 
-// readError returns the error that reading the caller's body met, if any.
+// readError returns the error of reading the caller's body, or nil.
 func (b *body) readError() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.err
 }
 
-// open returns a reader of the whole body. Readers opened before end with
-// errSpent. It fails when part of the body is gone. Touch is called whenever
-// something was read.
+// open returns a reader that starts at the beginning of the body. Readers that were opened
+// before fail with errNotReplayable from then on. open itself returns errNotReplayable if the
+// buffered part has been discarded. The reader calls onRead after each read of the source.
 func (b *body) open(onRead func()) (io.ReadCloser, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +82,7 @@
 	return b.current, nil
 }
 
-// bodyReader is one pass over a body.
+// bodyReader reads a body once from its start.
 type bodyReader struct {
 	body   *body
 	onRead func()
@@ -97,7 +98,7 @@
 	b := r.body
 	b.reading.Lock()
 	defer b.reading.Unlock()
-	// A reader opened before may have read on meanwhile.
+	// An earlier reader may have read from the source in the meantime.
 	n, err, done = r.readBuffered(p)
 	if done {
 		return n, err
@@ -109,8 +110,8 @@
 	return n, err
 }
 
-// readBuffered reads what needs no read of the source. Done is false when there is
-// nothing of that kind.
+// readBuffered handles reads that need no read of the source, such as reads from the buffer. It
+// returns done == false if the source has to be read.
 func (r *bodyReader) readBuffered(p []byte) (n int, err error, done bool) {
 	b := r.body
 	b.mu.Lock()
@@ -130,7 +131,7 @@
 	return 0, nil, false
 }
 
-// record keeps what was read of the source.
+// record updates the body with the result of a read of the source.
 func (b *body) record(p []byte, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -149,5 +150,6 @@
 	}
 }
 
-// Close implements io.Closer. The caller's body stays open for another try.
+// Close implements io.Closer. It does not close the caller's body, which another attempt may
+// read.
 func (r *bodyReader) Close() error { return nil }
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,16 +1,18 @@
-// Package entry provides the path of a request through an entry instance, over
-// net/http, as a pipe of filters:
+// Package entry handles requests at an entry instance, over net/http. A request passes through
+// a pipeline of filters:
 //
 //	log -> deadline -> classify -> claim -> region -> cap -> target -> dispatch
 //
-// Each filter does one job and passes the exchange on. What it decides it asks
-// the deciding packages (route, share, balance, claim, retry); this package
-// only wires them to sockets.
+// A filter receives an Exchange, which holds the request and its state, and calls the next
+// stage. The decisions are made by the packages route, share, balance, claim and retry. Package
+// entry applies them to connections.
 //
-// A request that entered here goes to a target of the own hall, or through one
-// hop to another instance, which sends it to a target of its hall. A request
-// that came by a hop goes to a target of the own hall or is refused.
+// A caller is a client process that sends requests. A request of a caller is sent to a target
+// of this instance's own hall or, through one hop, to another instance, which sends it to a
+// target of its own hall. A request that another instance forwarded is sent to a target of the
+// own hall or refused; it is never forwarded again.
 //
-// Bodies stream in both directions. An answer that breaks midway breaks the
-// connection of whoever waits for it, so that it never looks whole.
+// Request and response bodies are streamed. If the response of a target or instance breaks off,
+// the connection to the caller is closed, so that the caller cannot mistake a part of the
+// response for the whole.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -21,65 +21,68 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Fleet is what an entry needs to know of the configuration and of the other
-// instances. Its methods are called for every request.
+// Fleet provides the routing table in force and the state of the other instances. Its methods
+// are called for every request.
 type Fleet interface {
-	// Plan returns the table in force, or nil while there is none.
+	// Plan returns the compiled table in force, or nil if there is none yet.
 	Plan() *table.Plan
-	// Candidates returns the rows of a service from the own region with the
-	// states of their destinations.
+	// Candidates returns the rows of a service with the own region as origin, and the states of
+	// their destinations.
 	Candidates(service string) []route.Candidate
-	// HallOpen tells whether the own hall takes new work.
+	// HallOpen reports whether the own hall accepts new requests.
 	HallOpen() bool
-	// Hops returns the instances through which a region's targets can be
-	// reached, other than this one and those in avoid. Busy tells that some
-	// were left out because they have declined of late.
+	// Hops returns the instances through which the targets of a region can be reached, without
+	// this instance and those in avoid. The result busy reports whether instances were left out
+	// because they refused requests recently.
 	Hops(region, service string, avoid map[string]bool) (hops []Hop, busy bool)
-	// RecordSent records that a request was sent to an instance. Answered records
-	// that it ran, and Declined that it did not and when to ask again.
+	// RecordSent records that a request was sent to an instance. RecordAnswered records that a
+	// request ran, with its latency. RecordDeclined records that the instance refused a
+	// request, and the time to wait before the next one.
 	RecordSent(instance, service string)
 	RecordAnswered(service, region string, latency time.Duration)
 	RecordDeclined(instance, service string, wait time.Duration)
 }
 
-// Hop is an instance that could take a request.
+// Hop is an instance to which a request can be forwarded.
 type Hop struct {
 	route.Peer
 	Addr string
 	Hall string
 }
 
-// Caps admits requests to rows.
+// Caps enforces the caps of routing rows. If a request is not admitted, Admit returns the time
+// until a unit of the cap may be available.
 type Caps interface {
 	Admit(row table.Row) (share.Admission, time.Duration)
 }
 
-// Claims records claims of once-only operations.
+// Claims records claims of operations that must run at most once.
 type Claims interface {
-	// Acquire claims a key for an attempt before ctx ends. When it returns an
-	// error no claim of the attempt is held, and none ever will be.
+	// Acquire claims a key for an attempt. It returns when the reply is known or ctx has ended.
+	// If it returns an error, the attempt holds no claim and never will.
 	Acquire(ctx context.Context, attempt OperationAttempt) (claim.Reply, error)
-	// Finish and Release record the end of the attempt, in the background.
+	// Finish and Release record the end of an attempt. They return at once, and the claim is
+	// updated in the background.
 	Finish(attempt OperationAttempt, status int)
 	Release(attempt OperationAttempt)
 }
 
-// OperationAttempt is one attempt at a once-only operation.
+// OperationAttempt is an attempt at an operation that must run at most once.
 type OperationAttempt struct {
 	Key  string
 	Made time.Time
-	// Owner names the attempt. It is unique.
+	// Owner identifies the attempt. It is unique.
 	Owner string
-	// Number is the caller's number of the attempt.
+	// Number is the number that the caller gave the attempt.
 	Number int
 }
 
-// Observer takes in what became of each request.
+// Observer receives the outcome and the latency of each request.
 type Observer interface {
 	Observe(service string, outcome retry.Outcome, reason protocol.Reason, latency time.Duration)
 }
 
-// Config are the settings of an entry.
+// Config holds the settings of an Entry.
 type Config struct {
 	Instance string
 	Region   string
@@ -89,59 +92,62 @@
 	Hall     *Hall
 	Observer Observer
 	Log      *slog.Logger
-	// Chooser returns a random order of rows and picks hops. It must be safe
-	// for concurrent use.
+	// Chooser orders the rows and selects hops at random. It must be safe for concurrent use.
 	Chooser Chooser
-	// DefaultDeadline holds for requests that give none, and MaxDeadline for
-	// all. Stall ends a transfer that does not move.
+	// DefaultDeadline applies to requests without a deadline of their own. MaxDeadline bounds
+	// the deadline of every request. StallTimeout ends a transfer without progress.
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
 	StallTimeout    time.Duration
 }
 
-// Chooser makes the random choices of a request.
+// Chooser makes the random choices for a request: the order of the routing rows, the index of
+// the instance to forward to (negative if there is none), and the random variation of retry
+// times.
 type Chooser interface {
 	Order(candidates []route.Candidate) []table.Row
 	Pick(peers []route.Peer) int
 	Jitter(d time.Duration) time.Duration
 }
 
-// Settings that are not operators' business.
+// Constants that operators cannot set.
 const (
-	// localQueueTimeout is the wait in the own hall that is shorter than going
-	// elsewhere.
+	// localQueueTimeout bounds the wait for a slot in the own hall before other instances and
+	// rows are tried. It is shorter than the time to reach another region.
 	localQueueTimeout = 30 * time.Millisecond
-	// homeQueueTimeout bounds the wait for a slot at home. A longer queue serves no
-	// more requests, each of them later.
+	// homeQueueTimeout bounds the wait for a slot in the own hall after all rows have been
+	// tried. A longer wait would not increase the number of requests served, only their
+	// latency.
 	homeQueueTimeout = time.Second
-	// hopQueueTimeout is the wait in another hall, which saves the way back.
+	// hopQueueTimeout bounds the wait for a slot of a forwarded request. A wait there is
+	// cheaper than a refusal, which would have to travel back.
 	hopQueueTimeout = 100 * time.Millisecond
-	// returnTimeDivisor and maxAnswerTime are the part of a deadline that is kept
-	// for the way back.
+	// The part of the deadline that is reserved for returning the response is the deadline
+	// divided by returnTimeDivisor, but at most maxReturnTime.
 	returnTimeDivisor = 20
 	maxReturnTime     = 100 * time.Millisecond
 	maxAttempts       = 4
-	// maxInFlight bounds the requests under way at an instance.
+	// maxInFlight bounds the requests in flight at an instance.
 	maxInFlight   = 8192
 	maxHops       = 2
 	statusRefused = http.StatusServiceUnavailable
 )
 
-// Entry serves requests of callers and of other instances.
+// Entry serves the requests of callers and those that other instances forward.
 type Entry struct {
 	config      Config
 	transports  *Transports
 	callerStage Stage
 	hopStage    Stage
 
-	// inFlight counts the requests under way.
+	// inFlight counts the requests in flight.
 	inFlight atomic.Int64
 
 	mu     sync.Mutex
 	budget retry.Budget
 }
 
-// New returns an entry. All fields of config must be set.
+// New returns an Entry. All fields of config must be set.
 func New(config Config) *Entry {
 	e := &Entry{config: config, transports: NewTransports()}
 	e.callerStage = pipe(e.serveCaller, e.log, e.deadline, e.classify, e.claim)
@@ -149,13 +155,13 @@
 	return e
 }
 
-// Close ends the entry's idle connections.
+// Close closes the idle connections to targets and other instances.
 func (e *Entry) Close() { e.transports.Close() }
 
-// CallerHandler serves requests of callers below protocol.CallPath.
+// CallerHandler serves the requests of callers under protocol.CallPath.
 func (e *Entry) CallerHandler() http.Handler { return e.handler(e.callerStage, false) }
 
-// HopHandler serves requests that other instances pass on.
+// HopHandler serves the requests that other instances forward.
 func (e *Entry) HopHandler() http.Handler { return e.handler(e.hopStage, true) }
 
 func (e *Entry) handler(stage Stage, hop bool) http.Handler {
@@ -170,7 +176,7 @@
 		res = ex.adjustForEarlier(res)
 		switch {
 		case res.Incomplete:
-			// The caller must not take a part for the whole.
+			// Closing the connection shows the caller that the response is incomplete.
 			panic(http.ErrAbortHandler)
 		case !res.ResponseSent:
 			if hop && res.Outcome == retry.NotRun {
@@ -181,7 +187,8 @@
 	})
 }
 
-// log names the request and writes its line of the log at the end.
+// log sets the request ID. When the request has ended, it reports the result to the observer and
+// logs it.
 func (e *Entry) log(next Stage) Stage {
 	return func(ex *Exchange) Result {
 		ex.ID = ex.r.Header.Get(protocol.HeaderRequestID)
@@ -236,7 +243,7 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// deadline sets the time that the exchange has.
+// deadline sets the deadline of the exchange.
 func (e *Entry) deadline(next Stage) Stage {
 	return func(ex *Exchange) Result {
 		left := protocol.Deadline(ex.r.Header)
@@ -244,14 +251,14 @@
 			left = e.config.DefaultDeadline
 		}
 		left = min(left, e.config.MaxDeadline)
-		// The final answer has to be back in time too.
+		// The deadline includes the time to return the response.
 		left -= min(left/returnTimeDivisor, maxReturnTime)
 		ex.Deadline = ex.Start.Add(left)
 		return next(ex)
 	}
 }
 
-// classify finds the service and checks the operation key.
+// classify determines the service of a request and checks its operation key.
 func (e *Entry) classify(next Stage) Stage {
 	return func(ex *Exchange) Result {
 		ex.OriginRegion = e.config.Region
@@ -270,7 +277,7 @@
 	}
 }
 
-// classifyHop finds the service of a request that another instance checked.
+// classifyHop determines the service of a request that another instance has already checked.
 func (e *Entry) classifyHop(next Stage) Stage {
 	return func(ex *Exchange) Result {
 		ex.OriginRegion = ex.r.Header.Get(protocol.HeaderFrom)
@@ -300,7 +307,8 @@
 	return Result{}, true
 }
 
-// claim holds the claim of a once-only operation while it runs.
+// claim acquires the claim of an operation that must run at most once, and records the end of
+// the attempt.
 func (e *Entry) claim(next Stage) Stage {
 	return func(ex *Exchange) Result {
 		if !ex.Service.NonIdempotent {
@@ -337,7 +345,8 @@
 	return OperationAttempt{Key: ex.Key, Made: made, Owner: newID(), Number: number}
 }
 
-// claimConflict is the result of an attempt that found the claim of another.
+// claimConflict returns the result of an attempt that did not get the claim, because of another
+// attempt at the same operation.
 func (e *Entry) claimConflict(reply claim.Reply) Result {
 	var res Result
 	switch reply.Result {
@@ -356,8 +365,8 @@
 
 func (e *Entry) jitter(d time.Duration) time.Duration { return e.config.Chooser.Jitter(d) }
 
-// mayRetry tells whether another attempt may follow, and takes it from the
-// budget.
+// mayRetry reports whether another attempt is allowed. If so, it takes the attempt from the
+// retry budget.
 func (e *Entry) mayRetry(ex *Exchange, outcome retry.Outcome) bool {
 	if ex.attempts >= maxAttempts || !ex.body.replayable() || !time.Now().Before(ex.Deadline) {
 		return false
@@ -376,7 +385,7 @@
 	e.budget.Success()
 }
 
-// earliestRetry keeps the refusal whose time to come back is the nearest.
+// earliestRetry returns the refusal with the shorter time to wait before a retry.
 func earliestRetry(a, b Result) Result {
 	if retryRank(b) < retryRank(a) {
 		return b
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -32,8 +32,8 @@
 	return &Exchange{w: httptest.NewRecorder(), r: r, Service: service, Deadline: time.Now().Add(10 * time.Second), body: newBody(r)}
 }
 
-// staleServer answers the first request of each connection and ends the
-// connection when a second one has come, after counting it as run.
+// staleServer responds to the first request of each connection. It counts the second request as
+// run and closes the connection without a response.
 func staleServer(t *testing.T) (addr string, runs *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestTransportNeverRetries sends once-only requests to a server that runs the
-// second request of a connection and ends it without an answer: net/http would
-// repeat such a request by itself.
+// TestTransportNeverRetries sends requests that must run at most once to a server that runs the
+// second request of a connection and then closes it without a response. On a reused connection,
+// net/http would send such a request again by itself, and it would run twice.
 func TestTransportNeverRetries(t *testing.T) {
 	addr, runs := staleServer(t)
 	tr := NewTransports()
@@ -86,12 +86,12 @@
 			require.Equal(t, retry.Ran, retry.Classify(a.evidence))
 			_, _ = io.Copy(io.Discard, a.resp.Body)
 			a.close()
-			require.Equal(t, sent, runs.Load(), "a request was repeated")
+			require.Equal(t, sent, runs.Load(), "a request was sent again")
 		}
 	}
 }
 
-// TestOutcomeOfAttempts checks the evidence that each failure leaves.
+// TestOutcomeOfAttempts checks the outcome that is derived from each kind of failure.
 func TestOutcomeOfAttempts(t *testing.T) {
 	answer := func(head func(http.ResponseWriter)) *httptest.Server {
 		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,7 +106,7 @@
 		server *httptest.Server
 		want   retry.Outcome
 	}{
-		{"nobody listens", closed, retry.NotRun},
+		{"no listener", closed, retry.NotRun},
 		{"refused", answer(func(w http.ResponseWriter) {
 			w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -127,8 +127,8 @@
 	}
 }
 
-// TestOutcomeAfterUnknownEarlierAttempt checks that "not run" is said of an operation only when its claim
-// was held or no earlier attempt is in doubt.
+// TestOutcomeAfterUnknownEarlierAttempt checks that an operation is reported as not run only if
+// this attempt held the claim or no earlier attempt has an unknown outcome.
 func TestOutcomeAfterUnknownEarlierAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -136,8 +136,8 @@
 		want             retry.Outcome
 	}{
 		{"first attempt", false, false, retry.NotRun},
-		{"earlier in doubt, no claim", true, false, retry.Unknown},
-		{"earlier in doubt, claim held", true, true, retry.NotRun},
+		{"earlier outcome unknown, no claim", true, false, retry.Unknown},
+		{"earlier outcome unknown, claim held", true, true, retry.NotRun},
 	} {
 		ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, nil)
 		if c.earlier {
@@ -163,7 +163,7 @@
 	require.Equal(t, "hello", first)
 	whole, err := read(small, 1000)
 	require.NoError(t, err)
-	require.Equal(t, "hello world", whole, "from the start again")
+	require.Equal(t, "hello world", whole, "second read from the start")
 	require.False(t, small.unread())
 
 	data := strings.Repeat("x", maxReplayBytes+1)
@@ -179,8 +179,8 @@
 	require.ErrorIs(t, err, errNotReplayable)
 }
 
-// TestSupersededReaderFails checks that a reader left over from an attempt that
-// was given up takes nothing from the next one.
+// TestSupersededReaderFails checks that the reader of an abandoned attempt cannot consume bytes
+// of the body that the next attempt needs.
 func TestSupersededReaderFails(t *testing.T) {
 	b := newBody(httptest.NewRequest(http.MethodPost, "/", strings.NewReader("hello")))
 	old, err := b.open(func() {})
@@ -198,7 +198,8 @@
 	require.Equal(t, http.Header{"X-Two": {"2"}}, dst)
 }
 
-// TestHallDeliversEachGrantOnce has many requests wait and go away at random.
+// TestHallDeliversEachGrantOnce runs many concurrent requests that wait for few slots and hold
+// them for different times. Afterwards no slot may be in use and no waiter may be left.
 func TestHallDeliversEachGrantOnce(t *testing.T) {
 	h := NewHall(balance.Config{Rand: rand.New(rand.NewPCG(1, 1)), NoSlowStart: true})
 	h.SetTargets(time.Now(), map[string][]balance.Spec{"s": {{ID: "a", Addr: "a", Slots: 3}}}, nil)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -11,59 +11,61 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Exchange is one request on its way through the pipe.
+// Exchange is a request on its way through the pipeline, with its state.
 type Exchange struct {
 	w http.ResponseWriter
 	r *http.Request
 
-	// ID names the request in the logs of all instances.
+	// ID identifies the request in the logs of all instances.
 	ID string
-	// Service is the service asked for, and Path the path at the target.
+	// Service is the requested service. Path is the path of the URL that the target receives.
 	Service table.Service
 	Path    string
-	// Key names the operation; it is empty for services that may be retried.
+	// Key is the operation key. It is empty for services whose requests may be retried.
 	Key string
-	// Start is the arrival, and Deadline when the answer has to begin.
+	// Start is the time of arrival. Deadline is the time by which the response has to begin.
 	Start    time.Time
 	Deadline time.Time
-	// OriginRegion is the region that the request entered in.
+	// OriginRegion is the region in which the request entered.
 	OriginRegion string
-	// claimHeld is set once the claim of the operation is held, which shows
-	// that no earlier attempt ran.
+	// claimHeld is set once the attempt holds the claim of the operation, which proves that no
+	// earlier attempt ran.
 	claimHeld bool
-	// FromHop is set when another instance sent the request.
+	// FromHop is set if another instance forwarded the request.
 	FromHop bool
 	plan    *table.Plan
 	body    *body
-	// destination and target tell where the request ran, for the log.
+	// destination is the destination region of the row, and target the ID of the target. Both
+	// are logged.
 	destination string
 	target      string
 	attempts    int
 }
 
-// Result is what became of an exchange.
+// Result is the result of an exchange.
 type Result struct {
 	Outcome retry.Outcome
 	Status  int
 	Reason  protocol.Reason
 	Detail  string
-	// RetryAfter says when to come back.
+	// RetryAfter is the time to wait before a retry.
 	RetryAfter time.Duration
-	// EarlierStatus is set for ReasonDone.
+	// EarlierStatus is the HTTP status of the earlier attempt's response. It is set if Reason
+	// is protocol.ReasonDone.
 	EarlierStatus int
-	// ResponseSent is set when an answer was passed on from a target. Broken is set
-	// when it could not be passed on whole.
+	// ResponseSent is set if the response of a target was relayed. Incomplete is set if the
+	// relayed response broke off before its end.
 	ResponseSent bool
 	Incomplete   bool
 }
 
-// Stage is the rest of a pipe, and Filter wraps one.
+// Stage handles an exchange with all remaining steps of a pipeline.
 type Stage func(*Exchange) Result
 
-// Filter is one step of the pipe.
+// Filter is a step of a pipeline. It returns a Stage that may call the next one.
 type Filter func(next Stage) Stage
 
-// pipe joins filters before a last stage.
+// pipe returns a Stage that runs the filters in order and then the last stage.
 func pipe(last Stage, filters ...Filter) Stage {
 	for i := len(filters) - 1; i >= 0; i-- {
 		last = filters[i](last)
@@ -71,19 +73,19 @@
 	return last
 }
 
-// notRun is the result of a request that certainly did not run.
+// notRun returns the result of a request that certainly did not run.
 func notRun(status int, reason protocol.Reason, detail string, retryAfter time.Duration) Result {
 	return Result{Outcome: retry.NotRun, Status: status, Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// unknown is the result of a request that may have run.
+// unknown returns the result of a request that may have run.
 func unknown(reason protocol.Reason, detail string, retryAfter time.Duration) Result {
 	return Result{Outcome: retry.Unknown, Status: http.StatusBadGateway, Reason: reason, Detail: detail, RetryAfter: retryAfter}
 }
 
-// adjustForEarlier turns "not run" into "unknown" for an attempt that was given up
-// before its claim, when the caller does not know how an earlier one ended: this
-// attempt did not run, but the operation may have.
+// adjustForEarlier changes the outcome from "not run" to "unknown" if this attempt ended
+// without the claim and the caller does not know the outcome of an earlier attempt. This
+// attempt did not run, but the operation may have run.
 func (ex *Exchange) adjustForEarlier(res Result) Result {
 	earlier := ex.r.Header.Get(protocol.HeaderEarlier) == retry.Unknown.String()
 	if !ex.FromHop && !ex.claimHeld && earlier && res.Outcome == retry.NotRun {
@@ -92,7 +94,7 @@
 	return res
 }
 
-// writeRefusal writes the final writeRefusal of a request that no target answered.
+// writeRefusal writes the response to a request for which no target's response was relayed.
 func (ex *Exchange) writeRefusal(res Result) {
 	h := ex.w.Header()
 	h.Set("Content-Type", "application/json")
@@ -110,7 +112,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	if ex.body.unread() {
-		// The rest of the body is not worth reading.
+		// Close the connection instead of reading the rest of the body.
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -15,31 +15,30 @@
 	"github.com/rainford/rainford/retry"
 )
 
-// Transports are the connections to targets and to other instances.
+// Transports holds the HTTP transports to targets and other instances.
 type Transports struct {
-	// pooled reuses connections. It serves requests that may be retried.
+	// pooled reuses connections. It sends requests that may be retried.
 	pooled *http.Transport
-	// unpooled opens a connection for each request, so that a once-only request
-	// never meets one that the other side has closed already: its outcome
-	// would be unknown without need. It also keeps net/http from repeating a
-	// request by itself, which it does on reused connections only.
+	// unpooled opens a connection for each request that must run at most once. On a reused
+	// connection, which the other side may already have closed, the outcome of such a request
+	// could be unknown without need. In addition, net/http sends a request again by itself only
+	// on reused connections.
 	unpooled *http.Transport
 }
 
 const (
 	dialTimeout = time.Second
-	// idleConnTimeout is below the time that a stopping instance lingers, so
-	// that no reused connection leads to an instance that has gone.
+	// idleConnTimeout is shorter than the time for which a stopping instance continues to
+	// serve, so that no reused connection leads to an instance that has stopped.
 	idleConnTimeout = 2 * time.Second
-	// expectTimeout is how long a large body waits for the other side to
-	// take the request.
+	// expectTimeout bounds the wait for the 100 Continue status before a large body is sent.
 	expectTimeout          = 2 * time.Second
 	maxResponseHeaderBytes = 64 << 10
 	maxConnsPerTarget      = 130
 	copyBufferBytes        = 32 << 10
 )
 
-// NewTransports returns transports with the project's settings.
+// NewTransports returns the transports with their time-outs and limits set.
 func NewTransports() *Transports {
 	base := http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -55,25 +54,25 @@
 	return &Transports{pooled: kept, unpooled: fresh}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (t *Transports) Close() {
 	t.pooled.CloseIdleConnections()
 	t.unpooled.CloseIdleConnections()
 }
 
-// attempt is one try to have a request answered by another process.
+// attempt is an attempt to get a response from a target or another instance.
 type attempt struct {
 	evidence  retry.Evidence
 	resp      *http.Response
 	err       error
 	watchdog  *stallWatchdog
 	startedAt time.Time
-	// latency is the time to the head of the answer, or 0 for a large body:
-	// that takes as long as its sender does.
+	// latency is the time until the response headers arrived. It is 0 for a large body, whose
+	// transfer time depends on its sender.
 	latency time.Duration
 }
 
-// close ends the attempt.
+// close closes the response body and stops the watchdog.
 func (a *attempt) close() {
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
@@ -81,10 +80,10 @@
 	a.watchdog.stop()
 }
 
-// unreachable tells whether no connection could be had.
+// unreachable reports whether no connection could be opened.
 func (a *attempt) unreachable() bool { return !a.evidence.Connected }
 
-// stallWatchdog cancels a context when nothing has moved for a while.
+// stallWatchdog cancels a context when no bytes have been transferred for the time-out.
 type stallWatchdog struct {
 	cancel  context.CancelFunc
 	timer   *time.Timer
@@ -99,7 +98,7 @@
 	return ctx, w
 }
 
-// reset says that something has moved.
+// reset restarts the time-out after a transfer of bytes.
 func (w *stallWatchdog) reset() {
 	if !w.stopped.Load() {
 		w.timer.Reset(w.timeout)
@@ -112,8 +111,8 @@
 	w.cancel()
 }
 
-// send sends the exchange's request to addr and returns with the head of the
-// answer, or without one.
+// send sends the request of an exchange to addr. It returns when the response headers have
+// arrived or the attempt has failed.
 func (t *Transports) send(ex *Exchange, addr, path string, setHeaders func(http.Header), stall time.Duration) *attempt {
 	ctx, watch := newStallWatchdog(ex.r.Context(), stall)
 	a := &attempt{watchdog: watch, startedAt: time.Now()}
@@ -122,8 +121,8 @@
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	if !ex.body.large() {
-		// A small request has its deadline; a large one goes on as long
-		// as it moves.
+		// The deadline bounds a request with a small body. A large body may take longer, as
+		// long as its transfer makes progress.
 		limit := time.AfterFunc(time.Until(ex.Deadline), watch.cancel)
 		defer limit.Stop()
 	}
@@ -157,7 +156,8 @@
 }
 
 func (t *Transports) newRequest(ctx context.Context, ex *Exchange, addr, path string, watch *stallWatchdog) (*http.Request, error) {
-	// The body hides its type, so that net/http has no GetBody.
+	// The type of src is unknown to net/http, so that it does not set GetBody and cannot send
+	// the body again.
 	src, err := ex.body.open(watch.reset)
 	if err != nil {
 		return nil, err
@@ -183,15 +183,15 @@
 	return req, nil
 }
 
-// copyHeader copies the headers that are not of the connection.
+// copyHeader copies the end-to-end headers, that is, without those of the connection.
 func copyHeader(dst, src http.Header) {
 	for name, values := range forward.EndToEndHeaders(src) {
 		dst[name] = append([]string(nil), values...)
 	}
 }
 
-// relay passes the answer on to the caller. It returns false when the answer
-// broke midway, whichever side broke it.
+// relay copies the response to the caller. It returns false if the response broke off, on
+// either side.
 func relay(ex *Exchange, a *attempt, setHeaders func(http.Header)) bool {
 	h := ex.w.Header()
 	copyHeader(h, a.resp.Header)
--- a/entry/hall.go
+++ b/entry/hall.go
@@ -10,8 +10,8 @@
 	"github.com/rainford/rainford/member"
 )
 
-// Hall holds the pools of the own hall's targets, one for each service. It is
-// safe for concurrent use.
+// Hall holds the pools of the own hall's targets, one pool for each service. It is safe for
+// concurrent use.
 type Hall struct {
 	mu      sync.Mutex
 	config  balance.Config
@@ -20,7 +20,7 @@
 	lastID  uint64
 }
 
-// NewHall returns a hall without targets. Config.Rand is used under the hall's
+// NewHall returns a Hall without targets. The Hall calls config.Rand only while it holds its
 // lock.
 func NewHall(config balance.Config) *Hall {
 	return &Hall{
@@ -30,8 +30,8 @@
 	}
 }
 
-// SetTargets replaces the targets of all services. Floors gives each service's
-// floor in percent.
+// SetTargets replaces the targets of all services. The map reserves holds, by service, the
+// percentage of the slots reserved for requests of the own region.
 func (h *Hall) SetTargets(now time.Time, targets map[string][]balance.Spec, reserves map[string]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Slot is a target's slot taken for a request.
+// Slot is a slot of a target that a request holds.
 type Slot struct {
 	Target     balance.Spec
 	hall       *Hall
@@ -54,9 +54,8 @@
 	acquiredAt time.Time
 }
 
-// Acquire takes a slot for a request of a service. It waits as long as the
-// request's patience allows. Without a slot it returns nil and the time after
-// which to come back.
+// Acquire takes a slot for a request of a service. It waits for at most req.QueueTimeout. If it
+// gets no slot, it returns nil and the time to wait before a retry.
 func (h *Hall) Acquire(ctx context.Context, service string, req balance.Request) (*Slot, time.Duration) {
 	h.mu.Lock()
 	pool := h.pools[service]
@@ -95,11 +94,11 @@
 		delete(h.waiters, id)
 		return balance.Decision{Action: balance.Refuse, RetryAfter: time.Second}
 	}
-	// The grant came at the same moment.
+	// The slot was granted just before the request could be canceled.
 	return <-decided
 }
 
-// Release gives the slot back with the result of the request.
+// Release releases the slot with the result and the latency of the request.
 func (s *Slot) Release(result balance.Result, latency time.Duration) {
 	s.hall.mu.Lock()
 	defer s.hall.mu.Unlock()
@@ -107,14 +106,15 @@
 	s.hall.deliver(pool.Release(time.Now(), s.Target.ID, result, latency))
 }
 
-// ApplySelfReport takes in what the slot's target said of itself.
+// ApplySelfReport applies a self-report of the slot's target.
 func (s *Slot) ApplySelfReport(w availability.SelfReport) {
 	s.hall.mu.Lock()
 	defer s.hall.mu.Unlock()
 	s.hall.pools[s.service].ApplySelfReport(time.Now(), s.Target.ID, w)
 }
 
-// Tick gives up queued requests whose time is over.
+// Tick refuses queued requests that would miss their queue timeout or deadline, and grants free
+// slots to others.
 func (h *Hall) Tick(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// deliver hands grants to those who wait for them.
+// deliver sends the grants to the requests that wait for them.
 func (h *Hall) deliver(grants []balance.Grant) {
 	for _, g := range grants {
 		decided := h.waiters[g.ID]
@@ -134,7 +134,7 @@
 	}
 }
 
-// Loads returns the state of all pools.
+// Loads returns the load of all pools, by service.
 func (h *Hall) Loads(now time.Time) []member.Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,7 +146,7 @@
 	return out
 }
 
-// InFlight returns the requests that hold a slot or wait for one.
+// InFlight returns the number of requests that hold a slot or wait for one.
 func (h *Hall) InFlight() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/entry/region.go
+++ b/entry/region.go
@@ -14,9 +14,9 @@
 	"github.com/rainford/rainford/table"
 )
 
-// serveCaller is the last stage for requests of callers: it tries the rows of the
-// table in the order drawn. When none takes the request at once it may wait for
-// a slot at home; else it is given up with the nearest time to come back.
+// serveCaller is the last stage for requests of callers. It tries the candidate rows in random
+// order. If no row accepts the request at once, the request waits for a slot in the own hall,
+// if a row leads there. Otherwise it is refused with the shortest retry time of all refusals.
 func (e *Entry) serveCaller(ex *Exchange) Result {
 	rows := e.config.Chooser.Order(e.config.Fleet.Candidates(ex.Service.Name))
 	best := Result{}
@@ -44,8 +44,8 @@
 	return best
 }
 
-// tryRow tries to have the request served on one tryRow. Again is true when it
-// certainly did not run and another tryRow may be tried.
+// tryRow tries to serve the request through one row. The result tryNext is true if another row
+// may be tried.
 func (e *Entry) tryRow(ex *Exchange, row table.Row) (res Result, tryNext bool) {
 	ex.destination = row.To
 	best := Result{}
@@ -66,7 +66,8 @@
 	return earliestRetry(best, res), true
 }
 
-// tryLocal serves the request at a target of the own hall.
+// tryLocal tries to serve the request at a target of the own hall. The second result is true if
+// the request may be tried elsewhere.
 func (e *Entry) tryLocal(ex *Exchange, row table.Row, queueTimeout time.Duration) (Result, bool) {
 	slot, refused := e.acquireSlot(ex, queueTimeout, "")
 	if slot == nil {
@@ -79,7 +80,7 @@
 	return e.tryTargets(ex, slot)
 }
 
-// admit asks for a unit of the row's cap.
+// admit takes a unit of the row's cap. It returns false and a refusal if none is available.
 func (e *Entry) admit(row table.Row) (Result, bool) {
 	admission, wait := e.config.Caps.Admit(row)
 	if admission == share.Admitted {
@@ -92,8 +93,8 @@
 	return notRun(statusRefused, protocol.ReasonCap, detail, e.jitter(max(wait, 50*time.Millisecond))), false
 }
 
-// tryRemote serves the request through an instance that is near the row's
-// targets.
+// tryRemote tries to serve the request through another instance in the row's destination
+// region. The second result is true if the request may be tried elsewhere.
 func (e *Entry) tryRemote(ex *Exchange, row table.Row) (Result, bool) {
 	best := notRun(statusRefused, protocol.ReasonUnreachable, "no instance in "+row.To+" takes the service now", e.jitter(time.Second))
 	tried := make(map[string]bool)
@@ -112,8 +113,8 @@
 			break
 		}
 		if !admitted {
-			// One request takes one unit, however many instances it is
-			// offered to.
+			// A request takes one unit, regardless of the number of instances to which it is
+			// sent.
 			if res, ok := e.admit(row); !ok {
 				return res, true
 			}
@@ -132,8 +133,8 @@
 	return best, true
 }
 
-// tryHop sends the request to another instance. Again is true when the request
-// may be tried elsewhere.
+// tryHop sends the request to another instance. The second result is true if the request may be
+// tried elsewhere.
 func (e *Entry) tryHop(ex *Exchange, row table.Row, hop Hop) (Result, bool) {
 	ex.attempts++
 	e.config.Fleet.RecordSent(hop.ID, ex.Service.Name)
@@ -144,7 +145,7 @@
 	defer a.close()
 	outcome := retry.Classify(a.evidence)
 	if outcome == retry.Ran {
-		// The other instance may say itself that it does not know.
+		// The response of the other instance may itself state that the outcome is unknown.
 		outcome = retry.ParseOutcome(a.resp.Header.Get(protocol.HeaderOutcome))
 	}
 	switch outcome {
@@ -163,7 +164,7 @@
 	}
 }
 
-// serveHop is the last stage for requests of other instances.
+// serveHop is the last stage for requests that other instances forward.
 func (e *Entry) serveHop(ex *Exchange) Result {
 	if !e.config.Fleet.HallOpen() {
 		return notRun(statusRefused, protocol.ReasonUnreachable, "hall is drained", e.jitter(time.Second))
@@ -177,7 +178,8 @@
 	return res
 }
 
-// acquireSlot takes a acquireSlot of a target of the own hall.
+// acquireSlot acquires a slot of a target in the own hall. It returns nil and a refusal if no
+// slot becomes free in time.
 func (e *Entry) acquireSlot(ex *Exchange, queueTimeout time.Duration, tried string) (*Slot, Result) {
 	slot, wait := e.config.Hall.Acquire(ex.r.Context(), ex.Service.Name, balance.Request{
 		Deadline:        ex.Deadline,
@@ -191,9 +193,9 @@
 	return slot, Result{}
 }
 
-// tryTargets sends the request to the slot's target, and to others of the hall
-// while it is refused. Again is true when it certainly did not run and its
-// body can be sent again.
+// tryTargets sends the request to the slot's target and, as long as retries are allowed, to
+// other targets of the hall. The second result is true if the request may be tried elsewhere,
+// because its last attempt certainly did not run and its body can be sent again.
 func (e *Entry) tryTargets(ex *Exchange, slot *Slot) (Result, bool) {
 	for {
 		res, tryNext := e.tryTarget(ex, slot)
@@ -245,8 +247,8 @@
 	}
 }
 
-// selfReport returns what a target said of itself in its answer. The time after which to come back
-// counts for the target only in a refusal: else it is for the caller.
+// selfReport returns the self-report in a target's response. A retry time in a refusal applies
+// to the target. In any other response it is meant for the caller.
 func (a *attempt) selfReport(outcome retry.Outcome) availability.SelfReport {
 	if a.resp == nil {
 		return availability.SelfReport{}
@@ -258,8 +260,8 @@
 	return word
 }
 
-// releaseBroken gives back the slot of an exchange that broke. When the
-// caller's side broke it the target is not to blame.
+// releaseBroken releases the slot of an exchange that broke off. If the caller's side or the
+// deadline ended it, the target is not at fault.
 func (e *Entry) releaseBroken(ex *Exchange, slot *Slot) {
 	if ex.r.Context().Err() != nil || ex.body.readError() != nil || !time.Now().Before(ex.Deadline) {
 		slot.Release(balance.Abandoned, 0)
@@ -274,7 +276,7 @@
 	h.Del(protocol.HeaderConfig)
 }
 
-// relayResponse relays an answer.
+// relayResponse relays a response to the caller and returns the result.
 func (e *Entry) relayResponse(ex *Exchange, a *attempt, setHeaders func(http.Header)) Result {
 	whole := relay(ex, a, func(h http.Header) {
 		h.Set(protocol.HeaderInstance, e.config.Instance)
@@ -285,7 +287,7 @@
 	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, ResponseSent: true, Incomplete: !whole}
 }
 
-// refusalResult is the result of an attempt that did not run.
+// refusalResult returns the result of an attempt that did not run.
 func (e *Entry) refusalResult(a *attempt, peer string) Result {
 	if a.resp == nil {
 		detail := peer + " can't be reached"
@@ -301,7 +303,8 @@
 	return notRun(statusRefused, protocol.ReasonCapacity, peer+" refused", wait)
 }
 
-// unknownResult is the result of an attempt whose end is not known.
+// unknownResult returns the result of an attempt whose outcome is unknown. The second result is
+// true if the request may be retried nevertheless.
 func (e *Entry) unknownResult(ex *Exchange, a *attempt) (Result, bool) {
 	detail := "the answer was lost"
 	if a.err != nil {
