--- a/route/latency.go
+++ b/route/latency.go
@@ -19,20 +19,20 @@
 
 // Observe takes in the latency of one answer. The usual latency follows a
 // faster one quickly and a slower one slowly.
-func (w *LatencyTracker) Observe(latency time.Duration) {
-	if w.typical == 0 {
-		w.current, w.typical = latency, latency
+func (t *LatencyTracker) Observe(latency time.Duration) {
+	if t.typical == 0 {
+		t.current, t.typical = latency, latency
 		return
 	}
-	w.current += time.Duration(currentWeight * float64(latency-w.current))
+	t.current += time.Duration(currentWeight * float64(latency-t.current))
 	weight := typicalRiseWeight
-	if latency < w.typical {
+	if latency < t.typical {
 		weight = typicalFallWeight
 	}
-	w.typical += time.Duration(weight * float64(latency-w.typical))
+	t.typical += time.Duration(weight * float64(latency-t.typical))
 }
 
 // Warm tells whether the destination answers about as fast as usual.
-func (w *LatencyTracker) Warm() bool {
-	return w.current <= warmFactor*w.typical+warmSlack
+func (t *LatencyTracker) Warm() bool {
+	return t.current <= warmFactor*t.typical+warmSlack
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -43,10 +43,10 @@
 
 func TestOrderByState(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	cs := candidates(1, 1000, 1000, 1000)
-	cs[1].State, cs[2].State, cs[3].State = route.Full, route.Draining, route.Unavailable
+	cands := candidates(1, 1000, 1000, 1000)
+	cands[1].State, cands[2].State, cands[3].State = route.Full, route.Draining, route.Unavailable
 	for range 100 {
-		rows := route.Order(cs, rnd)
+		rows := route.Order(cands, rnd)
 		require.Len(t, rows, 3, "a closed one gets nothing")
 		require.Equal(t, []string{"0", "1", "2"}, []string{rows[0].To, rows[1].To, rows[2].To})
 	}
@@ -65,20 +65,20 @@
 }
 
 func TestLatencyTracker(t *testing.T) {
-	var w route.LatencyTracker
-	require.True(t, w.Warm())
+	var tracker route.LatencyTracker
+	require.True(t, tracker.Warm())
 	for range 100 {
-		w.Observe(40 * time.Millisecond)
+		tracker.Observe(40 * time.Millisecond)
 	}
-	require.True(t, w.Warm())
+	require.True(t, tracker.Warm())
 	for range 20 {
-		w.Observe(200 * time.Millisecond)
+		tracker.Observe(200 * time.Millisecond)
 	}
-	require.False(t, w.Warm())
+	require.False(t, tracker.Warm())
 	for range 50 {
-		w.Observe(40 * time.Millisecond)
+		tracker.Observe(40 * time.Millisecond)
 	}
-	require.True(t, w.Warm())
+	require.True(t, tracker.Warm())
 }
 
 func ExampleOrder() {
