--- a/route/latency.go
+++ b/route/latency.go
@@ -2,23 +2,30 @@
 
 import "time"
 
-// LatencyTracker compares the latency of a destination now with its usual one. The
-// zero value is ready and counts as warm.
+// LatencyTracker compares the current latency of a destination with its typical latency. Both
+// are moving averages of observed latencies. The zero value is ready to use and counts as warm.
 type LatencyTracker struct {
 	current time.Duration
 	typical time.Duration
 }
 
 const (
-	currentWeight     = 0.2
+	// currentWeight is the weight of a response in the current latency.
+	currentWeight = 0.2
+	// typicalRiseWeight is the weight in the typical latency of a response that is
+	// not faster than it.
 	typicalRiseWeight = 0.01
-	warmFactor        = 2
-	warmSlack         = 5 * time.Millisecond
+	// A destination is warm if its current latency is at most warmFactor times its
+	// typical latency plus warmSlack.
+	warmFactor = 2
+	warmSlack  = 5 * time.Millisecond
+	// typicalFallWeight is the weight in the typical latency of a faster response.
 	typicalFallWeight = 0.1
 )
 
-// Observe takes in the latency of one answer. The usual latency follows a
-// faster one quickly and a slower one slowly.
+// Observe records the latency of one response. The typical latency decreases quickly after
+// faster responses and increases slowly after slower ones, so that a slow destination does not
+// soon count as typical.
 func (t *LatencyTracker) Observe(latency time.Duration) {
 	if t.typical == 0 {
 		t.current, t.typical = latency, latency
@@ -32,7 +39,7 @@
 	t.typical += time.Duration(weight * float64(latency-t.typical))
 }
 
-// Warm tells whether the destination answers about as fast as usual.
+// Warm reports whether the destination responds about as fast as usual.
 func (t *LatencyTracker) Warm() bool {
 	return t.current <= warmFactor*t.typical+warmSlack
 }
--- a/route/order.go
+++ b/route/order.go
@@ -6,32 +6,33 @@
 	"github.com/rainford/rainford/table"
 )
 
-// State is what is known of a row's destination.
+// State is the state of a row's destination, as far as this instance knows it.
 type State int
 
-// The states, best first.
+// States of a destination, in the order of preference.
 const (
-	// Available destinations take requests.
+	// Available destinations accept requests.
 	Available State = iota
-	// Full destinations said that they have no free slot. What they said
-	// lags, so they are tried after the open ones.
+	// Full destinations have reported no free slot. Reports lag, so requests
+	// may still be sent there, after the available destinations.
 	Full
-	// Draining destinations get requests for a short time after the drain,
-	// and only if no other takes them.
+	// Draining destinations were drained a short time ago. They get requests
+	// only if no other destination accepts them.
 	Draining
-	// Unavailable destinations get nothing: drained, or no instance is reachable.
+	// Unavailable destinations get no requests, because they are drained or
+	// none of their instances is reachable.
 	Unavailable
 )
 
-// Candidate is a row with the state of its destination.
+// Candidate is a row that a request may use, with the state of the row's destination.
 type Candidate struct {
 	Row   table.Row
 	State State
 }
 
-// Order returns the rows to try, in order: by state, and within a state drawn
-// by weight without putting back. Rows of weight 0 and closed ones are left
-// out.
+// Order returns the rows to try for a request. They are sorted by state. The rows of one state
+// are in a random order, drawn by weight without replacement. Rows of weight 0 and rows with an
+// unavailable destination are left out.
 func Order(candidates []Candidate, rnd *rand.Rand) []table.Row {
 	var out []table.Row
 	for state := Available; state < Unavailable; state++ {
@@ -40,6 +41,7 @@
 	return out
 }
 
+// rowsInState returns the rows of the candidates in the given state, without those of weight 0.
 func rowsInState(candidates []Candidate, state State) []table.Row {
 	var out []table.Row
 	for _, c := range candidates {
@@ -50,6 +52,8 @@
 	return out
 }
 
+// weightedShuffle shuffles rows in place, drawing by weight without replacement, and returns
+// them. All weights must be positive.
 func weightedShuffle(rows []table.Row, rnd *rand.Rand) []table.Row {
 	total := 0
 	for _, r := range rows {
@@ -68,18 +72,20 @@
 	return rows
 }
 
-// Peer is an instance of the destination that could take the request.
+// Peer is an instance in the destination region to which the request could be forwarded.
 type Peer struct {
 	ID string
-	// FreeSlots is the number of slots that the instance said to have free.
+	// FreeSlots is the number of free slots that the instance reported last.
 	FreeSlots int
-	// SentSinceReport is the number of requests sent to it since it said so.
+	// SentSinceReport is the number of requests that this instance has sent to the peer
+	// since that report.
 	SentSinceReport int
 }
 
-// Pick returns the index of the better of two peers drawn at random, or -1
-// when there is none. Choosing among two keeps many senders that know the same
-// lagging reports from all running to the same peer.
+// Pick returns the index of a peer for the request, or -1 if there are no peers. It draws two
+// peers at random and picks the one with more free slots, less the requests sent since its
+// report. Reports lag, and many senders know the same reports: the choice among two random peers
+// prevents them all from sending to the same peer.
 func Pick(peers []Peer, rnd *rand.Rand) int {
 	switch len(peers) {
 	case 0:
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -20,15 +20,15 @@
 	return out
 }
 
-// TestOrderFollowsWeights checks the first choice against the weights, and that
-// each row comes once.
+// TestOrderFollowsWeights checks that the first rows are distributed by weight, and that no row
+// is returned twice.
 func TestOrderFollowsWeights(t *testing.T) {
 	const draws = 20000
 	rnd := rand.New(rand.NewPCG(1, 1))
 	first := make(map[string]int)
 	for range draws {
 		rows := route.Order(candidates(70, 20, 10, 0), rnd)
-		require.Len(t, rows, 3, "weight 0 gets nothing")
+		require.Len(t, rows, 3, "a row of weight 0 is left out")
 		first[rows[0].To]++
 		seen := make(map[string]bool)
 		for _, r := range rows {
@@ -47,7 +47,7 @@
 	cands[1].State, cands[2].State, cands[3].State = route.Full, route.Draining, route.Unavailable
 	for range 100 {
 		rows := route.Order(cands, rnd)
-		require.Len(t, rows, 3, "a closed one gets nothing")
+		require.Len(t, rows, 3, "a row with an unavailable destination is left out")
 		require.Equal(t, []string{"0", "1", "2"}, []string{rows[0].To, rows[1].To, rows[2].To})
 	}
 }
@@ -61,7 +61,7 @@
 		counts[route.Pick([]route.Peer{{FreeSlots: 1}, {FreeSlots: 9, SentSinceReport: 9}, {FreeSlots: 5}}, rnd)]++
 	}
 	require.Greater(t, counts[2], counts[0])
-	require.Zero(t, counts[1], "what was sent since the report counts")
+	require.Zero(t, counts[1], "requests sent since the report reduce the free slots")
 }
 
 func TestLatencyTracker(t *testing.T) {
