--- a/config/editor.go
+++ b/config/editor.go
@@ -78,7 +78,7 @@
 
 // Replace writes mine, which was made from the table of version number. What
 // was accepted since is merged with it.
-func (e *Editor) Replace(ctx context.Context, number int64, edit func(*table.Table) error, places *table.Sheet) (Change, error) {
+func (e *Editor) Replace(ctx context.Context, number int64, edit func(*table.Table) error, positions *table.Sheet) (Change, error) {
 	obj, doc, err := e.read(ctx)
 	if err != nil {
 		return Change{}, err
@@ -92,7 +92,7 @@
 	if err != nil {
 		return Change{}, err
 	}
-	return e.submit(ctx, obj, doc, base, mine, places)
+	return e.submit(ctx, obj, doc, base, mine, positions)
 }
 
 func (e *Editor) read(ctx context.Context) (objectstore.Object, *Document, error) {
@@ -108,8 +108,8 @@
 }
 
 // submit merges and writes until the write is accepted or refused.
-func (e *Editor) submit(ctx context.Context, obj objectstore.Object, doc *Document, base, mine *table.Table, places *table.Sheet) (Change, error) {
-	findings := table.Check(mine, places)
+func (e *Editor) submit(ctx context.Context, obj objectstore.Object, doc *Document, base, mine *table.Table, positions *table.Sheet) (Change, error) {
+	findings := table.Check(mine, positions)
 	if err := findings.Err(); err != nil {
 		return Change{}, err
 	}
@@ -131,8 +131,8 @@
 		if err != nil {
 			return Change{}, err
 		}
-		if done, ok := doc.changeByID(change.ID); ok {
-			return done, nil
+		if found, ok := doc.changeByID(change.ID); ok {
+			return found, nil
 		}
 	}
 	return Change{}, fmt.Errorf("config: gave up after %d tries: others write all the time", maxAttempts)
@@ -153,15 +153,15 @@
 		return nil, ErrNoChange
 	}
 	recent := append(append([]Change(nil), doc.Recent...), change)
-	drop, err := countExcess(recent)
+	excess, err := countExcess(recent)
 	if err != nil {
 		return nil, err
 	}
-	err = archive(ctx, e.Store, recent[:drop])
+	err = archive(ctx, e.Store, recent[:excess])
 	if err != nil {
 		return nil, err
 	}
-	return &Document{Number: change.Number, Table: *merged, Recent: recent[drop:]}, nil
+	return &Document{Number: change.Number, Table: *merged, Recent: recent[excess:]}, nil
 }
 
 // write tries to write doc over obj until it knows whether it took effect. If
--- a/config/supersede.go
+++ b/config/supersede.go
@@ -17,32 +17,32 @@
 }
 
 func supersedesDocument(held, stored []byte) bool {
-	mine, err := Decode(held)
+	heldDoc, err := Decode(held)
 	if err != nil {
 		return false
 	}
-	theirs, err := Decode(stored)
-	if err != nil || theirs.Number >= mine.Number {
+	storedDoc, err := Decode(stored)
+	if err != nil || storedDoc.Number >= heldDoc.Number {
 		return false
 	}
-	if len(theirs.Recent) == 0 {
-		return theirs.Number == 0
+	if len(storedDoc.Recent) == 0 {
+		return storedDoc.Number == 0
 	}
-	_, known := mine.changeByID(theirs.Recent[len(theirs.Recent)-1].ID)
+	_, known := heldDoc.changeByID(storedDoc.Recent[len(storedDoc.Recent)-1].ID)
 	return known
 }
 
 func supersedesAuditPage(held, stored []byte) bool {
-	mine, err := decodeAuditPage(held)
+	heldPage, err := decodeAuditPage(held)
 	if err != nil {
 		return false
 	}
-	theirs, err := decodeAuditPage(stored)
-	if err != nil || len(theirs.Changes) >= len(mine.Changes) {
+	storedPage, err := decodeAuditPage(stored)
+	if err != nil || len(storedPage.Changes) >= len(heldPage.Changes) {
 		return false
 	}
-	for _, c := range theirs.Changes {
-		if !mine.contains(c.Number) {
+	for _, c := range storedPage.Changes {
+		if !heldPage.contains(c.Number) {
 			return false
 		}
 	}
@@ -51,32 +51,32 @@
 
 // SameLatestChange tells whether two values of the document are of the same latest change.
 func SameLatestChange(a, b []byte) bool {
-	one, err := Decode(a)
+	docA, err := Decode(a)
 	if err != nil {
 		return false
 	}
-	other, err := Decode(b)
-	if err != nil || one.Number != other.Number || len(one.Recent) == 0 || len(other.Recent) == 0 {
+	docB, err := Decode(b)
+	if err != nil || docA.Number != docB.Number || len(docA.Recent) == 0 || len(docB.Recent) == 0 {
 		return false
 	}
-	return one.Recent[len(one.Recent)-1].ID == other.Recent[len(other.Recent)-1].ID
+	return docA.Recent[len(docA.Recent)-1].ID == docB.Recent[len(docB.Recent)-1].ID
 }
 
 // LostChanges returns the latest changes of the document that was held which a stored one lacks, the earliest
 // first. It returns none where either can't be read.
 func LostChanges(held, stored []byte) []Change {
-	mine, err := Decode(held)
+	heldDoc, err := Decode(held)
 	if err != nil {
 		return nil
 	}
-	theirs, err := Decode(stored)
+	storedDoc, err := Decode(stored)
 	if err != nil {
 		return nil
 	}
 	var out []Change
-	for _, c := range mine.Recent {
-		_, known := theirs.changeByID(c.ID)
-		if !known && (len(theirs.Recent) == 0 || c.Number >= theirs.Recent[0].Number) {
+	for _, c := range heldDoc.Recent {
+		_, known := storedDoc.changeByID(c.ID)
+		if !known && (len(storedDoc.Recent) == 0 || c.Number >= storedDoc.Recent[0].Number) {
 			out = append(out, c)
 		}
 	}
