--- a/config/audit.go
+++ b/config/audit.go
@@ -13,18 +13,18 @@
 // AuditPrefix is the prefix of the audit pages' object keys.
 const AuditPrefix = "audit/"
 
-// changesPerPage is the number of changes of one audit page. A change of the largest
-// table has about 0.7 MB, so large changes make pages of their own: see
-// pageKey.
+// changesPerPage is the number of consecutive change numbers that share an audit page. A change
+// of a table of the maximum size has about 0.7 MB. Large changes therefore get pages of their own,
+// see pageKey.
 const changesPerPage = 20
 
-// auditPage is one object of archived changes.
+// auditPage is a stored object that holds archived changes.
 type auditPage struct {
 	Changes []Change `json:"changes"`
 }
 
-// pageKey returns the key of the page for a change. Changes over largeBytes
-// get a page of their own.
+// pageKey returns the object key of the audit page for a change whose encoding has size bytes. A
+// change larger than largeChangeBytes gets a page of its own.
 func pageKey(c Change, size int) string {
 	if size > largeChangeBytes {
 		return fmt.Sprintf("%s%010d-large", AuditPrefix, c.Number)
@@ -32,10 +32,11 @@
 	return fmt.Sprintf("%s%010d", AuditPrefix, c.Number/changesPerPage*changesPerPage)
 }
 
-// largeChangeBytes keeps a page of small changes below the platform's value limit.
+// largeChangeBytes is the maximum size of a change on a shared page. It keeps these pages below the
+// platform's size limit of values.
 const largeChangeBytes = 40 << 10
 
-// archive copies changes to the audit pages. Copying one twice is harmless.
+// archive copies changes to the audit pages. It is idempotent.
 func archive(ctx context.Context, store Store, changes []Change) error {
 	for _, c := range changes {
 		err := archiveChange(ctx, store, c)
@@ -46,6 +47,8 @@
 	return nil
 }
 
+// archiveChange copies a change to its audit page, unless the page contains it already. It retries
+// after conflicts and uncertain writes, with at most maxAttempts attempts.
 func archiveChange(ctx context.Context, store Store, c Change) error {
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -91,6 +94,7 @@
 	return p, nil
 }
 
+// contains reports whether the page contains the change with the given number.
 func (p *auditPage) contains(number int64) bool {
 	for _, c := range p.Changes {
 		if c.Number == number {
@@ -100,13 +104,13 @@
 	return false
 }
 
-// AuditStore is what reading the audit trail needs of the platform.
+// AuditStore provides the operations of the platform's store that AuditTrail needs.
 type AuditStore interface {
 	Get(ctx context.Context, key string) (objectstore.Object, error)
 	List(ctx context.Context, prefix string) (objectstore.Listing, error)
 }
 
-// AuditTrail returns all accepted changes, oldest first.
+// AuditTrail returns all accepted changes, oldest first, from the audit pages and the document.
 func AuditTrail(ctx context.Context, store AuditStore) ([]Change, error) {
 	byNumber := make(map[int64]Change)
 	listing, err := store.List(ctx, AuditPrefix)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,22 +18,22 @@
 	"github.com/rainford/rainford/table"
 )
 
-// The properties draw the same cases in every run unless -rapid.seed says
-// otherwise.
+// The property tests draw the same cases in every run, unless -rapid.seed sets another seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// fakeStore is a store whose replies to writes can be lost, whose writes can
-// take effect late, and in whose gaps others write.
+// fakeStore is a store in memory. Requests and replies of writes can be lost, writes can be refused
+// or take effect late, reads can be stale, and others can write just before a write.
 type fakeStore struct {
 	objects          map[string]objectstore.Object
 	previousVersions map[string]objectstore.Object
 	revision         int64
-	// beforeWrite is called beforeWrite each write.
+	// beforeWrite, if not nil, is called before each write.
 	beforeWrite func(key string)
-	// fault gives what happens to a write.
-	fault      func(key string) writeFault
+	// fault, if not nil, returns the fault of a write.
+	fault func(key string) writeFault
+	// staleReads states that reads return the versions before the latest writes.
 	staleReads bool
-	// delayed holds writes that may still take effect.
+	// delayed holds the writes that have not taken effect yet.
 	delayed []func()
 }
 
@@ -142,19 +142,20 @@
 	require.NoError(t, err)
 }
 
-// setWeight and setCap change one cell of the row from a to b.
+// setWeight returns an edit that sets the weight of the row from a to b.
 func setWeight(n int) func(*table.Table) error {
 	return func(tab *table.Table) error { tab.Rows[1].Weight = n; return nil }
 }
 
+// setCap returns an edit that sets the cap of the row from a to b.
 func setCap(n int) func(*table.Table) error {
 	return func(tab *table.Table) error { tab.Rows[1].Cap = n; return nil }
 }
 
-// TestEditWithStoreFaults edits one cell again and again while writes are lost
-// before and after they take effect, take effect late, or are refused, reads
-// are stale, and another operator edits other cells and the same one in
-// between. What Edit says must be true, and no cell is lost without a conflict.
+// TestEditWithStoreFaults edits one cell repeatedly while the store has faults: writes are lost
+// before or after they take effect, take effect late or are refused, and reads are stale. Another
+// operator edits the same cell and another one in between. The result of Edit must agree with the
+// stored document, no change may be lost without a conflict, and the audit trail must have no gaps.
 func TestEditWithStoreFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newFakeStore()
@@ -195,7 +196,7 @@
 			requireConsistent(t, s, want, change, err)
 			number := s.document(t).Number
 			if len(history) > 0 {
-				require.GreaterOrEqual(t, number, history[len(history)-1], "the number fell")
+				require.GreaterOrEqual(t, number, history[len(history)-1], "the version decreased")
 			}
 			history = append(history, number)
 		}
@@ -209,7 +210,7 @@
 	})
 }
 
-// writeAsRival has another operator change the cap (1), the weight (2) or both.
+// writeAsRival writes a change by another operator, of the cap (1), the weight (2) or both (3).
 func writeAsRival(t *rapid.T, s *fakeStore, what, step int) {
 	doc := s.document(t)
 	before := doc.Table.Clone()
@@ -227,6 +228,7 @@
 	require.NoError(t, err)
 }
 
+// requireConsistent checks that the result of Edit agrees with the stored document.
 func requireConsistent(t *rapid.T, s *fakeStore, want int, change config.Change, err error) {
 	doc := s.document(t)
 	inTrail := false
@@ -236,12 +238,12 @@
 	var conflict *config.ConflictError
 	switch {
 	case err == nil:
-		require.True(t, inTrail, "accepted and not in the trail")
+		require.True(t, inTrail, "the change was accepted but is not in the document")
 	case errors.As(err, &conflict):
 		require.NotEmpty(t, conflict.Cells)
-		require.NotEqual(t, want, doc.Table.Rows[1].Weight, "a conflict was reported and the edit is in")
+		require.NotEqual(t, want, doc.Table.Rows[1].Weight, "a conflict was reported but the change took effect")
 	case errors.Is(err, objectstore.ErrUnavailable):
-		require.NotEqual(t, want, doc.Table.Rows[1].Weight, "refused and yet in")
+		require.NotEqual(t, want, doc.Table.Rows[1].Weight, "the change was refused but took effect")
 	default:
 		require.NoError(t, err)
 	}
@@ -269,7 +271,7 @@
 	}
 	_, err = newEditor(s, "me").Edit(ctx, setCap(9))
 	var conflict *config.ConflictError
-	require.ErrorAs(t, err, &conflict, "the same cell never silently")
+	require.ErrorAs(t, err, &conflict, "different values of the same cell are a conflict")
 	require.Equal(t, []table.Conflict{{Cell: table.Cell{Kind: table.CellRow, Name: "s/a/b", Field: "cap"}, Base: "7", Mine: "9", Theirs: "8"}}, conflict.Cells)
 	require.Equal(t, 8, s.document(t).Table.Rows[1].Cap)
 }
@@ -283,7 +285,7 @@
 	_, err = newEditor(s, "me").Replace(ctx, 1, setWeight(9), nil)
 	require.NoError(t, err)
 	row := s.document(t).Table.Rows[1]
-	require.Equal(t, []int{9, 7}, []int{row.Weight, row.Cap}, "the file's old cap must not undo the other's")
+	require.Equal(t, []int{9, 7}, []int{row.Weight, row.Cap}, "the old cap of the export must not undo the other operator's change")
 	_, err = newEditor(s, "me").Replace(ctx, 99, setWeight(9), nil)
 	require.Error(t, err)
 }
@@ -303,8 +305,8 @@
 	require.Equal(t, version, s.objects[config.Key].Version)
 }
 
-// TestAuditTrailKeepsTrimmedChanges checks that changes leave the document for the
-// audit pages before it grows too large, and that none is lost.
+// TestAuditTrailKeepsTrimmedChanges checks that changes are moved from the document to the audit
+// pages before the document grows too large, and that none is lost.
 func TestAuditTrailKeepsTrimmedChanges(t *testing.T) {
 	const edits = 300
 	s := newFakeStore()
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,11 +1,13 @@
-// Package config provides the accepted configuration: the document in the
-// platform that holds the table, the way a change of it is accepted, and the
-// audit trail of all accepted changes.
+// Package config provides the accepted configuration: the stored document that holds the operators'
+// table, the procedure by which a change of it is accepted, and the audit trail of all accepted
+// changes.
 //
-// Accepted changes are numbered from 1 without gaps. A change is accepted when
-// a valid table was written conditionally on the document that it was made
-// from. Each change carries an ID of its own, by which a writer whose reply was
-// lost finds out whether it took effect. The latest changes stand in the
-// document itself, so that a table and its audit record are one write; older
-// ones are copied to the audit pages before they leave the document.
+// Accepted changes are numbered from 1 without gaps. The number of the latest change is the version
+// of the configuration. A change is accepted by a conditional write of a valid table, which succeeds
+// only if the document is still the one from which the change was made. Each change has a unique ID.
+// A writer whose reply was lost looks for this ID to find out whether its change was accepted.
+//
+// The latest changes are part of the document, so that a table and its audit record are one write.
+// Older changes are copied to audit pages, which are objects of their own, before they are removed
+// from the document.
 package config
--- a/config/document.go
+++ b/config/document.go
@@ -14,30 +14,30 @@
 
 // Document is the accepted configuration.
 type Document struct {
-	// Number is the number of the latest accepted change. It is the version
-	// that operators see.
+	// Number is the number of the latest accepted change, which operators see as the
+	// version of the configuration.
 	Number int64       `json:"number"`
 	Table  table.Table `json:"table"`
-	// Recent are the latest accepted changes, oldest first.
+	// Recent holds the latest accepted changes, oldest first.
 	Recent []Change `json:"recent"`
 }
 
-// Change is one accepted change, as kept in the audit trail.
+// Change is an accepted change, as stored in the audit trail.
 type Change struct {
 	Number   int64     `json:"number"`
 	ID       string    `json:"id"`
 	Operator string    `json:"who"`
 	At       time.Time `json:"at"`
-	// Command is the command that made the change.
+	// Command is the operator's command that made the change.
 	Command string         `json:"what"`
 	Cells   []table.Change `json:"cells"`
 }
 
-// ErrTooOld means that a version lies before the changes that the document
-// still holds.
+// ErrTooOld means that a version is older than the changes in the document, so that its table
+// can't be reconstructed.
 var ErrTooOld = errors.New("config: version is too old to merge with")
 
-// Decode reads a document. An empty value is the empty document.
+// Decode decodes a document. An empty value is the empty document.
 func Decode(raw []byte) (*Document, error) {
 	doc := &Document{}
 	if len(raw) == 0 {
@@ -50,8 +50,8 @@
 	return doc, nil
 }
 
-// TableAt returns the table as it was after change number, by undoing the later
-// changes.
+// TableAt returns the table as of version number, by undoing the later changes. It returns
+// ErrTooOld if these are no longer all in the document.
 func (d *Document) TableAt(number int64) (*table.Table, error) {
 	if number < 0 || number > d.Number {
 		return nil, fmt.Errorf("config: no version %d: the latest is %d", number, d.Number)
@@ -66,7 +66,7 @@
 	return t, nil
 }
 
-// changeByID returns the change called id.
+// changeByID returns the recent change with the given ID, and whether there is one.
 func (d *Document) changeByID(id string) (Change, bool) {
 	for _, c := range d.Recent {
 		if c.ID == id {
@@ -76,11 +76,13 @@
 	return Change{}, false
 }
 
-// maxRecentBytes bounds the changes kept in the document, as encoded. Every
-// instance gets them with every change, see docs/CAPACITY.md.
+// maxRecentBytes is the maximum size of the encoded changes in the document, unless the latest
+// change alone is larger. The size is bounded because every instance receives these changes with
+// each new one, see docs/CAPACITY.md.
 const maxRecentBytes = 32 << 10
 
-// countExcess returns how many of the oldest changes have to leave the document.
+// countExcess returns how many of the oldest changes have to be removed from the document to keep
+// within maxRecentBytes. The latest change always stays.
 func countExcess(changes []Change) (int, error) {
 	total := 0
 	for i := len(changes) - 1; i >= 0; i-- {
--- a/config/editor.go
+++ b/config/editor.go
@@ -12,38 +12,38 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Store is what the editor needs of the platform.
+// Store provides the operations of the platform's store that an Editor needs.
 type Store interface {
 	Get(ctx context.Context, key string) (objectstore.Object, error)
 	Put(ctx context.Context, key string, version int64, value any) (objectstore.Object, error)
 }
 
-// Editor makes changes of the configuration for one operator.
+// Editor changes the configuration on behalf of an operator.
 type Editor struct {
 	Store Store
-	// Operator is the operator, for the audit trail.
+	// Operator and Command are the operator's name and command as they appear in the
+	// audit trail.
 	Operator string
-	// Command is the command, for the audit trail.
-	Command string
-	// NewID returns an ID that no other change has.
+	Command  string
+	// NewID returns a unique ID for a change.
 	NewID func() string
 	Now   func() time.Time
-	// RetryInterval is the time between two tries to find out what became of a
-	// write. 0 stands for 200 ms.
+	// RetryInterval is the time after which a write with an uncertain outcome is
+	// retried. 0 means 200 ms.
 	RetryInterval time.Duration
 }
 
-// ErrNoChange means that the edit leaves the table as it is.
+// ErrNoChange means that an edit does not change the table.
 var ErrNoChange = errors.New("config: nothing to change")
 
-// ConflictError reports cells that another operator changed meanwhile.
+// ConflictError reports the cells that another operator changed to other values in the meantime.
 type ConflictError struct {
-	// Number is the version that the other changes led to.
+	// Number is the version that contains the changes of the other operator.
 	Number int64
 	Cells  []table.Conflict
 }
 
-// Error implements error. It prints one cell per line.
+// Error implements error. It returns one line per cell.
 func (e *ConflictError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "version %d has changed the same cells:", e.Number)
@@ -58,10 +58,10 @@
 	defaultRetryInterval = 200 * time.Millisecond
 )
 
-// Edit reads the configuration, applies edit to the table and writes it. When
-// others write at the same time the edit is merged cell by cell; a cell that
-// both changed is a *ConflictError. An invalid table is table.Findings. In
-// each of these cases nothing was changed.
+// Edit reads the configuration, applies edit to the table and writes it. If others write at the
+// same time, Edit merges the changes cell by cell. It returns a *ConflictError if another operator
+// changed one of the same cells, and table.Findings if the table is invalid. In both cases the
+// configuration is not changed.
 func (e *Editor) Edit(ctx context.Context, edit func(*table.Table) error) (Change, error) {
 	obj, doc, err := e.read(ctx)
 	if err != nil {
@@ -76,8 +76,9 @@
 	return e.submit(ctx, obj, doc, base, mine, nil)
 }
 
-// Replace writes mine, which was made from the table of version number. What
-// was accepted since is merged with it.
+// Replace is like Edit, but applies edit to the table as of version number. It merges the result
+// with the changes that have been accepted since. Findings take the positions of rows from
+// positions, which may be nil.
 func (e *Editor) Replace(ctx context.Context, number int64, edit func(*table.Table) error, positions *table.Sheet) (Change, error) {
 	obj, doc, err := e.read(ctx)
 	if err != nil {
@@ -95,6 +96,7 @@
 	return e.submit(ctx, obj, doc, base, mine, positions)
 }
 
+// read returns the stored document with its object. If none is stored, both are empty.
 func (e *Editor) read(ctx context.Context) (objectstore.Object, *Document, error) {
 	obj, err := e.Store.Get(ctx, Key)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -107,7 +109,8 @@
 	return obj, doc, err
 }
 
-// submit merges and writes until the write is accepted or refused.
+// submit merges the change from base to mine and writes it, until the write is accepted or refused.
+// It returns an error after maxAttempts.
 func (e *Editor) submit(ctx context.Context, obj objectstore.Object, doc *Document, base, mine *table.Table, positions *table.Sheet) (Change, error) {
 	findings := table.Check(mine, positions)
 	if err := findings.Err(); err != nil {
@@ -135,10 +138,11 @@
 			return found, nil
 		}
 	}
-	return Change{}, fmt.Errorf("config: gave up after %d tries: others write all the time", maxAttempts)
+	return Change{}, fmt.Errorf("config: change not accepted after %d attempts because of concurrent writes", maxAttempts)
 }
 
-// next returns the document that follows doc with the edits from base to mine.
+// next returns the document that follows doc, with the change from base to mine applied. It first
+// copies the changes that don't fit into the document to the audit pages.
 func (e *Editor) next(ctx context.Context, doc *Document, base, mine *table.Table, change Change) (*Document, error) {
 	merged, conflicts := table.Merge(base, mine, &doc.Table)
 	if len(conflicts) > 0 {
@@ -164,8 +168,8 @@
 	return &Document{Number: change.Number, Table: *merged, Recent: recent[excess:]}, nil
 }
 
-// write tries to write doc over obj until it knows whether it took effect. If
-// another write came first it returns false and the object of that write.
+// write replaces obj by doc. It retries until the outcome of the write is known. If another write
+// came first, it returns false and the object of that write.
 func (e *Editor) write(ctx context.Context, obj objectstore.Object, doc *Document) (bool, objectstore.Object, error) {
 	uncertain := false
 	for {
@@ -179,19 +183,21 @@
 		case errors.Is(err, objectstore.ErrUncertain):
 			uncertain = true
 		case !uncertain:
-			// Refused before it had an effect, and no earlier try is
-			// open.
+			// This attempt was refused without an effect, and no
+			// earlier attempt has an uncertain outcome.
 			return false, objectstore.Object{}, err
 		}
-		// The same conditional write again settles it: either it takes
-		// effect now, or the conflict shows who came first.
+		// Repeating the same conditional write resolves the uncertainty:
+		// either it takes effect now, or it conflicts and returns the
+		// write that came first, which may be an earlier attempt.
 		err = e.waitToRetry(ctx)
 		if err != nil {
-			return false, objectstore.Object{}, fmt.Errorf("config: change may have been accepted, look in the audit trail for %s: %w", doc.Recent[len(doc.Recent)-1].ID, err)
+			return false, objectstore.Object{}, fmt.Errorf("config: unknown whether change %s was accepted, see the audit trail: %w", doc.Recent[len(doc.Recent)-1].ID, err)
 		}
 	}
 }
 
+// waitToRetry waits for the retry interval. It returns an error if ctx is done.
 func (e *Editor) waitToRetry(ctx context.Context) error {
 	d := e.RetryInterval
 	if d == 0 {
--- a/config/supersede.go
+++ b/config/supersede.go
@@ -2,9 +2,10 @@
 
 import "strings"
 
-// Supersedes tells whether the value that was held under a key holds all that a stored value does and
-// more: the stored one is an earlier state of it. It is false where either can't be read, where both
-// say the same, and where each holds a change that the other lacks.
+// Supersedes reports whether the stored value of an object is an earlier state of the value that an
+// instance held under its key: the held value contains all changes of the stored one, and more. The
+// store loses changes when it is restored from a backup. The result is false if a value can't be
+// decoded, if both contain the same changes, and if each contains a change that the other lacks.
 func Supersedes(key string, held, stored []byte) bool {
 	switch {
 	case key == Key:
@@ -49,7 +50,8 @@
 	return true
 }
 
-// SameLatestChange tells whether two values of the document are of the same latest change.
+// SameLatestChange reports whether two encoded documents have the same latest change. The result is
+// false if one of them can't be decoded.
 func SameLatestChange(a, b []byte) bool {
 	docA, err := Decode(a)
 	if err != nil {
@@ -62,8 +64,9 @@
 	return docA.Recent[len(docA.Recent)-1].ID == docB.Recent[len(docB.Recent)-1].ID
 }
 
-// LostChanges returns the latest changes of the document that was held which a stored one lacks, the earliest
-// first. It returns none where either can't be read.
+// LostChanges returns the recent changes of a held document that the stored document lacks, the
+// earliest first. Changes older than the recent changes of the stored document are left out. The
+// result is empty if one of the documents can't be decoded.
 func LostChanges(held, stored []byte) []Change {
 	heldDoc, err := Decode(held)
 	if err != nil {
--- a/config/supersede_test.go
+++ b/config/supersede_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/config"
 )
 
-// TestSupersedes checks which of two values of an object is an earlier state of the other, and which
-// changes are lost where it is.
+// TestSupersedes checks when a stored value counts as an earlier state of a held one, and which
+// changes the stored document lacks.
 func TestSupersedes(t *testing.T) {
 	changes := func(ids ...string) []config.Change {
 		var out []config.Change
