--- a/node/admin.go
+++ b/node/admin.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/share"
 )
 
-// Paths of the operators' address.
+// URL paths of the operators' listener.
 const (
 	StatusPath  = "/v1/status"
 	LivePath    = "/healthz"
@@ -19,7 +19,7 @@
 	MetricsPath = "/metrics"
 )
 
-// Status is what an instance says of itself to operators.
+// Status is the state of an instance as the status endpoint returns it to operators.
 type Status struct {
 	Instance          member.Instance  `json:"instance"`
 	Ready             bool             `json:"ready"`
@@ -35,7 +35,7 @@
 	PeerBytesReceived int64            `json:"peer_bytes_received"`
 }
 
-// PeerStatus is another instance as this one sees it.
+// PeerStatus is the state of another instance as this instance sees it.
 type PeerStatus struct {
 	ID      string       `json:"id"`
 	Hall    string       `json:"hall"`
@@ -110,7 +110,7 @@
 	_, _ = w.Write(append(body, '\n'))
 }
 
-// handleLookup answers which instances the caller should use.
+// handleLookup returns the instances that the caller should use.
 func (n *Node) handleLookup(w http.ResponseWriter, r *http.Request) {
 	plan := n.plan.Load()
 	dir := n.directory.Load()
--- a/node/claim_batch.go
+++ b/node/claim_batch.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// run writes batches until ctx ends.
+// run starts writes of batches until ctx ends.
 func (c *claimWriter) run(ctx context.Context) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -31,7 +31,8 @@
 	}
 }
 
-// startWrites starts the writes that are due, as the pace permits.
+// startWrites starts writes of the shards with the given number, as far as operations are ready
+// and the rate limit permits. If all is set, operations that are not urgent are written too.
 func (c *claimWriter) startWrites(ctx context.Context, number int, all bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,8 +52,8 @@
 	}
 }
 
-// write applies ops to a shard and does not end before each is known to be in
-// force, or the process ends.
+// write applies ops to a shard and writes it to the store. It retries until the result of the
+// write is known or ctx ends, because a write with an unknown result may still take effect.
 func (c *claimWriter) write(ctx context.Context, id claim.ShardID, ops []claim.Op) {
 	c.mu.Lock()
 	state := c.shards[id]
@@ -67,14 +68,15 @@
 			c.completeBatch(id, shardState{shard: next, version: obj.Version, used: time.Now()}, ops, replies)
 			return
 		case errors.As(err, &conflict):
-			// A write on an older version can't take effect any more.
+			// The store has a newer version, so an earlier write that was based on an older
+			// version can no longer take effect.
 			uncertain = false
 			state = resolveConflict(state, conflict.Current)
 			c.awaitToken(ctx, id.Number)
 		case ctx.Err() != nil:
 			return
 		default:
-			c.log.Debug("claims", "shard", id.ObjectKey(), "error", err.Error())
+			c.log.Debug("claim write failed", "shard", id.ObjectKey(), "error", err.Error())
 			uncertain = uncertain || errors.Is(err, objectstore.ErrUncertain)
 			if !uncertain {
 				c.failBatch(id, ops)
@@ -85,7 +87,7 @@
 	}
 }
 
-// awaitToken waits until another write of the shard is permitted.
+// awaitToken waits until the rate limit permits another write of a shard with the given number.
 func (c *claimWriter) awaitToken(ctx context.Context, number int) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
@@ -98,9 +100,9 @@
 	}
 }
 
-// failBatch ends a batch that the platform did not take. Claims are answered, so
-// that nobody waits for them; the ends of claims are queued again, so that the
-// next claim of the shard does not wait behind them.
+// failBatch ends a batch that the store did not accept. Operations that acquire a claim get the
+// reply NotWritten, so that no attempt waits for them. Operations that end a claim are queued
+// again, so that they do not delay the shard's next claim.
 func (c *claimWriter) failBatch(id claim.ShardID, ops []claim.Op) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,8 +116,7 @@
 	}
 }
 
-// applyAll returns the shard after ops, and their replies, and leaves the
-// shard given unchanged.
+// applyAll returns the shard after all ops, and their replies. It does not modify its argument.
 func applyAll(shard claim.Shard, ops []claim.Op) (claim.Shard, []claim.Reply) {
 	next := claim.Shard{Entries: make(map[string]claim.Entry, len(shard.Entries)+len(ops))}
 	for k, v := range shard.Entries {
@@ -128,8 +129,9 @@
 	return next, replies
 }
 
-// resolveConflict returns the state of a shard that a write was in conflict with. What a platform that came back
-// from a copy has lost of it goes on to count.
+// resolveConflict returns the state of a shard after a write conflict. If the store was
+// restored from a backup since the known state was read, the claims that it lost are merged
+// into the state.
 func resolveConflict(known shardState, current objectstore.Object) shardState {
 	state := decodeShard(current)
 	if objectstore.IsLaterEra(current.Version, known.version) {
@@ -146,7 +148,7 @@
 	return state
 }
 
-// completeBatch hands out the replies of a batch that is in force.
+// completeBatch delivers the replies of a batch that has been written.
 func (c *claimWriter) completeBatch(id claim.ShardID, state shardState, ops []claim.Op, replies []claim.Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +164,7 @@
 	c.queue.BatchDone(id)
 }
 
-// flush waits until every end of a claim is written, or ctx ends.
+// flush waits until no operation is queued, being written or waiting for a reply, or ctx ends.
 func (c *claimWriter) flush(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.mu.Lock()
--- a/node/claim_writer.go
+++ b/node/claim_writer.go
@@ -13,13 +13,13 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// claimWriter records claims in the platform, many in one write. It implements
+// claimWriter records claims in the object store, with many claims in one write. It implements
 // entry.Claims.
 //
-// The claims of all instances for one shard go to one of them, its writer, so
-// that the platform's writes grow with time and not with instances or claims.
-// An instance that gets no reply from the writer writes by itself: the same
-// operation applied twice is applied once.
+// All instances send the claims of a shard to one instance, the shard's writer. The number of
+// writes therefore grows with time, and not with the number of instances or claims. If an
+// instance gets no reply from the writer in time, it writes the claim itself. This is safe
+// because applying an operation twice has the same effect as applying it once.
 type claimWriter struct {
 	self   string
 	store  *objectstore.Client
@@ -27,7 +27,7 @@
 	budget float64
 	log    *slog.Logger
 
-	// platformUp is false while the platform does not answer this instance.
+	// platformUp is false while this instance cannot reach the store.
 	platformUp atomic.Bool
 
 	mu       sync.Mutex
@@ -40,18 +40,18 @@
 	wg       sync.WaitGroup
 }
 
-// shardWriter is the writer of the shards of a number.
+// shardWriter is the instance that writes the shards with a given number.
 type shardWriter struct{ id, addr string }
 
-// pendingClaim is an attempt that waits for its claim.
+// pendingClaim is an operation on a claim that waits for its reply.
 type pendingClaim struct {
-	// reply is nil once nobody waits any more: a claim that is granted later
-	// is released.
+	// reply is called with the reply. When the attempt stops waiting, the pendingClaim is
+	// removed, and a claim that is granted afterwards is released.
 	reply func(claim.Reply)
 	op    claim.Op
 }
 
-// shardState is the last known state of a shard.
+// shardState is the last known state of a shard in the store.
 type shardState struct {
 	shard   claim.Shard
 	version int64
@@ -60,13 +60,13 @@
 
 const (
 	writeBurst = 2
-	// flushInterval is how often the ends of claims are written if no claim
-	// takes them along.
+	// flushInterval is the time between writes of operations that end claims, if no operation
+	// that acquires a claim causes an earlier write of the shard.
 	flushInterval = 250 * time.Millisecond
 	retryDelay    = 100 * time.Millisecond
-	// shardCacheTTL bounds the shards kept in memory.
+	// shardCacheTTL bounds the time for which an unused shard remains cached in memory.
 	shardCacheTTL = time.Minute
-	// writerTimeout is how long to wait for another instance's reply.
+	// writerTimeout bounds the wait for a reply of another instance.
 	writerTimeout  = 600 * time.Millisecond
 	acquireTimeout = 1500 * time.Millisecond
 )
@@ -89,8 +89,8 @@
 	return c
 }
 
-// setInstances chooses the writers among the instances that are alive. Addrs
-// gives their peer addresses by ID, with this instance's own.
+// setInstances determines the writers among the live instances. The map addrs holds their peer
+// addresses by ID and includes this instance.
 func (c *claimWriter) setInstances(addrs map[string]string) {
 	ids := make([]string, 0, len(addrs))
 	for id := range addrs {
@@ -103,14 +103,14 @@
 		c.writers[i] = shardWriter{id: id, addr: addrs[id]}
 		c.limiters[i].Rate = c.budget / claim.ShardsPerSlice
 		if id != c.self {
-			// All that write in the writer's place share one budget, so
-			// that a slow writer is not followed by a rush of all others.
+			// All instances that may write in place of the writer share one rate. Otherwise a
+			// slow writer would cause a burst of writes from all others.
 			c.limiters[i].Rate /= float64(len(ids))
 		}
 	}
 }
 
-// isWriter tells whether this instance writes the shards of a number.
+// isWriter reports whether this instance writes the shards with the given number.
 func (c *claimWriter) isWriter(number int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,12 +140,11 @@
 			return reply, nil
 		}
 		if !c.platformUp.Load() {
-			// The platform does not answer this instance either.
+			// This instance cannot reach the store either.
 			return c.abandon(a, shard, op, replies)
 		}
-		// The writer is silent or cut off from the platform; this instance
-		// may not be.
-		c.log.Debug("claim writer of no use", "writer", writer.id)
+		// The writer is unresponsive or cannot reach the store. This instance may be able to.
+		c.log.Debug("claim writer did not write the claim; writing it directly", "writer", writer.id)
 		c.mu.Lock()
 		c.pending[a.Owner] = wait
 		c.mu.Unlock()
@@ -170,8 +169,8 @@
 	return claim.Reply{}, false
 }
 
-// abandon ends the wait for a claim. Should the claim be granted yet, here or
-// at the writer, it is released.
+// abandon ends the wait for a claim. It queues a release, in case the claim is granted later by
+// this instance or by the shard's writer.
 func (c *claimWriter) abandon(a entry.OperationAttempt, shard claim.ShardID, op claim.Op, replies <-chan claim.Reply) (claim.Reply, error) {
 	c.mu.Lock()
 	select {
@@ -199,7 +198,8 @@
 // Release implements entry.Claims.
 func (c *claimWriter) Release(a entry.OperationAttempt) { c.recordEnd(a, newOp(claim.Release, a)) }
 
-// recordEnd has the end of a claim written, by the shard's writer if there is one.
+// recordEnd records the end of a claim in the background, through the shard's writer if there
+// is one.
 func (c *claimWriter) recordEnd(a entry.OperationAttempt, op claim.Op) {
 	shard := claim.ShardOf(a.Key, a.Made)
 	c.mu.Lock()
@@ -223,8 +223,8 @@
 	})
 }
 
-// endReplyID is the name under which the end of a claim waits. Takes wait under
-// the owner's name.
+// endReplyID returns the reply ID of an operation that ends a claim. The reply ID of an
+// operation that acquires a claim is its owner.
 func endReplyID(op claim.Op) string { return op.Owner + "/end" }
 
 func replyID(op claim.Op) string {
@@ -243,7 +243,7 @@
 	}
 }
 
-// serve writes a claim for another instance, and answers once it is in force.
+// serve writes a claim for another instance and sends the reply once the claim is stored.
 func (c *claimWriter) serve(addr string, msg *peer.Claim) {
 	c.mu.Lock()
 	c.pending[replyID(msg.Op)] = &pendingClaim{op: msg.Op, reply: func(r claim.Reply) {
@@ -253,7 +253,7 @@
 	c.enqueue(msg.Shard, msg.Op, msg.Op.Kind == claim.Acquire)
 }
 
-// handleReply takes in the reply of a writer.
+// handleReply handles the reply of a shard's writer.
 func (c *claimWriter) handleReply(msg *peer.ClaimReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/node/config.go
+++ b/node/config.go
@@ -12,58 +12,61 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Config are the settings of an instance.
+// Config holds the settings of an instance.
 type Config struct {
-	// Name is the instance's name. A part that is unique to the process is
-	// added to it.
+	// Name is the prefix of the instance's ID. A suffix that is unique to the process is
+	// appended.
 	Name   string
 	Region string
 	Hall   string
-	// Addresses to listen on. Port 0 takes a free one.
+	// The addresses to listen on, as IP:PORT. With port 0, the operating system chooses a free
+	// port.
 	CallerAddr string
 	HopAddr    string
 	PeerAddr   string
 	AdminAddr  string
-	// Platform is the base URL of the platform's service.
+	// Platform is the base URL of the platform's object store.
 	Platform string
-	// Bootstrap are peer addresses to try while no instance is known.
+	// Bootstrap holds the peer addresses that the instance contacts while it knows no other
+	// instance.
 	Bootstrap []string
-	// Secret is shared by all instances.
+	// Secret is the secret that all instances share.
 	Secret string
-	// LookupTTL is how long callers may keep the answer to a look-up.
+	// LookupTTL is the time for which callers may cache the response to a look-up.
 	LookupTTL time.Duration
-	// MaxDrainTime bounds a planned stop. 0 waits for every request.
+	// MaxDrainTime bounds the duration of a planned stop. If it is 0, the stop waits for all
+	// requests.
 	MaxDrainTime time.Duration
-	// Heartbeat is the time between two rounds of heartbeats.
+	// Heartbeat is the interval between rounds of heartbeats.
 	Heartbeat time.Duration
-	// DefaultDeadline holds for requests that give none, and MaxDeadline for
-	// all. Stall ends a transfer that does not move.
+	// DefaultDeadline applies to requests without a deadline of their own. MaxDeadline bounds
+	// the deadline of every request. StallTimeout ends a transfer without progress.
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
 	StallTimeout    time.Duration
-	// ClaimWriteRate is the part of the platform's writes a second that all
-	// instances together may use for claims.
+	// ClaimWriteRate is the number of writes per second that all instances together may use for
+	// claims. It is a part of the store's write rate.
 	ClaimWriteRate float64
 	Timing         seat.Timing
 	Members        member.Settings
 	Log            *slog.Logger
-	// Admitted is called for every request admitted to a row, if set. It
-	// must be quick and safe for concurrent use.
+	// Admitted, if not nil, is called for every request that is admitted to a row. It must
+	// return quickly and be safe for concurrent use.
 	Admitted func(row table.RowKey, at time.Time)
-	// Baseline switches off parts of the policy for measurements.
+	// Baseline replaces parts of the policy, for comparative measurements.
 	Baseline Baseline
 }
 
-// Baseline are the simpler policies that measurements compare with.
+// Baseline selects simpler policies, which measurements compare with the default ones.
 type Baseline struct {
 	NoLoans     bool
 	NoSlowStart bool
 	Policy      balance.Policy
-	// LoanDuration is the length of loans; 0 leaves the default.
+	// LoanDuration is the duration of loans. 0 selects the default.
 	LoanDuration time.Duration
 }
 
-// Defaults returns the settings of a daemon, without names and addresses.
+// Defaults returns the default settings. It leaves names and addresses unset.
 func Defaults() Config {
 	return Config{
 		LookupTTL:       5 * time.Second,
@@ -78,7 +81,7 @@
 	}
 }
 
-// Check returns everything that is wrong with the settings.
+// Check returns all faults of the settings.
 func (c *Config) Check() table.Findings {
 	var out table.Findings
 	add := func(field, format string, args ...any) {
@@ -115,20 +118,21 @@
 		{"stall", c.StallTimeout, 100 * time.Millisecond, time.Hour},
 	} {
 		if s.value < s.min || s.value > s.max {
-			add(s.field, "%s is not in %s to %s", s.value, s.min, s.max)
+			add(s.field, "%s is outside the range from %s to %s", s.value, s.min, s.max)
 		}
 	}
 	return out
 }
 
-// checkAddr wants an IP number and a port: instances are known by numbers.
+// checkAddr returns an error unless addr is an IP address with a port. Host names are not
+// accepted, because instances identify each other by IP address.
 func checkAddr(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("want IP:PORT: %w", err)
+		return fmt.Errorf("must have the form IP:PORT: %w", err)
 	}
 	if net.ParseIP(host) == nil {
-		return fmt.Errorf("%q is no IP number", host)
+		return fmt.Errorf("%q is not an IP address", host)
 	}
 	return nil
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -14,19 +14,19 @@
 	"github.com/rainford/rainford/table"
 )
 
-// drainGracePeriod is how long a drained region may still get requests that no other
-// region takes.
+// drainGracePeriod is the time after the drain of a region during which it still accepts
+// requests that no other region accepts.
 const drainGracePeriod = 3 * time.Second
 
-// fleetSnapshot is what requests need to know of the other instances. It is made anew
-// when something has changed, and then only read.
+// fleetSnapshot is the state of the other instances that requests need. It is rebuilt after
+// changes and is immutable.
 type fleetSnapshot struct {
 	hops map[destination][]entry.Hop
-	// hallOpen tells whether the own hall takes new work.
+	// hallOpen reports whether the own hall accepts new requests.
 	hallOpen bool
 }
 
-// rebuildFleet makes the fleet and the directory anew.
+// rebuildFleet rebuilds the fleet snapshot and the look-up directory.
 func (n *Node) rebuildFleet(now time.Time) {
 	n.fleetStale = false
 	all := n.view.All(now)
@@ -34,7 +34,7 @@
 	f := &fleetSnapshot{hops: make(map[destination][]entry.Hop), hallOpen: plan != nil && n.hallOpen(plan, n.self.Hall, now)}
 	alive := map[string]string{n.self.ID: n.self.PeerAddr}
 	for _, s := range all {
-		// One of the own hall that leaves still has slots for a while.
+		// A leaving instance of the own hall keeps slots for a while.
 		leaving := s.State == member.Leaving && s.Hall == n.self.Hall && now.Sub(s.HeardAt) < n.config.Members.SuspectAfter
 		if s.State != member.Live && !leaving {
 			continue
@@ -62,8 +62,8 @@
 	n.updateDirectory(all, plan)
 }
 
-// hallOpen tells whether a hall takes new work: it is not drained, and its
-// region is not or has been for less than drainGrace.
+// hallOpen reports whether a hall accepts new requests. It does so if the hall is not drained
+// and its region is not drained, or has been drained for less than drainGracePeriod.
 func (n *Node) hallOpen(plan *table.Plan, hall string, now time.Time) bool {
 	region := plan.RegionOf(hall)
 	if plan.HallDrained(hall) {
@@ -72,27 +72,28 @@
 	return !plan.RegionDrained(region) || now.Sub(n.drainedAt[region]) < drainGracePeriod
 }
 
-// directoryInput is what the answers to look-ups are made of.
+// directoryInput holds everything that determines the responses to look-ups.
 type directoryInput struct {
 	plan    *table.Plan
 	blocks  *lookup.BlockTable
 	entries []directoryEntry
 }
 
-// directoryEntry is one instance of a listing.
+// directoryEntry is the state of one instance in a directoryInput.
 type directoryEntry struct {
 	id    string
 	state member.State
 	ready bool
 }
 
-// equal tells whether two listings give the equal answers.
+// equal reports whether two inputs result in the same responses.
 func (l *directoryInput) equal(other *directoryInput) bool {
 	return other != nil && l.plan == other.plan && l.blocks == other.blocks && slices.Equal(l.entries, other.entries)
 }
 
-// updateDirectory prepares the answers to look-ups anew if they have changed:
-// heartbeats come often, changes of who is listed do not.
+// updateDirectory rebuilds the look-up directory if its input has changed. The comparison
+// avoids rebuilds, because heartbeats are frequent and changes of the listed instances are
+// rare.
 func (n *Node) updateDirectory(all []member.Status, plan *table.Plan) {
 	own := member.Status{Instance: n.self, State: member.Live, Ready: n.ready()}
 	if n.leaving {
@@ -116,14 +117,14 @@
 	}
 	dir, err := lookup.NewDirectory(n.blocks, all, halls, n.self.Hall, n.config.LookupTTL)
 	if err != nil {
-		n.log.Error("directory", "error", err.Error())
+		n.log.Error("building the look-up directory failed", "error", err.Error())
 		return
 	}
 	n.directoryInput = now
 	n.directory.Store(dir)
 }
 
-// ready tells whether the instance can serve requests.
+// ready reports whether the instance can serve requests.
 func (n *Node) ready() bool {
 	return n.plan.Load() != nil && n.targetsOK.Load()
 }
@@ -200,7 +201,7 @@
 	n.sentSinceHeartbeat[instanceService{instance, service}]++
 }
 
-// Bounds on how long an instance that declined is left alone.
+// Bounds on the time for which an instance that refused a request gets no more requests.
 const (
 	minDeclineBackoff = 20 * time.Millisecond
 	maxDeclineBackoff = time.Second
@@ -225,7 +226,7 @@
 	n.latencies[d].Observe(latency)
 }
 
-// isWarm tells whether a region answers about as fast as it usually does.
+// isWarm reports whether the latency of a region is close to its usual latency.
 func (n *Node) isWarm(service, region string) bool {
 	w := n.latencies[destination{service, region}]
 	return w == nil || w.Warm()
@@ -247,21 +248,22 @@
 	return admission, n.ledger.TimeToUnit(now, row.Key())
 }
 
-// Order implements entry.Draw.
+// Order implements entry.Chooser.
 func (n *Node) Order(candidates []route.Candidate) []table.Row {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return route.Order(candidates, n.rand)
 }
 
-// Pick implements entry.Draw.
+// Pick implements entry.Chooser.
 func (n *Node) Pick(peers []route.Peer) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return route.Pick(peers, n.rand)
 }
 
-// Jitter returns a random time between d and 2d.
+// Jitter implements entry.Chooser. It returns a random time between d and 2d, or 0 if d is not
+// positive.
 func (n *Node) Jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -14,8 +14,8 @@
 	"github.com/rainford/rainford/seat"
 )
 
-// heartbeatLoop sends a round of heartbeats each period, and at once when
-// something is to be announced.
+// heartbeatLoop sends a round of heartbeats at every interval, and at once after a call of
+// triggerHeartbeat.
 func (n *Node) heartbeatLoop(ctx context.Context) {
 	ticker := time.NewTicker(n.config.Heartbeat)
 	defer ticker.Stop()
@@ -30,7 +30,7 @@
 	}
 }
 
-// outgoing is a message with its address.
+// outgoing is a message and the peer address to which it is sent.
 type outgoing struct {
 	addr string
 	msg  peer.Message
@@ -57,7 +57,7 @@
 	}
 }
 
-// messages makes the heartbeats and the asks of one round.
+// messages returns the heartbeats and the loan requests of one round.
 func (n *Node) messages(now time.Time) []outgoing {
 	hb := n.heartbeatOf(now)
 	recipients := n.view.Recipients(now, n.round)
@@ -66,7 +66,7 @@
 		msg := *hb
 		msg.Seat = n.agent.Heartbeat(now, in.ID)
 		if in.Hall == n.self.Hall {
-			// They hear each other themselves.
+			// Instances of the own hall receive these heartbeats directly.
 			msg.Heard = nil
 		}
 		out = append(out, outgoing{in.PeerAddr, &peer.Heartbeat{Heartbeat: msg}})
@@ -97,11 +97,11 @@
 	return hb
 }
 
-// lendersPerRow is the number of lenders asked for one row at a time.
+// lendersPerRow is the number of instances that one round requests a loan from, for each row.
 const lendersPerRow = 2
 
-// loanRequests makes the requests for loans, to instances of the own region drawn at
-// random.
+// loanRequests returns the loan requests of one round. They are sent to random live instances
+// of the own region.
 func (n *Node) loanRequests(now time.Time) []outgoing {
 	var lenders []string
 	for _, s := range n.view.All(now) {
@@ -168,7 +168,7 @@
 	n.requestNewer(hb)
 }
 
-// requestNewer asks the sender of a heartbeat for what it has newer.
+// requestNewer requests the objects of which the sender of a heartbeat has a newer version.
 func (n *Node) requestNewer(hb member.Heartbeat) {
 	if hb.Config > n.Version() {
 		n.mesh.Send(hb.From.PeerAddr, &peer.Pull{Key: config.Key, Version: n.objects.version(config.Key)})
@@ -182,7 +182,7 @@
 	}
 }
 
-// handlePull passes the objects below a key on.
+// handlePull sends the newer objects with the requested prefix to another instance.
 func (n *Node) handlePull(from string, msg *peer.Pull) {
 	n.mu.Lock()
 	addr := n.peerAddr(from)
@@ -201,8 +201,8 @@
 	}
 }
 
-// isGossiped tells whether instances pass an object on to each other. Rosters go
-// by the platform alone.
+// isGossiped reports whether instances send an object to each other. Rosters are read only from
+// the store.
 func isGossiped(key string) bool {
 	return key == config.Key || strings.HasPrefix(key, TargetPrefix) || strings.HasPrefix(key, lookup.BlockKeyPrefix)
 }
@@ -231,10 +231,11 @@
 	}
 }
 
-// refreshInterval bounds how often the fleet is made anew.
+// refreshInterval is the least time between two rebuilds of the fleet snapshot by refreshLoop.
 const refreshInterval = 50 * time.Millisecond
 
-// refreshLoop keeps what requests read up to date.
+// refreshLoop runs the timers of queued requests and rebuilds the fleet snapshot when it is
+// stale.
 func (n *Node) refreshLoop(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
@@ -253,8 +254,7 @@
 	}
 }
 
-// writeRoster tries a write of the roster and tells the agent what became of
-// it.
+// writeRoster writes a roster to the store and reports the result to the agent.
 func (n *Node) writeRoster(ctx context.Context, w *seat.Write) {
 	key := RosterPrefix + n.self.Hall
 	obj, err := n.store.Put(ctx, key, w.Version, w.Roster)
--- a/node/lookup_test.go
+++ b/node/lookup_test.go
@@ -71,7 +71,7 @@
 	n.mu.Unlock()
 	a = lookup.Response{}
 	require.NoError(t, json.Unmarshal(ask("service=s").Body.Bytes(), &a))
-	require.Empty(t, a.Instances, "a leaving instance drops out at once")
+	require.Empty(t, a.Instances, "a leaving instance is no longer listed")
 }
 
 func TestCheckReportsAllFindings(t *testing.T) {
@@ -89,7 +89,8 @@
 	}
 }
 
-// BenchmarkLookupHandler measures a look-up without and with the network.
+// BenchmarkLookupHandler measures a look-up by a direct call of the handler and over the
+// loopback interface.
 func BenchmarkLookupHandler(b *testing.B) {
 	n := testNode(b)
 	publishTestTable(n)
@@ -126,7 +127,7 @@
 	})
 }
 
-// discard is a response writer that keeps nothing.
+// discard is a response writer that discards the body.
 type discard struct{ header http.Header }
 
 func (d *discard) Header() http.Header         { return d.header }
--- a/node/lost_config.go
+++ b/node/lost_config.go
@@ -8,9 +8,10 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// reconcileConfig tells whether the configuration's object brings nothing that is not in force. A platform that came
-// back from a copy may hold an earlier state of it than was accepted: then obj is made to hold the accepted
-// one, which goes on to count and is to be written again. The caller holds mu.
+// reconcileConfig reports whether the configuration in obj is already in force. After a restore
+// from a backup, the store may hold an earlier configuration than the one that was accepted. In
+// this case reconcileConfig replaces the value in obj by the accepted one, which remains in
+// force, and marks it to be written to the store again. The caller holds n.mu.
 func (n *Node) reconcileConfig(obj *objectstore.Object) bool {
 	held := n.objects.byKey[config.Key]
 	if held.Version == 0 || obj.Version <= held.Version {
@@ -19,15 +20,15 @@
 	n.configLost = objectstore.IsLaterEra(obj.Version, held.Version) &&
 		(obj.Deleted || config.Supersedes(config.Key, held.Value, obj.Value))
 	if n.configLost {
-		n.log.Warn("configuration lost by the platform", "object_version", obj.Version, "in_force", n.Version())
+		n.log.Warn("object store has lost the configuration in force", "object_version", obj.Version, "in_force", n.Version())
 		obj.Value, obj.Deleted = held.Value, false
 		return true
 	}
 	return config.SameLatestChange(held.Value, obj.Value)
 }
 
-// rewriteConfig has a platform that has lost the accepted configuration hold it again. One instance does it,
-// the writer of the first shard of claims.
+// rewriteConfig writes the accepted configuration to a store that has lost it. Only one
+// instance does so, the writer of the first shard of claims.
 func (n *Node) rewriteConfig(ctx context.Context) {
 	n.mu.Lock()
 	held := n.objects.byKey[config.Key]
@@ -38,10 +39,10 @@
 	}
 	obj, err := n.store.Put(ctx, config.Key, held.Version, json.RawMessage(held.Value))
 	if err != nil {
-		// The watch brings what another one has written.
-		n.log.Warn("configuration not written again", "error", err.Error())
+		// If another instance has written the configuration, the watch delivers it.
+		n.log.Warn("rewriting the configuration failed", "error", err.Error())
 		return
 	}
-	n.log.Info("configuration written again", "object_version", obj.Version)
+	n.log.Info("configuration rewritten", "object_version", obj.Version)
 	n.applyObjects([]objectstore.Object{obj})
 }
--- a/node/node.go
+++ b/node/node.go
@@ -45,12 +45,12 @@
 	listeners listeners
 	servers   []*http.Server
 
-	// mu guards the deciding parts that follow.
+	// mu guards the fields up to fleetStale.
 	mu      sync.Mutex
 	objects *objects
-	// revision is that of the platform up to which objects are known. It holds the era.
+	// revision is the store's revision up to which objects are known. It includes the era.
 	revision int64
-	// configLost says that the platform holds an earlier configuration than was accepted.
+	// configLost is set while the store holds an earlier configuration than the accepted one.
 	configLost         bool
 	view               *member.View
 	agent              *seat.Agent
@@ -62,7 +62,7 @@
 	blocks             *lookup.BlockTable
 	directoryInput     *directoryInput
 	leaving            bool
-	// hopsClosed is set when a stopping instance wants no more from others.
+	// hopsClosed is set when a stopping instance no longer accepts requests of other instances.
 	hopsClosed bool
 	rand       *rand.Rand
 	round      uint64
@@ -83,13 +83,13 @@
 	caller, hop, peer, admin net.Listener
 }
 
-// destination is a service in a region.
+// destination identifies a service in a region.
 type destination struct{ service, region string }
 
-// instanceService is a service at an instance.
+// instanceService identifies a service at an instance.
 type instanceService struct{ instance, service string }
 
-// New opens the instance's addresses. The caller must call Run or Close.
+// New returns an instance that listens on its addresses. The caller must call Run.
 func New(config Config) (*Node, error) {
 	if err := config.Check().Err(); err != nil {
 		return nil, err
@@ -144,7 +144,7 @@
 	return []net.Listener{l.caller, l.hop, l.peer, l.admin}
 }
 
-// build makes the parts that need the instance's final name and addresses.
+// build creates the parts that need the instance's final ID and addresses.
 func (n *Node) build() {
 	var suffix [4]byte
 	_, _ = crand.Read(suffix[:])
@@ -215,10 +215,10 @@
 	return len(n.agent.Held(time.Now()))
 }
 
-// Instance returns the instance's name and addresses.
+// Instance returns the ID, the location and the addresses of the instance.
 func (n *Node) Instance() member.Instance { return n.self }
 
-// Version returns the number of the accepted change in force, or 0.
+// Version returns the version of the configuration in force, or 0 if there is none.
 func (n *Node) Version() int64 {
 	if p := n.plan.Load(); p != nil {
 		return p.Version
@@ -233,7 +233,8 @@
 	maxHeaderBytes    = 32 << 10
 )
 
-// Run serves until ctx ends and then stops as planned: see stop.
+// Run serves requests until ctx ends, and then stops gracefully; see stop. After a call of
+// Kill, it stops at once.
 func (n *Node) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -242,7 +243,7 @@
 	n.serve(n.listeners.admin, n.adminMux())
 	n.start(func() {
 		if err := n.mesh.Serve(n.listeners.peer); err != nil {
-			n.log.Error("peer listener", "error", err.Error())
+			n.log.Error("peer listener failed", "error", err.Error())
 		}
 	})
 	n.start(func() { n.watchLoop(work) })
@@ -259,8 +260,8 @@
 	}
 }
 
-// Kill ends the instance at once, as the death of its process would: requests
-// in flight break and nothing is given back.
+// Kill stops the instance at once, as a crash of its process would. Requests in flight are cut
+// off, and neither seats nor claims are released.
 func (n *Node) Kill() { n.killOnce.Do(func() { close(n.killed) }) }
 
 func (n *Node) start(f func()) {
@@ -283,7 +284,7 @@
 	n.start(func() {
 		err := server.Serve(ln)
 		if !errors.Is(err, http.ErrServerClosed) {
-			n.log.Error("listener", "addr", ln.Addr().String(), "error", err.Error())
+			n.log.Error("listener failed", "addr", ln.Addr().String(), "error", err.Error())
 		}
 	})
 }
--- a/node/objects.go
+++ b/node/objects.go
@@ -8,8 +8,7 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// objects holds the newest version known of each object of the platform that
-// the instance uses.
+// objects holds the newest known version of each stored object that the instance uses.
 type objects struct {
 	byKey map[string]objectstore.Object
 }
@@ -18,8 +17,7 @@
 	return &objects{byKey: make(map[string]objectstore.Object)}
 }
 
-// update takes obj in if it is newer than what is held, and reports whether it
-// is.
+// update stores obj if it is newer than the version held, and reports whether it is.
 func (o *objects) update(obj objectstore.Object) bool {
 	if have, ok := o.byKey[obj.Key]; ok && obj.Version <= have.Version {
 		return false
@@ -28,10 +26,10 @@
 	return true
 }
 
-// version returns the version held of key, or 0.
+// version returns the version held of the object with the given key, or 0.
 func (o *objects) version(key string) int64 { return o.byKey[key].Version }
 
-// withPrefix returns the objects whose keys start with prefix, less deleted ones.
+// withPrefix returns the objects whose keys start with prefix, except deleted ones.
 func (o *objects) withPrefix(prefix string) []objectstore.Object {
 	var out []objectstore.Object
 	for key, obj := range o.byKey {
@@ -42,7 +40,7 @@
 	return out
 }
 
-// decodeInto reads the value of obj into out.
+// decodeInto decodes the JSON value of obj into out.
 func decodeInto(obj objectstore.Object, out any) error {
 	err := json.Unmarshal(obj.Value, out)
 	if err != nil {
--- a/node/register.go
+++ b/node/register.go
@@ -12,15 +12,15 @@
 
 const (
 	registerInterval = 2 * time.Second
-	// removalTimeout is the silence after which an instance of the own hall is
-	// taken off the platform's list.
+	// removalTimeout is the time without a sign of life after which an instance of the own hall
+	// is removed from the store's list of instances.
 	removalTimeout = time.Minute
-	// sweepInterval is the time between two looks for claims that have expired.
+	// sweepInterval is the least time between deletions of expired claims.
 	sweepInterval = 5 * time.Minute
 )
 
-// registerLoop keeps the instance on the platform's list, takes dead instances
-// of its hall off it, and deletes expired claims.
+// registerLoop maintains the record of the instance in the store, writes a lost configuration
+// again, removes the records of dead instances of the own hall, and deletes expired claims.
 func (n *Node) registerLoop(ctx context.Context) {
 	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
@@ -41,7 +41,8 @@
 	}
 }
 
-// register writes the instance's record if the platform's differs.
+// register writes the record of the instance if the store's record differs or may have been
+// lost.
 func (n *Node) register(ctx context.Context) {
 	key := InstancePrefix + n.self.ID
 	n.mu.Lock()
@@ -65,7 +66,7 @@
 	case errors.As(err, &conflict):
 		n.applyObjects([]objectstore.Object{conflict.Current})
 	default:
-		n.log.Debug("register", "error", err.Error())
+		n.log.Debug("registration failed", "error", err.Error())
 	}
 }
 
@@ -77,8 +78,8 @@
 	return decodeInto(obj, &have) == nil && have == want
 }
 
-// removeDeadInstances takes instances of the own hall off the list that have been
-// silent for long. One that lives after all puts itself back.
+// removeDeadInstances removes the records of instances of the own hall that have been
+// unresponsive for removalTimeout. An instance that is still alive registers again.
 func (n *Node) removeDeadInstances(ctx context.Context) {
 	now := time.Now()
 	var dead []objectstore.Object
@@ -93,7 +94,7 @@
 	n.mu.Unlock()
 	for _, obj := range dead {
 		err := n.store.Delete(ctx, obj.Key, obj.Version)
-		n.log.Info("instance removed", "key", obj.Key, "error", errText(err))
+		n.log.Info("removal of an unresponsive instance", "key", obj.Key, "error", errText(err))
 	}
 }
 
@@ -104,8 +105,8 @@
 	return err.Error()
 }
 
-// sweepClaims deletes the shards whose keys are too old to be taken. One
-// instance does it, the writer of the first shard.
+// sweepClaims deletes the shards whose retention has ended. Only one instance does so, the
+// writer of the first shard.
 func (n *Node) sweepClaims(ctx context.Context) {
 	if !n.claims.isWriter(0) {
 		return
--- a/node/stop.go
+++ b/node/stop.go
@@ -8,27 +8,29 @@
 )
 
 const (
-	// minLinger is the shortest time that a stopping instance goes on
-	// serving. It outlasts the idle connections that others keep to it.
+	// minLinger is the least time for which a stopping instance continues to serve. It exceeds
+	// the time for which other instances keep idle connections to it.
 	minLinger = 3 * time.Second
-	// hopDrainTime is the part of the linger in which other instances send nothing
-	// more: longer than a heartbeat and the idle time of their connections.
+	// hopDrainTime is the last part of that time, in which other instances send no requests. It
+	// exceeds the heartbeat interval and the time-out of idle connections between instances.
 	hopDrainTime = 2500 * time.Millisecond
-	// maxFlushTime bounds the wait for the ends of claims at a stop.
+	// maxFlushTime bounds the wait for the recording of ended claims during a stop.
 	maxFlushTime = 5 * time.Second
-	// finalHeartbeats is the number of rounds in which the last state is told.
+	// finalHeartbeats is the number of additional rounds of heartbeats that announce the
+	// released seats.
 	finalHeartbeats = 3
 )
 
-// stop ends the instance without cutting off a request:
+// stop ends the instance without cutting off requests, unless the stop takes longer than
+// MaxDrainTime. It takes these steps:
 //
-//   - it drops out of look-ups and of other halls' choices at once, and gives
-//     half of its seats back;
-//   - it serves on for the time that callers may keep a look-up, and its hall's
-//     other instances may send to it for the first part of that;
-//   - it waits for the requests in flight, uploads included;
-//   - it gives its other seats back and tells its peers so;
-//   - it takes itself off the platform's list.
+//   - The instance is no longer listed in look-ups or selected by other halls, and it releases half of
+//     its seats.
+//   - It continues to serve for as long as callers may cache a look-up. Other instances of its hall
+//     may send requests to it during the first part of this time.
+//   - It waits for the requests in flight, including uploads.
+//   - It releases its remaining seats and announces this to its peers.
+//   - It removes its record from the store.
 func (n *Node) stop() error {
 	began := time.Now()
 	n.mu.Lock()
@@ -66,7 +68,7 @@
 	return n.metrics.Close(context.Background())
 }
 
-// abort ends the instance without any of the steps of stop.
+// abort stops the instance without the steps of a graceful stop.
 func (n *Node) abort() error {
 	n.cancel()
 	_ = n.listeners.peer.Close()
@@ -87,8 +89,8 @@
 	return context.WithCancel(context.Background())
 }
 
-// shutdownServers waits for the requests in flight. It returns the number of
-// requests cut off because ctx ended first.
+// shutdownServers waits for the requests in flight. It returns the number of requests that were
+// cut off because ctx ended first.
 func (n *Node) shutdownServers(ctx context.Context) int {
 	cut := 0
 	for _, server := range n.servers {
@@ -101,8 +103,9 @@
 	return cut
 }
 
-// releaseSeats returns the seats and tells the peers, which write it down. It does
-// not wait for loans: the seats that they hold back pass on when the lease ends.
+// releaseSeats releases all seats and announces this to the peers, which record it in the
+// roster. It does not wait for the end of loans. Seats whose units are lent pass to other
+// instances when the lease ends.
 func (n *Node) releaseSeats(ctx context.Context) {
 	n.mu.Lock()
 	n.agent.Leave()
@@ -125,5 +128,5 @@
 		return
 	}
 	err := n.store.Delete(ctx, obj.Key, obj.Version)
-	n.log.Debug("deregister", "error", errText(err))
+	n.log.Debug("deregistration", "error", errText(err))
 }
--- a/node/targets.go
+++ b/node/targets.go
@@ -11,17 +11,17 @@
 	"github.com/rainford/rainford/table"
 )
 
-// updateSeats takes the seats held now into the caps and the targets' slots.
+// updateSeats applies the seats that the instance holds to the caps and to the slots of the
+// targets.
 func (n *Node) updateSeats(now time.Time) {
 	n.ledger.SetSeats(n.agent.Held(now), n.agent.LeaseEnd())
 	n.setTargets()
 }
 
-// setTargets gives the hall's pools their targets with this instance's share
-// of the slots.
+// setTargets sets the targets of the hall's pools, with this instance's share of their slots.
 //
-// Slots follow the softer rule of Agent.SlotSeats: a hall that is cut off goes on
-// serving.
+// The share is derived from Agent.SlotSeats, whose rule is weaker than that for caps, so that a
+// hall that is partitioned from the store continues to serve requests.
 func (n *Node) setTargets() {
 	plan := n.plan.Load()
 	obj, ok := n.objects.byKey[TargetPrefix+n.self.Hall]
@@ -31,15 +31,15 @@
 	var list TargetList
 	err := json.Unmarshal(obj.Value, &list)
 	if err != nil {
-		n.log.Error("targets refused", "error", err.Error())
+		n.log.Error("invalid target list ignored", "error", err.Error())
 		return
 	}
 	n.hall.SetTargets(time.Now(), specsOf(list.Targets, plan, n.agent.SlotSeats(time.Now())), reservesOf(plan))
 	n.targetsOK.Store(true)
 }
 
-// specsOf returns the targets that take new work, by service, with the slots
-// that belong to the seats.
+// specsOf returns the targets that accept new requests, by service, with the slots that belong
+// to the given seats.
 func specsOf(targets []Target, plan *table.Plan, seats []int) map[string][]balance.Spec {
 	out := make(map[string][]balance.Spec)
 	for _, t := range targets {
--- a/node/watch.go
+++ b/node/watch.go
@@ -16,7 +16,7 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Prefixes of the objects that instances use, besides those of other packages.
+// Prefixes of the keys of stored objects. Other packages define further ones.
 const (
 	// InstancePrefix is followed by the instance's ID.
 	InstancePrefix = "instances/"
@@ -26,18 +26,18 @@
 	RosterPrefix = "rosters/"
 )
 
-// Target is one target in the platform's list of a hall's targets.
+// Target is an entry of a TargetList.
 type Target struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Addr    string `json:"addr"`
-	// Slots is the number of requests that the target runs at a time.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int `json:"slots"`
-	// Leaving is set when the target takes no new work.
+	// Leaving is set if the target accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// TargetList is the platform's list of a hall's targets.
+// TargetList is the stored list of the targets of a hall.
 type TargetList struct {
 	Targets []Target `json:"targets"`
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// watchLoop keeps the objects up to date while the platform answers.
+// watchLoop keeps the objects up to date through watches on the store.
 func (n *Node) watchLoop(ctx context.Context) {
 	after := int64(0)
 	first := true
@@ -71,14 +71,14 @@
 		listing, err := n.store.Watch(ctx, n.watchedPrefixes(), after, wait)
 		n.claims.platformUp.Store(err == nil)
 		if err != nil {
-			n.log.Debug("watch", "error", err.Error())
+			n.log.Debug("watch failed", "error", err.Error())
 			pause.For(ctx, n.Jitter(backoff))
 			backoff = min(2*backoff, maxWatchBackoff)
 			continue
 		}
 		backoff = minWatchBackoff
 		if listing.Revision < after {
-			// A stale answer; the next one continues from where we are.
+			// This response is stale. The next watch continues from the same revision.
 			pause.For(ctx, backoff)
 			continue
 		}
@@ -96,7 +96,7 @@
 	}
 }
 
-// applyObjects puts newer objects in force.
+// applyObjects applies the objects that are newer than those held.
 func (n *Node) applyObjects(objs []objectstore.Object) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -147,14 +147,14 @@
 	var shard lookup.BlockShard
 	err := json.Unmarshal(obj.Value, &shard)
 	if err != nil {
-		n.log.Error("blocks refused", "key", obj.Key, "error", err.Error())
+		n.log.Error("invalid address blocks ignored", "key", obj.Key, "error", err.Error())
 		return nil
 	}
 	return shard.Blocks
 }
 
-// setConfig is the configuration pipe: decode, check, compile, publish. A
-// document that fails a check is reported and leaves the one in force.
+// setConfig decodes, checks, compiles and publishes a version of the configuration. If a step
+// fails, it logs the error, and the version in force remains.
 func (n *Node) setConfig(obj objectstore.Object) {
 	plan, err := compile(obj)
 	if err != nil {
@@ -163,7 +163,7 @@
 	}
 	if have := n.plan.Load(); have != nil && plan.Version <= have.Version {
 		n.metrics.Violation("config-reverts")
-		n.log.Error("configuration refused: would revert", "have", have.Version, "got", plan.Version)
+		n.log.Error("configuration refused: not newer than the version in force", "have", have.Version, "got", plan.Version)
 		return
 	}
 	n.publish(plan)
@@ -171,7 +171,7 @@
 
 func compile(obj objectstore.Object) (*table.Plan, error) {
 	if obj.Deleted {
-		return nil, fmt.Errorf("node: %s was deleted", obj.Key)
+		return nil, fmt.Errorf("node: configuration %s was deleted", obj.Key)
 	}
 	doc, err := config.Decode(obj.Value)
 	if err != nil {
@@ -201,7 +201,7 @@
 	n.triggerHeartbeat()
 }
 
-// triggerHeartbeat has the next heartbeats sent at once.
+// triggerHeartbeat makes heartbeatLoop send the next round of heartbeats at once.
 func (n *Node) triggerHeartbeat() {
 	select {
 	case n.heartbeatNow <- struct{}{}:
@@ -216,7 +216,7 @@
 	var roster seat.Roster
 	err := json.Unmarshal(obj.Value, &roster)
 	if err != nil {
-		n.log.Error("roster refused", "error", err.Error())
+		n.log.Error("invalid roster ignored", "error", err.Error())
 		return
 	}
 	n.applyRoster(&roster, obj.Version)
@@ -233,7 +233,7 @@
 		var in member.Instance
 		err := json.Unmarshal(obj.Value, &in)
 		if err != nil {
-			n.log.Error("instance refused", "key", obj.Key, "error", err.Error())
+			n.log.Error("invalid instance record ignored", "key", obj.Key, "error", err.Error())
 			continue
 		}
 		list = append(list, in)
