--- a/entry/entry.go
+++ b/entry/entry.go
@@ -69,8 +69,8 @@
 
 // OperationAttempt is an attempt at an operation that must run at most once.
 type OperationAttempt struct {
-	Key  string
-	Made time.Time
+	Key       string
+	CreatedAt time.Time
 	// Owner identifies the attempt. It is unique.
 	Owner string
 	// Number is the number that the caller gave the attempt.
@@ -342,7 +342,7 @@
 	if err != nil || number < 1 {
 		number = 1
 	}
-	return OperationAttempt{Key: ex.Key, Made: made, Owner: newID(), Number: number}
+	return OperationAttempt{Key: ex.Key, CreatedAt: made, Owner: newID(), Number: number}
 }
 
 // claimConflict returns the result of an attempt that did not get the claim, because of another
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -285,7 +285,7 @@
 	settings.Secret = "demo"
 	settings.LookupTTL = time.Second
 	settings.Log = c.options.Log
-	settings.Admitted = c.Flow.Record
+	settings.OnAdmit = c.Flow.Record
 	if c.options.Change != nil {
 		c.options.Change(&settings)
 	}
--- a/internal/experiment/idle.go
+++ b/internal/experiment/idle.go
@@ -59,7 +59,7 @@
 	estate.Services = estate.Services[:1]
 	estate.Services[0].Targets = 2 * size.Regions
 	before := liveHeap()
-	cluster, err := demo.Start(ctx, demo.Options{Estate: estate, Limits: platformstore.Limits{}, Change: func(c *node.Config) { c.Admitted = nil }})
+	cluster, err := demo.Start(ctx, demo.Options{Estate: estate, Limits: platformstore.Limits{}, Change: func(c *node.Config) { c.OnAdmit = nil }})
 	if err != nil {
 		return nil, err
 	}
--- a/node/claim_writer.go
+++ b/node/claim_writer.go
@@ -125,7 +125,7 @@
 func (c *claimWriter) Acquire(ctx context.Context, a entry.OperationAttempt) (claim.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
-	shard := claim.ShardOf(a.Key, a.Made)
+	shard := claim.ShardOf(a.Key, a.CreatedAt)
 	op := newOp(claim.Acquire, a)
 	replies := make(chan claim.Reply, 1)
 	wait := &pendingClaim{op: op, reply: func(r claim.Reply) { replies <- r }}
@@ -201,7 +201,7 @@
 // recordEnd records the end of a claim in the background, through the shard's writer if there
 // is one.
 func (c *claimWriter) recordEnd(a entry.OperationAttempt, op claim.Op) {
-	shard := claim.ShardOf(a.Key, a.Made)
+	shard := claim.ShardOf(a.Key, a.CreatedAt)
 	c.mu.Lock()
 	writer := c.writers[shard.Number]
 	c.mu.Unlock()
--- a/node/config.go
+++ b/node/config.go
@@ -50,9 +50,9 @@
 	Timing         seat.Timing
 	Members        member.Settings
 	Log            *slog.Logger
-	// Admitted, if not nil, is called for every request that is admitted to a row. It must
+	// OnAdmit, if not nil, is called for every request that is admitted to a row. It must
 	// return quickly and be safe for concurrent use.
-	Admitted func(row table.RowKey, at time.Time)
+	OnAdmit func(row table.RowKey, at time.Time)
 	// Baseline replaces parts of the policy, for comparative measurements.
 	Baseline Baseline
 }
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -239,8 +239,8 @@
 	now := time.Now()
 	admission := n.ledger.Admit(now, row)
 	if admission == share.Admitted {
-		if n.config.Admitted != nil {
-			n.config.Admitted(row.Key(), now)
+		if n.config.OnAdmit != nil {
+			n.config.OnAdmit(row.Key(), now)
 		}
 		n.log.Debug("admitted", "row", row.Key().String(), "at_ns", now.UnixNano())
 		return admission, 0
