--- a/forward/doc.go
+++ b/forward/doc.go
@@ -6,4 +6,9 @@
 // response is complete. Targets send surplus and late responses, so a response is matched
 // to its request by the request ID. A response is read completely before it is returned, so
 // that a truncated one never looks complete to the client.
+//
+// An incarnation is one lifetime of a target, from a start to the next. A target reports
+// its load in response headers, and may report there that it is leaving, that it requests a
+// back-off, or that it limits its rate (a self-report, see package availability). A spare
+// connection is one that is opened to a distant target before a request needs it.
 package forward
--- a/forward/message.go
+++ b/forward/message.go
@@ -18,8 +18,7 @@
 	Deadline string
 	// Key names the object that a request concerns.
 	Key string
-	// Expected names the target incarnation that the request is for. No other one may run
-	// it.
+	// Expected names the target that the request is for. No other one may run it.
 	Expected string
 	// Signature is present in every response of a target that has run the request.
 	Signature string
@@ -48,7 +47,8 @@
 	// Account is the name of the client account, or "" if there is none.
 	Account string
 	// Target is the incarnation that should run the request, and Addr its address.
-	// TargetName is the name of the target in its Expected header.
+	// TargetName is the name that the target keeps across restarts, which the Expected
+	// header contains.
 	Target, Addr, TargetName string
 	// Timeout is the time that the target has to respond.
 	Timeout time.Duration
--- a/pipelining/pipelining_test.go
+++ b/pipelining/pipelining_test.go
@@ -384,7 +384,7 @@
 		one.expect("/1", "/2")
 		two.expect("/3", "/4")
 	})
-	t.Run("answers", func(t *testing.T) {
+	t.Run("buffered responses", func(t *testing.T) {
 		s := newTestServer(t, pipelining.Limits{PerConn: 8, Total: 64, HeldBytes: 1000})
 		c := s.dial()
 		c.send(get("/1"), get("/now-large2"), get("/3"))
