--- a/lookup/block.go
+++ b/lookup/block.go
@@ -55,12 +55,12 @@
 
 // Replace returns a table in which the blocks of old are replaced by those of
 // now. The receiver is unchanged, and what both have in common is shared.
-func (b *BlockTable) Replace(old, now []Block) *BlockTable {
+func (b *BlockTable) Replace(oldBlocks, newBlocks []Block) *BlockTable {
 	next := &BlockTable{tree: *b.tree.Clone()}
-	for _, block := range old {
+	for _, block := range oldBlocks {
 		next.tree.Delete(block.Prefix)
 	}
-	for _, block := range now {
+	for _, block := range newBlocks {
 		next.tree.Insert(block.Prefix, block.Hall)
 	}
 	return next
@@ -94,23 +94,23 @@
 			break
 		}
 		line, column := reader.FieldPos(0)
-		at := table.Finding{Line: line, Column: column}
+		finding := table.Finding{Line: line, Column: column}
 		if first {
 			if strings.Join(record, ",") != "block,hall" {
-				at.Message = "want the header block,hall"
-				findings = append(findings, at)
+				finding.Message = "want the header block,hall"
+				findings = append(findings, finding)
 			}
 			continue
 		}
 		block, err := parseBlock(record)
 		if err != nil {
-			at.Message = err.Error()
-			findings = append(findings, at)
+			finding.Message = err.Error()
+			findings = append(findings, finding)
 			continue
 		}
-		if other, twice := seen[block.Prefix]; twice {
-			at.Message = fmt.Sprintf("%s stands already on line %d", block.Prefix, other)
-			findings = append(findings, at)
+		if firstLine, duplicate := seen[block.Prefix]; duplicate {
+			finding.Message = fmt.Sprintf("%s stands already on line %d", block.Prefix, firstLine)
+			findings = append(findings, finding)
 			continue
 		}
 		seen[block.Prefix] = line
--- a/lookup/directory.go
+++ b/lookup/directory.go
@@ -41,11 +41,11 @@
 // NewDirectory prepares the answers for the instances in view. Halls maps each
 // hall to its region. Own is the hall that callers of no block are taken to be
 // in, and must be among halls.
-func NewDirectory(blocks *BlockTable, instances []member.Status, halls map[string]string, own string, ttl time.Duration) (*Directory, error) {
-	if _, ok := halls[own]; !ok {
+func NewDirectory(blocks *BlockTable, instances []member.Status, halls map[string]string, defaultHall string, ttl time.Duration) (*Directory, error) {
+	if _, ok := halls[defaultHall]; !ok {
 		panic("lookup: own hall is not among the halls")
 	}
-	d := &Directory{blocks: blocks, responses: make(map[string][][]byte), defaultHall: own}
+	d := &Directory{blocks: blocks, responses: make(map[string][][]byte), defaultHall: defaultHall}
 	for hall, region := range halls {
 		variants, err := encodeResponses(instances, hall, region, ttl)
 		if err != nil {
@@ -82,9 +82,9 @@
 // instances.
 func encodeResponses(instances []member.Status, hall, region string, ttl time.Duration) ([][]byte, error) {
 	groups := groupByDistance(instances, hall, region)
-	turns := max(len(groups[0]), 1)
-	out := make([][]byte, turns)
-	for i := range turns {
+	rotations := max(len(groups[0]), 1)
+	out := make([][]byte, rotations)
+	for i := range rotations {
 		a := Response{TTLMillis: ttl.Milliseconds(), HomeHall: hall}
 		for _, g := range groups {
 			a.Instances = appendRotated(a.Instances, g, i)
@@ -123,26 +123,26 @@
 	return out
 }
 
-// sortByHash sorts entries in an order of the hall's own.
-func sortByHash(entries []Instance, hall string) {
-	order := make(map[string]uint32, len(entries))
-	for _, e := range entries {
+// sortByHash sorts instances in an order of the hall's own.
+func sortByHash(instances []Instance, hall string) {
+	hashes := make(map[string]uint32, len(instances))
+	for _, e := range instances {
 		h := fnv.New32a()
 		_, _ = h.Write([]byte(hall))
 		_, _ = h.Write([]byte(e.ID))
-		order[e.ID] = h.Sum32()
+		hashes[e.ID] = h.Sum32()
 	}
-	sort.Slice(entries, func(a, b int) bool { return order[entries[a].ID] < order[entries[b].ID] })
+	sort.Slice(instances, func(a, b int) bool { return hashes[instances[a].ID] < hashes[instances[b].ID] })
 }
 
-// appendRotated appends entries from number by on, then those before it, as far
+// appendRotated appends instances from number by on, then those before it, as far
 // as there is room in an answer.
-func appendRotated(out, entries []Instance, by int) []Instance {
-	for i := range entries {
+func appendRotated(out, instances []Instance, offset int) []Instance {
+	for i := range instances {
 		if len(out) == maxInstances {
 			break
 		}
-		out = append(out, entries[(by+i)%len(entries)])
+		out = append(out, instances[(offset+i)%len(instances)])
 	}
 	return out
 }
