--- a/lookup/block.go
+++ b/lookup/block.go
@@ -14,37 +14,38 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Block is a range of client addresses with the hall they are close to.
+// Block is a range of client addresses with the hall that is close to them.
 type Block struct {
 	Prefix netip.Prefix `json:"p"`
 	Hall   string       `json:"h"`
 }
 
-// BlockShardCount is the number of objects that the table of blocks is split into,
-// so that a change of one block moves a small part of it.
+// BlockShardCount is the number of stored objects that the table of blocks is divided into. A
+// change of a block transfers only the object that contains it.
 const BlockShardCount = 256
 
 // BlockKeyPrefix is the prefix of the shards' object keys.
 const BlockKeyPrefix = "blocks/"
 
-// BlockShard is one object of the table of blocks.
+// BlockShard is a stored object that holds a part of the table of blocks.
 type BlockShard struct {
 	Blocks []Block `json:"blocks"`
 }
 
-// ShardKey returns the object key of the shard that holds a prefix.
+// ShardKey returns the object key of the shard that contains the block with the given prefix.
 func ShardKey(p netip.Prefix) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(p.Masked().String()))
 	return fmt.Sprintf("%s%03d", BlockKeyPrefix, h.Sum32()%BlockShardCount)
 }
 
-// BlockTable is the table of blocks. The zero value is empty.
+// BlockTable is the table of address blocks. It maps addresses to halls by the longest matching
+// prefix. The zero value is empty.
 type BlockTable struct {
 	tree bart.Table[string]
 }
 
-// NewBlockTable returns the table of the given blocks.
+// NewBlockTable returns a table of the given blocks.
 func NewBlockTable(blocks []Block) *BlockTable {
 	b := &BlockTable{}
 	for _, block := range blocks {
@@ -53,8 +54,8 @@
 	return b
 }
 
-// Replace returns a table in which the blocks of old are replaced by those of
-// now. The receiver is unchanged, and what both have in common is shared.
+// Replace returns a table in which newBlocks replace oldBlocks. It does not change the receiver. The
+// two tables share the memory of what they have in common.
 func (b *BlockTable) Replace(oldBlocks, newBlocks []Block) *BlockTable {
 	next := &BlockTable{tree: *b.tree.Clone()}
 	for _, block := range oldBlocks {
@@ -66,16 +67,16 @@
 	return next
 }
 
-// Len returns the number of blocks.
+// Len returns the number of blocks in the table.
 func (b *BlockTable) Len() int { return b.tree.Size() }
 
-// Hall returns the hall of the longest prefix that holds addr.
+// Hall returns the hall of the longest prefix that contains addr, and whether there is one.
 func (b *BlockTable) Hall(addr netip.Addr) (string, bool) {
 	return b.tree.Lookup(addr.Unmap())
 }
 
-// ReadBlocks reads blocks from CSV with the header "block,hall". All faults
-// are returned together as table.Findings.
+// ReadBlocks reads blocks from CSV with the header "block,hall". It returns all faults together as
+// table.Findings, up to the first error of the CSV syntax.
 func ReadBlocks(r io.Reader) ([]Block, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = -1
@@ -109,7 +110,7 @@
 			continue
 		}
 		if firstLine, duplicate := seen[block.Prefix]; duplicate {
-			finding.Message = fmt.Sprintf("%s stands already on line %d", block.Prefix, firstLine)
+			finding.Message = fmt.Sprintf("%s is already on line %d", block.Prefix, firstLine)
 			findings = append(findings, finding)
 			continue
 		}
@@ -119,6 +120,7 @@
 	return blocks, findings.Err()
 }
 
+// parseBlock returns the block of a CSV record. It masks the host bits of the prefix.
 func parseBlock(record []string) (Block, error) {
 	if len(record) != 2 {
 		return Block{}, fmt.Errorf("%d cells, want 2", len(record))
--- a/lookup/directory.go
+++ b/lookup/directory.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/member"
 )
 
-// Instance is one instance of an answer.
+// Instance is an instance in a Response.
 type Instance struct {
 	ID     string `json:"id"`
 	Addr   string `json:"addr"`
@@ -19,31 +19,35 @@
 	Region string `json:"region"`
 }
 
-// Response is the answer to a look-up.
+// Response is the response to a look-up.
 type Response struct {
-	// TTLMillis is how long the caller may keep the answer.
-	TTLMillis int64      `json:"ttl_ms"`
-	HomeHall  string     `json:"home"`
+	// TTLMillis is the time, in milliseconds, for which the client may use the response.
+	TTLMillis int64 `json:"ttl_ms"`
+	// HomeHall is the home hall of the client.
+	HomeHall string `json:"home"`
+	// Instances are the instances in the order in which the client should prefer them.
 	Instances []Instance `json:"instances"`
 }
 
-// maxInstances bounds an answer: a caller needs a few to fail over to.
+// maxInstances is the maximum number of instances in a response. A client needs only a few to fail
+// over to.
 const maxInstances = 16
 
-// Directory answers look-ups. It is immutable and safe for concurrent use.
+// Directory returns the responses to look-ups. It is immutable and safe for concurrent use.
 type Directory struct {
 	blocks    *BlockTable
 	responses map[string][][]byte
-	// defaultHall is the hall of callers that no block holds.
+	// defaultHall is the home hall of clients whose address is in no block.
 	defaultHall string
 }
 
-// NewDirectory prepares the answers for the instances in view. Halls maps each
-// hall to its region. Own is the hall that callers of no block are taken to be
-// in, and must be among halls.
+// NewDirectory returns a directory of the given instances, whose responses are valid for ttl. Halls
+// maps each hall to its region. Clients whose address is in no block, or in a block of a hall that is
+// not in halls, have defaultHall as their home hall. NewDirectory panics if defaultHall is not in
+// halls.
 func NewDirectory(blocks *BlockTable, instances []member.Status, halls map[string]string, defaultHall string, ttl time.Duration) (*Directory, error) {
 	if _, ok := halls[defaultHall]; !ok {
-		panic("lookup: own hall is not among the halls")
+		panic("lookup: the default hall is not among the halls")
 	}
 	d := &Directory{blocks: blocks, responses: make(map[string][][]byte), defaultHall: defaultHall}
 	for hall, region := range halls {
@@ -56,8 +60,7 @@
 	return d, nil
 }
 
-// Find returns the encoded Answer for a caller at addr. The result must not be
-// changed.
+// Find returns the encoded Response for a client at addr. The caller must not change it.
 func (d *Directory) Find(addr netip.Addr) []byte {
 	hall, ok := d.blocks.Hall(addr)
 	variants := d.responses[hall]
@@ -67,7 +70,8 @@
 	return variants[int(addressHash(addr)%uint32(len(variants)))]
 }
 
-// addressHash returns a number that spreads callers over the instances of a hall.
+// addressHash returns a hash of an address (FNV-1a without the low 8 bits) that spreads the clients
+// of a hall over its instances.
 func addressHash(addr netip.Addr) uint32 {
 	raw := addr.Unmap().As16()
 	h := uint32(2166136261)
@@ -78,7 +82,7 @@
 	return h >> 8
 }
 
-// encodeResponses returns one encoded answer for each turn of the home hall's
+// encodeResponses returns the encoded responses for a home hall, one for each rotation of the hall's
 // instances.
 func encodeResponses(instances []member.Status, hall, region string, ttl time.Duration) ([][]byte, error) {
 	groups := groupByDistance(instances, hall, region)
@@ -98,7 +102,9 @@
 	return out, nil
 }
 
-// groupByDistance returns the instances that are listed, by distance.
+// groupByDistance returns the instances that a response lists, in the order of the groups: the home
+// hall, the rest of its region, other regions, and the suspected instances and those not ready. It
+// leaves out leaving instances.
 func groupByDistance(instances []member.Status, hall, region string) [4][]Instance {
 	var out [4][]Instance
 	for _, in := range instances {
@@ -115,15 +121,15 @@
 			out[2] = append(out[2], e)
 		}
 	}
-	// The order of the others differs from hall to hall, so that callers of
-	// many halls do not fail over to the same instance.
+	// The order within a group depends on the home hall, so that the clients
+	// of different halls do not all fail over to the same instance.
 	for i := range out {
 		sortByHash(out[i], hall)
 	}
 	return out
 }
 
-// sortByHash sorts instances in an order of the hall's own.
+// sortByHash sorts instances by a hash of the hall and the instance ID.
 func sortByHash(instances []Instance, hall string) {
 	hashes := make(map[string]uint32, len(instances))
 	for _, e := range instances {
@@ -135,8 +141,8 @@
 	sort.Slice(instances, func(a, b int) bool { return hashes[instances[a].ID] < hashes[instances[b].ID] })
 }
 
-// appendRotated appends instances from number by on, then those before it, as far
-// as there is room in an answer.
+// appendRotated appends instances to out, beginning with the one at offset modulo their number and
+// wrapping around at the end. It stops when out has maxInstances instances.
 func appendRotated(out, instances []Instance, offset int) []Instance {
 	for i := range instances {
 		if len(out) == maxInstances {
--- a/lookup/lookup_test.go
+++ b/lookup/lookup_test.go
@@ -23,6 +23,7 @@
 	return member.Status{Instance: member.Instance{ID: id, Hall: hall, Region: region, CallerAddr: id}, State: state, Ready: true}
 }
 
+// find returns the home hall and the IDs of the instances for a client at addr.
 func find(t *testing.T, d *lookup.Directory, addr string) (home string, ids []string) {
 	t.Helper()
 	var a lookup.Response
@@ -44,16 +45,16 @@
 	require.NoError(t, err)
 	home, ids := find(t, d, "127.1.0.5")
 	require.Equal(t, "a1", home)
-	require.ElementsMatch(t, []string{"a1-1", "a1-2"}, ids[:2], "home hall first")
-	require.Equal(t, []string{"a2-1", "b1-1", "a1-y"}, ids[2:], "then the region, the others, and suspects; leaving ones never")
+	require.ElementsMatch(t, []string{"a1-1", "a1-2"}, ids[:2], "the instances of the home hall come first")
+	require.Equal(t, []string{"a2-1", "b1-1", "a1-y"}, ids[2:], "the rest of the region, other regions and suspected instances follow, and leaving instances are left out")
 	home, _ = find(t, d, "127.1.9.1")
-	require.Equal(t, "b1", home, "the longest prefix counts")
+	require.Equal(t, "b1", home, "the longest prefix determines the home hall")
 	home, _ = find(t, d, "::ffff:127.1.0.5")
-	require.Equal(t, "a1", home, "an IPv4 address in IPv6 form")
+	require.Equal(t, "a1", home, "an IPv4 address mapped to IPv6")
 	home, _ = find(t, d, "10.0.0.1")
-	require.Equal(t, "a1", home, "no block: the instance's own hall")
+	require.Equal(t, "a1", home, "an address in no block gets the default hall")
 	_, ids = find(t, d, "127.2.0.1")
-	require.Equal(t, "b1-1", ids[0], "a hall without instances: its region first")
+	require.Equal(t, "b1-1", ids[0], "for a hall without instances, its region comes first")
 	firsts := make(map[string]int)
 	for i := range 200 {
 		_, ids := find(t, d, fmt.Sprintf("127.1.1.%d", i))
@@ -79,14 +80,14 @@
 	require.Error(t, err)
 	lines := strings.Split(err.Error(), "\n")
 	require.Len(t, lines, 3)
-	require.Contains(t, lines[0], "line 3, column 1: 127.1.0.0/16 stands already on line 2")
+	require.Contains(t, lines[0], "line 3, column 1: 127.1.0.0/16 is already on line 2")
 	require.Contains(t, lines[2], "hall: must not be empty")
 	blocks, err := lookup.ReadBlocks(strings.NewReader("block,hall\n127.1.0.0/16,a1\n"))
 	require.NoError(t, err)
 	require.Equal(t, []lookup.Block{block("127.1.0.0/16", "a1")}, blocks)
 }
 
-// blocksOfSize returns n blocks of /24 spread over halls.
+// blocksOfSize returns n blocks with prefixes of 24 bits, spread over 19 halls.
 func blocksOfSize(n int) []lookup.Block {
 	out := make([]lookup.Block, n)
 	for i := range out {
@@ -123,8 +124,8 @@
 	}
 }
 
-// BenchmarkBlocks reports the memory of the table and of its objects, and the
-// time to take in a change of one of the 256 shards.
+// BenchmarkBlocks measures the memory of the table and the size of its stored objects, per block, and
+// the time to apply a change of one of the shards.
 func BenchmarkBlocks(b *testing.B) {
 	for _, n := range []int{1000, 20_000, 220_000} {
 		b.Run(fmt.Sprintf("blocks%d", n), func(b *testing.B) {
--- a/lookup/store.go
+++ b/lookup/store.go
@@ -10,15 +10,16 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// BlockStore is what storing blocks needs of the platform.
+// BlockStore provides the operations of the platform's store that StoreBlocks needs.
 type BlockStore interface {
 	List(ctx context.Context, prefix string) (objectstore.Listing, error)
 	Put(ctx context.Context, key string, version int64, value any) (objectstore.Object, error)
 	Delete(ctx context.Context, key string, version int64) error
 }
 
-// StoreBlocks replaces the table of blocks in the platform. Only shards that differ
-// are written.
+// StoreBlocks replaces the stored table of blocks. It writes only the shards that differ from the
+// stored ones, and deletes those that are no longer needed. After an error it continues with the
+// other shards and returns all errors together.
 func StoreBlocks(ctx context.Context, w BlockStore, blocks []Block) error {
 	want := make(map[string][]Block)
 	for _, b := range blocks {
@@ -45,6 +46,7 @@
 	return errors.Join(errs...)
 }
 
+// storeShard writes the shard with the given key, unless have, the stored object, is the same.
 func storeShard(ctx context.Context, w BlockStore, key string, have objectstore.Object, blocks []Block) error {
 	sort.Slice(blocks, func(i, j int) bool { return blocks[i].Prefix.String() < blocks[j].Prefix.String() })
 	shard := BlockShard{Blocks: blocks}
