--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -35,7 +35,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		shard := &claim.Shard{}
 		var attempts []*attempt
-		var late []claim.Op
+		var delayed []claim.Op
 		refused := 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "action") {
@@ -51,12 +51,12 @@
 				}
 			case 2:
 				if a := pick(t, attempts); a != nil {
-					late = append(late, a.op)
+					delayed = append(delayed, a.op)
 				}
 			case 3:
-				if len(late) > 0 {
-					i := rapid.IntRange(0, len(late)-1).Draw(t, "late")
-					shard.Apply(late[i])
+				if len(delayed) > 0 {
+					i := rapid.IntRange(0, len(delayed)-1).Draw(t, "late")
+					shard.Apply(delayed[i])
 				}
 			case 4:
 				if a := pick(t, attempts); a != nil && a.granted && a.reported == "" {
@@ -65,7 +65,7 @@
 					a.reported = "ran"
 					finish := a.op
 					finish.Kind, finish.Status = claim.Finish, 200
-					late = append(late, finish)
+					delayed = append(delayed, finish)
 				}
 			case 5:
 				// The attempt is abandoned before it runs. The outcome is reported at once, and
@@ -79,7 +79,7 @@
 					} else {
 						a.reported = "unknown"
 					}
-					late = append(late, release)
+					delayed = append(delayed, release)
 				}
 			case 6:
 				if a := pick(t, attempts); a != nil && a.reported == "" {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -197,9 +197,9 @@
 		}
 		ex.w.Header().Set(protocol.HeaderRequestID, ex.ID)
 		res := next(ex)
-		took := time.Since(ex.Start)
+		latency := time.Since(ex.Start)
 		if !ex.FromHop {
-			e.config.Observer.Observe(ex.Service.Name, res.Outcome, res.Reason, took)
+			e.config.Observer.Observe(ex.Service.Name, res.Outcome, res.Reason, latency)
 		}
 		level := slog.LevelDebug
 		if res.Incomplete || res.Outcome == retry.Unknown {
@@ -217,7 +217,7 @@
 			"detail", res.Detail,
 			"tries", ex.attempts,
 			"broken", res.Incomplete,
-			"ms", float64(took.Microseconds())/1000,
+			"ms", float64(latency.Microseconds())/1000,
 		)
 		return res
 	}
@@ -246,14 +246,14 @@
 // deadline sets the deadline of the exchange.
 func (e *Entry) deadline(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		left := protocol.Deadline(ex.r.Header)
-		if left == 0 {
-			left = e.config.DefaultDeadline
+		remaining := protocol.Deadline(ex.r.Header)
+		if remaining == 0 {
+			remaining = e.config.DefaultDeadline
 		}
-		left = min(left, e.config.MaxDeadline)
+		remaining = min(remaining, e.config.MaxDeadline)
 		// The deadline includes the time to return the response.
-		left -= min(left/returnTimeDivisor, maxReturnTime)
-		ex.Deadline = ex.Start.Add(left)
+		remaining -= min(remaining/returnTimeDivisor, maxReturnTime)
+		ex.Deadline = ex.Start.Add(remaining)
 		return next(ex)
 	}
 }
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -113,9 +113,9 @@
 
 // send sends the request of an exchange to addr. It returns when the response headers have
 // arrived or the attempt has failed.
-func (t *Transports) send(ex *Exchange, addr, path string, setHeaders func(http.Header), stall time.Duration) *attempt {
-	ctx, watch := newStallWatchdog(ex.r.Context(), stall)
-	a := &attempt{watchdog: watch, startedAt: time.Now()}
+func (t *Transports) send(ex *Exchange, addr, path string, setHeaders func(http.Header), stallTimeout time.Duration) *attempt {
+	ctx, watchdog := newStallWatchdog(ex.r.Context(), stallTimeout)
+	a := &attempt{watchdog: watchdog, startedAt: time.Now()}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -123,10 +123,10 @@
 	if !ex.body.large() {
 		// The deadline bounds a request with a small body. A large body may take longer, as
 		// long as its transfer makes progress.
-		limit := time.AfterFunc(time.Until(ex.Deadline), watch.cancel)
-		defer limit.Stop()
+		deadlineTimer := time.AfterFunc(time.Until(ex.Deadline), watchdog.cancel)
+		defer deadlineTimer.Stop()
 	}
-	req, err := t.newRequest(ctx, ex, addr, path, watch)
+	req, err := t.newRequest(ctx, ex, addr, path, watchdog)
 	if err != nil {
 		a.err = err
 		return a
@@ -155,10 +155,10 @@
 	return e
 }
 
-func (t *Transports) newRequest(ctx context.Context, ex *Exchange, addr, path string, watch *stallWatchdog) (*http.Request, error) {
+func (t *Transports) newRequest(ctx context.Context, ex *Exchange, addr, path string, watchdog *stallWatchdog) (*http.Request, error) {
 	// The type of src is unknown to net/http, so that it does not set GetBody and cannot send
 	// the body again.
-	src, err := ex.body.open(watch.reset)
+	src, err := ex.body.open(watchdog.reset)
 	if err != nil {
 		return nil, err
 	}
--- a/entry/region.go
+++ b/entry/region.go
@@ -278,13 +278,13 @@
 
 // relayResponse relays a response to the caller and returns the result.
 func (e *Entry) relayResponse(ex *Exchange, a *attempt, setHeaders func(http.Header)) Result {
-	whole := relay(ex, a, func(h http.Header) {
+	complete := relay(ex, a, func(h http.Header) {
 		h.Set(protocol.HeaderInstance, e.config.Instance)
 		h.Set(protocol.HeaderRequestID, ex.ID)
 		setHeaders(h)
 	})
 	e.recordSuccess()
-	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, ResponseSent: true, Incomplete: !whole}
+	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, ResponseSent: true, Incomplete: !complete}
 }
 
 // refusalResult returns the result of an attempt that did not run.
--- a/node/fleet.go
+++ b/node/fleet.go
@@ -100,11 +100,11 @@
 		own.State = member.Leaving
 	}
 	all = append(all, own)
-	now := &directoryInput{plan: plan, blocks: n.blocks, entries: make([]directoryEntry, len(all))}
+	input := &directoryInput{plan: plan, blocks: n.blocks, entries: make([]directoryEntry, len(all))}
 	for i, s := range all {
-		now.entries[i] = directoryEntry{s.ID, s.State, s.Ready}
+		input.entries[i] = directoryEntry{s.ID, s.State, s.Ready}
 	}
-	if now.equal(n.directoryInput) {
+	if input.equal(n.directoryInput) {
 		return
 	}
 	halls := map[string]string{n.self.Hall: n.self.Region}
@@ -120,7 +120,7 @@
 		n.log.Error("building the look-up directory failed", "error", err.Error())
 		return
 	}
-	n.directoryInput = now
+	n.directoryInput = input
 	n.directory.Store(dir)
 }
 
@@ -180,15 +180,15 @@
 	defer n.mu.Unlock()
 	hops = make([]entry.Hop, 0, len(all))
 	for _, h := range all {
-		o := instanceService{h.ID, service}
+		key := instanceService{h.ID, service}
 		if avoid[h.ID] {
 			continue
 		}
-		if now.Before(n.declinedUntil[o]) {
+		if now.Before(n.declinedUntil[key]) {
 			busy = true
 			continue
 		}
-		h.SentSinceReport = n.sentSinceHeartbeat[o]
+		h.SentSinceReport = n.sentSinceHeartbeat[key]
 		hops = append(hops, h)
 	}
 	return hops, busy
@@ -274,6 +274,6 @@
 }
 
 // Observe implements entry.Observer.
-func (n *Node) Observe(service string, outcome retry.Outcome, reason protocol.Reason, took time.Duration) {
-	n.metrics.Request(service, outcome.String(), string(reason), took)
+func (n *Node) Observe(service string, outcome retry.Outcome, reason protocol.Reason, latency time.Duration) {
+	n.metrics.Request(service, outcome.String(), string(reason), latency)
 }
--- a/node/heartbeat.go
+++ b/node/heartbeat.go
@@ -113,11 +113,11 @@
 		return nil
 	}
 	var out []outgoing
-	for i, ask := range n.ledger.LoanRequests(now, min(lendersPerRow, len(lenders))) {
+	for i, request := range n.ledger.LoanRequests(now, min(lendersPerRow, len(lenders))) {
 		if i%lendersPerRow == 0 {
 			n.rand.Shuffle(len(lenders), func(a, b int) { lenders[a], lenders[b] = lenders[b], lenders[a] })
 		}
-		out = append(out, outgoing{lenders[i%len(lenders)], &peer.LoanRequest{LoanRequest: ask}})
+		out = append(out, outgoing{lenders[i%len(lenders)], &peer.LoanRequest{LoanRequest: request}})
 	}
 	return out
 }
--- a/node/lookup_test.go
+++ b/node/lookup_test.go
@@ -21,8 +21,8 @@
 	t.Helper()
 	c := Defaults()
 	c.Name, c.Region, c.Hall, c.Platform, c.Secret = "n", "r", "h", "http://127.0.0.1:1", "s"
-	const any = "127.0.0.1:0"
-	c.CallerAddr, c.HopAddr, c.PeerAddr, c.AdminAddr = any, any, any, any
+	const anyPort = "127.0.0.1:0"
+	c.CallerAddr, c.HopAddr, c.PeerAddr, c.AdminAddr = anyPort, anyPort, anyPort, anyPort
 	n, err := New(c)
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -47,19 +47,19 @@
 
 func TestLookupHandler(t *testing.T) {
 	n := testNode(t)
-	ask := func(query string) *httptest.ResponseRecorder {
+	lookUp := func(query string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodGet, "/v1/lookup?"+query, nil)
 		r.RemoteAddr = "127.0.0.9:5000"
 		n.callerMux().ServeHTTP(w, r)
 		return w
 	}
-	w := ask("service=s")
+	w := lookUp("service=s")
 	require.Equal(t, http.StatusServiceUnavailable, w.Code, "no table yet")
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
 	publishTestTable(n)
-	require.Equal(t, http.StatusNotFound, ask("service=x").Code)
-	w = ask("service=s")
+	require.Equal(t, http.StatusNotFound, lookUp("service=x").Code)
+	w = lookUp("service=s")
 	require.Equal(t, http.StatusOK, w.Code)
 	var a lookup.Response
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &a))
@@ -70,7 +70,7 @@
 	n.rebuildFleet(time.Now())
 	n.mu.Unlock()
 	a = lookup.Response{}
-	require.NoError(t, json.Unmarshal(ask("service=s").Body.Bytes(), &a))
+	require.NoError(t, json.Unmarshal(lookUp("service=s").Body.Bytes(), &a))
 	require.Empty(t, a.Instances, "a leaving instance is no longer listed")
 }
 
--- a/node/objects.go
+++ b/node/objects.go
@@ -19,7 +19,7 @@
 
 // update stores obj if it is newer than the version held, and reports whether it is.
 func (o *objects) update(obj objectstore.Object) bool {
-	if have, ok := o.byKey[obj.Key]; ok && obj.Version <= have.Version {
+	if held, ok := o.byKey[obj.Key]; ok && obj.Version <= held.Version {
 		return false
 	}
 	o.byKey[obj.Key] = obj
--- a/node/register.go
+++ b/node/register.go
@@ -24,13 +24,13 @@
 func (n *Node) registerLoop(ctx context.Context) {
 	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
-	swept := time.Now()
+	lastSweep := time.Now()
 	for {
 		n.register(ctx)
 		n.rewriteConfig(ctx)
 		n.removeDeadInstances(ctx)
-		if time.Since(swept) > sweepInterval {
-			swept = time.Now()
+		if time.Since(lastSweep) > sweepInterval {
+			lastSweep = time.Now()
 			n.sweepClaims(ctx)
 		}
 		select {
@@ -48,14 +48,14 @@
 	n.mu.Lock()
 	want := n.self
 	want.Leaving = n.leaving
-	have := n.objects.byKey[key]
-	lost := objectstore.IsLaterEra(n.revision, have.Version)
+	stored := n.objects.byKey[key]
+	lost := objectstore.IsLaterEra(n.revision, stored.Version)
 	n.mu.Unlock()
-	if isRegistered(have, want) && !lost {
+	if isRegistered(stored, want) && !lost {
 		return
 	}
-	version := have.Version
-	if have.Deleted {
+	version := stored.Version
+	if stored.Deleted {
 		version = 0
 	}
 	obj, err := n.store.Put(ctx, key, version, want)
@@ -74,8 +74,8 @@
 	if obj.Deleted || len(obj.Value) == 0 {
 		return false
 	}
-	var have member.Instance
-	return decodeInto(obj, &have) == nil && have == want
+	var stored member.Instance
+	return decodeInto(obj, &stored) == nil && stored == want
 }
 
 // removeDeadInstances removes the records of instances of the own hall that have been
@@ -85,9 +85,9 @@
 	var dead []objectstore.Object
 	n.mu.Lock()
 	for _, s := range n.view.All(now) {
-		silent := now.Sub(s.LastAlive) > removalTimeout
+		unresponsive := now.Sub(s.LastAlive) > removalTimeout
 		obj, listed := n.objects.byKey[InstancePrefix+s.ID]
-		if s.Hall == n.self.Hall && silent && listed && !obj.Deleted {
+		if s.Hall == n.self.Hall && unresponsive && listed && !obj.Deleted {
 			dead = append(dead, obj)
 		}
 	}
--- a/node/stop.go
+++ b/node/stop.go
@@ -32,12 +32,12 @@
 //   - It releases its remaining seats and announces this to its peers.
 //   - It removes its record from the store.
 func (n *Node) stop() error {
-	began := time.Now()
+	startedAt := time.Now()
 	n.mu.Lock()
 	n.leaving = true
 	n.ledger.StopLending()
 	n.agent.Retire()
-	n.rebuildFleet(began)
+	n.rebuildFleet(startedAt)
 	n.mu.Unlock()
 	n.triggerHeartbeat()
 	n.log.Info("stopping", "linger", max(n.config.LookupTTL, minLinger).String())
@@ -52,9 +52,9 @@
 	n.mu.Unlock()
 	n.triggerHeartbeat()
 	pause.For(ctx, hopDrainTime)
-	cut := n.shutdownServers(ctx)
-	flush, stopFlush := context.WithTimeout(ctx, maxFlushTime)
-	n.claims.flush(flush)
+	interrupted := n.shutdownServers(ctx)
+	flushCtx, stopFlush := context.WithTimeout(ctx, maxFlushTime)
+	n.claims.flush(flushCtx)
 	stopFlush()
 	n.releaseSeats(ctx)
 	n.deregister()
@@ -64,7 +64,7 @@
 	n.wg.Wait()
 	n.entry.Close()
 	n.store.Close()
-	n.log.Info("stopped", "seconds", time.Since(began).Seconds(), "cut", cut)
+	n.log.Info("stopped", "seconds", time.Since(startedAt).Seconds(), "cut", interrupted)
 	return n.metrics.Close(context.Background())
 }
 
@@ -92,15 +92,15 @@
 // shutdownServers waits for the requests in flight. It returns the number of requests that were
 // cut off because ctx ended first.
 func (n *Node) shutdownServers(ctx context.Context) int {
-	cut := 0
+	interrupted := 0
 	for _, server := range n.servers {
 		err := server.Shutdown(ctx)
 		if err != nil {
-			cut = n.hall.InFlight()
+			interrupted = n.hall.InFlight()
 			_ = server.Close()
 		}
 	}
-	return cut
+	return interrupted
 }
 
 // releaseSeats releases all seats and announces this to the peers, which record it in the
--- a/node/watch.go
+++ b/node/watch.go
@@ -103,11 +103,11 @@
 	var newer []objectstore.Object
 	blocksBefore := make(map[string][]lookup.Block)
 	for _, obj := range objs {
-		known := obj.Key == config.Key && n.reconcileConfig(&obj)
+		inForce := obj.Key == config.Key && n.reconcileConfig(&obj)
 		if strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix) {
 			blocksBefore[obj.Key] = n.decodeBlocks(n.objects.byKey[obj.Key])
 		}
-		if n.objects.update(obj) && !known {
+		if n.objects.update(obj) && !inForce {
 			newer = append(newer, obj)
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 func (n *Node) applyChanges(newer []objectstore.Object, blocksBefore map[string][]lookup.Block) {
-	var old, now []lookup.Block
+	var oldBlocks, newBlocks []lookup.Block
 	for _, obj := range newer {
 		switch {
 		case obj.Key == config.Key:
@@ -127,15 +127,15 @@
 		case strings.HasPrefix(obj.Key, InstancePrefix):
 			n.fleetStale = true
 		case strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix):
-			old = append(old, blocksBefore[obj.Key]...)
-			now = append(now, n.decodeBlocks(obj)...)
+			oldBlocks = append(oldBlocks, blocksBefore[obj.Key]...)
+			newBlocks = append(newBlocks, n.decodeBlocks(obj)...)
 		}
 	}
 	if n.fleetStale {
 		n.setInstances()
 	}
-	if len(old)+len(now) > 0 {
-		n.blocks = n.blocks.Replace(old, now)
+	if len(oldBlocks)+len(newBlocks) > 0 {
+		n.blocks = n.blocks.Replace(oldBlocks, newBlocks)
 		n.fleetStale = true
 	}
 }
@@ -161,9 +161,9 @@
 		n.log.Error("configuration refused", "object_version", obj.Version, "error", err.Error())
 		return
 	}
-	if have := n.plan.Load(); have != nil && plan.Version <= have.Version {
+	if current := n.plan.Load(); current != nil && plan.Version <= current.Version {
 		n.metrics.Violation("config-reverts")
-		n.log.Error("configuration refused: not newer than the version in force", "have", have.Version, "got", plan.Version)
+		n.log.Error("configuration refused: not newer than the version in force", "have", current.Version, "got", plan.Version)
 		return
 	}
 	n.publish(plan)
