--- a/gateway/account.go
+++ b/gateway/account.go
@@ -7,7 +7,7 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// Reasons of requests that end by what the configuration says of client accounts.
+// Reasons of requests that are refused because of the configuration of client accounts.
 const (
 	reasonNoKey        = "no-key"
 	reasonUnknownKey   = "unknown-key"
@@ -15,13 +15,13 @@
 	reasonNoCommonHome = "no-common-home"
 )
 
-// noCommonHomeRetryAfter is told when no region may serve an account on a route. Only a
-// change of the configuration helps, which is in force everywhere within three seconds.
+// noCommonHomeRetryAfter is the Retry-After if no region may serve the account on the route. Only a
+// change of the configuration helps, and a change is in force everywhere within three seconds.
 const noCommonHomeRetryAfter = 3 * time.Second
 
-// identify finds the client account of a request and the regions that may serve it, or
-// the answer to a request that has none. It looks at the head of the request only, so
-// that no body is read for a request that is turned away.
+// identify finds the client account of a request and the regions that may serve it. It returns a
+// refusal and false if the request has no valid key or no region may serve it. It uses only the
+// header, so that no body is read for a request that is refused.
 func (g *Gateway) identify(ex *exchange, router *catalog.Router) (requestResult, bool) {
 	key, given := g.keyOf(ex.r)
 	if given {
@@ -42,8 +42,8 @@
 	return requestResult{}, true
 }
 
-// keyOf returns the key that a request carries. A request with several is taken to carry
-// none: which one counts must not depend on who reads it.
+// keyOf returns the API key of a request. A request with several keys counts as one without a key,
+// since different programs could otherwise choose different ones.
 func (g *Gateway) keyOf(r *http.Request) (catalog.Key, bool) {
 	values := r.Header[g.headers.Credential]
 	if len(values) != 1 || values[0] == "" {
@@ -52,9 +52,9 @@
 	return catalog.NewKey(values[0]), true
 }
 
-// recheckKey looks whether the key of a request that had to wait, for its body or for a
-// target, still counts. A key that was taken away meanwhile ends the request before it
-// is sent.
+// recheckKey checks whether the key of a request is still valid after the request has waited for
+// its body or for a target. If the key was revoked meanwhile, the request is refused before it is
+// sent.
 func (g *Gateway) recheckKey(ex *exchange) (requestResult, bool) {
 	router := g.router.Load()
 	if ex.account == nil || router.Config().Version == ex.version {
@@ -72,13 +72,13 @@
 	return beforeBody(ex, requestResult{status: http.StatusUnauthorized, reason: reason})
 }
 
-// beforeBody is the answer to a request whose body was not read. A body that may be long is
-// not waited for: the connection ends with the answer.
+// beforeBody adapts the result of a request whose body was not read. If the body may be longer than
+// maxDiscardedBody, the connection is closed after the response instead of reading the body.
 func beforeBody(ex *exchange, v requestResult) requestResult {
 	v.closeConn = v.closeConn || ex.r.ContentLength < 0 || ex.r.ContentLength > maxDiscardedBody
 	return v
 }
 
-// maxDiscardedBody is the longest body that is read and thrown away so that the connection
-// of a request that was turned away can be kept: it comes in the packets of the head.
+// maxDiscardedBody is the longest body of a refused request that is read and discarded to keep the
+// connection open. Such a body usually arrives in the same packets as the header.
 const maxDiscardedBody = 4 << 10
--- a/gateway/answered_requests.go
+++ b/gateway/answered_requests.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// maxAnsweredRequests is the number of answered requests that are remembered, in each of two
-	// generations: 0.6 MB in all.
+	// maxAnsweredRequests is the number of answered requests that are remembered in each of two
+	// generations, 0.6 MB in all.
 	maxAnsweredRequests = 8192
-	// maxRememberedBody is the length of a body up to which a request is remembered: a digest of
-	// 4 kB costs 4 µs, and requests with long bodies seldom come again.
+	// maxRememberedBody is the longest body of a request that is remembered. A digest of 4 kB takes
+	// 4 µs, and requests with longer bodies are seldom repeated.
 	maxRememberedBody = 4 << 10
-	// maxSentAnswers bounds the answered requests of an account that others are told of: 8 kB.
-	// In a fleet of more than directMembers they are the instances of the own hall, of which
-	// the clients of a hall use any.
+	// maxSentAnswers bounds the answered requests of an account that are sent to other instances in
+	// one message: 8 kB. In a fleet of more than directMembers instances, the message goes to those
+	// of the own hall only, because clients of a hall use any instance of that hall.
 	maxSentAnswers = 1024
-	// answersSendInterval is the least time between two times that others are told of the same
-	// account's.
+	// answersSendInterval is the shortest time between two messages with the answered requests of
+	// the same account.
 	answersSendInterval = 10 * time.Minute
 )
 
-// answeredRequest is a request that a target has answered: the hash of its account, and the
-// first part of its digest.
+// answeredRequest identifies a request that a target has answered, by the hash of its account and
+// the first 8 bytes of its digest.
 type answeredRequest struct {
 	account uint32
 	digest  uint64
@@ -37,34 +37,35 @@
 	return answeredRequest{account: quarantine.AccountHash(account), digest: binary.BigEndian.Uint64(d[:])}
 }
 
-// accountHistory is what became here of the requests of an account that were not known to be answered,
-// while anything is known of requests that end targets.
+// accountHistory counts, for one account, the results of requests that were not known to be
+// answered before. It is recorded only while the quarantine holds any state.
 type accountHistory struct {
 	since             time.Time
 	answered, crashes int
 }
 
 const (
-	// accountHistoryWindow is for how long a conduct is counted before it begins anew.
+	// accountHistoryWindow is the time after which an account's counts start from zero.
 	accountHistoryWindow = time.Minute
-	// answersPerCrash is the number of answered unknown requests for each target that ended from
-	// which on an account is let alone here: it was there when targets ended for another
-	// reason. A flood of requests that end their targets has next to none.
+	// answersPerCrash is the number of answered requests per crashed target from which an account
+	// is trusted by this instance. Requests of such an account were in flight when targets crashed
+	// for another reason. An account that sends a flood of crashing requests has next to no
+	// answered ones.
 	answersPerCrash = 3
 )
 
-// answeredRequests are the requests of accounts that targets have answered of late. They go on as
-// usual while their account is held. It is safe for concurrent use.
+// answeredRequests remembers requests of accounts that targets have answered recently. These
+// requests are sent as usual while their account is held. It is safe for concurrent use.
 type answeredRequests struct {
 	mu                sync.Mutex
 	current, previous map[answeredRequest]struct{}
 	histories         map[uint32]*accountHistory
-	// sentAt is when others were last told of those of an account.
+	// sentAt is the time of the last message with an account's answered requests.
 	sentAt map[uint32]time.Time
 }
 
-// historyOf returns the conduct of an account, a new one if there is none or it is old. The caller
-// holds mu.
+// historyOf returns the history of an account. It starts a new one if there is none or its window
+// has ended. The caller holds mu.
 func (a *answeredRequests) historyOf(now time.Time, account uint32) *accountHistory {
 	c := a.histories[account]
 	if c == nil || now.Sub(c.since) >= accountHistoryWindow {
@@ -77,21 +78,22 @@
 	return c
 }
 
-// recordAnswer counts an answered request of which it was not known that it is.
+// recordAnswer counts an answered request that was not known to be answered before.
 func (a *answeredRequests) recordAnswer(now time.Time, account uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.historyOf(now, account).answered++
 }
 
-// recordCrash counts a target that ended under a request of an account.
+// recordCrash counts a target that crashed under a request of an account.
 func (a *answeredRequests) recordCrash(now time.Time, account uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.historyOf(now, account).crashes++
 }
 
-// isTrusted tells whether an account's unknown requests are answered here as a rule.
+// isTrusted reports whether the account's requests that were not known before are, as a rule,
+// answered at this instance.
 func (a *answeredRequests) isTrusted(now time.Time, account uint32) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -119,7 +121,8 @@
 	return now || older
 }
 
-// takeUnsent returns those of an account, if it is time to tell others of them.
+// takeUnsent returns the digests of an account's answered requests, or nil if they were sent within
+// answersSendInterval.
 func (a *answeredRequests) takeUnsent(now time.Time, account uint32) []uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,7 +144,7 @@
 	return out
 }
 
-// expire forgets when others were told.
+// expire drops the send times and histories that are out of date.
 func (a *answeredRequests) expire(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -157,8 +160,8 @@
 	}
 }
 
-// sendAnsweredRequests tells others which requests of a flagged account have been answered here: they are
-// not to wait for a trial there.
+// sendAnsweredRequests sends the answered requests of a flagged account to other instances, so that
+// these requests do not wait for a trial there.
 func (g *Gateway) sendAnsweredRequests(now time.Time, d quarantine.Digest) {
 	account, ok := d.Account()
 	if !ok {
@@ -179,7 +182,8 @@
 	}
 }
 
-// receiveAnsweredRequests takes in which requests of an account another instance has had answered.
+// receiveAnsweredRequests records the answered requests of an account that another instance has
+// sent.
 func (g *Gateway) receiveAnsweredRequests(m *peer.AnsweredRequests) {
 	for _, digest := range m.Digests[:min(len(m.Digests), maxSentAnswers)] {
 		g.quarantine.answered.add(answeredRequest{account: m.Account, digest: digest})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	// shortRetryAfter is told when a target with free slots has rejected a request: it
-	// may well take the next one, and the answer is then still in time. It is about
-	// the shortest that clients' timers keep.
+	// shortRetryAfter is the Retry-After if a target with free slots has rejected the request. That
+	// target may well accept the next request, and a response is then still in time. Clients'
+	// timers hardly resolve shorter times.
 	shortRetryAfter = 20 * time.Millisecond
-	// maxUnsentAttempts bounds the targets that could not be reached, on top of the
-	// attempts that the route allows.
+	// maxUnsentAttempts bounds the attempts at unreachable targets, in addition to the attempts
+	// that the route allows.
 	maxUnsentAttempts = 3
-	// queueTimeoutDivisor is the part of a route's objective that a request waits
-	// for a target before it is refused. With the way to the client it is told
-	// within a quarter of its objective, early enough to come back in time.
+	// queueTimeoutDivisor divides a route's latency objective to get its queue timeout. A client
+	// that is refused after an eighth of the objective receives the refusal within a quarter of it,
+	// including the network, and can still retry in time.
 	queueTimeoutDivisor = 8
 	defaultQueueTimeout = 250 * time.Millisecond
-	// targetMargin is how much less time than is left a target is given, and
-	// lateMargin how long after the deadline its answer is waited for. A
-	// target that says in time that it never began makes the answer a refusal
-	// that may be repeated.
+	// targetMargin is subtracted from the remaining time to get the timeout of the target.
+	// lateResponseMargin is how long after the deadline the target's response is awaited. If the
+	// target reports within that time that it never started the request, the client can be told
+	// that the request may be repeated.
 	targetMargin       = 10 * time.Millisecond
 	lateResponseMargin = 60 * time.Millisecond
 )
@@ -37,7 +37,7 @@
 // reasonAnswered is the reason of a request that a target has answered.
 const reasonAnswered = "answered"
 
-// run sends the request to targets until one answers or it is given up.
+// run sends the request to targets until one answers or no further attempt is allowed.
 func (g *Gateway) run(ex *exchange) (requestResult, *forward.Response) {
 	defer g.endTrial(ex)
 	p := g.pools.get(ex.service)
@@ -101,7 +101,8 @@
 			return v, nil
 		}
 		if a.TargetResult.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.TargetResult.SelfReport.Restricts() {
-			// The target was not full and is the one that knows the object.
+			// The request goes to the same target again: it was not full, and it probably has the
+			// object cached.
 			backoff = shortRetryAfter
 			continue
 		}
@@ -111,8 +112,9 @@
 	return p.finalRefusal(want, unknown, "no-attempt-left", backoff), nil
 }
 
-// finalRefusal is the answer to a request that is not sent to another target, for a reason. If none may
-// be sent to for a while, that is the reason, and the caller is told when one may.
+// finalRefusal returns the result of a request that is not sent to another target. If none of the
+// targets is available for a while, the result has that as its reason, and its Retry-After is the
+// time until one is available. Otherwise the result has the given reason and Retry-After.
 func (p *pool) finalRefusal(want upstream.Request, unknown bool, reason string, retryAfter time.Duration) requestResult {
 	refusal, away := p.refuseIfUnavailable(want)
 	if away {
@@ -121,9 +123,10 @@
 	return failedResult(unknown, reason, retryAfter)
 }
 
-// clientResult returns a target's answer to a request, or what the client is told in its place. A status
-// by which this system says that a request has not run must not be passed on for an operation
-// that may run once: the target has not said so, and the client would send it again.
+// clientResult returns the response for the client, given a target's response. A non-idempotent
+// request needs care: clients take some statuses of an instance as a promise that the request has
+// not run, and repeat it. The target has not made that promise, so the instance sends 502 in place
+// of such a status.
 func (ex *exchange) clientResult(answer *forward.Response) (requestResult, *forward.Response) {
 	if ex.route.Kind != catalog.Idempotent && impliesNotRun(answer.Status) {
 		return requestResult{status: http.StatusBadGateway, reason: "false-promise"}, nil
@@ -131,7 +134,7 @@
 	return requestResult{reason: reasonAnswered}, answer
 }
 
-// impliesNotRun tells whether a status says to clients that the request has not run.
+// impliesNotRun reports whether clients take a status to mean that the request has not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -141,8 +144,9 @@
 	}
 }
 
-// retryAfterAttempt is when the caller should come back if an attempt was the last one. Where the
-// target has just said that it wants nothing, the next choice is another one, so at once.
+// retryAfterAttempt returns the Retry-After for the client if the given attempt was the last one.
+// After a rejection by a target that has announced back-off, a limit or its departure, the client's
+// next request goes to another target and can be sent soon.
 func retryAfterAttempt(a forward.Attempt) time.Duration {
 	if a.TargetResult.Outcome == upstream.Rejected && a.TargetResult.SelfReport.Restricts() {
 		return shortRetryAfter
@@ -150,7 +154,7 @@
 	return defaultRetryAfter
 }
 
-// maxAttempts is the number of targets that a request may be sent to.
+// maxAttempts returns the number of targets that the request may be sent to.
 func (ex *exchange) maxAttempts() int {
 	if ex.isTrial() {
 		return 1
@@ -158,7 +162,7 @@
 	return ex.route.MaxAttempts
 }
 
-// upstreamRequest says what the request needs of a target.
+// upstreamRequest returns the requirements that the request has for a target.
 func (g *Gateway) upstreamRequest(ex *exchange) upstream.Request {
 	key := ex.r.Header.Get(g.headers.Key)
 	want := upstream.Request{
@@ -173,7 +177,8 @@
 	if key == "" {
 		want.Key = ex.id
 	} else {
-		// Objects of different services and kinds are different ones.
+		// The key is qualified by the route, since the same key on another route names another
+		// object.
 		want.Key = ex.route.Name + "/" + key
 	}
 	if ex.route.LatencyObjective > 0 {
@@ -202,8 +207,8 @@
 	})
 }
 
-// afterAttempt tells whether the request is given up after an attempt without an
-// answer, and with what.
+// afterAttempt reports whether the request ends after an attempt without a response, and with which
+// result.
 func (g *Gateway) afterAttempt(ex *exchange, a forward.Attempt) (bool, requestResult) {
 	late := !g.clock.Now().Before(ex.deadline)
 	switch {
@@ -222,8 +227,8 @@
 	}
 }
 
-// failedResult is the answer to a request that is given up: a refusal only if it
-// certainly did not run.
+// failedResult returns the result of a request that is not retried. It is a refusal, which tells
+// the client that the request did not run, unless the outcome of an attempt is unknown.
 func failedResult(unknown bool, reason string, retryAfter time.Duration) requestResult {
 	if unknown {
 		return requestResult{status: http.StatusBadGateway, reason: reason}
@@ -256,7 +261,7 @@
 	ex.attempts = append(ex.attempts, h)
 }
 
-// isSampled tells whether an ordinary request is logged, one in so many by its ID.
+// isSampled reports whether an ordinary request is logged. One request in n is, chosen by its ID.
 func isSampled(id string, one int) bool {
 	return one > 0 && mix.Pair(id, "log")%uint64(one) == 0
 }
--- a/gateway/body_sizes.go
+++ b/gateway/body_sizes.go
@@ -3,22 +3,22 @@
 import "sync"
 
 const (
-	// heavyRouteBytes is the mean length of a route's bodies, request and answer together,
-	// from which on its requests stay in the own hall. Below about two packets each
-	// way the bytes between halls cost less than a second cold copy of the object.
+	// heavyRouteBytes is the mean number of body bytes per request, request and response together,
+	// from which the requests of a route stay in the own hall. Below about two packets in each
+	// direction, traffic between halls costs less than a second copy of the object in a cold cache.
 	heavyRouteBytes = 4096
-	// bodySizeWeight is the weight of a request in the mean: the last 50 or so count.
+	// bodySizeWeight is the weight of a request in the moving average, which covers about the last
+	// 50 requests.
 	bodySizeWeight = 0.02
 )
 
-// bodySizes are the mean lengths of the bodies of each route. It is safe for concurrent
-// use.
+// bodySizes holds the mean body size of each route's requests. It is safe for concurrent use.
 type bodySizes struct {
 	mu    sync.Mutex
 	means map[string]float64
 }
 
-// record takes in the bytes of a request's body and of its answer's.
+// record adds the body bytes of one request and its response to the mean of a route.
 func (s *bodySizes) record(route string, bytes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,8 +33,8 @@
 	s.means[route] = mean + bodySizeWeight*(float64(bytes)-mean)
 }
 
-// isHeavy tells whether requests of a route move many bytes. Before the first answer only
-// the body of the request itself is known.
+// isHeavy reports whether the requests of a route transfer many bytes. Before the first response,
+// it decides by the body of the given request alone.
 func (s *bodySizes) isHeavy(route string, body int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -7,19 +7,20 @@
 	"github.com/rainford/rainford/pipelining"
 )
 
-// responseWriteTimeout is how long a client may take to read its answer. One that does not read
-// holds the answer's bytes in memory and a connection.
+// responseWriteTimeout is how long writing a response to a client may take. A client that does not
+// read its response holds the response's memory and a connection.
 const responseWriteTimeout = 30 * time.Second
 
-// pipeliningLimits bound the requests that are run before those ahead of them on their connections
-// have been answered. Each takes about 30 kB beside its answer.
+// pipeliningLimits bounds the pipelined requests that run before the preceding ones on their
+// connections have been answered. Each such request takes about 30 kB in addition to its response.
 var pipeliningLimits = pipelining.Limits{PerConn: 16, Total: 512, HeldBytes: 8 << 20}
 
-// awaitPipelineTurn has a request wait for those that its client has sent ahead of it, unless all of them
-// may run more than once. The client may leave meanwhile. The HTTP server notices that by itself a
-// moment after it has read the request, which is too late for one that had waited unread for
-// longer than its client: without the last look such a request is sent to a target first and
-// cancelled then.
+// awaitPipelineTurn waits for the preceding requests of the client's connection, unless all of them
+// are idempotent. It returns false if the client has disconnected meanwhile.
+//
+// The HTTP server detects a disconnect a moment after it has read the request. That is too late for
+// a request that lay unread until its client disconnected: without the explicit check it would be
+// sent to a target and then cancelled.
 func (ex *exchange) awaitPipelineTurn() (requestResult, bool) {
 	err := pipelining.AwaitStart(ex.r, ex.route.Kind == catalog.Idempotent)
 	if err != nil || pipelining.ClientGone(ex.r) {
@@ -28,5 +29,5 @@
 	return requestResult{}, true
 }
 
-// reasonClientLeft is the reason of a request whose client did not wait for the answer.
+// reasonClientLeft is the reason of a request whose client disconnected before the response.
 const reasonClientLeft = "client-left"
--- a/gateway/connection_limits.go
+++ b/gateway/connection_limits.go
@@ -10,25 +10,24 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// The limits of the configuration may change while connections are open, but
-// net/http takes its time-outs once. It is therefore given the times below, which
-// no limit reaches; limitedConn recognises the deadlines that follow from them and
-// puts in their place what the configuration says at that moment.
+// The configured timeouts may change while connections are open, but net/http reads its timeouts
+// only once. The server is therefore configured with the marker timeouts below, which are longer
+// than any configured timeout. limitedConn recognizes the deadlines that result from them and
+// replaces each by the timeout that is configured at that moment.
 const (
 	headerTimeoutMarker = 24 * time.Hour
 	idleTimeoutMarker   = 48 * time.Hour
 	markerTolerance     = time.Hour
 
-	// defaultHeaderTimeout and defaultIdleTimeout hold where the configuration
-	// says nothing.
+	// defaultHeaderTimeout and defaultIdleTimeout apply if the configuration sets no timeout.
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 2 * time.Minute
-	// idleSlack is what a connection may rest longer than the limit, so that
-	// a client that takes it up at the last moment is not cut.
+	// idleSlack is added to the idle timeout, so that a connection is not closed while a client
+	// starts to reuse it at the last moment.
 	idleSlack = time.Second
 )
 
-// limits returns the limits in force.
+// limits returns the limits of the current configuration.
 func (g *Gateway) limits() catalog.Limits {
 	if r := g.router.Load(); r != nil {
 		return r.Config().Limits
@@ -36,7 +35,7 @@
 	return catalog.Limits{}
 }
 
-// limitedListener accepts connections that keep the limits of the configuration.
+// limitedListener accepts connections that apply the configured timeouts.
 type limitedListener struct {
 	net.Listener
 	gateway *Gateway
@@ -65,7 +64,7 @@
 	return described.SyscallConn()
 }
 
-// CloseWrite ends what is sent to the client, and goes on receiving.
+// CloseWrite closes the write side of the connection. Reading from it remains possible.
 func (c limitedConn) CloseWrite() error {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -79,7 +78,8 @@
 	return c.Conn.SetReadDeadline(c.gateway.deadlineFor(time.Now(), t))
 }
 
-// deadlineFor replaces a deadline that stands for one of the limits.
+// deadlineFor returns the configured deadline in place of a marker deadline, and any other deadline
+// unchanged.
 func (g *Gateway) deadlineFor(now, t time.Time) time.Time {
 	if t.IsZero() {
 		return t
@@ -106,7 +106,8 @@
 	return fallback
 }
 
-// headerBytes returns the size of a request's head, as far as it is known here.
+// headerBytes returns the size of a request's header, as far as it can be derived from the parsed
+// request.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,7 +22,7 @@
 	"github.com/rainford/rainford/pipelining"
 )
 
-// Gateway is one instance.
+// Gateway is one instance. New creates it, and Run serves requests until its context ends.
 type Gateway struct {
 	config  Config
 	store   Store
@@ -35,13 +35,15 @@
 	pools          *pools
 	accountPermits *accountPermits
 	quarantine     *quarantineState
-	// kinds are those that the instance replicates, and rollouts the orders among them.
+	// kinds are the kinds of objects that the instance replicates. rollouts holds the rollout
+	// orders among these objects.
 	kinds    []feed.Kind
 	rollouts *rollouts
-	// departures are the targets that have said themselves that they leave.
+	// departures holds the targets that have announced in a response that they leave.
 	departures departures
-	// targetLimits are how much targets take from all instances together, and limitOwner issues the
-	// permits of some of them.
+	// targetLimits holds the rate limits that targets announce. Each limit holds for the requests
+	// of all instances together. targetLimitOwner issues the permits of the limits that this
+	// instance owns.
 	targetLimits     targetLimits
 	targetLimitOwner *targetLimitOwner
 	router           atomic.Pointer[catalog.Router]
@@ -51,44 +53,45 @@
 
 	listeners   listeners
 	frontServer *http.Server
-	// clientListener accepts the connections of clients.
+	// clientListener accepts the connections of clients and reads pipelined requests from them.
 	clientListener *pipelining.Listener
 
-	// clock tells all times by which something is judged.
+	// clock is the source of all times by which timeouts, leases and back-offs are checked.
 	clock     *clock.Clock
 	startedAt time.Time
 
-	// mu guards the replicas and the view.
+	// mu guards the replicas, the view and the other state of the fields from here to reporter.
 	mu         sync.Mutex
 	replicas   map[feed.Kind]*feed.Replica
 	view       *fleet.View
 	rand       *rand.Rand
 	evacuated  map[string]bool
 	targetList targetList
-	// catchUp decides whom to ask for what a replica lacks.
+	// catchUp chooses, for each kind, the instance from which missing changes are requested.
 	catchUp map[feed.Kind]*feed.CatchUp
-	// probed are the members that the last round of gossip asked directly.
+	// probed holds the members that the last round of gossip probed directly.
 	probed map[string]bool
-	// reconnectedAt is when a connection was last opened anew to an instance that does not
-	// hear this one.
+	// reconnectedAt is the time of the last reconnection to each instance that reported that it
+	// does not receive this one's messages. The keys are peer addresses.
 	reconnectedAt map[string]time.Time
-	// gossipRounds counts the rounds of gossip.
+	// gossipRounds is the number of gossip rounds so far.
 	gossipRounds int
 	deltaCache   deltaCache
-	// instancesKnownAt is when this instance came to know which are registered.
+	// instancesKnownAt is the time at which this instance first received the list of instances.
 	instancesKnownAt time.Time
-	// absences are the members of the own region that are not alive.
+	// absences tracks the members of the own region that are not alive.
 	absences fleet.AbsenceTracker
-	// unregistered has an element when the own entry has gone from the store.
+	// unregistered has an element when the instance's own entry is missing in the store.
 	unregistered chan struct{}
-	// registered are the instances that the store lists.
+	// registered holds the instances that the store lists, by name.
 	registered map[string]fleet.Member
-	// pendingDeltaRequests are instances that asked for a kind that this one does not have yet.
+	// pendingDeltaRequests holds the delta requests of other instances for kinds that this instance
+	// has not read yet.
 	pendingDeltaRequests map[feed.Kind][]*peer.DeltaRequest
-	// heldChanges are the changes that do not count yet, after an outage of the store or its return from
-	// a copy.
+	// heldChanges holds the changes that are not in force yet, after an outage of the store or
+	// after it was restored from a backup.
 	heldChanges map[feed.Kind]*heldChanges
-	// lostOwnObjects are the own objects that a restored store has lost.
+	// lostOwnObjects holds the objects written by rainford itself that a restored store has lost.
 	lostOwnObjects lostObjects
 	reporter       reporter
 
@@ -98,7 +101,7 @@
 	leaving  atomic.Bool
 	refusing atomic.Bool
 	inFlight atomic.Int64
-	// lastContactAt is when the store or another instance was last heard, in
+	// lastContactAt is the time of the last message from the store or another instance, in
 	// nanoseconds of Unix time.
 	lastContactAt atomic.Int64
 	wg            sync.WaitGroup
@@ -108,7 +111,8 @@
 	front, lookup, ready, peer, admin net.Listener
 }
 
-// New opens the instance's addresses. The caller must call Run.
+// New creates an instance and opens its listeners. It returns an error if the settings are invalid
+// or an address is not available. The caller must call Run.
 func New(config Config, store Store, codec Codec, headers forward.Headers) (*Gateway, error) {
 	if err := config.Check().Err(); err != nil {
 		return nil, err
@@ -194,7 +198,7 @@
 	return nil
 }
 
-// Version returns the version of the program.
+// Version returns the version of the program from its build information, or "unknown".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
@@ -203,7 +207,8 @@
 	return info.Main.Version
 }
 
-// Run serves until ctx ends and then stops as planned.
+// Run serves until ctx ends, and then performs a planned stop, which lets requests in flight
+// finish.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -237,12 +242,12 @@
 func (g *Gateway) serveMesh() {
 	err := g.mesh.Serve(g.listeners.peer)
 	if err != nil {
-		g.log.Error("peer listener", "error", err.Error())
+		g.log.Error("peer listener failed", "error", err.Error())
 	}
 }
 
-// reviewTargetLimits has who issues permits follow the states of the instances, and forgets permits
-// that nobody asks for.
+// reviewTargetLimits updates the owners of targets' limits to the states of the instances, and
+// evicts limits for which no permits are requested.
 func (g *Gateway) reviewTargetLimits(now time.Time) {
 	g.mu.Lock()
 	g.updateLimitOwners(now)
@@ -251,7 +256,7 @@
 	g.pools.evictIdle(now)
 }
 
-// maintenanceInterval is the time between rounds of upkeep.
+// maintenanceInterval is the time between two rounds of maintenance, which expires old state.
 const maintenanceInterval = time.Second
 
 func (g *Gateway) maintenanceLoop(ctx context.Context) {
--- a/gateway/held_changes.go
+++ b/gateway/held_changes.go
@@ -7,30 +7,32 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// heldChanges are the changes of a kind that do not count yet. When the store comes back from a copy, what was
-// confirmed after the copy was made holds until those who wrote it have written again: lapse holds back
-// the removal of what the copy lacks, and relisted the return of what had been removed.
+// heldChanges holds changes of one kind that are not in force yet. After the store is restored from
+// a backup, what was confirmed after the backup stays in force until its writers have had time to
+// write it again. removals holds the removal of objects that the backup lacks. tombstones holds the
+// reappearance of objects that had been removed.
 type heldChanges struct {
 	removals   feed.RemovalHold
 	tombstones feed.Tombstones
 }
 
-// holdDurations is for how long changes of a kind are held back after the store came back from a copy.
+// holdDurations is how long changes of a kind are held after a restore of the store.
 type holdDurations struct{ removals, reappearances time.Duration }
 
-// rewriteTimeout is how long the operator and the targets take at most to write again what a restored
-// store lacks.
+// rewriteTimeout is the longest time that the operator and the targets need to rewrite what a
+// restored store lacks.
 const rewriteTimeout = 2 * time.Second
 
-// rolloutRemovalHold is the same for orders to bring in versions: one that is missed too soon would begin anew when
-// it is there again, with a version that has already been found to be bad.
+// rolloutRemovalHold is the corresponding time for rollout orders. If an order were dropped too
+// soon, its rollout would start anew once the order is rewritten, even with a version that has
+// already been found to be bad.
 const rolloutRemovalHold = 10 * time.Second
 
-// entryTTL is how long the entry of a target that has gone stays in a restored store at most: it goes
-// once it has not been written three times in a row, for 4.5 s.
+// entryTTL is the longest time for which the entry of a terminated target stays in a restored
+// store. The entry expires when three heartbeat writes in a row are missing, which takes 4.5 s.
 const entryTTL = 6 * time.Second
 
-// holdDurationsByKind are those of the kinds of which something is held back.
+// holdDurationsByKind holds the durations for the kinds whose changes are held.
 var holdDurationsByKind = map[feed.Kind]holdDurations{
 	KindTargets:     {removals: rewriteTimeout, reappearances: entryTTL},
 	KindEvacuations: {removals: rewriteTimeout, reappearances: rewriteTimeout},
@@ -46,8 +48,8 @@
 	return out
 }
 
-// holdAfterRestore has changes of a kind be held back that come from a store which came back from a copy. The
-// caller holds mu.
+// holdAfterRestore starts holding the changes of a kind after the store was restored from a backup.
+// The caller holds mu.
 func (g *Gateway) holdAfterRestore(now time.Time, kind feed.Kind) {
 	h := g.heldChanges[kind]
 	if h == nil {
@@ -57,8 +59,8 @@
 	h.tombstones.StoreRestored(now, holdDurationsByKind[kind].reappearances)
 }
 
-// effective returns those of a delta's changes that count now. Restored says that the delta is the first
-// of a store that came back from a copy.
+// effective returns the changes of a delta that take effect now, and holds the others. restored is
+// true if the delta is the first one after a restore of the store.
 func (h *heldChanges) effective(now time.Time, changes []feed.Change, restored bool) []feed.Change {
 	out := make([]feed.Change, 0, len(changes))
 	for _, c := range changes {
@@ -76,7 +78,7 @@
 	return out
 }
 
-// hold tells whether a change that comes of a restore of the store is held back, and notes it.
+// hold holds a change that stems from a restore of the store, and reports whether it is held.
 func (h *heldChanges) hold(now time.Time, c feed.Change) bool {
 	if c.Removed {
 		return h.removals.Hold(now, c.Name)
@@ -84,8 +86,8 @@
 	return h.tombstones.Hold(now, c.Name)
 }
 
-// expired returns the changes that were held back and count from now on: the removal of what is still
-// missing in the replica, and the return of what is still there.
+// expired returns the changes whose hold has ended: the removal of objects that the replica still
+// lacks, and the reappearance of objects that it still has.
 func (h *heldChanges) expired(now time.Time, replica *feed.Replica) []feed.Change {
 	var out []feed.Change
 	for _, name := range h.removals.Expired(now) {
@@ -99,8 +101,8 @@
 	return out
 }
 
-// isStaleAfterRestore tells whether an entry of a restored store does not count: the target has said otherwise
-// since, or had gone. The caller holds mu.
+// isStaleAfterRestore reports whether an entry of a restored store is out of date, because the
+// target has written a later entry or was removed since the backup. The caller holds mu.
 func (g *Gateway) isStaleAfterRestore(now time.Time, spec catalog.Target) bool {
 	if !g.targetList.isFromBackup(spec) {
 		return false
@@ -108,8 +110,8 @@
 	return g.targetList.specs[spec.Name] != nil || g.heldChanges[KindTargets].tombstones.Hold(now, spec.Name)
 }
 
-// scheduleHeldChanges looks again when changes of a kind are no longer held back. That time may be put off
-// meanwhile. The caller holds mu.
+// scheduleHeldChanges schedules a call of applyExpiredHolds for the end of the current hold. The
+// hold may be extended meanwhile. The caller holds mu.
 func (g *Gateway) scheduleHeldChanges(now time.Time, kind feed.Kind) {
 	look := func() { g.applyExpiredHolds(kind) }
 	h := g.heldChanges[kind]
@@ -121,7 +123,7 @@
 	}
 }
 
-// applyExpiredHolds has the changes of a kind count that are no longer held back.
+// applyExpiredHolds applies the changes of a kind whose hold has ended.
 func (g *Gateway) applyExpiredHolds(kind feed.Kind) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/lookup.go
+++ b/gateway/lookup.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// maxAddresses bounds the addresses of an answer.
+	// maxAddresses bounds the addresses in a lookup response.
 	maxAddresses = 64
-	// minHallInstances is the least number of instances in a hall for which its clients are
-	// told of these alone, and enoughShare the least part of those that it is known to
-	// have: what remains of a hall would have to carry the clients of all.
+	// The clients of a hall are directed to the instances of that hall alone if at least
+	// minHallInstances of them serve, and at least the fraction minHallFraction of the hall's known
+	// instances. Otherwise the few remaining instances would have to carry the load of the whole
+	// hall.
 	minHallInstances = 2
 	minHallFraction  = 0.5
-	// discoveryTime is the time from its start on for which an instance takes others that it
-	// has not heard of, or that are not ready yet, to be there: when all have started
-	// together it hears of them one by one, and clients that are told of the first few
-	// alone overwhelm them.
+	// discoveryTime is the time after its start during which an instance assumes that unknown and
+	// unready instances serve. When all instances start together, each discovers the others one by
+	// one. If clients were directed only to the first few that are known, these would be
+	// overloaded.
 	discoveryTime = 8 * fleet.RoundTime
-	// lookupCacheTTL is how long a prepared answer is used.
+	// lookupCacheTTL is how long a cached lookup response is used.
 	lookupCacheTTL = 200 * time.Millisecond
 )
 
-// lookupCache holds the prepared answers by hall.
+// lookupCache holds lookup responses by hall.
 type lookupCache struct {
 	mu      sync.Mutex
 	answers map[string]lookupEntry
@@ -38,7 +39,7 @@
 	createdAt time.Time
 }
 
-// serveLookup answers clients that ask where to go.
+// serveLookup returns the addresses of the instances that a client should use.
 func (g *Gateway) serveLookup(w http.ResponseWriter, r *http.Request) {
 	region, hall, ok := g.codec.Lookup(r)
 	if !ok {
@@ -76,9 +77,9 @@
 	return body
 }
 
-// addressesFor returns the instances that clients of a hall should use: those of
-// the hall, those of its region too if there are few, and others only if the
-// region has none. Learning is set while this instance can't tell who is there.
+// addressesFor returns the addresses of the instances that clients of a hall should use: those of
+// the hall, also those of its region if the hall has few, and those of other regions only if the
+// region has none. learning is true while this instance is still discovering the others.
 func addressesFor(members []fleet.Status, region, hall string, learning bool) []string {
 	var same, near, far []string
 	known := 0
@@ -106,12 +107,11 @@
 	return sampleAddresses(out)
 }
 
-// mayServe tells whether a member may be there, as far as an instance can tell that has just
-// started.
+// mayServe reports whether a member may be serving, as far as an instance that has just started can
+// know.
 func mayServe(m fleet.Status) bool { return m.State == fleet.Unknown || m.State == fleet.Alive }
 
-// sampleAddresses returns at most maxAddresses of the addresses, other ones for each caller, in
-// order.
+// sampleAddresses returns a random sample of at most maxAddresses addresses, sorted.
 func sampleAddresses(addrs []string) []string {
 	if len(addrs) > maxAddresses {
 		rand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
@@ -121,7 +121,7 @@
 	return addrs
 }
 
-// serveReady answers the platform's readiness checks.
+// serveReady handles the platform's readiness checks.
 func (g *Gateway) serveReady(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case !g.codec.IsReady(r):
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -13,18 +13,20 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// Reasons of requests that end by their account's limit.
+// Reasons of requests that are refused because of their account's rate limit.
 const (
 	reasonOverLimit = "over-limit"
-	// reasonNoOwner means that no instance that could tell was reached.
+	// reasonNoOwner means that no owner of the limit was reached.
 	reasonNoOwner = "no-limit-owner"
 )
 
-// permitTickInterval is how often owners that do not answer are looked for while any is asked.
+// permitTickInterval is the interval at which unresponsive owners and queued requests are checked
+// while permit requests are pending.
 const permitTickInterval = 10 * time.Millisecond
 
-// accountPermits keeps the limits of accounts: it takes a permit for each request of a limited
-// account, and issues those that this instance owns. It is safe for concurrent use.
+// accountPermits enforces the rate limits of accounts. It acquires a permit for each request of a
+// limited account, and issues the permits of the limits that this instance owns. It is safe for
+// concurrent use.
 type accountPermits struct {
 	name      string
 	mesh      *peer.Mesh
@@ -35,7 +37,7 @@
 	mu     sync.Mutex
 	holder *ratelimit.Holder
 	issuer *ratelimit.Issuer
-	// addrs are the peer addresses of the instances that the store lists.
+	// addrs holds the peer addresses of the instances that the store lists, by name.
 	addrs   map[string]string
 	waiting map[uint64]chan ratelimit.Result
 	lastID  uint64
@@ -56,8 +58,7 @@
 	}
 }
 
-// limitOf returns the limit of an account by the configuration in force, false if it has
-// none.
+// limitOf returns the rate limit of an account in the current configuration, false if it has none.
 func (g *Gateway) limitOf(account string) (ratelimit.Limit, bool) {
 	router := g.router.Load()
 	if router == nil {
@@ -70,7 +71,7 @@
 	return ratelimit.Limit{Rate: a.Rate, Burst: a.Burst}, true
 }
 
-// setInstances takes in the instances that the store lists, which own the parts of limits.
+// setInstances sets the instances that the store lists. They own the shares of the limits.
 func (p *accountPermits) setInstances(now time.Time, c Config, members map[string]fleet.Member) {
 	places := make([]ratelimit.Instance, 0, len(members))
 	p.mu.Lock()
@@ -86,17 +87,17 @@
 	p.issuer.SetOwners(now, owners)
 }
 
-// limitScope is the division of limits: one owner in each hall.
+// limitScope is the scope of limit domains: each hall is a domain with one owner per account.
 const limitScope = ratelimit.PerHall
 
-// permit is the right of one request of an account to be sent.
+// permit is the right to send one request of an account.
 type permit struct {
 	account   string
 	expiresAt time.Time
 }
 
-// acquire takes a permit for a request of an account, or returns why there is none. It waits
-// for the answer of an owner if the instance holds none.
+// acquire acquires a permit for a request of an account. If the instance has none, it waits for an
+// owner's reply. The result tells why there is no permit.
 func (p *accountPermits) acquire(ctx context.Context, account string) (permit, ratelimit.Result) {
 	now := p.clock.Now()
 	p.mu.Lock()
@@ -122,7 +123,8 @@
 	return permit{account: account, expiresAt: answer.ExpiresAt}, answer
 }
 
-// cancel ends the wait of a request whose client has left.
+// cancel ends the wait of a request whose client has disconnected. It returns the permit if one was
+// granted meanwhile.
 func (p *accountPermits) cancel(account string, id uint64, wait chan ratelimit.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +139,7 @@
 	}
 }
 
-// release returns the permit of a request that was not run.
+// release returns the permit of a request that has not run.
 func (p *accountPermits) release(unused permit) {
 	if unused.account == "" {
 		return
@@ -147,7 +149,7 @@
 	p.holder.Release(p.clock.Now(), unused.account, unused.expiresAt)
 }
 
-// sendRequests sends questions to owners. The caller holds mu.
+// sendRequests sends permit requests to owners. The caller holds mu.
 func (p *accountPermits) sendRequests(now time.Time, asks []ratelimit.PermitRequest) {
 	for _, ask := range asks {
 		claim := ratelimit.IssueRequest{From: p.name, At: p.timestamp(now), N: ask.N}
@@ -159,7 +161,8 @@
 	}
 }
 
-// issue answers a claim of the own domain, and borrows if need be. The caller holds mu.
+// issue handles a permit request in the own domain, and borrows permits of other domains if
+// necessary. The caller holds mu.
 func (p *accountPermits) issue(now time.Time, account string, c ratelimit.IssueRequest) {
 	limit, ok := p.limitOf(account)
 	if !ok {
@@ -171,14 +174,14 @@
 	p.reply(now, reply)
 }
 
-// borrow sends questions to owners of other domains. The caller holds mu.
+// borrow sends loan requests to the owners of other domains. The caller holds mu.
 func (p *accountPermits) borrow(now time.Time, loans []ratelimit.LoanRequest) {
 	for _, loan := range loans {
 		p.mesh.Send(p.addrs[loan.Lender.Name], &peer.PermitRequest{Account: loan.Account, From: p.name, SentAt: p.timestamp(now), N: loan.N, Borrow: true})
 	}
 }
 
-// reply sends answers to claims. The caller holds mu.
+// reply sends replies to permit requests. The caller holds mu.
 func (p *accountPermits) reply(now time.Time, replies ...ratelimit.Reply) {
 	for _, r := range replies {
 		if r.To == p.name {
@@ -189,25 +192,25 @@
 	}
 }
 
-// handleGrant takes in the answer of an owner. The caller holds mu.
+// handleGrant handles an owner's reply. The caller holds mu.
 func (p *accountPermits) handleGrant(now time.Time, at int64, account, from string, issue ratelimit.Grant) {
 	answers, asks := p.holder.HandleReply(now, p.timeOf(at), account, from, issue)
 	p.wake(answers)
 	p.sendRequests(now, asks)
 }
 
-// timestamp returns a time as messages carry it: that since the start of the process. moment is
-// its inverse.
+// timestamp returns a time as messages carry it, in nanoseconds since the start of the process.
+// timeOf is its inverse.
 func (p *accountPermits) timestamp(t time.Time) int64  { return int64(t.Sub(p.startedAt)) }
 func (p *accountPermits) timeOf(stamp int64) time.Time { return p.startedAt.Add(time.Duration(stamp)) }
 
-// receiveRequest answers a question of another instance.
+// receiveRequest handles a permit or loan request of another instance.
 func (p *accountPermits) receiveRequest(m *peer.PermitRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	addr, ok := p.addrs[m.From]
 	if !ok {
-		// It asks others until this instance knows it.
+		// The sender requests permits elsewhere until this instance knows its address.
 		return
 	}
 	now := p.clock.Now()
@@ -223,13 +226,13 @@
 	p.mesh.Send(addr, answer)
 }
 
-// receiveGrant takes in the answer of another instance.
+// receiveGrant handles another instance's reply to a permit or loan request.
 func (p *accountPermits) receiveGrant(m *peer.PermitGrant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
 	if m.RequestSentAt > p.timestamp(now) {
-		// The question was asked by the process before this one.
+		// The request was sent by a previous process of this instance.
 		return
 	}
 	if m.Borrow {
@@ -242,7 +245,7 @@
 	p.tick()
 }
 
-// wake ends the waits of requests. The caller holds mu.
+// wake delivers results to the requests that wait for them. The caller holds mu.
 func (p *accountPermits) wake(answers []ratelimit.Result) {
 	for _, answer := range answers {
 		if wait := p.waiting[answer.ID]; wait != nil {
@@ -252,8 +255,8 @@
 	}
 }
 
-// tick looks for owners that do not answer, and for claims that wait, as long as there are
-// any. The caller holds mu.
+// tick schedules a check for unresponsive owners and queued permit requests while there are any.
+// The caller holds mu.
 func (p *accountPermits) tick() {
 	if p.ticking || !p.holder.NeedsTick() && p.issuer.Queued() == 0 {
 		return
@@ -277,11 +280,11 @@
 	p.tick()
 }
 
-// maxObservedAccounts bounds the accounts that the metrics name, whatever their number is.
+// maxObservedAccounts bounds the accounts that the metrics name, however many accounts there are.
 const maxObservedAccounts = 8
 
-// observeUtilization tells how much is asked of the parts that this instance owns, of the accounts
-// that ask most.
+// observeUtilization reports the utilization of the shares that this instance owns, for the
+// accounts with the highest utilization.
 func (p *accountPermits) observeUtilization(observe func(float64, ...string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -290,7 +293,7 @@
 	}
 }
 
-// ownerUnreachable takes in that no connection to an instance could be had.
+// ownerUnreachable records that connecting to an instance has failed.
 func (p *accountPermits) ownerUnreachable(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -306,7 +309,7 @@
 	p.tick()
 }
 
-// evictIdle drops what is known of accounts that send nothing.
+// evictIdle evicts the state of accounts that send no requests.
 func (p *accountPermits) evictIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -314,8 +317,8 @@
 	p.issuer.EvictIdle(now)
 }
 
-// admit takes a permit for the request if its account is limited, or returns the answer
-// to one beyond the limit. No body is read before it.
+// admit acquires a permit for the request if its account has a rate limit. It returns a refusal and
+// false if the request exceeds the limit. It runs before the body is read.
 func (g *Gateway) admit(ex *exchange) (requestResult, bool) {
 	if !ex.account.HasRateLimit() {
 		return requestResult{}, true
@@ -336,7 +339,7 @@
 	}
 }
 
-// permitResultName is the name of a verdict in the metrics.
+// permitResultName returns the name of a decision in the metrics.
 func permitResultName(v ratelimit.Decision) string {
 	switch v {
 	case ratelimit.Admit:
@@ -348,7 +351,8 @@
 	}
 }
 
-// knowsOwners tells whether the instance can find the owners of limits, if there are any.
+// knowsOwners reports whether the instance can find the owners of limits, or the configuration has
+// no limits.
 func (g *Gateway) knowsOwners(router *catalog.Router) bool {
 	return !router.HasRateLimits() || g.readiness.instancesLoaded.Load()
 }
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -14,10 +14,11 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// queueTickInterval is how often requests that wait are looked at without an event.
+// queueTickInterval is the interval at which the queue is checked in the absence of events.
 const queueTickInterval = 20 * time.Millisecond
 
-// pool is the targets of one service, with the requests that wait for them.
+// pool holds the targets of one service and the requests that wait for them. It is safe for
+// concurrent use.
 type pool struct {
 	mu             sync.Mutex
 	upstream       *upstream.Pool
@@ -28,11 +29,11 @@
 	requestPermits func(asks []ratelimit.PermitRequest, silent []string)
 	log            *slog.Logger
 	clock          *clock.Clock
-	// rollout is that of the service, nil if there was none.
+	// rollout is the latest rollout of the service, nil if there was none.
 	rollout atomic.Pointer[serviceRollout]
 }
 
-// update changes the pool and wakes the requests that this grants.
+// update changes the pool and wakes the requests that the change grants a target.
 func (p *pool) update(change func(*upstream.Pool) []upstream.Grant) {
 	p.mu.Lock()
 	defer p.unlock()
@@ -40,7 +41,7 @@
 	p.logEvents()
 }
 
-// unlock releases mu and sends the questions for permits that came up meanwhile.
+// unlock releases mu and sends the permit requests that have accumulated meanwhile.
 func (p *pool) unlock() {
 	asks, silent := p.upstream.TakePermitRequests(), p.upstream.TakeUnresponsiveOwners()
 	if p.upstream.AwaitingPermits() {
@@ -52,12 +53,12 @@
 	}
 }
 
-// maxTargetEventLines is the number of changes in the beliefs on targets that one cause brings
-// and that are told in a line each. New targets and halls that are taken back bring
-// hundreds at a time, at every instance.
+// maxTargetEventLines is the number of target state changes with one cause up to which each is
+// logged in a line of its own. New targets, or halls that return to service, bring hundreds of
+// changes at a time at every instance.
 const maxTargetEventLines = 4
 
-// logEvents logs what has changed in the beliefs on targets. The log never blocks.
+// logEvents logs changes in the states of targets. Logging never blocks.
 func (p *pool) logEvents() {
 	events := p.upstream.TakeEvents()
 	if len(events) > maxTargetEventLines {
@@ -74,7 +75,7 @@
 	}
 }
 
-// logEventSummary logs many changes in one line: how many there are of each kind.
+// logEventSummary logs many changes in one line, with their number by kind.
 func (p *pool) logEventSummary(events []upstream.Event) {
 	counts := make(map[upstream.EventKind]int)
 	level := slog.LevelInfo
@@ -85,8 +86,8 @@
 	p.log.LogAttrs(context.Background(), level, logTargetEvents, slog.Int("changes", len(events)), slog.Any("beliefs", counts))
 }
 
-// longBackoff is the rest from which on operators should look: a target that is only full asks for
-// seconds.
+// longBackoff is the requested back-off above which a warning is logged. A target that is merely
+// full requests seconds.
 const longBackoff = time.Minute
 
 func (p *pool) eventLevel(e upstream.Event) slog.Level {
@@ -111,8 +112,7 @@
 	}
 }
 
-// acquire returns a target for the request, or a refusal. It waits in the queue
-// if it must.
+// acquire returns a target for the request, or a refusal. It waits in the queue if necessary.
 func (p *pool) acquire(ctx context.Context, r upstream.Request) upstream.Decision {
 	p.mu.Lock()
 	p.lastID++
@@ -134,7 +134,7 @@
 	}
 }
 
-// abandon ends the wait of a request whose client has left.
+// abandon ends the wait of a request whose client has disconnected.
 func (p *pool) abandon(id uint64, wait chan upstream.Decision) upstream.Decision {
 	p.mu.Lock()
 	defer p.unlock()
@@ -150,8 +150,7 @@
 	return upstream.Decision{Action: upstream.Refuse, Reason: upstream.ReasonLate}
 }
 
-// tick looks at the queue again and again while there is one. The caller holds
-// mu.
+// tick schedules the next check of the queue. The caller holds mu.
 func (p *pool) tick() {
 	if p.ticking {
 		return
@@ -170,12 +169,12 @@
 	}
 }
 
-// notSentResult is the result of a decision that nothing was sent by.
+// notSentResult returns the result of a decision for which no request was sent.
 func notSentResult(d upstream.Decision) upstream.Result {
 	return upstream.Result{Outcome: upstream.Abandoned, NotSent: true, SendState: d.SendState}
 }
 
-// releaseUnsent ends a decision that nothing was sent by.
+// releaseUnsent ends a decision for which no request was sent.
 func (p *pool) releaseUnsent(d upstream.Decision) { p.release(d.Target.ID, notSentResult(d)) }
 
 func (p *pool) release(target string, r upstream.Result) {
@@ -185,14 +184,15 @@
 	p.logEvents()
 }
 
-// maySend tells whether a request that was granted a target may still be sent there.
+// maySend reports whether a request that was granted a target may still be sent to it.
 func (p *pool) maySend(d upstream.Decision) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.upstream.MaySend(p.clock.Now(), d.Target.ID, d.SendState)
 }
 
-// refuseIfUnavailable returns the refusal of a request if none of its targets may be sent to for a while.
+// refuseIfUnavailable returns a refusal and true if none of the request's targets is available for
+// a while.
 func (p *pool) refuseIfUnavailable(r upstream.Request) (upstream.Decision, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -219,14 +219,14 @@
 	p.logEvents()
 }
 
-// recordArrival counts a request of a client for the budget of repeats.
+// recordArrival counts a client's request, which earns a part of a retry.
 func (p *pool) recordArrival() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.retryBudget.Earn()
 }
 
-// spendRetry takes a repeat from the budget.
+// spendRetry takes one retry from the budget. It reports false if the budget is exhausted.
 func (p *pool) spendRetry() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -14,38 +14,41 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// shiftStepFraction is the part of the bound on shifts that the shares between
-// regions use. The rest is for the draw by key, which follows shares roughly.
+// shiftStepFraction is the fraction of the bound on traffic shifts that changes of the regions'
+// shares may use. The rest is reserved for the assignment of requests by key, which follows the
+// shares only roughly.
 const shiftStepFraction = 0.6
 
-// pools holds the targets of each service. It is safe for concurrent use.
+// pools holds the targets of all services. It is safe for concurrent use.
 type pools struct {
 	config Config
-	// knownDepartures returns the targets that are known to have said themselves that they leave.
+	// knownDepartures returns the targets that are known to have announced that they leave.
 	knownDepartures func(now time.Time) availability.DepartureList
-	// knownLimits returns the limits that targets have named.
+	// knownLimits returns the rate limits that targets have announced.
 	knownLimits func(now time.Time) availability.RateLimitList
-	// requestPermits sends questions for permits of targets' limits, and is told the owners that do not
-	// answer.
+	// requestPermits sends permit requests for targets' rate limits, and receives the names of
+	// owners that do not reply.
 	requestPermits func(asks []ratelimit.PermitRequest, silent []string)
 
 	mu       sync.RWMutex
 	pools    map[string]*pool
 	services map[string]catalog.Service
-	// homeShares are the parts of all requests that regions have to run.
+	// homeShares holds, by region, the fraction of all requests that the region has to serve as the
+	// home region of accounts.
 	homeShares      map[string]float64
 	instancesByHall map[string][]string
 	instanceCount   int
-	// plan is the operators' table, nil if there is none.
+	// plan is the compiled routing table of the operators, nil if there is none.
 	plan *table.Plan
-	// owners are those of targets' limits, nil before any are known.
+	// owners are the owners of targets' rate limits, nil until they are known.
 	owners *ratelimit.Owners
-	// splits are what was last said of new versions, by service, for a service of which targets
-	// become known later.
+	// splits holds the latest traffic split of each service between versions. It is kept for
+	// services whose targets become known later.
 	splits map[string]versionSplit
 }
 
-// versionSplit is which part of a service's requests goes to targets of a new version, and until when.
+// versionSplit is the traffic split of a service between its old and new version, and the time
+// until which it is valid.
 type versionSplit struct {
 	rollout *serviceRollout
 	split   rollout.Split
@@ -58,7 +61,7 @@
 		instanceCount: 1, splits: make(map[string]versionSplit)}
 }
 
-// get returns the pool of a service, or nil if it never had a target.
+// get returns the pool of a service, or nil if the service never had a target.
 func (ps *pools) get(service string) *pool {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -84,7 +87,7 @@
 	}
 }
 
-// changeTargets takes in changed targets and the IDs of those that are gone.
+// changeTargets applies changed targets and the IDs of removed ones.
 func (ps *pools) changeTargets(now time.Time, changed []*catalog.Target, gone []string, evacuated map[string]bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -102,8 +105,8 @@
 	}
 }
 
-// withTableDrains returns the spec of a target with what the operators' table says of it. The caller holds
-// mu.
+// withTableDrains returns the spec of a target, marked as drained if the operators' table drains
+// it. The caller holds mu.
 func (ps *pools) withTableDrains(spec *catalog.Target) *catalog.Target {
 	if !ps.isDrained(spec) {
 		return spec
@@ -113,8 +116,8 @@
 	return &drained
 }
 
-// isDrained tells whether the operators' table drains a target, its hall or its
-// region. The caller holds mu.
+// isDrained reports whether the operators' table drains the target, its hall or its region. The
+// caller holds mu.
 func (ps *pools) isDrained(spec *catalog.Target) bool {
 	if ps.plan == nil {
 		return false
@@ -123,7 +126,8 @@
 		ps.plan.RegionDrained(ps.config.RegionOf[spec.Hall])
 }
 
-// setPlan takes in the operators' table. setTargets has to follow.
+// setPlan sets the operators' table. The caller must call setTargets afterwards, which applies the
+// drains.
 func (ps *pools) setPlan(plan *table.Plan) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -182,8 +186,8 @@
 	}
 }
 
-// setHomeShares takes in the parts of all requests that regions have to run because they
-// are accounts' homes.
+// setHomeShares sets, by region, the fraction of all requests that the region has to serve as the
+// home region of accounts.
 func (ps *pools) setHomeShares(shares map[string]float64) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -194,8 +198,7 @@
 	})
 }
 
-// setInstances takes in the names of the instances in each hall, and how many
-// instances there are in all.
+// setInstances sets the names of the instances in each hall and the number of all instances.
 func (ps *pools) setInstances(members map[string][]string, count int) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -209,7 +212,7 @@
 	}
 }
 
-// targetReports returns the loads of busy targets of all services.
+// targetReports returns the reports on busy targets of all services for gossip.
 func (ps *pools) targetReports(now time.Time) upstream.TargetReports {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -220,8 +223,8 @@
 	return out
 }
 
-// applyDepartures takes in that targets said that they leave, and returns the IDs of those of
-// which it was not known.
+// applyDepartures records targets that have announced that they leave, and returns the IDs of those
+// for which this is new.
 func (ps *pools) applyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -232,8 +235,8 @@
 	return fresh
 }
 
-// applyRateLimits takes in the limits that targets have named, and returns the IDs of those whose limits
-// changed.
+// applyRateLimits applies the limits that targets have announced, and returns the IDs of the
+// targets whose limits have changed.
 func (ps *pools) applyRateLimits(now time.Time, limits availability.RateLimitList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -253,7 +256,7 @@
 	}
 }
 
-// setLimitOwners takes in who issues the permits of targets' limits.
+// setLimitOwners sets the owners of targets' rate limits.
 func (ps *pools) setLimitOwners(owners *ratelimit.Owners) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -264,7 +267,7 @@
 	})
 }
 
-// receivePermits takes in the answer of an owner to a question for permits that was asked at a time.
+// receivePermits handles an owner's reply to a permit request that was sent at askedAt.
 func (ps *pools) receivePermits(now, askedAt time.Time, m *peer.PermitGrant) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -273,7 +276,7 @@
 	})
 }
 
-// ownerUnreachable takes in that no connection to an instance could be had.
+// ownerUnreachable records that connecting to an instance has failed.
 func (ps *pools) ownerUnreachable(now time.Time, owner string) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -283,8 +286,8 @@
 	})
 }
 
-// setSplit takes in which part of a service's requests goes to targets of a new version, and until
-// when.
+// setSplit sets the traffic split of a service between its versions, and the time until which it is
+// valid.
 func (ps *pools) setSplit(now time.Time, r *serviceRollout, split rollout.Split, until time.Time) {
 	service := r.order().Service
 	ps.mu.Lock()
@@ -298,7 +301,8 @@
 	p.update(func(u *upstream.Pool) []upstream.Grant { return u.SetSplit(now, split, until) })
 }
 
-// versionStats returns what there is of a service's targets of both versions.
+// versionStats returns statistics on a service's targets of both versions. They are zero for an
+// unknown service.
 func (ps *pools) versionStats(now time.Time, service string) upstream.VersionStats {
 	p := ps.get(service)
 	if p == nil {
@@ -309,7 +313,7 @@
 	return p.upstream.VersionStats(now)
 }
 
-// evictIdle drops what is known of permits that nobody asks for, and of idle targets.
+// evictIdle evicts permits that are not requested any more, and the state of idle targets.
 func (ps *pools) evictIdle(now time.Time) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -319,7 +323,7 @@
 	})
 }
 
-// applyTargetReports takes in the loads of targets that another instance has told of.
+// applyTargetReports applies the target reports of another instance.
 func (ps *pools) applyTargetReports(now time.Time, seen upstream.TargetReports) {
 	if len(seen) == 0 {
 		return
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,19 +14,19 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// reasonCrashesTargets is the reason of requests that are held back because targets have ended
-// under them.
+// reasonCrashesTargets is the reason of requests that are held because targets have crashed under
+// them.
 const reasonCrashesTargets = "ends-targets"
 
-// reasonAccountCrashesTargets is the reason of requests that were not answered before, of an account
-// under whose different requests targets have ended.
+// reasonAccountCrashesTargets is the reason of requests that are held because different requests of
+// their account have crashed targets. Requests that were answered before are exempt.
 const reasonAccountCrashesTargets = "account-ends-targets"
 
-// quarantineState keeps which requests are held back because targets end under them. It is safe for
+// quarantineState tracks which requests crash targets and are therefore held. It is safe for
 // concurrent use.
 type quarantineState struct {
-	// nonEmpty says that anything is known of any request. While it is not, which is nearly
-	// always, requests pass without a digest.
+	// nonEmpty is true if there is state on any request. While it is false, which is nearly always,
+	// requests pass without the cost of a digest.
 	nonEmpty atomic.Bool
 
 	mu            sync.Mutex
@@ -34,18 +34,20 @@
 	correlator    quarantine.CrashCorrelator
 	coordinator   quarantine.TrialCoordinator
 	pendingTrials map[quarantine.Digest]chan trialReply
-	// answered are the requests of accounts that were answered here of late.
+	// answered holds the accounts' requests that were answered by targets of this instance
+	// recently.
 	answered answeredRequests
-	// unresponsive are the wardens that have not answered, until when they are passed over.
+	// unresponsive holds the coordinators that did not reply, and the time until which each is
+	// skipped.
 	unresponsive map[string]time.Time
-	// pendingWrites is the number of writes to the store under way.
+	// pendingWrites is the number of writes to the store that are in progress.
 	pendingWrites atomic.Int64
-	// flagCheckedAt is when it was last looked whether accounts are to be flagged.
+	// flagCheckedAt is the time of the last check for accounts to flag.
 	flagCheckedAt time.Time
 }
 
-// flagInterval is the least time between two looks: one at a full table of a hundred accounts takes
-// 1.6 ms (BenchmarkFlag).
+// flagInterval is the shortest time between two checks. A check of a full table of a hundred
+// accounts takes 1.6 ms (BenchmarkFlagAccounts).
 const flagInterval = 250 * time.Millisecond
 
 // flagAccounts returns the digests of accounts that are newly flagged. The caller holds mu.
@@ -61,12 +63,12 @@
 	return &quarantineState{pendingTrials: make(map[quarantine.Digest]chan trialReply), unresponsive: make(map[string]time.Time)}
 }
 
-// updateNonEmpty keeps known up to date. The caller holds mu.
+// updateNonEmpty recomputes nonEmpty. The caller holds mu.
 func (h *quarantineState) updateNonEmpty() {
 	h.nonEmpty.Store(h.table.Len() > 0 || h.correlator.Len() > 0)
 }
 
-// expire forgets what is no longer remembered.
+// expire drops state that is past its retention.
 func (h *quarantineState) expire(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -82,29 +84,29 @@
 	h.updateNonEmpty()
 }
 
-// status returns what the table says of a request, and how many targets may have ended
-// under it besides.
+// status returns the status of a request, and the number of further targets that may have crashed
+// under it.
 func (h *quarantineState) status(now time.Time, d quarantine.Digest) (quarantine.Status, int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.table.Status(now, d), h.correlator.PendingFor(d)
 }
 
-// isCrashPending tells whether it is not known if a target has ended.
+// isCrashPending reports whether a target may have crashed but this is not confirmed yet.
 func (h *quarantineState) isCrashPending(target string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.correlator.IsPending(target)
 }
 
-// suspectCount returns the number of requests that are not free.
+// suspectCount returns the number of suspect requests.
 func (h *quarantineState) suspectCount() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return int64(h.table.SuspectCount())
 }
 
-// contentDigest returns the digest of a request.
+// contentDigest returns the digest of the request's content. It is computed on the first call.
 func (ex *exchange) contentDigest() quarantine.Digest {
 	if ex.digest == (quarantine.Digest{}) {
 		ex.digest = ex.content().Digest()
@@ -112,16 +114,17 @@
 	return ex.digest
 }
 
-// maxCrashesPerExchange is the number of targets that end under a request, or may have, from which on
-// it is not sent to another one within its exchange. The first end is repeated: most requests
-// that it hits are innocent, and it is what crashes of targets cost callers. After a second
-// one another attempt gains little, and each costs a target if the request is to blame. With
-// what instances tell each other it keeps the targets that end under 100 such requests to 3,
-// of 76 without either (TestCrashingRequestIsHeld).
+// maxCrashesPerExchange is the number of confirmed and possible crashes under a request from which
+// it is not retried within its exchange. The request is retried after the first crash, since most
+// requests that are in flight during a crash are innocent, and their callers should not bear its
+// cost. After a second crash a further attempt gains little, and it costs another target if the
+// request is the cause. Together with the gossip between instances, this bound limits the crashes
+// under 100 such requests to 3, instead of 76 without both (TestCrashingRequestIsHeld).
 const maxCrashesPerExchange = 2
 
-// checkQuarantine tells whether a request may be sent now, or what it is answered. A suspect one is sent
-// as a trial if its warden grants that. Unknown says that an attempt of it was broken off.
+// checkQuarantine reports whether a request may be sent now, and returns a refusal if not. A
+// suspect request is sent as a trial if its coordinator grants one. unknown is true if the outcome
+// of an earlier attempt is unknown.
 func (g *Gateway) checkQuarantine(ex *exchange, unknown bool) (requestResult, bool) {
 	if ex.isTrial() || !g.quarantine.nonEmpty.Load() {
 		return requestResult{}, true
@@ -151,7 +154,8 @@
 	return v, ok
 }
 
-// startTrial has a request sent as a trial of what a digest stands for if that may be tried now.
+// startTrial makes the request a trial for a digest if a trial may start now, and returns a refusal
+// if not.
 func (g *Gateway) startTrial(ex *exchange, d quarantine.Digest, standing quarantine.Status, reason string) (requestResult, bool) {
 	if standing.Verdict == quarantine.Held {
 		return notRunResult(reason, g.clock.Until(standing.Until)), false
@@ -164,7 +168,7 @@
 	return requestResult{}, true
 }
 
-// isStillAllowed tells whether a request that had to wait for its target may still be sent.
+// isStillAllowed reports whether a request may still be sent after it has waited for its target.
 func (g *Gateway) isStillAllowed(ex *exchange) bool {
 	if ex.isTrial() || !g.quarantine.nonEmpty.Load() {
 		return true
@@ -178,7 +182,7 @@
 	return standing.Verdict == quarantine.Allowed || g.quarantine.answered.isTrusted(now, quarantine.AccountHash(ex.account.Name))
 }
 
-// observeAttempt takes in what an attempt says of its target's life.
+// observeAttempt records what an attempt shows about whether its target has crashed.
 func (g *Gateway) observeAttempt(ex *exchange, target upstream.Choice, a forward.Attempt) {
 	now := g.clock.Now()
 	switch {
@@ -193,7 +197,8 @@
 	}
 }
 
-// targetAnswered takes in that a target has answered a request that was sent at a time.
+// targetAnswered records that a target has answered a request that was sent at a time, so that it
+// had not crashed before.
 func (g *Gateway) targetAnswered(sent time.Time, target string) {
 	if !g.quarantine.nonEmpty.Load() {
 		return
@@ -203,7 +208,7 @@
 	g.quarantine.correlator.TargetAnswered(sent, target)
 }
 
-// requestAnswered takes in that a request was answered: targets do not end under it.
+// requestAnswered records that a request was answered and therefore does not crash targets.
 func (g *Gateway) requestAnswered(now time.Time, ex *exchange, target upstream.Choice, a forward.Attempt) {
 	g.rememberAnswer(now, ex)
 	if !g.quarantine.nonEmpty.Load() {
@@ -243,8 +248,8 @@
 	g.quarantine.answered.add(r)
 }
 
-// requestInterrupted takes in that a request was broken off at a target, and finds out whether the target
-// has ended.
+// requestInterrupted records that a request's connection to a target broke, and probes whether the
+// target has crashed.
 func (g *Gateway) requestInterrupted(now time.Time, ex *exchange, target upstream.Choice) {
 	ex.interrupted = true
 	if g.isLeaving(target) {
@@ -262,8 +267,8 @@
 	}
 }
 
-// isLeaving tells whether a target has said that it leaves, in the list or by its own word, or is
-// no longer listed: what it breaks off then is its planned end.
+// isLeaving reports whether a target has announced that it leaves, in its entry or in a response,
+// or is no longer listed. Connections that break at such a target stem from its planned shutdown.
 func (g *Gateway) isLeaving(target upstream.Choice) bool {
 	if g.departures.has(target.ID) {
 		return true
@@ -274,8 +279,8 @@
 	return !ok || (spec.ID == target.ID && spec.Leaving)
 }
 
-// probeTarget connects to a target at which a request was broken off. One that refuses has ended.
-// A connection says nothing for certain, and is kept for the next request.
+// probeTarget connects to a target at which a connection broke. If the connection is refused, the
+// target has crashed. A successful connection proves nothing, and is kept for the next request.
 func (g *Gateway) probeTarget(target upstream.Choice) {
 	err := g.targets.Preconnect(target.ID, target.Addr)
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -283,7 +288,7 @@
 	}
 }
 
-// targetCrashed takes in that a target has ended.
+// targetCrashed records that a target has crashed.
 func (g *Gateway) targetCrashed(now time.Time, target string) {
 	if !g.quarantine.nonEmpty.Load() {
 		return
@@ -294,8 +299,8 @@
 	g.recordCrashes(now, target, broken)
 }
 
-// applyListChanges takes in which entries of targets have gone or say that they leave. The caller
-// holds mu of the gateway.
+// applyListChanges records the targets that have become unlisted or announce in their entry that
+// they leave. The caller holds mu of the gateway.
 func (g *Gateway) applyListChanges(now time.Time, changed []*catalog.Target, gone []string) {
 	if !g.quarantine.nonEmpty.Load() {
 		return
@@ -309,13 +314,14 @@
 	}
 	for _, id := range gone {
 		if g.quarantine.isCrashPending(id) {
-			// What targetEnded locks is held by the caller.
+			// It runs in a goroutine, because targetCrashed needs locks that the caller holds.
 			g.startGoroutine(func() { g.targetCrashed(now, id) })
 		}
 	}
 }
 
-// recordCrashes notes that a target has ended under some requests, and tells the other instances.
+// recordCrashes records that a target crashed under some requests, and sends this to the other
+// instances.
 func (g *Gateway) recordCrashes(now time.Time, target string, broken []quarantine.InterruptedRequest) {
 	if len(broken) == 0 {
 		return
@@ -347,10 +353,10 @@
 	g.storeRecords(now, digests)
 }
 
-// maxLoggedContents bounds the requests that a line on a target's end names.
+// maxLoggedContents bounds the requests that the log line on a crash names.
 const maxLoggedContents = 8
 
-// logSuspects tells which of some requests are no longer free.
+// logSuspects logs those of the given requests and accounts that are suspect.
 func (g *Gateway) logSuspects(now time.Time, digests []quarantine.Digest, source string) {
 	for _, d := range digests {
 		standing, _ := g.quarantine.status(now, d)
@@ -360,7 +366,8 @@
 		message := logRequestHeld
 		if d.IsAccount() {
 			message = logAccountHeld
-			// What this locks is held by some callers.
+			// It runs in a goroutine, because sendAnsweredRequests needs a lock that some callers
+			// hold.
 			g.startGoroutine(func() { g.sendAnsweredRequests(now, d) })
 		}
 		attrs := []any{"content", d.String(), "ends", standing.Crashes, "failed_trials", standing.FailedTrials, "source", source}
--- a/gateway/rollout_observations.go
+++ b/gateway/rollout_observations.go
@@ -7,7 +7,7 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// recordSent counts a request that is sent to a target while a rollout of its service goes on.
+// recordSent counts a request that is sent to a target during a rollout of its service.
 func (p *pool) recordSent(d upstream.Decision) {
 	r := p.rollout.Load()
 	if r == nil {
@@ -20,7 +20,8 @@
 	}
 }
 
-// recordObservation takes in what became of a request for a rollout of its service.
+// recordObservation records the outcome of an attempt for the canary analysis of its service's
+// rollout.
 func (g *Gateway) recordObservation(ex *exchange, p *pool, want upstream.Request, d upstream.Decision, a forward.Attempt) {
 	r := p.rollout.Load()
 	if r == nil {
@@ -50,8 +51,8 @@
 	}
 }
 
-// rolloutOutcome returns what an attempt says of the version of its target, false if nothing: one that is
-// full, can't be reached or whose client has left says nothing.
+// rolloutOutcome returns what an attempt shows about the version of its target. It returns false if
+// the attempt shows nothing: the target was full or unreachable, or the client disconnected.
 func rolloutOutcome(r upstream.Result) (rollout.Outcome, bool) {
 	switch r.Outcome {
 	case upstream.Answered:
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -16,19 +16,22 @@
 )
 
 const (
-	// rolloutTickInterval is how often a rollout that goes on is looked at.
+	// rolloutTickInterval is the interval at which an ongoing rollout is updated.
 	rolloutTickInterval = 100 * time.Millisecond
-	// leaderTimeout is how long nothing is heard of a leader before another instance takes over.
+	// leaderTimeout is the time without a message of the leader after which another instance takes
+	// over.
 	leaderTimeout = 3 * rollout.HeartbeatInterval
-	// stateWriteInterval is the time between two tries to write what has become of an order.
+	// stateWriteInterval is the time between two attempts to write the state of an order to the
+	// store.
 	stateWriteInterval = 400 * time.Millisecond
 )
 
-// rollouts are those that the store tells of, by service. It is safe for concurrent use.
+// rollouts holds the rollouts of the orders in the store, by service. It is safe for concurrent
+// use.
 type rollouts struct {
 	mu        sync.Mutex
 	byService map[string]*serviceRollout
-	// changed has an element when an order has come.
+	// changed has an element when an order has changed.
 	changed chan struct{}
 }
 
@@ -43,7 +46,7 @@
 	return rs.byService[service]
 }
 
-// all returns all rollouts.
+// all returns the rollouts of all services.
 func (rs *rollouts) all() []*serviceRollout {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -59,25 +62,28 @@
 	mu       sync.Mutex
 	record   rollout.Record
 	follower *rollout.Follower
-	// leader is nil unless this instance leads.
+	// leader is nil unless this instance leads the rollout.
 	leader *rollout.Leader
-	// leaderHeardAt is when another leader was last heard.
+	// leaderHeardAt is the time of the last stage received from another leader.
 	leaderHeardAt time.Time
-	// writing says that a write is under way, and wroteAt is when the last one began.
+	// writing is true while a write of the state is in progress. writtenAt is the time at which the
+	// last write began.
 	writing   bool
 	writtenAt time.Time
 }
 
-// isOngoing tells whether the store does not hold a verdict yet, or no longer.
+// isOngoing reports whether the store holds no verdict for the order. This is also the case if the
+// store has lost the verdict. The caller holds mu.
 func (r *serviceRollout) isOngoing() bool { return !r.record.State.IsFinal() }
 
-// lostVerdict returns the verdict that all act on if the store has lost it.
+// lostVerdict returns the verdict that the instances follow and the store has lost. It returns
+// false if there is none. The caller holds mu.
 func (r *serviceRollout) lostVerdict() (rollout.State, bool) {
 	verdict := r.follower.Verdict()
 	return verdict, verdict.IsFinal() && r.isOngoing()
 }
 
-// applyRollout takes in an order, or what has become of it.
+// applyRollout applies a change of a rollout order or of its state.
 func (g *Gateway) applyRollout(now time.Time, c feed.Change, from provenance) {
 	known := g.rollouts.of(c.Name)
 	if c.Removed {
@@ -100,7 +106,7 @@
 		known.reissue(record.Order)
 	default:
 		if known != nil {
-			// The order before may be listed again by a store that has lost this one.
+			// A store that has lost this order may list the previous one again.
 			g.heldChanges[KindRollouts].tombstones.Add(now, c.Name)
 		}
 		known = &serviceRollout{follower: rollout.NewFollower(now, g.config.Name, record.Order)}
@@ -111,7 +117,7 @@
 	g.rollouts.put(c.Name, known)
 }
 
-// put keeps a service's rollout and has it looked at.
+// put sets the rollout of a service and wakes rolloutLoop.
 func (rs *rollouts) put(service string, r *serviceRollout) {
 	if r == nil {
 		return
@@ -131,14 +137,15 @@
 	return r.follower.Order()
 }
 
-// isLeader tells whether this instance leads the rollout.
+// isLeader reports whether this instance leads the rollout.
 func (r *serviceRollout) isLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leader != nil
 }
 
-// mayBeReissued tells whether an order that comes may be one that a restored store had lost.
+// mayBeReissued reports whether a new order may be the reissue of one that a restored store has
+// lost.
 func (g *Gateway) mayBeReissued(now time.Time, from provenance) bool {
 	return from.restored || g.heldChanges[KindRollouts].removals.Remaining(now) > 0
 }
@@ -170,7 +177,7 @@
 	}
 }
 
-// rolloutLoop looks at rollouts while some go on.
+// rolloutLoop updates the ongoing rollouts periodically, and waits while there are none.
 func (g *Gateway) rolloutLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		goesOn := false
@@ -188,7 +195,8 @@
 	}
 }
 
-// tickRollout has a rollout go on. It reports whether it has to be looked at again without a change.
+// tickRollout updates a rollout: its leadership, traffic split and report. It returns true if the
+// rollout needs further updates without a change of its order.
 func (g *Gateway) tickRollout(ctx context.Context, r *serviceRollout) bool {
 	now := g.clock.Now()
 	service := r.order().Service
@@ -211,8 +219,8 @@
 	return goesOn
 }
 
-// lead takes the lead of a rollout if that is this instance's part, decides on its stage, tells all
-// others, and has the store hold what has become of it.
+// lead makes this instance the leader of a rollout if it is its turn. As the leader, it decides on
+// the stage, broadcasts it, and writes the state of the order to the store.
 func (g *Gateway) lead(ctx context.Context, now time.Time, r *serviceRollout, versions upstream.VersionStats) {
 	leads, members := g.leadsRollouts(now, r.isLeader())
 	r.mu.Lock()
@@ -246,7 +254,7 @@
 	g.writeState(ctx, now, r, r.leader.Verdict())
 }
 
-// leadsRollouts tells whether this instance leads rollouts, and how many instances there are.
+// leadsRollouts reports whether this instance leads rollouts, and returns the number of instances.
 func (g *Gateway) leadsRollouts(now time.Time, hasLed bool) (leads bool, members int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -258,7 +266,7 @@
 	return g.view.IsLeader(now, hasLed), members
 }
 
-// writeState has the store hold what has become of an order. The caller holds the rollout's mu.
+// writeState writes the state of an order to the store. The caller holds the rollout's mu.
 func (g *Gateway) writeState(ctx context.Context, now time.Time, r *serviceRollout, state rollout.State) {
 	if r.writing || r.record.State == state || now.Sub(r.writtenAt) < stateWriteInterval {
 		return
@@ -274,7 +282,7 @@
 		case err == nil:
 			g.log.Info(logRolloutState, "service", record.Service, "version", record.Version, "state", state)
 		case errors.Is(err, ErrConflict):
-			// The watch brings what the object is now.
+			// The watch delivers the current version of the object.
 			g.log.Info(logRolloutState, "service", record.Service, "version", record.Version, "state", state, "error", err.Error())
 		default:
 			g.log.Warn(logRolloutState, "service", record.Service, "version", record.Version, "state", state, "error", err.Error())
@@ -282,8 +290,8 @@
 	})
 }
 
-// logStage logs a stage that is new here, with what the leader has decided it by. The caller holds the
-// rollout's mu.
+// logStage logs a new stage, and the leader's assessment if this instance is the leader. The caller
+// holds the rollout's mu.
 func (g *Gateway) logStage(r *serviceRollout, stage rollout.Stage) {
 	attrs := []slog.Attr{slog.String("service", r.record.Service), slog.String("version", r.record.Version),
 		slog.String("stage", stage.Phase.String()), slog.Float64("keys", stage.KeyShare), slog.Float64("draw", stage.RequestShare),
@@ -298,7 +306,7 @@
 	g.log.LogAttrs(context.Background(), slog.LevelInfo, logRolloutStage, attrs...)
 }
 
-// receiveStages takes in the stages that leaders tell.
+// receiveStages handles stages that leaders have sent.
 func (g *Gateway) receiveStages(now time.Time, stages []rollout.Stage) {
 	for _, stage := range stages {
 		for _, r := range g.rollouts.all() {
@@ -314,7 +322,8 @@
 	}
 }
 
-// receiveRolloutReport takes in what an instance has seen of a rollout that this one leads.
+// receiveRolloutReport records another instance's observations for a rollout that this instance
+// leads.
 func (g *Gateway) receiveRolloutReport(m *peer.RolloutReport) {
 	now := g.clock.Now()
 	for _, r := range g.rollouts.all() {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -21,82 +21,84 @@
 )
 
 const (
-	// maxHeaderBytes bounds the head of a request whatever the configuration
-	// allows.
+	// maxHeaderBytes bounds the header of a request, whatever the configuration allows.
 	maxHeaderBytes = 64 << 10
-	// responseMargin is how much earlier than the client's deadline the answer
-	// is sent.
+	// responseMargin is subtracted from the client's timeout to leave time for the response to
+	// reach the client.
 	responseMargin = 10 * time.Millisecond
-	// defaultRetryAfter is told where nothing better is known.
+	// defaultRetryAfter is the Retry-After of a refusal for which no better estimate exists.
 	defaultRetryAfter = 300 * time.Millisecond
 )
 
-// exchange is one request of a client.
+// exchange is one request of a client, from its arrival to the response, with all attempts at
+// targets.
 type exchange struct {
 	w     http.ResponseWriter
 	r     *http.Request
 	ctx   context.Context
 	id    string
 	start time.Time
-	// deadline is when the answer has to be there.
+	// deadline is the time by which the response has to be sent.
 	deadline time.Time
 	route    *catalog.Route
 	version  catalog.Version
 	service  string
-	// account is the client account, nil for none, and homes are the regions that may
-	// serve the request, empty for any.
+	// account is the client account, nil if there is none. homeRegions are the regions that may
+	// serve the request; an empty list allows any region.
 	account     *catalog.Account
 	homeRegions []string
-	// permit is the right to one request of the account, if it is limited, and
-	// permitWait how long it took to have it.
+	// permit is the right to one request under the account's rate limit, if it has one. permitWait
+	// is the time spent on acquiring it.
 	permit      permit
 	permitWait  time.Duration
 	limitResult ratelimit.Result
 	body        []byte
 	uri         string
 	attempts    []attemptRecord
-	// digest is that of the content, zero until it is needed. Trial is what the request is
-	// sent to find out about, if targets end under it: its content, or the unknown requests
-	// of its account; zero if it is sent like any other.
+	// digest is the digest of the request's content. It is zero until it is needed. trial is the
+	// digest under test if the request is sent as a trial, to find out whether it crashes targets:
+	// that of the request's content, or that of its account, which stands for the account's
+	// requests that were not answered before. It is zero for other requests.
 	digest quarantine.Digest
 	trial  quarantine.Digest
-	// coordinator is the instance that granted the trial, and broken says that the trial was
-	// broken off.
+	// coordinator is the instance that granted the trial. interrupted is true if an attempt's
+	// connection broke before the response.
 	coordinator fleet.Member
 	interrupted bool
-	// answered says that a target has answered the request, and heldAsAccount that it was
-	// held back for others of its account.
+	// answered is true if a target has answered the request. heldForAccount is true if the request
+	// was refused because other requests of its account crash targets.
 	answered, heldForAccount bool
 }
 
-// attemptRecord is what became of one attempt, for the log.
+// attemptRecord describes one attempt in the request's log line.
 type attemptRecord struct {
 	Target string `json:"target"`
 	Region string `json:"region"`
 	Reason string `json:"reason"`
-	// Load is the requests expected at the target, over its slots.
+	// Load is the number of requests expected at the target, divided by its slots.
 	Load    float64 `json:"load"`
 	Outcome string  `json:"outcome"`
 	Reused  bool    `json:"reused,omitempty"`
 	Error   string  `json:"error,omitempty"`
 	TookMs  int64   `json:"took_ms"`
-	// Leaving, RestMs and Limit, nil for none, are what the target said of itself.
+	// Leaving, BackoffMs and Limit are what the target reported about itself with its response.
 	Leaving   bool  `json:"leaves,omitempty"`
 	BackoffMs int64 `json:"rest_ms,omitempty"`
-	// Limit is in requests a second.
+	// Limit is the announced rate limit in requests per second, nil if there is none.
 	Limit *float64 `json:"limit_per_s,omitempty"`
 }
 
-// requestResult is the final answer of a request that no target has answered.
+// requestResult is the final result of a request. Without a target's response, it determines the
+// response that the instance sends to the client.
 type requestResult struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
-	// closeConn ends the client's connection after the answer.
+	// closeConn closes the client's connection after the response.
 	closeConn bool
 }
 
-// ServeHTTP takes a request of a client.
+// ServeHTTP implements http.Handler for the requests of clients.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -108,7 +110,8 @@
 	g.finish(ex, v, resp)
 }
 
-// serve finds the route, reads the body and has the request run.
+// serve finds the route, checks the account and its rate limit, reads the body and sends the
+// request to targets.
 func (g *Gateway) serve(ex *exchange) (requestResult, *forward.Response) {
 	if g.refusing.Load() {
 		return requestResult{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: defaultRetryAfter, closeConn: true}, nil
@@ -136,7 +139,7 @@
 		return v, nil
 	}
 	if ex.r.ContentLength == 0 {
-		// A permit would lapse while the request waits.
+		// The permit is acquired after the wait, since it could expire during it.
 		v, ok = ex.awaitPipelineTurn()
 		if !ok {
 			return v, nil
@@ -157,7 +160,7 @@
 	return g.run(ex)
 }
 
-// requestURI returns the path and query as the client sent them.
+// requestURI returns the path and query exactly as the client sent them.
 func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -169,8 +172,8 @@
 	return u.RequestURI()
 }
 
-// timeLimit returns how long a request may take: what the client waits, and no
-// longer than the route allows.
+// timeLimit returns how long a request may take: the client's timeout, bounded by that of the
+// route.
 func (g *Gateway) timeLimit(ex *exchange) time.Duration {
 	limit := g.clientTimeout(ex.r)
 	if ex.route.Timeout > 0 {
@@ -179,7 +182,8 @@
 	return limit
 }
 
-// clientTimeout returns how long the client waits for the answer, less the way back.
+// clientTimeout returns how long the client waits for the response, minus responseMargin. It is the
+// configured default if the request has no valid deadline header.
 func (g *Gateway) clientTimeout(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(g.headers.Deadline), 10, 64)
 	if err != nil || ms <= 0 {
@@ -188,7 +192,7 @@
 	return time.Duration(ms)*time.Millisecond - responseMargin
 }
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the whole body, so that the request can be sent again.
 func (g *Gateway) readBody(ex *exchange, limits catalog.Limits) (requestResult, bool) {
 	most := limits.BodyBytes
 	if most <= 0 {
@@ -218,10 +222,10 @@
 	}
 }
 
-// defaultMaxBodyBytes bounds bodies where the configuration does not.
+// defaultMaxBodyBytes bounds the bodies of requests if the configuration sets no limit.
 const defaultMaxBodyBytes = 64 << 20
 
-// maxPreallocatedBody bounds the memory taken for a body that has not arrived.
+// maxPreallocatedBody bounds the memory that is allocated for a body before its bytes have arrived.
 const maxPreallocatedBody = 512 << 10
 
 func readAll(r io.Reader, length int64) ([]byte, error) {
@@ -233,7 +237,7 @@
 	return io.ReadAll(r)
 }
 
-// finish sends the final answer and logs what decided it.
+// finish sends the final response and logs the result with its reason.
 func (g *Gateway) finish(ex *exchange, v requestResult, resp *forward.Response) {
 	status := v.status
 	_ = http.NewResponseController(ex.w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
@@ -251,7 +255,8 @@
 	}
 	g.recordRequest(ex, status, v.reason)
 	if status == 0 {
-		// No answer may look like one to the request.
+		// The connection is aborted, so that the client receives nothing that it could take for a
+		// response.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -286,8 +291,8 @@
 	ex.w.WriteHeader(v.status)
 }
 
-// recordRequest counts and logs a request: each failure and each repeat, and a sample
-// of the rest, by the request's ID, so that all instances log the same ones.
+// recordRequest counts and logs a request. It logs each failure, each retried request, and a sample
+// of the rest. The sample is drawn by request ID, so that all instances log the same requests.
 func (g *Gateway) recordRequest(ex *exchange, status int, reason string) {
 	took := g.clock.Since(ex.start)
 	g.metrics.request(ex, status, reason, took)
@@ -315,7 +320,8 @@
 		slog.Any("attempts", ex.attempts))...)
 }
 
-// limitAttrs says how the limit of the request's account decided, if it has one.
+// limitAttrs returns log attributes on the account's rate limit, or none if the account has no
+// limit.
 func (ex *exchange) limitAttrs() []slog.Attr {
 	if !ex.account.HasRateLimit() {
 		return nil
@@ -329,8 +335,9 @@
 		slog.Int64("retry_after_ms", ex.limitResult.RetryAfter.Milliseconds()))
 }
 
-// contentAttrs says which request this is the same as, if it was broken off at a target or
-// was looked up among those that end targets: these come again under another ID.
+// contentAttrs returns the content digest for the log if an attempt was interrupted or the digest
+// was looked up in the quarantine. A client that repeats such a request uses another ID, and the
+// digest identifies the request in both lines.
 func (ex *exchange) contentAttrs() []slog.Attr {
 	broken := slices.ContainsFunc(ex.attempts, func(h attemptRecord) bool { return h.Outcome == retry.Unknown.String() })
 	if !broken && !ex.heldForAccount && ex.digest == (quarantine.Digest{}) {
@@ -343,25 +350,24 @@
 	return attrs
 }
 
-// content is what a target is given to work on.
+// content returns the parts of the request that determine what a target executes.
 func (ex *exchange) content() quarantine.Content {
 	return quarantine.Content{Account: accountName(ex.account), Method: ex.r.Method, Host: ex.r.Host, URI: ex.uri, Body: ex.body}
 }
 
-// hasNotRun tells whether a request that this instance ended with a status has certainly
-// not run.
+// hasNotRun reports whether a request that this instance ended with a status has certainly not run.
 func hasNotRun(status int) bool {
 	return status != 0 && status != http.StatusBadGateway && status != http.StatusGatewayTimeout
 }
 
-// isCallerError tells whether a status says that an account has no key or has sent too much.
-// Lines on these never take the place of those on failures: anyone can bring them about
-// by the thousand.
+// isCallerError reports whether a status means that the account has no valid key or exceeds its
+// rate limit. These requests are logged below the level of failures, because any client can cause
+// thousands of them and they must not displace lines on failures.
 func isCallerError(status int) bool {
 	return status == http.StatusUnauthorized || status == http.StatusTooManyRequests
 }
 
-// accountName returns the name of a client account, "" if there is none.
+// accountName returns the name of a client account, "" for nil.
 func accountName(a *catalog.Account) string {
 	if a == nil {
 		return ""
@@ -369,8 +375,8 @@
 	return a.Name
 }
 
-// budget returns the time that the request had from its start, 0 if it ended before it was
-// known.
+// budget returns the time that the request had from its start, or 0 if it ended before its deadline
+// was known.
 func (ex *exchange) budget() time.Duration {
 	if ex.deadline.IsZero() {
 		return 0
@@ -378,8 +384,7 @@
 	return ex.deadline.Sub(ex.start)
 }
 
-// objective returns the time within which answers of a route should come, 0 if it has
-// none or there is no route.
+// objective returns the latency objective of a route, or 0 if it has none or route is nil.
 func objective(route *catalog.Route) time.Duration {
 	if route == nil {
 		return 0
@@ -387,7 +392,7 @@
 	return route.LatencyObjective
 }
 
-// outcomeClass is the class of a final status, for the metrics.
+// outcomeClass returns the class of a final status for the metrics.
 func outcomeClass(status int) string {
 	switch {
 	case status == 0:
--- a/gateway/stored_records.go
+++ b/gateway/stored_records.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// storeAttempts and keepPause bound how long a held request is tried to be kept in the
-	// store: a minute, over most outages. Until then the instances know it.
+	// storeAttempts and storeRetryInterval bound how long writing a record is retried: one minute,
+	// which outlasts most outages of the store. Until it is stored, the instances hold the record
+	// in memory.
 	storeAttempts      = 20
 	storeRetryInterval = 3 * time.Second
-	// maxPendingWrites bounds the writes under way, for a caller that has many such requests.
+	// maxPendingWrites bounds the concurrent writes, for a caller that sends many requests that
+	// crash targets.
 	maxPendingWrites = 8
 )
 
-// storeRecords has the store keep what is known of requests of which a trial has failed, so that they
-// are still held when all instances have ended at once: three sends may follow the third end
-// of a target, whoever has forgotten it.
+// storeRecords writes the records of requests with a failed trial to the store, so that these
+// requests stay held after a restart of all instances. Without the store, a full restart would lose
+// the number of sends, and at most three sends may follow the third crash.
 func (g *Gateway) storeRecords(now time.Time, digests []quarantine.Digest) {
 	for _, d := range digests {
 		g.quarantine.mu.Lock()
@@ -32,12 +34,13 @@
 	}
 }
 
-// storeRelease has the store keep that a request was answered.
+// storeRelease writes to the store that a request was answered, which releases it.
 func (g *Gateway) storeRelease(d quarantine.Digest) {
 	g.storeRecord(quarantine.StoredRecord{Digest: d, Released: time.Now().UnixMilli(), ReleasedBy: g.config.Name})
 }
 
-// storeRecord creates an object in the store, unless too many writes are under way.
+// storeRecord writes a record in the background. It drops the record if too many writes are
+// pending.
 func (g *Gateway) storeRecord(kept quarantine.StoredRecord) {
 	if g.quarantine.pendingWrites.Add(1) > maxPendingWrites {
 		g.quarantine.pendingWrites.Add(-1)
@@ -66,7 +69,7 @@
 	}
 }
 
-// applyStoredRecord takes in what the store keeps of a held request. The caller holds mu.
+// applyStoredRecord merges a record of a held request from the store. The caller holds mu.
 func (g *Gateway) applyStoredRecord(c feed.Change, from provenance) {
 	if c.Removed {
 		return
@@ -93,8 +96,8 @@
 	g.logSuspects(now, learned, sourceStore)
 }
 
-// removeExpiredRecord removes an object of the store that says nothing any more, one at a time. The
-// first watcher of a region does it.
+// removeExpiredRecord removes one expired record from the store. Only the first watcher of a region
+// removes records.
 func (g *Gateway) removeExpiredRecord(ctx context.Context, now time.Time) {
 	name, ok := g.expiredRecord(now)
 	if !ok {
@@ -106,7 +109,8 @@
 	}
 }
 
-// expiredRecord returns the name of such an object.
+// expiredRecord returns the name of an expired record in the store, and false if there is none or
+// another instance removes it.
 func (g *Gateway) expiredRecord(now time.Time) (string, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -123,7 +127,8 @@
 	return over, over != ""
 }
 
-// releaseRank returns 1 for an object that releases a held request, else 0.
+// releaseRank returns 1 for a record that releases a held request and 0 otherwise. Sorting by it
+// puts releases last.
 func releaseRank(c feed.Change) int {
 	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
 	if err != nil || kept.Released == 0 {
--- a/gateway/target_limit_owner.go
+++ b/gateway/target_limit_owner.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// minTargetLimit is what a target that names less than that is taken to take, in requests a
-	// second: without one now and then nobody would hear that it takes more again.
+	// minTargetLimit is the smallest rate that is issued for a target, in requests per second, even
+	// if the target announces a lower limit. Without an occasional request no response could
+	// announce a higher limit.
 	minTargetLimit = 0.25
-	// partitionedShare is the part of a limit that is issued by an instance that does not know more
-	// than half of the instances to be alive. Those on the other side of a cut may issue all
-	// of it, and the two together have to stay within one and a half times the limit.
+	// partitionedShare is the fraction of a limit that an instance issues while it considers at
+	// most half of the instances alive. During a network partition the other side may issue the
+	// whole limit, and the total of both sides has to stay within one and a half times the limit.
 	partitionedShare = 0.3
-	// ownerFailoverDelay is how long an instance has to be suspected for another one to issue the
-	// permits that it did: who issues them is not to change with each suspicion.
+	// ownerFailoverDelay is how long an instance has to be suspected before another instance takes
+	// over its limits. It keeps ownership from moving with every short suspicion.
 	ownerFailoverDelay = 3 * time.Second
 )
 
-// targetLimitOwner issues the permits of targets' limits that belong to this instance. It is safe for
-// concurrent use.
+// targetLimitOwner issues the permits of the targets' rate limits that this instance owns. It is
+// safe for concurrent use.
 type targetLimitOwner struct {
 	name   string
 	mesh   *peer.Mesh
 	limits *targetLimits
-	// onGrant takes in an answer to a question of this instance.
+	// onGrant handles the reply to a permit request of this instance.
 	onGrant   func(m *peer.PermitGrant)
 	startedAt time.Time
 	clock     *clock.Clock
@@ -40,11 +41,11 @@
 	mu     sync.Mutex
 	issuer *ratelimit.Issuer
 	addrs  map[string]string
-	// partitioned says that less than half of the instances are known to be alive.
+	// partitioned is true if at most half of the instances are known to be alive.
 	partitioned bool
 	ticking     bool
-	// suspectedSince is when instances came to be suspected, and present those that were last
-	// taken not to be away.
+	// suspectedSince is the start of the suspicion of each suspected instance. candidates are the
+	// instances that may own limits, as of the last update.
 	suspectedSince map[string]time.Time
 	candidates     map[string]fleet.Member
 }
@@ -62,14 +63,14 @@
 	}
 }
 
-// targetOfPermits returns the target whose permits have a name.
+// targetOfPermits returns the target to which a permit name belongs.
 func targetOfPermits(permits string) availability.ID {
 	_, target, _ := strings.Cut(permits, ratelimit.HallLimitSeparator)
 	return availability.IDOf(target)
 }
 
-// updateOwners takes in the instances that the store lists, and their states. It returns the owners of
-// limits if those have changed.
+// updateOwners updates the owners to the instances that the store lists and their states. It
+// returns the owners, and false if they have not changed.
 func (o *targetLimitOwner) updateOwners(now time.Time, c Config, registered map[string]fleet.Member, states []fleet.Status) (*ratelimit.Owners, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -109,8 +110,8 @@
 	return owners, true
 }
 
-// request sends questions for permits to their owners. The answers of this instance to itself are
-// heard at once.
+// request sends permit requests to the owners. Requests for which this instance is the owner are
+// handled directly.
 func (o *targetLimitOwner) request(now time.Time, asks []ratelimit.PermitRequest) {
 	for _, ask := range asks {
 		m := &peer.PermitRequest{Account: ask.Account, From: o.name, SentAt: o.timestamp(ask.At), N: ask.N, ForTarget: true, Limits: o.limits.update(now, targetOfPermits(ask.Account))}
@@ -125,7 +126,7 @@
 	}
 }
 
-// issue answers a question.
+// issue handles a permit request.
 func (o *targetLimitOwner) issue(now time.Time, m *peer.PermitRequest) {
 	limit, ok := o.limits.get(targetOfPermits(m.Account))
 	reply := ratelimit.Reply{To: m.From, At: m.SentAt, Account: m.Account, Grant: ratelimit.Grant{NotOwner: true}}
@@ -138,10 +139,11 @@
 	o.reply(now, reply)
 }
 
-// targetLimitBurst is the time for which a limit that nobody uses is kept.
+// targetLimitBurst is the time for which permits of an unused limit accumulate.
 const targetLimitBurst = 250 * time.Millisecond
 
-// issuedLimit returns what is issued of a limit. The caller holds mu.
+// issuedLimit returns the rate and burst that this instance issues for an announced limit in
+// requests per second. The caller holds mu.
 func (o *targetLimitOwner) issuedLimit(perSecond float64) ratelimit.Limit {
 	perSecond = max(perSecond, minTargetLimit)
 	if o.partitioned {
@@ -150,12 +152,12 @@
 	return ratelimit.Limit{Rate: perSecond, Burst: perSecond * targetLimitBurst.Seconds()}
 }
 
-// reply sends answers.
+// reply sends replies to permit requests.
 func (o *targetLimitOwner) reply(now time.Time, replies ...ratelimit.Reply) {
 	for _, r := range replies {
 		m := &peer.PermitGrant{Account: r.Account, From: o.name, RequestSentAt: r.At, Grant: r.Grant, ForTarget: true, Limits: o.limits.update(now, targetOfPermits(r.Account))}
 		if r.To == o.name {
-			// The caller may hold what the answer changes.
+			// It runs in a goroutine, because the caller may hold locks that onGrant needs.
 			go o.onGrant(m)
 			continue
 		}
@@ -166,7 +168,7 @@
 	}
 }
 
-// tick looks for claims that wait, as long as there are any. The caller holds mu.
+// tick schedules a check of the queued permit requests while there are any. The caller holds mu.
 func (o *targetLimitOwner) tick() {
 	if o.ticking || o.issuer.Queued() == 0 {
 		return
@@ -185,21 +187,22 @@
 	o.reply(now, replies...)
 }
 
-// evictIdle drops what is known of limits that nobody asks for.
+// evictIdle evicts the state of limits for which no permits are requested.
 func (o *targetLimitOwner) evictIdle(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.issuer.EvictIdle(now)
 }
 
-// timestamp returns a time as messages carry it: that since the start of the process. moment is its
-// inverse.
+// timestamp returns a time as messages carry it, in nanoseconds since the start of the process.
+// timeOf is its inverse.
 func (o *targetLimitOwner) timestamp(t time.Time) int64 { return int64(t.Sub(o.startedAt)) }
 func (o *targetLimitOwner) timeOf(stamp int64) time.Time {
 	return o.startedAt.Add(time.Duration(stamp))
 }
 
-// updateLimitOwners takes in who may issue the permits of targets' limits. The caller holds mu.
+// updateLimitOwners updates the owners of targets' limits to the current instances and their
+// states. The caller holds mu.
 func (g *Gateway) updateLimitOwners(now time.Time) {
 	owners, changed := g.targetLimitOwner.updateOwners(now, g.config, g.registered, g.view.Others(now))
 	if changed {
@@ -207,32 +210,33 @@
 	}
 }
 
-// receiveTargetPermitRequest answers a question for permits of a target's limit.
+// receiveTargetPermitRequest handles another instance's request for permits of a target's limit.
 func (g *Gateway) receiveTargetPermitRequest(m *peer.PermitRequest) {
 	now := g.clock.Now()
 	g.receiveLimits(now, m.Limits)
 	g.targetLimitOwner.issue(now, m)
 }
 
-// receiveTargetPermitGrant takes in the answer of an owner of a target's limit.
+// receiveTargetPermitGrant handles the reply of the owner of a target's limit.
 func (g *Gateway) receiveTargetPermitGrant(m *peer.PermitGrant) {
 	now := g.clock.Now()
 	askedAt := g.targetLimitOwner.timeOf(m.RequestSentAt)
 	if askedAt.After(now) {
-		// The question was asked by the process before this one.
+		// The request was sent by a previous process of this instance.
 		return
 	}
 	g.receiveLimits(now, m.Limits)
 	g.pools.receivePermits(now, askedAt, m)
 }
 
-// requestPermits sends questions of pools, and opens other connections to owners that are silent.
+// requestPermits sends the permit requests of pools, and reconnects to unresponsive owners.
 func (g *Gateway) requestPermits(asks []ratelimit.PermitRequest, silent []string) {
 	g.targetLimitOwner.reconnect(silent)
 	g.targetLimitOwner.request(g.clock.Now(), asks)
 }
 
-// reconnect opens other connections to owners that do not answer: the open ones may carry nothing.
+// reconnect opens new connections to owners that do not reply, since the open connections may drop
+// all packets.
 func (o *targetLimitOwner) reconnect(silent []string) {
 	for _, name := range silent {
 		o.mu.Lock()
@@ -242,7 +246,7 @@
 	}
 }
 
-// instanceAt returns the instance with a peer address, "" if there is none.
+// instanceAt returns the name of the instance with a peer address, "" if there is none.
 func (o *targetLimitOwner) instanceAt(addr string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -15,30 +15,32 @@
 )
 
 const (
-	// limitGossipDelay is the longest time for which limits that targets name are collected before
-	// all instances are told: a twentieth of the time within which all are to keep them.
+	// limitGossipDelay is the longest time for which newly announced limits are collected before
+	// they are sent to all instances. It is a twentieth of the time within which all instances have
+	// to keep them.
 	limitGossipDelay = 100 * time.Millisecond
-	// maxGossipedLimits bounds the limits in a message: less than 1.2 kB.
+	// maxGossipedLimits bounds the limits in a message to less than 1.2 kB.
 	maxGossipedLimits = 64
 )
 
-// targetLimits keep how much targets take from all instances together, by their own words. It is safe
-// for concurrent use.
+// targetLimits holds the rate limits that targets announce for the requests of all instances
+// together. It is safe for concurrent use.
 type targetLimits struct {
-	// nonEmpty says that a limit is known, or one that ended a moment ago.
+	// nonEmpty is true if a limit is known or was withdrawn recently.
 	nonEmpty atomic.Bool
 
 	mu    sync.Mutex
 	known availability.RateLimits
-	// unsent are the targets of which the others are to be told.
+	// unsent are the targets whose limits have to be sent to the other instances.
 	unsent []availability.ID
 }
 
-// updateNonEmpty notes that something may have changed. The caller holds mu.
+// updateNonEmpty recomputes nonEmpty. The caller holds mu.
 func (l *targetLimits) updateNonEmpty() { l.nonEmpty.Store(l.known.Len() > 0) }
 
-// observe takes in what a target said in an answer to a request that was sent at a time. It returns
-// what is new, and whether that is the first of which the others have to be told.
+// observe records what a target's response to a request sent at sentAt shows about its limit. It
+// returns the changed limit, and whether it is the first one that waits to be sent to the other
+// instances.
 func (l *targetLimits) observe(now, sentAt time.Time, id availability.ID, r upstream.Result) (fresh availability.RateLimitList, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,14 +62,14 @@
 	return l.known.Update(now, id), first
 }
 
-// announcesNoLimit tells whether an answer shows that its target names no limit: a whole one without a
-// word of it. A value that can't be read is neither a limit nor its end.
+// announcesNoLimit reports whether a response shows that its target has no limit. This needs a
+// complete response without a limit. A malformed value neither announces nor withdraws a limit.
 func announcesNoLimit(r upstream.Result) bool {
 	whole := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
 	return whole && !r.SelfReport.IsMalformed(availability.FieldRateLimit)
 }
 
-// merge takes in what another instance has told, and returns what is new.
+// merge merges the limits that another instance has sent, and returns those that have changed.
 func (l *targetLimits) merge(now time.Time, told availability.RateLimitList) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +77,8 @@
 	return l.known.Merge(now, told)
 }
 
-// takeUnsent returns what the others are to be told.
+// takeUnsent returns the limits that have to be sent to the other instances, and marks them as
+// sent.
 func (l *targetLimits) takeUnsent(now time.Time) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +90,7 @@
 	return out
 }
 
-// get returns the limit of a target in requests a second, false if it has none.
+// get returns the limit of a target in requests per second, false if it has none.
 func (l *targetLimits) get(id availability.ID) (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,14 +98,14 @@
 	return limit.PerSecond, ok
 }
 
-// update returns what is known of a target's limit for others.
+// update returns the record of a target's limit for other instances.
 func (l *targetLimits) update(now time.Time, id availability.ID) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.known.Update(now, id)
 }
 
-// checksum returns a number by which instances see that they do not know the same.
+// checksum returns a checksum by which instances detect that their limits differ.
 func (l *targetLimits) checksum(now time.Time) uint32 {
 	if !l.nonEmpty.Load() {
 		return 0
@@ -112,7 +115,7 @@
 	return l.known.Checksum(now)
 }
 
-// missing returns what to tell an instance that does not know the same.
+// missing returns limits for an instance whose checksum differs, nil if it does not.
 func (l *targetLimits) missing(now time.Time, sum uint32, salt uint64) availability.RateLimitList {
 	if !l.nonEmpty.Load() || l.checksum(now) == sum {
 		return nil
@@ -120,19 +123,20 @@
 	return l.sample(now, maxGossipedLimits, salt)
 }
 
-// all returns all limits that are told to others.
+// all returns all limits that are gossiped.
 func (l *targetLimits) all(now time.Time) availability.RateLimitList {
 	return l.sample(now, math.MaxInt, 0)
 }
 
-// sample returns at most n of the limits that are told to others, drawn by a salt.
+// sample returns a random sample of at most n of the limits that are gossiped. The salt determines
+// the sample.
 func (l *targetLimits) sample(now time.Time, n int, salt uint64) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.known.Sample(now, n, salt)
 }
 
-// expire forgets what is no longer remembered, and returns the limits that ended by that.
+// expire drops limits that are past their retention, and returns their removals.
 func (l *targetLimits) expire(now time.Time) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,8 +148,8 @@
 	return ended
 }
 
-// observeLimit takes in what a target said in an answer of how much it takes, and has all instances
-// know.
+// observeLimit records what a response shows about its target's limit, and schedules gossip if the
+// limit has changed.
 func (g *Gateway) observeLimit(d upstream.Decision, a forward.Attempt) {
 	if !a.TargetResult.SelfReport.HasLimit && !g.targetLimits.nonEmpty.Load() {
 		return
@@ -158,7 +162,7 @@
 	}
 }
 
-// gossipLimits tells all instances what was found out here of targets' limits.
+// gossipLimits sends the changed limits that this instance has observed to all instances.
 func (g *Gateway) gossipLimits() {
 	now := g.clock.Now()
 	for told := range slices.Chunk(g.targetLimits.takeUnsent(now), maxGossipedLimits) {
@@ -166,7 +170,7 @@
 	}
 }
 
-// receiveLimits takes in what other instances have found out.
+// receiveLimits applies the limits that another instance has sent.
 func (g *Gateway) receiveLimits(now time.Time, told availability.RateLimitList) {
 	if len(told) == 0 {
 		return
@@ -174,7 +178,7 @@
 	g.applyLimits(now, g.targetLimits.merge(now, told), availability.SourcePeer)
 }
 
-// applyLimits puts limits in force.
+// applyLimits applies changed limits to the pools.
 func (g *Gateway) applyLimits(now time.Time, fresh availability.RateLimitList, source availability.Source) {
 	if len(fresh) == 0 {
 		return
@@ -182,7 +186,7 @@
 	g.logLimits(g.pools.applyRateLimits(now, fresh, source), source)
 }
 
-// logLimits logs targets whose limits have changed, many in one line.
+// logLimits logs the targets whose limits have changed. Many changes are logged in one line.
 func (g *Gateway) logLimits(changed []string, source availability.Source) {
 	limited := 0
 	for _, target := range changed {
@@ -199,7 +203,7 @@
 	}
 }
 
-// expireLimits forgets limits that nobody has heard of for long.
+// expireLimits removes the limits that are past their retention.
 func (g *Gateway) expireLimits(now time.Time) {
 	if g.targetLimits.nonEmpty.Load() {
 		g.applyLimits(now, g.targetLimits.expire(now), availability.SourceLocal)
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -10,35 +10,36 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// manyTargetChanges is the number of changes at once from which on one line tells of
-// them all.
+// manyTargetChanges is the number of simultaneous changes from which one line summarizes them and
+// their own lines are logged at debug level.
 const manyTargetChanges = 16
 
-// maxRefusedLines bounds the entries refused in one delta that are told in a line each.
+// maxRefusedLines bounds the invalid entries of one delta that are logged in a line each.
 const maxRefusedLines = 4
 
-// targetList are the targets that the store names.
+// targetList holds the targets that the store lists.
 type targetList struct {
-	// specs holds those to use by their names. None changes once it is there.
+	// specs holds the usable targets by name. The values are immutable.
 	specs map[string]*catalog.Target
-	// refused are the entries that name no target to use, with what is wrong with them.
+	// refused holds the invalid entries by name, with their errors.
 	refused map[string]*catalog.EntryError
-	// removed holds the latest incarnation known of each name that has no target to use, or one whose start
-	// is not told, for a while.
+	// removed holds, by name, the latest known incarnation of targets without a usable entry, and
+	// of targets whose entry does not state when they started. Removed targets are dropped after
+	// incarnationTTL.
 	removed map[string]incarnation
-	// interned are those that many targets have in common, so that each is held once.
+	// interned holds strings that many targets share, so that each is in memory once.
 	interned map[string]string
 }
 
-// incarnation is when a target started, the sequence of what it wrote last, and when its entry went,
-// zero while there is one.
+// incarnation identifies a process of a target by its start time, the sequence number of its last
+// write, and the time at which its entry was removed. removedAt is zero while the entry exists.
 type incarnation struct {
 	born, sequence int64
 	removedAt      time.Time
 }
 
-// incarnationTTL is how long it is remembered when a target that is gone had started. A write of an
-// earlier incarnation that the store was slow to do may come some seconds later.
+// incarnationTTL is how long the incarnation of a removed target is remembered. The store may apply
+// a delayed write of an earlier incarnation some seconds after the removal.
 const incarnationTTL = time.Minute
 
 func newTargetList() targetList {
@@ -50,7 +51,7 @@
 	}
 }
 
-// born returns when the latest known incarnation of a name started, 0 if that is not known.
+// born returns the start time of the latest known incarnation of a target, 0 if it is not known.
 func (l *targetList) born(name string) int64 {
 	if spec := l.specs[name]; spec != nil && spec.StartedAt > 0 {
 		return spec.StartedAt
@@ -58,12 +59,12 @@
 	return l.removed[name].born
 }
 
-// isOutdated tells whether an entry is that of an earlier incarnation than the one known.
+// isOutdated reports whether an entry belongs to an earlier incarnation than the latest known one.
 func (l *targetList) isOutdated(spec catalog.Target) bool {
 	return spec.StartedAt > 0 && spec.StartedAt < l.born(spec.Name)
 }
 
-// put takes in the entry of a target to use.
+// put records the entry of a usable target.
 func (l *targetList) put(spec catalog.Target) {
 	spec.Service, spec.Version, spec.Hall = l.intern(spec.Service), l.intern(spec.Version), l.intern(spec.Hall)
 	known := l.born(spec.Name)
@@ -79,10 +80,11 @@
 	}
 }
 
-// maxInterned bounds the texts that are held once: far more than there are services, versions and halls.
+// maxInterned bounds the interned strings. It is far above the number of services, versions and
+// halls.
 const maxInterned = 4096
 
-// intern returns a text as it is held.
+// intern returns the shared copy of a string.
 func (l *targetList) intern(text string) string {
 	held, ok := l.interned[text]
 	if ok {
@@ -95,7 +97,7 @@
 	return text
 }
 
-// remove takes in that a name has no target to use any more.
+// remove records that a name has no usable target any more.
 func (l *targetList) remove(now time.Time, name string) {
 	last := incarnation{born: l.born(name), sequence: l.removed[name].sequence, removedAt: now}
 	if spec := l.specs[name]; spec != nil {
@@ -106,8 +108,8 @@
 	l.removed[name] = last
 }
 
-// isFromBackup tells whether an entry of a store that came back from a copy is what a target had written
-// before what is known of it: before its last word, or before it went.
+// isFromBackup reports whether an entry of a store that was restored from a backup is older than
+// what is known of the target: older than its last write, or written before its entry was removed.
 func (l *targetList) isFromBackup(spec catalog.Target) bool {
 	if known := l.specs[spec.Name]; known != nil {
 		return known.ID == spec.ID && spec.Sequence < known.Sequence
@@ -116,7 +118,7 @@
 	return went && last.born == spec.StartedAt && spec.Sequence <= last.sequence
 }
 
-// expire forgets when targets had started that are gone for long.
+// expire drops the incarnations of targets that were removed more than incarnationTTL ago.
 func (l *targetList) expire(now time.Time) {
 	for name, known := range l.removed {
 		if !known.removedAt.IsZero() && now.Sub(known.removedAt) >= incarnationTTL {
@@ -125,9 +127,8 @@
 	}
 }
 
-// applyTargets takes in changes of targets' entries. An entry that can't be taken names no
-// target: what was listed under its name is no longer used, and all others hold. The caller
-// holds mu.
+// applyTargets applies changes of targets' entries. An invalid entry removes the target that was
+// listed under its name and affects no other target. The caller holds mu.
 func (g *Gateway) applyTargets(now time.Time, changes []feed.Change, from provenance) {
 	level := slog.LevelInfo
 	if len(changes) >= manyTargetChanges {
@@ -179,14 +180,15 @@
 	g.scheduleHeldChanges(now, KindTargets)
 }
 
-// hasAnnouncedLeaving tells whether the target of a name has said that it leaves, in the list or by its own
-// word. The caller holds mu.
+// hasAnnouncedLeaving reports whether the target of a name has announced that it leaves, in its
+// entry or in a response. The caller holds mu.
 func (g *Gateway) hasAnnouncedLeaving(name string) bool {
 	spec, ok := g.targetList.specs[name]
 	return ok && (spec.Leaving || g.departures.has(spec.ID))
 }
 
-// decodeTarget returns the target that an entry names. It has to be in a hall of the settings.
+// decodeTarget decodes a target's entry. It returns an error if the settings do not contain the
+// target's hall.
 func (g *Gateway) decodeTarget(c feed.Change) (catalog.Target, error) {
 	spec, err := g.codec.Target(c.Name, c.Value)
 	if err != nil {
@@ -198,8 +200,8 @@
 	return spec, nil
 }
 
-// rejectTarget takes in an entry that names no target to use. The nth of a delta is told in a
-// line of its own if it is among the first. The caller holds mu.
+// rejectTarget records an invalid entry. nth is its number among those of the delta; only the first
+// ones are logged in a line each. The caller holds mu.
 func (g *Gateway) rejectTarget(now time.Time, c feed.Change, err error, nth int, from provenance) {
 	g.targetList.remove(now, c.Name)
 	field := "entry"
@@ -214,9 +216,9 @@
 	}
 }
 
-// updatePools has the pools use what the changed names came to: a target may change, go and
-// come back within a delta. Before holds what was listed under these names before. The caller
-// holds mu.
+// updatePools applies the changed names to the pools. A target may change, disappear and return
+// within one delta, so only the final state counts. before holds the previous specs of the changed
+// names. The caller holds mu.
 func (g *Gateway) updatePools(now time.Time, before map[string]*catalog.Target) {
 	var changed []*catalog.Target
 	var gone []string
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// trialReplyTimeout is how long the warden of a request may take to answer whether it may
-	// be tried: the way to another region and back takes up to 120 ms.
+	// trialReplyTimeout is how long a coordinator may take to reply to a trial request. The round
+	// trip to another region takes up to 120 ms.
 	trialReplyTimeout = 250 * time.Millisecond
-	// unresponsiveTime is how long a warden that did not answer is passed over.
+	// unresponsiveTime is how long a coordinator that did not reply is skipped.
 	unresponsiveTime = 2 * time.Second
 )
 
-// trialReply is the answer of a warden.
+// trialReply is a coordinator's reply to a trial request.
 type trialReply struct {
 	granted bool
-	// retryAfter is when to ask again.
+	// retryAfter is the time until the next request makes sense.
 	retryAfter time.Duration
 }
 
-// acquireTrial asks the warden of a suspect request, or of a flagged account, whether a request may be
-// sent now. If not, it returns when to come back. One question of each is open at a time.
+// acquireTrial requests a trial for a suspect request or a flagged account from its coordinator. If
+// the trial is not granted, it returns the time at which to request it again. At most one request
+// per digest is pending.
 func (g *Gateway) acquireTrial(ex *exchange, d quarantine.Digest) (granted bool, next time.Time) {
 	now := g.clock.Now()
 	standing, _ := g.quarantine.status(now, d)
@@ -70,11 +71,13 @@
 	g.quarantine.unresponsive[name] = g.clock.Now().Add(unresponsiveTime)
 }
 
-// coordinatorFor returns the instance that grants the trials of a request: one of those that the
-// store lists, this one if there are none. Those that are known to be away are passed over
-// for the first trial, which most often frees an innocent request. After a failed one they are
-// not: parts of the fleet that are cut off from each other would each send the request again,
-// and three sends are all that may follow the third end.
+// coordinatorFor returns the instance that grants the trials of a digest. It is chosen from the
+// listed instances and this one.
+//
+// For the first trial, unavailable instances are skipped, since a first trial usually frees an
+// innocent request. After a failed trial they are not skipped: otherwise each side of a network
+// partition would have its own coordinator and send the request again, while at most three sends
+// may follow the third crash.
 func (g *Gateway) coordinatorFor(now time.Time, d quarantine.Digest, hasFailed bool) fleet.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,8 +98,8 @@
 	return g.registered[name]
 }
 
-// unavailableInstances returns the instances that are not alive, or did not answer as wardens of late. The
-// caller holds mu.
+// unavailableInstances returns the instances that are not alive or did not reply as coordinators
+// recently. The caller holds mu.
 func (g *Gateway) unavailableInstances(now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for _, s := range g.view.Others(now) {
@@ -114,9 +117,9 @@
 	return out
 }
 
-// endTrial tells the warden of a trial that it has ended. One that was broken off goes on for
-// the warden until the end of its target is known, or its time is over: what another trial
-// may cost depends on it.
+// endTrial reports the end of a trial to its coordinator. It does not report an interrupted trial.
+// That trial stays open at the coordinator until the crash of its target is confirmed or its time
+// is over, since whether another trial may start depends on it.
 func (g *Gateway) endTrial(ex *exchange) {
 	if !ex.isTrial() || ex.interrupted {
 		return
@@ -128,11 +131,11 @@
 	g.releaseTrial(ex.trial, g.config.Name, ex.answered)
 }
 
-// isTrial tells whether the request is a trial.
+// isTrial reports whether the request is sent as a trial.
 func (ex *exchange) isTrial() bool { return ex.trial != quarantine.Digest{} }
 
-// releaseTrial takes in, as the warden, that a trial has ended that did not end its target. An
-// account is free after some that were answered one after the other.
+// releaseTrial records, at the coordinator, the end of a trial that did not crash its target. An
+// account is released after several answered trials in a row.
 func (g *Gateway) releaseTrial(d quarantine.Digest, from string, answered bool) {
 	now := g.clock.Now()
 	g.quarantine.mu.Lock()
@@ -146,7 +149,7 @@
 	g.storeRelease(d)
 }
 
-// receiveTrialRequest answers another instance as the warden of a request.
+// receiveTrialRequest handles another instance's trial request as the coordinator.
 func (g *Gateway) receiveTrialRequest(m *peer.TrialRequest) {
 	if m.Done {
 		g.releaseTrial(m.Digest, m.From, m.Answered)
@@ -165,7 +168,7 @@
 	g.mesh.Send(m.ReplyTo, answer)
 }
 
-// receiveTrialReply takes in the answer of a warden.
+// receiveTrialReply handles a coordinator's reply.
 func (g *Gateway) receiveTrialReply(m *peer.TrialReply) {
 	g.quarantine.mu.Lock()
 	defer g.quarantine.mu.Unlock()
