--- a/gateway/apply_test.go
+++ b/gateway/apply_test.go
@@ -67,21 +67,21 @@
 func TestRemovalHoldIsExtended(t *testing.T) {
 	g := newTestGateway(t)
 	g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("kept", false), change("lapsed", false)}}, sourceStore)
-	learn := func(remaining time.Duration) {
+	inheritHold := func(remaining time.Duration) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.heldChanges[KindTargets].removals.Inherit(time.Now(), remaining)
 	}
-	held := func(name string) bool {
+	isListed := func(name string) bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		_, ok := g.targetList.specs[name]
 		return ok
 	}
-	learn(50 * time.Millisecond)
+	inheritHold(50 * time.Millisecond)
 	g.applyDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("lapsed", true)}}, sourceStore)
-	learn(300 * time.Millisecond)
-	require.True(t, held("lapsed"))
-	require.Eventually(t, func() bool { return !held("lapsed") }, 10*time.Second, 5*time.Millisecond)
-	require.True(t, held("kept"))
+	inheritHold(300 * time.Millisecond)
+	require.True(t, isListed("lapsed"))
+	require.Eventually(t, func() bool { return !isListed("lapsed") }, 10*time.Second, 5*time.Millisecond)
+	require.True(t, isListed("kept"))
 }
--- a/gateway/delta_request_test.go
+++ b/gateway/delta_request_test.go
@@ -90,8 +90,8 @@
 	for {
 		select {
 		case m := <-n.messages:
-			if since, ok := m.(*peer.DeltaRequest); ok && since.Kind == KindTargets {
-				last = since
+			if request, ok := m.(*peer.DeltaRequest); ok && request.Kind == KindTargets {
+				last = request
 			}
 		default:
 			return last
@@ -123,8 +123,8 @@
 		time.Sleep(apart)
 		second.gossip(g, 129)
 		time.Sleep(fleet.RoundTime - apart)
-		if since := second.lastDeltaRequest(); since != nil {
-			second.push(t, g, feed.Delta{Kind: KindTargets, From: since.Position, To: feed.At(0, 129), Changes: []feed.Change{leavingChange("i-1")}})
+		if request := second.lastDeltaRequest(); request != nil {
+			second.push(t, g, feed.Delta{Kind: KindTargets, From: request.Position, To: feed.At(0, 129), Changes: []feed.Change{leavingChange("i-1")}})
 			break
 		}
 	}
--- a/gateway/departures_test.go
+++ b/gateway/departures_test.go
@@ -55,18 +55,18 @@
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
 	leaver := s.server("i-1", "s", "a1")
-	hears, told := s.instance("n1", "a1"), s.instance("n2", "b1")
-	for _, in := range []*instance{hears, told} {
+	first, second := s.instance("n1", "a1"), s.instance("n2", "b1")
+	for _, in := range []*instance{first, second} {
 		in.awaitReady()
 		require.Eventually(t, func() bool { return in.aliveCount() == "2" }, wait, poll)
 		in.awaitStatus("/x/", 200)
 	}
 	announceLeaving(leaver)
-	require.Equal(t, 200, hears.send("GET", "/x/", "").status)
+	require.Equal(t, 200, first.send("GET", "/x/", "").status)
 	served := len(leaver.Runs())
 	time.Sleep(propagationTime)
-	require.Equal(t, 503, told.send("GET", "/x/", "").status)
-	late := s.instance("n3", "a2", func(c *gateway.Config) { c.Seeds = []string{hears.config.PeerListen} })
+	require.Equal(t, 503, second.send("GET", "/x/", "").status)
+	late := s.instance("n3", "a2", func(c *gateway.Config) { c.Seeds = []string{first.config.PeerListen} })
 	late.awaitReady()
 	require.Eventually(t, func() bool { return late.aliveCount() == "3" }, wait, poll)
 	time.Sleep(propagationTime)
@@ -78,7 +78,7 @@
 // of which its own word alone has told, is not taken for one that ends targets. The end of one
 // that has said nothing is.
 func TestPlannedStopIsNoCrash(t *testing.T) {
-	for _, said := range []bool{true, false} {
+	for _, announced := range []bool{true, false} {
 		s := newSite(t)
 		s.configure(1, idempotentRoute)
 		server := s.server("i-1", "s", "a1")
@@ -88,7 +88,7 @@
 			}
 			return origin.Silent
 		})
-		if said {
+		if announced {
 			announceLeaving(server)
 		}
 		in := s.instance("n1", "a1")
@@ -96,16 +96,16 @@
 		done := make(chan reply)
 		go func() { done <- in.send("GET", "/x/", "") }()
 		require.Eventually(t, func() bool { return len(server.Runs()) == 1 }, wait, poll)
-		word := http.Header{"Affinity-Key": {"word"}}
-		require.Equal(t, 200, in.sendWith(t.Context(), s.newID(), "GET", "/x/", "", word).status)
+		otherKey := http.Header{"Affinity-Key": {"word"}}
+		require.Equal(t, 200, in.sendWith(t.Context(), s.newID(), "GET", "/x/", "", otherKey).status)
 		server.Close()
 		<-done
-		ended := func() bool { return strings.Contains(in.scrape(), "rainford_target_ends_total") }
-		if said {
+		crashed := func() bool { return strings.Contains(in.scrape(), "rainford_target_ends_total") }
+		if announced {
 			time.Sleep(propagationTime)
-			require.False(t, ended())
+			require.False(t, crashed())
 			continue
 		}
-		require.Eventually(t, ended, wait, poll)
+		require.Eventually(t, crashed, wait, poll)
 	}
 }
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -121,18 +121,18 @@
 	}
 	require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries) }, wait, poll)
 	serves()
-	over := s.server("i-2", "s", "a1")
-	require.Eventually(t, func() bool { in.send("GET", "/x/", ""); in.sendKey("other"); return len(over.Runs()) > 0 }, wait, poll)
+	overwritten := s.server("i-2", "s", "a1")
+	require.Eventually(t, func() bool { in.send("GET", "/x/", ""); in.sendKey("other"); return len(overwritten.Runs()) > 0 }, wait, poll)
 	for i, entry := range foreignEntries {
-		s.record(over, objects.Ready)
+		s.record(overwritten, objects.Ready)
 		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries) }, wait, poll)
 		s.store.Set(objects.KindServers, "i-2", entry)
 		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries)+1 }, wait, poll, "%d", i)
-		before := len(over.Runs())
+		before := len(overwritten.Runs())
 		for n := range 10 {
 			in.sendKey(fmt.Sprint("k", n))
 		}
-		require.Len(t, over.Runs(), before, "entry %d", i)
+		require.Len(t, overwritten.Runs(), before, "entry %d", i)
 	}
 	require.NotEmpty(t, good.Runs())
 }
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -25,25 +25,25 @@
 	g := newTestGateway(t)
 	g.departures.add(g.clock.Now(), "i-1")
 	late := newFakePeer(t, "n0")
-	word := func(m peer.Gossip) {
+	gossip := func(m peer.Gossip) {
 		late.heartbeat.Sequence++
 		m.Heartbeats, m.Member = fleet.Heartbeats{late.heartbeat}, &late.member
 		g.Receive(late.addr, &m)
 	}
-	word(peer.Gossip{})
+	gossip(peer.Gossip{})
 	reply, ok := late.next(t).(*peer.Gossip)
 	require.True(t, ok)
 	require.True(t, reply.Reply)
 	var known availability.Departures
 	require.Len(t, known.Merge(g.clock.Now(), reply.Departures), 1)
 	require.Equal(t, reply.DeparturesChecksum, known.Checksum(g.clock.Now()))
-	word(peer.Gossip{DeparturesChecksum: reply.DeparturesChecksum})
+	gossip(peer.Gossip{DeparturesChecksum: reply.DeparturesChecksum})
 	select {
 	case m := <-late.messages:
 		require.Fail(t, "told what it knows", "%+v", m)
 	case <-time.After(50 * time.Millisecond):
 	}
-	word(peer.Gossip{Departures: availability.DepartureList{{ID: availability.IDOf("i-2")}}, Reply: true})
+	gossip(peer.Gossip{Departures: availability.DepartureList{{ID: availability.IDOf("i-2")}}, Reply: true})
 	require.True(t, g.departures.has("i-2"))
 }
 
@@ -66,16 +66,16 @@
 // TestDepartedTargetIsRemovedDuringHold checks that a target that has said itself that it leaves is gone with
 // its entry, also while entries that have gone are held to be back soon.
 func TestDepartedTargetIsRemovedDuringHold(t *testing.T) {
-	for _, said := range []bool{true, false} {
+	for _, announced := range []bool{true, false} {
 		g := newTestGateway(t)
 		g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("i-1", false)}}, sourceStore)
-		if said {
+		if announced {
 			g.recordDeparture("i-1")
 		}
 		g.heldChanges[KindTargets].removals.Inherit(g.clock.Now(), time.Minute)
 		g.applyDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{change("i-1", true)}}, sourceStore)
 		_, listed := g.targetList.specs["i-1"]
-		require.Equal(t, !said, listed)
+		require.Equal(t, !announced, listed)
 	}
 }
 
--- a/gateway/quarantine_gossip_test.go
+++ b/gateway/quarantine_gossip_test.go
@@ -24,11 +24,11 @@
 	}
 	g.quarantine.updateNonEmpty()
 	late := newFakePeer(t, "n0")
-	word := func(sum uint32) {
+	gossip := func(sum uint32) {
 		late.heartbeat.Sequence++
 		g.Receive(late.addr, &peer.Gossip{Heartbeats: fleet.Heartbeats{late.heartbeat}, Member: &late.member, QuarantineChecksum: sum})
 	}
-	word(0)
+	gossip(0)
 	reply, ok := late.next(t).(*peer.Gossip)
 	require.True(t, ok)
 	require.True(t, reply.Reply)
@@ -36,7 +36,7 @@
 	table.Merge(now, reply.Quarantine)
 	require.Equal(t, quarantine.Held, table.Status(now, d).Verdict)
 	require.Equal(t, reply.QuarantineChecksum, table.Checksum())
-	word(table.Checksum())
+	gossip(table.Checksum())
 	select {
 	case m := <-late.messages:
 		require.Fail(t, "told what it knows", "%+v", m)
@@ -57,8 +57,8 @@
 	later := held
 	later.Crashes = []quarantine.StoredCrash{{Target: 7, At: day.Add(2 * time.Second).UnixMilli()}, {Target: 8, At: day.Add(2 * time.Second).UnixMilli()}, {Target: 9, At: day.Add(2 * time.Second).UnixMilli(), Trial: true}}
 	for name, c := range map[string]struct {
-		kept []quarantine.StoredRecord
-		want int
+		records []quarantine.StoredRecord
+		want    int
 	}{
 		"released first": {[]quarantine.StoredRecord{release, held}, 0},
 		"held first":     {[]quarantine.StoredRecord{held, release}, 0},
@@ -67,14 +67,14 @@
 		t.Run(name, func(t *testing.T) {
 			g := newTestGateway(t)
 			delta := feed.Delta{Kind: KindTable, To: feed.At(0, 5), Full: true}
-			for _, k := range c.kept {
-				raw, err := json.Marshal(k)
+			for _, r := range c.records {
+				raw, err := json.Marshal(r)
 				require.NoError(t, err)
-				delta.Changes = append(delta.Changes, feed.Change{Object: feed.Object{Name: k.Key(), Value: raw}})
+				delta.Changes = append(delta.Changes, feed.Change{Object: feed.Object{Name: r.Key(), Value: raw}})
 			}
 			require.True(t, g.applyDelta(delta, sourceStore))
-			standing, _ := g.quarantine.status(g.clock.Now(), d)
-			require.Equal(t, c.want, standing.Crashes)
+			status, _ := g.quarantine.status(g.clock.Now(), d)
+			require.Equal(t, c.want, status.Crashes)
 		})
 	}
 }
--- a/gateway/restore_model_test.go
+++ b/gateway/restore_model_test.go
@@ -73,11 +73,11 @@
 	}
 	// What was written again before counts as lost again only if it was.
 	s.lostWrites = append(slices.Clone(s.writes[len(s.writes)-lost:]), s.lostWrites...)
-	copied := s.past[len(s.past)-lost]
+	backup := s.past[len(s.past)-lost]
 	s.past = nil
 	s.writes = nil
-	s.objects = maps.Clone(copied.objects)
-	s.at = feed.At(s.at.Era+1, copied.at.Revision)
+	s.objects = maps.Clone(backup.objects)
+	s.at = feed.At(s.at.Era+1, backup.at.Revision)
 }
 
 // rewriteNext has the first lost write be repeated, unless its object was written since.
@@ -94,12 +94,12 @@
 
 // since is what a watch from a position brings, false if the store does not have it.
 func (s *restoreModel) since(kind feed.Kind, from feed.Position) (feed.Delta, bool) {
-	began := s.at.Revision - int64(len(s.writes))
-	if from.Era != s.at.Era || from.Revision < began || from.IsZero() {
+	firstRevision := s.at.Revision - int64(len(s.writes))
+	if from.Era != s.at.Era || from.Revision < firstRevision || from.IsZero() {
 		return feed.Delta{}, false
 	}
 	d := feed.Delta{Kind: kind, From: from, To: s.at}
-	for _, w := range s.writes[from.Revision-began:] {
+	for _, w := range s.writes[from.Revision-firstRevision:] {
 		if w.kind == kind {
 			d.Changes = append(d.Changes, w.change())
 		}
--- a/gateway/restored_own_objects_test.go
+++ b/gateway/restored_own_objects_test.go
@@ -40,7 +40,7 @@
 	t.Parallel()
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
-	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
+	local, remote := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	second := s.instance("n2", "a1", func(c *gateway.Config) { c.Seeds = []string{in.config.PeerListen} })
 	in.awaitStatus("/x/", 200)
@@ -51,20 +51,20 @@
 	servedBy := func(id string) func() bool {
 		return func() bool { return strings.HasPrefix(in.send("GET", "/x/", "").body, "answer of "+id) }
 	}
-	require.Eventually(t, servedBy(far.ID), 30*time.Second, 50*time.Millisecond, "by bounded steps")
-	copied := s.store.Revision()
+	require.Eventually(t, servedBy(remote.ID), 30*time.Second, 50*time.Millisecond, "by bounded steps")
+	backup := s.store.Revision()
 	s.store.Set("other", "o", 1)
 	_, err = own.Put(t.Context(), config.Key, first.Version, tableAt(2))
 	require.NoError(t, err)
-	kept := quarantine.StoredRecord{Digest: quarantine.Digest{1}, Crashes: []quarantine.StoredCrash{
+	record := quarantine.StoredRecord{Digest: quarantine.Digest{1}, Crashes: []quarantine.StoredCrash{
 		{Target: 1, At: time.Now().UnixMilli()}, {Target: 2, At: time.Now().UnixMilli(), Trial: true}}}
-	_, err = own.Put(t.Context(), kept.Key(), 0, kept)
+	_, err = own.Put(t.Context(), record.Key(), 0, record)
 	require.NoError(t, err)
-	require.Eventually(t, servedBy(near.ID), wait, poll)
+	require.Eventually(t, servedBy(local.ID), wait, poll)
 	require.Eventually(t, func() bool { return second.metric("rainford_requests_held{") == 1 }, wait, poll)
 
-	toFar := len(far.Runs())
-	for _, lost := range s.store.RestoreAt(copied) {
+	toRemote := len(remote.Runs())
+	for _, lost := range s.store.RestoreAt(backup) {
 		s.store.WriteAgain(lost)
 	}
 	require.Eventually(t, func() bool {
@@ -73,10 +73,10 @@
 		require.NoError(t, err)
 		var held config.Document
 		require.NoError(t, json.Unmarshal(doc.Value, &held))
-		_, err = own.Get(t.Context(), kept.Key())
+		_, err = own.Get(t.Context(), record.Key())
 		return held.Number == 2 && err == nil
 	}, wait, poll)
-	require.Len(t, far.Runs(), toFar)
+	require.Len(t, remote.Runs(), toRemote)
 	require.NotEmpty(t, s.store.Names(objects.KindConfig))
 }
 
@@ -86,7 +86,7 @@
 	t.Parallel()
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
-	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
+	local, remote := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	own := platform.NewObjects(s.addr)
@@ -95,17 +95,17 @@
 	servedBy := func(id string) func() bool {
 		return func() bool { return strings.HasPrefix(in.send("GET", "/x/", "").body, "answer of "+id) }
 	}
-	require.Eventually(t, servedBy(far.ID), 30*time.Second, 50*time.Millisecond, "by bounded steps")
-	copied := s.store.Revision()
+	require.Eventually(t, servedBy(remote.ID), 30*time.Second, 50*time.Millisecond, "by bounded steps")
+	backup := s.store.Revision()
 	_, err = own.Put(t.Context(), config.Key, first.Version, tableAt(2))
 	require.NoError(t, err)
-	require.Eventually(t, servedBy(near.ID), wait, poll)
-	s.store.RestoreAt(copied)
+	require.Eventually(t, servedBy(local.ID), wait, poll)
+	s.store.RestoreAt(backup)
 	other := tableAt(2)
 	other.Recent[1].ID, other.Table.Drains = "other", nil
 	_, err = own.Put(t.Context(), config.Key, first.Version, other)
 	require.NoError(t, err)
-	require.Eventually(t, servedBy(far.ID), 30*time.Second, 50*time.Millisecond)
+	require.Eventually(t, servedBy(remote.ID), 30*time.Second, 50*time.Millisecond)
 	doc, err := own.Get(t.Context(), config.Key)
 	require.NoError(t, err)
 	require.Contains(t, string(doc.Value), "other")
--- a/gateway/restored_rollouts_test.go
+++ b/gateway/restored_rollouts_test.go
@@ -14,16 +14,16 @@
 func TestVerdictSurvivesRestore(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name                string
-		bad                 bool
-		verdict             string
-		copiedBeforeTheEnd  bool
-		copiedBeforeAnOrder bool
+		name              string
+		bad               bool
+		verdict           string
+		backupBeforeEnd   bool
+		backupBeforeOrder bool
 	}{
-		{name: "rolled back", bad: true, verdict: "rolled_back", copiedBeforeTheEnd: true},
-		{name: "rolled back, the order lost", bad: true, verdict: "rolled_back", copiedBeforeAnOrder: true},
-		{name: "succeeded", verdict: "succeeded", copiedBeforeTheEnd: true},
-		{name: "succeeded, the order lost", verdict: "succeeded", copiedBeforeAnOrder: true},
+		{name: "rolled back", bad: true, verdict: "rolled_back", backupBeforeEnd: true},
+		{name: "rolled back, the order lost", bad: true, verdict: "rolled_back", backupBeforeOrder: true},
+		{name: "succeeded", verdict: "succeeded", backupBeforeEnd: true},
+		{name: "succeeded, the order lost", verdict: "succeeded", backupBeforeOrder: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -31,7 +31,7 @@
 			stop := v.load()
 			defer stop()
 			// As many changes as the restored store makes again, so that an order gets another revision.
-			copied := v.store.Revision()
+			backup := v.store.Revision()
 			v.store.Set("other", "o", 1)
 			v.startRollout()
 			if c.bad {
@@ -40,13 +40,13 @@
 				}
 			}
 			v.awaitState("running")
-			if c.copiedBeforeTheEnd {
-				copied = v.store.Revision()
+			if c.backupBeforeEnd {
+				backup = v.store.Revision()
 			}
 			v.awaitState(c.verdict)
 			time.Sleep(time.Second)
 			toOld, toNew := v.toOld.Load(), v.toNew.Load()
-			for _, lost := range v.store.RestoreAt(copied) {
+			for _, lost := range v.store.RestoreAt(backup) {
 				if lost.Kind != "other" {
 					v.store.WriteAgain(lost)
 				}
--- a/gateway/restored_size_test.go
+++ b/gateway/restored_size_test.go
@@ -38,7 +38,7 @@
 	}
 	registered := func() bool { return len(s.store.Names("rainford-instances")) == *restoredInstances }
 	require.Eventually(t, registered, wait, poll)
-	copied := s.store.Revision() - int64(*restoredInstances)/2
+	backup := s.store.Revision() - int64(*restoredInstances)/2
 	for i := range 8 {
 		s.configureNext(fmt.Sprint("before", i))
 		s.record(s.servers[1], objects.Ready)
@@ -47,7 +47,7 @@
 		in.awaitStatus("/before7/", http.StatusOK)
 	}
 	calls, began := s.store.Calls(), time.Now()
-	for _, lost := range s.store.RestoreAt(copied) {
+	for _, lost := range s.store.RestoreAt(backup) {
 		s.store.WriteAgain(lost)
 	}
 	missing := *restoredInstances - len(s.store.Names("rainford-instances"))
--- a/gateway/restored_test.go
+++ b/gateway/restored_test.go
@@ -52,7 +52,7 @@
 // restore has all instances know some more changes, and brings the store back from a copy that lacks
 // them. What the operator and the servers wrote is written again.
 func (s *restoredSite) restore() {
-	copied := s.store.Revision()
+	backup := s.store.Revision()
 	for i := range 8 {
 		s.configureNext(fmt.Sprint("before", i))
 		s.record(s.servers[1], objects.Ready)
@@ -61,7 +61,7 @@
 		in.awaitStatus("/before7/", http.StatusOK)
 		in.awaitTargets(s.store.Revision())
 	}
-	for _, lost := range s.store.RestoreAt(copied) {
+	for _, lost := range s.store.RestoreAt(backup) {
 		s.store.WriteAgain(lost)
 	}
 }
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -31,8 +31,8 @@
 			s := newSite(t)
 			s.configure(1, idempotentRoute)
 			servers := []*origin.Server{s.server("i-1", "s", "a1"), s.server("i-2", "s", "a1")}
-			var away suspension
-			in := s.instance("n1", "a1", away.use)
+			var machine suspension
+			in := s.instance("n1", "a1", machine.use)
 			in.awaitStatus("/x/", 200)
 			for range 10 {
 				// Requests earn the budget of repeats.
@@ -42,7 +42,7 @@
 			for _, server := range servers {
 				server.SetScript(func(*http.Request) origin.Fault {
 					if runs.Add(1) == 1 {
-						away.suspend(length)
+						machine.suspend(length)
 						return origin.Lost
 					}
 					return origin.None
@@ -65,14 +65,14 @@
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
-	var away suspension
-	in := s.instance("n1", "a1", away.use)
+	var machine suspension
+	in := s.instance("n1", "a1", machine.use)
 	in.awaitStatus("/x/", 200)
 	in.send("GET", "/x/", "")
 	before := server.Accepted()
 	in.send("GET", "/x/", "")
 	require.Equal(t, before, server.Accepted())
-	away.suspend(time.Minute)
+	machine.suspend(time.Minute)
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 	require.Equal(t, before+1, server.Accepted())
 }
