--- a/gateway/apply_test.go
+++ b/gateway/apply_test.go
@@ -14,7 +14,7 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// plainCodec decodes targets of a fixed form, which leave if their value says so.
+// plainCodec decodes targets of a fixed form, which are leaving if their value is leavingValue.
 type plainCodec struct{ Codec }
 
 const leavingValue = "leaving"
@@ -23,13 +23,13 @@
 	return catalog.Target{ID: name, Name: name, Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaving: string(raw) == leavingValue}, nil
 }
 
-// noStore is a store that nobody calls.
+// noStore is a store without contents. Only Calls and Era may be called.
 type noStore struct{ Store }
 
 func (noStore) Calls() int64 { return 0 }
 func (noStore) Era() int64   { return 0 }
 
-// newTestGateway returns a gateway that is not run, and a maker of changes of targets.
+// newTestGateway returns an instance of hall a1 in region a that does not run.
 func newTestGateway(t *testing.T) *Gateway {
 	c := Defaults()
 	c.Name, c.Hall, c.Region, c.RegionOf = "n1", "a1", "a", map[string]string{"a1": "a"}
@@ -42,19 +42,20 @@
 	return g
 }
 
+// change returns a change of a target's entry, or its removal.
 func change(name string, gone bool) feed.Change {
 	return feed.Change{Object: feed.Object{Name: name, Value: []byte(fmt.Sprint(time.Now().UnixNano()))}, Removed: gone}
 }
 
-// TestChangeOrderWithinDelta checks that the last change of a target in a delta counts:
-// an entry that went and came back is there, one that changed and went is not.
+// TestChangeOrderWithinDelta checks that the last change of a target in a delta holds: an entry that
+// was removed and created again is listed, and one that was changed and then removed is not.
 func TestChangeOrderWithinDelta(t *testing.T) {
 	g := newTestGateway(t)
 	g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("back", false)}}, sourceStore)
 	g.applyDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 5), Changes: []feed.Change{
 		change("back", true), change("back", false), change("gone", false), change("gone", true),
 	}}, sourceStore)
-	// Three slots take five requests.
+	// The only target has three slots and is granted five requests.
 	for i := range 5 {
 		d := g.pools.get("s").acquire(t.Context(), upstream.Request{Key: fmt.Sprint(i), Deadline: time.Now().Add(time.Minute)})
 		require.Equal(t, upstream.Send, d.Action)
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestRemovalHoldIsExtended checks that a removal that is held back counts in the end also if
-// the time for which removals are held back grows meanwhile.
+// TestRemovalHoldIsExtended checks that a held removal of a target is applied in the end, also if the
+// hold is extended before it ends.
 func TestRemovalHoldIsExtended(t *testing.T) {
 	g := newTestGateway(t)
 	g.applyDelta(feed.Delta{Kind: KindTargets, To: feed.At(0, 1), Full: true, Changes: []feed.Change{change("kept", false), change("lapsed", false)}}, sourceStore)
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -29,7 +29,7 @@
 	Seeds []string
 
 	// FirstStart states that the whole system starts for the first time. No instance holds
-	// any objects then, and there are no clients yet that a wait would delay.
+	// any objects then, and the start is not urgent.
 	FirstStart bool
 
 	// ForgetAfter is the time without a heartbeat after which the entry of an instance is
--- a/gateway/delta_request_test.go
+++ b/gateway/delta_request_test.go
@@ -15,8 +15,8 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// fakePeer is another instance of the region in a test: what it says is made up, and
-// what it is sent is kept.
+// fakePeer is another instance of the region, whose messages are made up by the test. It records the
+// messages that it receives.
 type fakePeer struct {
 	*inbox
 	member    fleet.Member
@@ -32,7 +32,7 @@
 	}
 }
 
-// gossip has the neighbour tell an instance how far its targets are.
+// gossip sends an instance gossip with the position of the peer's targets.
 func (n *fakePeer) gossip(g *Gateway, targets int64) {
 	n.heartbeat.Sequence++
 	m := &peer.Gossip{Heartbeats: fleet.Heartbeats{n.heartbeat}, Member: &n.member, Positions: make([]feed.Position, len(kinds)), Reply: true}
@@ -44,22 +44,22 @@
 	g.Receive(n.addr, m)
 }
 
-// push has the neighbour send an instance a delta of targets.
+// push sends an instance a delta.
 func (n *fakePeer) push(t *testing.T, g *Gateway, d feed.Delta) {
 	m, err := peer.NewDelta(d)
 	require.NoError(t, err)
 	g.Receive(n.addr, m)
 }
 
-// scrape returns the metrics of a gateway that is not run.
+// scrape returns the metrics of an instance that does not run.
 func scrape(g *Gateway) string {
 	w := httptest.NewRecorder()
 	g.metrics.handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	return w.Body.String()
 }
 
-// TestUnansweredDeltaRequestIsReported checks that the log and the metrics tell of a delta that
-// leaves a gap, and of the instance that was asked for what is missing and said nothing.
+// TestUnansweredDeltaRequestIsReported checks that the log and the metrics report a delta that leaves a gap,
+// and the instance that did not answer the delta request for the missing changes.
 func TestUnansweredDeltaRequestIsReported(t *testing.T) {
 	g := newTestGateway(t)
 	var lines bytes.Buffer
@@ -68,7 +68,7 @@
 	silent := newFakePeer(t, "n0")
 	late := feed.Delta{Kind: KindTargets, From: feed.At(0, 12), To: feed.At(0, 13), Changes: []feed.Change{change("i-1", false)}}
 	silent.push(t, g, late)
-	// Longer than the time for which another question waits for the answer to the first.
+	// The next delta request is sent after a shorter time, if the first one has no reply.
 	time.Sleep(fleet.RoundTime)
 	silent.push(t, g, late)
 	require.Contains(t, lines.String(), `"msg":"delta leaves a gap","kind":"targets","source":"`+silent.addr+`","begins":12,"revision":10`)
@@ -79,12 +79,12 @@
 	require.Contains(t, scrape(g), `result="answered"`)
 }
 
-// leavingChange returns the change by which a target says that it leavingChange.
+// leavingChange returns the change by which a target's entry says that the target is leaving.
 func leavingChange(name string) feed.Change {
 	return feed.Change{Object: feed.Object{Name: name, Value: []byte(leavingValue)}}
 }
 
-// lastDeltaRequest returns the last question for targets that the neighbour has been sent, or nil.
+// lastDeltaRequest returns the last request for targets that the peer has received, or nil.
 func (n *fakePeer) lastDeltaRequest() *peer.DeltaRequest {
 	var last *peer.DeltaRequest
 	for {
@@ -99,18 +99,19 @@
 	}
 }
 
-// isUsed tells whether a request would be sent to the only target.
+// isUsed reports whether a request would be sent to the only target.
 func isUsed(t *testing.T, g *Gateway) bool {
 	d := g.pools.get("s").acquire(t.Context(), upstream.Request{Key: "k", Deadline: time.Now().Add(10 * time.Millisecond)})
 	return d.Action == upstream.Send
 }
 
-// TestUnresponsiveSourceDoesNotDelayChanges guards against a change that is kept from an instance as it asks one that never answers.
+// TestUnresponsiveSourceDoesNotDelayChanges guards against an instance that does not learn of a change for
+// as long as it waits for the reply of an instance that never replies.
 func TestUnresponsiveSourceDoesNotDelayChanges(t *testing.T) {
 	const (
-		// rounds of gossip that fit into the 2.5 s in which a leaving has to be heeded.
+		// rounds of gossip fit into the 2.5 s within which a departure has to take effect.
 		rounds = 5
-		// apart is the time between the gossip of the two watchers.
+		// apart is the time from the gossip of one watcher to that of the other.
 		apart = 100 * time.Millisecond
 	)
 	g := newTestGateway(t)
@@ -128,11 +129,11 @@
 			break
 		}
 	}
-	require.False(t, isUsed(t, g), "a target that leaves is used since an instance that was asked says nothing")
+	require.False(t, isUsed(t, g), "a leaving target is used while an instance does not answer the delta request")
 }
 
-// TestDeltaRequestDelay checks how long an instance that is behind waits for the usual way before
-// it asks another one.
+// TestDeltaRequestDelay checks how long an instance that is behind waits for a push or for its own read
+// before it sends a delta request.
 func TestDeltaRequestDelay(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	cases := []struct {
@@ -143,12 +144,12 @@
 		sinceStart, expects time.Duration
 	}{
 		{name: "urgent", kind: KindConfig, held: true},
-		{name: "near", kind: KindTargets, held: true, near: true, expects: localRequestDelay},
-		{name: "far", kind: KindTargets, held: true, expects: remoteRequestDelay},
-		{name: "far, and nobody else of the region is to bring it", kind: KindTargets, held: true, watches: true, expects: localRequestDelay},
-		{name: "nothing held, just started", kind: KindTargets, near: true, expects: firstReadTime},
-		{name: "nothing held for long", kind: KindTargets, near: true, sinceStart: firstReadTime, expects: 0},
-		{name: "nothing held at the first start", kind: KindTargets, near: true, first: true},
+		{name: "own region", kind: KindTargets, held: true, near: true, expects: localRequestDelay},
+		{name: "other region", kind: KindTargets, held: true, expects: remoteRequestDelay},
+		{name: "other region, at a watcher", kind: KindTargets, held: true, watches: true, expects: localRequestDelay},
+		{name: "empty replica, just started", kind: KindTargets, near: true, expects: firstReadTime},
+		{name: "empty replica, started long ago", kind: KindTargets, near: true, sinceStart: firstReadTime, expects: 0},
+		{name: "empty replica at the first start", kind: KindTargets, near: true, first: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -159,7 +160,7 @@
 	}
 }
 
-// nextDelta waits for the next nextDelta that the neighbour is sent.
+// nextDelta returns the next delta that the peer receives.
 func (n *fakePeer) nextDelta(t *testing.T) feed.Delta {
 	for {
 		m, ok := n.next(t).(*peer.Delta)
@@ -172,9 +173,9 @@
 	}
 }
 
-// TestListedChangesArePushed checks that the first watcher of a region pushes what it
-// finds out by a list, when the store has forgotten its history, and that the first list,
-// which everybody makes, is not pushed.
+// TestListedChangesArePushed checks that the first watcher of a region pushes the changes that it finds by a
+// list, as after the store has lost its history. The first list is not pushed, since every instance reads
+// one at its start.
 func TestListedChangesArePushed(t *testing.T) {
 	g := newTestGateway(t)
 	g.watch.setWatching(true)
@@ -187,8 +188,8 @@
 	require.Equal(t, feed.ExactDelta(KindTargets, feed.At(0, 1), feed.At(0, 5), []feed.Change{leavingChange("i-2")}), other.nextDelta(t))
 }
 
-// TestDeltasReceivedByWatcherArePushed checks that the first watcher of a region pushes also
-// what another instance brings it before its own watch does.
+// TestDeltasReceivedByWatcherArePushed checks that the first watcher of a region also pushes a delta that
+// another instance sends before the own watch has returned the changes.
 func TestDeltasReceivedByWatcherArePushed(t *testing.T) {
 	g := newTestGateway(t)
 	g.watch.setWatching(true)
--- a/gateway/delta_test.go
+++ b/gateway/delta_test.go
@@ -13,7 +13,7 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// inbox is an instance that keeps the messages that it gets.
+// inbox is another instance that records the messages that it receives.
 type inbox struct {
 	addr     string
 	messages chan peer.Message
@@ -25,6 +25,7 @@
 // Unreachable implements peer.Receiver.
 func (i *inbox) Unreachable(string) {}
 
+// next returns the next message, and fails the test if there is none within 10 s.
 func (i *inbox) next(t *testing.T) peer.Message {
 	select {
 	case m := <-i.messages:
@@ -48,7 +49,7 @@
 	return in
 }
 
-// newSender returns an instance without a store or a listener, which sends messages.
+// newSender returns an instance without a store and listeners, which can send messages.
 func newSender(t *testing.T) *Gateway {
 	log := slog.New(slog.DiscardHandler)
 	g := &Gateway{
@@ -73,8 +74,8 @@
 	return g
 }
 
-// TestPendingDeltaRequestsAreAnswered checks that an instance that is asked for a kind before it has it
-// answers once it has, and the next one at once.
+// TestPendingDeltaRequestsAreAnswered checks that a delta request for a kind of which an instance has
+// no objects yet is answered once it has some, and that a later request is answered at once.
 func TestPendingDeltaRequestsAreAnswered(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
 	g.Receive("", &peer.DeltaRequest{Kind: KindInstances, ReplyTo: in.addr})
@@ -92,8 +93,8 @@
 	require.Empty(t, g.pendingDeltaRequests)
 }
 
-// TestProbeIsAnswered checks that an instance that is asked whether it is alive says so with
-// a heartbeat of its own that is newer than the one before.
+// TestProbeIsAnswered checks that an instance replies to a probe with a heartbeat of its own that is
+// newer than the previous one.
 func TestProbeIsAnswered(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
 	before := g.view.OwnHeartbeat()
@@ -106,8 +107,8 @@
 	require.Greater(t, answer.Heartbeats[0].Sequence, before.Sequence)
 }
 
-// TestDeltaIsRelayed checks that a delta is passed on, as it came, to those that its sender
-// has left to this instance, also if it brings nothing new here.
+// TestDeltaIsRelayed checks that a delta is relayed unchanged along the broadcast tree, also if it
+// changes nothing at the relaying instance.
 func TestDeltaIsRelayed(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
 	now := time.Now()
@@ -126,5 +127,5 @@
 	require.True(t, ok)
 	require.Equal(t, message.Packed, relayed.Packed)
 	require.Equal(t, fleet.IDOf("n1"), relayed.RelayUntil)
-	require.Empty(t, in.messages, "a delta that is not to be relayed was not")
+	require.Empty(t, in.messages, "only the delta of the broadcast is relayed")
 }
--- a/gateway/departures_test.go
+++ b/gateway/departures_test.go
@@ -13,14 +13,14 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// announceLeaving has a target say in each answer that it leaves.
+// announceLeaving makes a target announce in each response that it is leaving.
 func announceLeaving(server *origin.Server) {
 	server.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 }
 
-// TestAnnouncedDepartureOutlivesOlderEntries checks that a target that has said that it leaves is not sent
-// to again, whatever entries that say that it serves come after its word, and that its next
-// start under the same ID is.
+// TestAnnouncedDepartureOutlivesOlderEntries checks that a target that has announced its departure
+// receives no more requests, even if the store lists it as ready afterwards. Its next incarnation
+// under the same ID does receive requests.
 func TestAnnouncedDepartureOutlivesOlderEntries(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -35,7 +35,7 @@
 		require.Equal(t, 503, in.send("GET", "/x/", "").status)
 	}
 	refused()
-	// Another version of its software makes the entry differ.
+	// The entry has another software version, so that it differs from the previous one.
 	in.awaitTargets(s.store.Record("i-1", objects.Server{Service: "s", Address: first.Addr(), Zone: "a1", Slots: 5,
 		State: objects.Ready, WarmupRemaining: "0ms", Sequence: 2, Born: 1000, Version: "v2"}))
 	refused()
@@ -48,9 +48,9 @@
 	require.NotZero(t, len(second.Runs()))
 }
 
-// TestDepartureIsGossiped checks that an instance that never heard a target say that it leaves
-// does not send there a second after another one heard it, and neither does one that starts
-// later.
+// TestDepartureIsGossiped checks that a departure that a target has announced to one instance only
+// reaches the other instances within propagationTime. They and an instance that starts later send no
+// requests to the target.
 func TestDepartureIsGossiped(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -74,9 +74,9 @@
 	require.Len(t, leaver.Runs(), served)
 }
 
-// TestPlannedStopIsNoCrash checks that a request that a target breaks off with its planned end,
-// of which its own word alone has told, is not taken for one that ends targets. The end of one
-// that has said nothing is.
+// TestPlannedStopIsNoCrash checks that a request that a target interrupts by its planned stop does not
+// count as a crash, if only the target itself has announced the stop. Without an announcement it
+// counts.
 func TestPlannedStopIsNoCrash(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		s := newSite(t)
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -21,6 +21,7 @@
 // that has missed a change learns from gossip that it is behind, and sends a delta request.
 //
 // The store begins a new era when it is restored from a backup. The changes that the backup
-// lacks are lost. Until their writers have had the time to write them again, the instances
-// hold the effect of such a loss, and they write their own objects again themselves.
+// lacks are lost. The instances hold back the effects of such losses until the writers have had
+// the time to write the changes again. Objects of rainford itself are written again by the
+// instances.
 package gateway
--- a/gateway/incarnation_model_test.go
+++ b/gateway/incarnation_model_test.go
@@ -16,14 +16,14 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// incarnationEntry is the entry of a target as bornCodec reads it.
+// incarnationEntry is the entry of a target as incarnationCodec decodes it.
 type incarnationEntry struct {
 	Born    int64
 	Leaves  bool
 	Foreign bool
 }
 
-// incarnationCodec decodes entries that tell when a target started.
+// incarnationCodec decodes entries that hold the start time of a target.
 type incarnationCodec struct{ plainCodec }
 
 func (incarnationCodec) Target(name string, raw []byte) (catalog.Target, error) {
@@ -35,7 +35,7 @@
 	return catalog.Target{ID: catalog.IncarnationID(name, e.Born), Name: name, StartedAt: e.Born, Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaving: e.Leaves}, nil
 }
 
-// modelStore is a store that keeps one entry, with its whole history.
+// modelStore is a model of a store that holds one entry, with the full history of its changes.
 type modelStore struct {
 	changes []feed.Change
 }
@@ -52,15 +52,15 @@
 	s.changes = append(s.changes, c)
 }
 
-// at is the position of the store.
+// at returns the current position of the store.
 func (s *modelStore) at() feed.Position { return feed.At(0, int64(len(s.changes))) }
 
-// since is what a watch from a position brings.
+// since returns the delta that a watch from a position returns.
 func (s *modelStore) since(from feed.Position) feed.Delta {
 	return feed.Delta{Kind: KindTargets, From: from, To: s.at(), Changes: s.changes[from.Revision:]}
 }
 
-// list is what a list brings.
+// list returns the delta that a list returns.
 func (s *modelStore) list() feed.Delta {
 	d := feed.Delta{Kind: KindTargets, To: s.at(), Full: true}
 	if last := s.changes[len(s.changes)-1]; !last.Removed {
@@ -69,22 +69,22 @@
 	return d
 }
 
-// reference is what an instance should use, by the changes that it was brought, one by one.
+// reference determines what an instance should use, from the changes that it has received, one by one.
 type reference struct {
-	// latest is the latest start seen, and used what is listed, nil for nothing.
+	// latest is the latest start seen, and used the entry that should be used, or nil for none.
 	latest int64
 	used   *incarnationEntry
-	// departed are the incarnations that it knows to have said themselves that they leave.
+	// departed holds the incarnations that are known to have announced their departure themselves.
 	departed map[string]bool
 }
 
-// shouldSend tells whether the instance should send to the target that is listed.
+// shouldSend reports whether the instance should send requests to the listed target.
 func (r *reference) shouldSend() bool {
 	return r.used != nil && !r.used.Leaves && !r.departed[catalog.IncarnationID("i-1", r.used.Born)]
 }
 
-// deliver takes in a delta as the naive rule has it: an entry counts unless it is of an earlier
-// start than one seen.
+// deliver applies a delta by a naive rule: an entry holds unless it belongs to an earlier start than
+// one that was seen before.
 func (r *reference) deliver(d feed.Delta) {
 	if d.Full && len(d.Changes) == 0 {
 		r.used = nil
@@ -111,7 +111,7 @@
 	reference
 }
 
-// deliver has the instance take in a delta, and its reference if it was news.
+// deliver applies a delta to the instance, and to its reference if it advances the replica.
 func (in *modelInstance) deliver(d feed.Delta, source string) {
 	before := in.replicas[KindTargets].Position()
 	if in.applyDelta(d, source) && in.replicas[KindTargets].Position().After(before) {
@@ -139,8 +139,8 @@
 	}
 }
 
-// chosenTarget returns the target that the instance sends a request to now, false if none. The request
-// ends at once.
+// chosenTarget returns the ID of the target that the instance chooses for a request, and false if there
+// is none. The request is abandoned at once.
 func (in *modelInstance) chosenTarget() (string, bool) {
 	p := in.pools.get("s")
 	if p == nil {
@@ -154,7 +154,7 @@
 	return d.Target.ID, true
 }
 
-// announceLeaving has the target that the instance sends to say in its announceLeaving that it leaves.
+// announceLeaving sends a request to the chosen target, whose response announces its departure.
 func (in *modelInstance) announceLeaving() {
 	target, ok := in.chosenTarget()
 	if !ok {
@@ -167,7 +167,7 @@
 	in.departed[target] = true
 }
 
-// receiveDeparturesOf has another instance receiveDeparturesOf this one of the departures that it knows.
+// receiveDeparturesOf delivers the departures that another instance knows.
 func (in *modelInstance) receiveDeparturesOf(other *modelInstance) {
 	in.receiveDepartures(in.clock.Now(), other.departures.all(other.clock.Now()))
 	for target := range other.departed {
@@ -175,11 +175,12 @@
 	}
 }
 
-// TestIncarnationsInAnyOrder has a target start again under its ID, with late writes of earlier
-// starts, foreign writes and removals between, and say in answers that it leaves; three
-// instances learn of it by watches, lists, answers, and each other's deltas and news. It checks
-// each against a naive reference, that no instance goes back to an earlier start or to one that
-// leaves, and that all agree once the latest start has written last.
+// TestIncarnationsInAnyOrder simulates a target that restarts under the same ID. In between there are late
+// writes of earlier incarnations, foreign writes and removals, and the target announces departures in
+// its responses. Three instances learn of all this from watches, lists, responses, and each other's
+// deltas and gossip. The test compares each instance with a naive reference: no instance returns to an
+// earlier incarnation or to one that is leaving. All instances agree once the latest incarnation has
+// written last.
 func TestIncarnationsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &modelStore{}
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -13,14 +13,13 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// recordIncarnation writes the entry of a server that tells when it started, and returns its
-// revision.
+// recordIncarnation writes the entry of a server with its start time, and returns the store's revision.
 func (s *site) recordIncarnation(server *origin.Server, state string, born int64) int64 {
 	return s.store.Record(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
 		State: state, WarmupRemaining: "0ms", Sequence: 1, Born: born, Version: "v1"})
 }
 
-// startIncarnation starts a server that tells when it started.
+// startIncarnation starts a server whose entry holds its start time.
 func (s *site) startIncarnation(id string, born int64) *origin.Server {
 	server, err := origin.Start(id, "s", "a1", 9)
 	require.NoError(s.t, err)
@@ -29,9 +28,9 @@
 	return server
 }
 
-// TestTargetRestartsUnderSameID has a target leave, end, and start again under its ID at another
-// address, and checks that nothing of the first one sticks to the second: it is used though
-// its ID was leaving, and what the first wrote comes too late to count.
+// TestTargetRestartsUnderSameID lets a target leave, stop, and start again under the same ID at another
+// address. The second incarnation is used, although the ID was leaving. Entries that the first one
+// writes late have no effect.
 func TestTargetRestartsUnderSameID(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -45,7 +44,7 @@
 	in.awaitStatus("/x/", 200)
 	served := len(second.Runs())
 	require.NotZero(t, served)
-	// What the first one wrote late.
+	// Late writes of the first incarnation.
 	in.awaitTargets(s.recordIncarnation(first, objects.Draining, 1000))
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 	in.awaitTargets(s.recordIncarnation(first, objects.Ready, 1000))
@@ -56,10 +55,10 @@
 	require.Equal(t, 503, in.send("GET", "/x/", "").status)
 }
 
-// targetRevision matches the revision of the targets that an instance holds.
+// targetRevision matches the metric for the revision of the targets that an instance holds.
 var targetRevision = regexp.MustCompile(`rainford_replica_revision\{kind="targets"[^}]*\} (\S+)`)
 
-// awaitTargets waits until an instance holds the targets as of a revision.
+// awaitTargets waits until an instance holds the targets of at least the given revision.
 func (in *instance) awaitTargets(revision int64) {
 	require.Eventually(in.site.t, func() bool {
 		found := targetRevision.FindStringSubmatch(in.scrape())
@@ -71,8 +70,8 @@
 	}, wait, poll)
 }
 
-// TestNewIncarnationIsNotSuspected checks that a target that starts again under its ID, at the
-// same address, is used at once though the one before was suspected for seconds.
+// TestNewIncarnationIsNotSuspected checks that a target that restarts under the same ID and at the same
+// address is used at once, although its previous incarnation was suspected for seconds.
 func TestNewIncarnationIsNotSuspected(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -89,7 +88,7 @@
 	require.NotEmpty(t, again.Runs())
 }
 
-// foreignEntries are entries of other writers.
+// foreignEntries are entries of other writers, which are invalid as entries of targets.
 var foreignEntries = []any{
 	map[string]any{"service": "s"},
 	map[string]any{"service": "s", "address": 7, "zone": "a1", "version": "v1", "slots": 3, "state": "ready", "warmupRemaining": "0ms", "sequence": 1},
@@ -98,9 +97,9 @@
 	"bytes that can't be read", nil, 7, []int{1},
 }
 
-// TestForeignEntriesAreRejected has entries of other writers beside that of a target, at the
-// start and later, and checks that only the target is used, and that a target whose entry is
-// written over is no longer.
+// TestForeignEntriesAreRejected writes invalid entries beside that of a target, before and after the start
+// of an instance. Only the target is used, and a target whose entry is overwritten by an invalid one is
+// no longer used.
 func TestForeignEntriesAreRejected(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -137,12 +136,12 @@
 	require.NotEmpty(t, good.Runs())
 }
 
-// sendKey sends a read of an object.
+// sendKey sends a GET request with an affinity key.
 func (in *instance) sendKey(key string) reply {
 	return in.sendWith(in.site.t.Context(), in.site.newID(), "GET", "/x/", "", map[string][]string{"Affinity-Key": {key}})
 }
 
-// metric returns the value of a metric without labels of its own, -1 if there is none.
+// metric returns the value of the first metric whose name and labels begin with name, or -1 if there is none.
 func (in *instance) metric(name string) int {
 	for _, line := range strings.Split(in.scrape(), "\n") {
 		if fields := strings.Fields(line); len(fields) == 2 && strings.HasPrefix(fields[0], name) {
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -14,8 +14,8 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// viewOf returns the view of an instance that has heard of the first heard of count
-// others of its region.
+// viewOf returns the view of an instance that knows count other instances of its region, and has received
+// heartbeats of the first heard of them.
 func viewOf(now time.Time, count, heard int) *fleet.View {
 	view := fleet.NewView(fleet.Member{Name: "n0", Hall: "a1", Region: "a"}, fleet.SequenceAt(now), fleet.DefaultSettings)
 	var beats fleet.Heartbeats
@@ -30,8 +30,8 @@
 	return view
 }
 
-// TestMemberLogLines checks that a few changes in the view of the fleet are told in a line
-// each, many in one, and those that nothing is known of in none.
+// TestMemberLogLines checks that a few state changes of members are logged in a line each, many changes in
+// one line, and members of unknown state not at all.
 func TestMemberLogLines(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	cases := []struct {
@@ -53,15 +53,15 @@
 			require.Contains(t, out.String(), c.want)
 			out.Reset()
 			g.logMemberChanges(now, false)
-			require.Empty(t, out.String(), "what was told is not told again")
+			require.Empty(t, out.String(), "logged changes are not logged again")
 			g.logMemberChanges(now.Add(time.Minute), false)
-			require.Equal(t, c.lines, strings.Count(out.String(), `"level":"WARN"`), "all that were heard are silent now")
+			require.Equal(t, c.lines, strings.Count(out.String(), `"level":"WARN"`), "all members with heartbeats are suspected after a minute without any")
 		})
 	}
 }
 
-// TestTargetEventLogLines checks that the beliefs on many targets that change together, as when
-// new ones join, are told in one line with their number.
+// TestTargetEventLogLines checks that events of many targets at the same time, as when new ones join, are
+// logged in one line with their number.
 func TestTargetEventLogLines(t *testing.T) {
 	var out bytes.Buffer
 	config := Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: slog.New(slog.NewJSONHandler(&out, nil))}
--- a/gateway/lost_instances_test.go
+++ b/gateway/lost_instances_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/gateway"
 )
 
-// TestLostInstanceIsRemoved checks that the entry of an instance that never comes back
-// goes, and that one that is there keeps its own or gets it back.
+// TestLostInstanceIsRemoved checks that the entry of an instance that does not run any more is removed
+// from the store. Running instances keep their entries, and write them again if they are removed.
 func TestLostInstanceIsRemoved(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -30,5 +30,5 @@
 	require.Eventually(t, func() bool { return listed("n2") }, wait, poll)
 }
 
-// instancesKind is the kind of instances' entries in the store.
+// instancesKind is the store's name of the kind of instances' entries.
 const instancesKind = "rainford-instances"
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -22,8 +22,8 @@
 	return string(body)
 }
 
-// TestMetrics checks that a request that is served, one that is repeated and one
-// that is refused show, and that the values of targets and members are there.
+// TestMetrics checks that the metrics count a request that is served, one that is retried and one that is
+// refused, and that they hold the values of targets and members.
 func TestMetrics(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute, route{prefix: "/gone/", service: "none", kind: "upload"})
@@ -34,7 +34,7 @@
 	for range 10 {
 		in.send("GET", "/x/", "")
 	}
-	// Whichever target the object has loses one answer.
+	// The target that has the object loses one response.
 	var lost atomic.Bool
 	loseOne := func(*http.Request) origin.Fault {
 		if lost.CompareAndSwap(false, true) {
--- a/gateway/missed_departures_test.go
+++ b/gateway/missed_departures_test.go
@@ -18,9 +18,9 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestMissedDeparturesAreSent checks that an instance that does not know of a departure
-// is told at its first word, that one that knows the same is not, and that one that knows
-// more is asked for nothing but tells it with its next word.
+// TestMissedDeparturesAreSent checks that an instance that lacks a departure receives it in reply to its
+// first gossip, and that one with the same departures gets no reply. Departures of an instance that knows
+// more arrive with its next gossip, without a request.
 func TestMissedDeparturesAreSent(t *testing.T) {
 	g := newTestGateway(t)
 	g.departures.add(g.clock.Now(), "i-1")
@@ -40,15 +40,15 @@
 	gossip(peer.Gossip{DeparturesChecksum: reply.DeparturesChecksum})
 	select {
 	case m := <-late.messages:
-		require.Fail(t, "told what it knows", "%+v", m)
+		require.Fail(t, "sent updates that the peer already has", "%+v", m)
 	case <-time.After(50 * time.Millisecond):
 	}
 	gossip(peer.Gossip{Departures: availability.DepartureList{{ID: availability.IDOf("i-2")}}, Reply: true})
 	require.True(t, g.departures.has("i-2"))
 }
 
-// TestReceivedDepartureIsNotSentAgain checks that of several instances that hear of a departure in
-// the same moment one that is told by another does not tell it too.
+// TestReceivedDepartureIsNotSentAgain checks that if several instances learn of a departure at the same time,
+// an instance that receives it from another one does not broadcast it itself.
 func TestReceivedDepartureIsNotSentAgain(t *testing.T) {
 	var d departures
 	now := time.Now()
@@ -63,8 +63,8 @@
 	require.Empty(t, d.takeUnsent())
 }
 
-// TestDepartedTargetIsRemovedDuringHold checks that a target that has said itself that it leaves is gone with
-// its entry, also while entries that have gone are held to be back soon.
+// TestDepartedTargetIsRemovedDuringHold checks that a target that has announced its departure is removed
+// together with its entry, also while removals of other targets are held.
 func TestDepartedTargetIsRemovedDuringHold(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		g := newTestGateway(t)
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestGrantedRequestIsWithheldAfterDeparture checks that a request that was granted a target is not sent there if the
-// target has said meanwhile that it leaves.
+// TestGrantedRequestIsWithheldAfterDeparture checks that a request that was granted a target is not sent
+// there if the target has announced its departure in the meantime.
 func TestGrantedRequestIsWithheldAfterDeparture(t *testing.T) {
 	server, err := origin.Start("i-1", "s", "a1", 3)
 	require.NoError(t, err)
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -106,7 +106,7 @@
 		for name, value := range batch {
 			g.rewriteObject(ctx, name, value)
 		}
-		// The next round follows once the watch has returned what was written.
+		// The pause leaves time for the watch to return what was written.
 		pause.For(ctx, rewriteInterval)
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/gateway/quarantine_gossip_test.go
+++ b/gateway/quarantine_gossip_test.go
@@ -13,8 +13,8 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// TestMissedQuarantineUpdatesAreSent checks that an instance that knows less of held requests is told
-// at its first word, and that one that knows the same is not.
+// TestMissedQuarantineUpdatesAreSent checks that an instance that lacks updates on held requests receives
+// them in reply to its first gossip, and that one with the same checksum gets no reply.
 func TestMissedQuarantineUpdatesAreSent(t *testing.T) {
 	g := newTestGateway(t)
 	now := g.clock.Now()
@@ -39,13 +39,13 @@
 	gossip(table.Checksum())
 	select {
 	case m := <-late.messages:
-		require.Fail(t, "told what it knows", "%+v", m)
+		require.Fail(t, "sent updates that the peer already has", "%+v", m)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
 
-// TestReleaseAppliesInAnyOrder checks that a release that is read before the ends that it
-// releases counts all the same, and not for an end after it.
+// TestReleaseAppliesInAnyOrder checks that a release takes effect also if it is read before the crashes that
+// it covers, and that it does not cover later crashes.
 func TestReleaseAppliesInAnyOrder(t *testing.T) {
 	d := quarantine.Content{URI: "/ends/"}.Digest()
 	day := time.Now().Add(-time.Minute)
@@ -60,9 +60,9 @@
 		records []quarantine.StoredRecord
 		want    int
 	}{
-		"released first": {[]quarantine.StoredRecord{release, held}, 0},
-		"held first":     {[]quarantine.StoredRecord{held, release}, 0},
-		"held again":     {[]quarantine.StoredRecord{later, release}, 3},
+		"release first": {[]quarantine.StoredRecord{release, held}, 0},
+		"crashes first": {[]quarantine.StoredRecord{held, release}, 0},
+		"later crashes": {[]quarantine.StoredRecord{later, release}, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newTestGateway(t)
--- a/gateway/ready.go
+++ b/gateway/ready.go
@@ -14,10 +14,9 @@
 const readyWaitDivisor = 64
 
 // readiness records whether the instance can serve. It needs a configuration and the targets.
-// If the configuration has limits of client accounts, it also needs the list of instances,
-// which own these limits. If rollouts are enabled, it also needs the rollout orders; otherwise
-// an instance that has just started would send a new version more requests than the rollout
-// allows.
+// If the configuration has limits of client accounts that instances own, it also needs the list
+// of instances. If rollouts are enabled, it also needs the rollout orders. Without them, an
+// instance that has just started would send a new version more requests than its rollout allows.
 type readiness struct {
 	targetsLoaded, instancesLoaded, rolloutsLoaded atomic.Bool
 
--- a/gateway/ready_test.go
+++ b/gateway/ready_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// TestAwaitReady checks that a request waits for an instance that has just started for a
-// small part of its time, and goes on at once when the instance has what it needs.
+// TestAwaitReady checks that a request waits a small fraction of its time for an instance that has just
+// started, and continues as soon as the instance is ready.
 func TestAwaitReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gateway{readiness: readiness{reached: make(chan struct{})}}
--- a/gateway/restore_model_test.go
+++ b/gateway/restore_model_test.go
@@ -15,7 +15,7 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// restoreCodec decodes configurations that are a number, and targets as sequencedCodec does.
+// restoreCodec decodes configurations that consist of a version only, and targets as sequencedCodec does.
 type restoreCodec struct{ sequencedCodec }
 
 func (restoreCodec) Config(_ string, raw []byte) (*catalog.Config, error) {
@@ -24,31 +24,32 @@
 	return &catalog.Config{Version: version}, err
 }
 
-// objectKey stands for an object of restoredModel.
+// objectKey identifies an object of restoreModel.
 type objectKey struct {
 	kind feed.Kind
 	name string
 }
 
-// storeState is what a store holds at a position.
+// storeState is the contents of a store at a position.
 type storeState struct {
 	at      feed.Position
 	objects map[objectKey]string
 }
 
-// storeWrite is one write.
+// storeWrite is one write to the store, or one removal.
 type storeWrite struct {
 	objectKey
 	value   string
 	removed bool
 }
 
-// restoreModel is a store that may come back from a copy, with the writes of its era and all that it was.
+// restoreModel is a model of a store that can be restored from backups. It holds the writes of the current
+// era and all earlier states of it.
 type restoreModel struct {
 	storeState
 	writes []storeWrite
 	past   []storeState
-	// lostWrites are the writes that a restore has lost, to be written again in order.
+	// lostWrites are the writes that restores have lost, in the order in which to write them again.
 	lostWrites []storeWrite
 }
 
@@ -63,7 +64,7 @@
 	}
 }
 
-// restore has the store come back from a copy that lacks the latest writes of its era.
+// restore restores the store from a backup that lacks the given number of latest writes of its era.
 func (s *restoreModel) restore(lost int) {
 	lost = min(lost, len(s.writes))
 	if lost == 0 {
@@ -71,7 +72,7 @@
 		s.writes = nil
 		return
 	}
-	// What was written again before counts as lost again only if it was.
+	// Writes of this era that repeat lost ones and are lost again are added once more.
 	s.lostWrites = append(slices.Clone(s.writes[len(s.writes)-lost:]), s.lostWrites...)
 	backup := s.past[len(s.past)-lost]
 	s.past = nil
@@ -80,7 +81,7 @@
 	s.at = feed.At(s.at.Era+1, backup.at.Revision)
 }
 
-// rewriteNext has the first lost write be repeated, unless its object was written since.
+// rewriteNext repeats the first lost write, unless a later lost write is to the same object.
 func (s *restoreModel) rewriteNext() {
 	if len(s.lostWrites) == 0 {
 		return
@@ -92,7 +93,7 @@
 	}
 }
 
-// since is what a watch from a position brings, false if the store does not have it.
+// since returns the delta that a watch from a position returns, and false if the store lacks that history.
 func (s *restoreModel) since(kind feed.Kind, from feed.Position) (feed.Delta, bool) {
 	firstRevision := s.at.Revision - int64(len(s.writes))
 	if from.Era != s.at.Era || from.Revision < firstRevision || from.IsZero() {
@@ -121,8 +122,8 @@
 	return d
 }
 
-// restoredInstance is an instance with the configuration that it has had in force, the targets that it has
-// used, and those of which it has known that they leave or have gone.
+// restoredInstance is an instance with the highest version of its configuration, the targets that it has
+// used, and those of them that are known to have left or to have been removed.
 type restoredInstance struct {
 	*Gateway
 	version  catalog.Version
@@ -130,7 +131,7 @@
 	departed map[string]bool
 }
 
-// read has an instance watch a kind, or list it if the store has another history.
+// read makes an instance watch a kind, or list it if the store has another history.
 func (in *restoredInstance) read(s *restoreModel, kind feed.Kind) {
 	d, ok := s.since(kind, in.replicas[kind].Position())
 	if !ok {
@@ -139,8 +140,8 @@
 	in.applyDelta(d, sourceStore)
 }
 
-// check requires that the configuration in force does not go back, and that no target is used that is known
-// to leave or to have gone.
+// check requires that the version of the configuration never decreases, and that no target is used that was
+// known to leave or to have been removed.
 func (in *restoredInstance) check(t require.TestingT) {
 	for name := range in.known {
 		if spec, listed := in.targetList.specs[name]; !listed || spec.Leaving {
@@ -158,7 +159,7 @@
 	}
 }
 
-// usableTargets returns the targets that requests may be sent to.
+// usableTargets returns the names of the targets that requests may be sent to.
 func (in *restoredInstance) usableTargets() []string {
 	var out []string
 	for name, spec := range in.targetList.specs {
@@ -170,11 +171,11 @@
 	return out
 }
 
-// TestRestoresInAnyOrder has a store come back from copies of itself while configurations are written and
-// targets come, leave and go, and what was lost be written again, all in any order. Three instances learn
-// of it by watches, lists and each other's deltas. It checks that no instance goes back to an earlier
-// configuration, that a target which has said that it leaves is used by none that knows it, and that
-// once all has been written again, all use what the store says.
+// TestRestoresInAnyOrder restores a store from backups while configurations are written, targets start, leave
+// and are removed, and lost writes are repeated, all in random order. Three instances learn of this from
+// watches, lists and each other's deltas. The test checks that no instance returns to an earlier
+// configuration, and that no instance uses a target that it knows to be leaving. Once all lost writes have
+// been repeated, all instances use the targets that the store lists.
 func TestRestoresInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		store := &restoreModel{storeState: storeState{at: feed.At(1, 0), objects: make(map[objectKey]string)}}
@@ -261,7 +262,7 @@
 	})
 }
 
-// expireHolds has all count that is held back.
+// expireHolds applies all changes of targets that are held.
 func (in *restoredInstance) expireHolds() {
 	h := in.heldChanges[KindTargets]
 	later := time.Now().Add(time.Hour)
--- a/gateway/restored_evacuations_test.go
+++ b/gateway/restored_evacuations_test.go
@@ -15,26 +15,26 @@
 	return g.evacuated[hall]
 }
 
-// TestEvacuationsSurviveRestore checks which halls are emptied after the store came back from a copy, at
-// once and once nothing is held back any more.
+// TestEvacuationsSurviveRestore checks which halls are evacuated after the store was restored from a backup,
+// directly afterwards and once all holds have ended.
 func TestEvacuationsSurviveRestore(t *testing.T) {
 	t.Parallel()
 	evacuated := feed.Change{Object: feed.Object{Name: "a1", Value: []byte("{}")}}
 	takenBack := removalChange("a1")
 	cases := []struct {
 		name string
-		// before comes in the first era, restored is the copy as listed, and after comes then.
+		// before is received in the first era, restored is the list of the backup, and after follows it.
 		before, restored, after []feed.Change
 		now, inTheEnd           bool
 	}{
-		{name: "asked for before the copy", before: []feed.Change{evacuated}, restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
-		{name: "asked for after the copy", before: []feed.Change{evacuated}, now: true},
-		{name: "asked for after the copy, and again", before: []feed.Change{evacuated}, after: []feed.Change{evacuated}, now: true, inTheEnd: true},
-		{name: "asked for after the copy, again, and taken back", before: []feed.Change{evacuated}, after: []feed.Change{evacuated, takenBack}},
-		{name: "taken back after the copy", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, inTheEnd: true},
-		{name: "taken back after the copy, and again", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, after: []feed.Change{takenBack}},
-		{name: "asked for in the new era", restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
-		{name: "asked for after the list", after: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun before the backup", before: []feed.Change{evacuated}, restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun after the backup", before: []feed.Change{evacuated}, now: true},
+		{name: "begun after the backup, and again", before: []feed.Change{evacuated}, after: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun after the backup, again, and ended", before: []feed.Change{evacuated}, after: []feed.Change{evacuated, takenBack}},
+		{name: "ended after the backup", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, inTheEnd: true},
+		{name: "ended after the backup, and again", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, after: []feed.Change{takenBack}},
+		{name: "begun in the new era", restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun after the list", after: []feed.Change{evacuated}, now: true, inTheEnd: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/gateway/restored_instances_test.go
+++ b/gateway/restored_instances_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// registration is the change by which an instance of another region than that of newPlain registers.
+// registration returns the change by which an instance registers.
 func registration(name string) feed.Change {
 	raw, err := json.Marshal(fleet.Member{Name: name, Hall: "a1", Region: "a", FrontAddr: "10.0.0.1:1", PeerAddr: "10.0.0.1:2"})
 	if err != nil {
@@ -20,9 +20,9 @@
 	return feed.Change{Object: feed.Object{Name: name, Value: raw}}
 }
 
-// TestInstancesSurviveRestore checks that an instance of which nothing is heard directly, as of those
-// of other regions in a large fleet, still counts while it has the time to register again with a
-// restored store, and no longer.
+// TestInstancesSurviveRestore checks that an instance without direct heartbeats, like those of other regions
+// in a large fleet, remains a member after a restore of the store until it has had the time to register
+// again, and no longer.
 func TestInstancesSurviveRestore(t *testing.T) {
 	t.Parallel()
 	g := newTestGateway(t)
@@ -45,8 +45,8 @@
 	require.True(t, counts("back"))
 }
 
-// TestInstanceRegistersAfterRestore checks that an instance knows that it has to register again as
-// soon as it learns of a new era of the store, unless the store still has its entry.
+// TestInstanceRegistersAfterRestore checks that an instance detects that it has to register again as soon as
+// it learns of a new era of the store, unless the store still has its entry.
 func TestInstanceRegistersAfterRestore(t *testing.T) {
 	own := registration("n1")
 	for _, c := range []struct {
@@ -54,8 +54,8 @@
 		restored []feed.Change
 		want     bool
 	}{
-		{"the copy is older", nil, false},
-		{"the copy has it", []feed.Change{own}, true},
+		{"the backup lacks the entry", nil, false},
+		{"the backup has the entry", []feed.Change{own}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			g := newTestGateway(t)
@@ -64,7 +64,7 @@
 			require.True(t, g.applyDelta(d, sourceStore))
 			require.True(t, g.isRegistered())
 			g.enterEra(2, sourceStore)
-			require.False(t, g.isRegistered(), "what the store of the new era holds is not known yet")
+			require.False(t, g.isRegistered(), "the contents of the store in the new era are not known yet")
 			require.Len(t, g.unregistered, 1)
 			d = listDelta(feed.At(2, 5), c.restored...)
 			d.Kind = KindInstances
--- a/gateway/restored_own_objects_test.go
+++ b/gateway/restored_own_objects_test.go
@@ -16,8 +16,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// tableAt returns the operators' table after a number of changes: all requests of region a go to region
-// b, and after the second change none goes there any more.
+// tableAt returns the operators' table after a number of changes. After the first change all requests of
+// region a go to region b. After the second one region b is drained and none go there.
 func tableAt(number int) config.Document {
 	doc := config.Document{Number: int64(number), Table: table.Table{
 		Regions:  []table.Region{{Name: "a", Halls: []string{"a1", "a2"}}, {Name: "b", Halls: []string{"b1"}}},
@@ -33,9 +33,9 @@
 	return doc
 }
 
-// TestOwnObjectsAreRewritten checks that what operators have changed in the table, and requests that
-// are held back, are not forgotten when the store comes back from a copy that lacks them: the
-// instances act on them all the while, and have the store hold them again.
+// TestOwnObjectsAreRewritten checks that a change of the operators' table and a held request survive if the
+// store is restored from a backup that lacks them. The instances obey them all the time, and write them to
+// the store again.
 func TestOwnObjectsAreRewritten(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
@@ -51,7 +51,7 @@
 	servedBy := func(id string) func() bool {
 		return func() bool { return strings.HasPrefix(in.send("GET", "/x/", "").body, "answer of "+id) }
 	}
-	require.Eventually(t, servedBy(remote.ID), 30*time.Second, 50*time.Millisecond, "by bounded steps")
+	require.Eventually(t, servedBy(remote.ID), 30*time.Second, 50*time.Millisecond, "traffic shifts in bounded steps")
 	backup := s.store.Revision()
 	s.store.Set("other", "o", 1)
 	_, err = own.Put(t.Context(), config.Key, first.Version, tableAt(2))
@@ -80,8 +80,8 @@
 	require.NotEmpty(t, s.store.Names(objects.KindConfig))
 }
 
-// TestTableChangeAfterRestore checks that a change that an operator makes to the table of a
-// restored store counts, though the instances know of one that the store has lost.
+// TestTableChangeAfterRestore checks that a change that an operator makes to the table of a restored store
+// takes effect, although the instances know of a change that the store has lost.
 func TestTableChangeAfterRestore(t *testing.T) {
 	t.Parallel()
 	s := newSite(t)
@@ -95,7 +95,7 @@
 	servedBy := func(id string) func() bool {
 		return func() bool { return strings.HasPrefix(in.send("GET", "/x/", "").body, "answer of "+id) }
 	}
-	require.Eventually(t, servedBy(remote.ID), 30*time.Second, 50*time.Millisecond, "by bounded steps")
+	require.Eventually(t, servedBy(remote.ID), 30*time.Second, 50*time.Millisecond, "traffic shifts in bounded steps")
 	backup := s.store.Revision()
 	_, err = own.Put(t.Context(), config.Key, first.Version, tableAt(2))
 	require.NoError(t, err)
--- a/gateway/restored_rollout_orders_test.go
+++ b/gateway/restored_rollout_orders_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// orderCodec decodes orders to bring in versions.
+// orderCodec decodes rollout orders.
 type orderCodec struct{ plainCodec }
 
 func (orderCodec) Rollout(_ string, raw []byte) (rollout.Record, error) {
@@ -19,7 +19,7 @@
 	return record, json.Unmarshal(raw, &record)
 }
 
-// orderChange is the change by which the store holds an order.
+// orderChange returns the change by which an order is written to the store.
 func orderChange(version string, made int64, state rollout.State) feed.Change {
 	record := rollout.Record{Order: rollout.Order{Service: "s", Version: version, Duration: time.Minute, Generation: made}, State: state, Revision: made}
 	raw, err := json.Marshal(record)
@@ -29,8 +29,8 @@
 	return feed.Change{Object: feed.Object{Name: "s", Value: raw}}
 }
 
-// TestRolloutOrdersSurviveRestore checks which order an instance follows after the store came back from a
-// copy, and with which verdict, at once and once nothing is held back any more.
+// TestRolloutOrdersSurviveRestore checks which order an instance follows after the store was restored from a
+// backup, and with which verdict, directly afterwards and once all holds have ended.
 func TestRolloutOrdersSurviveRestore(t *testing.T) {
 	t.Parallel()
 	type followed struct {
@@ -40,25 +40,25 @@
 	withdrawn := feed.Change{Object: feed.Object{Name: "s"}, Removed: true}
 	cases := []struct {
 		name string
-		// before comes in the first era, restored is the copy as listed, and after comes then.
+		// before is received in the first era, restored is the list of the backup, and after follows it.
 		before, restored, after []feed.Change
 		now, inTheEnd           followed
 	}{
 		{name: "verdict lost", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, restored: []feed.Change{orderChange("v2", 11, rollout.Running)},
 			now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "order lost and given again", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, after: []feed.Change{orderChange("v2", 12, "")},
+		{name: "order lost and reissued", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, after: []feed.Change{orderChange("v2", 12, "")},
 			now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "order lost and given again before the list", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, restored: []feed.Change{orderChange("v2", 12, "")},
+		{name: "order lost and reissued before the list", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, restored: []feed.Change{orderChange("v2", 12, "")},
 			now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "another one is given then", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, after: []feed.Change{orderChange("v3", 12, "")},
+		{name: "another order issued afterwards", before: []feed.Change{orderChange("v2", 11, rollout.RolledBack)}, after: []feed.Change{orderChange("v3", 12, "")},
 			now: followed{"v3", rollout.Running}, inTheEnd: followed{"v3", rollout.Running}},
-		{name: "one that came after the copy", before: []feed.Change{orderChange("v2", 5, rollout.RolledBack), orderChange("v3", 11, rollout.Running)},
+		{name: "order issued after the backup", before: []feed.Change{orderChange("v2", 5, rollout.RolledBack), orderChange("v3", 11, rollout.Running)},
 			restored: []feed.Change{orderChange("v2", 5, rollout.RolledBack)}, after: []feed.Change{orderChange("v3", 12, "")},
 			now: followed{"v3", rollout.Running}, inTheEnd: followed{"v3", rollout.Running}},
-		{name: "one that came after the copy, and is not given again", before: []feed.Change{orderChange("v2", 5, rollout.RolledBack), orderChange("v3", 11, rollout.Running)},
+		{name: "order issued after the backup, and not reissued", before: []feed.Change{orderChange("v2", 5, rollout.RolledBack), orderChange("v3", 11, rollout.Running)},
 			restored: []feed.Change{orderChange("v2", 5, rollout.RolledBack)},
 			now:      followed{"v3", rollout.Running}, inTheEnd: followed{"v2", rollout.RolledBack}},
-		{name: "withdrawn after the copy", before: []feed.Change{orderChange("v2", 5, rollout.Running), withdrawn}, restored: []feed.Change{orderChange("v2", 5, rollout.Running)},
+		{name: "withdrawn after the backup", before: []feed.Change{orderChange("v2", 5, rollout.Running), withdrawn}, restored: []feed.Change{orderChange("v2", 5, rollout.Running)},
 			after: []feed.Change{withdrawn}, now: followed{"v2", rollout.RolledBack}, inTheEnd: followed{"v2", rollout.RolledBack}},
 	}
 	for _, c := range cases {
--- a/gateway/restored_rollouts_test.go
+++ b/gateway/restored_rollouts_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/internal/standin/objects"
 )
 
-// TestVerdictSurvivesRestore checks that a verdict that all act on is not taken back when the store
-// comes back from a copy that lacks it, or even the order, and that it is written again.
+// TestVerdictSurvivesRestore checks that a verdict that is in force is not revoked if the store is restored
+// from a backup that lacks it, or lacks even the order, and that the verdict is written again.
 func TestVerdictSurvivesRestore(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -30,7 +30,7 @@
 			v := newRolloutSite(t, 3)
 			stop := v.load()
 			defer stop()
-			// As many changes as the restored store makes again, so that an order gets another revision.
+			// The restored store repeats as many changes, so that the order gets another revision.
 			backup := v.store.Revision()
 			v.store.Set("other", "o", 1)
 			v.startRollout()
--- a/gateway/restored_size_test.go
+++ b/gateway/restored_size_test.go
@@ -14,12 +14,12 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// restoredInstances is the number of instances of TestRestoreAtSize, which tells what it measures with -v.
+// restoredInstances is the number of instances of TestRestoreAtSize, which logs its measurements.
 var restoredInstances = flag.Int("restored-instances", 6, "instances of TestRestoreAtSize")
 
-// TestRestoreAtSize checks that a configuration which a restored store confirms comes into force at all
-// instances, and that those register again whose entries are lost, and tells how long that takes and
-// which calls it costs.
+// TestRestoreAtSize checks that after a restore of the store a new configuration comes into force at all
+// instances, and that the instances whose entries are lost register again. It logs how long this takes and
+// how many calls to the store it costs.
 func TestRestoreAtSize(t *testing.T) {
 	t.Parallel()
 	s := &restoredSite{site: newSite(t), version: 1}
--- a/gateway/restored_targets_test.go
+++ b/gateway/restored_targets_test.go
@@ -11,13 +11,13 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// sequencedEntry is the entry of a target as sequencedCodec reads it.
+// sequencedEntry is the entry of a target as sequencedCodec decodes it.
 type sequencedEntry struct {
 	Born, Sequence int64
 	Leaves         bool
 }
 
-// sequencedCodec decodes entries that are ordered within an incarnation.
+// sequencedCodec decodes entries that are ordered within an incarnation by a sequence number.
 type sequencedCodec struct{ plainCodec }
 
 func (sequencedCodec) Target(name string, raw []byte) (catalog.Target, error) {
@@ -29,7 +29,7 @@
 		Service: "s", Addr: "x", Hall: "a1", Slots: 3, Leaving: e.Leaves}, nil
 }
 
-// entryChange is the change by which a target writes its entry.
+// entryChange returns the change by which a target writes its entry.
 func entryChange(name string, e sequencedEntry) feed.Change {
 	raw, err := json.Marshal(e)
 	if err != nil {
@@ -42,7 +42,8 @@
 	return feed.Change{Object: feed.Object{Name: name}, Removed: true}
 }
 
-// listDelta is what a listDelta of targets at a position brings, and event what a watch does at the next one.
+// listDelta returns the delta of a list of targets at a position, and watchDelta that of a watch with the
+// next position.
 func listDelta(at feed.Position, changes ...feed.Change) feed.Delta {
 	return feed.Delta{Kind: KindTargets, To: at, Full: true, Changes: changes}
 }
@@ -51,8 +52,8 @@
 	return feed.Delta{Kind: KindTargets, From: from, To: feed.At(from.Era, from.Revision+1), Changes: changes}
 }
 
-// TestTargetsSurviveRestore checks what an instance uses after the store came back from a
-// copy: what was confirmed before holds until a target says otherwise, and then gives way.
+// TestTargetsSurviveRestore checks whether an instance uses a target after the store was restored from a
+// backup. What the instance knew before the restore holds until the target writes a newer entry.
 func TestTargetsSurviveRestore(t *testing.T) {
 	var (
 		ready   = sequencedEntry{Sequence: 1}
@@ -65,34 +66,34 @@
 	)
 	cases := []struct {
 		name string
-		// before comes in the first era, restored is the copy as listed, and after comes then.
+		// before is received in the first era, restored is the list of the backup, and after follows it.
 		before, restored, after []feed.Change
 		used                    bool
 	}{
 		{name: "nothing was lost", before: []feed.Change{entryChange("i", ready)}, restored: []feed.Change{entryChange("i", ready)}, used: true},
-		{name: "it left after the copy", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)}, restored: []feed.Change{entryChange("i", ready)}},
-		{name: "it left after the copy, and says so again", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
+		{name: "left after the backup", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)}, restored: []feed.Change{entryChange("i", ready)}},
+		{name: "left after the backup, and announces it again", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
 			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", leaves)}},
-		{name: "it left after the copy, and takes that back", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
+		{name: "left after the backup, and is ready again", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
 			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", back)}, used: true},
-		{name: "it left after the copy, and took that back before the list", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
+		{name: "left after the backup, and was ready again before the list", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves)},
 			restored: []feed.Change{entryChange("i", back)}, used: true},
-		{name: "it left after the copy, and has started again", before: []feed.Change{entryChange("i", again), entryChange("i", leavesA)},
+		{name: "left after the backup, and has restarted", before: []feed.Change{entryChange("i", again), entryChange("i", leavesA)},
 			restored: []feed.Change{entryChange("i", reborn)}, used: true},
-		{name: "it went after the copy", before: []feed.Change{entryChange("i", ready), removalChange("i")}, restored: []feed.Change{entryChange("i", ready)}},
-		{name: "it left and went after the copy", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves), removalChange("i")},
+		{name: "removed after the backup", before: []feed.Change{entryChange("i", ready), removalChange("i")}, restored: []feed.Change{entryChange("i", ready)}},
+		{name: "left and was removed after the backup", before: []feed.Change{entryChange("i", ready), entryChange("i", leaves), removalChange("i")},
 			restored: []feed.Change{entryChange("i", ready)}},
-		{name: "it went after the copy, and the store says so again", before: []feed.Change{entryChange("i", ready), removalChange("i")},
+		{name: "removed after the backup, and is removed again", before: []feed.Change{entryChange("i", ready), removalChange("i")},
 			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{removalChange("i")}},
-		{name: "it lapsed after the copy, and writes again", before: []feed.Change{entryChange("i", ready), removalChange("i")},
+		{name: "expired after the backup, and writes again", before: []feed.Change{entryChange("i", ready), removalChange("i")},
 			restored: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", newer)}, used: true},
-		{name: "it lapsed after the copy, and wrote again before the list", before: []feed.Change{entryChange("i", ready), removalChange("i")},
+		{name: "expired after the backup, and wrote again before the list", before: []feed.Change{entryChange("i", ready), removalChange("i")},
 			restored: []feed.Change{entryChange("i", newer)}, used: true},
-		{name: "it went after the copy, and has started again", before: []feed.Change{entryChange("i", again), removalChange("i")},
+		{name: "removed after the backup, and has restarted", before: []feed.Change{entryChange("i", again), removalChange("i")},
 			restored: []feed.Change{entryChange("i", reborn)}, used: true},
-		{name: "it came after the copy", before: []feed.Change{entryChange("i", ready)}, used: true},
-		{name: "it came after the copy, and leaves", before: []feed.Change{entryChange("i", leaves)}},
-		{name: "it came after the copy, and writes again", before: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", ready)}, used: true},
+		{name: "started after the backup", before: []feed.Change{entryChange("i", ready)}, used: true},
+		{name: "started after the backup, and leaves", before: []feed.Change{entryChange("i", leaves)}},
+		{name: "started after the backup, and writes again", before: []feed.Change{entryChange("i", ready)}, after: []feed.Change{entryChange("i", ready)}, used: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -119,7 +120,7 @@
 	}
 }
 
-// usesTarget tells whether requests may be sent to the target of a name.
+// usesTarget reports whether requests may be sent to the target with the given name.
 func (g *Gateway) usesTarget(name string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,9 +128,9 @@
 	return ok && !spec.Leaving
 }
 
-// TestTargetHoldsExpireAfterRestore checks that what is held back after a restore of the store comes to
-// what the store says in the end: a target that it lacks goes, and one that it lists again after it had
-// gone is used, unless it has said that it leaves.
+// TestTargetHoldsExpireAfterRestore checks that the instance follows the restored store once all holds have
+// ended. A target that the store lacks is removed. A target that was removed before the restore and is listed
+// again is used, unless it has announced its departure.
 func TestTargetHoldsExpireAfterRestore(t *testing.T) {
 	t.Parallel()
 	g := newTestGateway(t)
--- a/gateway/restored_test.go
+++ b/gateway/restored_test.go
@@ -13,13 +13,13 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// restoredSite is a site of three instances that are ready, and of two services with a server or
-// two. Route /x leads to one of s.
+// restoredSite is a site of three ready instances. Service s has two servers and service other has one. Route
+// /x leads to service s.
 type restoredSite struct {
 	*site
 	instances []*instance
 	servers   []*origin.Server
-	// version is the last that was configured.
+	// version is the version of the latest configuration.
 	version int
 }
 
@@ -39,7 +39,7 @@
 	return s
 }
 
-// configureNext writes the configureNext configuration, with a route for each of the names.
+// configureNext writes the next configuration, with a route to service other for each of the names.
 func (s *restoredSite) configureNext(names ...string) {
 	s.version++
 	routes := []route{{prefix: "/x/", service: "s", kind: "idempotent"}}
@@ -49,8 +49,8 @@
 	s.configure(s.version, routes...)
 }
 
-// restore has all instances know some more changes, and brings the store back from a copy that lacks
-// them. What the operator and the servers wrote is written again.
+// restore makes some changes, waits until all instances know them, and restores the store from a backup that
+// lacks them. The operator and the servers then repeat their lost writes.
 func (s *restoredSite) restore() {
 	backup := s.store.Revision()
 	for i := range 8 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestConfigurationAfterRestore checks that a configuration comes into force at every
-// instance if its revision was given out before the store was restored.
+// TestConfigurationAfterRestore checks that a configuration comes into force at all instances although its
+// revision was already assigned before the store was restored.
 func TestConfigurationAfterRestore(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestDepartureAfterRestore checks that a target gets nothing once a restored store has
-// confirmed that it leaves.
+// TestDepartureAfterRestore checks that a target receives no more requests once its entry in a restored store
+// says that it is leaving.
 func TestDepartureAfterRestore(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
@@ -96,8 +96,8 @@
 	}, wait, poll)
 }
 
-// TestRestoredStoreIsNotReadInLoop checks that a store that refuses the watches of before it was
-// restored is soon asked no more often than ever.
+// TestRestoredStoreIsNotReadInLoop checks that the rate of calls to the store soon returns to normal after a
+// restore. The restored store refuses watches from positions of the previous era.
 func TestRestoredStoreIsNotReadInLoop(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
--- a/gateway/silent_connections_test.go
+++ b/gateway/silent_connections_test.go
@@ -11,9 +11,11 @@
 	"github.com/rainford/rainford/internal/standin/relay"
 )
 
-// aliveMembers matches the number of instances that are alive in an instance's view.
+// aliveMembers matches the metric for the number of instances that are alive in an instance's view.
 var aliveMembers = regexp.MustCompile(`rainford_members\{[^}]*state="alive"[^}]*\} (\d+)`)
 
+// aliveCount returns the number of instances that are alive in the instance's view, as text, or ""
+// if the metric is missing.
 func (in *instance) aliveCount() string {
 	found := aliveMembers.FindStringSubmatch(in.scrape())
 	if found == nil {
@@ -22,7 +24,9 @@
 	return found[1]
 }
 
-// TestReconnectsAfterSilentConnections guards against an instance that is heard by all and hears nobody, for as long as it runs.
+// TestReconnectsAfterSilentConnections guards against an instance whose messages reach all others,
+// while it receives none itself for as long as it runs. This happens if the incoming connections drop
+// all packets without an error.
 func TestReconnectsAfterSilentConnections(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -40,7 +44,7 @@
 	bothAlive := func() bool { return in.aliveCount() == "2" && other.aliveCount() == "2" }
 	require.Eventually(t, bothAlive, wait, 50*time.Millisecond)
 	network.Silence()
-	// Longer than an instance that is not heard stays alive in a view.
+	// An instance without heartbeats is suspected after a shorter time.
 	time.Sleep(3 * time.Second)
-	require.Eventually(t, bothAlive, wait, 50*time.Millisecond, "what is sent to it goes over silent connections for good")
+	require.Eventually(t, bothAlive, wait, 50*time.Millisecond, "messages to n2 are still sent over the silent connections")
 }
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -68,8 +68,8 @@
 }
 
 // firstRead lists a kind of which this instance has no objects yet, whether or not it is a
-// watcher. It retries until the store answers or another instance has sent the kind. The list
-// may be some seconds old, since the watchers push the later changes.
+// watcher. It retries until the store answers or another instance has sent the kind. A list that
+// is some seconds old suffices, since the watchers push the later changes.
 func (g *Gateway) firstRead(ctx context.Context, kind feed.Kind) {
 	if kind == KindTargets {
 		g.requestFromReaders(ctx)
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -13,7 +13,7 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// countingStore counts the first reads of the targets.
+// countingStore counts the stale lists of targets.
 type countingStore struct {
 	*platform.Store
 	targetReads atomic.Int64
@@ -27,7 +27,7 @@
 	return s.Store.ListStale(ctx, kind)
 }
 
-// instanceNameFor returns the name of an instance that is a reader, or of one that is none.
+// instanceNameFor returns the name of an instance that is a reader, or of one that is not.
 func instanceNameFor(reader bool) string {
 	for i := 0; ; i++ {
 		name := fmt.Sprint("n", i)
@@ -37,9 +37,8 @@
 	}
 }
 
-// TestTargetsFromReader checks that an instance that starts again, and is no reader, gets
-// the targets from the reader of its hall, which has just started too, and leaves the store
-// alone.
+// TestTargetsFromReader checks that a restarted instance that is no reader gets the targets from the reader of
+// its hall, which has just started too, and does not list them itself.
 func TestTargetsFromReader(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -54,8 +53,7 @@
 	reader.awaitStatus("/x/", 200)
 }
 
-// TestTargetsWithoutReader checks that an instance reads the targets from the store if its
-// hall has no reader.
+// TestTargetsWithoutReader checks that an instance lists the targets itself if its hall has no reader.
 func TestTargetsWithoutReader(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -13,8 +13,7 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// suspension is a clock of one instance that a test moves on, as if its machine had been
-// suspended.
+// suspension controls the clock of one instance, so that a test can simulate a suspension of its machine.
 type suspension struct{ total atomic.Int64 }
 
 func (s *suspension) suspend(length time.Duration) { s.total.Add(int64(length)) }
@@ -23,8 +22,8 @@
 	c.Clock = clock.New(func(time.Time) time.Duration { return time.Duration(s.total.Load()) })
 }
 
-// TestSuspendedWithRequest checks that a request whose client's time has passed while the
-// machine was suspended is not sent to another target.
+// TestSuspendedWithRequest checks that a request whose client has timed out during a suspension of the machine
+// is not sent to another target.
 func TestSuspendedWithRequest(t *testing.T) {
 	for _, length := range []time.Duration{time.Second, 5 * time.Second, time.Minute} {
 		t.Run(length.String(), func(t *testing.T) {
@@ -35,7 +34,7 @@
 			in := s.instance("n1", "a1", machine.use)
 			in.awaitStatus("/x/", 200)
 			for range 10 {
-				// Requests earn the budget of repeats.
+				// Requests earn tokens of the retry budget.
 				in.send("GET", "/x/", "")
 			}
 			var runs atomic.Int64
@@ -50,7 +49,7 @@
 			}
 			got := in.send("GET", "/x/", "")
 			if length < 2*time.Second {
-				require.Equal(t, 200, got.status, "a second is left")
+				require.Equal(t, 200, got.status, "the client waits for another second")
 				return
 			}
 			require.Equal(t, 504, got.status)
@@ -59,8 +58,8 @@
 	}
 }
 
-// TestSuspendedConnections checks that connections that were kept over a suspension for longer
-// than a target keeps them are not used again.
+// TestSuspendedConnections checks that idle connections are not reused after a suspension that was longer than
+// targets keep idle connections open.
 func TestSuspendedConnections(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
--- a/gateway/unresponsive_peers_test.go
+++ b/gateway/unresponsive_peers_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// awaitReconnectProbe waits until the neighbour is told that the instance does not hear it.
+// awaitReconnectProbe waits until the peer receives a probe that asks it to reconnect.
 func (n *fakePeer) awaitReconnectProbe(t *testing.T) {
 	deadline := time.After(5 * time.Second)
 	for {
@@ -21,12 +21,13 @@
 				return
 			}
 		case <-deadline:
-			require.Fail(t, "it goes on answering over a connection that carries nothing")
+			require.Fail(t, "the peer was not asked to reconnect")
 		}
 	}
 }
 
-// TestUnresponsiveOwnerIsToldToReconnect guards against an instance that hears all by way of one, and is answered by none.
+// TestUnresponsiveOwnerIsToldToReconnect guards against an instance that receives all gossip through one other
+// instance, but no replies of the owners of limits.
 func TestUnresponsiveOwnerIsToldToReconnect(t *testing.T) {
 	g := newTestGateway(t)
 	silent := newFakePeer(t, "n0")
@@ -42,7 +43,7 @@
 	silent.awaitReconnectProbe(t)
 }
 
-// TestUnresponsiveCoordinatorIsToldToReconnect checks the same of the warden of a suspect request.
+// TestUnresponsiveCoordinatorIsToldToReconnect checks the same for the coordinator of a suspect request.
 func TestUnresponsiveCoordinatorIsToldToReconnect(t *testing.T) {
 	g := newTestGateway(t)
 	silent := newFakePeer(t, "n0")
@@ -59,5 +60,5 @@
 		silent.awaitReconnectProbe(t)
 		return
 	}
-	require.Fail(t, "no request has the other instance for its warden")
+	require.Fail(t, "the other instance is the coordinator of no request")
 }
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// TestPeerWait checks that an instance that starts again does not wait for seeds before it
-// reads anything: they may all have been killed with it.
+// TestPeerWait checks that a restarted instance does not wait for seeds before it reads from the store, since
+// the seeds may have been killed at the same time.
 func TestPeerWait(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -20,7 +20,7 @@
 	}{
 		{"few seeds", 2, true, 0},
 		{"first start", 3, true, firstStartPeerWait},
-		{"again", 3, false, 0},
+		{"restart", 3, false, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -30,25 +30,25 @@
 	}
 }
 
-// TestShouldWatchAtStart checks that an instance that has just started, and takes itself for
-// the first of its region since it knows nobody, leaves watching to the seeds until it has
-// had the time to hear of others, however long it takes to learn which there are.
+// TestShouldWatchAtStart checks that an instance that has just started, and is the first of its region in its
+// own view since it has no heartbeats of others, does not watch until it has had the time to receive
+// heartbeats. This holds however long it takes to learn which instances are registered.
 func TestShouldWatchAtStart(t *testing.T) {
 	start := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	const never = -1
 	cases := []struct {
 		name  string
 		seeds int
-		// instances is when it learned of the registered instances, after its start.
+		// instances is the time from the start until the list of instances is known.
 		instances, at time.Duration
 		want          bool
 	}{
 		{"a seed", minSeeds - 1, never, 0, true},
-		{"another", minSeeds, never, 0, false},
-		{"another, slow to learn of instances", minSeeds, never, settleTime, false},
-		{"another, soon after", minSeeds, settleTime, 2*settleTime - 1, false},
-		{"another that still knows nobody alive", minSeeds, settleTime, 2 * settleTime, true},
-		{"another without a store", minSeeds, never, maxSettleTime, true},
+		{"no seed", minSeeds, never, 0, false},
+		{"no seed, list of instances late", minSeeds, never, settleTime, false},
+		{"no seed, before the settle time", minSeeds, settleTime, 2*settleTime - 1, false},
+		{"no seed, no heartbeats until the settle time", minSeeds, settleTime, 2 * settleTime, true},
+		{"no seed, store unreachable", minSeeds, never, maxSettleTime, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestNoRegistrationIfRegistered checks that an instance that an earlier process has registered makes
-// no call for it: there is no store here.
+// TestNoRegistrationIfRegistered checks that an instance that an earlier process has registered does not write
+// its entry. There is no store here, so any call would panic.
 func TestNoRegistrationIfRegistered(t *testing.T) {
 	g := &Gateway{config: Config{Name: "n0"}, replicas: map[feed.Kind]*feed.Replica{KindInstances: feed.NewReplica(KindInstances)}}
 	require.False(t, g.isRegistered())
