--- a/caller/attempt.go
+++ b/caller/attempt.go
@@ -21,39 +21,39 @@
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req, err := build(traced, r, entry.Addr, attempt)
+	req, err := newRequest(traced, r, entry.Addr, attempt)
 	if err != nil {
 		return nil, err
 	}
-	transport := c.kept
+	transport := c.pooled
 	if r.Key != "" {
 		// As between instances: no connection that may have gone stale.
-		transport = c.fresh
+		transport = c.unpooled
 	}
 	resp, err := transport.RoundTrip(req)
 	if err == nil {
-		return judge(resp)
+		return checkOutcome(resp)
 	}
 	if !connected.Load() {
-		c.markDown(r.Service, entry.ID)
+		c.markUnreachable(r.Service, entry.ID)
 		return nil, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: err.Error(), RetryAfter: time.Second}
 	}
 	if ctx.Err() != nil {
 		return nil, &UnknownError{Reason: protocol.ReasonDeadline, Detail: err.Error(), RetryAfter: time.Second, Err: err}
 	}
-	c.markDown(r.Service, entry.ID)
-	return nil, &UnknownError{Reason: protocol.ReasonLost, Detail: err.Error(), RetryAfter: time.Second, Err: err}
+	c.markUnreachable(r.Service, entry.ID)
+	return nil, &UnknownError{Reason: protocol.ReasonResponseLost, Detail: err.Error(), RetryAfter: time.Second, Err: err}
 }
 
-func (c *Client) markDown(service, id string) {
+func (c *Client) markUnreachable(service, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if l := c.lists[service]; l != nil {
-		l.down[id] = time.Now().Add(avoidFor)
+	if l := c.lookups[service]; l != nil {
+		l.unreachableUntil[id] = time.Now().Add(unreachablePeriod)
 	}
 }
 
-func build(ctx context.Context, r Request, addr string, attempt int) (*http.Request, error) {
+func newRequest(ctx context.Context, r Request, addr string, attempt int) (*http.Request, error) {
 	var src io.Reader
 	if r.Body != nil {
 		body, err := r.Body()
@@ -77,42 +77,42 @@
 		req.Header[name] = append([]string(nil), values...)
 	}
 	if r.Key != "" {
-		req.Header.Set(protocol.HeaderKey, r.Key)
+		req.Header.Set(protocol.HeaderIdempotencyKey, r.Key)
 	}
 	req.Header.Set(protocol.HeaderAttempt, strconv.Itoa(attempt))
 	if r.EarlierUnknown {
-		req.Header.Set(protocol.HeaderEarlier, retry.Unknown.String())
+		req.Header.Set(protocol.HeaderEarlierOutcome, retry.Unknown.String())
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		protocol.SetDeadline(req.Header, time.Until(deadline))
 	}
-	if r.Length < 0 || r.Length > expectBytes {
+	if r.Length < 0 || r.Length > expectContinueBytes {
 		req.Header.Set("Expect", "100-continue")
 	}
 	return req, nil
 }
 
-// expectBytes is the length from which a body waits for the instance to take
+// expectContinueBytes is the length from which a body waits for the instance to take
 // the request.
-const expectBytes = 64 << 10
+const expectContinueBytes = 64 << 10
 
-// judge turns an answer that the system gave by itself into an error.
-func judge(resp *http.Response) (*http.Response, error) {
+// checkOutcome turns an answer that the system gave by itself into an error.
+func checkOutcome(resp *http.Response) (*http.Response, error) {
 	outcome := retry.ParseOutcome(resp.Header.Get(protocol.HeaderOutcome))
 	if outcome == retry.Ran && resp.Header.Get(protocol.HeaderTarget) != "" {
 		return resp, nil
 	}
 	defer func() { _ = resp.Body.Close() }()
 	var refusal protocol.Refusal
-	err := json.NewDecoder(io.LimitReader(resp.Body, maxRefusal)).Decode(&refusal)
+	err := json.NewDecoder(io.LimitReader(resp.Body, maxJSONBytes)).Decode(&refusal)
 	if err != nil {
-		refusal = protocol.Refusal{Outcome: outcome.String(), Reason: protocol.ReasonLost, Detail: fmt.Sprintf("status %d", resp.StatusCode)}
+		refusal = protocol.Refusal{Outcome: outcome.String(), Reason: protocol.ReasonResponseLost, Detail: fmt.Sprintf("status %d", resp.StatusCode)}
 	}
 	wait := protocol.RetryAfter(resp.Header)
 	switch {
 	case outcome == retry.NotRun:
 		return nil, &NotRunError{Reason: refusal.Reason, Detail: refusal.Detail, RetryAfter: wait}
-	case refusal.Reason == protocol.ReasonDone:
+	case refusal.Reason == protocol.ReasonAlreadyDone:
 		return nil, &DoneError{Status: refusal.EarlierStatus}
 	default:
 		return nil, &UnknownError{Reason: refusal.Reason, Detail: refusal.Detail, RetryAfter: wait}
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -19,22 +19,22 @@
 	"github.com/rainford/rainford/protocol"
 )
 
-// entry is a fake instance.
-type entry struct {
+// fakeInstance is a fake instance.
+type fakeInstance struct {
 	*httptest.Server
 	lookups atomic.Int64
 	calls   atomic.Int64
-	// answer is what a look-up gets, and serve what a call does.
-	answer func() lookup.Response
-	serve  func(w http.ResponseWriter, r *http.Request)
+	// lookupResponse is what a look-up gets, and serve what a call does.
+	lookupResponse func() lookup.Response
+	serve          func(w http.ResponseWriter, r *http.Request)
 }
 
-func newEntry(t testing.TB) *entry {
-	e := &entry{}
+func newFakeInstance(t testing.TB) *fakeInstance {
+	e := &fakeInstance{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.LookupPath, func(w http.ResponseWriter, _ *http.Request) {
 		e.lookups.Add(1)
-		_ = json.NewEncoder(w).Encode(e.answer())
+		_ = json.NewEncoder(w).Encode(e.lookupResponse())
 	})
 	mux.HandleFunc(protocol.CallPath, func(w http.ResponseWriter, r *http.Request) {
 		e.calls.Add(1)
@@ -46,9 +46,9 @@
 	return e
 }
 
-func (e *entry) addr() string { return e.Listener.Addr().String() }
+func (e *fakeInstance) addr() string { return e.Listener.Addr().String() }
 
-func answerOf(ttl time.Duration, entries ...*entry) func() lookup.Response {
+func lookupResponseOf(ttl time.Duration, entries ...*fakeInstance) func() lookup.Response {
 	return func() lookup.Response {
 		a := lookup.Response{TTLMillis: ttl.Milliseconds()}
 		for i, e := range entries {
@@ -73,7 +73,7 @@
 	}
 }
 
-func newClient(t testing.TB, entries ...*entry) *caller.Client {
+func newClient(t testing.TB, entries ...*fakeInstance) *caller.Client {
 	var bootstrap []string
 	for _, e := range entries {
 		bootstrap = append(bootstrap, e.addr())
@@ -95,8 +95,8 @@
 }
 
 func TestLookupIsCached(t *testing.T) {
-	e := newEntry(t)
-	e.answer, e.serve = answerOf(time.Hour, e), ran
+	e := newFakeInstance(t)
+	e.lookupResponse, e.serve = lookupResponseOf(time.Hour, e), ran
 	c := newClient(t, e)
 	for range 5 {
 		body, err := do(c, "")
@@ -107,9 +107,9 @@
 	require.EqualValues(t, 5, e.calls.Load())
 }
 
-func TestFailsOverToTheNext(t *testing.T) {
-	gone, e := newEntry(t), newEntry(t)
-	e.answer, e.serve = answerOf(time.Hour, gone, e), ran
+func TestFailsOverToNextInstance(t *testing.T) {
+	gone, e := newFakeInstance(t), newFakeInstance(t)
+	e.lookupResponse, e.serve = lookupResponseOf(time.Hour, gone, e), ran
 	gone.Close()
 	c := newClient(t, e)
 	for range 3 {
@@ -118,13 +118,13 @@
 	}
 }
 
-func TestUsesOldAnswerWhileNobodyAnswersLookups(t *testing.T) {
-	e := newEntry(t)
-	e.answer, e.serve = answerOf(time.Minute, e), ran
+func TestNoInstanceAnswersLookup(t *testing.T) {
+	e := newFakeInstance(t)
+	e.lookupResponse, e.serve = lookupResponseOf(time.Minute, e), ran
 	c := newClient(t, e)
 	_, err := do(c, "")
 	require.NoError(t, err)
-	old := newEntry(t)
+	old := newFakeInstance(t)
 	old.Close()
 	lost, err := caller.New(caller.Config{Bootstrap: []string{old.addr()}})
 	require.NoError(t, err)
@@ -156,7 +156,7 @@
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 		}},
-		{"done before", refusal("ran", protocol.ReasonDone, 0), true, 1, func(t *testing.T, err error) {
+		{"done before", refusal("ran", protocol.ReasonAlreadyDone, 0), true, 1, func(t *testing.T, err error) {
 			var e *caller.DoneError
 			require.ErrorAs(t, err, &e)
 			require.Equal(t, 201, e.Status)
@@ -173,8 +173,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a, b := newEntry(t), newEntry(t)
-			a.answer, a.serve, b.serve = answerOf(time.Hour, a, b), c.serve, c.serve
+			a, b := newFakeInstance(t), newFakeInstance(t)
+			a.lookupResponse, a.serve, b.serve = lookupResponseOf(time.Hour, a, b), c.serve, c.serve
 			key := ""
 			if c.key {
 				key = caller.NewKey()
@@ -186,11 +186,11 @@
 	}
 }
 
-// TestNotRunSpeaksOfTheOperation checks that an attempt that reaches nobody is
+// TestUnreachableAfterUnknownAttempt checks that an attempt that reaches nobody is
 // no proof about an operation whose earlier attempt ended unknown.
-func TestNotRunSpeaksOfTheOperation(t *testing.T) {
-	gone, e := newEntry(t), newEntry(t)
-	e.answer = answerOf(time.Hour, gone)
+func TestUnreachableAfterUnknownAttempt(t *testing.T) {
+	gone, e := newFakeInstance(t), newFakeInstance(t)
+	e.lookupResponse = lookupResponseOf(time.Hour, gone)
 	gone.Close()
 	c := newClient(t, e)
 	req := caller.Request{Service: "s", Method: http.MethodPost, Path: "/x", Key: caller.NewKey()}
@@ -204,9 +204,9 @@
 	require.Positive(t, lost.RetryAfter)
 }
 
-func TestBrokenAnswerIsAnError(t *testing.T) {
-	e := newEntry(t)
-	e.answer = answerOf(time.Hour, e)
+func TestTruncatedResponseIsError(t *testing.T) {
+	e := newFakeInstance(t)
+	e.lookupResponse = lookupResponseOf(time.Hour, e)
 	e.serve = func(w http.ResponseWriter, r *http.Request) {
 		ran(w, r)
 		_ = http.NewResponseController(w).Flush()
--- a/caller/client.go
+++ b/caller/client.go
@@ -19,11 +19,11 @@
 
 // Client makes requests. It is safe for concurrent use.
 type Client struct {
-	config Config
-	kept   *http.Transport
-	fresh  *http.Transport
-	mu     sync.Mutex
-	lists  map[string]*list
+	config   Config
+	pooled   *http.Transport
+	unpooled *http.Transport
+	mu       sync.Mutex
+	lookups  map[string]*cachedLookup
 }
 
 // Config are the settings of a client.
@@ -47,21 +47,21 @@
 	dialTimeout     = time.Second
 	// idleTimeout is below the time that a stopping instance lingers.
 	idleTimeout = 2 * time.Second
-	// avoidFor is how long an instance that could not be reached comes last.
-	avoidFor = 2 * time.Second
+	// unreachablePeriod is how long an instance that could not be reached comes last.
+	unreachablePeriod = 2 * time.Second
 	// staleFactor bounds the use of an old answer while no instance answers
 	// a look-up, in times to live.
-	staleFactor = 10
-	maxRefusal  = 64 << 10
+	staleFactor  = 10
+	maxJSONBytes = 64 << 10
 )
 
-// list is the cached answer to a look-up.
-type list struct {
-	answer lookup.Response
-	at     time.Time
-	// down holds the instances that could not be reached, and until when
+// cachedLookup is the cached answer to a look-up.
+type cachedLookup struct {
+	response  lookup.Response
+	fetchedAt time.Time
+	// unreachableUntil holds the instances that could not be reached, and until when
 	// they come last.
-	down map[string]time.Time
+	unreachableUntil map[string]time.Time
 }
 
 // New returns a client.
@@ -85,13 +85,13 @@
 	}
 	fresh := kept.Clone()
 	fresh.DisableKeepAlives = true
-	return &Client{config: config, kept: kept, fresh: fresh, lists: make(map[string]*list)}, nil
+	return &Client{config: config, pooled: kept, unpooled: fresh, lookups: make(map[string]*cachedLookup)}, nil
 }
 
 // Close ends idle connections.
 func (c *Client) Close() {
-	c.kept.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.pooled.CloseIdleConnections()
+	c.unpooled.CloseIdleConnections()
 }
 
 // NewKey returns a key for an operation that starts now.
@@ -164,11 +164,11 @@
 		tried[entry.ID] = true
 		resp, err := c.try(ctx, req, entry, max(req.FirstAttempt, 1)+attempt)
 		if err == nil {
-			resp.Body = &closer{ReadCloser: resp.Body, cancel: cancel}
+			resp.Body = &cancelOnClose{ReadCloser: resp.Body, cancel: cancel}
 			return resp, nil
 		}
 		last = err
-		if !again(err, req.Key == "") {
+		if !isRetriable(err, req.Key == "") {
 			break
 		}
 	}
@@ -176,26 +176,26 @@
 	return nil, last
 }
 
-// closer ends a request's context with its body.
-type closer struct {
+// cancelOnClose ends a request's context with its body.
+type cancelOnClose struct {
 	io.ReadCloser
 	cancel context.CancelFunc
 }
 
 // Close implements io.Closer.
-func (c *closer) Close() error {
+func (c *cancelOnClose) Close() error {
 	err := c.ReadCloser.Close()
 	c.cancel()
 	return err
 }
 
-// again tells whether another instance may be tried at once. A refusal that
+// isRetriable tells whether another instance may be tried at once. A refusal that
 // says when to come back is final: the system has looked everywhere already.
-func again(err error, retriable bool) bool {
+func isRetriable(err error, retriable bool) bool {
 	var notRun *NotRunError
 	if errors.As(err, &notRun) {
 		return notRun.Reason == protocol.ReasonUnreachable || notRun.Reason == protocol.ReasonNotReady
 	}
 	var lost *UnknownError
-	return errors.As(err, &lost) && retriable && lost.Reason == protocol.ReasonLost
+	return errors.As(err, &lost) && retriable && lost.Reason == protocol.ReasonResponseLost
 }
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -15,7 +15,7 @@
 
 // choose returns the next instance to try.
 func (c *Client) choose(ctx context.Context, service string, tried map[string]bool) (lookup.Instance, error) {
-	l, err := c.list(ctx, service)
+	l, err := c.instances(ctx, service)
 	if err != nil {
 		return lookup.Instance{}, err
 	}
@@ -23,13 +23,13 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	var late *lookup.Instance
-	for i, e := range l.answer.Instances {
+	for i, e := range l.response.Instances {
 		if tried[e.ID] {
 			continue
 		}
-		if now.Before(l.down[e.ID]) {
+		if now.Before(l.unreachableUntil[e.ID]) {
 			if late == nil {
-				late = &l.answer.Instances[i]
+				late = &l.response.Instances[i]
 			}
 			continue
 		}
@@ -41,24 +41,24 @@
 	return lookup.Instance{}, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: "no instance answers", RetryAfter: time.Second}
 }
 
-// list returns the cached answer, or asks for a new one.
-func (c *Client) list(ctx context.Context, service string) (*list, error) {
+// instances returns the cached answer, or asks for a new one.
+func (c *Client) instances(ctx context.Context, service string) (*cachedLookup, error) {
 	c.mu.Lock()
-	l := c.lists[service]
+	l := c.lookups[service]
 	addrs := c.lookupAddrs(l)
 	c.mu.Unlock()
-	if l != nil && time.Since(l.at) < time.Duration(l.answer.TTLMillis)*time.Millisecond {
+	if l != nil && time.Since(l.fetchedAt) < time.Duration(l.response.TTLMillis)*time.Millisecond {
 		return l, nil
 	}
 	var last error
 	for _, addr := range addrs {
-		answer, err := c.lookup(ctx, addr, service)
+		answer, err := c.fetchLookup(ctx, addr, service)
 		if err == nil {
-			return c.keep(service, l, answer), nil
+			return c.cacheLookup(service, l, answer), nil
 		}
 		last = err
 	}
-	if l != nil && time.Since(l.at) < staleFactor*time.Duration(l.answer.TTLMillis)*time.Millisecond {
+	if l != nil && time.Since(l.fetchedAt) < staleFactor*time.Duration(l.response.TTLMillis)*time.Millisecond {
 		return l, nil
 	}
 	return nil, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: fmt.Sprintf("no instance answers a look-up: %v", last), RetryAfter: time.Second}
@@ -66,28 +66,28 @@
 
 // lookupAddrs returns the instances of the last answer, then the bootstrap
 // addresses.
-func (c *Client) lookupAddrs(l *list) []string {
+func (c *Client) lookupAddrs(l *cachedLookup) []string {
 	var out []string
 	if l != nil {
-		for _, e := range l.answer.Instances {
+		for _, e := range l.response.Instances {
 			out = append(out, e.Addr)
 		}
 	}
 	return append(out, c.config.Bootstrap...)
 }
 
-func (c *Client) keep(service string, old *list, answer lookup.Response) *list {
+func (c *Client) cacheLookup(service string, old *cachedLookup, answer lookup.Response) *cachedLookup {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := &list{answer: answer, at: time.Now(), down: make(map[string]time.Time)}
+	l := &cachedLookup{response: answer, fetchedAt: time.Now(), unreachableUntil: make(map[string]time.Time)}
 	if old != nil {
-		l.down = old.down
+		l.unreachableUntil = old.unreachableUntil
 	}
-	c.lists[service] = l
+	c.lookups[service] = l
 	return l
 }
 
-func (c *Client) lookup(ctx context.Context, addr, service string) (lookup.Response, error) {
+func (c *Client) fetchLookup(ctx context.Context, addr, service string) (lookup.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	var answer lookup.Response
@@ -96,7 +96,7 @@
 	if err != nil {
 		return answer, err
 	}
-	resp, err := c.kept.RoundTrip(req)
+	resp, err := c.pooled.RoundTrip(req)
 	if err != nil {
 		return answer, err
 	}
@@ -104,7 +104,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return answer, fmt.Errorf("caller: look-up at %s: status %d", addr, resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxRefusal)).Decode(&answer)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxJSONBytes)).Decode(&answer)
 	if err == nil && len(answer.Instances) == 0 {
 		err = fmt.Errorf("caller: look-up at %s: no instance", addr)
 	}
@@ -113,9 +113,9 @@
 
 // Lookup returns the instances that the client would use, in order.
 func (c *Client) Lookup(ctx context.Context, service string) (lookup.Response, error) {
-	l, err := c.list(ctx, service)
+	l, err := c.instances(ctx, service)
 	if err != nil {
 		return lookup.Response{}, err
 	}
-	return l.answer, nil
+	return l.response, nil
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -180,7 +180,7 @@
 			panic(http.ErrAbortHandler)
 		case !res.ResponseSent:
 			if hop && res.Outcome == retry.NotRun {
-				w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
+				w.Header().Set(protocol.HeaderNotRun, protocol.FlagSet)
 			}
 			ex.writeRefusal(res)
 		}
@@ -269,7 +269,7 @@
 		if !ex.Service.NonIdempotent {
 			return next(ex)
 		}
-		ex.Key = ex.r.Header.Get(protocol.HeaderKey)
+		ex.Key = ex.r.Header.Get(protocol.HeaderIdempotencyKey)
 		if _, err := claim.ParseKey(ex.Key, time.Now()); err != nil {
 			return notRun(http.StatusBadRequest, protocol.ReasonBadRequest, err.Error(), 0)
 		}
@@ -280,7 +280,7 @@
 // classifyHop determines the service of a request that another instance has already checked.
 func (e *Entry) classifyHop(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		ex.OriginRegion = ex.r.Header.Get(protocol.HeaderFrom)
+		ex.OriginRegion = ex.r.Header.Get(protocol.HeaderOriginRegion)
 		res, ok := e.findService(ex)
 		if !ok {
 			return res
@@ -319,7 +319,7 @@
 		reply, err := e.config.Claims.Acquire(ctx, attempt)
 		cancel()
 		if err != nil {
-			return notRun(statusRefused, protocol.ReasonClaims, err.Error(), e.jitter(time.Second))
+			return notRun(statusRefused, protocol.ReasonClaimsUnavailable, err.Error(), e.jitter(time.Second))
 		}
 		if reply.Result != claim.Granted {
 			return e.claimConflict(reply)
@@ -351,7 +351,7 @@
 	var res Result
 	switch reply.Result {
 	case claim.AlreadyDone:
-		res = unknown(protocol.ReasonDone, "an earlier attempt was answered", 0)
+		res = unknown(protocol.ReasonAlreadyDone, "an earlier attempt was answered", 0)
 		res.Outcome = retry.Ran
 		res.EarlierStatus = reply.Status
 	case claim.Superseded:
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -28,7 +28,7 @@
 		r.Body = http.NoBody
 		r.ContentLength = 0
 	}
-	r.Header.Set(protocol.HeaderKey, "20260301T120000Z-1")
+	r.Header.Set(protocol.HeaderIdempotencyKey, "20260301T120000Z-1")
 	return &Exchange{w: httptest.NewRecorder(), r: r, Service: service, Deadline: time.Now().Add(10 * time.Second), body: newBody(r)}
 }
 
@@ -108,7 +108,7 @@
 	}{
 		{"no listener", closed, retry.NotRun},
 		{"refused", answer(func(w http.ResponseWriter) {
-			w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
+			w.Header().Set(protocol.HeaderNotRun, protocol.FlagSet)
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}), retry.NotRun},
 		{"503 without the header", answer(func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }), retry.Ran},
@@ -141,7 +141,7 @@
 	} {
 		ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, nil)
 		if c.earlier {
-			ex.r.Header.Set(protocol.HeaderEarlier, "unknown")
+			ex.r.Header.Set(protocol.HeaderEarlierOutcome, "unknown")
 		}
 		ex.claimHeld = c.granted
 		require.Equal(t, c.want, ex.adjustForEarlier(notRun(503, protocol.ReasonNotReady, "", 0)).Outcome, c.name)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -87,7 +87,7 @@
 // without the claim and the caller does not know the outcome of an earlier attempt. This
 // attempt did not run, but the operation may have run.
 func (ex *Exchange) adjustForEarlier(res Result) Result {
-	earlier := ex.r.Header.Get(protocol.HeaderEarlier) == retry.Unknown.String()
+	earlier := ex.r.Header.Get(protocol.HeaderEarlierOutcome) == retry.Unknown.String()
 	if !ex.FromHop && !ex.claimHeld && earlier && res.Outcome == retry.NotRun {
 		res.Outcome = retry.Unknown
 	}
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -150,7 +150,7 @@
 func evidenceOf(connected bool, resp *http.Response) retry.Evidence {
 	e := retry.Evidence{Connected: connected, Answered: resp != nil}
 	if resp != nil {
-		e.Refused = resp.Header.Get(protocol.HeaderNotRun) == protocol.HeaderSet
+		e.Refused = resp.Header.Get(protocol.HeaderNotRun) == protocol.FlagSet
 	}
 	return e
 }
--- a/entry/region.go
+++ b/entry/region.go
@@ -139,7 +139,7 @@
 	ex.attempts++
 	e.config.Fleet.RecordSent(hop.ID, ex.Service.Name)
 	a := e.transports.send(ex, hop.Addr, ex.r.URL.EscapedPath(), func(h http.Header) {
-		h.Set(protocol.HeaderFrom, e.config.Region)
+		h.Set(protocol.HeaderOriginRegion, e.config.Region)
 		h.Set(protocol.HeaderConfig, strconv.FormatInt(ex.plan.Version, 10))
 	}, e.config.StallTimeout)
 	defer a.close()
@@ -253,7 +253,7 @@
 	if a.resp == nil {
 		return availability.SelfReport{}
 	}
-	word := availability.SelfReport{Leaving: a.resp.Header.Get(protocol.HeaderDraining) == protocol.HeaderSet}
+	word := availability.SelfReport{Leaving: a.resp.Header.Get(protocol.HeaderDraining) == protocol.FlagSet}
 	if outcome == retry.NotRun {
 		word.Backoff = protocol.RetryAfter(a.resp.Header)
 	}
@@ -272,7 +272,7 @@
 
 // stripInstanceHeaders removes the headers that only instances use.
 func stripInstanceHeaders(h http.Header) {
-	h.Del(protocol.HeaderFrom)
+	h.Del(protocol.HeaderOriginRegion)
 	h.Del(protocol.HeaderConfig)
 }
 
@@ -310,7 +310,7 @@
 	if a.err != nil {
 		detail += ": " + a.err.Error()
 	}
-	reason := protocol.ReasonLost
+	reason := protocol.ReasonResponseLost
 	if !time.Now().Before(ex.Deadline) {
 		reason = protocol.ReasonDeadline
 	}
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -125,7 +125,7 @@
 	_, err := client.Do(context.Background(), upload(pays, caller.NewKey(), []byte("rent")))
 	var notRun *caller.NotRunError
 	require.ErrorAs(t, err, &notRun)
-	require.Equal(t, protocol.ReasonClaims, notRun.Reason)
+	require.Equal(t, protocol.ReasonClaimsUnavailable, notRun.Reason)
 	require.Positive(t, notRun.RetryAfter)
 	require.Empty(t, s.runs())
 	t.Logf("a payment is given up after %.2f s", time.Since(began).Seconds())
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -162,7 +162,7 @@
 	defer s.offer(-1)
 	now := s.current()
 	if now.Draining {
-		w.Header().Set(protocol.HeaderDraining, protocol.HeaderSet)
+		w.Header().Set(protocol.HeaderDraining, protocol.FlagSet)
 		refuse(w, "draining")
 		return
 	}
@@ -224,7 +224,7 @@
 	if err != nil {
 		return
 	}
-	s.runs.add(r.Header.Get(protocol.HeaderKey))
+	s.runs.add(r.Header.Get(protocol.HeaderIdempotencyKey))
 	select {
 	case <-time.After(s.serviceTime(now)):
 	case <-r.Context().Done():
@@ -295,7 +295,7 @@
 }
 
 func refuse(w http.ResponseWriter, text string) {
-	w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
+	w.Header().Set(protocol.HeaderNotRun, protocol.FlagSet)
 	w.Header().Set("Retry-After", "1")
 	http.Error(w, text, http.StatusServiceUnavailable)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -35,7 +35,7 @@
 	config  Config
 	self    member.Instance
 	log     *slog.Logger
-	metrics *telemetry.Entry
+	metrics *telemetry.EntryMetrics
 	store   *objectstore.Client
 	mesh    *peer.Mesh
 	hall    *entry.Hall
@@ -94,7 +94,7 @@
 	if err := config.Check().Err(); err != nil {
 		return nil, err
 	}
-	metrics, err := telemetry.NewEntry()
+	metrics, err := telemetry.NewEntryMetrics()
 	if err != nil {
 		return nil, err
 	}
--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	defaultTimeout = 3 * time.Second
-	watchSlack     = 5 * time.Second
-	maxAnswerBytes = 64 << 20
+	defaultTimeout   = 3 * time.Second
+	watchSlack       = 5 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
 // Client calls the service over HTTP. It is safe for concurrent use.
@@ -32,7 +32,7 @@
 	base    string
 	http    *http.Client
 	timeout time.Duration
-	eras    *eras
+	eras    *eraTracker
 }
 
 // NewClient returns a client of the service at base, such as
@@ -47,7 +47,7 @@
 		MaxIdleConnsPerHost: 8,
 		IdleConnTimeout:     30 * time.Second,
 	}
-	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, eras: newEras()}
+	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, eras: newEraTracker()}
 }
 
 // Close releases idle connections.
@@ -62,7 +62,7 @@
 	if err != nil {
 		return Object{}, fmt.Errorf("get %s: %w", key, err)
 	}
-	return obj.in(era), nil
+	return obj.inEra(era), nil
 }
 
 // List reads all objects whose key starts with prefix.
@@ -75,7 +75,7 @@
 	if err != nil {
 		return Listing{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
-	return out.in(era), nil
+	return out.inEra(era), nil
 }
 
 // Watch returns the objects below the prefixes that changed after a revision.
@@ -83,8 +83,8 @@
 // listing. Where the service has come back from a copy since, it returns all
 // objects below the prefixes.
 func (c *Client) Watch(ctx context.Context, prefixes []string, after int64, wait time.Duration) (Listing, error) {
-	era, number := split(after)
-	latest, begun := c.eras.now()
+	era, number := splitVersion(after)
+	latest, begun := c.eras.current()
 	if era >= latest && number > 0 {
 		out, answered, err := c.watch(ctx, prefixes, number, wait, begun)
 		if answered == era {
@@ -114,10 +114,10 @@
 	}
 	era, err = c.read(ctx, WatchPath+"?"+query.Encode(), &out)
 	if err != nil {
-		era, _ = c.eras.now()
+		era, _ = c.eras.current()
 		return Listing{}, era, fmt.Errorf("watch: %w", err)
 	}
-	return out.in(era), era, nil
+	return out.inEra(era), era, nil
 }
 
 // Put writes value under key if the object is at version (0: if there is
@@ -132,7 +132,7 @@
 	if len(raw) > MaxValueBytes {
 		return Object{}, fmt.Errorf("put %s: %d bytes: %w", key, len(raw), ErrTooLarge)
 	}
-	number, err := c.writable(ctx, key, version)
+	number, err := c.writeNumber(ctx, key, version)
 	if err != nil {
 		return Object{}, err
 	}
@@ -145,7 +145,7 @@
 
 // Delete removes the object if it is at version.
 func (c *Client) Delete(ctx context.Context, key string, version int64) error {
-	number, err := c.writable(ctx, key, version)
+	number, err := c.writeNumber(ctx, key, version)
 	if err != nil {
 		return err
 	}
@@ -154,12 +154,12 @@
 	return err
 }
 
-// writable returns the number that a write on a version has to name. If the service has come back from a
+// writeNumber returns the number that a write on a version has to name. If the service has come back from a
 // copy since the version, its own numbers may have been given out again: then the write is in conflict
 // with what the service holds now, or makes the object anew if there is none.
-func (c *Client) writable(ctx context.Context, key string, version int64) (number int64, err error) {
-	era, number := split(version)
-	latest, _ := c.eras.now()
+func (c *Client) writeNumber(ctx context.Context, key string, version int64) (number int64, err error) {
+	era, number := splitVersion(version)
+	latest, _ := c.eras.current()
 	if number == 0 || era >= latest {
 		return number, nil
 	}
@@ -185,7 +185,7 @@
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer drainBody(resp.Body)
-	era = c.eras.note(resp.Header)
+	era = c.eras.observe(resp.Header)
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
@@ -193,7 +193,7 @@
 	default:
 		return era, fmt.Errorf("%w: status %d", ErrUnavailable, resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(out)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out)
 	if err != nil {
 		return era, fmt.Errorf("%w: decode: %w", ErrUnavailable, err)
 	}
@@ -215,7 +215,7 @@
 		return Object{}, fmt.Errorf("write %s: %w: %w", key, writeFailure(err), err)
 	}
 	defer drainBody(resp.Body)
-	return decodeWrite(key, resp, c.eras.note(resp.Header))
+	return decodeWrite(key, resp, c.eras.observe(resp.Header))
 }
 
 // writeFailure tells whether a write whose call failed can have reached the
@@ -236,13 +236,13 @@
 		if err != nil {
 			return Object{}, fmt.Errorf("write %s: %w: %w", key, ErrUncertain, err)
 		}
-		return obj.in(era), nil
+		return obj.inEra(era), nil
 	case http.StatusConflict:
 		err := json.NewDecoder(resp.Body).Decode(&obj)
 		if err != nil {
 			return Object{}, fmt.Errorf("write %s: %w: %w", key, ErrUnavailable, err)
 		}
-		return Object{}, &ConflictError{Key: key, Current: obj.in(era)}
+		return Object{}, &ConflictError{Key: key, Current: obj.inEra(era)}
 	case http.StatusRequestEntityTooLarge:
 		return Object{}, fmt.Errorf("write %s: %w", key, ErrTooLarge)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
--- a/objectstore/client_test.go
+++ b/objectstore/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-func newPair(t *testing.T) (*platformstore.Server, *objectstore.Client) {
+func newServerAndClient(t *testing.T) (*platformstore.Server, *objectstore.Client) {
 	t.Helper()
 	server := platformstore.NewServer(platformstore.NewStore(), platformstore.Limits{})
 	ts := httptest.NewServer(server.Handler())
@@ -28,7 +28,7 @@
 
 func TestConditionalWrites(t *testing.T) {
 	ctx := context.Background()
-	_, c := newPair(t)
+	_, c := newServerAndClient(t)
 	_, err := c.Get(ctx, "a/b")
 	require.ErrorIs(t, err, objectstore.ErrNotFound)
 	first, err := c.Put(ctx, "a/b", 0, 1)
@@ -50,7 +50,7 @@
 
 func TestWatch(t *testing.T) {
 	ctx := context.Background()
-	_, c := newPair(t)
+	_, c := newServerAndClient(t)
 	obj, err := c.Put(ctx, "a/1", 0, 1)
 	require.NoError(t, err)
 	_, err = c.Put(ctx, "z/1", 0, 1)
@@ -72,7 +72,7 @@
 // effect, and uncertain when it may have.
 func TestWriteOutcomes(t *testing.T) {
 	ctx := context.Background()
-	server, c := newPair(t)
+	server, c := newServerAndClient(t)
 	server.SetFaults(platformstore.Faults{Down: true})
 	_, err := c.Put(ctx, "k", 0, 1)
 	require.ErrorIs(t, err, objectstore.ErrUnavailable)
@@ -82,7 +82,7 @@
 	obj, err := c.Get(ctx, "k")
 	require.NoError(t, err, "it took effect")
 
-	short := objectstore.NewClient("http://"+deafAddr(t), 200*time.Millisecond)
+	short := objectstore.NewClient("http://"+unresponsiveAddr(t), 200*time.Millisecond)
 	_, err = short.Put(ctx, "k", obj.Version, 2)
 	require.ErrorIs(t, err, objectstore.ErrUncertain, "no answer in time")
 	gone := objectstore.NewClient("http://127.0.0.1:1", time.Second)
@@ -94,18 +94,18 @@
 	require.ErrorIs(t, err, objectstore.ErrUncertain, "a status that says nothing")
 }
 
-// deafAddr returns an address that takes connections and never answers.
-func deafAddr(t *testing.T) string {
+// unresponsiveAddr returns an address that takes connections and never answers.
+func unresponsiveAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	return ln.Addr().String()
 }
 
-// TestRestoredService checks that versions grow across a return of the service from a copy, that no write on a
+// TestRestoreFromBackup checks that versions grow across a return of the service from a copy, that no write on a
 // version of before takes effect on what has that number now, that a lost object is made anew, and that a
 // watch from before, pending or not, brings all that there is.
-func TestRestoredService(t *testing.T) {
+func TestRestoreFromBackup(t *testing.T) {
 	ctx := context.Background()
 	store := platformstore.NewStore()
 	ts := httptest.NewServer(platformstore.NewServer(store, platformstore.Limits{}).Handler())
--- a/objectstore/era.go
+++ b/objectstore/era.go
@@ -26,8 +26,8 @@
 	return era<<eraShift | number
 }
 
-// split returns the era and the service's own number of a version.
-func split(version int64) (era, number int64) {
+// splitVersion returns the era and the service's own number of a version.
+func splitVersion(version int64) (era, number int64) {
 	return version >> eraShift, version & (1<<eraShift - 1)
 }
 
@@ -35,19 +35,19 @@
 // come back from a copy in between, and an object at the first may lack what it held at the other.
 func IsLaterEra(version, than int64) bool { return version>>eraShift > than>>eraShift }
 
-// eras follows the era of a service. It is safe for concurrent use.
-type eras struct {
+// eraTracker follows the era of a service. It is safe for concurrent use.
+type eraTracker struct {
 	mu     sync.Mutex
 	latest int64
-	// begun is closed when a later era begins.
-	begun chan struct{}
+	// advanced is closed when a later era begins.
+	advanced chan struct{}
 }
 
-func newEras() *eras { return &eras{begun: make(chan struct{})} }
+func newEraTracker() *eraTracker { return &eraTracker{advanced: make(chan struct{})} }
 
-// note takes in the era that an answer names, and returns it. An answer that names none that can be
+// observe takes in the era that an answer names, and returns it. An answer that names none that can be
 // held in a version is of era 0.
-func (e *eras) note(header http.Header) int64 {
+func (e *eraTracker) observe(header http.Header) int64 {
 	era, err := strconv.ParseInt(header.Get(EraHeader), 10, 64)
 	if err != nil || era < 0 || era >= maxEra {
 		return 0
@@ -56,15 +56,15 @@
 	defer e.mu.Unlock()
 	if era > e.latest {
 		e.latest = era
-		close(e.begun)
-		e.begun = make(chan struct{})
+		close(e.advanced)
+		e.advanced = make(chan struct{})
 	}
 	return era
 }
 
-// now returns the latest era that is known, and a channel that is closed when a later one begins.
-func (e *eras) now() (era int64, begun <-chan struct{}) {
+// current returns the latest era that is known, and a channel that is closed when a later one begins.
+func (e *eraTracker) current() (era int64, begun <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.latest, e.begun
+	return e.latest, e.advanced
 }
--- a/objectstore/object.go
+++ b/objectstore/object.go
@@ -18,8 +18,8 @@
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// in returns the object as it is in an era of the service.
-func (o Object) in(era int64) Object {
+// inEra returns the object as it is inEra an era of the service.
+func (o Object) inEra(era int64) Object {
 	o.Version = versionOf(era, o.Version)
 	return o
 }
@@ -32,10 +32,10 @@
 	Revision int64 `json:"revision"`
 }
 
-// in returns the listing as it is in an era of the service.
-func (l Listing) in(era int64) Listing {
+// inEra returns the listing as it is inEra an era of the service.
+func (l Listing) inEra(era int64) Listing {
 	for i := range l.Objects {
-		l.Objects[i] = l.Objects[i].in(era)
+		l.Objects[i] = l.Objects[i].inEra(era)
 	}
 	l.Revision = versionOf(era, l.Revision)
 	return l
--- a/protocol/protocol.go
+++ b/protocol/protocol.go
@@ -16,22 +16,22 @@
 
 // Headers of a request.
 const (
-	// HeaderKey names the operation (draft-ietf-httpapi-idempotency-key-header).
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey names the operation (draft-ietf-httpapi-idempotency-key-header).
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderAttempt numbers the caller's attempts at an operation from 1, each
 	// higher than all before.
 	HeaderAttempt = "Rainford-Attempt"
-	// HeaderEarlier is unknown when the outcome of an earlier attempt is not
+	// HeaderEarlierOutcome is unknown when the outcome of an earlier attempt is not
 	// known.
-	HeaderEarlier = "Rainford-Earlier"
+	HeaderEarlierOutcome = "Rainford-Earlier"
 	// HeaderDeadline is the time that is left for the answer, in
 	// milliseconds.
 	HeaderDeadline = "Rainford-Deadline-Ms"
 	// HeaderRequestID names the request in all logs.
 	HeaderRequestID = "Rainford-Request-Id"
-	// HeaderFrom is the region that a request entered in. Instances set it
+	// HeaderOriginRegion is the region that a request entered in. Instances set it
 	// for each other.
-	HeaderFrom = "Rainford-From"
+	HeaderOriginRegion = "Rainford-From"
 	// HeaderConfig is the version of the configuration in force at the
 	// sending instance.
 	HeaderConfig = "Rainford-Config"
@@ -56,26 +56,26 @@
 	HeaderInstance = "Rainford-Instance"
 )
 
-// HeaderSet is the value of a header that is a flag.
-const HeaderSet = "1"
+// FlagSet is the value of a header that is a flag.
+const FlagSet = "1"
 
 // Reason tells why a request was given up.
 type Reason string
 
 // The reasons.
 const (
-	ReasonBadRequest  Reason = "bad-request"
-	ReasonNoService   Reason = "no-such-service"
-	ReasonNotReady    Reason = "not-ready"
-	ReasonCap         Reason = "cap"
-	ReasonCapacity    Reason = "capacity"
-	ReasonUnreachable Reason = "unreachable"
-	ReasonClaims      Reason = "claims-unavailable"
-	ReasonInProgress  Reason = "earlier-attempt"
-	ReasonSuperseded  Reason = "later-attempt"
-	ReasonDone        Reason = "already-done"
-	ReasonLost        Reason = "answer-lost"
-	ReasonDeadline    Reason = "deadline"
+	ReasonBadRequest        Reason = "bad-request"
+	ReasonNoService         Reason = "no-such-service"
+	ReasonNotReady          Reason = "not-ready"
+	ReasonCap               Reason = "cap"
+	ReasonCapacity          Reason = "capacity"
+	ReasonUnreachable       Reason = "unreachable"
+	ReasonClaimsUnavailable Reason = "claims-unavailable"
+	ReasonInProgress        Reason = "earlier-attempt"
+	ReasonSuperseded        Reason = "later-attempt"
+	ReasonAlreadyDone       Reason = "already-done"
+	ReasonResponseLost      Reason = "answer-lost"
+	ReasonDeadline          Reason = "deadline"
 )
 
 // Refusal is the JSON body of an answer that entry instances give by
@@ -105,7 +105,7 @@
 
 // RetryAfter reads what SetRetryAfter wrote. It is 0 when there is none.
 func RetryAfter(h http.Header) time.Duration {
-	if ms := millis(h.Get(HeaderRetryAfter)); ms > 0 {
+	if ms := parseMillis(h.Get(HeaderRetryAfter)); ms > 0 {
 		return ms
 	}
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
@@ -117,7 +117,7 @@
 
 // Deadline reads the time left for a request. It is 0 when none is given.
 func Deadline(h http.Header) time.Duration {
-	return millis(h.Get(HeaderDeadline))
+	return parseMillis(h.Get(HeaderDeadline))
 }
 
 // SetDeadline writes the time left for a request.
@@ -125,7 +125,7 @@
 	h.Set(HeaderDeadline, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 }
 
-func millis(text string) time.Duration {
+func parseMillis(text string) time.Duration {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms < 0 || ms > int64(24*time.Hour/time.Millisecond) {
 		return 0
--- a/telemetry/entry_metrics.go
+++ b/telemetry/entry_metrics.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Entry are the instruments of an entry instance on the project's own object
+// EntryMetrics are the instruments of an entry instance on the project's own object
 // service.
-type Entry struct {
+type EntryMetrics struct {
 	*Metrics
 
 	requests   *Counter
@@ -16,13 +16,13 @@
 	violations *Counter
 }
 
-// NewEntry returns the instruments of an entry instance, in a registry of their own.
-func NewEntry() (*Entry, error) {
+// NewEntryMetrics returns the instruments of an entry instance, in a registry of their own.
+func NewEntryMetrics() (*EntryMetrics, error) {
 	m, err := New()
 	if err != nil {
 		return nil, err
 	}
-	e := &Entry{Metrics: m}
+	e := &EntryMetrics{Metrics: m}
 	var errs [4]error
 	e.requests, errs[0] = m.Counter("rainford.requests", "Requests of callers, by service, outcome and reason.", "service", "outcome", "reason")
 	e.latency, errs[1] = m.Histogram("rainford.request.duration", "Time from the arrival of a request to the end of its answer.", "service")
@@ -32,13 +32,13 @@
 }
 
 // Request counts one request of a caller.
-func (e *Entry) Request(service, outcome, reason string, took time.Duration) {
+func (e *EntryMetrics) Request(service, outcome, reason string, took time.Duration) {
 	e.requests.Add(1, service, outcome, reason)
 	e.latency.Record(took.Seconds(), service)
 }
 
 // Lookup counts one look-up.
-func (e *Entry) Lookup() { e.lookups.Add(1) }
+func (e *EntryMetrics) Lookup() { e.lookups.Add(1) }
 
 // Violation counts a broken invariant.
-func (e *Entry) Violation(name string) { e.violations.Add(1, name) }
+func (e *EntryMetrics) Violation(name string) { e.violations.Add(1, name) }
--- a/telemetry/labels.go
+++ b/telemetry/labels.go
@@ -19,45 +19,45 @@
 	overflowValue = "other"
 )
 
-// values are the values of an instrument's labels.
-type values [maxLabels]string
+// labelValues are the labelValues of an instrument's labels.
+type labelValues [maxLabels]string
 
-// series hands out the attributes of an instrument's series. Making a set anew with
+// seriesCache hands out the attributes of an instrument's seriesCache. Making a set anew with
 // each event would cost more than counting it.
-type series struct {
+type seriesCache struct {
 	labels []string
 
-	mu   sync.RWMutex
-	sets map[values]metric.MeasurementOption
+	mu      sync.RWMutex
+	options map[labelValues]metric.MeasurementOption
 }
 
-func newSeries(labels []string) *series {
-	return &series{labels: labels, sets: make(map[values]metric.MeasurementOption)}
+func newSeriesCache(labels []string) *seriesCache {
+	return &seriesCache{labels: labels, options: make(map[labelValues]metric.MeasurementOption)}
 }
 
 // option returns the attributes of the series with the values.
-func (s *series) option(of ...string) metric.MeasurementOption {
-	var key values
+func (s *seriesCache) option(of ...string) metric.MeasurementOption {
+	var key labelValues
 	copy(key[:], of)
 	s.mu.RLock()
-	option, known := s.sets[key]
+	option, known := s.options[key]
 	s.mu.RUnlock()
 	if known {
 		return option
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.sets) >= maxSeries {
+	if len(s.options) >= maxSeries {
 		for i := range s.labels {
 			key[i] = overflowValue
 		}
 	}
-	option = metric.WithAttributeSet(s.set(key))
-	s.sets[key] = option
+	option = metric.WithAttributeSet(s.attributeSet(key))
+	s.options[key] = option
 	return option
 }
 
-func (s *series) set(key values) attribute.Set {
+func (s *seriesCache) attributeSet(key labelValues) attribute.Set {
 	attributes := make([]attribute.KeyValue, len(s.labels))
 	for i, label := range s.labels {
 		attributes[i] = attribute.String(label, key[i])
@@ -67,7 +67,7 @@
 
 // Counter counts events by labels.
 type Counter struct {
-	series  *series
+	series  *seriesCache
 	counter metric.Int64Counter
 }
 
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("telemetry: %s: %w", name, err)
 	}
-	return &Counter{series: newSeries(labels), counter: counter}, nil
+	return &Counter{series: newSeriesCache(labels), counter: counter}, nil
 }
 
 // Add counts n events. Values are those of the labels, in their order.
@@ -87,7 +87,7 @@
 
 // Histogram records times by labels.
 type Histogram struct {
-	series    *series
+	series    *seriesCache
 	histogram metric.Float64Histogram
 }
 
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("telemetry: %s: %w", name, err)
 	}
-	return &Histogram{series: newSeries(labels), histogram: histogram}, nil
+	return &Histogram{series: newSeriesCache(labels), histogram: histogram}, nil
 }
 
 // Record records a time in seconds. Values are those of the labels, in their order.
@@ -109,13 +109,13 @@
 // Gauges registers values that are read when the metrics are. Read calls observe
 // once for each series, with the values of the labels in their order.
 func (m *Metrics) Gauges(name, description string, labels []string, read func(observe func(value float64, values ...string))) error {
-	s := newSeries(labels)
+	s := newSeriesCache(labels)
 	_, err := m.meter.Float64ObservableGauge(name, metric.WithDescription(description),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 			read(func(value float64, of ...string) {
-				var key values
+				var key labelValues
 				copy(key[:], of)
-				o.Observe(value, metric.WithAttributeSet(s.set(key)))
+				o.Observe(value, metric.WithAttributeSet(s.attributeSet(key)))
 			})
 			return nil
 		}))
