--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -37,7 +37,7 @@
 // group if there is no other.
 func rankNaive(key string, ids []string, preferred int, group func(int) int) []string {
 	score := func(i int) float64 {
-		return mix.Weighted(mix.Join(affinity.Hash(key), affinity.Hash(ids[i])), 6)
+		return mix.RendezvousScore(mix.Combine(affinity.Hash(key), affinity.Hash(ids[i])), 6)
 	}
 	best := func(allowed func(int) bool) int {
 		found := -1
--- a/affinity/rank.go
+++ b/affinity/rank.go
@@ -48,7 +48,7 @@
 		r.best[r.groups] = [Depth]scored{noTarget, noTarget}
 		r.groups++
 	}
-	s := scored{index: index, score: mix.Weighted(mix.Join(r.key, id), weight)}
+	s := scored{index: index, score: mix.RendezvousScore(mix.Combine(r.key, id), weight)}
 	best := &r.best[group]
 	switch {
 	case best[0].index < 0 || s.score > best[0].score:
--- a/availability/departures.go
+++ b/availability/departures.go
@@ -140,7 +140,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b Departure) int {
-		return cmp.Or(cmp.Compare(mix.Join(uint64(a.ID), salt), mix.Join(uint64(b.ID), salt)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(mix.Combine(uint64(a.ID), salt), mix.Combine(uint64(b.ID), salt)), cmp.Compare(a.ID, b.ID))
 	})
 	return out[:min(n, len(out))]
 }
--- a/availability/rate_limits.go
+++ b/availability/rate_limits.go
@@ -200,7 +200,7 @@
 	var sum uint64
 	for id, entry := range l.entries {
 		if entry.isShared(now) {
-			sum += mix.Join(uint64(id), mix.Join(uint64(entry.Version), math.Float64bits(entry.wireValue())))
+			sum += mix.Combine(uint64(id), mix.Combine(uint64(entry.Version), math.Float64bits(entry.wireValue())))
 		}
 	}
 	return uint32(sum>>32) ^ uint32(sum)
@@ -216,7 +216,7 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b RateLimit) int {
-		return cmp.Or(cmp.Compare(mix.Join(uint64(a.ID), salt), mix.Join(uint64(b.ID), salt)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(mix.Combine(uint64(a.ID), salt), mix.Combine(uint64(b.ID), salt)), cmp.Compare(a.ID, b.ID))
 	})
 	return out[:min(n, len(out))]
 }
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -79,7 +79,7 @@
 	var out []Member
 	taken := make(map[int]bool, v.settings.LocalFanout)
 	for draw := uint64(0); len(out) < min(v.settings.LocalFanout, n-1); draw++ {
-		distance := 1 + int(mix.Join(uint64(v.round), draw)%uint64(n-1))
+		distance := 1 + int(mix.Combine(uint64(v.round), draw)%uint64(n-1))
 		if taken[distance] {
 			continue
 		}
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -43,7 +43,7 @@
 	dialer := net.Dialer{
 		Timeout:   min(maxDialTime, left),
 		KeepAlive: -1,
-		Control:   sockopt.LimitUnacked(unackedTimeout),
+		Control:   sockopt.UserTimeout(unackedTimeout),
 	}
 	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -59,7 +59,7 @@
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	return sockopt.Quiet(c.Conn)
+	return sockopt.Idle(c.Conn)
 }
 
 // idlePool holds idle connections by endpoint.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -54,47 +54,47 @@
 	return c.suspended(now)
 }
 
-// noticeable is the smallest suspension that is counted. The time of day moves against the
+// minSuspension is the smallest suspension that is counted. The time of day moves against the
 // steady clock by less than that between two readings, unless it is set.
-const noticeable = 20 * time.Millisecond
+const minSuspension = 20 * time.Millisecond
 
 // detector finds out how long the machine was suspended. The clock that counts suspensions
 // costs a system call; it is read only where the time of day, which counts them too and costs
 // none, has moved against the steady clock.
 type detector struct {
-	boot      func() time.Duration
-	begin     time.Time
-	bootBegin time.Duration
+	boot        func() time.Duration
+	start       time.Time
+	bootAtStart time.Duration
 	// drift is the time of day less the steady clock, when it was last looked at, and
 	// total how long the machine was suspended until then.
 	drift, total atomic.Int64
 }
 
 func newDetector(boot func() time.Duration) *detector {
-	d := &detector{boot: boot, begin: time.Now()}
-	d.bootBegin = boot()
-	d.drift.Store(d.begin.UnixNano())
+	d := &detector{boot: boot, start: time.Now()}
+	d.bootAtStart = boot()
+	d.drift.Store(d.start.UnixNano())
 	return d
 }
 
 func (d *detector) suspended(now time.Time) time.Duration {
-	return d.at(now.UnixNano(), now.Sub(d.begin))
+	return d.suspendedAt(now.UnixNano(), now.Sub(d.start))
 }
 
-// at returns how long the machine was suspended until a time of day, in Unix nanoseconds,
+// suspendedAt returns how long the machine was suspended until a time of day, in Unix nanoseconds,
 // that is a time after the begin on the steady clock.
-func (d *detector) at(day int64, steady time.Duration) time.Duration {
+func (d *detector) suspendedAt(day int64, steady time.Duration) time.Duration {
 	drift := day - int64(steady)
-	if moved := time.Duration(drift - d.drift.Load()); moved > noticeable || moved < -noticeable {
-		d.look(drift, steady)
+	if moved := time.Duration(drift - d.drift.Load()); moved > minSuspension || moved < -minSuspension {
+		d.measure(drift, steady)
 	}
 	return time.Duration(d.total.Load())
 }
 
-// look reads the clock that counts suspensions.
-func (d *detector) look(drift int64, steady time.Duration) {
-	total := d.boot() - d.bootBegin - steady
-	if total-time.Duration(d.total.Load()) > noticeable {
+// measure reads the clock that counts suspensions.
+func (d *detector) measure(drift int64, steady time.Duration) {
+	total := d.boot() - d.bootAtStart - steady
+	if total-time.Duration(d.total.Load()) > minSuspension {
 		d.total.Store(int64(total))
 	}
 	d.drift.Store(drift)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -13,33 +13,33 @@
 func TestDetector(t *testing.T) {
 	booted, reads := time.Hour, 0
 	d := newDetector(func() time.Duration { reads++; return booted })
-	day, steady := d.begin.UnixNano(), time.Duration(0)
+	day, steady := d.start.UnixNano(), time.Duration(0)
 	pass := func(length time.Duration) {
 		day += int64(length)
 		booted += length
 	}
-	require.Zero(t, d.at(day, steady))
+	require.Zero(t, d.suspendedAt(day, steady))
 	pass(time.Second)
 	steady += time.Second
-	require.Zero(t, d.at(day, steady))
+	require.Zero(t, d.suspendedAt(day, steady))
 	require.Equal(t, 1, reads, "at the begin")
 
 	// The time of day is set.
 	day += int64(2 * time.Second)
-	require.Zero(t, d.at(day, steady))
-	require.Zero(t, d.at(day, steady))
+	require.Zero(t, d.suspendedAt(day, steady))
+	require.Zero(t, d.suspendedAt(day, steady))
 	require.Equal(t, 2, reads)
 
 	// Suspended, and set back by as much and a little more.
 	for _, length := range []time.Duration{5 * time.Second, time.Minute} {
 		pass(length)
-		before := d.at(day-int64(length), steady)
-		require.Equal(t, before+length, d.at(day, steady))
-		require.Equal(t, before+length, d.at(day, steady))
+		before := d.suspendedAt(day-int64(length), steady)
+		require.Equal(t, before+length, d.suspendedAt(day, steady))
+		require.Equal(t, before+length, d.suspendedAt(day, steady))
 	}
 	pass(time.Second)
-	day -= int64(time.Second + noticeable + 1)
-	require.Equal(t, 66*time.Second, d.at(day, steady))
+	day -= int64(time.Second + minSuspension + 1)
+	require.Equal(t, 66*time.Second, d.suspendedAt(day, steady))
 }
 
 // TestClock checks that times count suspensions and are turned back for the runtime.
--- a/internal/demo/fault_test.go
+++ b/internal/demo/fault_test.go
@@ -131,7 +131,7 @@
 	service := cluster.Estate.Services[1].Name
 	var wg sync.WaitGroup
 	for i, client := range cluster.callers(t) {
-		stream := load.Stream{Service: service, Kind: load.Operate, Rate: 25, Bytes: 200, Timeout: 2 * time.Second, Client: client, AskAgain: 3, Twice: 0.2}
+		stream := load.Stream{Service: service, Kind: load.Operate, Rate: 25, Bytes: 200, Timeout: 2 * time.Second, Client: client, MaxRetries: 3, DuplicateFraction: 0.2}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
--- a/internal/demo/invariant_test.go
+++ b/internal/demo/invariant_test.go
@@ -271,7 +271,7 @@
 		for j, s := range []load.Stream{
 			{Service: reads, Kind: load.Read, Rate: 30, Timeout: 5 * time.Second, Client: client},
 			{Service: reads, Kind: load.Download, Rate: 2, Bytes: 400_000, Timeout: 10 * time.Second, Client: client},
-			{Service: pays, Kind: load.Operate, Rate: 5, Bytes: 200, Timeout: 5 * time.Second, Client: client, AskAgain: 2},
+			{Service: pays, Kind: load.Operate, Rate: 5, Bytes: 200, Timeout: 5 * time.Second, Client: client, MaxRetries: 2},
 		} {
 			loads.Add(1)
 			go func() { defer loads.Done(); generator.Run(ctx, s, rand.NewPCG(2, uint64(10*i+j))) }()
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -113,7 +113,7 @@
 	return []load.Stream{
 		{Service: services[0].Name, Kind: load.Read, Rate: 2 * rate, Timeout: readTimeout},
 		{Service: services[0].Name, Kind: load.Download, Rate: rate / 20, Bytes: downloadBytes, Timeout: longTimeout},
-		{Service: services[1].Name, Kind: load.Operate, Rate: rate / 2, Bytes: receiptBytes, Timeout: readTimeout, AskAgain: 1},
+		{Service: services[1].Name, Kind: load.Operate, Rate: rate / 2, Bytes: receiptBytes, Timeout: readTimeout, MaxRetries: 1},
 		{Service: services[2].Name, Kind: load.Upload, Rate: rate / 4, Bytes: uploadBytes, Timeout: longTimeout},
 	}
 }
--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -139,7 +139,7 @@
 	s := newSystem(t, 2, 50)
 	g := load.NewGenerator()
 	ctx, cancel := context.WithCancel(context.Background())
-	wg := s.flow(ctx, g, load.Stream{Service: pays, Kind: load.Operate, Rate: 30, Bytes: 100, Timeout: 2 * time.Second, AskAgain: 3, Twice: 0.2})
+	wg := s.flow(ctx, g, load.Stream{Service: pays, Kind: load.Operate, Rate: 30, Bytes: 100, Timeout: 2 * time.Second, MaxRetries: 3, DuplicateFraction: 0.2})
 	for i := range 4 {
 		time.Sleep(time.Second)
 		region := regions[i%2]
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -46,12 +46,12 @@
 	Bytes   int
 	Timeout time.Duration
 	Client  *caller.Client
-	// AskAgain asks again with the same key after an unknown outcome or a
+	// MaxRetries asks again with the same key after an unknown outcome or a
 	// refusal, up to this many times, when told to come back.
-	AskAgain int
-	// Twice is the part of the operations that are sent a second time with
+	MaxRetries int
+	// DuplicateFraction is the part of the operations that are sent a second time with
 	// the same key at the same moment, as attempt 2.
-	Twice float64
+	DuplicateFraction float64
 }
 
 // maxInFlight bounds the requests of one stream that are under way. Arrivals
@@ -80,16 +80,16 @@
 }
 
 const (
-	minMicros = 1
-	maxMicros = 120_000_000
-	digits    = 3
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 3
 )
 
 func newStats() *Stats {
 	return &Stats{
 		Reasons: make(map[protocol.Reason]int64),
-		Latency: hdrhistogram.New(minMicros, maxMicros, digits),
-		Refusal: hdrhistogram.New(minMicros, maxMicros, digits),
+		Latency: hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		Refusal: hdrhistogram.New(minMicros, maxMicros, significantDigits),
 	}
 }
 
@@ -110,27 +110,27 @@
 func (g *Generator) Stats(service string) *Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.of(service)
+	return g.statsOf(service)
 }
 
 // OK returns the number of good answers for a service so far.
 func (g *Generator) OK(service string) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.of(service).OK
+	return g.statsOf(service).OK
 }
 
-func (g *Generator) of(service string) *Stats {
+func (g *Generator) statsOf(service string) *Stats {
 	if g.stats[service] == nil {
 		g.stats[service] = newStats()
 	}
 	return g.stats[service]
 }
 
-func (g *Generator) count(service string, f func(*Stats)) {
+func (g *Generator) update(service string, f func(*Stats)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f(g.of(service))
+	f(g.statsOf(service))
 }
 
 // Run starts the stream's requests until ctx ends. Source gives the arrival
@@ -150,16 +150,16 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			g.count(s.Service, func(st *Stats) { st.Skipped++ })
+			g.update(s.Service, func(st *Stats) { st.Skipped++ })
 			continue
 		}
 		begin := next
-		twice := rnd.Float64() < s.Twice
+		twice := rnd.Float64() < s.DuplicateFraction
 		g.wg.Add(1)
 		go func() {
 			defer g.wg.Done()
 			defer func() { <-slots }()
-			g.one(s, begin, twice)
+			g.send(s, begin, twice)
 		}()
 	}
 }
@@ -167,21 +167,21 @@
 // Wait waits for the requests under way.
 func (g *Generator) Wait() { g.wg.Wait() }
 
-// errWrong means that an answer was whole by its framing and yet not right.
-var errWrong = errors.New("load: wrong answer")
+// errInvalid means that an answer was whole by its framing and yet not right.
+var errInvalid = errors.New("load: wrong answer")
 
-// errBroken means that an answer broke midway.
-var errBroken = errors.New("load: answer broke")
+// errIncomplete means that an answer broke midway.
+var errIncomplete = errors.New("load: answer broke")
 
-// one makes one request, and asks again as the stream says.
-func (g *Generator) one(s Stream, begin time.Time, twice bool) {
+// send makes send request, and asks again as the stream says.
+func (g *Generator) send(s Stream, begin time.Time, twice bool) {
 	req, want := g.request(s)
 	if twice {
 		// The second copy comes from elsewhere and knows nothing of the
 		// first: for both the other's end is unknown.
 		req.EarlierUnknown = true
 		other := req
-		other.FirstAttempt = copyAttempt
+		other.FirstAttempt = duplicateAttempt
 		g.wg.Add(1)
 		go func() {
 			defer g.wg.Done()
@@ -189,11 +189,11 @@
 		}()
 	}
 	var err error
-	for try := range s.AskAgain + 1 {
+	for try := range s.MaxRetries + 1 {
 		req.FirstAttempt = 10*try + 1
 		err = g.attempt(s, req, want)
 		wait, comeBack := RetryAfter(err)
-		if !comeBack || try == s.AskAgain {
+		if !comeBack || try == s.MaxRetries {
 			break
 		}
 		var lost *caller.UnknownError
@@ -201,12 +201,12 @@
 		time.Sleep(wait)
 	}
 	took := time.Since(begin).Microseconds()
-	g.count(s.Service, func(st *Stats) { st.record(err, req.Key, took) })
+	g.update(s.Service, func(st *Stats) { st.record(err, req.Key, took) })
 }
 
-// copyAttempt numbers the attempt of a copy: after the first, before any that
+// duplicateAttempt numbers the attempt of a copy: after the first, before any that
 // asks again.
-const copyAttempt = 5
+const duplicateAttempt = 5
 
 // RetryAfter returns when to come back after an error, and whether to.
 func RetryAfter(err error) (time.Duration, bool) {
@@ -242,9 +242,9 @@
 		if key != "" {
 			st.NotRunKeys = append(st.NotRunKeys, key)
 		}
-	case errors.Is(err, errWrong):
+	case errors.Is(err, errInvalid):
 		st.Truncated++
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errIncomplete):
 		st.Broken++
 		st.Unknown++
 	default:
@@ -297,7 +297,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return errors.Join(errBroken, err)
+		return errors.Join(errIncomplete, err)
 	}
 	return check(s.Kind, resp.StatusCode, body, want)
 }
@@ -305,11 +305,11 @@
 // check compares an answer with what it must show.
 func check(kind Kind, status int, body []byte, want string) error {
 	if status != http.StatusOK {
-		return errors.Join(errWrong, errors.New("status "+strconv.Itoa(status)))
+		return errors.Join(errInvalid, errors.New("status "+strconv.Itoa(status)))
 	}
 	if kind == Download {
 		if digest(body) != want {
-			return errWrong
+			return errInvalid
 		}
 		return nil
 	}
@@ -318,7 +318,7 @@
 	}
 	err := json.NewDecoder(bytes.NewReader(body)).Decode(&answer)
 	if err != nil || answer.SHA256 != want {
-		return errors.Join(errWrong, err)
+		return errors.Join(errInvalid, err)
 	}
 	return nil
 }
--- a/internal/logqueue/limit.go
+++ b/internal/logqueue/limit.go
@@ -26,11 +26,11 @@
 type limitState struct {
 	limit Limit
 
-	mu       sync.Mutex
-	second   int64
-	passed   int
-	failures int
-	other    int
+	mu              sync.Mutex
+	second          int64
+	admitted        int
+	droppedFailures int
+	droppedOthers   int
 }
 
 // NewHandler returns a handler that passes to next what the limit allows.
@@ -63,21 +63,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if second := now.Unix(); second != s.second {
-		failures, other = s.failures, s.other
-		s.second, s.passed, s.failures, s.other = second, 0, 0, 0
+		failures, other = s.droppedFailures, s.droppedOthers
+		s.second, s.admitted, s.droppedFailures, s.droppedOthers = second, 0, 0, 0
 	}
 	most := s.limit.PerSecond
 	if !failure {
 		most /= 2
 	}
-	if s.passed < most {
-		s.passed++
+	if s.admitted < most {
+		s.admitted++
 		return true, failures, other
 	}
 	if failure {
-		s.failures++
+		s.droppedFailures++
 	} else {
-		s.other++
+		s.droppedOthers++
 	}
 	return false, failures, other
 }
--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// queueLines bounds the lines that wait.
-	queueLines = 1024
-	// closeTime bounds the wait for the last lines.
-	closeTime = 200 * time.Millisecond
+	// queueCapacity bounds the lines that wait.
+	queueCapacity = 1024
+	// closeTimeout bounds the wait for the last lines.
+	closeTimeout = 200 * time.Millisecond
 )
 
 // Writer is an io.Writer of whole lines. It is safe for concurrent use.
@@ -29,7 +29,7 @@
 
 // New returns a writer to out and starts the goroutine that writes.
 func New(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -70,7 +70,7 @@
 		}
 		select {
 		case <-w.done:
-		case <-time.After(closeTime):
+		case <-time.After(closeTimeout):
 		}
 	})
 }
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -43,9 +43,9 @@
 	require.Equal(t, []string{"a", "b", "c"}, out.lines())
 }
 
-// TestFullPipeBlocksNothing writes to a pipe that nobody reads until far more is
+// TestWriterDoesNotBlockOnFullPipe writes to a pipe that nobody reads until far more is
 // written than it holds, and then reads it: what was dropped is told.
-func TestFullPipeBlocksNothing(t *testing.T) {
+func TestWriterDoesNotBlockOnFullPipe(t *testing.T) {
 	r, pipe, err := os.Pipe()
 	require.NoError(t, err)
 	w := logqueue.New(pipe)
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -25,8 +25,8 @@
 	nextPort = firstPort + (os.Getpid()*portStep)%(lastPort-firstPort)
 )
 
-// shared is the IP address that is there on every system.
-const shared = "127.0.0.1"
+// defaultHost is the IP address that is there on every system.
+const defaultHost = "127.0.0.1"
 
 // Host returns the IP address of this process's servers.
 var Host = sync.OnceValue(func() string {
@@ -34,7 +34,7 @@
 	own := fmt.Sprintf("127.%d.%d.1", 1+(pid>>7)%200, 1+pid%128)
 	ln, err := net.Listen("tcp", own+":0")
 	if err != nil {
-		return shared
+		return defaultHost
 	}
 	_ = ln.Close()
 	return own
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// LimitUnacked returns a net.Dialer.Control that ends connections whose bytes the other
+// UserTimeout returns a net.Dialer.Control that ends connections whose bytes the other
 // side has not acknowledged for a time: it is cut off, has lost power, or the connection
 // carries nothing any more while new ones work.
-func LimitUnacked(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+func UserTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var setErr error
 		err := raw.Control(func(fd uintptr) {
@@ -26,9 +26,9 @@
 	}
 }
 
-// Quiet tells whether a connection is open and nothing has arrived on it that was not read.
+// Idle tells whether a connection is open and nothing has arrived on it that was not read.
 // One that is not of TCP counts as quiet.
-func Quiet(conn net.Conn) bool {
+func Idle(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return true
@@ -47,10 +47,10 @@
 	return err == nil && quiet
 }
 
-// Closed tells whether the other side of a connection has closed or reset it. It reads nothing,
+// PeerClosed tells whether the other side of a connection has closed or reset it. It reads nothing,
 // and may be called beside a read.
-func Closed(conn net.Conn) bool {
-	return askDescriptor(conn, func(fd int) bool {
+func PeerClosed(conn net.Conn) bool {
+	return checkDescriptor(conn, func(fd int) bool {
 		var buf [1]byte
 		n, _, err := unix.Recvfrom(fd, buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if err == nil && n > 0 {
@@ -61,7 +61,7 @@
 }
 
 // HungUp is Closed for a connection on which bytes are known to lie unread.
-func HungUp(conn net.Conn) bool { return askDescriptor(conn, hungUp) }
+func HungUp(conn net.Conn) bool { return checkDescriptor(conn, hungUp) }
 
 func hungUp(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -69,9 +69,9 @@
 	return err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// askDescriptor returns what ask says of the descriptor of a connection: false if there is none,
+// checkDescriptor returns what ask says of the descriptor of a connection: false if there is none,
 // true if this side has closed it.
-func askDescriptor(conn net.Conn, ask func(fd int) bool) bool {
+func checkDescriptor(conn net.Conn, ask func(fd int) bool) bool {
 	described, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -285,7 +285,7 @@
 // deliver writes one frame, over a new connection if necessary. It drops the frame if that
 // fails.
 func (l *link) deliver(ctx context.Context, frame []byte) {
-	if l.reconnect.Swap(false) || (l.conn != nil && !sockopt.Quiet(l.conn)) {
+	if l.reconnect.Swap(false) || (l.conn != nil && !sockopt.Idle(l.conn)) {
 		// The peer sends nothing on this connection, so anything to read is its end.
 		// Writing to the connection would lose the first message to a peer that has
 		// restarted, and those after it until a write fails.
@@ -320,7 +320,7 @@
 
 // open establishes a connection and sends the Hello. It reports whether both succeeded.
 func (l *link) open(ctx context.Context) bool {
-	dialer := net.Dialer{Timeout: dialTimeout, Control: sockopt.LimitUnacked(unackedTimeout)}
+	dialer := net.Dialer{Timeout: dialTimeout, Control: sockopt.UserTimeout(unackedTimeout)}
 	conn, err := dialer.DialContext(ctx, "tcp", l.addr)
 	if err != nil {
 		return false
--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -327,7 +327,7 @@
 	c.mu.Lock()
 	gone := c.readErr
 	c.mu.Unlock()
-	return gone != nil || sockopt.Closed(c.Conn)
+	return gone != nil || sockopt.PeerClosed(c.Conn)
 }
 
 // handlerReturned implements serverConn.
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -92,9 +92,9 @@
 		}
 		hash := binary.BigEndian.Uint64(d[:])
 		for _, c := range r.crashes {
-			hash = mix.Join(hash, 0) ^ uint64(c.target)
+			hash = mix.Combine(hash, 0) ^ uint64(c.target)
 		}
-		sum ^= mix.Join(hash, uint64(len(r.crashes)))
+		sum ^= mix.Combine(hash, uint64(len(r.crashes)))
 	}
 	return uint32(sum)
 }
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -341,7 +341,7 @@
 func (h *Holder) deny(now time.Time, a *accountState, id uint64) Result {
 	a.denials++
 	wait := a.deniedUntil.Sub(now).Seconds() + float64(a.denials)/max(a.permitRate.value(now), minPermitRate)
-	wait *= 1 + mix.Unit(mix.Join(id, h.salt))/2
+	wait *= 1 + mix.Unit(mix.Combine(id, h.salt))/2
 	after := min(time.Duration(wait*float64(time.Second)), maxWait)
 	return h.withRates(now, a, Result{ID: id, Decision: Refuse, RetryAfter: max(after, minDenial)})
 }
--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -52,7 +52,7 @@
 func NewFollower(now time.Time, self string, order Order) *Follower {
 	return &Follower{
 		self:        self,
-		samplePoint: mix.Unit(mix.Join(mix.Hash(self), uint64(order.ID()))),
+		samplePoint: mix.Unit(mix.Combine(mix.Hash(self), uint64(order.ID()))),
 		order:       order,
 		startedAt:   now,
 		pendingOld:  make(map[uint16]*Tally),
--- a/upstream/next_available.go
+++ b/upstream/next_available.go
@@ -101,7 +101,7 @@
 		refusal.RetryAfter = max(refusal.RetryAfter, left)
 		return refusal, true
 	}
-	draw := mix.Unit(mix.Join(r.ID, mix.Join(p.salt, p.salt)))
+	draw := mix.Unit(mix.Combine(r.ID, mix.Combine(p.salt, p.salt)))
 	refusal.Reason = ReasonBackoff
 	refusal.RetryAfter += left + time.Duration(draw*float64(retrySpread(r.Priority, left)))
 	return refusal, true
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -225,7 +225,7 @@
 // retryAfter returns the time after which a refused request should be retried. The ID of a request
 // spreads the retries of one instance evenly.
 func (p *Pool) retryAfter(id uint64) time.Duration {
-	factor := minRetryFactor + (maxRetryFactor-minRetryFactor)*mix.Unit(mix.Join(id, p.salt))
+	factor := minRetryFactor + (maxRetryFactor-minRetryFactor)*mix.Unit(mix.Combine(id, p.salt))
 	return time.Duration(factor * float64(max(p.typicalLatency, minTypicalLatency)))
 }
 
--- a/upstream/versions.go
+++ b/upstream/versions.go
@@ -187,7 +187,7 @@
 // canaries returns the new targets of a region that get requests. They are a fraction of the new
 // targets and the same at all instances.
 func (p *Pool) canaries(targets []*target) []*target {
-	position := func(t *target) float64 { return mix.Unit(mix.Join(t.hash, canarySalt)) }
+	position := func(t *target) float64 { return mix.Unit(mix.Combine(t.hash, canarySalt)) }
 	var out []*target
 	for _, t := range targets {
 		if p.split.UsesTarget(position(t)) {
@@ -238,7 +238,7 @@
 		return oldCohort
 	}
 	key := mix.Unit(mix.Pair(r.Key, p.split.Version))
-	draw := mix.Unit(mix.Join(r.ID, mix.Join(p.salt, drawSalt)))
+	draw := mix.Unit(mix.Combine(r.ID, mix.Combine(p.salt, drawSalt)))
 	if p.split.ToNew(key, draw) {
 		return newCohort
 	}
