--- a/gateway/delta_request_test.go
+++ b/gateway/delta_request_test.go
@@ -139,23 +139,23 @@
 	cases := []struct {
 		name                string
 		kind                feed.Kind
-		held, near, watches bool
+		held, local, watches bool
 		first               bool
 		sinceStart, expects time.Duration
 	}{
 		{name: "urgent", kind: KindConfig, held: true},
-		{name: "own region", kind: KindTargets, held: true, near: true, expects: localRequestDelay},
+		{name: "own region", kind: KindTargets, held: true, local: true, expects: localRequestDelay},
 		{name: "other region", kind: KindTargets, held: true, expects: remoteRequestDelay},
 		{name: "other region, at a watcher", kind: KindTargets, held: true, watches: true, expects: localRequestDelay},
-		{name: "empty replica, just started", kind: KindTargets, near: true, expects: firstReadTime},
-		{name: "empty replica, started long ago", kind: KindTargets, near: true, sinceStart: firstReadTime, expects: 0},
-		{name: "empty replica at the first start", kind: KindTargets, near: true, first: true},
+		{name: "empty replica, just started", kind: KindTargets, local: true, expects: firstReadTime},
+		{name: "empty replica, started long ago", kind: KindTargets, local: true, sinceStart: firstReadTime, expects: 0},
+		{name: "empty replica at the first start", kind: KindTargets, local: true, first: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := &Gateway{config: Config{FirstStart: c.first}, startedAt: now.Add(-c.sinceStart), watch: newWatchState()}
 			g.watch.setWatching(c.watches)
-			require.Equal(t, c.expects, g.requestDelay(now, c.kind, c.held, c.near))
+			require.Equal(t, c.expects, g.requestDelay(now, c.kind, c.held, c.local))
 		})
 	}
 }
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -47,11 +47,11 @@
 	last, suspended := g.clock.Now(), g.clock.Suspended()
 	for {
 		now := g.clock.Now()
-		away := now.Sub(last) >= pauseThreshold
-		if away {
+		paused := now.Sub(last) >= pauseThreshold
+		if paused {
 			g.log.Warn(logProcessPaused, "for_ms", now.Sub(last).Milliseconds(), "suspended_ms", (g.clock.Suspended() - suspended).Milliseconds())
 		}
-		g.gossip(now, away)
+		g.gossip(now, paused)
 		last, suspended = now, g.clock.Suspended()
 		select {
 		case <-ctx.Done():
@@ -334,15 +334,15 @@
 // the time that a push may take. This time is longer for an instance of another region, because a
 // watcher of the own region may be about to push the changes. A watcher does not wait that long,
 // since its own watch would have returned the changes.
-func (g *Gateway) requestDelay(now time.Time, kind feed.Kind, held, near bool) time.Duration {
+func (g *Gateway) requestDelay(now time.Time, kind feed.Kind, held, local bool) time.Duration {
 	switch {
 	case isUrgent(kind):
 		return 0
-	case near && !held && g.config.FirstStart:
+	case local && !held && g.config.FirstStart:
 		return 0
-	case near && !held:
+	case local && !held:
 		return max(0, firstReadTime-now.Sub(g.startedAt))
-	case near || g.watch.isWatching():
+	case local || g.watch.isWatching():
 		return localRequestDelay
 	default:
 		return remoteRequestDelay
