--- a/gateway/config.go
+++ b/gateway/config.go
@@ -57,7 +57,7 @@
 	// LogSample logs one in so many ordinary successful requests, or none if it is 0.
 	LogSample int
 
-	// Clock provides the time for all expiries and time-outs. If it is nil, suspensions of
+	// Clock provides the time for all expiries and timeouts. If it is nil, suspensions of
 	// the machine are not counted.
 	Clock *clock.Clock
 
--- a/gateway/delta_request_test.go
+++ b/gateway/delta_request_test.go
@@ -189,7 +189,7 @@
 }
 
 // TestDeltasReceivedByWatcherArePushed checks that the first watcher of a region also pushes a delta that
-// another instance sends before the own watch has returned the changes.
+// another instance sends before its own watch has returned the changes.
 func TestDeltasReceivedByWatcherArePushed(t *testing.T) {
 	g := newTestGateway(t)
 	g.watch.setWatching(true)
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -40,7 +40,7 @@
 )
 
 // gossipLoop sends a round of gossip every fleet.RoundTime. The messages carry heartbeats of the
-// fleet and the positions of the own replicas.
+// fleet and the positions of this instance's replicas.
 func (g *Gateway) gossipLoop(ctx context.Context) {
 	ticker := time.NewTicker(fleet.RoundTime)
 	defer ticker.Stop()
@@ -61,8 +61,8 @@
 	}
 }
 
-// gossip sends one round of gossip: to all living members if wide is set, and otherwise to the
-// partners of this round. If there are none, it goes to the seeds.
+// gossip sends one round of gossip: to all members that are alive or stopping if wide is set, and
+// otherwise to the partners of this round. If there are none, it goes to the seeds.
 func (g *Gateway) gossip(now time.Time, wide bool) {
 	g.updateEra()
 	g.mu.Lock()
@@ -71,7 +71,7 @@
 	g.watch.setWatching(watches)
 	g.logMemberChanges(now, watches)
 	if g.watch.cancelOutdated(now, watches) && g.watch.setStoreUnreachable(true) {
-		g.log.Warn(logStoreLost, "error", "other instances receive changes that the own watch does not return")
+		g.log.Warn(logStoreLost, "error", "other instances receive changes that the watch of this instance does not return")
 	}
 	g.view.SetFlags(g.flags())
 	g.view.AdvanceHeartbeat(now)
@@ -125,7 +125,7 @@
 	return m
 }
 
-// flags returns the flags of the own heartbeat.
+// flags returns the flags for the heartbeat of this instance.
 func (g *Gateway) flags() fleet.Flags {
 	var flags fleet.Flags
 	if g.isReady() {
@@ -246,7 +246,7 @@
 }
 
 // receiveGossip applies gossip. It sends delta requests for the kinds in which the sender is ahead.
-// If the sender is behind, it replies with the own positions, and the sender sends delta requests.
+// If the sender is behind, it replies with its own positions, and the sender sends delta requests.
 func (g *Gateway) receiveGossip(m *peer.Gossip) {
 	if len(m.Heartbeats) == 0 {
 		return
@@ -301,10 +301,10 @@
 	}
 }
 
-// comparePositions compares the positions of the sender's replicas with the own ones. It registers
-// the sender as a source for the kinds in which it is ahead. It reports whether this instance is
-// ahead in a kind for which the sender needs a reply: an urgent one, or one that it lacks
-// altogether. The caller holds mu.
+// comparePositions compares the positions of the sender's replicas with those of this instance. It
+// registers the sender as a source for the kinds in which it is ahead. It reports whether this
+// instance is ahead in a kind for which the sender needs a reply: an urgent one, or one that the
+// sender lacks altogether. The caller holds mu.
 func (g *Gateway) comparePositions(now time.Time, sender fleet.Member, positions []feed.Position) (ahead bool) {
 	for i, kind := range g.kinds {
 		if i >= len(positions) {
@@ -326,14 +326,14 @@
 }
 
 // requestDelay returns how long a replica may be behind before a delta request is sent to an
-// instance that is ahead. Held states whether the replica has any objects, and near whether that
-// instance belongs to the own region.
+// instance that is ahead. Held states whether the replica has any objects, and local whether that
+// instance belongs to the region of this one.
 //
-// There is no delay for urgent kinds. A replica without objects waits for the own first read, if
-// the other instance is near, but not at the first start of the system. Otherwise the delay is
-// the time that a push may take. This time is longer for an instance of another region, because a
-// watcher of the own region may be about to push the changes. A watcher does not wait that long,
-// since its own watch would have returned the changes.
+// There is no delay for urgent kinds. A replica without objects waits for the first read of this
+// instance, if the other instance is local, but not at the first start of the system. Otherwise the
+// delay is the time that a push may take. This time is longer for an instance of another region,
+// because a local watcher may be about to push the changes. An instance that watches itself does
+// not wait that long, since its own watch would have returned the changes.
 func (g *Gateway) requestDelay(now time.Time, kind feed.Kind, held, local bool) time.Duration {
 	switch {
 	case isUrgent(kind):
--- a/gateway/lost_instances.go
+++ b/gateway/lost_instances.go
@@ -7,7 +7,7 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// removeLostInstance removes the entry of one instance of the own region that has not been alive
+// removeLostInstance removes the entry of one instance of its region that has not been alive
 // for Config.ForgetAfter. An instance that was replaced never returns, and its share of what all
 // instances divide, such as the limits of client accounts, would remain unused for ever. An
 // instance that was only partitioned for that long registers again. Only the first watcher of a
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -45,7 +45,7 @@
 	return out
 }
 
-// recordLostObjects records the own objects that a restored store has lost. Before is the result of
+// recordLostObjects records the objects of rainford that a restored store has lost. Before is the result of
 // ownObjectsBeforeRestore, and changes lead from there to the contents of the restored store. The
 // caller holds mu.
 func (g *Gateway) recordLostObjects(now time.Time, before map[string][]byte, changes []feed.Change) {
--- a/gateway/quarantine_gossip.go
+++ b/gateway/quarantine_gossip.go
@@ -30,7 +30,7 @@
 }
 
 // broadcast sends a message to all instances: directly in a small fleet, otherwise along the
-// broadcast tree of the own region and through the watchers of the other regions.
+// broadcast tree of this region and through the watchers of the other regions.
 func (g *Gateway) broadcast(now time.Time, message peer.Gossip) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// receiveQuarantine merges another instance's quarantine updates into the own table.
+// receiveQuarantine merges another instance's quarantine updates into the table.
 func (g *Gateway) receiveQuarantine(now time.Time, updates quarantine.Updates) {
 	if len(updates) == 0 {
 		return
--- a/gateway/ready.go
+++ b/gateway/ready.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// readyWaitDivisor is the ratio of the client's time-out to the time that a request may wait
+// readyWaitDivisor is the ratio of the client's timeout to the time that a request may wait
 // for an instance that has just started. The wait is about the same as the longest wait for a
-// target, which is an eighth of the latency objective: the time-outs of clients are six to ten
+// target, which is an eighth of the latency objective: the timeouts of clients are six to ten
 // times the objective.
 const readyWaitDivisor = 64
 
@@ -48,7 +48,7 @@
 }
 
 // awaitReady blocks a request until the instance is ready, for at most a small fraction of the
-// client's time-out. An instance is ready within a second of its start, while a refusal
+// client's timeout. An instance is ready within a second of its start, while a refusal
 // would force the client to send its request again.
 func (g *Gateway) awaitReady(ctx context.Context, clientWaits time.Duration) {
 	if g.isReady() {
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -94,7 +94,7 @@
 func isReader(name string) bool { return mix.Pair(name, "reader")%readerDivisor == 0 }
 
 // requestFromReaders requests the targets from readers of the hall, unless this instance is a
-// reader itself. It returns once the targets have arrived or the time-outs of the readers are
+// reader itself. It returns once the targets have arrived or the timeouts of the readers are
 // over.
 func (g *Gateway) requestFromReaders(ctx context.Context) {
 	if isReader(g.config.Name) {
@@ -178,8 +178,8 @@
 	return time.Duration(g.rand.Int64N(int64(limit) + 1))
 }
 
-// register writes the own entry to the store, with retries. It does nothing if the entry of an
-// earlier process of this instance is still there.
+// register writes the entry of this instance to the store, with retries. It does nothing if the
+// entry of an earlier process of this instance is still there.
 func (g *Gateway) register(ctx context.Context) {
 	wait := minRetryInterval
 	for ctx.Err() == nil && !g.isRegistered() {
@@ -193,15 +193,15 @@
 	}
 }
 
-// onInstanceRemoved triggers a check of the own registration if the removed entry is the own
-// one. The caller holds mu.
+// onInstanceRemoved triggers a check of the registration if the removed entry is that of this
+// instance. The caller holds mu.
 func (g *Gateway) onInstanceRemoved(name string) {
 	if name == g.config.Name {
 		g.checkRegistration()
 	}
 }
 
-// checkRegistration makes keepRegistered check whether the own entry is in the store. It does
+// checkRegistration makes keepRegistered check whether its entry is in the store. It does
 // not block.
 func (g *Gateway) checkRegistration() {
 	select {
@@ -210,7 +210,8 @@
 	}
 }
 
-// isRegistered reports whether the store of the current era is known to hold the own entry.
+// isRegistered reports whether the store of the current era is known to hold the entry of this
+// instance.
 func (g *Gateway) isRegistered() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -57,7 +57,7 @@
 	// missedAt is the time at which another instance first sent a change that the pending
 	// watch of a kind has not returned.
 	missedAt map[feed.Kind]time.Time
-	// cursors holds the position up to which the own watch of a kind has observed that
+	// cursors holds the position up to which the watch of a kind has observed that
 	// nothing has changed. The position of a replica remains that of its last change, so that
 	// instances with the same objects have the same position.
 	cursors map[feed.Kind]feed.Position
