--- a/gateway/delta_request_test.go
+++ b/gateway/delta_request_test.go
@@ -137,11 +137,11 @@
 func TestDeltaRequestDelay(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	cases := []struct {
-		name                string
-		kind                feed.Kind
+		name                 string
+		kind                 feed.Kind
 		held, local, watches bool
-		first               bool
-		sinceStart, expects time.Duration
+		first                bool
+		sinceStart, expects  time.Duration
 	}{
 		{name: "urgent", kind: KindConfig, held: true},
 		{name: "own region", kind: KindTargets, held: true, local: true, expects: localRequestDelay},
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -62,18 +62,18 @@
 // costs a system call; it is read only where the time of day, which counts them too and costs
 // none, has moved against the steady clock.
 type detector struct {
-	boot        func() time.Duration
+	bootTime    func() time.Duration
 	start       time.Time
 	bootAtStart time.Duration
-	// drift is the time of day less the steady clock, when it was last looked at, and
+	// wallOffset is the time of day less the steady clock, when it was last looked at, and
 	// total how long the machine was suspended until then.
-	drift, total atomic.Int64
+	wallOffset, total atomic.Int64
 }
 
 func newDetector(boot func() time.Duration) *detector {
-	d := &detector{boot: boot, start: time.Now()}
+	d := &detector{bootTime: boot, start: time.Now()}
 	d.bootAtStart = boot()
-	d.drift.Store(d.start.UnixNano())
+	d.wallOffset.Store(d.start.UnixNano())
 	return d
 }
 
@@ -85,7 +85,7 @@
 // that is a time after the begin on the steady clock.
 func (d *detector) suspendedAt(day int64, steady time.Duration) time.Duration {
 	drift := day - int64(steady)
-	if moved := time.Duration(drift - d.drift.Load()); moved > minSuspension || moved < -minSuspension {
+	if moved := time.Duration(drift - d.wallOffset.Load()); moved > minSuspension || moved < -minSuspension {
 		d.measure(drift, steady)
 	}
 	return time.Duration(d.total.Load())
@@ -93,11 +93,11 @@
 
 // measure reads the clock that counts suspensions.
 func (d *detector) measure(drift int64, steady time.Duration) {
-	total := d.boot() - d.bootAtStart - steady
+	total := d.bootTime() - d.bootAtStart - steady
 	if total-time.Duration(d.total.Load()) > minSuspension {
 		d.total.Store(int64(total))
 	}
-	d.drift.Store(drift)
+	d.wallOffset.Store(drift)
 }
 
 // bootTime returns the time since the machine was started, suspensions included. A system
--- a/internal/demo/drain_test.go
+++ b/internal/demo/drain_test.go
@@ -49,5 +49,5 @@
 	t.Logf("last new request %.2f s after the drain; %d requests, %d ok, %d not run %v", last.Seconds(), st.Requests, st.OK, st.NotRun, st.Reasons)
 	require.Less(t, last, 5*time.Second)
 	require.Greater(t, last, time.Second, "the region should have served on while the others ramp")
-	require.Zero(t, st.Unknown+st.Broken+st.Truncated)
+	require.Zero(t, st.Unknown+st.Broken+st.Corrupt)
 }
--- a/internal/demo/fault_test.go
+++ b/internal/demo/fault_test.go
@@ -152,7 +152,7 @@
 	for _, key := range st.NotRunKeys {
 		require.Zero(t, cluster.Runs.Of(key), "operation %s was said not to have run", key)
 	}
-	require.Zero(t, st.Truncated)
+	require.Zero(t, st.Corrupt)
 	require.Positive(t, st.OK)
 }
 
--- a/internal/demo/invariant_test.go
+++ b/internal/demo/invariant_test.go
@@ -250,7 +250,7 @@
 		require.Less(t, last, 5*time.Second)
 	}
 	st := generator.Stats(service)
-	require.Zero(t, st.Broken+st.Unknown+st.Truncated)
+	require.Zero(t, st.Broken+st.Unknown+st.Corrupt)
 	t.Logf("%d requests, %d ok, %d not run %v", st.Requests, st.OK, st.NotRun, st.Reasons)
 }
 
@@ -305,7 +305,7 @@
 	for _, service := range []string{reads, pays} {
 		st := generator.Stats(service)
 		t.Logf("%s: %d requests, %d ok, %d not run, %d unknown, %d broken, %v", service, st.Requests, st.OK, st.NotRun, st.Unknown, st.Broken, st.Reasons)
-		require.Zero(t, st.Broken+st.Unknown+st.Truncated, "requests cut")
+		require.Zero(t, st.Broken+st.Unknown+st.Corrupt, "requests cut")
 	}
 	require.Zero(t, c.Runs.Twice())
 	t.Logf("%d uploads of %s, none cut", sent, uploadTime)
@@ -358,8 +358,8 @@
 	loads.Wait()
 	generator.Wait()
 	st := generator.Stats(service)
-	t.Logf("%d requests, %d ok, %d visibly broken, %d not run, %d wrong or short yet whole", st.Requests, st.OK, st.Broken, st.NotRun, st.Truncated)
-	require.Zero(t, st.Truncated)
+	t.Logf("%d requests, %d ok, %d visibly broken, %d not run, %d wrong or short yet whole", st.Requests, st.OK, st.Broken, st.NotRun, st.Corrupt)
+	require.Zero(t, st.Corrupt)
 	require.Positive(t, st.Broken)
 	require.Positive(t, st.OK)
 }
@@ -401,6 +401,6 @@
 	st := generator.Stats(service.Name)
 	t.Logf("capacity %.0f/s, offered %.0f/s for 6 s: %d requests, %d ok, %d not run %v; refusals p50 %.1f ms p99 %.1f ms",
 		capacity, 1.5*capacity, st.Requests, st.OK, st.NotRun, st.Reasons,
-		float64(st.Refusal.ValueAtQuantile(50))/1000, float64(st.Refusal.ValueAtQuantile(99))/1000)
+		float64(st.RefusalLatency.ValueAtQuantile(50))/1000, float64(st.RefusalLatency.ValueAtQuantile(99))/1000)
 	require.Zero(t, st.Unknown)
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -140,7 +140,7 @@
 		P50Ms:     float64(st.Latency.ValueAtQuantile(50)) / micros,
 		P99Ms:     float64(st.Latency.ValueAtQuantile(99)) / micros,
 		RunTwice:  runTwice,
-		Truncated: st.Truncated,
+		Truncated: st.Corrupt,
 		Skipped:   st.Skipped,
 	}
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -369,7 +369,7 @@
 			P50Ms:        float64(st.Latency.ValueAtQuantile(50)) / micros,
 			P99Ms:        float64(st.Latency.ValueAtQuantile(99)) / micros,
 			P999Ms:       float64(st.Latency.ValueAtQuantile(99.9)) / micros,
-			RefusalP99Ms: float64(st.Refusal.ValueAtQuantile(99)) / micros,
+			RefusalP99Ms: float64(st.RefusalLatency.ValueAtQuantile(99)) / micros,
 			Reasons:      st.Reasons,
 			Used:         float64(st.OK) / (capacity(s) * o.Duration.Seconds()),
 		})
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -64,8 +64,8 @@
 	OK       int64
 	NotRun   int64
 	Unknown  int64
-	// Truncated counts answers that were short or wrong yet looked whole.
-	Truncated int64
+	// Corrupt counts answers that were short or wrong yet looked whole.
+	Corrupt int64
 	// Broken counts answers that visibly broke midway.
 	Broken  int64
 	Skipped int64
@@ -76,20 +76,20 @@
 	// Latency holds the latencies of good answers in microseconds.
 	Latency *hdrhistogram.Histogram
 	// Slowest refusal, in microseconds, counts requests given up.
-	Refusal *hdrhistogram.Histogram
+	RefusalLatency *hdrhistogram.Histogram
 }
 
 const (
-	minMicros         = 1
-	maxMicros         = 120_000_000
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 120_000_000
 	significantDigits = 3
 )
 
 func newStats() *Stats {
 	return &Stats{
-		Reasons: make(map[protocol.Reason]int64),
-		Latency: hdrhistogram.New(minMicros, maxMicros, significantDigits),
-		Refusal: hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		Reasons:        make(map[protocol.Reason]int64),
+		Latency:        hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
+		RefusalLatency: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 	}
 }
 
@@ -238,12 +238,12 @@
 		_ = st.Latency.RecordValue(micros)
 	case errors.As(err, &notRun):
 		st.NotRun++
-		_ = st.Refusal.RecordValue(micros)
+		_ = st.RefusalLatency.RecordValue(micros)
 		if key != "" {
 			st.NotRunKeys = append(st.NotRunKeys, key)
 		}
 	case errors.Is(err, errInvalid):
-		st.Truncated++
+		st.Corrupt++
 	case errors.Is(err, errIncomplete):
 		st.Broken++
 		st.Unknown++
@@ -299,11 +299,11 @@
 	if err != nil {
 		return errors.Join(errIncomplete, err)
 	}
-	return check(s.Kind, resp.StatusCode, body, want)
+	return checkResponse(s.Kind, resp.StatusCode, body, want)
 }
 
-// check compares an answer with what it must show.
-func check(kind Kind, status int, body []byte, want string) error {
+// checkResponse compares an answer with what it must show.
+func checkResponse(kind Kind, status int, body []byte, want string) error {
 	if status != http.StatusOK {
 		return errors.Join(errInvalid, errors.New("status "+strconv.Itoa(status)))
 	}
