--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -22,7 +22,7 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// The keys of the accounts of the tests. The texts are searched for in all output.
+// The API keys of the tests. TestKeysAreInNoOutput searches for these strings in all output.
 const (
 	adaKey     = "ada-key-5ecret"
 	adaNext    = "ada-next-5ecret"
@@ -30,7 +30,7 @@
 	unknownKey = "strange-5ecret"
 )
 
-// accounts are the accounts that most tests use.
+// accounts returns the accounts that most tests use.
 func accounts() map[string]objects.Tenant {
 	return map[string]objects.Tenant{
 		"ada": {APIKeys: []string{adaKey, adaNext}},
@@ -38,8 +38,9 @@
 	}
 }
 
-// configureAccounts writes a configuration with accounts: of the routes, /open/ is anonymous,
-// /home/ has region a as its home, and what is sent to /once/ may run once.
+// configureAccounts writes a configuration with accounts. Its routes are /open/, which allows
+// requests without a key, /home/, which is restricted to region a, /once/, whose requests are not
+// idempotent, and /x/.
 func (s *site) configureAccounts(version int, accounts map[string]objects.Tenant) {
 	route := func(prefix string) objects.Route {
 		return objects.Route{Host: "h.example", PathPrefix: prefix, RouteType: "idempotent", Timeout: "2s", TargetLatency: "500ms",
@@ -58,7 +59,7 @@
 	})
 }
 
-// sendWithKey sends a request with a key, and with a name in the header of the account's.
+// sendWithKey sends a request with a key and a forged account name in the account header.
 func (in *instance) sendWithKey(key, path string) reply {
 	return in.sendHeaders(path, http.Header{"Credential": {key}, "Tenant": {"forged"}})
 }
@@ -71,7 +72,8 @@
 	require.Eventually(in.site.t, func() bool { return in.sendWithKey(key, path).status == status }, wait, poll)
 }
 
-// TestAccounts checks who is served, under which name, and that the key stays here.
+// TestAccounts checks which requests are served, which account name the target receives, and that
+// it does not receive the key.
 func TestAccounts(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
@@ -97,8 +99,8 @@
 		{"open, forged name", "/open/", http.Header{"Tenant": {"ada"}}, 200, nil},
 		{"open, key", "/open/", http.Header{"Credential": {adaKey}, "Tenant": {"ben"}}, 200, []string{"ada"}},
 		{"open, unknown key", "/open/", http.Header{"Credential": {unknownKey}, "Tenant": {"ben"}}, 200, nil},
-		{"homes of both", "/home/", http.Header{"Credential": {adaKey}}, 200, []string{"ada"}},
-		{"nothing in common", "/home/", http.Header{"Credential": {benKey}}, 503, nil},
+		{"common home region", "/home/", http.Header{"Credential": {adaKey}}, 200, []string{"ada"}},
+		{"no common home region", "/home/", http.Header{"Credential": {benKey}}, 503, nil},
 		{"no route", "/none/", http.Header{"Credential": {unknownKey}}, 404, nil},
 	} {
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
@@ -108,7 +110,7 @@
 			far.SetObserver(watch)
 			require.Equal(t, c.status, in.sendHeaders(c.path, c.header).status)
 			if c.status != 200 {
-				require.Empty(t, seen, "no target hears of it")
+				require.Empty(t, seen, "no target receives the request")
 				return
 			}
 			require.Len(t, seen, 1)
@@ -118,7 +120,7 @@
 	}
 }
 
-// TestHomeRegionsAreEnforced checks that an account's requests stay in its home regions, though
+// TestHomeRegionsAreEnforced checks that an account's requests stay in its home regions even if
 // other targets are nearer.
 func TestHomeRegionsAreEnforced(t *testing.T) {
 	s := newSite(t)
@@ -132,11 +134,11 @@
 	require.Empty(t, near.Runs())
 	s.record(far, "draining")
 	in.awaitKey(benKey, "/x/", 503)
-	require.Empty(t, near.Runs(), "nor when there is no other")
+	require.Empty(t, near.Runs(), "no request leaves the home region without another target")
 }
 
-// TestKeysChange checks that added, replaced and taken keys are in force, at connections
-// that are kept too, and that a configuration that is not valid changes nothing.
+// TestKeysChange checks that added, replaced and revoked keys take effect, also on open
+// connections, and that an invalid configuration changes nothing.
 func TestKeysChange(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
@@ -151,15 +153,15 @@
 	s.configureAccounts(3, map[string]objects.Tenant{"ada": {APIKeys: []string{adaKey}}, "ben": {APIKeys: []string{adaKey}}})
 	s.configureAccounts(4, map[string]objects.Tenant{"ada": {APIKeys: []string{adaNext, benKey}}})
 	in.awaitKey(benKey, "/x/", 200)
-	require.Equal(t, 401, in.sendWithKey(adaKey, "/x/").status, "the one that two share was never in force")
+	require.Equal(t, 401, in.sendWithKey(adaKey, "/x/").status, "a configuration with a shared key is refused")
 	s.configureAccounts(5, map[string]objects.Tenant{})
 	in.awaitKey(adaNext, "/x/", 401)
 	s.configureAccounts(6, nil)
-	require.Eventually(t, func() bool { return in.send("GET", "/x/", "").status == 200 }, wait, poll, "without accounts nobody needs a key")
+	require.Eventually(t, func() bool { return in.send("GET", "/x/", "").status == 200 }, wait, poll, "no key is needed without accounts")
 }
 
-// TestKeyRevokedWhileBodyIsRead checks that a request whose key is taken away before its body
-// is in does not run.
+// TestKeyRevokedWhileBodyIsRead checks that a request does not run if its key is revoked while its
+// body is being received.
 func TestKeyRevokedWhileBodyIsRead(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
@@ -178,8 +180,8 @@
 	require.GreaterOrEqual(t, before, ran)
 }
 
-// TestUnknownKeyIsRefusedBeforeBody checks that a request without a known key is answered
-// though its body does not come.
+// TestUnknownKeyIsRefusedBeforeBody checks that a request without a known key is answered even
+// though its body is never sent.
 func TestUnknownKeyIsRefusedBeforeBody(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
@@ -193,7 +195,7 @@
 	}
 }
 
-// rawConn is a client's connection that writes its requests byte by byte.
+// rawConn is a client's connection to which requests are written as raw bytes.
 type rawConn struct {
 	net.Conn
 	t *testing.T
@@ -212,7 +214,7 @@
 	require.NoError(c.t, err)
 }
 
-// status reads an answer and returns its status.
+// status reads a response and returns its status.
 func (c rawConn) status() int {
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(c.t, err)
@@ -220,8 +222,8 @@
 	return resp.StatusCode
 }
 
-// TestKeysAreInNoOutput sends keys through an instance in every way that it logs, counts or
-// refuses, and searches all that it tells for them.
+// TestKeysAreInNoOutput sends keys through every path on which an instance logs, counts or refuses
+// a request, and checks that they occur in no log line and no metric.
 func TestKeysAreInNoOutput(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
@@ -257,7 +259,7 @@
 	}
 }
 
-// lockedBuffer is a bytes.Buffer for several goroutines.
+// lockedBuffer is a bytes.Buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/gateway/body_sizes_test.go
+++ b/gateway/body_sizes_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHeavyRoutes checks that routes are told apart by what their requests move on
-// the average, by the body alone before the first answer, and that one odd request
-// changes nothing.
+// TestHeavyRoutes checks that routes are classified by the mean size of their requests and
+// responses, or by the request body alone before the first response, and that a single outlier does
+// not change the class.
 func TestHeavyRoutes(t *testing.T) {
 	var s bodySizes
 	require.False(t, s.isHeavy("read", 0))
--- a/gateway/client_test.go
+++ b/gateway/client_test.go
@@ -17,15 +17,15 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// cancelTime bounds how long after its client has left a request may go on.
+// cancelTime bounds how long a request may run after its client has disconnected.
 const cancelTime = 500 * time.Millisecond
 
-// writeRequest writes a request that its client will leave.
+// writeRequest writes a request whose client disconnects before the response.
 func (c rawConn) writeRequest(method, path, more string) {
 	c.write(method + " " + path + " HTTP/1.1\r\nHost: h.example\r\nRequest-Id: left\r\nTimeout-Ms: 9000\r\n" + more + "\r\n")
 }
 
-// disconnect ends a client's connection by a close or a reset.
+// disconnect closes or resets a client's connection.
 func (c rawConn) disconnect(reset bool) {
 	if reset {
 		_ = c.Conn.(*net.TCPConn).SetLinger(0)
@@ -33,8 +33,8 @@
 	require.NoError(c.t, c.Close())
 }
 
-// TestClientLeavesAtTarget checks that a request whose client has left is cancelled at its
-// target.
+// TestClientLeavesAtTarget checks that a request is cancelled at its target when its client
+// disconnects.
 func TestClientLeavesAtTarget(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reset=%t", reset), func(t *testing.T) {
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestClientLeavesInQueue checks that a request whose client leaves while it waits for a
-// target is never sent.
+// TestClientLeavesInQueue checks that a request is never sent if its client disconnects while the
+// request waits for a target.
 func TestClientLeavesInQueue(t *testing.T) {
 	s := newSite(t)
 	s.store.Configure(objects.Configuration{
@@ -74,7 +74,7 @@
 		arrivals.Add(1)
 		<-release
 	})
-	// Requests that fill the target: twice its slots.
+	// These requests fill the target: it accepts twice as many as it has slots.
 	for range 6 {
 		go in.send("GET", "/x/", "")
 	}
@@ -88,8 +88,7 @@
 	require.Never(t, func() bool { return arrivals.Load() > 6 }, cancelTime, poll)
 }
 
-// TestClientLeavesWithinBody checks that a request whose body does not come to its end
-// is not sent.
+// TestClientLeavesWithinBody checks that a request with an incomplete body is not sent.
 func TestClientLeavesWithinBody(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -106,8 +105,8 @@
 	require.Never(t, func() bool { return len(server.Runs()) > ran }, cancelTime, poll)
 }
 
-// TestClientLeavesWhileConnecting checks that a request whose client leaves while a
-// connection to a target is opened does not go on when it opens.
+// TestClientLeavesWhileConnecting checks that a request is not sent if its client disconnects while
+// the connection to the target is being opened.
 func TestClientLeavesWhileConnecting(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "idempotent", timeout: "9s"})
@@ -133,12 +132,12 @@
 			}()
 		}
 	}()
-	// A connection request is sent again after a second, and then gets through.
+	// The kernel retransmits the connection request after a second, and it then succeeds.
 	require.Never(t, func() bool { return received.Load() > 0 }, 3*cancelTime, poll)
 }
 
-// fullListener returns a listener whose queue is full, so that connections to it are not
-// opened until some are accepted.
+// fullListener returns a listener with a full accept queue, so that new connections to it wait
+// until some are accepted.
 func fullListener(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -156,8 +155,8 @@
 	}
 }
 
-// TestRequestReadAfterClientLeft checks that a request that had waited unread until its
-// client left is not sent.
+// TestRequestReadAfterClientLeft checks that a request is not sent if its client disconnected
+// before the instance read the request.
 func TestRequestReadAfterClientLeft(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -178,13 +177,13 @@
 	require.Never(t, func() bool { return arrivals.Load() > 0 }, cancelTime, poll)
 }
 
-// gate holds reads up while it is shut.
+// gate blocks reads while it is shut.
 type gate struct {
 	mu   sync.Mutex
 	open chan struct{}
 }
 
-// shut has reads wait until the function that it returns is called.
+// shut blocks reads until the returned function is called.
 func (g *gate) shut() func() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -201,7 +200,7 @@
 	}
 }
 
-// delayedListener accepts connections that are read late, as by a process that has much to do.
+// delayedListener accepts connections whose reads are delayed, as in an overloaded process.
 type delayedListener struct {
 	net.Listener
 	read *gate
--- a/gateway/crashing_account_test.go
+++ b/gateway/crashing_account_test.go
@@ -15,20 +15,21 @@
 )
 
 const (
-	// floodTime is for how long an account sends requests that all end their targets, and
-	// floodEvery how far apart they are.
+	// floodTime is how long an account sends requests that crash targets. floodEvery is the
+	// interval between these requests.
 	floodTime  = 8 * time.Second
 	floodEvery = 100 * time.Millisecond
-	// floodRestartDelay is how long after its end a target starts again.
+	// floodRestartDelay is the time between a target's crash and its restart.
 	floodRestartDelay = 3 * time.Second
-	// floodObjects is the number of objects that are read beside it.
+	// floodObjects is the number of objects that other requests read meanwhile.
 	floodObjects = 50
-	// maxFloodCrashes is the largest number of targets that may end under them.
+	// maxFloodCrashes is the largest number of targets that may crash under the requests.
 	maxFloodCrashes = 30
 )
 
-// TestFloodOfCrashingRequests has one account send ten requests a second, all different, each of
-// which ends what runs it, beside its own good ones and those of another account.
+// TestFloodOfCrashingRequests guards against an account that sends ten requests per second, all
+// different, each of which crashes the target that runs it. Ordinary requests of the same account
+// and of another account have to be served meanwhile.
 func TestFloodOfCrashingRequests(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, map[string]objects.Tenant{"ada": {APIKeys: []string{adaKey}}, "ben": {APIKeys: []string{benKey}}})
@@ -50,7 +51,7 @@
 		}
 	}
 	own, other := startLoadOf(instances, 4, get(adaKey)), startLoadOf(instances, 4, get(benKey))
-	// All objects have been answered before the flood.
+	// All objects are read before the flood, so that their requests count as answered.
 	require.Eventually(t, func() bool { return own.count() >= 6*floodObjects && other.count() >= 6*floodObjects }, wait, poll)
 	var sent int
 	for end := time.Now().Add(floodTime); time.Now().Before(end); sent++ {
@@ -60,15 +61,15 @@
 	}
 	ownServed, ownAll := own.stop()
 	otherServed, otherAll := other.stop()
-	t.Logf("%d targets ended under %d requests; %d of %d own ones served, %d of %d of the other account", v.crashCount(), sent, ownServed, ownAll, otherServed, otherAll)
+	t.Logf("%d targets crashed under %d requests; %d of %d requests of the account served, %d of %d of the other account", v.crashCount(), sent, ownServed, ownAll, otherServed, otherAll)
 	require.LessOrEqual(t, v.crashCount(), maxFloodCrashes)
 	require.GreaterOrEqual(t, float64(otherServed), 0.97*float64(otherAll))
 	require.GreaterOrEqual(t, float64(ownServed), 0.9*float64(ownAll))
 }
 
-// TestAccountsBesideCrashes ends targets in waves for reasons of their own, while two accounts send
-// operations that are all different, one ten times as many as the other, and checks that next to
-// none are refused because targets ended under others of their account.
+// TestAccountsBesideCrashes crashes targets in waves independently of requests, while two accounts
+// send requests that all differ, one account ten times as many as the other. It checks that at most
+// one in a hundred requests is refused because of crashes under other requests of its account.
 func TestAccountsBesideCrashes(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, map[string]objects.Tenant{"ada": {APIKeys: []string{adaKey}}, "ben": {APIKeys: []string{benKey}}})
@@ -101,11 +102,11 @@
 	for _, in := range instances {
 		refused += in.counted("rainford_refusals_total", `reason="account-ends-targets"`)
 	}
-	t.Logf("%d targets ended; %d of %d and %d of %d served, %d refused for their account", v.crashCount(), busyServed, busyAll, rareServed, rareAll, refused)
+	t.Logf("%d targets crashed; %d of %d and %d of %d served, %d refused for their account", v.crashCount(), busyServed, busyAll, rareServed, rareAll, refused)
 	require.LessOrEqual(t, float64(refused), 0.01*float64(busyAll+rareAll))
 }
 
-// counted returns the sum of a counter's series that have a label.
+// counted returns the sum of a metric's series that have a label.
 func (in *instance) counted(name, label string) int {
 	sum := 0
 	for _, line := range strings.Split(in.scrape(), "\n") {
--- a/gateway/crashing_request_test.go
+++ b/gateway/crashing_request_test.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// restartDelay is how long after its end a target starts again.
+	// restartDelay is the time between a target's crash and its restart.
 	restartDelay = 300 * time.Millisecond
-	// crashPath is the path of requests that end each target that runs them.
+	// crashPath is the path of requests that crash each target that runs them.
 	crashPath = "/x/ending/"
-	// maxCrashes is the largest number of targets that may end under one request.
+	// maxCrashes is the largest number of targets that may crash under one request.
 	maxCrashes = 6
 )
 
-// restartingTargets are the targets of a service. Each that ends starts again after a while, with a
-// new ID and at a new address.
+// restartingTargets are the targets of a service. Each target that crashes restarts after a delay,
+// with a new ID and at a new address.
 type restartingTargets struct {
 	site *site
-	// crashes tells whether a request ends a target that runs it.
+	// crashes reports whether a request crashes the target that runs it.
 	crashes func(*http.Request) bool
-	// restartDelay is how long after its end a target starts again.
+	// restartDelay is the time between a target's crash and its restart.
 	restartDelay time.Duration
 
 	mu      sync.Mutex
@@ -72,7 +72,7 @@
 	v.site.record(server, "ready")
 }
 
-// recordCrash counts a server that ends and has another one take its place.
+// recordCrash counts a crash of a server and schedules its replacement.
 func (v *restartingTargets) recordCrash(server *origin.Server) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -87,7 +87,7 @@
 	})
 }
 
-// crash ends a server for a reason of its own.
+// crash crashes a server independently of any request.
 func (v *restartingTargets) crash(server *origin.Server) {
 	v.recordCrash(server)
 	server.Close()
@@ -108,10 +108,10 @@
 	return v.crashed
 }
 
-// isCrashing tells whether a request is one that ends targets.
+// isCrashing reports whether a request crashes targets.
 func isCrashing(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, crashPath) }
 
-// newCrashSite is four instances in three halls before twelve targets that start anew.
+// newCrashSite starts four instances in three halls and twelve targets that restart after crashes.
 func newCrashSite(t *testing.T, kind string, ends func(*http.Request) bool) (*restartingTargets, []*instance) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: kind})
@@ -128,36 +128,37 @@
 	return v, instances
 }
 
-// TestCrashingRequestIsHeld guards against a request that ends target after target as nobody remembers it.
+// TestCrashingRequestIsHeld guards against a request that crashes one target after the other
+// because no instance remembers the previous crashes.
 func TestCrashingRequestIsHeld(t *testing.T) {
 	v, instances := newCrashSite(t, "idempotent", isCrashing)
 	for i := range 100 {
 		instances[i%len(instances)].send("GET", crashPath, "")
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Logf("%d targets ended", v.crashCount())
-	require.LessOrEqual(t, v.crashCount(), maxCrashes, "targets that ended under one request")
+	t.Logf("%d targets crashed", v.crashCount())
+	require.LessOrEqual(t, v.crashCount(), maxCrashes, "targets that crashed under one request")
 	for _, in := range instances {
 		in.awaitStatus("/x/", 200)
 	}
 }
 
-// TestCrashingNonIdempotentRequestIsHeld does the same with an operation that may run once: one attempt
-// for each of the caller's, with the same body.
+// TestCrashingNonIdempotentRequestIsHeld is the same for a non-idempotent request. Each repetition
+// by the caller causes one attempt with the same body.
 func TestCrashingNonIdempotentRequestIsHeld(t *testing.T) {
 	v, instances := newCrashSite(t, "non_idempotent", isCrashing)
 	for i := range 60 {
 		instances[i%len(instances)].send("POST", crashPath, "the same")
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Logf("%d targets ended", v.crashCount())
-	require.LessOrEqual(t, v.crashCount(), maxCrashes, "targets that ended under one request")
+	t.Logf("%d targets crashed", v.crashCount())
+	require.LessOrEqual(t, v.crashCount(), maxCrashes, "targets that crashed under one request")
 	for _, in := range instances {
 		in.awaitStatus("/x/", 200)
 	}
 }
 
-// load sends requests from several clients until it is ended, and counts what became of them.
+// load sends requests from several clients until it is stopped, and counts their results.
 type load struct {
 	mu      sync.Mutex
 	done    chan struct{}
@@ -165,13 +166,13 @@
 	answers map[string]int
 }
 
-// startLoad has clients send reads of a path to the instances in turn.
+// startLoad starts clients that read a path from the instances in turn.
 func startLoad(instances []*instance, clients int, path func(n int) string) *load {
 	return startLoadOf(instances, clients, func(in *instance, n int) reply { return in.send("GET", path(n), "") })
 }
 
-// startLoadOf has clients send what send does to the instances in turn. A client whose request
-// was not served tries once more, at the next instance.
+// startLoadOf starts clients that call send for the instances in turn. A client whose request fails
+// repeats it once, at the next instance.
 func startLoadOf(instances []*instance, clients int, send func(in *instance, n int) reply) *load {
 	l := &load{done: make(chan struct{}), answers: make(map[string]int)}
 	for c := range clients {
@@ -195,7 +196,7 @@
 	return l
 }
 
-// count returns the number of reads that are over.
+// count returns the number of completed requests.
 func (l *load) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -206,7 +207,7 @@
 	return n
 }
 
-// stop ends the load and returns the number of reads that were served and of all.
+// stop ends the load and returns the number of successful requests and of all requests.
 func (l *load) stop() (served, all int) {
 	close(l.done)
 	l.wg.Wait()
@@ -219,8 +220,8 @@
 	return served, all
 }
 
-// TestRequestsBesideCrashingRequest checks that reads beside a request that ends targets are served, a
-// hot one that runs at many targets too.
+// TestRequestsBesideCrashingRequest checks that other requests are served while a request crashes
+// targets, including a frequent one that is in flight at many targets.
 func TestRequestsBesideCrashingRequest(t *testing.T) {
 	v, instances := newCrashSite(t, "idempotent", isCrashing)
 	hot := startLoad(instances, 4, func(int) string { return "/x/hot/" })
@@ -237,8 +238,8 @@
 	}
 }
 
-// TestInnocentRequestIsServed ends targets for reasons of their own while one read is at all of them
-// most of the time, and checks that it is served all the same.
+// TestInnocentRequestIsServed crashes targets independently of requests while the same request is
+// in flight at nearly all of them, and checks that this request is still served.
 func TestInnocentRequestIsServed(t *testing.T) {
 	v, instances := newCrashSite(t, "idempotent", func(*http.Request) bool { return false })
 	hot := startLoad(instances, 8, func(int) string { return "/x/hot/" })
@@ -248,14 +249,14 @@
 		time.Sleep(100 * time.Millisecond)
 	}
 	served, all := hot.stop()
-	t.Logf("%d of %d served while %d targets ended", served, all, v.crashCount())
+	t.Logf("%d of %d served while %d targets crashed", served, all, v.crashCount())
 	require.Greater(t, served*100, all*95)
 	for _, in := range instances {
 		in.awaitStatus("/x/hot/", 200)
 	}
 }
 
-// crashOne ends some target.
+// crashOne crashes an arbitrary target.
 func (v *restartingTargets) crashOne() {
 	v.mu.Lock()
 	var server *origin.Server
@@ -269,8 +270,8 @@
 	}
 }
 
-// TestLostResponsesDoNotHoldRequest checks that a request whose answers are lost, by targets that
-// live on, is not held back.
+// TestLostResponsesDoNotHoldRequest checks that a request is not held if its responses are lost but
+// its targets do not crash.
 func TestLostResponsesDoNotHoldRequest(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "non_idempotent"})
@@ -292,8 +293,8 @@
 	require.Eventually(t, func() bool { return in.send("POST", "/x/", "the same").status == 200 }, wait, poll)
 }
 
-// TestOtherBodyIsAnotherRequest checks that an operation under which targets end holds back
-// none with another body.
+// TestOtherBodyIsAnotherRequest checks that a held request does not hold a request with another
+// body.
 func TestOtherBodyIsAnotherRequest(t *testing.T) {
 	bad := func(r *http.Request) bool { return isCrashing(r) && r.ContentLength == int64(len("bad")) }
 	v, instances := newCrashSite(t, "non_idempotent", bad)
@@ -308,8 +309,8 @@
 	require.LessOrEqual(t, v.crashCount(), maxCrashes)
 }
 
-// TestLateInstanceKnowsHeldRequest checks that an instance that starts later knows of a request that is
-// held back before it could send it.
+// TestLateInstanceKnowsHeldRequest checks that an instance that starts later learns about a held
+// request before it could send it.
 func TestLateInstanceKnowsHeldRequest(t *testing.T) {
 	v, instances := newCrashSite(t, "idempotent", isCrashing)
 	for i := range 20 {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -42,7 +42,7 @@
 	require.Equal(t, 413, in.send("POST", "/x/deep/", strings.Repeat("z", 1<<20+1)).status)
 }
 
-// TestNoConfiguration checks that an instance that knows none refuses.
+// TestNoConfiguration checks that an instance without a configuration refuses requests.
 func TestNoConfiguration(t *testing.T) {
 	s := newSite(t)
 	in := s.instance("n1", "a1")
@@ -51,9 +51,9 @@
 	require.NotEmpty(t, in.send("GET", "/x/", "").header.Get("Retry-After"))
 }
 
-// TestChangesReachEveryInstance has three instances in one region, of which two
-// watch the store, and checks configuration, evacuation, draining and removal at
-// all of them.
+// TestChangesReachEveryInstance checks that changes of the configuration, an evacuation, and the
+// draining and removal of targets take effect at three instances of a region, of which two watch
+// the store.
 func TestChangesReachEveryInstance(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -82,7 +82,7 @@
 	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 503 })
 }
 
-// TestOlderConfigurationIsIgnored checks that a lower version changes nothing.
+// TestOlderConfigurationIsIgnored checks that a configuration with a lower version has no effect.
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	s := newSite(t)
 	s.configure(5, idempotentRoute)
@@ -96,8 +96,8 @@
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 }
 
-// TestNewInstanceWithoutStore checks that an instance that starts while the store
-// is away takes everything from a peer.
+// TestNewInstanceWithoutStore checks that an instance that starts while the store is unreachable
+// gets everything from a peer.
 func TestNewInstanceWithoutStore(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -109,9 +109,9 @@
 	fresh.awaitStatus("/x/", 200)
 }
 
-// TestSilentStore checks that watches whose answers were lost in a short outage of the
-// store do not keep an instance from what changes after it. A watch waits for longer
-// than the bound here.
+// TestSilentStore checks that an instance receives later changes after a short outage in which the
+// store silently dropped the responses to watches. A pending watch alone would wait longer than
+// bound.
 func TestSilentStore(t *testing.T) {
 	const bound = 7 * time.Second
 	s := newSite(t)
@@ -122,7 +122,7 @@
 	s.store.SetFaults(objects.Faults{Silent: true})
 	second := route{prefix: "/second/", service: "s", kind: "idempotent"}
 	s.configure(2, idempotentRoute, second)
-	// The pending watch brings this; the next one gets no answer.
+	// The pending watch delivers this configuration. The next watch gets no response.
 	in.awaitStatus("/second/", 200)
 	time.Sleep(1500 * time.Millisecond)
 	s.store.SetFaults(objects.Faults{})
@@ -130,9 +130,8 @@
 	require.Eventually(t, func() bool { return in.send("GET", "/third/", "").status == 200 }, bound, poll)
 }
 
-// TestExpiredTargets checks that targets whose entries lapsed during an outage of the
-// store go on being used for the time in which they may be back, and that one that
-// is still missing then is not.
+// TestExpiredTargets checks that targets whose entries expired during an outage of the store stay
+// in use until their hold ends, and that a target that is still missing then is dropped.
 func TestExpiredTargets(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute, route{prefix: "/other/", service: "t", kind: "idempotent"})
@@ -157,11 +156,11 @@
 			status = in.send("GET", "/x/", "").status
 			return status != 200 || in.send("GET", "/other/", "").status == 503
 		}, wait, poll)
-		require.Equal(t, 200, status, "a target that is back in time was given up")
+		require.Equal(t, 200, status, "a target whose entry reappeared in time was dropped")
 	}
 }
 
-// TestHistoryGone checks that changes made while the history was dropped arrive.
+// TestHistoryGone checks that changes are received even if the store has dropped their history.
 func TestHistoryGone(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -175,11 +174,11 @@
 	in.awaitStatus("/new/", 200)
 }
 
-// maxRetryWait is the longest time for which clients heed when to come back: a third of the three
-// seconds that they have.
+// maxRetryWait is the longest Retry-After that the clients respect: a third of their timeout of
+// three seconds.
 const maxRetryWait = time.Second
 
-// retryAfter returns the time after which a refused client is told to come back, 0 if it is not.
+// retryAfter returns the response's Retry-After, or 0 if it has none.
 func (r reply) retryAfter() time.Duration {
 	seconds, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	if err != nil {
@@ -188,8 +187,8 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// TestAnswersUnderFaults sends requests while the servers do everything wrong
-// that they can, and checks every promise that an answer makes.
+// TestAnswersUnderFaults sends requests while the servers show all faults at random, and checks
+// every guarantee that a response gives.
 func TestAnswersUnderFaults(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute,
@@ -243,20 +242,20 @@
 			require.True(t, strings.HasSuffix(r.body, " to "+r.id), r.body)
 			require.NotEmpty(t, r.header.Get("Server-Signature"))
 		case r.status == 503 && once:
-			require.Zero(t, runs[r.id], "refused, but ran: %s", r.id)
+			require.Zero(t, runs[r.id], "refused request has run: %s", r.id)
 		}
 		if once {
 			require.LessOrEqual(t, runs[r.id], 1)
 		} else {
-			require.LessOrEqual(t, runs[r.id], 2, "more than the route's attempts")
+			require.LessOrEqual(t, runs[r.id], 2, "more runs than the route allows attempts")
 		}
 	}
 	t.Logf("succeeded %d", succeeded)
 	require.Greater(t, succeeded, 50)
 }
 
-// TestOperatorsTable checks that the operators' rows take the place of the computed
-// shares, and that their drains count.
+// TestOperatorsTable checks that the operators' rows replace the computed shares, and that their
+// drains take effect.
 func TestOperatorsTable(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -275,14 +274,14 @@
 		Rows:     []table.Row{{Service: "s", From: "a", To: "b", Weight: 1}},
 	}}
 	s.store.Set("rainford-objects", "config~table", doc)
-	require.Eventually(t, servedBy(far), 30*time.Second, 50*time.Millisecond, "by bounded steps")
+	require.Eventually(t, servedBy(far), 30*time.Second, 50*time.Millisecond, "traffic shifts in bounded steps")
 	doc.Number, doc.Table.Drains = 2, []table.Drain{{Scope: table.ScopeRegion, Name: "b"}}
 	s.store.Set("rainford-objects", "config~table", doc)
 	require.Eventually(t, servedBy(near), wait, poll)
 }
 
-// TestLimits checks that the limits of the configuration in force hold, also for
-// connections that were open before.
+// TestLimits checks that the current limits of the configuration apply, also to connections that
+// were opened before.
 func TestLimits(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -317,14 +316,14 @@
 	return c
 }
 
-// requireClosed reads until the other side ends the connection.
+// requireClosed reads until the peer closes the connection.
 func requireClosed(t *testing.T, c net.Conn) {
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(wait)))
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err)
 }
 
-// TestTimeout checks that a request is answered at its route's timeout.
+// TestTimeout checks that a request is answered at its route's timeout and cancelled at its target.
 func TestTimeout(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "idempotent", timeout: "200ms"})
@@ -332,10 +331,10 @@
 	server.SetScript(func(*http.Request) origin.Fault { return origin.Silent })
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 504)
-	require.Eventually(t, func() bool { return server.Canceled() > 0 }, wait, poll, "and the target is told")
+	require.Eventually(t, func() bool { return server.Canceled() > 0 }, wait, poll, "request not cancelled at the target")
 }
 
-// TestClientLeaves checks that a target is told when the client has left.
+// TestClientLeaves checks that a request is cancelled at its target when the client disconnects.
 func TestClientLeaves(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -349,8 +348,8 @@
 	require.Eventually(t, func() bool { return server.Canceled() == 1 }, wait, poll)
 }
 
-// TestPlannedStop checks that a stop cuts nothing, and that others no longer name
-// the instance to clients.
+// TestPlannedStop checks that a planned stop interrupts no request, and that other instances no
+// longer direct clients to the stopping instance.
 func TestPlannedStop(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -392,8 +391,8 @@
 	return answer.Addresses
 }
 
-// TestFewWatchers checks that the calls that a change brings about do not grow
-// with the instances.
+// TestFewWatchers checks that the number of store calls caused by a change does not grow with the
+// number of instances.
 func TestFewWatchers(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -401,7 +400,7 @@
 	for _, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
 		s.instance(name, "a1").awaitStatus("/x/", 200)
 	}
-	// Four kinds, two watchers: a change of one kind wakes two calls.
+	// Two instances watch each kind, so a change of one kind completes two calls.
 	require.Eventually(t, func() bool {
 		before := s.store.Calls()
 		time.Sleep(200 * time.Millisecond)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -28,13 +28,13 @@
 
 var halls = map[string]string{"a1": "a", "a2": "a", "b1": "b"}
 
-// site is a store, servers and instances on loopback.
+// site is a store with servers and instances on loopback addresses.
 type site struct {
 	t      *testing.T
 	store  *objects.Store
 	addr   string
 	nextID atomic.Int64
-	// wrapFront changes the listener for clients of the next instances, if it is set.
+	// wrapFront wraps the listener for clients of instances that are started later, if it is set.
 	wrapFront func(net.Listener) net.Listener
 }
 
@@ -81,7 +81,7 @@
 	return server
 }
 
-// record writes the server's entry.
+// record writes the server's entry to the store.
 func (s *site) record(server *origin.Server, state string) {
 	s.store.Record(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
 		State: state, WarmupRemaining: "0ms", Sequence: 1})
@@ -100,7 +100,7 @@
 	return s.instanceOf(platform.NewStore(s.addr), name, hall, change...)
 }
 
-// instanceOf starts an instance with a client of the store.
+// instanceOf starts an instance that uses the given client of the store.
 func (s *site) instanceOf(store gateway.Store, name, hall string, change ...func(*gateway.Config)) *instance {
 	c := gateway.Defaults()
 	c.Name, c.Hall, c.Region, c.RegionOf = name, hall, halls[hall], halls
@@ -144,7 +144,7 @@
 	require.Eventually(in.site.t, in.ready, wait, poll)
 }
 
-// reply is an answer to a client.
+// reply is the response to a client.
 type reply struct {
 	status int
 	body   string
@@ -152,7 +152,7 @@
 	id     string
 }
 
-// send sends one request of a client, as one client attempt.
+// send sends one request with a new ID.
 func (in *instance) send(method, path, body string) reply {
 	return in.sendAs(context.Background(), in.site.newID(), method, path, body)
 }
@@ -163,7 +163,7 @@
 	return in.sendWith(ctx, id, method, path, body, nil)
 }
 
-// sendWith sends a request with more headers.
+// sendWith sends a request with additional headers.
 func (in *instance) sendWith(ctx context.Context, id, method, path, body string, header http.Header) reply {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+in.config.Listen+path, strings.NewReader(body))
 	require.NoError(in.site.t, err)
@@ -186,7 +186,7 @@
 	return reply{status: resp.StatusCode, body: string(raw), header: resp.Header, id: id}
 }
 
-// awaitServed waits until requests for a path get the status.
+// awaitStatus waits until requests for a path get the status.
 func (in *instance) awaitStatus(path string, status int) {
 	require.Eventually(in.site.t, func() bool { return in.send("GET", path, "").status == status }, wait, poll)
 }
--- a/gateway/lookup_test.go
+++ b/gateway/lookup_test.go
@@ -9,7 +9,7 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// members returns n members of a hall in a state.
+// members returns n members of a hall in the given state.
 func members(hall string, n int, state fleet.State, flags fleet.Flags) []fleet.Status {
 	var out []fleet.Status
 	for i := range n {
@@ -19,9 +19,9 @@
 	return out
 }
 
-// TestAddresses checks whom clients of hall a1 are told of: the instances of the hall, those
-// of the region too where few of the hall are left, those of other regions where there are
-// none, and, by an instance that has just started, those that it has not heard of yet.
+// TestAddresses checks to which instances clients of hall a1 are directed: those of the hall, also
+// those of the region if few of the hall serve, and those of other regions if the region has none.
+// An instance that has just started includes members that it has not heard from.
 func TestAddresses(t *testing.T) {
 	join := func(lists ...[]fleet.Status) []fleet.Status {
 		var out []fleet.Status
@@ -40,7 +40,7 @@
 	}{
 		{"the hall", join(members("a1", 10, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 10}},
 		{"one of the hall", join(members("a1", 1, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 1, "a2": 10}},
-		{"two that are all", join(members("a1", 2, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 2}},
+		{"all of a small hall", join(members("a1", 2, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 2}},
 		{"few of the hall are left", join(members("a1", 4, fleet.Alive, fleet.Ready), members("a1", 6, fleet.Suspect, fleet.Ready), near, far), false,
 			map[string]int{"a1": 4, "a2": 10}},
 		{"others not ready or leaving", join(members("a1", 3, fleet.Alive, fleet.Ready), members("a1", 1, fleet.Alive, 0), members("a1", 1, fleet.Stopping, fleet.Ready), near), false,
@@ -48,7 +48,7 @@
 		{"no region", far, false, map[string]int{"b1": 10}},
 		{"just started", join(members("a1", 1, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), members("a1", 2, fleet.Alive, 0), members("a1", 1, fleet.Suspect, 0), near), true,
 			map[string]int{"a1": 11}},
-		{"unknown later on", join(members("a1", 2, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), near), false, map[string]int{"a1": 2, "a2": 10}},
+		{"unknown after discovery", join(members("a1", 2, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), near), false, map[string]int{"a1": 2, "a2": 10}},
 		{"many", members("a1", 200, fleet.Alive, fleet.Ready), false, map[string]int{"a1": maxAddresses}},
 	}
 	for _, c := range cases {
--- a/gateway/permits_test.go
+++ b/gateway/permits_test.go
@@ -15,7 +15,7 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// limitedSite is three instances in two halls with an account whose limit is given.
+// limitedSite starts three instances in two halls, with an account that has the given rate limit.
 func limitedSite(t *testing.T, rate, burst float64) (*site, *origin.Server, []*instance) {
 	s := newSite(t)
 	s.limit(1, rate, burst)
@@ -35,7 +35,7 @@
 	return s, server, fleet
 }
 
-// limit writes a configuration with a limited account, ada, and one without, ben.
+// limit writes a configuration with a limited account, ada, and an unlimited one, ben.
 func (s *site) limit(version int, rate, burst float64) {
 	s.configureAccounts(version, map[string]objects.Tenant{
 		"ada": {APIKeys: []string{adaKey}, RatePerS: rate, Burst: burst},
@@ -43,8 +43,8 @@
 	})
 }
 
-// flood sends requests with a key through all instances, as fast as each answers, for a
-// time, and returns how many were answered with each status.
+// flood sends requests with a key through all instances as fast as they respond, and returns the
+// number of responses by status.
 func flood(fleet []*instance, key string, length time.Duration) map[int]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -67,8 +67,9 @@
 	return got
 }
 
-// TestLimitHoldsOverAllInstances floods an account through all instances and checks what
-// reaches the target, in each window, and that most of what the limit allows gets there.
+// TestLimitHoldsOverAllInstances floods an account through all instances. It checks that the
+// requests at the target stay within the limit in each window, and that at least 70 % of the limit
+// is used.
 func TestLimitHoldsOverAllInstances(t *testing.T) {
 	const rate, burst, length = 40, 20, 3 * time.Second
 	_, server, fleet := limitedSite(t, rate, burst)
@@ -89,13 +90,13 @@
 		for end < len(arrivals) && arrivals[end].Sub(arrivals[i]) <= time.Second {
 			end++
 		}
-		// The bound of a window of one second, with that on the permits' life.
+		// The bound covers a window of one second plus the lifetime of permits.
 		require.LessOrEqual(t, float64(end-i), rate*(1+bound.PermitLifetime(limit).Seconds())+burst+bound.Slack)
 	}
 }
 
-// TestUnlimitedAccountIsUnaffected checks that an account beyond its limit takes nothing
-// from another one.
+// TestUnlimitedAccountIsUnaffected checks that an account beyond its limit does not affect another
+// account.
 func TestUnlimitedAccountIsUnaffected(t *testing.T) {
 	_, _, fleet := limitedSite(t, 10, 5)
 	done := make(chan map[int]int)
@@ -103,12 +104,13 @@
 	got := flood(fleet, benKey, time.Second)
 	hot := <-done
 	require.Positive(t, hot[429])
-	require.Zero(t, len(got)-1, "all answers are alike: %v", got)
+	require.Zero(t, len(got)-1, "all responses have the same status: %v", got)
 	require.Positive(t, got[200])
 }
 
-// TestDemandBelowLimitIsServedAnywhere sends most of what a limit allows through
-// one instance, which is more than the part of its hall.
+// TestDemandBelowLimitIsServedAnywhere sends 90 % of an account's limit through one instance, which
+// exceeds the share of its hall. After the demand has moved to that instance, its owner has to
+// borrow the rest.
 func TestDemandBelowLimitIsServedAnywhere(t *testing.T) {
 	const rate = 60
 	_, _, fleet := limitedSite(t, rate, 0)
@@ -116,7 +118,7 @@
 		var refused, served atomic.Int64
 		var wg sync.WaitGroup
 		began := time.Now()
-		// From one second after demand has moved on none may be refused.
+		// No request may be refused from one second after the demand has moved.
 		settled := began.Add(time.Second)
 		ticker := time.NewTicker(time.Second * 10 / (9 * rate))
 		for now := range ticker.C {
@@ -133,11 +135,11 @@
 		}
 		ticker.Stop()
 		wg.Wait()
-		require.Zero(t, refused.Load(), "of %d", served.Load())
+		require.Zero(t, refused.Load(), "refused requests of %d", served.Load())
 	}
 }
 
-// TestRefusalHasRetryAfter checks what a request beyond the limit is told.
+// TestRefusalHasRetryAfter checks the Retry-After of a request beyond the limit.
 func TestRefusalHasRetryAfter(t *testing.T) {
 	_, _, fleet := limitedSite(t, 4, 1)
 	in := fleet[0]
@@ -152,8 +154,8 @@
 	require.LessOrEqual(t, after, 5.0)
 }
 
-// TestLoweredLimitIsInForce checks that a limit that is lowered binds, and one that is
-// taken away does not.
+// TestLoweredLimitIsInForce checks that a lowered limit takes effect, and that a removed limit no
+// longer does.
 func TestLoweredLimitIsInForce(t *testing.T) {
 	s, _, fleet := limitedSite(t, 10_000, 10_000)
 	require.Zero(t, flood(fleet, adaKey, 500*time.Millisecond)[429])
@@ -170,8 +172,8 @@
 	}
 }
 
-// TestOwnersUnreachable checks that the requests of an account whose owners do not answer
-// are refused as not run, and that one owner that is left is found.
+// TestOwnersUnreachable checks that the requests of an account are refused as not run if no owner
+// replies, and that a remaining owner is found.
 func TestOwnersUnreachable(t *testing.T) {
 	_, _, fleet := limitedSite(t, 1000, 1000)
 	in := fleet[0]
@@ -180,7 +182,7 @@
 		other.stop()
 		<-other.done
 	}
-	// Its own part is left, or the account's owners are all gone.
+	// Either the own hall's share remains, or no owner is left.
 	require.Eventually(t, func() bool {
 		got := in.sendWithKey(adaKey, "/x/")
 		return got.status == 200 || got.status == 503 && got.header.Get("Retry-After") != ""
--- a/gateway/pipelining_test.go
+++ b/gateway/pipelining_test.go
@@ -15,7 +15,7 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// writePipelined writes several requests at once, the second before the first is answered.
+// writePipelined writes several requests in one write, without waiting for responses.
 func (c rawConn) writePipelined(ids ...string) {
 	var all strings.Builder
 	for _, id := range ids {
@@ -24,11 +24,13 @@
 	c.write(all.String())
 }
 
-// TestClientLeavesWithPipelinedRequests has a client send requests behind one another to a target
-// that stays silent, and leave. Clients that had sent some ahead left unnoticed: of 26 runs that
-// went on half a second after their clients had left 11 were of such clients, on a simulated day
-// with clients that leave early. The HTTP server reads one byte beyond the request that it serves,
-// and sees the end of the connection only if no other bytes lie before it.
+// TestClientLeavesWithPipelinedRequests checks that all requests of a client are cancelled at their
+// target when the client disconnects after pipelining several of them.
+//
+// The HTTP server reads one byte beyond the current request to detect a disconnect. If further
+// requests follow on the connection, that byte is one of theirs and the server does not see the end
+// of the connection. Of 26 requests that ran for over half a second after their client's
+// disconnect, 11 had pipelined requests behind them.
 func TestClientLeavesWithPipelinedRequests(t *testing.T) {
 	for _, ahead := range []int{0, 1, 2, 6} {
 		for _, together := range []bool{true, false} {
@@ -61,9 +63,9 @@
 	}
 }
 
-// TestPipelinedRequestsRunConcurrently has a client write six requests at once, and checks that all of
-// them run at the same time and are answered in their order. They ran one after the other: six
-// of 300 ms at four idle targets took 1,810 ms.
+// TestPipelinedRequestsRunConcurrently checks that six pipelined requests run at the same time and
+// are answered in order. Run one after the other, six requests of 300 ms took 1,810 ms at four idle
+// targets.
 func TestPipelinedRequestsRunConcurrently(t *testing.T) {
 	const requests, targets = 6, 4
 	s := newSite(t)
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestRejectedRequestIsRetriedAtSameTarget checks that a request that a target with free slots has
-// rejected goes to the same target again, which knows its object, and not to another.
+// rejected is retried at the same target, which has its object cached.
 func TestRejectedRequestIsRetriedAtSameTarget(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -20,7 +20,7 @@
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	for range 10 {
-		// Requests earn the budget of repeats.
+		// Requests earn the budget for retries.
 		in.send("GET", "/x/", "")
 	}
 	var arrivals [2]atomic.Int64
@@ -40,9 +40,9 @@
 	require.ElementsMatch(t, []int64{2, 0}, []int64{arrivals[0].Load(), arrivals[1].Load()})
 }
 
-// TestRejectedRequestGetsShortRetryAfter checks that a request that targets with free slots
-// went on rejecting is refused at once, as not run, and told to come back while an
-// answer would still be in time.
+// TestRejectedRequestGetsShortRetryAfter checks that a request that targets with free slots keep
+// rejecting is refused at once as not run, with a Retry-After that is short enough for another try
+// in time.
 func TestRejectedRequestGetsShortRetryAfter(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
@@ -57,9 +57,9 @@
 	require.LessOrEqual(t, after, 0.05)
 }
 
-// TestUnmarkedRefusalMayHaveRun checks that a target's 503 without its word that the request did not
-// run is passed on for requests that may run again, and that a client whose operation may run
-// once is not told by it that it did not.
+// TestUnmarkedRefusalMayHaveRun checks the handling of a target's 503 that does not state that the
+// request has not run. It is passed on for idempotent requests. For other requests the client
+// receives 502, since it would take a 503 as a promise that the request has not run.
 func TestUnmarkedRefusalMayHaveRun(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute, route{prefix: "/once/", service: "s", kind: "non_idempotent"})
--- a/gateway/rollback_before_targets_test.go
+++ b/gateway/rollback_before_targets_test.go
@@ -13,15 +13,16 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// versionCodec decodes targets whose value is the version that they run, and orders.
+// versionCodec decodes rollout orders, and targets whose value is their version.
 type versionCodec struct{ orderCodec }
 
 func (versionCodec) Target(name string, raw []byte) (catalog.Target, error) {
 	return catalog.Target{ID: name, Name: name, Service: "s", Addr: "x", Hall: "a1", Slots: 3, Version: string(raw)}, nil
 }
 
-// TestRollbackKnownBeforeTargets checks that an instance that starts after a rollback, and learns of it
-// before it learns of the service's targets, sends nothing to those of the version.
+// TestRollbackKnownBeforeTargets checks that an instance that starts after a rollback sends nothing
+// to targets of the rolled back version, even if it learns of the rollback before it learns of the
+// targets.
 func TestRollbackKnownBeforeTargets(t *testing.T) {
 	g := newTestGateway(t)
 	g.codec = versionCodec{}
--- a/gateway/rollouts_test.go
+++ b/gateway/rollouts_test.go
@@ -17,18 +17,18 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// rolloutSite is a site whose service runs in one version, of which another one is to be brought in.
+// rolloutSite is a site whose service runs in one version and gets another by a rollout.
 type rolloutSite struct {
 	*site
 	instances []*instance
 	old, new  []*origin.Server
-	// toOld and toNew count the requests that reach targets of either version.
+	// toOld and toNew count the requests that reach targets of the old and the new version.
 	toOld, toNew atomic.Int64
 }
 
 const rolloutTime = 6 * time.Second
 
-// newRolloutSite starts some instances and six targets of version v1.
+// newRolloutSite starts instances and six targets of version v1.
 func newRolloutSite(t *testing.T, instances int) *rolloutSite {
 	v := &rolloutSite{site: newSite(t)}
 	v.configure(1, idempotentRoute)
@@ -58,7 +58,7 @@
 	return server
 }
 
-// startRollout has the operator order version v2, and starts its targets.
+// startRollout writes an order for version v2 and starts its targets.
 func (v *rolloutSite) startRollout() {
 	v.store.Set("rollouts", "s", objects.Rollout{Service: "s", TargetVersion: "v2", Duration: rolloutTime.String()})
 	for i := range 6 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// load has clients send requests until the function that it returns is called.
+// load starts clients that send requests until the returned function is called.
 func (v *rolloutSite) load() (stop func()) {
 	var clients sync.WaitGroup
 	var stopped atomic.Bool
@@ -88,7 +88,7 @@
 	}
 }
 
-// state returns what the store holds of the order.
+// state returns the state of the order in the store.
 func (v *rolloutSite) state() objects.RolloutStatus {
 	var status objects.RolloutStatus
 	raw := v.store.Status("rollouts", "s")
@@ -104,7 +104,7 @@
 	require.Equal(v.t, "v2", v.state().TargetVersion)
 }
 
-// failHalf has a server fail half of its requests.
+// failHalf makes a server fail every second request.
 func failHalf(server *origin.Server) {
 	var n atomic.Int64
 	server.SetScript(func(*http.Request) origin.Fault {
@@ -115,8 +115,8 @@
 	})
 }
 
-// TestGoodVersionIsRolledOut checks that a good version gets all requests, and that the order is said to have
-// succeeded only when none is at an old target any more.
+// TestGoodVersionIsRolledOut checks that a good version gets all requests, and that the order's
+// state becomes succeeded only when no request is sent to an old target any more.
 func TestGoodVersionIsRolledOut(t *testing.T) {
 	for _, instances := range []int{1, 3} {
 		t.Run(fmt.Sprint("instances=", instances), func(t *testing.T) {
@@ -126,7 +126,7 @@
 			v.startRollout()
 			v.awaitState("running")
 			v.awaitState("succeeded")
-			// The platform stops the old targets now.
+			// The platform stops the old targets at this point.
 			before := v.toOld.Load()
 			for _, server := range v.old {
 				v.store.Remove("servers", server.ID)
@@ -141,9 +141,9 @@
 	}
 }
 
-// TestBadVersionIsRolledBack checks that a version that fails gets a few requests only, and none after the
-// rollback. A version was a target like any other: on a simulated day one that failed half of its requests got
-// 16,319 of 27,718, where a tenth and 50 were allowed.
+// TestBadVersionIsRolledBack checks that a failing version gets only a few requests, and none after
+// its rollback. Without canary analysis, a version that failed half of its requests got 16,319 of
+// 27,718 requests, where a tenth plus 50 were allowed.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	for _, instances := range []int{1, 3} {
 		t.Run(fmt.Sprint("instances=", instances), func(t *testing.T) {
@@ -165,23 +165,23 @@
 	}
 }
 
-// TestRolloutContinuesAfterLeaderLoss checks that another instance goes on with a rollout when the one that leads it
-// ends.
+// TestRolloutContinuesAfterLeaderLoss checks that another instance continues a rollout when its
+// leader stops.
 func TestRolloutContinuesAfterLeaderLoss(t *testing.T) {
 	v := newRolloutSite(t, 3)
 	stop := v.load()
 	defer stop()
 	v.startRollout()
 	v.awaitState("running")
-	// The first by name leads.
+	// The leader is the instance whose name comes first.
 	v.instances[0].stop()
 	<-v.instances[0].done
 	v.instances = v.instances[1:]
 	require.Eventually(t, func() bool { state := v.state().State; return state == "succeeded" || state == "rolled_back" }, 2*rolloutTime+wait, poll)
 }
 
-// TestRollbackWhileStoreIsUnreachable checks that a bad version gets no more requests though nothing can be written to
-// the store, and that the rollback is written once the store is back.
+// TestRollbackWhileStoreIsUnreachable checks that a bad version gets no more requests even if the
+// store does not accept writes, and that the rollback is written once it does.
 func TestRollbackWhileStoreIsUnreachable(t *testing.T) {
 	v := newRolloutSite(t, 2)
 	stop := v.load()
@@ -202,7 +202,8 @@
 	v.awaitState("rolled_back")
 }
 
-// TestStoredVerdictIsKept checks that what the store holds is not changed, whoever has written it.
+// TestStoredVerdictIsKept checks that a final state in the store takes effect and is not
+// overwritten, even if it was written by another program.
 func TestStoredVerdictIsKept(t *testing.T) {
 	v := newRolloutSite(t, 1)
 	stop := v.load()
--- a/gateway/self_report_test.go
+++ b/gateway/self_report_test.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// propagationTime is within how long all instances in touch are to know what a target has
-	// told one of them.
+	// propagationTime is the time within which all connected instances have to know what a target
+	// has reported to one of them.
 	propagationTime = time.Second
-	// backoffGrace is for requests that are on their way when a target asks for rest, and
-	// mostInRest is the number of those that may arrive later, until the rest is over.
+	// backoffGrace allows for requests that are in flight when a target requests a back-off.
+	// maxDuringBackoff is the number of requests that may arrive after that, until the back-off
+	// ends.
 	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// maxUsualRetryAfter is the longest time after which a refused request is told to come back where no
-// target rests: three and a half usual times of 200 ms.
+// maxUsualRetryAfter is the longest Retry-After of a refusal without back-off: three and a half
+// times the typical latency of 200 ms.
 const maxUsualRetryAfter = 700 * time.Millisecond
 
 // earliest returns the earlier of two times.
@@ -36,14 +37,14 @@
 	return a
 }
 
-// arrivals are the requests that have reached a target.
+// arrivals records the requests that have reached a target.
 type arrivals struct {
 	mu       sync.Mutex
 	at       []time.Time
 	rejected []bool
 }
 
-// watchArrivals notes what reaches a target from now on.
+// watchArrivals starts recording the requests that reach a target.
 func watchArrivals(server *origin.Server) *arrivals {
 	v := &arrivals{}
 	server.SetObserver(func(a origin.Arrival) {
@@ -55,7 +56,7 @@
 	return v
 }
 
-// after returns the number of requests that arrived later than a time after the first one.
+// after returns the number of requests that arrived more than d after the first one.
 func (v *arrivals) after(d time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -68,8 +69,8 @@
 	return n
 }
 
-// maxAfterRejection returns the largest number of requests that arrived between restGrace and length
-// after one that was turned away.
+// maxAfterRejection returns the largest number of requests that arrived between backoffGrace and
+// length after a rejected request.
 func (v *arrivals) maxAfterRejection(length time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -86,13 +87,13 @@
 	return most
 }
 
-// read sends a read of one of a hundred objects.
+// read reads one of a hundred objects.
 func (in *instance) read(n int) reply {
 	key := http.Header{"Affinity-Key": {strconv.Itoa(n * 37 % 100)}}
 	return in.sendWith(context.Background(), in.site.newID(), "GET", "/x/", "", key)
 }
 
-// readSite is instances in halls before count targets of the same halls.
+// readSite starts instances in the given halls and count targets in the same halls.
 func readSite(t *testing.T, count int, halls ...string) ([]*instance, []*origin.Server) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "idempotent"})
@@ -114,7 +115,8 @@
 	return instances, servers
 }
 
-// TestNoRequestsAfterLeavingReport guards against requests to a target that has said in its answers that it leaves.
+// TestNoRequestsAfterLeavingReport guards against requests to a target that has announced in its
+// responses that it leaves.
 func TestNoRequestsAfterLeavingReport(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -135,25 +137,19 @@
 			time.Sleep(3 * propagationTime)
 			t.Logf("%d of %d later than %v", seen.after(propagationTime), seen.after(-1), propagationTime)
 			require.NotZero(t, seen.after(-1))
-			require.Zero(t, seen.after(propagationTime), "requests that reached a target that leaves")
+			require.Zero(t, seen.after(propagationTime), "requests that reached a leaving target")
 		})
 	}
 }
 
-// TestRequestedBackoffIsKept is the story of a target that asks for rest and gets none.
+// TestRequestedBackoffIsKept guards against requests to a target that has requested a back-off by
+// Retry-After.
 //
-// What users saw: for nine seconds seven of 24 targets turned away all they got, each time
-// with the wish to get nothing for 3 s. They got 1,124 requests in that time, and one in
-// fourteen reads was refused in the end although the other targets had room.
-//
-// Order of events: a target answers 503, not run, and asks for 3 s of rest. The instance
-// tries the same request there once more within milliseconds, pauses the target for 150 ms,
-// and sends the next request of its keys there; and so on.
-//
-// Cause: what a target asks for was not read; a pause of a fixed length stood in for it.
-//
-// Evidence: all 479 pauses in the lines are of 149 ms, whatever 'rest_ms' says, and the
-// attempts of the pairs of an instance and such a target lie as far apart as the pauses.
+// When instances ignored the requested time and paused each such target for a fixed 150 ms, they
+// retried a rejected request there within milliseconds, and sent the next request for the target's
+// keys there after the pause. Seven of 24 targets that rejected all requests with a back-off of 3 s
+// got 1,124 requests in nine seconds, and one in fourteen reads was refused although the other
+// targets had free slots.
 func TestRequestedBackoffIsKept(t *testing.T) {
 	const rest = 2 * time.Second
 	instances, servers := readSite(t, 4, "a1")
@@ -164,15 +160,15 @@
 	l := startLoadOf(instances, 4, (*instance).read)
 	time.Sleep(2 * rest)
 	served, all := l.stop()
-	t.Logf("%d requests within a rest, %d of %d served", seen.maxAfterRejection(rest), served, all)
+	t.Logf("%d requests during a back-off, %d of %d served", seen.maxAfterRejection(rest), served, all)
 	require.NotZero(t, seen.after(-1))
-	require.LessOrEqual(t, seen.maxAfterRejection(rest), maxDuringBackoff, "requests within a rest")
-	require.GreaterOrEqual(t, served*100, all*99, "served by the others")
+	require.LessOrEqual(t, seen.maxAfterRejection(rest), maxDuringBackoff, "requests during a back-off")
+	require.GreaterOrEqual(t, served*100, all*99, "served by the other targets")
 }
 
-// TestAllTargetsInBackoff checks that a request is refused when all targets of its service rest, that
-// its caller is told when the first of them is back, and that none of them gets anything
-// until then.
+// TestAllTargetsInBackoff checks that a request is refused when all targets of its service are in
+// back-off, that the Retry-After covers the time until the first target is available again, and
+// that no target gets a request until then.
 func TestAllTargetsInBackoff(t *testing.T) {
 	const rest = 2 * time.Second
 	instances, servers := readSite(t, 3, "a1")
@@ -208,10 +204,10 @@
 	for _, v := range seen {
 		first = earliest(first, v.at[0].Add(rest))
 	}
-	require.GreaterOrEqual(t, told, time.Until(first).Seconds()-0.01, "seconds until the first target is back, rounded")
-	require.Less(t, told, 2*rest.Seconds()+maxUsualRetryAfter.Seconds(), "at most as long again, and the usual time to come back")
+	require.GreaterOrEqual(t, told, time.Until(first).Seconds()-0.01, "seconds until the first target is available, rounded")
+	require.Less(t, told, 2*rest.Seconds()+maxUsualRetryAfter.Seconds(), "at most twice the back-off plus the usual Retry-After")
 	require.Eventually(t, func() bool { return instances[0].read(1).status == http.StatusOK }, wait, poll)
 	for _, v := range seen {
-		require.LessOrEqual(t, v.maxAfterRejection(rest), 0, "requests within a rest")
+		require.LessOrEqual(t, v.maxAfterRejection(rest), 0, "requests during a back-off")
 	}
 }
--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBudgetWithoutRoute checks that a request that ends before its time is known has
-// none in its line.
+// TestBudgetWithoutRoute checks that the log line of a request that ended before its deadline was
+// known reports no budget.
 func TestBudgetWithoutRoute(t *testing.T) {
 	ex := &exchange{start: time.Now()}
 	require.Zero(t, ex.budget())
--- a/gateway/stored_records_test.go
+++ b/gateway/stored_records_test.go
@@ -13,7 +13,7 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// storedRecords returns the keys under which the store keeps held requests.
+// storedRecords returns the keys of the quarantine records in the store.
 func (s *site) storedRecords() []string {
 	var out []string
 	for _, name := range s.store.Names("rainford-objects") {
@@ -24,8 +24,8 @@
 	return out
 }
 
-// holdCrashingRequest sends a request that ends targets until a trial of it has failed and the store
-// keeps that.
+// holdCrashingRequest sends a request that crashes targets until the store has a record of its
+// failed trial.
 func holdCrashingRequest(t *testing.T, v *restartingTargets, instances []*instance) {
 	for i := range 20 {
 		instances[i%len(instances)].send("GET", crashPath, "")
@@ -33,8 +33,8 @@
 	require.Eventually(t, func() bool { return len(v.site.storedRecords()) > 0 }, wait, poll)
 }
 
-// TestHeldRequestSurvivesFullRestart ends all instances at once after a request was held back, and
-// checks that those that start afterwards do not send it.
+// TestHeldRequestSurvivesFullRestart stops all instances while a request is held, and checks that
+// instances that start afterwards do not send it.
 func TestHeldRequestSurvivesFullRestart(t *testing.T) {
 	v, instances := newCrashSite(t, "idempotent", isCrashing)
 	holdCrashingRequest(t, v, instances)
@@ -59,8 +59,8 @@
 	require.Equal(t, before, v.crashCount())
 }
 
-// TestOperatorReleasesHeldRequest has an operator release a held request, and checks that all instances send it
-// again at once.
+// TestOperatorReleasesHeldRequest checks that all instances send a held request again after an
+// operator has released it.
 func TestOperatorReleasesHeldRequest(t *testing.T) {
 	var mended atomic.Bool
 	v, instances := newCrashSite(t, "idempotent", func(r *http.Request) bool { return isCrashing(r) && !mended.Load() })
--- a/gateway/target_limit_owner_test.go
+++ b/gateway/target_limit_owner_test.go
@@ -13,7 +13,7 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// ownerTest is the part of an instance that issues permits, among others in one hall.
+// ownerTest is the permit issuer of one instance in a hall with several instances.
 type ownerTest struct {
 	owner      *targetLimitOwner
 	config     Config
@@ -32,7 +32,8 @@
 	return w
 }
 
-// review tells of the states of others, Alive for those not named.
+// review updates the owners to the given states of other instances. Instances that are not given
+// are alive.
 func (w *ownerTest) review(states map[string]fleet.State) *ratelimit.Owners {
 	var all []fleet.Status
 	for name, m := range w.registered {
@@ -48,11 +49,12 @@
 	return owners
 }
 
-// ownerOf returns the owner of some target's permits.
+// ownerOf returns the owner of the permits of an arbitrary target.
 func ownerOf(o *ratelimit.Owners) string { return o.Of(ratelimit.HallLimitName("a1", "t"))[0].Name }
 
-// TestSuspectedOwnerStays checks that an owner that is suspected for a moment stays one, and that
-// one that is suspected for longer, or says that it stops, does not, until it is back.
+// TestSuspectedOwnerStays checks that an owner keeps its limits during a short suspicion. During a
+// longer suspicion or a planned stop another instance takes over, until the owner is available
+// again.
 func TestSuspectedOwnerStays(t *testing.T) {
 	first := ownerOf(newOwnerTest("x", 4).review(nil))
 	self := "n0"
@@ -83,17 +85,18 @@
 			continue
 		}
 		require.NotEqual(t, first, ownerOf(changed), "%+v", c)
-		require.Equal(t, first, ownerOf(w.review(nil)), "it is back")
+		require.Equal(t, first, ownerOf(w.review(nil)), "the owner is available again")
 	}
 }
 
-// TestPartitionedOwnerIssuesLess checks that an instance that knows half of the others or fewer to be
-// alive issues so much less that what both sides of a cut issue stays within what targets bear.
+// TestPartitionedOwnerIssuesLess checks that an instance that considers at most half of the
+// instances alive reduces what it issues, so that both sides of a partition together stay within
+// what targets tolerate.
 func TestPartitionedOwnerIssuesLess(t *testing.T) {
 	const perSecond = 10
 	w := newOwnerTest("n0", 4)
 	w.review(map[string]fleet.State{"n1": fleet.Suspect})
-	require.Equal(t, float64(perSecond), w.owner.issuedLimit(perSecond).Rate, "three of four are alive")
+	require.Equal(t, float64(perSecond), w.owner.issuedLimit(perSecond).Rate, "three of four instances are alive")
 	w.review(map[string]fleet.State{"n1": fleet.Suspect, "n2": fleet.Suspect})
 	cutOff := w.owner.issuedLimit(perSecond).Rate
 	require.Less(t, cutOff, float64(perSecond))
@@ -103,8 +106,8 @@
 	require.Equal(t, float64(perSecond), w.owner.issuedLimit(perSecond).Rate)
 }
 
-// TestTinyLimitIsRaisedToMinimum checks that a target that names next to nothing gets a request
-// now and then, by which it can say that it takes more.
+// TestTinyLimitIsRaisedToMinimum checks that a target that announces a limit of zero still gets an
+// occasional request, in whose response it can announce a higher limit.
 func TestTinyLimitIsRaisedToMinimum(t *testing.T) {
 	w := newOwnerTest("n0", 1)
 	w.review(nil)
@@ -113,7 +116,7 @@
 	require.LessOrEqual(t, ratelimit.HallBound.MaxRequests(w.owner.issuedLimit(0)), 1.5*0*window+5)
 }
 
-// TestTargetOfPermits checks that the target is found by the name of its permits.
+// TestTargetOfPermits checks the conversion from the name of a target's permits to the target.
 func TestTargetOfPermits(t *testing.T) {
 	require.Equal(t, availability.IDOf("i-1#2"), targetOfPermits(ratelimit.HallLimitName("a1", "i-1#2")))
 }
--- a/gateway/target_limits_test.go
+++ b/gateway/target_limits_test.go
@@ -14,19 +14,21 @@
 )
 
 const (
-	// limitPropagationTime is within how long after a target first names a limit all instances are to
-	// keep it, and limitWindow the length of the spans in which it is counted.
+	// limitPropagationTime is the time after a target's first announcement within which all
+	// instances have to keep its limit. limitWindow is the length of the windows in which requests
+	// are counted.
 	limitPropagationTime = 2 * time.Second
 	limitWindow          = 4 * time.Second
-	// limitSlack is what may come in any span beyond one and a half times the limit.
+	// limitSlack is the number of requests that may arrive in any window beyond one and a half
+	// times the limit.
 	limitSlack = 5
 )
 
-// maxRequests returns how many requests may come in limitWindow under a limit.
+// maxRequests returns the number of requests that may arrive within limitWindow.
 func maxRequests(perSecond float64) int { return int(1.5*perSecond*limitWindow.Seconds()) + limitSlack }
 
-// maxInWindow returns the largest number of requests that arrived in a span of a length that begins
-// later than a time after the first one.
+// maxInWindow returns the largest number of requests that arrived in a window of the given length,
+// over all windows that begin at least wait after the first request.
 func (v *arrivals) maxInWindow(wait, length time.Duration) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -47,12 +49,13 @@
 	return largest
 }
 
-// announceLimit has a target name a limit in each answer.
+// announceLimit makes a target announce a limit in each response.
 func announceLimit(server *origin.Server, perSecond float64) {
 	server.SetSays(func(*http.Request) string { return fmt.Sprintf("Server-Limit: %g\r\n", perSecond) })
 }
 
-// TestTargetLimitIsKept guards against a target that names how much it takes and gets as much as before.
+// TestTargetLimitIsKept guards against instances that send as many requests as before to a target
+// that announces a limit.
 func TestTargetLimitIsKept(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -81,16 +84,16 @@
 			came := seen.maxInWindow(limitPropagationTime, limitWindow)
 			t.Logf("%d in %v, %d allowed; %d of %d served", came, limitWindow, maxRequests(c.perSecond), served, all)
 			require.LessOrEqual(t, came, maxRequests(c.perSecond))
-			require.NotZero(t, came, "what it takes is used")
+			require.NotZero(t, came, "the limit is used")
 			if c.fault != origin.Failed {
-				require.GreaterOrEqual(t, served*100, all*99, "the others have room")
+				require.GreaterOrEqual(t, served*100, all*99, "the other targets have free slots")
 			}
 		})
 	}
 }
 
-// TestAllTargetsLimited checks that what all targets together take comes to be used where they get
-// more than that, and that no more than that is sent.
+// TestAllTargetsLimited checks that instances use at least 90 % of the targets' limits if there are
+// more requests than all limits together allow, and never exceed a limit.
 func TestAllTargetsLimited(t *testing.T) {
 	t.Parallel()
 	const perSecond = 20
@@ -117,7 +120,8 @@
 	require.Eventually(t, used, 4*limitWindow, limitWindow)
 }
 
-// TestTargetLimitIsLowered checks that a lower limit holds two seconds after it is first named.
+// TestTargetLimitIsLowered checks that a lowered limit is kept from two seconds after its first
+// announcement.
 func TestTargetLimitIsLowered(t *testing.T) {
 	t.Parallel()
 	instances, servers := readSite(t, 4, "a1", "a1", "a2", "b1")
@@ -133,7 +137,8 @@
 	require.LessOrEqual(t, came, maxRequests(4))
 }
 
-// firstTargetShare returns the first target's part of the requests that reach all in a while.
+// firstTargetShare returns the fraction of requests that the first target receives, measured over
+// the given time.
 func firstTargetShare(servers []*origin.Server, length time.Duration) float64 {
 	var seen []*arrivals
 	for _, server := range servers {
@@ -147,8 +152,8 @@
 	return float64(seen[0].after(-1)) / float64(max(all, 1))
 }
 
-// TestTargetLimitIsWithdrawn checks that a target that no longer names a limit comes to have its usual part of
-// the requests again.
+// TestTargetLimitIsWithdrawn checks that a target that stops announcing a limit receives its usual
+// share of the requests again.
 func TestTargetLimitIsWithdrawn(t *testing.T) {
 	t.Parallel()
 	instances, servers := readSite(t, 4, "a1", "a1", "a2", "b1")
@@ -158,16 +163,16 @@
 	for _, perSecond := range []float64{2, 0.5} {
 		announceLimit(servers[0], perSecond)
 		time.Sleep(limitPropagationTime)
-		require.Less(t, firstTargetShare(servers, limitPropagationTime), usual/2, "its limit is kept")
+		require.Less(t, firstTargetShare(servers, limitPropagationTime), usual/2, "the limit is kept")
 		servers[0].SetSays(func(*http.Request) string { return "" })
 		ended := time.Now()
 		again := func() bool { return firstTargetShare(servers, time.Second) >= 0.7*usual }
 		require.Eventually(t, again, wait, poll)
-		t.Logf("its usual part again within %v", time.Since(ended))
+		t.Logf("usual share again after %v", time.Since(ended))
 	}
 }
 
-// arrivalTimes are times of a kind, safe for concurrent use.
+// arrivalTimes collects arrival times. It is safe for concurrent use.
 type arrivalTimes struct {
 	mu sync.Mutex
 	at []time.Time
@@ -179,8 +184,8 @@
 	s.at = append(s.at, at)
 }
 
-// TestTargetLimitIsKeptByOtherInstances checks that the limit holds for the requests of an instance too that
-// was only told of it by others, and of one that starts later.
+// TestTargetLimitIsKeptByOtherInstances checks that a limit is also kept by instances that learned
+// of it only from other instances, and by an instance that starts later.
 func TestTargetLimitIsKeptByOtherInstances(t *testing.T) {
 	t.Parallel()
 	const perSecond = 2
--- a/gateway/target_outcome_test.go
+++ b/gateway/target_outcome_test.go
@@ -11,20 +11,20 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// targetOutcome is one way in which a request can end: what its only target does, and what the
-// client must be told. Runs is how often the target may have run it.
+// targetOutcome is one behaviour of a request's only target, with the status that the client must
+// receive and the allowed numbers of runs at the target.
 type targetOutcome struct {
 	fault  origin.Fault
 	path   string
 	status int
-	// reason stands for what decided it, for the test's name.
+	// reason describes the outcome in the name of the subtest.
 	reason string
 	runs   []int
 }
 
-// TestTargetOutcomes brings about each end of a request that its target decides, and checks what
-// the client is told against what the target did: a refusal only if it did not run, an
-// answer that the target made is passed on whole, and nothing runs twice that must not.
+// TestTargetOutcomes checks what the client receives for each behaviour of the target: a refusal
+// only if the request did not run, a complete response of the target unchanged, and no second run
+// of a non-idempotent request.
 func TestTargetOutcomes(t *testing.T) {
 	const repeat, once = "/x/", "/once/"
 	one, oneOrTwo, none := []int{1}, []int{1, 2}, []int{0}
@@ -33,19 +33,19 @@
 		{origin.None, once, 200, "answered", one},
 		{origin.Shed, repeat, 503, "rejected", none},
 		{origin.Shed, once, 503, "rejected", none},
-		{origin.Surplus, once, 200, "answered with a second answer behind", one},
-		{origin.Foreign, once, 200, "another's answer before", one},
-		{origin.Unframed, once, 200, "answered without a length", one},
-		{origin.UnframedReset, once, 502, "reset within an answer without a length", one},
-		{origin.Cut, once, 502, "cut within an answer", one},
-		{origin.Cut, repeat, 502, "cut within an answer", oneOrTwo},
-		{origin.Garbage, once, 502, "no answer in the protocol", none},
-		{origin.Lost, once, 502, "answer lost", one},
-		{origin.Lost, repeat, 502, "answer lost", oneOrTwo},
-		{origin.Silent, once, 504, "time over", one},
+		{origin.Surplus, once, 200, "surplus response after the response", one},
+		{origin.Foreign, once, 200, "foreign response before the response", one},
+		{origin.Unframed, once, 200, "response without a length", one},
+		{origin.UnframedReset, once, 502, "reset during a response without a length", one},
+		{origin.Cut, once, 502, "response cut off", one},
+		{origin.Cut, repeat, 502, "response cut off", oneOrTwo},
+		{origin.Garbage, once, 502, "malformed response", none},
+		{origin.Lost, once, 502, "response lost", one},
+		{origin.Lost, repeat, 502, "response lost", oneOrTwo},
+		{origin.Silent, once, 504, "timeout", one},
 		{origin.Unsigned, once, 502, "success without a signature", one},
-		{origin.Failed, once, 500, "the target's own failure", one},
-		{origin.Failed, repeat, 500, "the target's own failure", one},
+		{origin.Failed, once, 500, "failure of the target", one},
+		{origin.Failed, repeat, 500, "failure of the target", one},
 	} {
 		t.Run(strings.ReplaceAll(e.reason+e.path, " ", "-"), func(t *testing.T) {
 			t.Parallel()
@@ -66,7 +66,7 @@
 			}
 			require.Contains(t, e.runs, runs)
 			if got.status == 503 {
-				require.NotEmpty(t, got.header.Get("Retry-After"), "told when to come back")
+				require.NotEmpty(t, got.header.Get("Retry-After"), "a refusal has a Retry-After")
 			}
 			if got.status == 200 {
 				require.Equal(t, "answer of i-1 to "+got.id, got.body)
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestTargetUnlistedWhileServing checks that a request at a target whose entry goes, without
-// a word before, gets the target's answer, and that new requests are refused at once.
+// TestTargetUnlistedWhileServing checks that a request still receives the response of a target that
+// is unlisted without notice, and that new requests are refused at once.
 func TestTargetUnlistedWhileServing(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
--- a/gateway/trial_test.go
+++ b/gateway/trial_test.go
@@ -10,9 +10,9 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// TestCoordinatorAfterFailedTrial checks that an instance that does not reach the warden of a request
-// takes another one for its first trial only: after a failed one each part of a fleet that is
-// cut in two would grant one.
+// TestCoordinatorAfterFailedTrial checks that an instance replaces an unresponsive coordinator only
+// for the first trial of a request. After a failed trial, each side of a network partition would
+// grant another one.
 func TestCoordinatorAfterFailedTrial(t *testing.T) {
 	g := newTestGateway(t)
 	now := time.Now()
--- a/gateway/warmup_quota_test.go
+++ b/gateway/warmup_quota_test.go
@@ -11,21 +11,14 @@
 	"github.com/rainford/rainford/warmup"
 )
 
-// TestStartingInstanceHasNoWarmupQuota is the story of instances that have just started and know
-// themselves alone.
+// TestStartingInstanceHasNoWarmupQuota guards against instances that use a quota of a cold target's
+// rate before they know the other instances of their hall.
 //
-// What targets see: in one second a cold target gets its parts from the instances of its hall that
-// go on running, and all that it bears from each one that has started: with two of four 26
-// requests where 11 a second are borne, and 21.5 are the most that may come (one and a half times
-// that and 5 more).
-//
-// Order of events: an instance starts and learns of targets and the configuration from a
-// neighbour's message before it learns which instances there are. It divides what the cold
-// target bears among those that it knows: itself.
-//
-// Cause: a sum over all instances was divided by those that one of them happens to know. The
-// parts of two instances add up only if both divide by the same list. Nobody has reported it; it
-// was found by looking for the cause of targets' limits that were not kept elsewhere.
+// The quotas of a hall's instances add up to the target's rate only if all instances divide it by
+// the same list. An instance that has just started may learn of targets and the configuration
+// before it learns of the other instances, and would then take the whole rate. With two of four
+// instances in that state, a cold target with an admissible rate of 11 requests per second got 26
+// in one second, while at most 21.5 are allowed (one and a half times the rate plus 5).
 func TestStartingInstanceHasNoWarmupQuota(t *testing.T) {
 	const rate = 11.0
 	all := []string{"n0", "n1", "n2", "n3"}
@@ -36,10 +29,10 @@
 	g := newSender(t)
 	g.updateInstanceShares(time.Now())
 	sum += 2 * warmup.Quota("n0", "t", g.pools.instancesByHall["a1"], rate)
-	require.LessOrEqual(t, float64(sum), rate, "before it knows the others")
+	require.LessOrEqual(t, float64(sum), rate, "instances that do not know the others have no quota")
 	list := feed.Delta{Kind: KindInstances, To: feed.At(0, 7), Full: true}
 	require.True(t, g.applyDelta(list, sourceStore))
-	require.Equal(t, []string{"n0"}, g.pools.instancesByHall["a1"], "a list without others is one")
+	require.Equal(t, []string{"n0"}, g.pools.instancesByHall["a1"], "a list with no other instance counts as known")
 	g.view.Add(fleet.Member{Name: "n1", Hall: "a1", Region: "a"})
 	g.updateInstanceShares(time.Now())
 	require.Equal(t, []string{"n0", "n1"}, g.pools.instancesByHall["a1"])
