--- a/caller/attempt.go
+++ b/caller/attempt.go
@@ -16,12 +16,12 @@
 	"github.com/rainford/rainford/retry"
 )
 
-func (c *Client) try(ctx context.Context, r Request, entry lookup.Instance, attempt int) (*http.Response, error) {
+func (c *Client) try(ctx context.Context, r Request, instance lookup.Instance, attempt int) (*http.Response, error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req, err := newRequest(traced, r, entry.Addr, attempt)
+	req, err := newRequest(traced, r, instance.Addr, attempt)
 	if err != nil {
 		return nil, err
 	}
@@ -35,13 +35,13 @@
 		return checkOutcome(resp)
 	}
 	if !connected.Load() {
-		c.markUnreachable(r.Service, entry.ID)
+		c.markUnreachable(r.Service, instance.ID)
 		return nil, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: err.Error(), RetryAfter: time.Second}
 	}
 	if ctx.Err() != nil {
 		return nil, &UnknownError{Reason: protocol.ReasonDeadline, Detail: err.Error(), RetryAfter: time.Second, Err: err}
 	}
-	c.markUnreachable(r.Service, entry.ID)
+	c.markUnreachable(r.Service, instance.ID)
 	return nil, &UnknownError{Reason: protocol.ReasonResponseLost, Detail: err.Error(), RetryAfter: time.Second, Err: err}
 }
 
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -48,10 +48,10 @@
 
 func (e *fakeInstance) addr() string { return e.Listener.Addr().String() }
 
-func lookupResponseOf(ttl time.Duration, entries ...*fakeInstance) func() lookup.Response {
+func lookupResponseOf(ttl time.Duration, instances ...*fakeInstance) func() lookup.Response {
 	return func() lookup.Response {
 		a := lookup.Response{TTLMillis: ttl.Milliseconds()}
-		for i, e := range entries {
+		for i, e := range instances {
 			a.Instances = append(a.Instances, lookup.Instance{ID: fmt.Sprint(i), Addr: e.addr()})
 		}
 		return a
@@ -73,9 +73,9 @@
 	}
 }
 
-func newClient(t testing.TB, entries ...*fakeInstance) *caller.Client {
+func newClient(t testing.TB, instances ...*fakeInstance) *caller.Client {
 	var bootstrap []string
-	for _, e := range entries {
+	for _, e := range instances {
 		bootstrap = append(bootstrap, e.addr())
 	}
 	c, err := caller.New(caller.Config{Bootstrap: bootstrap, Timeout: 10 * time.Second})
@@ -108,9 +108,9 @@
 }
 
 func TestFailsOverToNextInstance(t *testing.T) {
-	gone, e := newFakeInstance(t), newFakeInstance(t)
-	e.lookupResponse, e.serve = lookupResponseOf(time.Hour, gone, e), ran
-	gone.Close()
+	down, e := newFakeInstance(t), newFakeInstance(t)
+	e.lookupResponse, e.serve = lookupResponseOf(time.Hour, down, e), ran
+	down.Close()
 	c := newClient(t, e)
 	for range 3 {
 		_, err := do(c, caller.NewKey())
@@ -124,11 +124,11 @@
 	c := newClient(t, e)
 	_, err := do(c, "")
 	require.NoError(t, err)
-	old := newFakeInstance(t)
-	old.Close()
-	lost, err := caller.New(caller.Config{Bootstrap: []string{old.addr()}})
+	down := newFakeInstance(t)
+	down.Close()
+	client, err := caller.New(caller.Config{Bootstrap: []string{down.addr()}})
 	require.NoError(t, err)
-	_, err = do(lost, "")
+	_, err = do(client, "")
 	var notRun *caller.NotRunError
 	require.ErrorAs(t, err, &notRun)
 	require.Equal(t, protocol.ReasonUnreachable, notRun.Reason)
@@ -189,9 +189,9 @@
 // TestUnreachableAfterUnknownAttempt checks that an attempt that reaches nobody is
 // no proof about an operation whose earlier attempt ended unknown.
 func TestUnreachableAfterUnknownAttempt(t *testing.T) {
-	gone, e := newFakeInstance(t), newFakeInstance(t)
-	e.lookupResponse = lookupResponseOf(time.Hour, gone)
-	gone.Close()
+	down, e := newFakeInstance(t), newFakeInstance(t)
+	e.lookupResponse = lookupResponseOf(time.Hour, down)
+	down.Close()
 	c := newClient(t, e)
 	req := caller.Request{Service: "s", Method: http.MethodPost, Path: "/x", Key: caller.NewKey()}
 	_, err := c.Do(context.Background(), req)
@@ -199,9 +199,9 @@
 	require.ErrorAs(t, err, &notRun)
 	req.EarlierUnknown, req.FirstAttempt = true, 10
 	_, err = c.Do(context.Background(), req)
-	var lost *caller.UnknownError
-	require.ErrorAs(t, err, &lost)
-	require.Positive(t, lost.RetryAfter)
+	var unknown *caller.UnknownError
+	require.ErrorAs(t, err, &unknown)
+	require.Positive(t, unknown.RetryAfter)
 }
 
 func TestTruncatedResponseIsError(t *testing.T) {
--- a/caller/client.go
+++ b/caller/client.go
@@ -150,30 +150,30 @@
 	if _, ok := ctx.Deadline(); !ok {
 		ctx, cancel = context.WithTimeout(ctx, c.config.Timeout)
 	}
-	var last error
+	var lastErr error
 	tried := make(map[string]bool)
 	for attempt := range c.config.MaxAttempts {
-		entry, err := c.choose(ctx, req.Service, tried)
+		instance, err := c.choose(ctx, req.Service, tried)
 		if err != nil {
 			cancel()
-			if last != nil {
-				return nil, last
+			if lastErr != nil {
+				return nil, lastErr
 			}
 			return nil, err
 		}
-		tried[entry.ID] = true
-		resp, err := c.try(ctx, req, entry, max(req.FirstAttempt, 1)+attempt)
+		tried[instance.ID] = true
+		resp, err := c.try(ctx, req, instance, max(req.FirstAttempt, 1)+attempt)
 		if err == nil {
 			resp.Body = &cancelOnClose{ReadCloser: resp.Body, cancel: cancel}
 			return resp, nil
 		}
-		last = err
+		lastErr = err
 		if !isRetriable(err, req.Key == "") {
 			break
 		}
 	}
 	cancel()
-	return nil, last
+	return nil, lastErr
 }
 
 // cancelOnClose ends a request's context with its body.
@@ -196,6 +196,6 @@
 	if errors.As(err, &notRun) {
 		return notRun.Reason == protocol.ReasonUnreachable || notRun.Reason == protocol.ReasonNotReady
 	}
-	var lost *UnknownError
-	return errors.As(err, &lost) && retriable && lost.Reason == protocol.ReasonResponseLost
+	var unknown *UnknownError
+	return errors.As(err, &unknown) && retriable && unknown.Reason == protocol.ReasonResponseLost
 }
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -15,28 +15,28 @@
 
 // choose returns the next instance to try.
 func (c *Client) choose(ctx context.Context, service string, tried map[string]bool) (lookup.Instance, error) {
-	l, err := c.instances(ctx, service)
+	cached, err := c.instances(ctx, service)
 	if err != nil {
 		return lookup.Instance{}, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	var late *lookup.Instance
-	for i, e := range l.response.Instances {
+	var unreachable *lookup.Instance
+	for i, e := range cached.response.Instances {
 		if tried[e.ID] {
 			continue
 		}
-		if now.Before(l.unreachableUntil[e.ID]) {
-			if late == nil {
-				late = &l.response.Instances[i]
+		if now.Before(cached.unreachableUntil[e.ID]) {
+			if unreachable == nil {
+				unreachable = &cached.response.Instances[i]
 			}
 			continue
 		}
 		return e, nil
 	}
-	if late != nil {
-		return *late, nil
+	if unreachable != nil {
+		return *unreachable, nil
 	}
 	return lookup.Instance{}, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: "no instance answers", RetryAfter: time.Second}
 }
@@ -44,78 +44,78 @@
 // instances returns the cached answer, or asks for a new one.
 func (c *Client) instances(ctx context.Context, service string) (*cachedLookup, error) {
 	c.mu.Lock()
-	l := c.lookups[service]
-	addrs := c.lookupAddrs(l)
+	cached := c.lookups[service]
+	addrs := c.lookupAddrs(cached)
 	c.mu.Unlock()
-	if l != nil && time.Since(l.fetchedAt) < time.Duration(l.response.TTLMillis)*time.Millisecond {
-		return l, nil
+	if cached != nil && time.Since(cached.fetchedAt) < time.Duration(cached.response.TTLMillis)*time.Millisecond {
+		return cached, nil
 	}
-	var last error
+	var lastErr error
 	for _, addr := range addrs {
-		answer, err := c.fetchLookup(ctx, addr, service)
+		response, err := c.fetchLookup(ctx, addr, service)
 		if err == nil {
-			return c.cacheLookup(service, l, answer), nil
+			return c.cacheLookup(service, cached, response), nil
 		}
-		last = err
+		lastErr = err
 	}
-	if l != nil && time.Since(l.fetchedAt) < staleFactor*time.Duration(l.response.TTLMillis)*time.Millisecond {
-		return l, nil
+	if cached != nil && time.Since(cached.fetchedAt) < staleFactor*time.Duration(cached.response.TTLMillis)*time.Millisecond {
+		return cached, nil
 	}
-	return nil, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: fmt.Sprintf("no instance answers a look-up: %v", last), RetryAfter: time.Second}
+	return nil, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: fmt.Sprintf("no instance answers a look-up: %v", lastErr), RetryAfter: time.Second}
 }
 
 // lookupAddrs returns the instances of the last answer, then the bootstrap
 // addresses.
-func (c *Client) lookupAddrs(l *cachedLookup) []string {
+func (c *Client) lookupAddrs(cached *cachedLookup) []string {
 	var out []string
-	if l != nil {
-		for _, e := range l.response.Instances {
+	if cached != nil {
+		for _, e := range cached.response.Instances {
 			out = append(out, e.Addr)
 		}
 	}
 	return append(out, c.config.Bootstrap...)
 }
 
-func (c *Client) cacheLookup(service string, old *cachedLookup, answer lookup.Response) *cachedLookup {
+func (c *Client) cacheLookup(service string, previous *cachedLookup, response lookup.Response) *cachedLookup {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := &cachedLookup{response: answer, fetchedAt: time.Now(), unreachableUntil: make(map[string]time.Time)}
-	if old != nil {
-		l.unreachableUntil = old.unreachableUntil
+	cached := &cachedLookup{response: response, fetchedAt: time.Now(), unreachableUntil: make(map[string]time.Time)}
+	if previous != nil {
+		cached.unreachableUntil = previous.unreachableUntil
 	}
-	c.lookups[service] = l
-	return l
+	c.lookups[service] = cached
+	return cached
 }
 
 func (c *Client) fetchLookup(ctx context.Context, addr, service string) (lookup.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	var answer lookup.Response
+	var response lookup.Response
 	query := url.Values{"service": {service}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+protocol.LookupPath+"?"+query.Encode(), nil)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	resp, err := c.pooled.RoundTrip(req)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return answer, fmt.Errorf("caller: look-up at %s: status %d", addr, resp.StatusCode)
+		return response, fmt.Errorf("caller: look-up at %s: status %d", addr, resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxJSONBytes)).Decode(&answer)
-	if err == nil && len(answer.Instances) == 0 {
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxJSONBytes)).Decode(&response)
+	if err == nil && len(response.Instances) == 0 {
 		err = fmt.Errorf("caller: look-up at %s: no instance", addr)
 	}
-	return answer, err
+	return response, err
 }
 
 // Lookup returns the instances that the client would use, in order.
 func (c *Client) Lookup(ctx context.Context, service string) (lookup.Response, error) {
-	l, err := c.instances(ctx, service)
+	cached, err := c.instances(ctx, service)
 	if err != nil {
 		return lookup.Response{}, err
 	}
-	return l.response, nil
+	return cached.response, nil
 }
--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -84,10 +84,10 @@
 // objects below the prefixes.
 func (c *Client) Watch(ctx context.Context, prefixes []string, after int64, wait time.Duration) (Listing, error) {
 	era, number := splitVersion(after)
-	latest, begun := c.eras.current()
-	if era >= latest && number > 0 {
-		out, answered, err := c.watch(ctx, prefixes, number, wait, begun)
-		if answered == era {
+	latestEra, advanced := c.eras.current()
+	if era >= latestEra && number > 0 {
+		out, responseEra, err := c.watch(ctx, prefixes, number, wait, advanced)
+		if responseEra == era {
 			return out, err
 		}
 	}
@@ -97,12 +97,12 @@
 
 // watch returns the changes after the service's own number, and the era of the answer. It ends early, with
 // the era that is known then, if begun is closed.
-func (c *Client) watch(ctx context.Context, prefixes []string, number int64, wait time.Duration, begun <-chan struct{}) (out Listing, era int64, err error) {
+func (c *Client) watch(ctx context.Context, prefixes []string, number int64, wait time.Duration, advanced <-chan struct{}) (out Listing, era int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
 	go func() {
 		select {
-		case <-begun:
+		case <-advanced:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -159,8 +159,8 @@
 // with what the service holds now, or makes the object anew if there is none.
 func (c *Client) writeNumber(ctx context.Context, key string, version int64) (number int64, err error) {
 	era, number := splitVersion(version)
-	latest, _ := c.eras.current()
-	if number == 0 || era >= latest {
+	latestEra, _ := c.eras.current()
+	if number == 0 || era >= latestEra {
 		return number, nil
 	}
 	current, err := c.Get(ctx, key)
--- a/objectstore/client_test.go
+++ b/objectstore/client_test.go
@@ -82,15 +82,15 @@
 	obj, err := c.Get(ctx, "k")
 	require.NoError(t, err, "it took effect")
 
-	short := objectstore.NewClient("http://"+unresponsiveAddr(t), 200*time.Millisecond)
-	_, err = short.Put(ctx, "k", obj.Version, 2)
+	unresponsive := objectstore.NewClient("http://"+unresponsiveAddr(t), 200*time.Millisecond)
+	_, err = unresponsive.Put(ctx, "k", obj.Version, 2)
 	require.ErrorIs(t, err, objectstore.ErrUncertain, "no answer in time")
-	gone := objectstore.NewClient("http://127.0.0.1:1", time.Second)
-	_, err = gone.Put(ctx, "k", 0, 1)
+	refusing := objectstore.NewClient("http://127.0.0.1:1", time.Second)
+	_, err = refusing.Put(ctx, "k", 0, 1)
 	require.ErrorIs(t, err, objectstore.ErrUnavailable, "nobody listens")
-	odd := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
-	defer odd.Close()
-	_, err = objectstore.NewClient(odd.URL, time.Second).Put(ctx, "k", 0, 1)
+	badGateway := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
+	defer badGateway.Close()
+	_, err = objectstore.NewClient(badGateway.URL, time.Second).Put(ctx, "k", 0, 1)
 	require.ErrorIs(t, err, objectstore.ErrUncertain, "a status that says nothing")
 }
 
@@ -121,7 +121,7 @@
 		return o
 	}
 	kept := put("a/kept", 0, 1)
-	copied := store.Copy()
+	backup := store.Copy()
 	later := put("a/kept", kept.Version, 2)
 	lost := put("a/lost", 0, 3)
 	pending := make(chan objectstore.Listing, 1)
@@ -130,32 +130,32 @@
 		require.NoError(t, err)
 		pending <- listing
 	}()
-	store.Restore(copied)
+	store.Restore(backup)
 	// Another client writes as often as before the return.
 	other := objectstore.NewClient(ts.URL, 2*time.Second)
 	t.Cleanup(other.Close)
-	held, err := other.Get(ctx, "a/kept")
+	current, err := other.Get(ctx, "a/kept")
 	require.NoError(t, err)
-	require.Greater(t, held.Version, lost.Version)
+	require.Greater(t, current.Version, lost.Version)
 	for range 2 {
-		held, err = other.Put(ctx, "a/kept", held.Version, 9)
+		current, err = other.Put(ctx, "a/kept", current.Version, 9)
 		require.NoError(t, err)
 	}
 	seen, err := c.Get(ctx, "a/kept")
 	require.NoError(t, err)
-	require.Equal(t, held, seen)
+	require.Equal(t, current, seen)
 	require.True(t, objectstore.IsLaterEra(seen.Version, later.Version))
 	require.False(t, objectstore.IsLaterEra(later.Version, kept.Version))
 	var conflict *objectstore.ConflictError
 	_, err = c.Put(ctx, "a/kept", later.Version, 4)
 	require.ErrorAs(t, err, &conflict)
-	require.Equal(t, held, conflict.Current)
+	require.Equal(t, current, conflict.Current)
 	require.ErrorAs(t, c.Delete(ctx, "a/kept", later.Version), &conflict)
-	again := put("a/lost", lost.Version, 3)
-	require.Greater(t, again.Version, held.Version)
+	recreated := put("a/lost", lost.Version, 3)
+	require.Greater(t, recreated.Version, current.Version)
 	select {
 	case listing := <-pending:
-		require.Contains(t, listing.Objects, held)
+		require.Contains(t, listing.Objects, current)
 		require.Greater(t, listing.Revision, lost.Version)
 	case <-time.After(10 * time.Second):
 		t.Fatal("the watch goes on waiting")
--- a/objectstore/era.go
+++ b/objectstore/era.go
@@ -63,7 +63,7 @@
 }
 
 // current returns the latest era that is known, and a channel that is closed when a later one begins.
-func (e *eraTracker) current() (era int64, begun <-chan struct{}) {
+func (e *eraTracker) current() (era int64, advanced <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.latest, e.advanced
