--- a/catalog/router.go
+++ b/catalog/router.go
@@ -37,7 +37,7 @@
 func (r *Router) Config() *Config { return r.config }
 
 // Account returns the client account of a key, or nil if there is none. Its cost does not
-// grow with the number of accounts: BenchmarkAccount measures it for up to 100,000.
+// grow with the number of accounts.
 func (r *Router) Account(key Key) *Account { return r.accountsByKey[key] }
 
 // AccountNamed returns the client account with the given name, or nil if there is none.
