--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -83,21 +83,21 @@
 
 // suspendedAt returns how long the machine was suspended until a time of day, in Unix nanoseconds,
 // that is a time after the begin on the steady clock.
-func (d *detector) suspendedAt(day int64, steady time.Duration) time.Duration {
-	drift := day - int64(steady)
-	if moved := time.Duration(drift - d.wallOffset.Load()); moved > minSuspension || moved < -minSuspension {
-		d.measure(drift, steady)
+func (d *detector) suspendedAt(wall int64, monotonic time.Duration) time.Duration {
+	offset := wall - int64(monotonic)
+	if change := time.Duration(offset - d.wallOffset.Load()); change > minSuspension || change < -minSuspension {
+		d.measure(offset, monotonic)
 	}
 	return time.Duration(d.total.Load())
 }
 
 // measure reads the clock that counts suspensions.
-func (d *detector) measure(drift int64, steady time.Duration) {
-	total := d.bootTime() - d.bootAtStart - steady
+func (d *detector) measure(offset int64, monotonic time.Duration) {
+	total := d.bootTime() - d.bootAtStart - monotonic
 	if total-time.Duration(d.total.Load()) > minSuspension {
 		d.total.Store(int64(total))
 	}
-	d.wallOffset.Store(drift)
+	d.wallOffset.Store(offset)
 }
 
 // bootTime returns the time since the machine was started, suspensions included. A system
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -153,13 +153,13 @@
 			g.update(s.Service, func(st *Stats) { st.Skipped++ })
 			continue
 		}
-		begin := next
-		twice := rnd.Float64() < s.DuplicateFraction
+		start := next
+		duplicated := rnd.Float64() < s.DuplicateFraction
 		g.wg.Add(1)
 		go func() {
 			defer g.wg.Done()
 			defer func() { <-slots }()
-			g.send(s, begin, twice)
+			g.send(s, start, duplicated)
 		}()
 	}
 }
@@ -174,34 +174,34 @@
 var errIncomplete = errors.New("load: answer broke")
 
 // send makes send request, and asks again as the stream says.
-func (g *Generator) send(s Stream, begin time.Time, twice bool) {
+func (g *Generator) send(s Stream, start time.Time, duplicated bool) {
 	req, want := g.request(s)
-	if twice {
+	if duplicated {
 		// The second copy comes from elsewhere and knows nothing of the
 		// first: for both the other's end is unknown.
 		req.EarlierUnknown = true
-		other := req
-		other.FirstAttempt = duplicateAttempt
+		duplicate := req
+		duplicate.FirstAttempt = duplicateAttempt
 		g.wg.Add(1)
 		go func() {
 			defer g.wg.Done()
-			_ = g.attempt(s, other, want)
+			_ = g.attempt(s, duplicate, want)
 		}()
 	}
 	var err error
-	for try := range s.MaxRetries + 1 {
-		req.FirstAttempt = 10*try + 1
+	for attempt := range s.MaxRetries + 1 {
+		req.FirstAttempt = 10*attempt + 1
 		err = g.attempt(s, req, want)
-		wait, comeBack := RetryAfter(err)
-		if !comeBack || try == s.MaxRetries {
+		wait, retry := RetryAfter(err)
+		if !retry || attempt == s.MaxRetries {
 			break
 		}
-		var lost *caller.UnknownError
-		req.EarlierUnknown = req.EarlierUnknown || errors.As(err, &lost)
+		var unknown *caller.UnknownError
+		req.EarlierUnknown = req.EarlierUnknown || errors.As(err, &unknown)
 		time.Sleep(wait)
 	}
-	took := time.Since(begin).Microseconds()
-	g.update(s.Service, func(st *Stats) { st.record(err, req.Key, took) })
+	latency := time.Since(start).Microseconds()
+	g.update(s.Service, func(st *Stats) { st.record(err, req.Key, latency) })
 }
 
 // duplicateAttempt numbers the attempt of a copy: after the first, before any that
@@ -214,9 +214,9 @@
 	if errors.As(err, &notRun) {
 		return notRun.RetryAfter, notRun.RetryAfter > 0
 	}
-	var lost *caller.UnknownError
-	if errors.As(err, &lost) {
-		return lost.RetryAfter, lost.RetryAfter > 0
+	var unknown *caller.UnknownError
+	if errors.As(err, &unknown) {
+		return unknown.RetryAfter, unknown.RetryAfter > 0
 	}
 	return 0, false
 }
@@ -224,13 +224,13 @@
 func (st *Stats) record(err error, key string, micros int64) {
 	st.Requests++
 	var notRun *caller.NotRunError
-	var lost *caller.UnknownError
+	var unknown *caller.UnknownError
 	var done *caller.DoneError
 	if errors.As(err, &notRun) {
 		st.Reasons[notRun.Reason]++
 	}
-	if errors.As(err, &lost) {
-		st.Reasons[lost.Reason]++
+	if errors.As(err, &unknown) {
+		st.Reasons[unknown.Reason]++
 	}
 	switch {
 	case err == nil || errors.As(err, &done):
@@ -313,11 +313,11 @@
 		}
 		return nil
 	}
-	var answer struct {
+	var receipt struct {
 		SHA256 string `json:"sha256"`
 	}
-	err := json.NewDecoder(bytes.NewReader(body)).Decode(&answer)
-	if err != nil || answer.SHA256 != want {
+	err := json.NewDecoder(bytes.NewReader(body)).Decode(&receipt)
+	if err != nil || receipt.SHA256 != want {
 		return errors.Join(errInvalid, err)
 	}
 	return nil
--- a/internal/logqueue/limit.go
+++ b/internal/logqueue/limit.go
@@ -66,11 +66,11 @@
 		failures, other = s.droppedFailures, s.droppedOthers
 		s.second, s.admitted, s.droppedFailures, s.droppedOthers = second, 0, 0, 0
 	}
-	most := s.limit.PerSecond
+	maxLines := s.limit.PerSecond
 	if !failure {
-		most /= 2
+		maxLines /= 2
 	}
-	if s.admitted < most {
+	if s.admitted < maxLines {
 		s.admitted++
 		return true, failures, other
 	}
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -31,13 +31,13 @@
 // Host returns the IP address of this process's servers.
 var Host = sync.OnceValue(func() string {
 	pid := os.Getpid()
-	own := fmt.Sprintf("127.%d.%d.1", 1+(pid>>7)%200, 1+pid%128)
-	ln, err := net.Listen("tcp", own+":0")
+	host := fmt.Sprintf("127.%d.%d.1", 1+(pid>>7)%200, 1+pid%128)
+	ln, err := net.Listen("tcp", host+":0")
 	if err != nil {
 		return defaultHost
 	}
 	_ = ln.Close()
-	return own
+	return host
 })
 
 // FreeAddr returns an address that nothing listens on and that this process has not
@@ -45,7 +45,7 @@
 func FreeAddr() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
-	var last error
+	var lastErr error
 	for range lastPort - firstPort {
 		nextPort++
 		if nextPort >= lastPort {
@@ -56,7 +56,7 @@
 		if err == nil {
 			return addr, ln.Close()
 		}
-		last = err
+		lastErr = err
 	}
-	return "", last
+	return "", lastErr
 }
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -13,11 +13,11 @@
 // UserTimeout returns a net.Dialer.Control that ends connections whose bytes the other
 // side has not acknowledged for a time: it is cut off, has lost power, or the connection
 // carries nothing any more while new ones work.
-func UserTimeout(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var setErr error
 		err := raw.Control(func(fd uintptr) {
-			setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
+			setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
@@ -37,14 +37,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var buf [1]byte
 		_, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		idle = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
 // PeerClosed tells whether the other side of a connection has closed or reset it. It reads nothing,
@@ -71,17 +71,17 @@
 
 // checkDescriptor returns what ask says of the descriptor of a connection: false if there is none,
 // true if this side has closed it.
-func checkDescriptor(conn net.Conn, ask func(fd int) bool) bool {
-	described, ok := conn.(syscall.Conn)
+func checkDescriptor(conn net.Conn, check func(fd int) bool) bool {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := described.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	said := false
+	result := false
 	// Control does not wait for a read that is under way, as Read would.
-	err = raw.Control(func(fd uintptr) { said = ask(int(fd)) })
-	return err != nil || said
+	err = raw.Control(func(fd uintptr) { result = check(int(fd)) })
+	return err != nil || result
 }
