--- a/route/latency.go
+++ b/route/latency.go
@@ -24,8 +24,7 @@
 )
 
 // Observe records the latency of one response. The typical latency decreases quickly after
-// faster responses and increases slowly after slower ones, so that a slow destination does not
-// soon count as typical.
+// faster responses and increases slowly after slower ones.
 func (t *LatencyTracker) Observe(latency time.Duration) {
 	if t.typical == 0 {
 		t.current, t.typical = latency, latency
