--- a/gateway/account.go
+++ b/gateway/account.go
@@ -23,13 +23,13 @@
 // refusal and false if the request has no valid key or no region may serve it. It uses only the
 // header, so that no body is read for a request that is refused.
 func (g *Gateway) identify(ex *exchange, router *catalog.Router) (requestResult, bool) {
-	key, given := g.keyOf(ex.r)
-	if given {
+	key, hasKey := g.keyOf(ex.r)
+	if hasKey {
 		ex.account = router.Account(key)
 	}
 	if ex.account == nil && router.Config().RequiresKey && !ex.route.Anonymous {
 		reason := reasonUnknownKey
-		if !given {
+		if !hasKey {
 			reason = reasonNoKey
 		}
 		return unauthorized(ex, reason), false
@@ -45,11 +45,11 @@
 // keyOf returns the API key of a request. A request with several keys counts as one without a key,
 // since different programs could otherwise choose different ones.
 func (g *Gateway) keyOf(r *http.Request) (catalog.Key, bool) {
-	values := r.Header[g.headers.Credential]
-	if len(values) != 1 || values[0] == "" {
+	keys := r.Header[g.headers.Credential]
+	if len(keys) != 1 || keys[0] == "" {
 		return catalog.Key{}, false
 	}
-	return catalog.NewKey(values[0]), true
+	return catalog.NewKey(keys[0]), true
 }
 
 // recheckKey checks whether the key of a request is still valid after the request has waited for
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -77,7 +77,7 @@
 func TestAccounts(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
-	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
+	sameRegion, otherRegion := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	in.awaitKey(adaKey, "/x/", 200)
 	for _, c := range []struct {
@@ -106,8 +106,8 @@
 		t.Run(strings.ReplaceAll(c.name, " ", "-"), func(t *testing.T) {
 			var seen []http.Header
 			watch := func(a origin.Arrival) { seen = append(seen, a.Header) }
-			near.SetObserver(watch)
-			far.SetObserver(watch)
+			sameRegion.SetObserver(watch)
+			otherRegion.SetObserver(watch)
 			require.Equal(t, c.status, in.sendHeaders(c.path, c.header).status)
 			if c.status != 200 {
 				require.Empty(t, seen, "no target receives the request")
@@ -125,16 +125,16 @@
 func TestHomeRegionsAreEnforced(t *testing.T) {
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
-	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
+	sameRegion, otherRegion := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	in.awaitKey(benKey, "/x/", 200)
 	for range 50 {
 		require.Equal(t, 200, in.sendWithKey(benKey, "/x/").status)
 	}
-	require.Empty(t, near.Runs())
-	s.record(far, "draining")
+	require.Empty(t, sameRegion.Runs())
+	s.record(otherRegion, "draining")
 	in.awaitKey(benKey, "/x/", 503)
-	require.Empty(t, near.Runs(), "no request leaves the home region without another target")
+	require.Empty(t, sameRegion.Runs(), "no request leaves the home region without another target")
 }
 
 // TestKeysChange checks that added, replaced and revoked keys take effect, also on open
@@ -228,8 +228,8 @@
 	s := newSite(t)
 	s.configureAccounts(1, accounts())
 	server := s.server("i-1", "s", "a1")
-	var told lockedBuffer
-	debug := slog.New(slog.NewJSONHandler(&told, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	var logs lockedBuffer
+	debug := slog.New(slog.NewJSONHandler(&logs, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	in := s.instance("n1", "a1", func(c *gateway.Config) { c.Log = debug })
 	in.awaitKey(adaKey, "/x/", 200)
 	for _, key := range []string{adaKey, adaNext, benKey, unknownKey} {
@@ -246,13 +246,13 @@
 	s.store.Set("config", "main", json.RawMessage(`{"version":"r3","tenants":{"ada":{"apiKeys":"`+adaKey+`"}}}`))
 	s.store.Set("config", "main", json.RawMessage(`{"version":"`+adaKey+`","tenants":{"ada":{"apiKeys":["`+adaKey+`"]}}}`))
 	s.store.Set("config", "main", json.RawMessage(`{"version":"r4","limits":{"idleTimeout":"`+adaKey+`"}}`))
-	require.Eventually(t, func() bool { return strings.Count(told.String(), "configuration refused") >= 4 }, wait, poll)
+	require.Eventually(t, func() bool { return strings.Count(logs.String(), "configuration refused") >= 4 }, wait, poll)
 	resp, err := in.client.Get("http://" + in.config.AdminListen + "/metrics")
 	require.NoError(t, err)
 	metrics, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
-	all := told.String() + string(metrics)
+	all := logs.String() + string(metrics)
 	require.True(t, strings.Contains(all, "unknown-key"))
 	for _, key := range []string{adaKey, adaNext, benKey, unknownKey} {
 		require.False(t, strings.Contains(all, key), key)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -45,7 +45,7 @@
 		return notRunResult("no-target", defaultRetryAfter), nil
 	}
 	p.recordArrival()
-	want := g.upstreamRequest(ex)
+	request := g.upstreamRequest(ex)
 	header := forward.EndToEndHeaders(ex.r.Header)
 	unknown := false
 	backoff := defaultRetryAfter
@@ -54,11 +54,11 @@
 			return v, nil
 		}
 		if sent > 0 && !p.spendRetry() {
-			return p.finalRefusal(want, unknown, "no-budget", backoff), nil
+			return p.finalRefusal(request, unknown, "no-budget", backoff), nil
 		}
-		want.Isolated = ex.isTrial()
+		request.Isolated = ex.isTrial()
 		queuedAt := g.clock.Now()
-		decision := p.acquire(ex.ctx, want)
+		decision := p.acquire(ex.ctx, request)
 		g.metrics.queueDuration.Record(g.clock.Since(queuedAt).Seconds(), ex.service)
 		if decision.Action != upstream.Send {
 			return failedResult(unknown, string(decision.Reason), decision.RetryAfter), nil
@@ -79,7 +79,7 @@
 		a.TargetResult.SendState, a.TargetResult.NotSent = decision.SendState, !a.Sent
 		g.observeLimit(decision, a)
 		p.release(decision.Target.ID, a.TargetResult)
-		g.recordObservation(ex, p, want, decision, a)
+		g.recordObservation(ex, p, request, decision, a)
 		g.metrics.attempt(ex.service, decision.Target, a.TargetResult)
 		ex.recordAttempt(decision, a)
 		g.observeAttempt(ex, decision.Target, a)
@@ -107,17 +107,17 @@
 			continue
 		}
 		backoff = retryAfterAttempt(a)
-		want.Tried = append(want.Tried, decision.Target.ID)
+		request.Tried = append(request.Tried, decision.Target.ID)
 	}
-	return p.finalRefusal(want, unknown, "no-attempt-left", backoff), nil
+	return p.finalRefusal(request, unknown, "no-attempt-left", backoff), nil
 }
 
 // finalRefusal returns the result of a request that is not sent to another target. If none of the
 // targets is available for a while, the result has that as its reason, and its Retry-After is the
 // time until one is available. Otherwise the result has the given reason and Retry-After.
-func (p *pool) finalRefusal(want upstream.Request, unknown bool, reason string, retryAfter time.Duration) requestResult {
-	refusal, away := p.refuseIfUnavailable(want)
-	if away {
+func (p *pool) finalRefusal(request upstream.Request, unknown bool, reason string, retryAfter time.Duration) requestResult {
+	refusal, unavailable := p.refuseIfUnavailable(request)
+	if unavailable {
 		return failedResult(unknown, string(refusal.Reason), refusal.RetryAfter)
 	}
 	return failedResult(unknown, reason, retryAfter)
@@ -165,7 +165,7 @@
 // upstreamRequest returns the requirements that the request has for a target.
 func (g *Gateway) upstreamRequest(ex *exchange) upstream.Request {
 	key := ex.r.Header.Get(g.headers.Key)
-	want := upstream.Request{
+	request := upstream.Request{
 		Key:          key,
 		Sticky:       key != "",
 		Regions:      ex.homeRegions,
@@ -175,20 +175,20 @@
 		QueueTimeout: defaultQueueTimeout,
 	}
 	if key == "" {
-		want.Key = ex.id
+		request.Key = ex.id
 	} else {
 		// The key is qualified by the route, since the same key on another route names another
 		// object.
-		want.Key = ex.route.Name + "/" + key
+		request.Key = ex.route.Name + "/" + key
 	}
 	if ex.route.LatencyObjective > 0 {
-		want.QueueTimeout = ex.route.LatencyObjective / queueTimeoutDivisor
+		request.QueueTimeout = ex.route.LatencyObjective / queueTimeoutDivisor
 	}
-	return want
+	return request
 }
 
 func (g *Gateway) sendAttempt(ex *exchange, header http.Header, p *pool, d upstream.Decision) forward.Attempt {
-	left := g.clock.Until(ex.deadline)
+	remaining := g.clock.Until(ex.deadline)
 	return g.targets.Do(ex.ctx, &forward.Request{
 		Method:        ex.r.Method,
 		URI:           ex.uri,
@@ -200,7 +200,7 @@
 		Target:        d.Target.ID,
 		TargetName:    d.Target.Name,
 		Addr:          d.Target.Addr,
-		Timeout:       left - targetMargin,
+		Timeout:       remaining - targetMargin,
 		Deadline:      ex.deadline.Add(lateResponseMargin),
 		NonIdempotent: ex.route.Kind != catalog.Idempotent,
 		MaySend:       func() bool { return p.maySend(d) },
--- a/gateway/connection_limits.go
+++ b/gateway/connection_limits.go
@@ -84,19 +84,19 @@
 	if t.IsZero() {
 		return t
 	}
-	left := t.Sub(now)
+	remaining := t.Sub(now)
 	switch {
-	case isNear(left, headerTimeoutMarker):
+	case isNear(remaining, headerTimeoutMarker):
 		return now.Add(orDefault(g.limits().HeaderTimeout, defaultHeaderTimeout))
-	case isNear(left, idleTimeoutMarker):
+	case isNear(remaining, idleTimeoutMarker):
 		return now.Add(orDefault(g.limits().IdleTimeout, defaultIdleTimeout) + idleSlack)
 	default:
 		return t
 	}
 }
 
-func isNear(left, around time.Duration) bool {
-	return left > around-markerTolerance && left < around+markerTolerance
+func isNear(remaining, around time.Duration) bool {
+	return remaining > around-markerTolerance && remaining < around+markerTolerance
 }
 
 func orDefault(d, fallback time.Duration) time.Duration {
--- a/gateway/crashing_request_test.go
+++ b/gateway/crashing_request_test.go
@@ -39,8 +39,8 @@
 	crashed int
 }
 
-func newRestartingTargets(s *site, count int, ends func(*http.Request) bool) *restartingTargets {
-	v := &restartingTargets{site: s, crashes: ends, restartDelay: restartDelay, live: make(map[*origin.Server]bool)}
+func newRestartingTargets(s *site, count int, crashes func(*http.Request) bool) *restartingTargets {
+	v := &restartingTargets{site: s, crashes: crashes, restartDelay: restartDelay, live: make(map[*origin.Server]bool)}
 	for i := range count {
 		v.start([]string{"a1", "a2", "b1"}[i%3])
 	}
@@ -112,10 +112,10 @@
 func isCrashing(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, crashPath) }
 
 // newCrashSite starts four instances in three halls and twelve targets that restart after crashes.
-func newCrashSite(t *testing.T, kind string, ends func(*http.Request) bool) (*restartingTargets, []*instance) {
+func newCrashSite(t *testing.T, kind string, crashes func(*http.Request) bool) (*restartingTargets, []*instance) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: kind})
-	v := newRestartingTargets(s, 12, ends)
+	v := newRestartingTargets(s, 12, crashes)
 	var instances []*instance
 	for i, hall := range []string{"a1", "a1", "a2", "b1"} {
 		instances = append(instances, s.instance(fmt.Sprint("n", i), hall))
@@ -224,14 +224,14 @@
 // targets, including a frequent one that is in flight at many targets.
 func TestRequestsBesideCrashingRequest(t *testing.T) {
 	v, instances := newCrashSite(t, "idempotent", isCrashing)
-	hot := startLoad(instances, 4, func(int) string { return "/x/hot/" })
-	rest := startLoad(instances, 4, func(n int) string { return fmt.Sprint("/x/", n%50, "/") })
+	frequent := startLoad(instances, 4, func(int) string { return "/x/hot/" })
+	others := startLoad(instances, 4, func(n int) string { return fmt.Sprint("/x/", n%50, "/") })
 	for i := range 100 {
 		instances[i%len(instances)].send("GET", crashPath, "")
 		time.Sleep(20 * time.Millisecond)
 	}
 	require.LessOrEqual(t, v.crashCount(), maxCrashes)
-	for name, l := range map[string]*load{"hot": hot, "rest": rest} {
+	for name, l := range map[string]*load{"hot": frequent, "rest": others} {
 		served, all := l.stop()
 		t.Logf("%s: %d of %d served", name, served, all)
 		require.Greater(t, served*100, all*98, name)
@@ -242,13 +242,13 @@
 // in flight at nearly all of them, and checks that this request is still served.
 func TestInnocentRequestIsServed(t *testing.T) {
 	v, instances := newCrashSite(t, "idempotent", func(*http.Request) bool { return false })
-	hot := startLoad(instances, 8, func(int) string { return "/x/hot/" })
+	frequent := startLoad(instances, 8, func(int) string { return "/x/hot/" })
 	for range 20 {
 		v.crashOne()
 		v.crashOne()
 		time.Sleep(100 * time.Millisecond)
 	}
-	served, all := hot.stop()
+	served, all := frequent.stop()
 	t.Logf("%d of %d served while %d targets crashed", served, all, v.crashCount())
 	require.Greater(t, served*100, all*95)
 	for _, in := range instances {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -71,13 +71,13 @@
 	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 200 })
 	s.configure(2, idempotentRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
 	all(func(in *instance) bool { return in.send("GET", "/new/", "").status == 200 })
-	byOf := func(in *instance) string { return in.send("GET", "/x/", "").body[len("answer of "):][:3] }
+	answeredBy := func(in *instance) string { return in.send("GET", "/x/", "").body[len("answer of "):][:3] }
 
 	s.store.Set("evacuations", "a1", struct{}{})
-	all(func(in *instance) bool { return byOf(in) == two.ID })
+	all(func(in *instance) bool { return answeredBy(in) == two.ID })
 	s.store.Remove("evacuations", "a1")
 	s.record(two, "draining")
-	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 200 && byOf(in) == one.ID })
+	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 200 && answeredBy(in) == one.ID })
 	s.store.Remove("servers", one.ID)
 	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 503 })
 }
@@ -355,8 +355,8 @@
 	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	server.Work = 300 * time.Millisecond
-	patient := func(c *gateway.Config) { c.Grace = 3 * time.Second }
-	leaver, stayer := s.instance("n1", "a1", patient), s.instance("n2", "a1")
+	withGrace := func(c *gateway.Config) { c.Grace = 3 * time.Second }
+	leaver, stayer := s.instance("n1", "a1", withGrace), s.instance("n2", "a1")
 	leaver.awaitStatus("/x/", 200)
 	stayer.awaitStatus("/x/", 200)
 	require.Eventually(t, func() bool { return len(addresses(t, stayer)) == 2 }, wait, poll)
--- a/gateway/lookup.go
+++ b/gateway/lookup.go
@@ -79,30 +79,30 @@
 
 // addressesFor returns the addresses of the instances that clients of a hall should use: those of
 // the hall, also those of its region if the hall has few, and those of other regions only if the
-// region has none. learning is true while this instance is still discovering the others.
-func addressesFor(members []fleet.Status, region, hall string, learning bool) []string {
-	var same, near, far []string
-	known := 0
+// region has none. discovering is true while this instance is still discovering the others.
+func addressesFor(members []fleet.Status, region, hall string, discovering bool) []string {
+	var sameHall, sameRegion, otherRegions []string
+	knownInHall := 0
 	for _, m := range members {
 		if m.Hall == hall {
-			known++
+			knownInHall++
 		}
 		switch {
-		case !m.Serves() && !(learning && mayServe(m)):
+		case !m.Serves() && !(discovering && mayServe(m)):
 		case m.Hall == hall:
-			same = append(same, m.FrontAddr)
+			sameHall = append(sameHall, m.FrontAddr)
 		case m.Region == region:
-			near = append(near, m.FrontAddr)
+			sameRegion = append(sameRegion, m.FrontAddr)
 		default:
-			far = append(far, m.FrontAddr)
+			otherRegions = append(otherRegions, m.FrontAddr)
 		}
 	}
-	out := same
-	if len(out) < minHallInstances || float64(len(out)) < minHallFraction*float64(known) {
-		out = append(out, near...)
+	out := sameHall
+	if len(out) < minHallInstances || float64(len(out)) < minHallFraction*float64(knownInHall) {
+		out = append(out, sameRegion...)
 	}
 	if len(out) == 0 {
-		out = far
+		out = otherRegions
 	}
 	return sampleAddresses(out)
 }
--- a/gateway/lookup_test.go
+++ b/gateway/lookup_test.go
@@ -30,25 +30,25 @@
 		}
 		return out
 	}
-	near := members("a2", 10, fleet.Alive, fleet.Ready)
-	far := members("b1", 10, fleet.Alive, fleet.Ready)
+	sameRegion := members("a2", 10, fleet.Alive, fleet.Ready)
+	otherRegion := members("b1", 10, fleet.Alive, fleet.Ready)
 	cases := []struct {
 		name     string
 		members  []fleet.Status
 		learning bool
 		want     map[string]int
 	}{
-		{"the hall", join(members("a1", 10, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 10}},
-		{"one of the hall", join(members("a1", 1, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 1, "a2": 10}},
-		{"all of a small hall", join(members("a1", 2, fleet.Alive, fleet.Ready), near, far), false, map[string]int{"a1": 2}},
-		{"few of the hall are left", join(members("a1", 4, fleet.Alive, fleet.Ready), members("a1", 6, fleet.Suspect, fleet.Ready), near, far), false,
+		{"the hall", join(members("a1", 10, fleet.Alive, fleet.Ready), sameRegion, otherRegion), false, map[string]int{"a1": 10}},
+		{"one of the hall", join(members("a1", 1, fleet.Alive, fleet.Ready), sameRegion, otherRegion), false, map[string]int{"a1": 1, "a2": 10}},
+		{"all of a small hall", join(members("a1", 2, fleet.Alive, fleet.Ready), sameRegion, otherRegion), false, map[string]int{"a1": 2}},
+		{"few of the hall are left", join(members("a1", 4, fleet.Alive, fleet.Ready), members("a1", 6, fleet.Suspect, fleet.Ready), sameRegion, otherRegion), false,
 			map[string]int{"a1": 4, "a2": 10}},
-		{"others not ready or leaving", join(members("a1", 3, fleet.Alive, fleet.Ready), members("a1", 1, fleet.Alive, 0), members("a1", 1, fleet.Stopping, fleet.Ready), near), false,
+		{"others not ready or leaving", join(members("a1", 3, fleet.Alive, fleet.Ready), members("a1", 1, fleet.Alive, 0), members("a1", 1, fleet.Stopping, fleet.Ready), sameRegion), false,
 			map[string]int{"a1": 3}},
-		{"no region", far, false, map[string]int{"b1": 10}},
-		{"just started", join(members("a1", 1, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), members("a1", 2, fleet.Alive, 0), members("a1", 1, fleet.Suspect, 0), near), true,
+		{"no region", otherRegion, false, map[string]int{"b1": 10}},
+		{"just started", join(members("a1", 1, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), members("a1", 2, fleet.Alive, 0), members("a1", 1, fleet.Suspect, 0), sameRegion), true,
 			map[string]int{"a1": 11}},
-		{"unknown after discovery", join(members("a1", 2, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), near), false, map[string]int{"a1": 2, "a2": 10}},
+		{"unknown after discovery", join(members("a1", 2, fleet.Alive, fleet.Ready), members("a1", 8, fleet.Unknown, 0), sameRegion), false, map[string]int{"a1": 2, "a2": 10}},
 		{"many", members("a1", 200, fleet.Alive, fleet.Ready), false, map[string]int{"a1": maxAddresses}},
 	}
 	for _, c := range cases {
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -73,16 +73,16 @@
 
 // setInstances sets the instances that the store lists. They own the shares of the limits.
 func (p *accountPermits) setInstances(now time.Time, c Config, members map[string]fleet.Member) {
-	places := make([]ratelimit.Instance, 0, len(members))
+	instances := make([]ratelimit.Instance, 0, len(members))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.addrs)
 	for _, m := range members {
-		places = append(places, ratelimit.Instance{Name: m.Name, Hall: m.Hall, Region: m.Region})
+		instances = append(instances, ratelimit.Instance{Name: m.Name, Hall: m.Hall, Region: m.Region})
 		p.addrs[m.Name] = m.PeerAddr
 	}
 	self := ratelimit.Instance{Name: c.Name, Hall: c.Hall, Region: c.Region}
-	owners := ratelimit.NewOwners(limitScope, self, c.RegionOf, places)
+	owners := ratelimit.NewOwners(limitScope, self, c.RegionOf, instances)
 	p.holder.SetOwners(owners)
 	p.issuer.SetOwners(now, owners)
 }
@@ -103,24 +103,24 @@
 	p.mu.Lock()
 	p.lastID++
 	id := p.lastID
-	answer, asks := p.holder.Acquire(now, id, account)
+	result, requests := p.holder.Acquire(now, id, account)
 	var wait chan ratelimit.Result
-	if answer.Decision == ratelimit.Wait {
+	if result.Decision == ratelimit.Wait {
 		wait = make(chan ratelimit.Result, 1)
 		p.waiting[id] = wait
 	}
-	p.sendRequests(now, asks)
+	p.sendRequests(now, requests)
 	p.tick()
 	p.mu.Unlock()
 	if wait != nil {
 		select {
-		case answer = <-wait:
+		case result = <-wait:
 		case <-ctx.Done():
 			p.cancel(account, id, wait)
 			return permit{}, ratelimit.Result{Decision: ratelimit.Unavailable}
 		}
 	}
-	return permit{account: account, expiresAt: answer.ExpiresAt}, answer
+	return permit{account: account, expiresAt: result.ExpiresAt}, result
 }
 
 // cancel ends the wait of a request whose client has disconnected. It returns the permit if one was
@@ -131,9 +131,9 @@
 	delete(p.waiting, id)
 	p.holder.Cancel(account, id)
 	select {
-	case answer := <-wait:
-		if answer.Decision == ratelimit.Admit {
-			p.holder.Release(p.clock.Now(), account, answer.ExpiresAt)
+	case result := <-wait:
+		if result.Decision == ratelimit.Admit {
+			p.holder.Release(p.clock.Now(), account, result.ExpiresAt)
 		}
 	default:
 	}
@@ -150,14 +150,14 @@
 }
 
 // sendRequests sends permit requests to owners. The caller holds mu.
-func (p *accountPermits) sendRequests(now time.Time, asks []ratelimit.PermitRequest) {
-	for _, ask := range asks {
-		claim := ratelimit.IssueRequest{From: p.name, At: p.timestamp(now), N: ask.N}
-		if ask.To.Name == p.name {
-			p.issue(now, ask.Account, claim)
+func (p *accountPermits) sendRequests(now time.Time, requests []ratelimit.PermitRequest) {
+	for _, request := range requests {
+		issueRequest := ratelimit.IssueRequest{From: p.name, At: p.timestamp(now), N: request.N}
+		if request.To.Name == p.name {
+			p.issue(now, request.Account, issueRequest)
 			continue
 		}
-		p.mesh.Send(p.addrs[ask.To.Name], &peer.PermitRequest{Account: ask.Account, From: claim.From, SentAt: claim.At, N: claim.N})
+		p.mesh.Send(p.addrs[request.To.Name], &peer.PermitRequest{Account: request.Account, From: issueRequest.From, SentAt: issueRequest.At, N: issueRequest.N})
 	}
 }
 
@@ -193,10 +193,10 @@
 }
 
 // handleGrant handles an owner's reply. The caller holds mu.
-func (p *accountPermits) handleGrant(now time.Time, at int64, account, from string, issue ratelimit.Grant) {
-	answers, asks := p.holder.HandleReply(now, p.timeOf(at), account, from, issue)
-	p.wake(answers)
-	p.sendRequests(now, asks)
+func (p *accountPermits) handleGrant(now time.Time, at int64, account, from string, grant ratelimit.Grant) {
+	results, requests := p.holder.HandleReply(now, p.timeOf(at), account, from, grant)
+	p.wake(results)
+	p.sendRequests(now, requests)
 }
 
 // timestamp returns a time as messages carry it, in nanoseconds since the start of the process.
@@ -219,11 +219,11 @@
 		p.tick()
 		return
 	}
-	answer := &peer.PermitGrant{Account: m.Account, From: p.name, RequestSentAt: m.SentAt, Borrow: true, Grant: ratelimit.Grant{NotOwner: true}}
+	reply := &peer.PermitGrant{Account: m.Account, From: p.name, RequestSentAt: m.SentAt, Borrow: true, Grant: ratelimit.Grant{NotOwner: true}}
 	if limit, ok := p.limitOf(m.Account); ok {
-		answer.Grant = p.issuer.Lend(now, m.Account, limit, m.N)
+		reply.Grant = p.issuer.Lend(now, m.Account, limit, m.N)
 	}
-	p.mesh.Send(addr, answer)
+	p.mesh.Send(addr, reply)
 }
 
 // receiveGrant handles another instance's reply to a permit or loan request.
@@ -246,11 +246,11 @@
 }
 
 // wake delivers results to the requests that wait for them. The caller holds mu.
-func (p *accountPermits) wake(answers []ratelimit.Result) {
-	for _, answer := range answers {
-		if wait := p.waiting[answer.ID]; wait != nil {
-			delete(p.waiting, answer.ID)
-			wait <- answer
+func (p *accountPermits) wake(results []ratelimit.Result) {
+	for _, result := range results {
+		if waiting := p.waiting[result.ID]; waiting != nil {
+			delete(p.waiting, result.ID)
+			waiting <- result
 		}
 	}
 }
@@ -270,12 +270,12 @@
 	defer p.mu.Unlock()
 	p.ticking = false
 	now := p.clock.Now()
-	answers, asks, silent := p.holder.Tick(now)
-	for _, owner := range silent {
+	results, requests, unresponsive := p.holder.Tick(now)
+	for _, owner := range unresponsive {
 		p.mesh.ReconnectBoth(p.addrs[owner])
 	}
-	p.wake(answers)
-	p.sendRequests(now, asks)
+	p.wake(results)
+	p.sendRequests(now, requests)
 	p.reply(now, p.issuer.Tick(now)...)
 	p.tick()
 }
@@ -298,13 +298,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	for name, known := range p.addrs {
-		if known != addr {
+	for name, peerAddr := range p.addrs {
+		if peerAddr != addr {
 			continue
 		}
-		answers, asks := p.holder.OwnerUnreachable(now, name)
-		p.wake(answers)
-		p.sendRequests(now, asks)
+		results, requests := p.holder.OwnerUnreachable(now, name)
+		p.wake(results)
+		p.sendRequests(now, requests)
 	}
 	p.tick()
 }
@@ -323,19 +323,19 @@
 	if !ex.account.HasRateLimit() {
 		return requestResult{}, true
 	}
-	began := g.clock.Now()
-	permit, answer := g.accountPermits.acquire(ex.ctx, ex.account.Name)
-	ex.permitWait = g.clock.Since(began)
-	ex.limitResult = answer
-	g.metrics.permits.Add(1, permitResultName(answer.Decision))
-	switch answer.Decision {
+	startedAt := g.clock.Now()
+	permit, result := g.accountPermits.acquire(ex.ctx, ex.account.Name)
+	ex.permitWait = g.clock.Since(startedAt)
+	ex.limitResult = result
+	g.metrics.permits.Add(1, permitResultName(result.Decision))
+	switch result.Decision {
 	case ratelimit.Admit:
 		ex.permit = permit
 		return requestResult{}, true
 	case ratelimit.Refuse:
-		return beforeBody(ex, requestResult{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: answer.RetryAfter}), false
+		return beforeBody(ex, requestResult{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: result.RetryAfter}), false
 	default:
-		return beforeBody(ex, notRunResult(reasonNoOwner, max(answer.RetryAfter, defaultRetryAfter))), false
+		return beforeBody(ex, notRunResult(reasonNoOwner, max(result.RetryAfter, defaultRetryAfter))), false
 	}
 }
 
--- a/gateway/permits_test.go
+++ b/gateway/permits_test.go
@@ -26,13 +26,13 @@
 		c.FirstStart = true
 		c.RegionOf = map[string]string{"a1": "a", "a2": "a"}
 	}
-	var fleet []*instance
+	var instances []*instance
 	for i, hall := range []string{"a1", "a1", "a2"} {
 		in := s.instance("n"+strconv.Itoa(i), hall, first)
 		in.awaitKey(benKey, "/x/", 200)
-		fleet = append(fleet, in)
+		instances = append(instances, in)
 	}
-	return s, server, fleet
+	return s, server, instances
 }
 
 // limit writes a configuration with a limited account, ada, and an unlimited one, ben.
@@ -45,12 +45,12 @@
 
 // flood sends requests with a key through all instances as fast as they respond, and returns the
 // number of responses by status.
-func flood(fleet []*instance, key string, length time.Duration) map[int]int {
+func flood(instances []*instance, key string, length time.Duration) map[int]int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	got := make(map[int]int)
 	end := time.Now().Add(length)
-	for _, in := range fleet {
+	for _, in := range instances {
 		for range 2 {
 			wg.Go(func() {
 				for time.Now().Before(end) {
@@ -72,7 +72,7 @@
 // is used.
 func TestLimitHoldsOverAllInstances(t *testing.T) {
 	const rate, burst, length = 40, 20, 3 * time.Second
-	_, server, fleet := limitedSite(t, rate, burst)
+	_, server, instances := limitedSite(t, rate, burst)
 	var mu sync.Mutex
 	var arrivals []time.Time
 	server.SetObserver(func(a origin.Arrival) {
@@ -80,7 +80,7 @@
 		defer mu.Unlock()
 		arrivals = append(arrivals, a.At)
 	})
-	got := flood(fleet, adaKey, length)
+	got := flood(instances, adaKey, length)
 	require.Positive(t, got[429], "%v", got)
 	require.Equal(t, got[200], len(arrivals))
 	require.GreaterOrEqual(t, float64(len(arrivals)), 0.7*rate*length.Seconds(), "%v", got)
@@ -98,10 +98,10 @@
 // TestUnlimitedAccountIsUnaffected checks that an account beyond its limit does not affect another
 // account.
 func TestUnlimitedAccountIsUnaffected(t *testing.T) {
-	_, _, fleet := limitedSite(t, 10, 5)
+	_, _, instances := limitedSite(t, 10, 5)
 	done := make(chan map[int]int)
-	go func() { done <- flood(fleet, adaKey, time.Second) }()
-	got := flood(fleet, benKey, time.Second)
+	go func() { done <- flood(instances, adaKey, time.Second) }()
+	got := flood(instances, benKey, time.Second)
 	hot := <-done
 	require.Positive(t, hot[429])
 	require.Zero(t, len(got)-1, "all responses have the same status: %v", got)
@@ -113,16 +113,16 @@
 // borrow the rest.
 func TestDemandBelowLimitIsServedAnywhere(t *testing.T) {
 	const rate = 60
-	_, _, fleet := limitedSite(t, rate, 0)
-	for _, in := range fleet[:2] {
+	_, _, instances := limitedSite(t, rate, 0)
+	for _, in := range instances[:2] {
 		var refused, served atomic.Int64
 		var wg sync.WaitGroup
-		began := time.Now()
+		startedAt := time.Now()
 		// No request may be refused from one second after the demand has moved.
-		settled := began.Add(time.Second)
+		settled := startedAt.Add(time.Second)
 		ticker := time.NewTicker(time.Second * 10 / (9 * rate))
 		for now := range ticker.C {
-			if now.Sub(began) > 3*time.Second {
+			if now.Sub(startedAt) > 3*time.Second {
 				break
 			}
 			wg.Go(func() {
@@ -141,8 +141,8 @@
 
 // TestRefusalHasRetryAfter checks the Retry-After of a request beyond the limit.
 func TestRefusalHasRetryAfter(t *testing.T) {
-	_, _, fleet := limitedSite(t, 4, 1)
-	in := fleet[0]
+	_, _, instances := limitedSite(t, 4, 1)
+	in := instances[0]
 	var got reply
 	require.Eventually(t, func() bool {
 		got = in.sendWithKey(adaKey, "/x/")
@@ -157,17 +157,17 @@
 // TestLoweredLimitIsInForce checks that a lowered limit takes effect, and that a removed limit no
 // longer does.
 func TestLoweredLimitIsInForce(t *testing.T) {
-	s, _, fleet := limitedSite(t, 10_000, 10_000)
-	require.Zero(t, flood(fleet, adaKey, 500*time.Millisecond)[429])
+	s, _, instances := limitedSite(t, 10_000, 10_000)
+	require.Zero(t, flood(instances, adaKey, 500*time.Millisecond)[429])
 	s.limit(2, 2, 1)
-	for _, in := range fleet {
+	for _, in := range instances {
 		require.Eventually(t, func() bool { return in.sendWithKey(adaKey, "/x/").status == 429 }, wait, poll)
 	}
 	time.Sleep(time.Second)
-	got := flood(fleet, adaKey, time.Second)
+	got := flood(instances, adaKey, time.Second)
 	require.LessOrEqual(t, got[200], 2+1+20)
 	s.limit(3, 0, 0)
-	for _, in := range fleet {
+	for _, in := range instances {
 		in.awaitKey(adaKey, "/x/", 200)
 	}
 }
@@ -175,10 +175,10 @@
 // TestOwnersUnreachable checks that the requests of an account are refused as not run if no owner
 // replies, and that a remaining owner is found.
 func TestOwnersUnreachable(t *testing.T) {
-	_, _, fleet := limitedSite(t, 1000, 1000)
-	in := fleet[0]
+	_, _, instances := limitedSite(t, 1000, 1000)
+	in := instances[0]
 	in.awaitKey(adaKey, "/x/", 200)
-	for _, other := range fleet[1:] {
+	for _, other := range instances[1:] {
 		other.stop()
 		<-other.done
 	}
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -26,7 +26,7 @@
 	waiting        map[uint64]chan upstream.Decision
 	lastID         uint64
 	ticking        bool
-	requestPermits func(asks []ratelimit.PermitRequest, silent []string)
+	requestPermits func(requests []ratelimit.PermitRequest, unresponsive []string)
 	log            *slog.Logger
 	clock          *clock.Clock
 	// rollout is the latest rollout of the service, nil if there was none.
@@ -43,13 +43,13 @@
 
 // unlock releases mu and sends the permit requests that have accumulated meanwhile.
 func (p *pool) unlock() {
-	asks, silent := p.upstream.TakePermitRequests(), p.upstream.TakeUnresponsiveOwners()
+	requests, unresponsive := p.upstream.TakePermitRequests(), p.upstream.TakeUnresponsiveOwners()
 	if p.upstream.AwaitingPermits() {
 		p.tick()
 	}
 	p.mu.Unlock()
-	if len(asks)+len(silent) > 0 {
-		p.requestPermits(asks, silent)
+	if len(requests)+len(unresponsive) > 0 {
+		p.requestPermits(requests, unresponsive)
 	}
 }
 
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -28,7 +28,7 @@
 	knownLimits func(now time.Time) availability.RateLimitList
 	// requestPermits sends permit requests for targets' rate limits, and receives the names of
 	// owners that do not reply.
-	requestPermits func(asks []ratelimit.PermitRequest, silent []string)
+	requestPermits func(requests []ratelimit.PermitRequest, unresponsive []string)
 
 	mu       sync.RWMutex
 	pools    map[string]*pool
@@ -55,9 +55,9 @@
 	until   time.Time
 }
 
-func newPools(config Config, departed func(time.Time) availability.DepartureList, limits func(time.Time) availability.RateLimitList,
+func newPools(config Config, knownDepartures func(time.Time) availability.DepartureList, limits func(time.Time) availability.RateLimitList,
 	ask func([]ratelimit.PermitRequest, []string)) *pools {
-	return &pools{config: config, knownDepartures: departed, knownLimits: limits, requestPermits: ask, pools: make(map[string]*pool),
+	return &pools{config: config, knownDepartures: knownDepartures, knownLimits: limits, requestPermits: ask, pools: make(map[string]*pool),
 		instanceCount: 1, splits: make(map[string]versionSplit)}
 }
 
@@ -88,7 +88,7 @@
 }
 
 // changeTargets applies changed targets and the IDs of removed ones.
-func (ps *pools) changeTargets(now time.Time, changed []*catalog.Target, gone []string, evacuated map[string]bool) {
+func (ps *pools) changeTargets(now time.Time, changed []*catalog.Target, removed []string, evacuated map[string]bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	byService := make(map[string][]*catalog.Target)
@@ -100,7 +100,7 @@
 	}
 	for service, p := range ps.pools {
 		p.update(func(u *upstream.Pool) []upstream.Grant {
-			return u.ChangeTargets(now, byService[service], gone, evacuated)
+			return u.ChangeTargets(now, byService[service], removed, evacuated)
 		})
 	}
 }
@@ -199,13 +199,13 @@
 }
 
 // setInstances sets the names of the instances in each hall and the number of all instances.
-func (ps *pools) setInstances(members map[string][]string, count int) {
+func (ps *pools) setInstances(instances map[string][]string, count int) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	ps.instancesByHall, ps.instanceCount = members, count
+	ps.instancesByHall, ps.instanceCount = instances, count
 	for _, p := range ps.pools {
 		p.update(func(u *upstream.Pool) []upstream.Grant {
-			u.SetMembers(members)
+			u.SetMembers(instances)
 			p.retryBudget.SetCapacity(ps.config.RetrySlack, count)
 			return nil
 		})
@@ -228,11 +228,11 @@
 func (ps *pools) applyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	var fresh []string
+	var changed []string
 	for _, p := range ps.pools {
-		fresh = append(fresh, p.applyDepartures(now, departures, source)...)
+		changed = append(changed, p.applyDepartures(now, departures, source)...)
 	}
-	return fresh
+	return changed
 }
 
 // applyRateLimits applies the limits that targets have announced, and returns the IDs of the
@@ -324,13 +324,13 @@
 }
 
 // applyTargetReports applies the target reports of another instance.
-func (ps *pools) applyTargetReports(now time.Time, seen upstream.TargetReports) {
-	if len(seen) == 0 {
+func (ps *pools) applyTargetReports(now time.Time, reports upstream.TargetReports) {
+	if len(reports) == 0 {
 		return
 	}
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	for _, p := range ps.pools {
-		p.applyTargetReports(now, seen)
+		p.applyTargetReports(now, reports)
 	}
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -130,39 +130,39 @@
 		return requestResult{}, true
 	}
 	now := g.clock.Now()
-	standing, doubts := g.quarantine.status(now, ex.contentDigest())
-	if unknown && standing.Crashes+doubts >= maxCrashesPerExchange {
+	status, pending := g.quarantine.status(now, ex.contentDigest())
+	if unknown && status.Crashes+pending >= maxCrashesPerExchange {
 		return failedResult(true, reasonCrashesTargets, 0), false
 	}
-	if standing.Verdict != quarantine.Allowed {
-		return g.startTrial(ex, ex.contentDigest(), standing, reasonCrashesTargets)
+	if status.Verdict != quarantine.Allowed {
+		return g.startTrial(ex, ex.contentDigest(), status, reasonCrashesTargets)
 	}
 	if ex.account == nil || g.quarantine.answered.has(answeredRequestOf(ex.account.Name, ex.contentDigest())) {
 		return requestResult{}, true
 	}
 	account := quarantine.AccountDigest(ex.account.Name)
-	standing, _ = g.quarantine.status(now, account)
-	if standing.Verdict == quarantine.Allowed || g.quarantine.answered.isTrusted(now, quarantine.AccountHash(ex.account.Name)) {
+	status, _ = g.quarantine.status(now, account)
+	if status.Verdict == quarantine.Allowed || g.quarantine.answered.isTrusted(now, quarantine.AccountHash(ex.account.Name)) {
 		return requestResult{}, true
 	}
 	ex.heldForAccount = true
 	if unknown {
 		return failedResult(true, reasonAccountCrashesTargets, 0), false
 	}
-	v, ok := g.startTrial(ex, account, standing, reasonAccountCrashesTargets)
+	v, ok := g.startTrial(ex, account, status, reasonAccountCrashesTargets)
 	ex.heldForAccount = !ok
 	return v, ok
 }
 
 // startTrial makes the request a trial for a digest if a trial may start now, and returns a refusal
 // if not.
-func (g *Gateway) startTrial(ex *exchange, d quarantine.Digest, standing quarantine.Status, reason string) (requestResult, bool) {
-	if standing.Verdict == quarantine.Held {
-		return notRunResult(reason, g.clock.Until(standing.Until)), false
+func (g *Gateway) startTrial(ex *exchange, d quarantine.Digest, status quarantine.Status, reason string) (requestResult, bool) {
+	if status.Verdict == quarantine.Held {
+		return notRunResult(reason, g.clock.Until(status.Until)), false
 	}
-	granted, next := g.acquireTrial(ex, d)
+	granted, retryAt := g.acquireTrial(ex, d)
 	if !granted {
-		return notRunResult(reason, max(g.clock.Until(next), defaultRetryAfter)), false
+		return notRunResult(reason, max(g.clock.Until(retryAt), defaultRetryAfter)), false
 	}
 	ex.trial = d
 	return requestResult{}, true
@@ -174,12 +174,12 @@
 		return true
 	}
 	now := g.clock.Now()
-	standing, _ := g.quarantine.status(now, ex.contentDigest())
-	if standing.Verdict != quarantine.Allowed || ex.account == nil || g.quarantine.answered.has(answeredRequestOf(ex.account.Name, ex.contentDigest())) {
-		return standing.Verdict == quarantine.Allowed
+	status, _ := g.quarantine.status(now, ex.contentDigest())
+	if status.Verdict != quarantine.Allowed || ex.account == nil || g.quarantine.answered.has(answeredRequestOf(ex.account.Name, ex.contentDigest())) {
+		return status.Verdict == quarantine.Allowed
 	}
-	standing, _ = g.quarantine.status(now, quarantine.AccountDigest(ex.account.Name))
-	return standing.Verdict == quarantine.Allowed || g.quarantine.answered.isTrusted(now, quarantine.AccountHash(ex.account.Name))
+	status, _ = g.quarantine.status(now, quarantine.AccountDigest(ex.account.Name))
+	return status.Verdict == quarantine.Allowed || g.quarantine.answered.isTrusted(now, quarantine.AccountHash(ex.account.Name))
 }
 
 // observeAttempt records what an attempt shows about whether its target has crashed.
@@ -217,15 +217,15 @@
 	g.targetAnswered(now.Add(-a.TargetResult.Latency), target.ID)
 	d := ex.contentDigest()
 	g.quarantine.mu.Lock()
-	kept := g.quarantine.table.Status(now, d).FailedTrials > 0
-	freed := g.quarantine.table.RecordAnswer(now, d)
+	hasRecord := g.quarantine.table.Status(now, d).FailedTrials > 0
+	released := g.quarantine.table.RecordAnswer(now, d)
 	g.quarantine.mu.Unlock()
-	if !freed {
+	if !released {
 		return
 	}
 	g.log.Info(logRequestReleased, "content", d.String(), "target", target.ID)
 	g.broadcastQuarantine(now, d)
-	if kept {
+	if hasRecord {
 		g.storeRelease(d)
 	}
 }
@@ -256,13 +256,13 @@
 		return
 	}
 	ofAccount := ex.trial.IsAccount()
-	broken := quarantine.InterruptedRequest{Digest: ex.contentDigest(), Account: accountName(ex.account), Trial: ex.isTrial() && !ofAccount, AccountTrial: ofAccount}
+	interrupted := quarantine.InterruptedRequest{Digest: ex.contentDigest(), Account: accountName(ex.account), Trial: ex.isTrial() && !ofAccount, AccountTrial: ofAccount}
 	g.quarantine.mu.Lock()
-	ended, ask := g.quarantine.correlator.RequestInterrupted(now, target.ID, broken)
+	confirmed, probe := g.quarantine.correlator.RequestInterrupted(now, target.ID, interrupted)
 	g.quarantine.updateNonEmpty()
 	g.quarantine.mu.Unlock()
-	g.recordCrashes(now, target.ID, ended)
-	if ask {
+	g.recordCrashes(now, target.ID, confirmed)
+	if probe {
 		g.startGoroutine(func() { g.probeTarget(target) })
 	}
 }
@@ -294,14 +294,14 @@
 		return
 	}
 	g.quarantine.mu.Lock()
-	broken := g.quarantine.correlator.TargetCrashed(now, target)
+	interrupted := g.quarantine.correlator.TargetCrashed(now, target)
 	g.quarantine.mu.Unlock()
-	g.recordCrashes(now, target, broken)
+	g.recordCrashes(now, target, interrupted)
 }
 
 // applyListChanges records the targets that have become unlisted or announce in their entry that
 // they leave. The caller holds mu of the gateway.
-func (g *Gateway) applyListChanges(now time.Time, changed []*catalog.Target, gone []string) {
+func (g *Gateway) applyListChanges(now time.Time, changed []*catalog.Target, removed []string) {
 	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
@@ -312,7 +312,7 @@
 			g.quarantine.mu.Unlock()
 		}
 	}
-	for _, id := range gone {
+	for _, id := range removed {
 		if g.quarantine.isCrashPending(id) {
 			// It runs in a goroutine, because targetCrashed needs locks that the caller holds.
 			g.startGoroutine(func() { g.targetCrashed(now, id) })
@@ -322,14 +322,14 @@
 
 // recordCrashes records that a target crashed under some requests, and sends this to the other
 // instances.
-func (g *Gateway) recordCrashes(now time.Time, target string, broken []quarantine.InterruptedRequest) {
-	if len(broken) == 0 {
+func (g *Gateway) recordCrashes(now time.Time, target string, interrupted []quarantine.InterruptedRequest) {
+	if len(interrupted) == 0 {
 		return
 	}
-	digests := make([]quarantine.Digest, 0, len(broken))
-	contents := make([]string, 0, len(broken))
+	digests := make([]quarantine.Digest, 0, len(interrupted))
+	contents := make([]string, 0, len(interrupted))
 	g.quarantine.mu.Lock()
-	for _, b := range broken {
+	for _, b := range interrupted {
 		if g.quarantine.table.RecordCrash(now, b.Digest, b.Account, quarantine.TargetIDOf(target), b.Trial) {
 			digests = append(digests, b.Digest)
 			contents = append(contents, b.Digest.String())
@@ -359,8 +359,8 @@
 // logSuspects logs those of the given requests and accounts that are suspect.
 func (g *Gateway) logSuspects(now time.Time, digests []quarantine.Digest, source string) {
 	for _, d := range digests {
-		standing, _ := g.quarantine.status(now, d)
-		if standing.Verdict == quarantine.Allowed {
+		status, _ := g.quarantine.status(now, d)
+		if status.Verdict == quarantine.Allowed {
 			continue
 		}
 		message := logRequestHeld
@@ -370,9 +370,9 @@
 			// hold.
 			g.startGoroutine(func() { g.sendAnsweredRequests(now, d) })
 		}
-		attrs := []any{"content", d.String(), "ends", standing.Crashes, "failed_trials", standing.FailedTrials, "source", source}
-		if standing.Verdict == quarantine.Held {
-			attrs = append(attrs, slog.Int64("for_ms", standing.Until.Sub(now).Milliseconds()))
+		attrs := []any{"content", d.String(), "ends", status.Crashes, "failed_trials", status.FailedTrials, "source", source}
+		if status.Verdict == quarantine.Held {
+			attrs = append(attrs, slog.Int64("for_ms", status.Until.Sub(now).Milliseconds()))
 		}
 		g.log.Warn(message, attrs...)
 	}
--- a/gateway/rollout_observations.go
+++ b/gateway/rollout_observations.go
@@ -22,19 +22,19 @@
 
 // recordObservation records the outcome of an attempt for the canary analysis of its service's
 // rollout.
-func (g *Gateway) recordObservation(ex *exchange, p *pool, want upstream.Request, d upstream.Decision, a forward.Attempt) {
+func (g *Gateway) recordObservation(ex *exchange, p *pool, request upstream.Request, d upstream.Decision, a forward.Attempt) {
 	r := p.rollout.Load()
 	if r == nil {
 		return
 	}
 	g.metrics.rolloutAttempt(ex.service, d.SendState.NewVersion, a.TargetResult)
-	outcome, tells := rolloutOutcome(a.TargetResult)
-	if !tells {
+	outcome, conclusive := rolloutOutcome(a.TargetResult)
+	if !conclusive {
 		return
 	}
 	o := rollout.Observation{
 		Route:   uint16(mix.Hash(ex.route.Name)),
-		Key:     uint32(mix.Hash(want.Key)),
+		Key:     uint32(mix.Hash(request.Key)),
 		Target:  uint32(mix.Hash(d.Target.ID)),
 		Latency: rollout.BucketOf(a.TargetResult.Latency),
 		Outcome: outcome,
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -180,11 +180,11 @@
 // rolloutLoop updates the ongoing rollouts periodically, and waits while there are none.
 func (g *Gateway) rolloutLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		goesOn := false
+		ongoing := false
 		for _, r := range g.rollouts.all() {
-			goesOn = g.tickRollout(ctx, r) || goesOn
+			ongoing = g.tickRollout(ctx, r) || ongoing
 		}
-		if goesOn {
+		if ongoing {
 			pause.For(ctx, rolloutTickInterval)
 			continue
 		}
@@ -204,32 +204,32 @@
 	g.lead(ctx, now, r, versions)
 	r.mu.Lock()
 	split, until := r.follower.Split(now)
-	report, leader, reports := r.follower.Report(now, versions.OldInFlight)
-	goesOn := r.isOngoing()
+	report, leader, hasReport := r.follower.Report(now, versions.OldInFlight)
+	ongoing := r.isOngoing()
 	r.mu.Unlock()
 	g.pools.setSplit(now, r, split, until)
-	if !reports {
-		return goesOn
+	if !hasReport {
+		return ongoing
 	}
 	if leader == g.view.Self().PeerAddr {
 		g.receiveRolloutReport(&peer.RolloutReport{Report: report})
 	} else {
 		g.mesh.Send(leader, &peer.RolloutReport{Report: report})
 	}
-	return goesOn
+	return ongoing
 }
 
 // lead makes this instance the leader of a rollout if it is its turn. As the leader, it decides on
 // the stage, broadcasts it, and writes the state of the order to the store.
 func (g *Gateway) lead(ctx context.Context, now time.Time, r *serviceRollout, versions upstream.VersionStats) {
-	leads, members := g.leadsRollouts(now, r.isLeader())
+	isLeader, members := g.leadsRollouts(now, r.isLeader())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.isOngoing() || !leads || now.Sub(r.leaderHeardAt) < leaderTimeout {
+	if !r.isOngoing() || !isLeader || now.Sub(r.leaderHeardAt) < leaderTimeout {
 		r.leader = nil
 		return
 	}
-	if verdict, lost := r.lostVerdict(); lost {
+	if verdict, isLost := r.lostVerdict(); isLost {
 		r.leader = nil
 		g.writeState(ctx, now, r, verdict)
 		return
@@ -238,7 +238,7 @@
 		r.leader = rollout.NewLeader(now, g.view.Self().PeerAddr, r.follower, g.config.Rollouts)
 		g.log.Info(logRolloutLeads, "service", r.record.Service, "version", r.record.Version, "stage", r.leader.Stage().Phase.String())
 	}
-	stage, tell := r.leader.Decide(now, rollout.FleetState{
+	stage, changed := r.leader.Decide(now, rollout.FleetState{
 		Instances:   members,
 		Rate:        versions.SendRate * float64(members),
 		OldSlots:    versions.OldSlots,
@@ -248,14 +248,14 @@
 	if r.follower.HandleStage(now, stage) {
 		g.logStage(r, stage)
 	}
-	if tell {
+	if changed {
 		go g.broadcast(now, peer.Gossip{Stages: []rollout.Stage{stage}})
 	}
 	g.writeState(ctx, now, r, r.leader.Verdict())
 }
 
 // leadsRollouts reports whether this instance leads rollouts, and returns the number of instances.
-func (g *Gateway) leadsRollouts(now time.Time, hasLed bool) (leads bool, members int) {
+func (g *Gateway) leadsRollouts(now time.Time, hasLed bool) (isLeader bool, members int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.view.All(now) {
@@ -298,10 +298,10 @@
 		slog.Float64("targets", stage.TargetShare), slog.Float64("senders", stage.InstanceShare), slog.String("reason", string(stage.Reason)),
 		slog.Int64("age_ms", stage.Age.Milliseconds()), slog.String("leader", stage.Leader)}
 	if r.leader != nil {
-		opinion := r.leader.Assessment()
+		assessment := r.leader.Assessment()
 		sent, sentNew := r.leader.Counts()
-		attrs = append(attrs, slog.Int("sent", sent), slog.Int("sent_new", sentNew), slog.Float64("odds_failing", opinion.FailureLLR),
-			slog.Float64("odds_slow", opinion.SlowLLR), slog.Bool("suspect", opinion.Suspect))
+		attrs = append(attrs, slog.Int("sent", sent), slog.Int("sent_new", sentNew), slog.Float64("odds_failing", assessment.FailureLLR),
+			slog.Float64("odds_slow", assessment.SlowLLR), slog.Bool("suspect", assessment.Suspect))
 	}
 	g.log.LogAttrs(context.Background(), slog.LevelInfo, logRolloutStage, attrs...)
 }
--- a/gateway/self_report_test.go
+++ b/gateway/self_report_test.go
@@ -75,10 +75,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	most := 0
-	for i, turned := range v.rejected {
+	for i, rejected := range v.rejected {
 		n := 0
 		for _, at := range v.at[i:] {
-			if d := at.Sub(v.at[i]); turned && d > backoffGrace && d < length {
+			if d := at.Sub(v.at[i]); rejected && d > backoffGrace && d < length {
 				n++
 			}
 		}
@@ -128,16 +128,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			instances, servers := readSite(t, 12, "a1", "a1", "a2", "b1")
-			leaver := servers[0]
+			leavingTarget := servers[0]
 			l := startLoadOf(instances, 8, (*instance).read)
 			defer l.stop()
-			leaver.SetScript(func(*http.Request) origin.Fault { return c.fault })
-			leaver.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
-			seen := watchArrivals(leaver)
+			leavingTarget.SetScript(func(*http.Request) origin.Fault { return c.fault })
+			leavingTarget.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+			arrived := watchArrivals(leavingTarget)
 			time.Sleep(3 * propagationTime)
-			t.Logf("%d of %d later than %v", seen.after(propagationTime), seen.after(-1), propagationTime)
-			require.NotZero(t, seen.after(-1))
-			require.Zero(t, seen.after(propagationTime), "requests that reached a leaving target")
+			t.Logf("%d of %d later than %v", arrived.after(propagationTime), arrived.after(-1), propagationTime)
+			require.NotZero(t, arrived.after(-1))
+			require.Zero(t, arrived.after(propagationTime), "requests that reached a leaving target")
 		})
 	}
 }
@@ -153,16 +153,16 @@
 func TestRequestedBackoffIsKept(t *testing.T) {
 	const rest = 2 * time.Second
 	instances, servers := readSite(t, 4, "a1")
-	tired := servers[0]
-	tired.SetScript(func(*http.Request) origin.Fault { return origin.Shed })
-	tired.SetSays(func(*http.Request) string { return "Retry-After: 2.0\r\n" })
-	seen := watchArrivals(tired)
+	target := servers[0]
+	target.SetScript(func(*http.Request) origin.Fault { return origin.Shed })
+	target.SetSays(func(*http.Request) string { return "Retry-After: 2.0\r\n" })
+	arrived := watchArrivals(target)
 	l := startLoadOf(instances, 4, (*instance).read)
 	time.Sleep(2 * rest)
 	served, all := l.stop()
-	t.Logf("%d requests during a back-off, %d of %d served", seen.maxAfterRejection(rest), served, all)
-	require.NotZero(t, seen.after(-1))
-	require.LessOrEqual(t, seen.maxAfterRejection(rest), maxDuringBackoff, "requests during a back-off")
+	t.Logf("%d requests during a back-off, %d of %d served", arrived.maxAfterRejection(rest), served, all)
+	require.NotZero(t, arrived.after(-1))
+	require.LessOrEqual(t, arrived.maxAfterRejection(rest), maxDuringBackoff, "requests during a back-off")
 	require.GreaterOrEqual(t, served*100, all*99, "served by the other targets")
 }
 
@@ -172,10 +172,10 @@
 func TestAllTargetsInBackoff(t *testing.T) {
 	const rest = 2 * time.Second
 	instances, servers := readSite(t, 3, "a1")
-	var seen []*arrivals
+	var arrived []*arrivals
 	for _, server := range servers {
 		v := watchArrivals(server)
-		seen = append(seen, v)
+		arrived = append(arrived, v)
 		server.SetSays(func(*http.Request) string { return "Retry-After: 2\r\n" })
 		server.SetScript(func(*http.Request) origin.Fault {
 			if v.after(-1) == 0 {
@@ -185,29 +185,29 @@
 		})
 	}
 	key := 0
-	allRest := func() bool {
+	allInBackoff := func() bool {
 		key++
 		instances[0].read(key)
-		for _, v := range seen {
+		for _, v := range arrived {
 			if v.after(-1) == 0 {
 				return false
 			}
 		}
 		return true
 	}
-	require.Eventually(t, allRest, wait, poll)
+	require.Eventually(t, allInBackoff, wait, poll)
 	got := instances[0].read(1)
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
-	told, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
+	retryAfter, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
 	first := time.Now().Add(rest)
-	for _, v := range seen {
+	for _, v := range arrived {
 		first = earliest(first, v.at[0].Add(rest))
 	}
-	require.GreaterOrEqual(t, told, time.Until(first).Seconds()-0.01, "seconds until the first target is available, rounded")
-	require.Less(t, told, 2*rest.Seconds()+maxUsualRetryAfter.Seconds(), "at most twice the back-off plus the usual Retry-After")
+	require.GreaterOrEqual(t, retryAfter, time.Until(first).Seconds()-0.01, "seconds until the first target is available, rounded")
+	require.Less(t, retryAfter, 2*rest.Seconds()+maxUsualRetryAfter.Seconds(), "at most twice the back-off plus the usual Retry-After")
 	require.Eventually(t, func() bool { return instances[0].read(1).status == http.StatusOK }, wait, poll)
-	for _, v := range seen {
+	for _, v := range arrived {
 		require.LessOrEqual(t, v.maxAfterRejection(rest), 0, "requests during a back-off")
 	}
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -194,11 +194,11 @@
 
 // readBody reads the whole body, so that the request can be sent again.
 func (g *Gateway) readBody(ex *exchange, limits catalog.Limits) (requestResult, bool) {
-	most := limits.BodyBytes
-	if most <= 0 {
-		most = defaultMaxBodyBytes
+	maxBytes := limits.BodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if ex.r.ContentLength > most {
+	if ex.r.ContentLength > maxBytes {
 		return requestResult{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", closeConn: true}, false
 	}
 	if ex.r.ContentLength == 0 {
@@ -206,7 +206,7 @@
 	}
 	control := http.NewResponseController(ex.w)
 	_ = control.SetReadDeadline(g.clock.System(ex.deadline))
-	body, err := readAll(http.MaxBytesReader(ex.w, ex.r.Body, most), ex.r.ContentLength)
+	body, err := readAll(http.MaxBytesReader(ex.w, ex.r.Body, maxBytes), ex.r.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -339,8 +339,8 @@
 // was looked up in the quarantine. A client that repeats such a request uses another ID, and the
 // digest identifies the request in both lines.
 func (ex *exchange) contentAttrs() []slog.Attr {
-	broken := slices.ContainsFunc(ex.attempts, func(h attemptRecord) bool { return h.Outcome == retry.Unknown.String() })
-	if !broken && !ex.heldForAccount && ex.digest == (quarantine.Digest{}) {
+	interrupted := slices.ContainsFunc(ex.attempts, func(h attemptRecord) bool { return h.Outcome == retry.Unknown.String() })
+	if !interrupted && !ex.heldForAccount && ex.digest == (quarantine.Digest{}) {
 		return nil
 	}
 	attrs := []slog.Attr{slog.String("content", ex.contentDigest().String())}
--- a/gateway/stored_records.go
+++ b/gateway/stored_records.go
@@ -26,10 +26,10 @@
 func (g *Gateway) storeRecords(now time.Time, digests []quarantine.Digest) {
 	for _, d := range digests {
 		g.quarantine.mu.Lock()
-		kept, ok := g.quarantine.table.StoredRecord(now, time.Now(), d)
+		record, ok := g.quarantine.table.StoredRecord(now, time.Now(), d)
 		g.quarantine.mu.Unlock()
 		if ok {
-			g.storeRecord(kept)
+			g.storeRecord(record)
 		}
 	}
 }
@@ -41,31 +41,31 @@
 
 // storeRecord writes a record in the background. It drops the record if too many writes are
 // pending.
-func (g *Gateway) storeRecord(kept quarantine.StoredRecord) {
+func (g *Gateway) storeRecord(record quarantine.StoredRecord) {
 	if g.quarantine.pendingWrites.Add(1) > maxPendingWrites {
 		g.quarantine.pendingWrites.Add(-1)
-		g.log.Warn(logRecordNotStored, "content", kept.Digest.String(), "error", "too many writes under way")
+		g.log.Warn(logRecordNotStored, "content", record.Digest.String(), "error", "too many writes under way")
 		return
 	}
 	g.startGoroutine(func() {
 		defer g.quarantine.pendingWrites.Add(-1)
-		g.createRecord(kept)
+		g.createRecord(record)
 	})
 }
 
-func (g *Gateway) createRecord(kept quarantine.StoredRecord) {
+func (g *Gateway) createRecord(record quarantine.StoredRecord) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeAttempts*storeRetryInterval)
 	defer cancel()
 	var err error
 	for !g.leaving.Load() && ctx.Err() == nil {
-		err = g.store.Create(ctx, KindTable, kept.Key(), kept)
+		err = g.store.Create(ctx, KindTable, record.Key(), record)
 		if err == nil {
 			return
 		}
 		pause.For(ctx, storeRetryInterval)
 	}
 	if err != nil {
-		g.log.Warn(logRecordNotStored, "content", kept.Digest.String(), "error", err.Error())
+		g.log.Warn(logRecordNotStored, "content", record.Digest.String(), "error", err.Error())
 	}
 }
 
@@ -74,26 +74,26 @@
 	if c.Removed {
 		return
 	}
-	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
+	record, err := quarantine.ParseStoredRecord(c.Name, c.Value)
 	if err != nil {
 		g.metrics.refusedEntries.Add(1, string(KindTable), "entry")
 		g.log.Error(logStoredRecordRefused, "name", c.Name, "error", err.Error(), "source", from.source, "revision", from.revision)
 		return
 	}
-	facts, ok := kept.Update(time.Now())
+	update, ok := record.Update(time.Now())
 	if !ok {
 		return
 	}
 	now := g.clock.Now()
 	g.quarantine.mu.Lock()
-	learned := g.quarantine.table.Merge(now, quarantine.Updates{facts})
+	changed := g.quarantine.table.Merge(now, quarantine.Updates{update})
 	g.quarantine.updateNonEmpty()
 	g.quarantine.mu.Unlock()
-	if kept.Released > 0 {
-		g.log.Info(logRequestReleased, "content", kept.Digest.String(), "who", kept.ReleasedBy)
+	if record.Released > 0 {
+		g.log.Info(logRequestReleased, "content", record.Digest.String(), "who", record.ReleasedBy)
 		return
 	}
-	g.logSuspects(now, learned, sourceStore)
+	g.logSuspects(now, changed, sourceStore)
 }
 
 // removeExpiredRecord removes one expired record from the store. Only the first watcher of a region
@@ -117,21 +117,21 @@
 	if !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
 		return "", false
 	}
-	over := ""
+	expired := ""
 	g.replicas[KindTable].Range(func(o feed.Object) {
-		kept, err := quarantine.ParseStoredRecord(o.Name, o.Value)
-		if err == nil && kept.Expired(time.Now()) {
-			over = o.Name
+		record, err := quarantine.ParseStoredRecord(o.Name, o.Value)
+		if err == nil && record.Expired(time.Now()) {
+			expired = o.Name
 		}
 	})
-	return over, over != ""
+	return expired, expired != ""
 }
 
 // releaseRank returns 1 for a record that releases a held request and 0 otherwise. Sorting by it
 // puts releases last.
 func releaseRank(c feed.Change) int {
-	kept, err := quarantine.ParseStoredRecord(c.Name, c.Value)
-	if err != nil || kept.Released == 0 {
+	record, err := quarantine.ParseStoredRecord(c.Name, c.Value)
+	if err != nil || record.Released == 0 {
 		return 0
 	}
 	return 1
--- a/gateway/stored_records_test.go
+++ b/gateway/stored_records_test.go
@@ -45,11 +45,11 @@
 		<-in.done
 	}
 	before := v.crashCount()
-	var again []*instance
+	var restarted []*instance
 	for i, hall := range []string{"a1", "a2", "b1"} {
-		again = append(again, v.site.instance("m"+string(rune('0'+i)), hall))
+		restarted = append(restarted, v.site.instance("m"+string(rune('0'+i)), hall))
 	}
-	for _, in := range again {
+	for _, in := range restarted {
 		in.awaitReady()
 		in.awaitStatus("/x/", 200)
 		for range 3 {
@@ -62,15 +62,15 @@
 // TestOperatorReleasesHeldRequest checks that all instances send a held request again after an
 // operator has released it.
 func TestOperatorReleasesHeldRequest(t *testing.T) {
-	var mended atomic.Bool
-	v, instances := newCrashSite(t, "idempotent", func(r *http.Request) bool { return isCrashing(r) && !mended.Load() })
+	var fixed atomic.Bool
+	v, instances := newCrashSite(t, "idempotent", func(r *http.Request) bool { return isCrashing(r) && !fixed.Load() })
 	holdCrashingRequest(t, v, instances)
-	mended.Store(true)
+	fixed.Store(true)
 	require.Equal(t, 503, instances[0].send("GET", crashPath, "").status)
 	key := v.site.storedRecords()[0]
-	kept, err := quarantine.ParseStoredRecord(key, []byte("{}"))
+	record, err := quarantine.ParseStoredRecord(key, []byte("{}"))
 	require.NoError(t, err)
-	release := quarantine.StoredRecord{Digest: kept.Digest, Released: time.Now().UnixMilli(), ReleasedBy: "ama"}
+	release := quarantine.StoredRecord{Digest: record.Digest, Released: time.Now().UnixMilli(), ReleasedBy: "ama"}
 	_, err = platform.NewObjects(v.site.addr).Put(t.Context(), release.Key(), 0, release)
 	require.NoError(t, err)
 	for _, in := range instances {
--- a/gateway/target_limit_owner.go
+++ b/gateway/target_limit_owner.go
@@ -50,11 +50,11 @@
 	candidates     map[string]fleet.Member
 }
 
-func newTargetLimitOwner(c Config, mesh *peer.Mesh, startedAt time.Time, known *targetLimits) *targetLimitOwner {
+func newTargetLimitOwner(c Config, mesh *peer.Mesh, startedAt time.Time, peerAddr *targetLimits) *targetLimitOwner {
 	return &targetLimitOwner{
 		name:           c.Name,
 		mesh:           mesh,
-		limits:         known,
+		limits:         peerAddr,
 		startedAt:      startedAt,
 		clock:          c.Clock,
 		issuer:         ratelimit.NewHallIssuer(startedAt, c.FirstStart),
@@ -74,7 +74,7 @@
 func (o *targetLimitOwner) updateOwners(now time.Time, c Config, registered map[string]fleet.Member, states []fleet.Status) (*ratelimit.Owners, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	present := maps.Clone(registered)
+	candidates := maps.Clone(registered)
 	alive := len(registered)
 	for _, s := range states {
 		if _, listed := registered[s.Name]; !listed || s.Name == o.name {
@@ -89,38 +89,38 @@
 			o.suspectedSince[s.Name] = now
 		}
 		if s.State == fleet.Stopping || now.Sub(o.suspectedSince[s.Name]) >= ownerFailoverDelay {
-			delete(present, s.Name)
+			delete(candidates, s.Name)
 		}
 	}
 	o.partitioned = 2*alive <= len(registered) && len(registered) > 1
-	if maps.Equal(present, o.candidates) {
+	if maps.Equal(candidates, o.candidates) {
 		return nil, false
 	}
-	o.candidates = present
+	o.candidates = candidates
 	clear(o.addrs)
-	places := make([]ratelimit.Instance, 0, len(present))
+	instances := make([]ratelimit.Instance, 0, len(candidates))
 	for _, m := range registered {
 		o.addrs[m.Name] = m.PeerAddr
 	}
-	for _, m := range present {
-		places = append(places, ratelimit.Instance{Name: m.Name, Hall: m.Hall, Region: m.Region})
+	for _, m := range candidates {
+		instances = append(instances, ratelimit.Instance{Name: m.Name, Hall: m.Hall, Region: m.Region})
 	}
-	owners := ratelimit.NewHallOwners(ratelimit.Instance{Name: c.Name, Hall: c.Hall, Region: c.Region}, c.RegionOf, places)
+	owners := ratelimit.NewHallOwners(ratelimit.Instance{Name: c.Name, Hall: c.Hall, Region: c.Region}, c.RegionOf, instances)
 	o.issuer.SetOwners(now, owners)
 	return owners, true
 }
 
 // request sends permit requests to the owners. Requests for which this instance is the owner are
 // handled directly.
-func (o *targetLimitOwner) request(now time.Time, asks []ratelimit.PermitRequest) {
-	for _, ask := range asks {
-		m := &peer.PermitRequest{Account: ask.Account, From: o.name, SentAt: o.timestamp(ask.At), N: ask.N, ForTarget: true, Limits: o.limits.update(now, targetOfPermits(ask.Account))}
-		if ask.To.Name == o.name {
+func (o *targetLimitOwner) request(now time.Time, requests []ratelimit.PermitRequest) {
+	for _, request := range requests {
+		m := &peer.PermitRequest{Account: request.Account, From: o.name, SentAt: o.timestamp(request.At), N: request.N, ForTarget: true, Limits: o.limits.update(now, targetOfPermits(request.Account))}
+		if request.To.Name == o.name {
 			o.issue(now, m)
 			continue
 		}
 		o.mu.Lock()
-		addr := o.addrs[ask.To.Name]
+		addr := o.addrs[request.To.Name]
 		o.mu.Unlock()
 		o.mesh.Send(addr, m)
 	}
@@ -230,15 +230,15 @@
 }
 
 // requestPermits sends the permit requests of pools, and reconnects to unresponsive owners.
-func (g *Gateway) requestPermits(asks []ratelimit.PermitRequest, silent []string) {
-	g.targetLimitOwner.reconnect(silent)
-	g.targetLimitOwner.request(g.clock.Now(), asks)
+func (g *Gateway) requestPermits(requests []ratelimit.PermitRequest, unresponsive []string) {
+	g.targetLimitOwner.reconnect(unresponsive)
+	g.targetLimitOwner.request(g.clock.Now(), requests)
 }
 
 // reconnect opens new connections to owners that do not reply, since the open connections may drop
 // all packets.
-func (o *targetLimitOwner) reconnect(silent []string) {
-	for _, name := range silent {
+func (o *targetLimitOwner) reconnect(unresponsive []string) {
+	for _, name := range unresponsive {
 		o.mu.Lock()
 		addr := o.addrs[name]
 		o.mu.Unlock()
@@ -250,8 +250,8 @@
 func (o *targetLimitOwner) instanceAt(addr string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for name, known := range o.addrs {
-		if known == addr {
+	for name, peerAddr := range o.addrs {
+		if peerAddr == addr {
 			return name
 		}
 	}
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -41,7 +41,7 @@
 // observe records what a target's response to a request sent at sentAt shows about its limit. It
 // returns the changed limit, and whether it is the first one that waits to be sent to the other
 // instances.
-func (l *targetLimits) observe(now, sentAt time.Time, id availability.ID, r upstream.Result) (fresh availability.RateLimitList, first bool) {
+func (l *targetLimits) observe(now, sentAt time.Time, id availability.ID, r upstream.Result) (changedLimits availability.RateLimitList, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.updateNonEmpty()
@@ -65,16 +65,16 @@
 // announcesNoLimit reports whether a response shows that its target has no limit. This needs a
 // complete response without a limit. A malformed value neither announces nor withdraws a limit.
 func announcesNoLimit(r upstream.Result) bool {
-	whole := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
-	return whole && !r.SelfReport.IsMalformed(availability.FieldRateLimit)
+	complete := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
+	return complete && !r.SelfReport.IsMalformed(availability.FieldRateLimit)
 }
 
 // merge merges the limits that another instance has sent, and returns those that have changed.
-func (l *targetLimits) merge(now time.Time, told availability.RateLimitList) availability.RateLimitList {
+func (l *targetLimits) merge(now time.Time, limits availability.RateLimitList) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.updateNonEmpty()
-	return l.known.Merge(now, told)
+	return l.known.Merge(now, limits)
 }
 
 // takeUnsent returns the limits that have to be sent to the other instances, and marks them as
@@ -141,11 +141,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer l.updateNonEmpty()
-	var ended availability.RateLimitList
+	var removals availability.RateLimitList
 	for _, id := range l.known.Expire(now) {
-		ended = append(ended, availability.RateLimit{ID: id, Removed: true})
+		removals = append(removals, availability.RateLimit{ID: id, Removed: true})
 	}
-	return ended
+	return removals
 }
 
 // observeLimit records what a response shows about its target's limit, and schedules gossip if the
@@ -155,8 +155,8 @@
 		return
 	}
 	now := g.clock.Now()
-	fresh, first := g.targetLimits.observe(now, d.SendState.GrantedAt, availability.IDOf(d.Target.ID), a.TargetResult)
-	g.applyLimits(now, fresh, availability.SourceTarget)
+	changedLimits, first := g.targetLimits.observe(now, d.SendState.GrantedAt, availability.IDOf(d.Target.ID), a.TargetResult)
+	g.applyLimits(now, changedLimits, availability.SourceTarget)
 	if first {
 		time.AfterFunc(rand.N(limitGossipDelay), g.gossipLimits)
 	}
@@ -165,37 +165,37 @@
 // gossipLimits sends the changed limits that this instance has observed to all instances.
 func (g *Gateway) gossipLimits() {
 	now := g.clock.Now()
-	for told := range slices.Chunk(g.targetLimits.takeUnsent(now), maxGossipedLimits) {
-		g.broadcast(now, peer.Gossip{Limits: told})
+	for limits := range slices.Chunk(g.targetLimits.takeUnsent(now), maxGossipedLimits) {
+		g.broadcast(now, peer.Gossip{Limits: limits})
 	}
 }
 
 // receiveLimits applies the limits that another instance has sent.
-func (g *Gateway) receiveLimits(now time.Time, told availability.RateLimitList) {
-	if len(told) == 0 {
+func (g *Gateway) receiveLimits(now time.Time, limits availability.RateLimitList) {
+	if len(limits) == 0 {
 		return
 	}
-	g.applyLimits(now, g.targetLimits.merge(now, told), availability.SourcePeer)
+	g.applyLimits(now, g.targetLimits.merge(now, limits), availability.SourcePeer)
 }
 
 // applyLimits applies changed limits to the pools.
-func (g *Gateway) applyLimits(now time.Time, fresh availability.RateLimitList, source availability.Source) {
-	if len(fresh) == 0 {
+func (g *Gateway) applyLimits(now time.Time, changedLimits availability.RateLimitList, source availability.Source) {
+	if len(changedLimits) == 0 {
 		return
 	}
-	g.logLimits(g.pools.applyRateLimits(now, fresh, source), source)
+	g.logLimits(g.pools.applyRateLimits(now, changedLimits, source), source)
 }
 
 // logLimits logs the targets whose limits have changed. Many changes are logged in one line.
 func (g *Gateway) logLimits(changed []string, source availability.Source) {
 	limited := 0
 	for _, target := range changed {
-		perSecond, is := g.targetLimits.get(availability.IDOf(target))
-		if is {
+		perSecond, hasLimit := g.targetLimits.get(availability.IDOf(target))
+		if hasLimit {
 			limited++
 		}
 		if len(changed) <= maxTargetEventLines {
-			g.log.Info(logTargetLimit, "target", target, "limited", is, "limit_per_s", perSecond, "source", source)
+			g.log.Info(logTargetLimit, "target", target, "limited", hasLimit, "limit_per_s", perSecond, "source", source)
 		}
 	}
 	if len(changed) > maxTargetEventLines {
--- a/gateway/target_limits_test.go
+++ b/gateway/target_limits_test.go
@@ -74,17 +74,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			instances, servers := readSite(t, 4, c.halls...)
-			needy := servers[0]
+			limitedTarget := servers[0]
 			l := startLoadOf(instances, 8, (*instance).read)
-			needy.SetScript(func(*http.Request) origin.Fault { return c.fault })
-			announceLimit(needy, c.perSecond)
-			seen := watchArrivals(needy)
+			limitedTarget.SetScript(func(*http.Request) origin.Fault { return c.fault })
+			announceLimit(limitedTarget, c.perSecond)
+			seen := watchArrivals(limitedTarget)
 			time.Sleep(limitPropagationTime + 2*limitWindow)
 			served, all := l.stop()
-			came := seen.maxInWindow(limitPropagationTime, limitWindow)
-			t.Logf("%d in %v, %d allowed; %d of %d served", came, limitWindow, maxRequests(c.perSecond), served, all)
-			require.LessOrEqual(t, came, maxRequests(c.perSecond))
-			require.NotZero(t, came, "the limit is used")
+			arrived := seen.maxInWindow(limitPropagationTime, limitWindow)
+			t.Logf("%d in %v, %d allowed; %d of %d served", arrived, limitWindow, maxRequests(c.perSecond), served, all)
+			require.LessOrEqual(t, arrived, maxRequests(c.perSecond))
+			require.NotZero(t, arrived, "the limit is used")
 			if c.fault != origin.Failed {
 				require.GreaterOrEqual(t, served*100, all*99, "the other targets have free slots")
 			}
@@ -109,9 +109,9 @@
 	used := func() bool {
 		sum := 0
 		for _, v := range seen {
-			came := v.maxInWindow(limitPropagationTime, limitWindow)
-			require.LessOrEqual(t, came, maxRequests(perSecond))
-			sum += came
+			arrived := v.maxInWindow(limitPropagationTime, limitWindow)
+			require.LessOrEqual(t, arrived, maxRequests(perSecond))
+			sum += arrived
 		}
 		t.Logf("%d in %v at all targets", sum, limitWindow)
 		return float64(sum) >= 0.9*all
@@ -132,9 +132,9 @@
 	announceLimit(servers[0], 4)
 	seen := watchArrivals(servers[0])
 	time.Sleep(limitPropagationTime + 2*limitWindow)
-	came := seen.maxInWindow(limitPropagationTime, limitWindow)
-	t.Logf("%d in %v, %d allowed", came, limitWindow, maxRequests(4))
-	require.LessOrEqual(t, came, maxRequests(4))
+	arrived := seen.maxInWindow(limitPropagationTime, limitWindow)
+	t.Logf("%d in %v, %d allowed", arrived, limitWindow, maxRequests(4))
+	require.LessOrEqual(t, arrived, maxRequests(4))
 }
 
 // firstTargetShare returns the fraction of requests that the first target receives, measured over
@@ -165,10 +165,10 @@
 		time.Sleep(limitPropagationTime)
 		require.Less(t, firstTargetShare(servers, limitPropagationTime), usual/2, "the limit is kept")
 		servers[0].SetSays(func(*http.Request) string { return "" })
-		ended := time.Now()
-		again := func() bool { return firstTargetShare(servers, time.Second) >= 0.7*usual }
-		require.Eventually(t, again, wait, poll)
-		t.Logf("usual share again after %v", time.Since(ended))
+		withdrawnAt := time.Now()
+		restored := func() bool { return firstTargetShare(servers, time.Second) >= 0.7*usual }
+		require.Eventually(t, restored, wait, poll)
+		t.Logf("usual share again after %v", time.Since(withdrawnAt))
 	}
 }
 
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -85,27 +85,27 @@
 const maxInterned = 4096
 
 // intern returns the shared copy of a string.
-func (l *targetList) intern(text string) string {
-	held, ok := l.interned[text]
+func (l *targetList) intern(s string) string {
+	held, ok := l.interned[s]
 	if ok {
 		return held
 	}
 	if len(l.interned) >= maxInterned {
 		clear(l.interned)
 	}
-	l.interned[text] = text
-	return text
+	l.interned[s] = s
+	return s
 }
 
 // remove records that a name has no usable target any more.
 func (l *targetList) remove(now time.Time, name string) {
-	last := incarnation{born: l.born(name), sequence: l.removed[name].sequence, removedAt: now}
+	incarnation := incarnation{born: l.born(name), sequence: l.removed[name].sequence, removedAt: now}
 	if spec := l.specs[name]; spec != nil {
-		last.sequence = spec.Sequence
+		incarnation.sequence = spec.Sequence
 	}
 	delete(l.specs, name)
 	delete(l.refused, name)
-	l.removed[name] = last
+	l.removed[name] = incarnation
 }
 
 // isFromBackup reports whether an entry of a store that was restored from a backup is older than
@@ -114,8 +114,8 @@
 	if known := l.specs[spec.Name]; known != nil {
 		return known.ID == spec.ID && spec.Sequence < known.Sequence
 	}
-	last, went := l.removed[spec.Name]
-	return went && last.born == spec.StartedAt && spec.Sequence <= last.sequence
+	incarnation, removed := l.removed[spec.Name]
+	return removed && incarnation.born == spec.StartedAt && spec.Sequence <= incarnation.sequence
 }
 
 // expire drops the incarnations of targets that were removed more than incarnationTTL ago.
@@ -205,10 +205,10 @@
 func (g *Gateway) rejectTarget(now time.Time, c feed.Change, err error, nth int, from provenance) {
 	g.targetList.remove(now, c.Name)
 	field := "entry"
-	var foreign *catalog.EntryError
-	if errors.As(err, &foreign) {
-		field = foreign.Field
-		g.targetList.refused[c.Name] = foreign
+	var entryErr *catalog.EntryError
+	if errors.As(err, &entryErr) {
+		field = entryErr.Field
+		g.targetList.refused[c.Name] = entryErr
 	}
 	g.metrics.refusedEntries.Add(1, string(KindTargets), field)
 	if nth <= maxRefusedLines {
@@ -221,16 +221,16 @@
 // names. The caller holds mu.
 func (g *Gateway) updatePools(now time.Time, before map[string]*catalog.Target) {
 	var changed []*catalog.Target
-	var gone []string
+	var removed []string
 	for name, old := range before {
 		spec, ok := g.targetList.specs[name]
 		if ok {
 			changed = append(changed, spec)
 		}
 		if old != nil && (!ok || old.ID != spec.ID) {
-			gone = append(gone, old.ID)
+			removed = append(removed, old.ID)
 		}
 	}
-	g.pools.changeTargets(now, changed, gone, g.evacuated)
-	g.applyListChanges(now, changed, gone)
+	g.pools.changeTargets(now, changed, removed, g.evacuated)
+	g.applyListChanges(now, changed, removed)
 }
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -26,13 +26,13 @@
 // acquireTrial requests a trial for a suspect request or a flagged account from its coordinator. If
 // the trial is not granted, it returns the time at which to request it again. At most one request
 // per digest is pending.
-func (g *Gateway) acquireTrial(ex *exchange, d quarantine.Digest) (granted bool, next time.Time) {
+func (g *Gateway) acquireTrial(ex *exchange, d quarantine.Digest) (granted bool, retryAt time.Time) {
 	now := g.clock.Now()
-	standing, _ := g.quarantine.status(now, d)
-	warden := g.coordinatorFor(now, d, standing.FailedTrials > 0)
-	ex.coordinator = warden
+	status, _ := g.quarantine.status(now, d)
+	coordinator := g.coordinatorFor(now, d, status.FailedTrials > 0)
+	ex.coordinator = coordinator
 	until := ex.deadline.Add(lateResponseMargin)
-	if warden.Name == g.config.Name {
+	if coordinator.Name == g.config.Name {
 		g.quarantine.mu.Lock()
 		defer g.quarantine.mu.Unlock()
 		return g.quarantine.coordinator.Acquire(now, &g.quarantine.table, d, g.config.Name, until)
@@ -44,17 +44,17 @@
 		return false, now.Add(defaultRetryAfter)
 	}
 	g.quarantine.pendingTrials[d] = wait
-	news := g.quarantine.table.Updates(now, d)
+	updates := g.quarantine.table.Updates(now, d)
 	g.quarantine.mu.Unlock()
 	defer g.endTrialRequest(d)
-	g.mesh.Send(warden.PeerAddr, &peer.TrialRequest{Digest: d, From: g.config.Name, ReplyTo: g.view.Self().PeerAddr, Timeout: until.Sub(now), Updates: news})
+	g.mesh.Send(coordinator.PeerAddr, &peer.TrialRequest{Digest: d, From: g.config.Name, ReplyTo: g.view.Self().PeerAddr, Timeout: until.Sub(now), Updates: updates})
 	select {
-	case answer := <-wait:
-		return answer.granted, now.Add(answer.retryAfter)
+	case reply := <-wait:
+		return reply.granted, now.Add(reply.retryAfter)
 	case <-ex.ctx.Done():
 	case <-time.After(trialReplyTimeout):
-		g.markUnresponsive(warden.Name)
-		g.mesh.ReconnectBoth(warden.PeerAddr)
+		g.markUnresponsive(coordinator.Name)
+		g.mesh.ReconnectBoth(coordinator.PeerAddr)
 	}
 	return false, now.Add(defaultRetryAfter)
 }
@@ -81,13 +81,13 @@
 func (g *Gateway) coordinatorFor(now time.Time, d quarantine.Digest, hasFailed bool) fleet.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	away := make(map[string]bool)
+	unavailable := make(map[string]bool)
 	if !hasFailed {
-		away = g.unavailableInstances(now)
+		unavailable = g.unavailableInstances(now)
 	}
 	names := []string{g.config.Name}
 	for name := range g.registered {
-		if name != g.config.Name && !away[name] {
+		if name != g.config.Name && !unavailable[name] {
 			names = append(names, name)
 		}
 	}
@@ -139,9 +139,9 @@
 func (g *Gateway) releaseTrial(d quarantine.Digest, from string, answered bool) {
 	now := g.clock.Now()
 	g.quarantine.mu.Lock()
-	acquitted := g.quarantine.coordinator.Release(&g.quarantine.table, now, d, from, answered)
+	released := g.quarantine.coordinator.Release(&g.quarantine.table, now, d, from, answered)
 	g.quarantine.mu.Unlock()
-	if !acquitted {
+	if !released {
 		return
 	}
 	g.log.Info(logAccountReleased, "content", d.String())
@@ -160,12 +160,12 @@
 	defer g.quarantine.mu.Unlock()
 	g.quarantine.table.Merge(now, m.Updates)
 	g.quarantine.updateNonEmpty()
-	granted, next := g.quarantine.coordinator.Acquire(now, &g.quarantine.table, m.Digest, m.From, now.Add(m.Timeout))
-	answer := &peer.TrialReply{Digest: m.Digest, Granted: granted}
+	granted, retryAt := g.quarantine.coordinator.Acquire(now, &g.quarantine.table, m.Digest, m.From, now.Add(m.Timeout))
+	reply := &peer.TrialReply{Digest: m.Digest, Granted: granted}
 	if !granted {
-		answer.RetryAfter = next.Sub(now)
+		reply.RetryAfter = retryAt.Sub(now)
 	}
-	g.mesh.Send(m.ReplyTo, answer)
+	g.mesh.Send(m.ReplyTo, reply)
 }
 
 // receiveTrialReply handles a coordinator's reply.
--- a/gateway/trial_test.go
+++ b/gateway/trial_test.go
@@ -21,13 +21,13 @@
 	}
 	for _, uri := range []string{"/a/", "/b/", "/c/", "/d/", "/e/", "/f/"} {
 		d := quarantine.Content{URI: uri}.Digest()
-		first := g.coordinatorFor(now, d, false)
-		if first.Name == "n1" {
+		coordinator := g.coordinatorFor(now, d, false)
+		if coordinator.Name == "n1" {
 			continue
 		}
-		g.markUnresponsive(first.Name)
-		require.NotEqual(t, first.Name, g.coordinatorFor(now, d, false).Name)
-		require.Equal(t, first.Name, g.coordinatorFor(now, d, true).Name)
-		delete(g.quarantine.unresponsive, first.Name)
+		g.markUnresponsive(coordinator.Name)
+		require.NotEqual(t, coordinator.Name, g.coordinatorFor(now, d, false).Name)
+		require.Equal(t, coordinator.Name, g.coordinatorFor(now, d, true).Name)
+		delete(g.quarantine.unresponsive, coordinator.Name)
 	}
 }
