--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -248,9 +248,9 @@
 // wake delivers results to the requests that wait for them. The caller holds mu.
 func (p *accountPermits) wake(results []ratelimit.Result) {
 	for _, result := range results {
-		if waiting := p.waiting[result.ID]; waiting != nil {
+		if wait := p.waiting[result.ID]; wait != nil {
 			delete(p.waiting, result.ID)
-			waiting <- result
+			wait <- result
 		}
 	}
 }
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -34,8 +34,8 @@
 // incarnation identifies a process of a target by its start time, the sequence number of its last
 // write, and the time at which its entry was removed. removedAt is zero while the entry exists.
 type incarnation struct {
-	born, sequence int64
-	removedAt      time.Time
+	startedAt, sequence int64
+	removedAt           time.Time
 }
 
 // incarnationTTL is how long the incarnation of a removed target is remembered. The store may apply
@@ -51,30 +51,30 @@
 	}
 }
 
-// born returns the start time of the latest known incarnation of a target, 0 if it is not known.
-func (l *targetList) born(name string) int64 {
+// startedAt returns the start time of the latest known incarnation of a target, 0 if it is not known.
+func (l *targetList) startedAt(name string) int64 {
 	if spec := l.specs[name]; spec != nil && spec.StartedAt > 0 {
 		return spec.StartedAt
 	}
-	return l.removed[name].born
+	return l.removed[name].startedAt
 }
 
 // isOutdated reports whether an entry belongs to an earlier incarnation than the latest known one.
 func (l *targetList) isOutdated(spec catalog.Target) bool {
-	return spec.StartedAt > 0 && spec.StartedAt < l.born(spec.Name)
+	return spec.StartedAt > 0 && spec.StartedAt < l.startedAt(spec.Name)
 }
 
 // put records the entry of a usable target.
 func (l *targetList) put(spec catalog.Target) {
 	spec.Service, spec.Version, spec.Hall = l.intern(spec.Service), l.intern(spec.Version), l.intern(spec.Hall)
-	known := l.born(spec.Name)
+	known := l.startedAt(spec.Name)
 	l.specs[spec.Name] = &spec
 	delete(l.refused, spec.Name)
 	switch {
 	case spec.StartedAt > 0:
 		delete(l.removed, spec.Name)
 	case known > 0:
-		l.removed[spec.Name] = incarnation{born: known}
+		l.removed[spec.Name] = incarnation{startedAt: known}
 	default:
 		delete(l.removed, spec.Name)
 	}
@@ -99,13 +99,13 @@
 
 // remove records that a name has no usable target any more.
 func (l *targetList) remove(now time.Time, name string) {
-	incarnation := incarnation{born: l.born(name), sequence: l.removed[name].sequence, removedAt: now}
+	last := incarnation{startedAt: l.startedAt(name), sequence: l.removed[name].sequence, removedAt: now}
 	if spec := l.specs[name]; spec != nil {
-		incarnation.sequence = spec.Sequence
+		last.sequence = spec.Sequence
 	}
 	delete(l.specs, name)
 	delete(l.refused, name)
-	l.removed[name] = incarnation
+	l.removed[name] = last
 }
 
 // isFromBackup reports whether an entry of a store that was restored from a backup is older than
@@ -114,8 +114,8 @@
 	if known := l.specs[spec.Name]; known != nil {
 		return known.ID == spec.ID && spec.Sequence < known.Sequence
 	}
-	incarnation, removed := l.removed[spec.Name]
-	return removed && incarnation.born == spec.StartedAt && spec.Sequence <= incarnation.sequence
+	last, removed := l.removed[spec.Name]
+	return removed && last.startedAt == spec.StartedAt && spec.Sequence <= last.sequence
 }
 
 // expire drops the incarnations of targets that were removed more than incarnationTTL ago.
@@ -161,7 +161,7 @@
 			continue
 		}
 		if g.targetList.isOutdated(spec) {
-			g.log.Log(ctx, level, logTargetOld, "target", c.Name, "born", spec.StartedAt, "known", g.targetList.born(c.Name), "source", from.source, "revision", from.revision)
+			g.log.Log(ctx, level, logTargetOld, "target", c.Name, "born", spec.StartedAt, "known", g.targetList.startedAt(c.Name), "source", from.source, "revision", from.revision)
 			continue
 		}
 		if from.restored && g.isStaleAfterRestore(now, spec) {
