--- a/internal/logqueue/limit.go
+++ b/internal/logqueue/limit.go
@@ -7,33 +7,37 @@
 	"time"
 )
 
-// Limit bounds the lines of one message. Lines of any other message pass.
+// Limit is a rate limit for the lines of one message. Lines with any other message are not limited.
 type Limit struct {
 	Message string
-	// PerSecond is the number of lines that pass in a second. Lines of level
-	// INFO and below, which tell of ordinary successes, may use half of them,
-	// so that they never take the place of failures.
+	// PerSecond is the number of lines that are passed on in each second. Lines of level INFO and
+	// below report ordinary successes. They are passed on only while fewer than half of this
+	// number have been, so that they cannot crowd out the lines that report failures.
 	PerSecond int
 }
 
-// Handler is a slog.Handler that thins out one message. What it drops it counts,
-// and it tells the count once a second.
+// Handler is a slog.Handler that limits the rate of one message. It counts the lines that it drops.
+// Before the first line of that message in a later second, it logs the counts in a line of level
+// WARN with the message DroppedMessage.
 type Handler struct {
 	slog.Handler
 	state *limitState
 }
 
+// limitState counts the lines of the current second. Handlers that WithAttrs and WithGroup derive
+// share it.
 type limitState struct {
 	limit Limit
 
-	mu              sync.Mutex
+	mu sync.Mutex
+	// second is the current second in Unix time.
 	second          int64
 	admitted        int
 	droppedFailures int
 	droppedOthers   int
 }
 
-// NewHandler returns a handler that passes to next what the limit allows.
+// NewHandler returns a handler that passes records on to next within the given limit.
 func NewHandler(next slog.Handler, limit Limit) *Handler {
 	return &Handler{Handler: next, state: &limitState{limit: limit}}
 }
@@ -55,10 +59,11 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// DroppedMessage is the message of the line that tells how many were dropped.
+// DroppedMessage is the message of the lines that report how many lines were dropped.
 const DroppedMessage = "log lines dropped"
 
-// admit tells whether a line passes, and what an ended second has dropped.
+// admit reports whether a line is passed on. For the first line of a second, it also returns how
+// many failures and how many other lines were dropped since the previous report.
 func (s *limitState) admit(now time.Time, failure bool) (pass bool, failures, other int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -15,7 +15,7 @@
 	"github.com/rainford/rainford/internal/logqueue"
 )
 
-// buffer is a bytes.Buffer for two goroutines.
+// buffer is a bytes.Buffer that is safe for concurrent use.
 type buffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -33,6 +33,8 @@
 	return strings.Split(strings.TrimSpace(b.b.String()), "\n")
 }
 
+// TestLinesArriveInOrder checks that Close writes the queued lines, in the order of the calls of
+// Write.
 func TestLinesArriveInOrder(t *testing.T) {
 	var out buffer
 	w := logqueue.New(&out)
@@ -43,8 +45,9 @@
 	require.Equal(t, []string{"a", "b", "c"}, out.lines())
 }
 
-// TestWriterDoesNotBlockOnFullPipe writes to a pipe that nobody reads until far more is
-// written than it holds, and then reads it: what was dropped is told.
+// TestWriterDoesNotBlockOnFullPipe checks that a full pipe, whose reader has stalled, does not block
+// Write. It writes far more than the pipe and the queue hold before it reads the pipe. The output
+// then has to report the dropped lines.
 func TestWriterDoesNotBlockOnFullPipe(t *testing.T) {
 	r, pipe, err := os.Pipe()
 	require.NoError(t, err)
@@ -60,7 +63,7 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("a full pipe blocks the writer")
+		t.Fatal("Write blocks on a full pipe")
 	}
 	require.Positive(t, w.Dropped())
 	var out buffer
@@ -72,8 +75,8 @@
 	_ = pipe.Close()
 }
 
-// TestLimit checks that a burst is thinned out, failures last, that other
-// messages pass, and that the count of what was dropped is told.
+// TestLimit checks that a burst of one message is limited and leaves room for failures, that other
+// messages are not limited, and that the number of dropped lines is logged in a later second.
 func TestLimit(t *testing.T) {
 	var out buffer
 	log := slog.New(logqueue.NewHandler(slog.NewJSONHandler(&out, nil), logqueue.Limit{Message: "request", PerSecond: 10}))
@@ -88,7 +91,7 @@
 	burst()
 	log.Info("belief")
 	first := len(out.lines())
-	require.LessOrEqual(t, first, 2*10+2, "two seconds may have begun")
+	require.LessOrEqual(t, first, 2*10+2, "10 lines in each of two seconds, a report of dropped lines and another message")
 	time.Sleep(1100 * time.Millisecond)
 	log.Warn("request")
 	all := strings.Join(out.lines(), "\n")
