--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDetector checks that a suspension is found out by the first reading after it, that a
-// time of day that is set is none, and that the clock that costs a system call is read only
-// when the time of day has moved.
+// TestDetector checks that the first reading after a suspension detects it, that setting the wall
+// clock does not count as a suspension, and that the boot time clock, which costs a system call, is
+// read only after the wall clock has moved relative to the monotonic clock.
 func TestDetector(t *testing.T) {
 	boot, reads := time.Hour, 0
 	d := newDetector(func() time.Duration { reads++; return boot })
@@ -22,15 +22,16 @@
 	advance(time.Second)
 	monotonic += time.Second
 	require.Zero(t, d.suspendedAt(wall, monotonic))
-	require.Equal(t, 1, reads, "at the begin")
+	require.Equal(t, 1, reads, "the boot time clock is read at the start only")
 
-	// The time of day is set.
+	// The wall clock is set forward.
 	wall += int64(2 * time.Second)
 	require.Zero(t, d.suspendedAt(wall, monotonic))
 	require.Zero(t, d.suspendedAt(wall, monotonic))
 	require.Equal(t, 2, reads)
 
-	// Suspended, and set back by as much and a little more.
+	// The machine is suspended. The suspension goes unnoticed while the wall clock is set back by
+	// exactly its length, and is counted once the wall clock differs.
 	for _, step := range []time.Duration{5 * time.Second, time.Minute} {
 		advance(step)
 		before := d.suspendedAt(wall-int64(step), monotonic)
@@ -42,7 +43,8 @@
 	require.Equal(t, 66*time.Second, d.suspendedAt(wall, monotonic))
 }
 
-// TestClock checks that times count suspensions and are turned back for the runtime.
+// TestClock checks that the clock's times include suspensions, that System converts them to the
+// runtime's time, and that a nil clock and a fresh Real clock include none.
 func TestClock(t *testing.T) {
 	suspended := time.Duration(0)
 	c := New(func(time.Time) time.Duration { return suspended })
