--- a/gateway/self_report_test.go
+++ b/gateway/self_report_test.go
@@ -151,18 +151,18 @@
 // got 1,124 requests in nine seconds, and one in fourteen reads was refused although the other
 // targets had free slots.
 func TestRequestedBackoffIsKept(t *testing.T) {
-	const rest = 2 * time.Second
+	const backoff = 2 * time.Second
 	instances, servers := readSite(t, 4, "a1")
 	target := servers[0]
 	target.SetScript(func(*http.Request) origin.Fault { return origin.Shed })
 	target.SetSays(func(*http.Request) string { return "Retry-After: 2.0\r\n" })
 	arrived := watchArrivals(target)
 	l := startLoadOf(instances, 4, (*instance).read)
-	time.Sleep(2 * rest)
+	time.Sleep(2 * backoff)
 	served, all := l.stop()
-	t.Logf("%d requests during a back-off, %d of %d served", arrived.maxAfterRejection(rest), served, all)
+	t.Logf("%d requests during a back-off, %d of %d served", arrived.maxAfterRejection(backoff), served, all)
 	require.NotZero(t, arrived.after(-1))
-	require.LessOrEqual(t, arrived.maxAfterRejection(rest), maxDuringBackoff, "requests during a back-off")
+	require.LessOrEqual(t, arrived.maxAfterRejection(backoff), maxDuringBackoff, "requests during a back-off")
 	require.GreaterOrEqual(t, served*100, all*99, "served by the other targets")
 }
 
@@ -170,7 +170,7 @@
 // back-off, that the Retry-After covers the time until the first target is available again, and
 // that no target gets a request until then.
 func TestAllTargetsInBackoff(t *testing.T) {
-	const rest = 2 * time.Second
+	const backoff = 2 * time.Second
 	instances, servers := readSite(t, 3, "a1")
 	var arrived []*arrivals
 	for _, server := range servers {
@@ -200,14 +200,14 @@
 	require.Equal(t, http.StatusServiceUnavailable, got.status)
 	retryAfter, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	require.NoError(t, err)
-	first := time.Now().Add(rest)
+	first := time.Now().Add(backoff)
 	for _, v := range arrived {
-		first = earliest(first, v.at[0].Add(rest))
+		first = earliest(first, v.at[0].Add(backoff))
 	}
 	require.GreaterOrEqual(t, retryAfter, time.Until(first).Seconds()-0.01, "seconds until the first target is available, rounded")
-	require.Less(t, retryAfter, 2*rest.Seconds()+maxUsualRetryAfter.Seconds(), "at most twice the back-off plus the usual Retry-After")
+	require.Less(t, retryAfter, 2*backoff.Seconds()+maxUsualRetryAfter.Seconds(), "at most twice the back-off plus the usual Retry-After")
 	require.Eventually(t, func() bool { return instances[0].read(1).status == http.StatusOK }, wait, poll)
 	for _, v := range arrived {
-		require.LessOrEqual(t, v.maxAfterRejection(rest), 0, "requests during a back-off")
+		require.LessOrEqual(t, v.maxAfterRejection(backoff), 0, "requests during a back-off")
 	}
 }
--- a/gateway/target_limit_owner_test.go
+++ b/gateway/target_limit_owner_test.go
@@ -74,10 +74,10 @@
 	} {
 		w := newOwnerTest(self, 4)
 		require.Equal(t, first, ownerOf(w.review(nil)))
-		away := map[string]fleet.State{first: c.state}
-		changed := w.review(away)
+		states := map[string]fleet.State{first: c.state}
+		changed := w.review(states)
 		w.now = w.now.Add(c.after)
-		if later := w.review(away); later != nil {
+		if later := w.review(states); later != nil {
 			changed = later
 		}
 		if c.stays {
