--- a/gateway/crashing_request_test.go
+++ b/gateway/crashing_request_test.go
@@ -231,7 +231,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	require.LessOrEqual(t, v.crashCount(), maxCrashes)
-	for name, l := range map[string]*load{"hot": frequent, "rest": others} {
+	for name, l := range map[string]*load{"frequent": frequent, "others": others} {
 		served, all := l.stop()
 		t.Logf("%s: %d of %d served", name, served, all)
 		require.Greater(t, served*100, all*98, name)
--- a/gateway/lookup_test.go
+++ b/gateway/lookup_test.go
@@ -21,7 +21,7 @@
 
 // TestAddresses checks to which instances clients of hall a1 are directed: those of the hall, also
 // those of the region if few of the hall serve, and those of other regions if the region has none.
-// An instance that has just started includes members that it has not heard from.
+// An instance that has just started includes members from which it has received nothing yet.
 func TestAddresses(t *testing.T) {
 	join := func(lists ...[]fleet.Status) []fleet.Status {
 		var out []fleet.Status
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -97,7 +97,7 @@
 }
 
 // acquire acquires a permit for a request of an account. If the instance has none, it waits for an
-// owner's reply. The result tells why there is no permit.
+// owner's reply. The result states why there is no permit.
 func (p *accountPermits) acquire(ctx context.Context, account string) (permit, ratelimit.Result) {
 	now := p.clock.Now()
 	p.mu.Lock()
