--- a/gateway/account.go
+++ b/gateway/account.go
@@ -74,9 +74,9 @@
 
 // beforeBody adapts the result of a request whose body was not read. If the body may be longer than
 // maxDiscardedBody, the connection is closed after the response instead of reading the body.
-func beforeBody(ex *exchange, v requestResult) requestResult {
-	v.closeConn = v.closeConn || ex.r.ContentLength < 0 || ex.r.ContentLength > maxDiscardedBody
-	return v
+func beforeBody(ex *exchange, result requestResult) requestResult {
+	result.closeConn = result.closeConn || ex.r.ContentLength < 0 || ex.r.ContentLength > maxDiscardedBody
+	return result
 }
 
 // maxDiscardedBody is the longest body of a refused request that is read and discarded to keep the
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -50,8 +50,8 @@
 	unknown := false
 	backoff := defaultRetryAfter
 	for sent, unsent := 0, 0; sent < ex.maxAttempts() && unsent <= maxUnsentAttempts; {
-		if v, ok := g.checkQuarantine(ex, unknown); !ok {
-			return v, nil
+		if result, ok := g.checkQuarantine(ex, unknown); !ok {
+			return result, nil
 		}
 		if sent > 0 && !p.spendRetry() {
 			return p.finalRefusal(request, unknown, "no-budget", backoff), nil
@@ -63,12 +63,12 @@
 		if decision.Action != upstream.Send {
 			return failedResult(unknown, string(decision.Reason), decision.RetryAfter), nil
 		}
-		if v, ok := g.recheckKey(ex); !ok {
+		if result, ok := g.recheckKey(ex); !ok {
 			p.releaseUnsent(decision)
 			if unknown {
-				v = failedResult(unknown, v.reason, 0)
+				result = failedResult(unknown, result.reason, 0)
 			}
-			return v, nil
+			return result, nil
 		}
 		if !g.isStillAllowed(ex) {
 			p.releaseUnsent(decision)
@@ -97,8 +97,8 @@
 			unsent++
 		}
 		unknown = unknown || a.Outcome == retry.Unknown
-		if stop, v := g.afterAttempt(ex, a); stop {
-			return v, nil
+		if stop, result := g.afterAttempt(ex, a); stop {
+			return result, nil
 		}
 		if a.TargetResult.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.TargetResult.SelfReport.Restricts() {
 			// The request goes to the same target again: it was not full, and it probably has the
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -340,8 +340,8 @@
 }
 
 // permitResultName returns the name of a decision in the metrics.
-func permitResultName(v ratelimit.Decision) string {
-	switch v {
+func permitResultName(decision ratelimit.Decision) string {
+	switch decision {
 	case ratelimit.Admit:
 		return "admitted"
 	case ratelimit.Refuse:
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -149,9 +149,9 @@
 	if unknown {
 		return failedResult(true, reasonAccountCrashesTargets, 0), false
 	}
-	v, ok := g.startTrial(ex, account, status, reasonAccountCrashesTargets)
+	result, ok := g.startTrial(ex, account, status, reasonAccountCrashesTargets)
 	ex.heldForAccount = !ok
-	return v, ok
+	return result, ok
 }
 
 // startTrial makes the request a trial for a digest if a trial may start now, and returns a refusal
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -106,8 +106,8 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	v, resp := g.serve(ex)
-	g.finish(ex, v, resp)
+	result, resp := g.serve(ex)
+	g.finish(ex, result, resp)
 }
 
 // serve finds the route, checks the account and its rate limit, reads the body and sends the
@@ -134,28 +134,28 @@
 	}
 	ex.service = ex.route.ServiceFor(ex.id)
 	ex.deadline = ex.start.Add(g.timeLimit(ex))
-	v, ok := g.identify(ex, router)
+	result, ok := g.identify(ex, router)
 	if !ok {
-		return v, nil
+		return result, nil
 	}
 	if ex.r.ContentLength == 0 {
 		// The permit is acquired after the wait, since it could expire during it.
-		v, ok = ex.awaitPipelineTurn()
+		result, ok = ex.awaitPipelineTurn()
 		if !ok {
-			return v, nil
+			return result, nil
 		}
 	}
-	v, ok = g.admit(ex)
+	result, ok = g.admit(ex)
 	if !ok {
-		return v, nil
+		return result, nil
 	}
-	v, ok = g.readBody(ex, limits)
+	result, ok = g.readBody(ex, limits)
 	if !ok {
-		return v, nil
+		return result, nil
 	}
-	v, ok = ex.awaitPipelineTurn()
+	result, ok = ex.awaitPipelineTurn()
 	if !ok {
-		return v, nil
+		return result, nil
 	}
 	return g.run(ex)
 }
@@ -238,22 +238,22 @@
 }
 
 // finish sends the final response and logs the result with its reason.
-func (g *Gateway) finish(ex *exchange, v requestResult, resp *forward.Response) {
-	status := v.status
+func (g *Gateway) finish(ex *exchange, result requestResult, resp *forward.Response) {
+	status := result.status
 	_ = http.NewResponseController(ex.w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	switch {
-	case ex.ctx.Err() != nil || v.reason == reasonClientLeft:
-		status, v.reason = 0, reasonClientLeft
+	case ex.ctx.Err() != nil || result.reason == reasonClientLeft:
+		status, result.reason = 0, reasonClientLeft
 	case resp != nil:
 		status = resp.Status
 		g.relayResponse(ex, resp)
 	default:
-		g.writeRefusal(ex, v)
+		g.writeRefusal(ex, result)
 	}
 	if resp == nil && hasNotRun(status) {
 		g.accountPermits.release(ex.permit)
 	}
-	g.recordRequest(ex, status, v.reason)
+	g.recordRequest(ex, status, result.reason)
 	if status == 0 {
 		// The connection is aborted, so that the client receives nothing that it could take for a
 		// response.
@@ -276,19 +276,19 @@
 	}
 }
 
-func (g *Gateway) writeRefusal(ex *exchange, v requestResult) {
+func (g *Gateway) writeRefusal(ex *exchange, result requestResult) {
 	h := ex.w.Header()
 	if ex.id != "" {
 		h.Set(g.headers.RequestID, ex.id)
 	}
-	if v.retryAfter > 0 {
-		h.Set(g.headers.RetryAfter, strconv.FormatFloat(v.retryAfter.Seconds(), 'f', 2, 64))
+	if result.retryAfter > 0 {
+		h.Set(g.headers.RetryAfter, strconv.FormatFloat(result.retryAfter.Seconds(), 'f', 2, 64))
 	}
-	if v.closeConn {
+	if result.closeConn {
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Length", "0")
-	ex.w.WriteHeader(v.status)
+	ex.w.WriteHeader(result.status)
 }
 
 // recordRequest counts and logs a request. It logs each failure, each retried request, and a sample
