--- a/cmd/rainford/gateways_test.go
+++ b/cmd/rainford/gateways_test.go
@@ -29,16 +29,16 @@
 		return text
 	}
 	require.Contains(t, status(), "1 targets, 0 of them get nothing")
-	w.server.SetRest(time.Now().Add(time.Minute), 30*time.Second)
+	w.server.SetRetryAfter(time.Now().Add(time.Minute), 30*time.Second)
 	w.send("asks")
 	text := status()
 	require.Regexp(t, `i-1 +a1 +s +resting by word`, text)
 	require.Regexp(t, `until in 29\.\d+s`, text)
 	require.Contains(t, text, "127.0.0.1:1  no answer")
-	w.server.SetRest(time.Now(), 0)
+	w.server.SetRetryAfter(time.Now(), 0)
 
 	limited := newWalk(t)
-	limited.server.SetSays(func(*http.Request) string { return "Server-Limit: 2.5\r\n" })
+	limited.server.SetExtraHeaders(func(*http.Request) string { return "Server-Limit: 2.5\r\n" })
 	require.Eventually(t, func() bool { return limited.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	text, code := runCommand(t, "status", "-gateways", limited.admin)
 	require.Zero(t, code)
@@ -46,7 +46,7 @@
 
 	left := newWalk(t)
 	require.Eventually(t, func() bool { return left.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
-	left.server.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+	left.server.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	left.send("told")
 	text, code = runCommand(t, "status", "-gateways", left.admin, "-json")
 	require.Zero(t, code)
--- a/cmd/rainford/walks_account_test.go
+++ b/cmd/rainford/walks_account_test.go
@@ -20,7 +20,7 @@
 			Service: "s", MaxAttempts: 2, AllowedRegions: homes}
 	}
 	w.store.Configure(objects.Configuration{
-		Version:  objects.VersionText(version),
+		Version:  objects.FormatVersion(version),
 		Routes:   map[string]objects.Route{"r-once": route("/"), "r-home": route("/home/", "a")},
 		Services: map[string]objects.Service{"s": {}},
 		Tenants: map[string]objects.Tenant{
@@ -101,7 +101,7 @@
 	sent := 0
 	held := func() bool {
 		sent++
-		w.script(origin.End)
+		w.script(origin.Crash)
 		status := w.sendAs(fmt.Sprint("end", sent), "ada-key", fmt.Sprint("/", sent))
 		if status == 502 {
 			w.replace(fmt.Sprint("i-next", sent))
--- a/cmd/rainford/walks_test.go
+++ b/cmd/rainford/walks_test.go
@@ -148,7 +148,7 @@
 // TestWalkUnknown follows a request whose answer was lost after it was sent.
 func TestWalkUnknown(t *testing.T) {
 	w := newWalk(t)
-	w.script(origin.Lost)
+	w.script(origin.LostResponse)
 	require.Equal(t, 502, w.send("lost"))
 	text := w.explain("lost")
 	require.Contains(t, text, "request lost: 502, the connection or the answer broke after it was sent")
@@ -173,7 +173,7 @@
 func TestWalkEnding(t *testing.T) {
 	w := newWalk(t)
 	for i, id := range []string{"i-2", "i-3", "i-4"} {
-		w.script(origin.End)
+		w.script(origin.Crash)
 		ends := func() bool { return w.send(fmt.Sprint("end", i)) == 502 }
 		require.Eventually(t, ends, 10*time.Second, 20*time.Millisecond)
 		w.replace(id)
@@ -191,7 +191,7 @@
 func TestWalkRest(t *testing.T) {
 	w := newWalk(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
-	w.server.SetRest(time.Now().Add(time.Minute), 30*time.Second)
+	w.server.SetRetryAfter(time.Now().Add(time.Minute), 30*time.Second)
 	require.Equal(t, 503, w.send("asks"))
 	require.Equal(t, 503, w.send("rests"))
 	require.Contains(t, w.explain("asks"), "the target asked for 30000 ms of rest")
@@ -204,7 +204,7 @@
 func TestWalkLeaving(t *testing.T) {
 	w := newWalk(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
-	w.server.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+	w.server.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	require.Equal(t, 200, w.send("told"))
 	require.Equal(t, 503, w.send("none"))
 	text := w.explain("none")
--- a/forward/client_test.go
+++ b/forward/client_test.go
@@ -70,7 +70,7 @@
 		{"no content length", origin.Unframed, retry.Ran, true, true},
 		{"no content length, then a reset", origin.UnframedReset, retry.Unknown, false, true},
 		{"truncated response", origin.Cut, retry.Unknown, false, true},
-		{"no response", origin.Lost, retry.Unknown, false, true},
+		{"no response", origin.LostResponse, retry.Unknown, false, true},
 		{"garbage", origin.Garbage, retry.Unknown, false, false},
 		{"unsigned", origin.Unsigned, retry.Unknown, false, true},
 		{"server error", origin.Failed, retry.Ran, true, true},
@@ -156,7 +156,7 @@
 func TestResetConnectionIsNotReused(t *testing.T) {
 	s, c := startTarget(t, origin.None)
 	c.Do(context.Background(), newRequest(s))
-	s.Forget()
+	s.ResetConnections()
 	time.Sleep(20 * time.Millisecond)
 	r := newRequest(s)
 	r.NonIdempotent = true
@@ -181,13 +181,13 @@
 		return c.Do(context.Background(), r)
 	}
 	// Concurrent requests open several connections, which are then idle.
-	s.SetWork(100 * time.Millisecond)
+	s.SetServiceTime(100 * time.Millisecond)
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() { send(5 * time.Second) })
 	}
 	wg.Wait()
-	s.SetWork(0)
+	s.SetServiceTime(0)
 	require.Equal(t, 4, network.Accepted())
 	network.Silence()
 	silent := send(200 * time.Millisecond)
--- a/forward/headers_test.go
+++ b/forward/headers_test.go
@@ -23,7 +23,7 @@
 		t.Run(status, func(t *testing.T) {
 			s, c := startTarget(t, origin.Shed)
 			s.SetShedStatus(status)
-			s.SetSays(func(*http.Request) string { return "Retry-After: 3\r\n" })
+			s.SetExtraHeaders(func(*http.Request) string { return "Retry-After: 3\r\n" })
 			a := c.Do(context.Background(), newRequest(s))
 			require.Equal(t, retry.NotRun, a.Outcome)
 			require.Equal(t, upstream.Rejected, a.TargetResult.Outcome)
@@ -50,7 +50,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, client := startTarget(t, origin.None)
-			s.SetSays(func(*http.Request) string { return c.line })
+			s.SetExtraHeaders(func(*http.Request) string { return c.line })
 			require.Equal(t, retry.Ran, client.Do(context.Background(), newRequest(s)).Outcome)
 			require.Equal(t, c.reused, client.Do(context.Background(), newRequest(s)).Reused)
 		})
--- a/forward/self_report_test.go
+++ b/forward/self_report_test.go
@@ -30,7 +30,7 @@
 		{"server error", origin.Failed, leaves},
 		{"rejection", origin.Shed, rests},
 		{"surplus response", origin.Surplus, leaves},
-		{"response before the body is read", origin.Early, leaves},
+		{"response before the body is read", origin.EarlyRefusal, leaves},
 		{"no content length", origin.Unframed, leaves},
 		{"reset in the body", origin.UnframedReset, leaves},
 		{"truncated body", origin.Cut, leaves},
@@ -38,11 +38,11 @@
 		{"response to another request", origin.Foreign, availability.SelfReport{}},
 		{"success without a signature", origin.Unsigned, availability.SelfReport{}},
 		{"garbage", origin.Garbage, availability.SelfReport{}},
-		{"no response", origin.Lost, availability.SelfReport{}},
+		{"no response", origin.LostResponse, availability.SelfReport{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, client := startTarget(t, c.fault)
-			s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\nRetry-After: 3\r\n" })
+			s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\nRetry-After: 3\r\n" })
 			a := client.Do(context.Background(), newRequest(s))
 			require.Equal(t, c.want, a.TargetResult.SelfReport)
 		})
@@ -53,7 +53,7 @@
 // address of a target does not count for that target.
 func TestSelfReportOfReplacedTarget(t *testing.T) {
 	s, client := startTarget(t, origin.None)
-	s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	r := newRequest(s)
 	r.Target, r.TargetName = "i-0", "i-0"
 	a := client.Do(context.Background(), r)
@@ -66,7 +66,7 @@
 // the request with a later disconnect until the head arrives before it.
 func TestSelfReportAfterClientDisconnect(t *testing.T) {
 	s, client := startTarget(t, origin.Stalled)
-	s.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	for stay := 20 * time.Millisecond; stay < 10*time.Second; stay *= 2 {
 		ctx, leave := context.WithCancel(context.Background())
 		time.AfterFunc(stay, leave)
--- a/gateway/account_test.go
+++ b/gateway/account_test.go
@@ -51,7 +51,7 @@
 	open.AllowAnonymous = true
 	home.AllowedRegions = []string{"a"}
 	s.store.Configure(objects.Configuration{
-		Version:  objects.VersionText(version),
+		Version:  objects.FormatVersion(version),
 		Routes:   map[string]objects.Route{"closed": route("/x/"), "open": open, "home": home, "once": once},
 		Services: map[string]objects.Service{"s": {Warmup: "3s", WarmupPerS: 11}},
 		Limits:   objects.Limits{MaxBodyBytes: 1 << 20},
@@ -237,7 +237,7 @@
 			in.sendWithKey(key, path)
 		}
 	}
-	server.SetScript(func(*http.Request) origin.Fault { return origin.Lost })
+	server.SetScript(func(*http.Request) origin.Fault { return origin.LostResponse })
 	in.sendWithKey(adaKey, "/x/")
 	broken := in.dial()
 	broken.write("GET /x/ HTTP/1.1\r\nHost: h.example\r\nCredential: " + adaKey + "\r\nCredential\r\n\r\n")
--- a/gateway/client_test.go
+++ b/gateway/client_test.go
@@ -111,7 +111,7 @@
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "idempotent", timeout: "9s"})
 	ln := fullListener(t)
-	s.store.Record("i-1", objects.Server{Service: "s", Address: ln.Addr().String(), Zone: "a1", Slots: 3, State: "ready", WarmupRemaining: "0ms"})
+	s.store.SetServer("i-1", objects.Server{Service: "s", Address: ln.Addr().String(), Zone: "a1", Slots: 3, State: "ready", WarmupRemaining: "0ms"})
 	in := s.instance("n1", "a1")
 	in.awaitReady()
 	conn := in.dial()
--- a/gateway/crashing_request_test.go
+++ b/gateway/crashing_request_test.go
@@ -60,13 +60,13 @@
 		v.site.t.Error(err)
 		return
 	}
-	server.SetWork(20 * time.Millisecond)
+	server.SetServiceTime(20 * time.Millisecond)
 	server.SetScript(func(r *http.Request) origin.Fault {
 		if !v.crashes(r) {
 			return origin.None
 		}
 		v.recordCrash(server)
-		return origin.End
+		return origin.Crash
 	})
 	v.live[server] = true
 	v.site.record(server, "ready")
@@ -278,7 +278,7 @@
 	var servers []*origin.Server
 	for i := range 4 {
 		server := s.server(fmt.Sprint("i-", i), "s", "a1")
-		server.SetScript(func(*http.Request) origin.Fault { return origin.Lost })
+		server.SetScript(func(*http.Request) origin.Fault { return origin.LostResponse })
 		servers = append(servers, server)
 	}
 	in := s.instance("n1", "a1")
--- a/gateway/departures_test.go
+++ b/gateway/departures_test.go
@@ -15,7 +15,7 @@
 
 // announceLeaving makes a target announce in each response that it is leaving.
 func announceLeaving(server *origin.Server) {
-	server.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+	server.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 }
 
 // TestAnnouncedDepartureOutlivesOlderEntries checks that a target that has announced its departure
@@ -36,8 +36,8 @@
 	}
 	refused()
 	// The entry has another software version, so that it differs from the previous one.
-	in.awaitTargets(s.store.Record("i-1", objects.Server{Service: "s", Address: first.Addr(), Zone: "a1", Slots: 5,
-		State: objects.Ready, WarmupRemaining: "0ms", Sequence: 2, Born: 1000, Version: "v2"}))
+	in.awaitTargets(s.store.SetServer("i-1", objects.Server{Service: "s", Address: first.Addr(), Zone: "a1", Slots: 5,
+		State: objects.Ready, WarmupRemaining: "0ms", Sequence: 2, StartUnixMilli: 1000, Version: "v2"}))
 	refused()
 	s.store.Remove(objects.KindServers, "i-1")
 	in.awaitTargets(s.recordIncarnation(first, objects.Ready, 1000))
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -169,7 +169,7 @@
 	in.awaitStatus("/x/", 200)
 	s.store.SetFaults(objects.Faults{Down: true})
 	s.configure(2, idempotentRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
-	s.store.Forget()
+	s.store.CompactHistory()
 	s.store.SetFaults(objects.Faults{})
 	in.awaitStatus("/new/", 200)
 }
@@ -354,7 +354,7 @@
 	s := newSite(t)
 	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
-	server.Work = 300 * time.Millisecond
+	server.ServiceTime = 300 * time.Millisecond
 	withGrace := func(c *gateway.Config) { c.Grace = 3 * time.Second }
 	leaver, stayer := s.instance("n1", "a1", withGrace), s.instance("n2", "a1")
 	leaver.awaitStatus("/x/", 200)
--- a/gateway/harness_test.go
+++ b/gateway/harness_test.go
@@ -67,7 +67,7 @@
 		}
 	}
 	s.store.Configure(objects.Configuration{
-		Version: objects.VersionText(version), Routes: spec,
+		Version: objects.FormatVersion(version), Routes: spec,
 		Services: map[string]objects.Service{"s": {Warmup: "3s", WarmupPerS: 11}},
 		Limits:   objects.Limits{MaxBodyBytes: 1 << 20},
 	})
@@ -83,7 +83,7 @@
 
 // record writes the server's entry to the store.
 func (s *site) record(server *origin.Server, state string) {
-	s.store.Record(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
+	s.store.SetServer(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
 		State: state, WarmupRemaining: "0ms", Sequence: 1})
 }
 
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -15,8 +15,8 @@
 
 // recordIncarnation writes the entry of a server with its start time, and returns the store's revision.
 func (s *site) recordIncarnation(server *origin.Server, state string, born int64) int64 {
-	return s.store.Record(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
-		State: state, WarmupRemaining: "0ms", Sequence: 1, Born: born, Version: "v1"})
+	return s.store.SetServer(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
+		State: state, WarmupRemaining: "0ms", Sequence: 1, StartUnixMilli: born, Version: "v1"})
 }
 
 // startIncarnation starts a server whose entry holds its start time.
--- a/gateway/metrics_test.go
+++ b/gateway/metrics_test.go
@@ -38,7 +38,7 @@
 	var lost atomic.Bool
 	loseOne := func(*http.Request) origin.Fault {
 		if lost.CompareAndSwap(false, true) {
-			return origin.Lost
+			return origin.LostResponse
 		}
 		return origin.None
 	}
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -66,7 +66,7 @@
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
-	server.SetScript(func(*http.Request) origin.Fault { return origin.Excused })
+	server.SetScript(func(*http.Request) origin.Fault { return origin.Unmarked503 })
 	runs := len(server.Runs())
 	require.Equal(t, 503, in.send("GET", "/x/", "").status)
 	require.Equal(t, 502, in.send("POST", "/once/", "pay").status)
--- a/gateway/restored_own_objects_test.go
+++ b/gateway/restored_own_objects_test.go
@@ -65,7 +65,7 @@
 
 	toRemote := len(remote.Runs())
 	for _, lost := range s.store.RestoreAt(backup) {
-		s.store.WriteAgain(lost)
+		s.store.Reapply(lost)
 	}
 	require.Eventually(t, func() bool {
 		in.send("GET", "/x/", "")
--- a/gateway/restored_rollouts_test.go
+++ b/gateway/restored_rollouts_test.go
@@ -48,7 +48,7 @@
 			toOld, toNew := v.toOld.Load(), v.toNew.Load()
 			for _, lost := range v.store.RestoreAt(backup) {
 				if lost.Kind != "other" {
-					v.store.WriteAgain(lost)
+					v.store.Reapply(lost)
 				}
 			}
 			v.awaitState(c.verdict)
--- a/gateway/restored_size_test.go
+++ b/gateway/restored_size_test.go
@@ -48,7 +48,7 @@
 	}
 	calls, began := s.store.Calls(), time.Now()
 	for _, lost := range s.store.RestoreAt(backup) {
-		s.store.WriteAgain(lost)
+		s.store.Reapply(lost)
 	}
 	missing := *restoredInstances - len(s.store.Names("rainford-instances"))
 	s.configureNext("after")
--- a/gateway/restored_test.go
+++ b/gateway/restored_test.go
@@ -62,7 +62,7 @@
 		in.awaitTargets(s.store.Revision())
 	}
 	for _, lost := range s.store.RestoreAt(backup) {
-		s.store.WriteAgain(lost)
+		s.store.Reapply(lost)
 	}
 }
 
--- a/gateway/self_report_test.go
+++ b/gateway/self_report_test.go
@@ -51,7 +51,7 @@
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		v.at = append(v.at, a.At)
-		v.rejected = append(v.rejected, !a.Ran)
+		v.rejected = append(v.rejected, !a.Executed)
 	})
 	return v
 }
@@ -100,7 +100,7 @@
 	var servers []*origin.Server
 	for i := range count {
 		server := s.server(fmt.Sprint("i-", i), "s", halls[i%len(halls)])
-		server.SetWork(5 * time.Millisecond)
+		server.SetServiceTime(5 * time.Millisecond)
 		servers = append(servers, server)
 	}
 	var instances []*instance
@@ -132,7 +132,7 @@
 			l := startLoadOf(instances, 8, (*instance).read)
 			defer l.stop()
 			leavingTarget.SetScript(func(*http.Request) origin.Fault { return c.fault })
-			leavingTarget.SetSays(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+			leavingTarget.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 			arrived := watchArrivals(leavingTarget)
 			time.Sleep(3 * propagationTime)
 			t.Logf("%d of %d later than %v", arrived.after(propagationTime), arrived.after(-1), propagationTime)
@@ -155,7 +155,7 @@
 	instances, servers := readSite(t, 4, "a1")
 	target := servers[0]
 	target.SetScript(func(*http.Request) origin.Fault { return origin.Shed })
-	target.SetSays(func(*http.Request) string { return "Retry-After: 2.0\r\n" })
+	target.SetExtraHeaders(func(*http.Request) string { return "Retry-After: 2.0\r\n" })
 	arrived := watchArrivals(target)
 	l := startLoadOf(instances, 4, (*instance).read)
 	time.Sleep(2 * backoff)
@@ -176,7 +176,7 @@
 	for _, server := range servers {
 		v := watchArrivals(server)
 		arrived = append(arrived, v)
-		server.SetSays(func(*http.Request) string { return "Retry-After: 2\r\n" })
+		server.SetExtraHeaders(func(*http.Request) string { return "Retry-After: 2\r\n" })
 		server.SetScript(func(*http.Request) origin.Fault {
 			if v.after(-1) == 0 {
 				return origin.Shed
--- a/gateway/suspended_test.go
+++ b/gateway/suspended_test.go
@@ -42,7 +42,7 @@
 				server.SetScript(func(*http.Request) origin.Fault {
 					if runs.Add(1) == 1 {
 						machine.suspend(length)
-						return origin.Lost
+						return origin.LostResponse
 					}
 					return origin.None
 				})
--- a/gateway/target_limits_test.go
+++ b/gateway/target_limits_test.go
@@ -51,7 +51,7 @@
 
 // announceLimit makes a target announce a limit in each response.
 func announceLimit(server *origin.Server, perSecond float64) {
-	server.SetSays(func(*http.Request) string { return fmt.Sprintf("Server-Limit: %g\r\n", perSecond) })
+	server.SetExtraHeaders(func(*http.Request) string { return fmt.Sprintf("Server-Limit: %g\r\n", perSecond) })
 }
 
 // TestTargetLimitIsKept guards against instances that send as many requests as before to a target
@@ -164,7 +164,7 @@
 		announceLimit(servers[0], perSecond)
 		time.Sleep(limitPropagationTime)
 		require.Less(t, firstTargetShare(servers, limitPropagationTime), usual/2, "the limit is kept")
-		servers[0].SetSays(func(*http.Request) string { return "" })
+		servers[0].SetExtraHeaders(func(*http.Request) string { return "" })
 		withdrawnAt := time.Now()
 		restored := func() bool { return firstTargetShare(servers, time.Second) >= 0.7*usual }
 		require.Eventually(t, restored, wait, poll)
--- a/gateway/target_outcome_test.go
+++ b/gateway/target_outcome_test.go
@@ -40,8 +40,8 @@
 		{origin.Cut, once, 502, "response cut off", one},
 		{origin.Cut, repeat, 502, "response cut off", oneOrTwo},
 		{origin.Garbage, once, 502, "malformed response", none},
-		{origin.Lost, once, 502, "response lost", one},
-		{origin.Lost, repeat, 502, "response lost", oneOrTwo},
+		{origin.LostResponse, once, 502, "response lost", one},
+		{origin.LostResponse, repeat, 502, "response lost", oneOrTwo},
 		{origin.Silent, once, 504, "timeout", one},
 		{origin.Unsigned, once, 502, "success without a signature", one},
 		{origin.Failed, once, 500, "failure of the target", one},
@@ -54,7 +54,7 @@
 			server := s.server("i-1", "s", "a1")
 			in := s.instance("n1", "a1")
 			in.awaitStatus(e.path, 200)
-			server.Forget()
+			server.ResetConnections()
 			server.SetScript(func(*http.Request) origin.Fault { return e.fault })
 			got := in.send("POST", e.path, "body")
 			require.Equal(t, e.status, got.status)
@@ -83,7 +83,7 @@
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
-	server.SetWork(time.Second)
+	server.SetServiceTime(time.Second)
 	answered := make(chan reply, 1)
 	go func() { answered <- in.send("POST", "/x/", "slow") }()
 	arrivals := len(server.Runs())
--- a/internal/demo/drain_test.go
+++ b/internal/demo/drain_test.go
@@ -42,7 +42,7 @@
 	last := time.Duration(0)
 	for _, target := range c.Targets(region) {
 		if target.Service == service {
-			last = max(last, target.Server.LastNew().Sub(began))
+			last = max(last, target.Server.LastStart().Sub(began))
 		}
 	}
 	st := generator.Stats(service)
--- a/internal/demo/fault_test.go
+++ b/internal/demo/fault_test.go
@@ -79,7 +79,7 @@
 	}
 	f.cluster.SetFaults(platformstore.Faults{})
 	for _, target := range f.cluster.Targets("") {
-		target.Server.Set(func(s *backend.Settings) { s.DropBefore, s.DropDuring, s.DropAfter, s.Refuse = 0, 0, 0, 0 })
+		target.Server.UpdateSettings(func(s *backend.Settings) { s.DropBefore, s.DropDuring, s.DropAfter, s.Refuse = 0, 0, 0, 0 })
 	}
 }
 
@@ -92,7 +92,7 @@
 
 func (f *troubles) targets() {
 	for _, target := range f.cluster.Targets("") {
-		target.Server.Set(func(s *backend.Settings) {
+		target.Server.UpdateSettings(func(s *backend.Settings) {
 			s.DropBefore, s.DropDuring, s.DropAfter, s.Refuse = 0, 0, 0, 0
 			chance := f.rnd.Float64() * 0.3
 			switch f.rnd.IntN(6) {
@@ -148,9 +148,9 @@
 	for hall, link := range cluster.Links {
 		t.Logf("platform calls of %s: %+v", hall, link.Counts())
 	}
-	require.Zero(t, cluster.Runs.Twice(), "operations that ran twice")
+	require.Zero(t, cluster.Runs.Duplicates(), "operations that ran twice")
 	for _, key := range st.NotRunKeys {
-		require.Zero(t, cluster.Runs.Of(key), "operation %s was said not to have run", key)
+		require.Zero(t, cluster.Runs.Count(key), "operation %s was said not to have run", key)
 	}
 	require.Zero(t, st.Corrupt)
 	require.Positive(t, st.OK)
--- a/internal/demo/gateway.go
+++ b/internal/demo/gateway.go
@@ -130,7 +130,7 @@
 		routes[prefix] = route(prefix, "listings", "idempotent")
 	}
 	service := objects.Service{Warmup: "1s", WarmupPerS: 40}
-	e.store.Configure(objects.Configuration{Version: objects.VersionText(version), Routes: routes,
+	e.store.Configure(objects.Configuration{Version: objects.FormatVersion(version), Routes: routes,
 		Services: map[string]objects.Service{"listings": service, "ledger": service}, Tenants: e.tenants(withTaken)})
 }
 
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	t.SetWork(targetWork)
+	t.SetServiceTime(targetWork)
 	t.SetObserver(e.seen.arrived)
 	e.targets = append(e.targets, t)
 	e.record(t, objects.Ready)
@@ -147,7 +147,7 @@
 }
 
 func (e *gatewayEstate) record(t *origin.Server, state string) {
-	e.store.Record(t.ID, objects.Server{Service: t.Service, Address: t.Addr(), Zone: t.Zone, Slots: t.Slots, State: state,
+	e.store.SetServer(t.ID, objects.Server{Service: t.Service, Address: t.Addr(), Zone: t.Zone, Slots: t.Slots, State: state,
 		WarmupRemaining: "0ms", Sequence: 1})
 }
 
@@ -230,7 +230,7 @@
 	e.seen.forbid(func(t *origin.Server) bool { return t.Zone == "kumasi-a" }, time.Now().Add(settled))
 	pause.For(ctx, part)
 	e.seen.allow()
-	e.store.Return("kumasi-a")
+	e.store.CancelEvacuation("kumasi-a")
 	say("kumasi-a is back")
 	pause.For(ctx, part)
 	report.Ended, err = e.sendEnding(ctx)
--- a/internal/demo/gatewayaccounts.go
+++ b/internal/demo/gatewayaccounts.go
@@ -58,7 +58,7 @@
 	if a.Header.Get("Credential") != "" {
 		o.keysSeen++
 	}
-	if a.Ran && a.Header.Get("Tenant") == busyAccount {
+	if a.Executed && a.Header.Get("Tenant") == busyAccount {
 		o.busy = append(o.busy, a.At)
 	}
 }
--- a/internal/demo/gatewayending.go
+++ b/internal/demo/gatewayending.go
@@ -30,7 +30,7 @@
 	var mu sync.Mutex
 	var ended []*origin.Server
 	for _, t := range e.targets {
-		t.SetEnding(func(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, endingPath) }, func(origin.Run) {
+		t.SetCrash(func(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, endingPath) }, func(origin.Run) {
 			mu.Lock()
 			defer mu.Unlock()
 			ended = append(ended, t)
--- a/internal/demo/gatewayload.go
+++ b/internal/demo/gatewayload.go
@@ -39,12 +39,12 @@
 func (o *observer) arrived(a origin.Arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if a.Ran {
+	if a.Executed {
 		o.runs[a.ID]++
 	}
 	o.byHall[a.Server.Zone]++
 	o.byTarget[a.Server]++
-	if a.Asks > 0 {
+	if a.RetryAfter > 0 {
 		o.rested++
 	}
 	o.noteAccount(a)
--- a/internal/demo/gatewaywords.go
+++ b/internal/demo/gatewaywords.go
@@ -39,7 +39,7 @@
 func (e *gatewayEstate) leaveByWord(ctx context.Context, t *origin.Server) error {
 	var once sync.Once
 	heard := make(chan struct{})
-	t.SetSays(func(*http.Request) string {
+	t.SetExtraHeaders(func(*http.Request) string {
 		once.Do(func() { close(heard) })
 		return "Server-Leaving: 1\r\n"
 	})
@@ -63,7 +63,7 @@
 // requests it turned away.
 func (e *gatewayEstate) rest(ctx context.Context, t *origin.Server) int {
 	before := e.seen.turnedAway()
-	t.SetRest(time.Now().Add(tiredFor), asksFor)
+	t.SetRetryAfter(time.Now().Add(tiredFor), asksFor)
 	pause.For(ctx, tiredFor)
 	return e.seen.turnedAway() - before
 }
--- a/internal/demo/invariant_test.go
+++ b/internal/demo/invariant_test.go
@@ -223,7 +223,7 @@
 	for _, region := range c.Estate.Regions[:2] {
 		for _, target := range c.Targets(region) {
 			if target.Service == service {
-				target.Server.Set(func(s *backend.Settings) { s.LieHealth = true })
+				target.Server.UpdateSettings(func(s *backend.Settings) { s.AlwaysHealthy = true })
 				leaving = append(leaving, target)
 				break
 			}
@@ -244,8 +244,8 @@
 	loads.Wait()
 	generator.Wait()
 	for _, target := range leaving {
-		last := target.Server.LastNew().Sub(began)
-		require.False(t, target.Server.LastNew().IsZero(), "the target had no work at all")
+		last := target.Server.LastStart().Sub(began)
+		require.False(t, target.Server.LastStart().IsZero(), "the target had no work at all")
 		t.Logf("%s: last new request %.3f s after the drain", target.ID, last.Seconds())
 		require.Less(t, last, 5*time.Second)
 	}
@@ -307,7 +307,7 @@
 		t.Logf("%s: %d requests, %d ok, %d not run, %d unknown, %d broken, %v", service, st.Requests, st.OK, st.NotRun, st.Unknown, st.Broken, st.Reasons)
 		require.Zero(t, st.Broken+st.Unknown+st.Corrupt, "requests cut")
 	}
-	require.Zero(t, c.Runs.Twice())
+	require.Zero(t, c.Runs.Duplicates())
 	t.Logf("%d uploads of %s, none cut", sent, uploadTime)
 }
 
@@ -338,7 +338,7 @@
 func TestWholeAnswers(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(1)})
 	for _, target := range c.Targets("") {
-		target.Server.Set(func(s *backend.Settings) { s.DropAfter = 0.2 })
+		target.Server.UpdateSettings(func(s *backend.Settings) { s.DropAfter = 0.2 })
 	}
 	service := c.Estate.Services[2].Name
 	generator := load.NewGenerator()
@@ -391,12 +391,12 @@
 	}
 	time.Sleep(3 * time.Second)
 	for _, target := range c.Targets(c.Estate.Regions[0]) {
-		target.Server.Set(func(s *backend.Settings) { s.Slots /= 2 })
+		target.Server.UpdateSettings(func(s *backend.Settings) { s.Slots /= 2 })
 	}
 	loads.Wait()
 	generator.Wait()
 	for _, target := range c.Targets("") {
-		require.LessOrEqual(t, target.Server.Peak(), target.Slots, target.ID)
+		require.LessOrEqual(t, target.Server.PeakRequests(), target.Slots, target.ID)
 	}
 	st := generator.Stats(service.Name)
 	t.Logf("capacity %.0f/s, offered %.0f/s for 6 s: %d requests, %d ok, %d not run %v; refusals p50 %.1f ms p99 %.1f ms",
--- a/internal/demo/restored_test.go
+++ b/internal/demo/restored_test.go
@@ -41,7 +41,7 @@
 	const wait, poll = 20 * time.Second, 20 * time.Millisecond
 	first := edit(101)
 	require.Eventually(t, func() bool { return inForce(first) }, wait, poll)
-	copied := cluster.Store.Copy()
+	copied := cluster.Store.Backup()
 	for i := range 4 {
 		edit(110 + i)
 	}
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -189,7 +189,7 @@
 	}
 	pause.For(ctx, d.options.Duration/4)
 	for _, t := range d.cluster.Targets(region) {
-		if last := t.Server.LastNew().Sub(began).Seconds(); last > d.report.Drain.SecondsToLastNew {
+		if last := t.Server.LastStart().Sub(began).Seconds(); last > d.report.Drain.SecondsToLastNew {
 			d.report.Drain.SecondsToLastNew = last
 		}
 	}
@@ -208,7 +208,7 @@
 		d.report.Drain.CutRequests += st.Broken
 		twice := 0
 		if s.Once {
-			twice = d.cluster.Runs.Twice()
+			twice = d.cluster.Runs.Duplicates()
 		}
 		d.report.Services = append(d.report.Services, serviceReport(s.Name, st, twice))
 	}
@@ -221,7 +221,7 @@
 func (d *demo) falseNotRun() {
 	for _, s := range d.cluster.Estate.Services {
 		for _, key := range d.generator.Stats(s.Name).NotRunKeys {
-			if d.cluster.Runs.Of(key) > 0 {
+			if d.cluster.Runs.Count(key) > 0 {
 				d.report.Broken = append(d.report.Broken, "not run: operation "+key+" of "+s.Name+" ran")
 			}
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -276,8 +276,8 @@
 		}
 	case ColdTargets:
 		for _, t := range r.cluster.Targets(region) {
-			t.Server.Set(func(s *backend.Settings) { s.ColdRuns, s.ColdFactor = 40, 8 })
-			t.Server.Cool()
+			t.Server.UpdateSettings(func(s *backend.Settings) { s.ColdRuns, s.ColdFactor = 40, 8 })
+			t.Server.ResetWarmup()
 		}
 		err = r.cluster.RenewTargets(ctx, region)
 	case PlatformDown:
@@ -302,7 +302,7 @@
 		return
 	}
 	for _, t := range r.cluster.Targets(r.cluster.Estate.Regions[2]) {
-		r.result.DrainSeconds = max(r.result.DrainSeconds, t.Server.LastNew().Sub(event).Seconds())
+		r.result.DrainSeconds = max(r.result.DrainSeconds, t.Server.LastStart().Sub(event).Seconds())
 	}
 }
 
@@ -352,9 +352,9 @@
 		r.result.Options += " loans " + o.LoanLength.String()
 	}
 	r.result.RecoverSeconds = r.recovery()
-	r.result.RunTwice = r.cluster.Runs.Twice()
+	r.result.RunTwice = r.cluster.Runs.Duplicates()
 	for _, t := range r.cluster.Targets("") {
-		if t.Server.Peak() > t.Slots {
+		if t.Server.PeakRequests() > t.Slots {
 			r.result.OverSlots++
 		}
 	}
--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -130,13 +130,13 @@
 	if v.Header.Get("Credential") != "" {
 		o.broken("KEY", "%s reached %s with its key", a.id, v.Server.ID)
 	}
-	if got := v.Header.Values("Tenant"); v.Ran && fmt.Sprint(got) != fmt.Sprint(a.names()) {
+	if got := v.Header.Values("Tenant"); v.Executed && fmt.Sprint(got) != fmt.Sprint(a.names()) {
 		o.broken("UNASKED", "%s of account %q ran as %q", a.id, a.account, got)
 	}
 	if a.key == "" || !a.touched {
 		return
 	}
-	if _, forgotten := o.keys.due(a.key, a.at); v.Ran && forgotten {
+	if _, forgotten := o.keys.due(a.key, a.at); v.Executed && forgotten {
 		o.broken("KEY", "%s from %s ran with a key that had been taken away", a.id, a.instance)
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -120,7 +120,7 @@
 	case StoreLoses:
 		s.store.SetFaults(objects.Faults{LoseReplies: true})
 	default:
-		s.store.Forget()
+		s.store.CompactHistory()
 		return
 	}
 	r.later(f.For, func() { s.store.SetFaults(objects.Faults{}) })
@@ -144,7 +144,7 @@
 		o.mu.Lock()
 		delete(o.evacuated, hall)
 		o.mu.Unlock()
-		s.store.Return(hall)
+		s.store.CancelEvacuation(hall)
 	})
 }
 
@@ -182,12 +182,12 @@
 	case ServerCrash:
 		r.crash(srv, f)
 	case ServerSlow:
-		srv.SetWork(20 * serverWork)
-		r.later(f.For, func() { srv.SetWork(serverWork) })
+		srv.SetServiceTime(20 * serverWork)
+		r.later(f.For, func() { srv.SetServiceTime(serverWork) })
 	case ServerFaults:
 		r.misbehave(srv, f)
 	case ServerForgets:
-		srv.Forget()
+		srv.ResetConnections()
 	case ServerDrain:
 		r.drain(srv, f)
 	case ServerReuse:
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -112,7 +112,7 @@
 	o.mu.Lock()
 	o.words.limits[srv.ID] = l
 	o.mu.Unlock()
-	srv.SetSays(func(*http.Request) string {
+	srv.SetExtraHeaders(func(*http.Request) string {
 		value, ok := l.now(time.Now())
 		if !ok {
 			return ""
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -26,7 +26,7 @@
 // tell has an instance pass on an answer that names the limit.
 func (p *limitPlay) tell(name string) {
 	a := p.o.begin(&instance{name: name}, "GET", "/read/1", nil)
-	p.o.arrived(origin.Arrival{Server: p.server, At: p.from, Ran: true, Run: origin.Run{ID: a.id, Method: "GET", URI: "/read/1"}})
+	p.o.arrived(origin.Arrival{Server: p.server, At: p.from, Executed: true, Run: origin.Run{ID: a.id, Method: "GET", URI: "/read/1"}})
 	p.o.finish(a, result{status: 200, header: http.Header{"Server-Signature": {"sig.i-1"}, limitHeader: {"1"}}, body: " to " + a.id})
 }
 
@@ -34,7 +34,7 @@
 func (p *limitPlay) send(name string, n int, after time.Duration) {
 	for range n {
 		a := p.o.begin(&instance{name: name}, "GET", "/read/1", nil)
-		p.o.arrived(origin.Arrival{Server: p.server, At: p.from.Add(after), Ran: true, Run: origin.Run{ID: a.id, Method: "GET", URI: "/read/1"}})
+		p.o.arrived(origin.Arrival{Server: p.server, At: p.from.Add(after), Executed: true, Run: origin.Run{ID: a.id, Method: "GET", URI: "/read/1"}})
 	}
 }
 
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -179,10 +179,10 @@
 		o.broken("UNASKED", "server %s got a request with the unknown id %q", v.Server.ID, v.ID)
 		return
 	}
-	if v.Ran && (v.Method != a.method || v.URI != a.uri || sha256.Sum256(v.Body) != a.digest) {
+	if v.Executed && (v.Method != a.method || v.URI != a.uri || sha256.Sum256(v.Body) != a.digest) {
 		o.broken("UNASKED", "%s was changed on the way: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
 	}
-	a.arrivals = append(a.arrivals, arrival{server: v.Server.ID, hall: v.Server.Zone, at: v.At, ran: v.Ran})
+	a.arrivals = append(a.arrivals, arrival{server: v.Server.ID, hall: v.Server.Zone, at: v.At, ran: v.Executed})
 	o.judgePlace(a, v)
 	o.judgeAccount(a, v)
 	o.judgeTimes(a, v)
@@ -216,7 +216,7 @@
 	if len(servers) > 2 {
 		o.broken("BUDGET", "%s ran at %d servers", a.id, len(servers))
 	}
-	if v.Ran && refusal(a.result.status) && !a.repeatable() {
+	if v.Executed && refusal(a.result.status) && !a.repeatable() {
 		o.broken("REFUSED", "%s was answered %d and then ran", a.id, a.result.status)
 	}
 }
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -27,11 +27,11 @@
 	age := time.Duration(f.Which) * oldestCopy / (1 << 16)
 	s.store.SetFaults(objects.Faults{Down: f.How%2 == 0, Silent: f.How%2 == 1})
 	r.later(f.For, func() {
-		lost := s.store.RestoreFrom(f.For + age)
+		lost := s.store.RestoreAge(f.For + age)
 		s.oracle.restored()
 		s.store.SetFaults(objects.Faults{})
 		for i, w := range lost {
-			r.later(time.Duration(i)*writeAgainTime/time.Duration(len(lost)), func() { s.store.WriteAgain(w) })
+			r.later(time.Duration(i)*writeAgainTime/time.Duration(len(lost)), func() { s.store.Reapply(w) })
 		}
 	})
 }
--- a/internal/soak/rollouts.go
+++ b/internal/soak/rollouts.go
@@ -103,7 +103,7 @@
 		}
 	}
 	if check.quality == slowVersion {
-		srv.SetWork(6 * serverWork)
+		srv.SetServiceTime(6 * serverWork)
 	}
 	srv.SetScript(func(req *http.Request) origin.Fault {
 		if check.quality == slowVersion {
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -224,13 +224,13 @@
 
 // serve puts a proxy before a server and lists it.
 func (s *site) serve(o *origin.Server, p place, cold bool, version string) (*server, error) {
-	o.SetWork(serverWork)
+	o.SetServiceTime(serverWork)
 	px, err := newProxy(o.Addr())
 	if err != nil {
 		return nil, err
 	}
 	srv := &server{Server: o, proxy: px, place: p, born: time.Now(), version: version}
-	o.SetEnding(func(r *http.Request) bool { return isEnding(r.RequestURI) }, func(r origin.Run) {
+	o.SetCrash(func(r *http.Request) bool { return isEnding(r.RequestURI) }, func(r origin.Run) {
 		s.oracle.endedUnder(r.URI)
 		s.endUnder(srv)
 	})
@@ -248,8 +248,8 @@
 // record writes the server's entry in the store.
 func (s *site) record(srv *server, state string) {
 	cold := max(0, time.Until(srv.coldUntil))
-	s.store.Record(srv.ID, objects.Server{Service: srv.Service, Address: srv.proxy.addr(), Zone: srv.place.hall, Slots: srv.Slots,
-		State: state, WarmupRemaining: fmt.Sprintf("%dms", cold.Milliseconds()), Sequence: int(srv.written.Add(1)), Version: srv.version, Born: srv.born.UnixMilli()})
+	s.store.SetServer(srv.ID, objects.Server{Service: srv.Service, Address: srv.proxy.addr(), Zone: srv.place.hall, Slots: srv.Slots,
+		State: state, WarmupRemaining: fmt.Sprintf("%dms", cold.Milliseconds()), Sequence: int(srv.written.Add(1)), Version: srv.version, StartUnixMilli: srv.born.UnixMilli()})
 }
 
 // configure writes the next configuration: the fixed routes, and one route for
@@ -275,7 +275,7 @@
 	}
 	service := objects.Service{HealthCheckPath: "/health", MaxConnections: 390, Warmup: "3s", WarmupPerS: warmupRate}
 	s.store.Configure(objects.Configuration{
-		Version:  objects.VersionText(s.version),
+		Version:  objects.FormatVersion(s.version),
 		Routes:   routes,
 		Services: map[string]objects.Service{"read": service, "pay": service},
 		Limits:   objects.Limits{MaxBodyBytes: 4 << 20, IdleTimeout: "15s", HeaderTimeout: "3s", MaxHeaderBytes: 16384},
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -137,7 +137,7 @@
 		return result{status: 200, header: http.Header{"Server-Signature": {"s"}}, body: "answer of i-1 to " + id}
 	}
 	arrive := func(o *oracle, a *attempt, change func(*origin.Arrival)) {
-		v := origin.Arrival{Server: &origin.Server{ID: "i-1", Service: a.service(), Zone: "a1"}, At: time.Now(), Ran: true,
+		v := origin.Arrival{Server: &origin.Server{ID: "i-1", Service: a.service(), Zone: "a1"}, At: time.Now(), Executed: true,
 			Run: origin.Run{ID: a.id, Method: a.method, URI: a.uri}}
 		if change != nil {
 			change(&v)
@@ -224,8 +224,8 @@
 			for range 66 {
 				a := o.begin(in, "GET", "/read/1", nil)
 				arrive(o, a, nil)
-				arrive(o, a, func(v *origin.Arrival) { v.Ran = false })
-				arrive(o, a, func(v *origin.Arrival) { v.Ran = false })
+				arrive(o, a, func(v *origin.Arrival) { v.Executed = false })
+				arrive(o, a, func(v *origin.Arrival) { v.Executed = false })
 			}
 			o.budget()
 		},
@@ -248,7 +248,7 @@
 		},
 		"BUDGET by rest": func(o *oracle) {
 			asked := time.Now()
-			arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.Ran, v.Asks = false, time.Minute })
+			arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.Executed, v.RetryAfter = false, time.Minute })
 			for i := range mostInRest + 1 {
 				arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.At = asked.Add(restGrace + time.Duration(i+1)*time.Second) })
 			}
@@ -319,7 +319,7 @@
 			o := newOracle(newKeyring())
 			a := o.begin(in, "GET", "/read/1", nil)
 			asked := time.Now()
-			o.arrived(origin.Arrival{Server: server, At: asked, Run: origin.Run{ID: a.id}, Asks: time.Minute})
+			o.arrived(origin.Arrival{Server: server, At: asked, Run: origin.Run{ID: a.id}, RetryAfter: time.Minute})
 			o.finish(a, result{status: 200, header: http.Header{"Server-Signature": {"sig.i-1"}, leavingHeader: {"1"}}, body: " to " + a.id})
 			for range mostInRest + 1 {
 				late := o.begin(in, "GET", "/read/1", nil)
@@ -329,7 +329,7 @@
 				if name == "soon" {
 					at = asked.Add(restGrace)
 				}
-				o.arrived(origin.Arrival{Server: server, At: at, Ran: true, Run: origin.Run{ID: late.id, Method: "GET", URI: "/read/1"}})
+				o.arrived(origin.Arrival{Server: server, At: at, Executed: true, Run: origin.Run{ID: late.id, Method: "GET", URI: "/read/1"}})
 			}
 			require.Empty(t, o.violations)
 		})
--- a/internal/soak/words.go
+++ b/internal/soak/words.go
@@ -80,7 +80,7 @@
 		return
 	}
 	_, _ = s.addServer(srv.Service, srv.place, true)
-	srv.SetSays(func(*http.Request) string { return leavingHeader + ": 1\r\n" })
+	srv.SetExtraHeaders(func(*http.Request) string { return leavingHeader + ": 1\r\n" })
 	if f.How%2 == 0 {
 		r.storeFault(Fault{Kind: StoreDown, How: 1, For: f.For}, time.Now().Add(f.For))
 	}
@@ -116,7 +116,7 @@
 				continue
 			}
 		}
-		other.SetRest(until, asks)
+		other.SetRetryAfter(until, asks)
 	}
 }
 
@@ -126,10 +126,10 @@
 		return
 	}
 	lines := wrongWords[f.How%len(wrongWords)]
-	srv.SetSays(func(*http.Request) string { return lines })
+	srv.SetExtraHeaders(func(*http.Request) string { return lines })
 	r.later(f.For, func() {
 		if r.site.isThere(srv) {
-			srv.SetSays(nil)
+			srv.SetExtraHeaders(nil)
 		}
 	})
 }
@@ -176,7 +176,7 @@
 	o.judgeDeparture(a, v)
 	o.judgeLimit(a, v)
 	o.judgeRests(a, v)
-	if v.Asks == 0 {
+	if v.RetryAfter == 0 {
 		return
 	}
 	by := o.words.rests[v.Server.ID]
@@ -184,7 +184,7 @@
 		by = make(map[string][]*askedRest)
 		o.words.rests[v.Server.ID] = by
 	}
-	by[a.instance] = append(by[a.instance], &askedRest{said: said{at: v.At, run: a.run}, until: v.At.Add(v.Asks)})
+	by[a.instance] = append(by[a.instance], &askedRest{said: said{at: v.At, run: a.run}, until: v.At.Add(v.RetryAfter)})
 }
 
 // judgeDeparture checks that a server that has said that it leaves gets nothing from who has
--- a/internal/standin/backend/runs.go
+++ b/internal/standin/backend/runs.go
@@ -21,15 +21,15 @@
 	}
 }
 
-// Of returns how often the operation called key ran.
-func (r *Runs) Of(key string) int {
+// Count returns how often the operation called key ran.
+func (r *Runs) Count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byKey[key]
 }
 
-// Twice returns the number of operations that ran more than once.
-func (r *Runs) Twice() int {
+// Duplicates returns the number of operations that ran more than once.
+func (r *Runs) Duplicates() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -27,8 +27,8 @@
 	Shed bool `json:"shed"`
 	// Draining refuses all new work.
 	Draining bool `json:"draining"`
-	// LieHealth says "ok" while draining or faulty.
-	LieHealth bool `json:"lie_health"`
+	// AlwaysHealthy says "ok" while draining or faulty.
+	AlwaysHealthy bool `json:"lie_health"`
 	// DropBefore breaks the connection before the work, DropDuring after it
 	// and before an answer, DropAfter in the middle of the answer.
 	DropBefore float64 `json:"drop_before"`
@@ -63,30 +63,30 @@
 	return &Server{id: id, runs: runs, settings: settings}
 }
 
-// Set changes the settings.
-func (s *Server) Set(change func(*Settings)) {
+// UpdateSettings changes the settings.
+func (s *Server) UpdateSettings(change func(*Settings)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.settings)
 }
 
-// Cool makes the target cold again.
-func (s *Server) Cool() {
+// ResetWarmup makes the target cold again.
+func (s *Server) ResetWarmup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served = 0
 }
 
-// LastNew returns when the target last took new work.
-func (s *Server) LastNew() time.Time {
+// LastStart returns when the target last took new work.
+func (s *Server) LastStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastNew
 }
 
-// Peak returns the most requests that were sent to the target at a time,
+// PeakRequests returns the most requests that were sent to the target at a time,
 // refused and waiting ones included.
-func (s *Server) Peak() int {
+func (s *Server) PeakRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak
@@ -131,7 +131,7 @@
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
 	now := s.current()
-	if now.Draining && !now.LieHealth {
+	if now.Draining && !now.AlwaysHealthy {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/standin/objects/restore.go
+++ b/internal/standin/objects/restore.go
@@ -66,8 +66,8 @@
 	return s.restore(func(e undoEntry) bool { return e.revision > revision })
 }
 
-// RestoreFrom is like RestoreAt, for a copy of an age.
-func (s *Store) RestoreFrom(age time.Duration) []LostWrite {
+// RestoreAge is like RestoreAt, for a copy of an age.
+func (s *Store) RestoreAge(age time.Duration) []LostWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	made := time.Now().Add(-age)
@@ -110,9 +110,9 @@
 	s.kinds[kind][name] = o
 }
 
-// WriteAgain has the operator or a server write what was lost, unless they have written the object since
+// Reapply has the operator or a server write what was lost, unless they have written the object since
 // the store was restored.
-func (s *Store) WriteAgain(w LostWrite) {
+func (s *Store) Reapply(w LostWrite) {
 	s.mu.Lock()
 	written := s.rewritten[objectKey{w.Kind, w.Name}]
 	s.mu.Unlock()
--- a/internal/standin/objects/restore_test.go
+++ b/internal/standin/objects/restore_test.go
@@ -59,7 +59,7 @@
 	require.Equal(t, http.StatusOK, status)
 
 	for _, w := range lost {
-		s.WriteAgain(w)
+		s.Reapply(w)
 	}
 	require.Equal(t, []string{"i-2", "i-3"}, s.Names("servers"))
 	_, _, body := call(t, server.URL, "GET", "/objects/config/main", "")
@@ -67,9 +67,9 @@
 	require.Contains(t, body, `"spec":3`)
 }
 
-// TestRemovedBeforeItIsWrittenAgain checks that an object that a restore has lost stays away if it is removed
+// TestRemoveBeforeReapply checks that an object that a restore has lost stays away if it is removed
 // before its writer has written it again.
-func TestRemovedBeforeItIsWrittenAgain(t *testing.T) {
+func TestRemoveBeforeReapply(t *testing.T) {
 	s := New()
 	s.Set("servers", "i-1", "ready")
 	copied := s.Revision()
@@ -77,7 +77,7 @@
 	lost := s.RestoreAt(copied)
 	s.Remove("servers", "i-2")
 	for _, w := range lost {
-		s.WriteAgain(w)
+		s.Reapply(w)
 	}
 	require.Equal(t, []string{"i-1"}, s.Names("servers"))
 }
--- a/internal/standin/objects/spec.go
+++ b/internal/standin/objects/spec.go
@@ -73,8 +73,8 @@
 	State           string `json:"state"`
 	WarmupRemaining string `json:"warmupRemaining"`
 	Sequence        int    `json:"sequence"`
-	// Born is the Unix millisecond of the server's start, 0 where it is not told.
-	Born int64 `json:"born,omitempty"`
+	// StartUnixMilli is the Unix millisecond of the server's start, 0 where it is not told.
+	StartUnixMilli int64 `json:"born,omitempty"`
 }
 
 // The states of a server.
@@ -83,22 +83,22 @@
 	Draining = "draining"
 )
 
-// VersionText is how a version is written.
-func VersionText(version int) string { return fmt.Sprintf("r%d", version) }
+// FormatVersion is how a version is written.
+func FormatVersion(version int) string { return fmt.Sprintf("r%d", version) }
 
 // Configure writes a configuration.
 func (s *Store) Configure(c Configuration) int64 { return s.Set(KindConfig, ConfigName, c) }
 
-// Record writes a server's entry.
-func (s *Store) Record(id string, server Server) int64 { return s.Set(KindServers, id, server) }
+// SetServer writes a server's entry.
+func (s *Store) SetServer(id string, server Server) int64 { return s.Set(KindServers, id, server) }
 
 // Evacuate asks for a zone to be emptied.
 func (s *Store) Evacuate(zone string) int64 {
 	return s.Set(KindEvacuations, zone, struct{}{})
 }
 
-// Return takes an emptied zone back.
-func (s *Store) Return(zone string) { s.Remove(KindEvacuations, zone) }
+// CancelEvacuation takes an emptied zone back.
+func (s *Store) CancelEvacuation(zone string) { s.Remove(KindEvacuations, zone) }
 
 // Rollout is the order to bring in a version of a service.
 type Rollout struct {
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -10,11 +10,11 @@
 
 // Metadata is the part of an object that the store keeps.
 type Metadata struct {
-	Name       string   `json:"name"`
-	Revision   int64    `json:"revision"`
-	Made       int64    `json:"made"`
-	Finalizers []string `json:"finalizers"`
-	Deleting   bool     `json:"deleting"`
+	Name            string   `json:"name"`
+	Revision        int64    `json:"revision"`
+	CreatedRevision int64    `json:"made"`
+	Finalizers      []string `json:"finalizers"`
+	Deleting        bool     `json:"deleting"`
 }
 
 // Object is one object.
@@ -26,8 +26,8 @@
 
 // Event is a change of an object.
 type Event struct {
-	Object Object `json:"object"`
-	Gone   bool   `json:"gone"`
+	Object  Object `json:"object"`
+	Deleted bool   `json:"gone"`
 
 	kind     string
 	revision int64
@@ -87,8 +87,8 @@
 	return s.calls
 }
 
-// Forget drops the history: watches from before now get 410.
-func (s *Store) Forget() {
+// CompactHistory drops the history: watches from before now get 410.
+func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.forgotten = nil, s.revision
@@ -171,8 +171,8 @@
 func (s *Store) commit(kind string, o Object) Object {
 	s.revision++
 	o.Metadata.Revision = s.revision
-	if o.Metadata.Made == 0 {
-		o.Metadata.Made = s.revision
+	if o.Metadata.CreatedRevision == 0 {
+		o.Metadata.CreatedRevision = s.revision
 	}
 	if s.kinds[kind] == nil {
 		s.kinds[kind] = make(map[string]*Object)
@@ -188,7 +188,7 @@
 	s.revision++
 	s.noteUndo(kind, o.Metadata.Name)
 	delete(s.kinds[kind], o.Metadata.Name)
-	s.history = append(s.history, Event{Object: o, Gone: true, kind: kind, revision: s.revision})
+	s.history = append(s.history, Event{Object: o, Deleted: true, kind: kind, revision: s.revision})
 	s.wake()
 }
 
--- a/internal/standin/origin/server.go
+++ b/internal/standin/origin/server.go
@@ -36,23 +36,23 @@
 	Cut
 	// Garbage sends bytes that are no answer.
 	Garbage
-	// Lost runs the request and ends the connection without an answer.
-	Lost
+	// LostResponse runs the request and ends the connection without an answer.
+	LostResponse
 	// Silent runs the request and says nothing.
 	Silent
-	// Early refuses the request before its body is in, and reads on later.
-	Early
+	// EarlyRefusal refuses the request before its body is in, and reads on later.
+	EarlyRefusal
 	// Unsigned answers with success and no signature.
 	Unsigned
 	// Failed runs the request and answers 500.
 	Failed
-	// End runs the request and ends the server with all that it has, as a crash does.
-	End
+	// Crash runs the request and ends the server with all that it has, as a crash does.
+	Crash
 	// Stalled sends the head and half of the answer, and then nothing more.
 	Stalled
-	// Excused runs the request and answers 503 all the same, without a word that it did
+	// Unmarked503 runs the request and answers 503 all the same, without a word that it did
 	// not run.
-	Excused
+	Unmarked503
 )
 
 // Run is a request that was run.
@@ -67,10 +67,10 @@
 	At     time.Time
 	Run
 	Header http.Header
-	// Ran is false if the server turned the request away, and Asks the rest that it then
+	// Executed is false if the server turned the request away, and Asks the rest that it then
 	// asked for, 0 for none.
-	Ran  bool
-	Asks time.Duration
+	Executed   bool
+	RetryAfter time.Duration
 }
 
 // Server is one incarnation. It is safe for concurrent use.
@@ -78,8 +78,8 @@
 	// ID is the incarnation's, and Zone the place that it records.
 	ID, Service, Zone string
 	Slots             int
-	// Work is how long a run takes.
-	Work time.Duration
+	// ServiceTime is how long a run takes.
+	ServiceTime time.Duration
 
 	listener net.Listener
 	mu       sync.Mutex
@@ -123,9 +123,9 @@
 	s.script = script
 }
 
-// SetEnding sets which requests end the server when it runs them, and what is told of the
+// SetCrash sets which requests end the server when it runs them, and what is told of the
 // first of them before the server ends.
-func (s *Server) SetEnding(ends func(*http.Request) bool, ended func(Run)) {
+func (s *Server) SetCrash(ends func(*http.Request) bool, ended func(Run)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ends, s.ended = ends, ended
@@ -145,9 +145,9 @@
 	return s.shedStatus
 }
 
-// SetRest has the server turn away everything until a time, and ask for a rest of some length
+// SetRetryAfter has the server turn away everything until a time, and ask for a rest of some length
 // each time.
-func (s *Server) SetRest(until time.Time, asks time.Duration) {
+func (s *Server) SetRetryAfter(until time.Time, asks time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.restUntil, s.asks = until, asks
@@ -163,9 +163,9 @@
 	return s.asks
 }
 
-// SetSays sets what returns more header lines of the answer to a request, whatever the answer
+// SetExtraHeaders sets what returns more header lines of the answer to a request, whatever the answer
 // is. Each line ends with "\r\n".
-func (s *Server) SetSays(says func(*http.Request) string) {
+func (s *Server) SetExtraHeaders(says func(*http.Request) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.says = says
@@ -190,11 +190,11 @@
 	s.observe = observe
 }
 
-// SetWork sets how long a run takes.
-func (s *Server) SetWork(work time.Duration) {
+// SetServiceTime sets how long a run takes.
+func (s *Server) SetServiceTime(work time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Work = work
+	s.ServiceTime = work
 }
 
 func (s *Server) arrived(req *http.Request, a Arrival) {
@@ -230,8 +230,8 @@
 	return s.canceled
 }
 
-// Forget resets all connections.
-func (s *Server) Forget() {
+// ResetConnections resets all connections.
+func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -242,7 +242,7 @@
 // Close ends the server.
 func (s *Server) Close() {
 	_ = s.listener.Close()
-	s.Forget()
+	s.ResetConnections()
 }
 
 func reset(c net.Conn) {
@@ -287,7 +287,7 @@
 	defer s.mu.Unlock()
 	switch {
 	case s.ends != nil && s.ends(req):
-		return End
+		return Crash
 	case s.script == nil:
 		return None
 	default:
@@ -311,9 +311,9 @@
 	switch fault {
 	case Shed:
 		_, _ = io.Copy(io.Discard, req.Body)
-		s.arrived(req, Arrival{Asks: asks})
+		s.arrived(req, Arrival{RetryAfter: asks})
 		return send(c, s.statusOfShed(), "Not-Executed: 1\r\nRequest-Id: "+id+"\r\n"+lines, "") == nil
-	case Early:
+	case EarlyRefusal:
 		_ = send(c, "413 Request Entity Too Large", s.headers(id)+lines, "no")
 		time.Sleep(50 * time.Millisecond)
 		_, err := io.Copy(io.Discard, req.Body)
@@ -331,10 +331,10 @@
 	if err != nil {
 		return false
 	}
-	s.arrived(req, Arrival{Run: Run{Body: body}, Ran: true})
+	s.arrived(req, Arrival{Run: Run{Body: body}, Executed: true})
 	r := Run{ID: id, Method: req.Method, URI: req.RequestURI, Body: body}
 	s.run(r)
-	if fault == End {
+	if fault == Crash {
 		s.end(r)
 		return false
 	}
@@ -344,7 +344,7 @@
 func (s *Server) run(r Run) {
 	s.mu.Lock()
 	s.runs = append(s.runs, r)
-	work := s.Work
+	work := s.ServiceTime
 	s.mu.Unlock()
 	time.Sleep(work)
 }
@@ -371,7 +371,7 @@
 	text := "answer of " + s.ID + " to " + id
 	headers := s.headers(id) + lines
 	switch fault {
-	case Lost:
+	case LostResponse:
 		return false
 	case Silent:
 		s.untilClosed(c)
@@ -399,7 +399,7 @@
 		return err == nil
 	case Unsigned:
 		return send(c, "200 OK", "Request-Id: "+id+"\r\n"+lines, text) == nil
-	case Excused:
+	case Unmarked503:
 		return send(c, "503 Service Unavailable", headers, "sorry") == nil
 	case Failed:
 		return send(c, "500 Internal Server Error", headers, "failed") == nil
--- a/internal/standin/platformstore/server.go
+++ b/internal/standin/platformstore/server.go
@@ -41,7 +41,7 @@
 	s.mu.Lock()
 	s.faults = f
 	s.mu.Unlock()
-	s.store.Wake()
+	s.store.WakeWatches()
 }
 
 // Counts returns the calls so far.
--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -33,22 +33,22 @@
 	}
 }
 
-// Copy is what a store held at a time.
-type Copy struct {
+// Backup is what a store held at a time.
+type Backup struct {
 	revision          int64
 	objects, previous map[string]objectstore.Object
 }
 
-// Copy returns what the store holds now.
-func (s *Store) Copy() Copy {
+// Backup returns what the store holds now.
+func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{revision: s.revision, objects: maps.Clone(s.objects), previous: maps.Clone(s.previous)}
+	return Backup{revision: s.revision, objects: maps.Clone(s.objects), previous: maps.Clone(s.previous)}
 }
 
 // Restore has the store come back from a copy: what was written since is gone, and the revisions since are
 // given out again, in a new era.
-func (s *Store) Restore(c Copy) {
+func (s *Store) Restore(c Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision, s.objects, s.previous = c.revision, maps.Clone(c.objects), maps.Clone(c.previous)
@@ -149,8 +149,8 @@
 	return next, true
 }
 
-// Wake ends every waiting watch's wait, as a write does.
-func (s *Store) Wake() {
+// WakeWatches ends every waiting watch's wait, as a write does.
+func (s *Store) WakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.wake()
--- a/objectstore/client_test.go
+++ b/objectstore/client_test.go
@@ -121,7 +121,7 @@
 		return o
 	}
 	kept := put("a/kept", 0, 1)
-	backup := store.Copy()
+	backup := store.Backup()
 	later := put("a/kept", kept.Version, 2)
 	lost := put("a/lost", 0, 3)
 	pending := make(chan objectstore.Listing, 1)
