--- a/internal/mix/mix.go
+++ b/internal/mix/mix.go
@@ -13,8 +13,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hash returns the hash of a sequence of texts. Sequences that differ only in where one text ends
-// and the next begins have different hashes.
+// Hash returns the hash of a sequence of texts. The boundaries between the texts are part of what is
+// hashed.
 func Hash(texts ...string) uint64 {
 	h := uint64(fnvOffset)
 	for _, text := range texts {
