--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -27,7 +27,7 @@
 	maxResponseBytes = 64 << 20
 )
 
-// Client calls the service over HTTP. It is safe for concurrent use.
+// Client is an HTTP client of the service. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -36,8 +36,8 @@
 }
 
 // NewClient returns a client of the service at base, such as
-// "http://127.0.0.1:7000". A call other than a watch is bounded by timeout; 0
-// stands for 3 s.
+// "http://127.0.0.1:7000". The timeout applies to each call other than a watch;
+// 0 stands for 3 s.
 func NewClient(base string, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -50,10 +50,10 @@
 	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, eras: newEraTracker()}
 }
 
-// Close releases idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get reads one object. It returns ErrNotFound when there is none.
+// Get reads one object. It returns ErrNotFound if there is none.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -65,7 +65,7 @@
 	return obj.inEra(era), nil
 }
 
-// List reads all objects whose key starts with prefix.
+// List reads all objects whose keys begin with prefix.
 func (c *Client) List(ctx context.Context, prefix string) (Listing, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -79,9 +79,9 @@
 }
 
 // Watch returns the objects below the prefixes that changed after a revision.
-// When there is none it waits for one, up to wait, and then returns an empty
-// listing. Where the service has come back from a copy since, it returns all
-// objects below the prefixes.
+// If there are none, it waits for a change, up to wait, and then returns an empty
+// listing. If the service was restored from a backup since the revision, it returns
+// all objects below the prefixes.
 func (c *Client) Watch(ctx context.Context, prefixes []string, after int64, wait time.Duration) (Listing, error) {
 	era, number := splitVersion(after)
 	latestEra, advanced := c.eras.current()
@@ -95,8 +95,8 @@
 	return out, err
 }
 
-// watch returns the changes after the service's own number, and the era of the answer. It ends early, with
-// the era that is known then, if begun is closed.
+// watch returns the changes after a number that the service has assigned, and the era of the response. If
+// advanced is closed meanwhile, it fails early. With an error it returns the latest era.
 func (c *Client) watch(ctx context.Context, prefixes []string, number int64, wait time.Duration, advanced <-chan struct{}) (out Listing, era int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
@@ -120,10 +120,10 @@
 	return out.inEra(era), era, nil
 }
 
-// Put writes value under key if the object is at version (0: if there is
-// none), and returns the object written. Besides the package's errors it
-// returns a *ConflictError. An object that the service has lost since the
-// version, as it has come back from a copy, is made anew.
+// Put writes value under key if the object is at version, and returns the object
+// written. Version 0 means that the object must not exist. Put returns a
+// *ConflictError if the object is at another version. If the service was restored
+// from a backup since the version and has lost the object, Put creates it again.
 func (c *Client) Put(ctx context.Context, key string, version int64, value any) (Object, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -154,9 +154,10 @@
 	return err
 }
 
-// writeNumber returns the number that a write on a version has to name. If the service has come back from a
-// copy since the version, its own numbers may have been given out again: then the write is in conflict
-// with what the service holds now, or makes the object anew if there is none.
+// writeNumber returns the number that a write has to name to be conditional on version. If the service was
+// restored from a backup since, it may have assigned the version's number again. A write would then change an
+// object that the writer has not read. Instead, writeNumber returns a *ConflictError with the present object,
+// or 0 if there is none, so that the write creates the object again.
 func (c *Client) writeNumber(ctx context.Context, key string, version int64) (number int64, err error) {
 	era, number := splitVersion(version)
 	latestEra, _ := c.eras.current()
@@ -174,7 +175,8 @@
 	}
 }
 
-// read makes a call and decodes its answer into out. It returns the era that the answer names.
+// read sends a GET request and decodes the response into out. It returns the era that the response
+// names.
 func (c *Client) read(ctx context.Context, path string, out any) (era int64, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
@@ -203,8 +205,8 @@
 func (c *Client) write(ctx context.Context, method, key, path string, body []byte) (Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	// The reader hides its type so that net/http has no GetBody and never
-	// repeats the write by itself.
+	// The reader's type is hidden, so that net/http sets no GetBody and never
+	// retries the write.
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return Object{}, fmt.Errorf("write %s: %w", key, err)
@@ -218,8 +220,8 @@
 	return decodeWrite(key, resp, c.eras.observe(resp.Header))
 }
 
-// writeFailure tells whether a write whose call failed can have reached the
-// service: a failed dial cannot.
+// writeFailure returns ErrUnavailable if a write that failed with err can't have reached
+// the service, since the connection was not established, and ErrUncertain otherwise.
 func writeFailure(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/objectstore/client_test.go
+++ b/objectstore/client_test.go
@@ -43,7 +43,7 @@
 	require.ErrorAs(t, c.Delete(ctx, "a/b", first.Version), &conflict)
 	require.NoError(t, c.Delete(ctx, "a/b", second.Version))
 	_, err = c.Put(ctx, "a/b", 0, 3)
-	require.NoError(t, err, "a deleted object can be made anew")
+	require.NoError(t, err, "a deleted object can be created again")
 	_, err = c.Put(ctx, "a/c", 0, make([]byte, objectstore.MaxValueBytes))
 	require.ErrorIs(t, err, objectstore.ErrTooLarge)
 }
@@ -68,8 +68,8 @@
 	require.Empty(t, list.Objects)
 }
 
-// TestWriteOutcomes checks that a write is called refused only when it had no
-// effect, and uncertain when it may have.
+// TestWriteOutcomes checks that a failed write returns ErrUnavailable only if it had no effect,
+// and ErrUncertain if it may have had one.
 func TestWriteOutcomes(t *testing.T) {
 	ctx := context.Background()
 	server, c := newServerAndClient(t)
@@ -80,21 +80,21 @@
 	_, err = c.Put(ctx, "k", 0, 1)
 	require.ErrorIs(t, err, objectstore.ErrUncertain)
 	obj, err := c.Get(ctx, "k")
-	require.NoError(t, err, "it took effect")
+	require.NoError(t, err, "the write took effect")
 
 	unresponsive := objectstore.NewClient("http://"+unresponsiveAddr(t), 200*time.Millisecond)
 	_, err = unresponsive.Put(ctx, "k", obj.Version, 2)
-	require.ErrorIs(t, err, objectstore.ErrUncertain, "no answer in time")
+	require.ErrorIs(t, err, objectstore.ErrUncertain, "no response in time")
 	refusing := objectstore.NewClient("http://127.0.0.1:1", time.Second)
 	_, err = refusing.Put(ctx, "k", 0, 1)
-	require.ErrorIs(t, err, objectstore.ErrUnavailable, "nobody listens")
+	require.ErrorIs(t, err, objectstore.ErrUnavailable, "connection refused")
 	badGateway := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
 	defer badGateway.Close()
 	_, err = objectstore.NewClient(badGateway.URL, time.Second).Put(ctx, "k", 0, 1)
-	require.ErrorIs(t, err, objectstore.ErrUncertain, "a status that says nothing")
+	require.ErrorIs(t, err, objectstore.ErrUncertain, "status 502 leaves the result open")
 }
 
-// unresponsiveAddr returns an address that takes connections and never answers.
+// unresponsiveAddr returns an address that accepts connections and never responds.
 func unresponsiveAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -102,9 +102,10 @@
 	return ln.Addr().String()
 }
 
-// TestRestoreFromBackup checks that versions grow across a return of the service from a copy, that no write on a
-// version of before takes effect on what has that number now, that a lost object is made anew, and that a
-// watch from before, pending or not, brings all that there is.
+// TestRestoreFromBackup checks that versions grow across a restore of the service from a backup. A write that
+// names a version from before the restore must not change an object that was assigned the same number again.
+// An object that the restore has lost can be created again. A watch that names a revision from before the
+// restore, whether it was pending then or begins later, returns all objects.
 func TestRestoreFromBackup(t *testing.T) {
 	ctx := context.Background()
 	store := platformstore.NewStore()
@@ -131,7 +132,8 @@
 		pending <- listing
 	}()
 	store.Restore(backup)
-	// Another client writes as often as before the return.
+	// Another client makes as many writes as were lost, so that the service assigns the
+	// same numbers again.
 	other := objectstore.NewClient(ts.URL, 2*time.Second)
 	t.Cleanup(other.Close)
 	current, err := other.Get(ctx, "a/kept")
@@ -158,7 +160,7 @@
 		require.Contains(t, listing.Objects, current)
 		require.Greater(t, listing.Revision, lost.Version)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the watch goes on waiting")
+		t.Fatal("the pending watch has not ended 10 s after the restore")
 	}
 	listing, err := c.Watch(ctx, []string{"a/"}, lost.Version, time.Minute)
 	require.NoError(t, err)
--- a/objectstore/era.go
+++ b/objectstore/era.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// EraHeader holds, in all answers of the service, how often it has come back from a copy of itself: its
-// latest changes are gone then, and its revisions are given out again.
+// EraHeader is the header of all responses of the service that holds its era, which is the number of
+// restores from a backup. A restore undoes the latest changes, and their revisions are assigned again.
 const EraHeader = "Object-Era"
 
 const (
-	// eraShift is the bit of a version from which on it holds the era. The bits below hold the
-	// service's own number.
+	// eraShift is the lowest bit of the era in a version. The bits below it are the number that
+	// the service itself has assigned.
 	eraShift = 40
 	maxEra   = 1 << (63 - eraShift)
 )
 
-// versionOf returns the version that stands for the service's own number in an era: versions of a later
-// era are larger. 0 stands for no object in every era.
+// versionOf returns the version for a number that the service has assigned in an era. Versions of later
+// eras are larger. The number 0, which stands for no object, gives version 0 in every era.
 func versionOf(era, number int64) int64 {
 	if number == 0 {
 		return 0
@@ -26,27 +26,28 @@
 	return era<<eraShift | number
 }
 
-// splitVersion returns the era and the service's own number of a version.
+// splitVersion returns the era of a version and the number that the service has assigned.
 func splitVersion(version int64) (era, number int64) {
 	return version >> eraShift, version & (1<<eraShift - 1)
 }
 
-// IsLaterEra tells whether a version is of a later era of the service than another one: the service has
-// come back from a copy in between, and an object at the first may lack what it held at the other.
+// IsLaterEra reports whether a version belongs to a later era of the service than another one. The
+// service was restored from a backup in between then, so an object may have lost changes that it had at
+// the other version.
 func IsLaterEra(version, than int64) bool { return version>>eraShift > than>>eraShift }
 
-// eraTracker follows the era of a service. It is safe for concurrent use.
+// eraTracker records the latest era of a service. It is safe for concurrent use.
 type eraTracker struct {
 	mu     sync.Mutex
 	latest int64
-	// advanced is closed when a later era begins.
+	// advanced is closed, and replaced, when a response names a later era.
 	advanced chan struct{}
 }
 
 func newEraTracker() *eraTracker { return &eraTracker{advanced: make(chan struct{})} }
 
-// observe takes in the era that an answer names, and returns it. An answer that names none that can be
-// held in a version is of era 0.
+// observe records the era that a response names, and returns it. It returns 0 if the header is missing,
+// malformed, or too large for a version.
 func (e *eraTracker) observe(header http.Header) int64 {
 	era, err := strconv.ParseInt(header.Get(EraHeader), 10, 64)
 	if err != nil || era < 0 || era >= maxEra {
@@ -62,7 +63,7 @@
 	return era
 }
 
-// current returns the latest era that is known, and a channel that is closed when a later one begins.
+// current returns the latest era, and a channel that is closed when a response names a later one.
 func (e *eraTracker) current() (era int64, advanced <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
