--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,4 +1,4 @@
-// Package listen opens several addresses together.
+// Package listen opens several TCP listeners, or none if one of them fails.
 package listen
 
 import (
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// All opens a TCP listener on each address, in their order. If any can't be opened
-// none stays open, and the error tells of all that failed.
+// All opens a TCP listener on each address and returns the listeners in the order of the addresses.
+// If any of them can't be opened, All closes the others and returns the errors of all that failed.
 func All(addrs ...string) ([]net.Listener, error) {
 	var errs []error
 	var open []net.Listener
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -8,6 +8,8 @@
 	"github.com/rainford/rainford/internal/listen"
 )
 
+// TestAllOrNone checks that All reports each address that can't be opened, and then leaves none of
+// the others open.
 func TestAllOrNone(t *testing.T) {
 	open, err := listen.All("127.0.0.1:0")
 	require.NoError(t, err)
@@ -20,7 +22,7 @@
 	require.ErrorContains(t, err, usedAddr)
 	require.ErrorContains(t, err, "nonsense")
 	reopened, err := listen.All(freeAddr)
-	require.NoError(t, err, "nothing stayed open")
+	require.NoError(t, err, "the address is still in use after All failed")
 	require.NoError(t, reopened[0].Close())
 	require.NoError(t, open[0].Close())
 }
