--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,7 +1,7 @@
-// Package loopback hands out addresses to programs and tests that start servers whose
-// addresses have to be known beforehand, and that may be started again at the same
-// address. Each process has an IP address of its own where the system allows it, so that
-// none takes the port of another one's server that has just ended.
+// Package loopback provides local addresses to programs and tests that start servers. It is for
+// servers whose address has to be known before the start, and for servers that are restarted at the
+// same address. Where the system allows it, each process uses a loopback IP address of its own, so
+// that no process takes the port of another process's server that has just ended.
 package loopback
 
 import (
@@ -11,9 +11,9 @@
 	"sync"
 )
 
-// The ports lie below those that the kernel gives to outgoing connections, one of
-// which could otherwise take a port between its choice and its use. Each process
-// begins elsewhere.
+// The ports are below the range from which the kernel assigns ports to outgoing connections.
+// Otherwise such a connection could take a port between its choice and its use. Each process starts
+// at a port that depends on its process ID.
 const (
 	firstPort = 12000
 	lastPort  = 32000
@@ -25,10 +25,11 @@
 	nextPort = firstPort + (os.Getpid()*portStep)%(lastPort-firstPort)
 )
 
-// defaultHost is the IP address that is there on every system.
+// defaultHost is the loopback IP address that exists on every system. Processes share it where the
+// rest of 127.0.0.0/8 can't be used.
 const defaultHost = "127.0.0.1"
 
-// Host returns the IP address of this process's servers.
+// Host returns the IP address for the servers of this process. It always returns the same one.
 var Host = sync.OnceValue(func() string {
 	pid := os.Getpid()
 	host := fmt.Sprintf("127.%d.%d.1", 1+(pid>>7)%200, 1+pid%128)
@@ -40,8 +41,8 @@
 	return host
 })
 
-// FreeAddr returns an address that nothing listens on and that this process has not
-// handed out of late.
+// FreeAddr returns an address on which nothing listens. It returns an address again only after
+// trying all other ports of the range. It returns the last error if it can listen on none of them.
 func FreeAddr() (string, error) {
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/internal/loopback"
 )
 
-// TestFreeAddr checks that addresses differ, can be listened on, and lie outside the
-// range from which outgoing connections get their ports.
+// TestFreeAddr checks that addresses differ, that it is possible to listen on them, and that their
+// ports are below the range from which the kernel assigns ports to outgoing connections.
 func TestFreeAddr(t *testing.T) {
 	seen := map[string]bool{}
 	for range 50 {
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestHost checks that the process has a loopback address, always the same, on which it can listen.
+// TestHost checks that Host always returns the same loopback address, and that the process can
+// listen on it.
 func TestHost(t *testing.T) {
 	require.True(t, net.ParseIP(loopback.Host()).IsLoopback())
 	require.Equal(t, loopback.Host(), loopback.Host())
