--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,4 +1,4 @@
-// Package sockopt does what sockets can and the standard library has no names for.
+// Package sockopt provides socket options and checks of connections that package net lacks.
 package sockopt
 
 import (
@@ -10,9 +10,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a net.Dialer.Control that ends connections whose bytes the other
-// side has not acknowledged for a time: it is cut off, has lost power, or the connection
-// carries nothing any more while new ones work.
+// UserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT. The kernel then
+// ends a connection whose sent bytes the peer has not acknowledged for that time. This happens when
+// the peer is partitioned from the network or has lost power, and when packets of this connection
+// are dropped while new connections work.
 func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var setErr error
@@ -26,8 +27,8 @@
 	}
 }
 
-// Idle tells whether a connection is open and nothing has arrived on it that was not read.
-// One that is not of TCP counts as quiet.
+// Idle reports whether a connection is open and has no unread bytes. It consumes none. It returns
+// true for a connection that is not a *net.TCPConn.
 func Idle(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -47,8 +48,9 @@
 	return err == nil && idle
 }
 
-// PeerClosed tells whether the other side of a connection has closed or reset it. It reads nothing,
-// and may be called beside a read.
+// PeerClosed reports whether the peer has closed or reset a connection. It consumes no bytes, and may
+// be called while another goroutine reads from the connection. It returns true if this side has
+// closed the connection, and false if the connection has no file descriptor.
 func PeerClosed(conn net.Conn) bool {
 	return checkDescriptor(conn, func(fd int) bool {
 		var buf [1]byte
@@ -69,8 +71,8 @@
 	return err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// checkDescriptor returns what ask says of the descriptor of a connection: false if there is none,
-// true if this side has closed it.
+// checkDescriptor returns the result of check for the file descriptor of a connection. It returns
+// false if the connection has none, and true if this side has closed the connection.
 func checkDescriptor(conn net.Conn, check func(fd int) bool) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -81,7 +83,7 @@
 		return true
 	}
 	result := false
-	// Control does not wait for a read that is under way, as Read would.
+	// Control does not wait for a read in progress, whereas Read would.
 	err = raw.Control(func(fd uintptr) { result = check(int(fd)) })
 	return err != nil || result
 }
