--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause provides waiting that ends with a context.
+// Package pause provides sleeps that a context can end early.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends. It reports whether the whole time passed.
+// For sleeps for d, or until ctx is done. It reports whether d has elapsed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -18,7 +18,8 @@
 	}
 }
 
-// Until waits until t, or until ctx ends. It reports whether t was reached.
+// Until sleeps until t, or until ctx is done. It reports whether t was reached. If t has already
+// passed, it reports whether ctx is not done.
 func Until(ctx context.Context, t time.Time) bool {
 	d := time.Until(t)
 	if d <= 0 {
