--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -51,7 +51,7 @@
 	// RetryAfter is the time to wait before a retry.
 	RetryAfter time.Duration
 	// EarlierStatus is the HTTP status of the earlier attempt's response. It is set if Reason
-	// is protocol.ReasonDone.
+	// is protocol.ReasonAlreadyDone.
 	EarlierStatus int
 	// ResponseSent is set if the response of a target was relayed. Incomplete is set if the
 	// relayed response broke off before its end.
