--- a/caller/attempt.go
+++ b/caller/attempt.go
@@ -16,6 +16,7 @@
 	"github.com/rainford/rainford/retry"
 )
 
+// try makes one attempt at a request, at one instance.
 func (c *Client) try(ctx context.Context, r Request, instance lookup.Instance, attempt int) (*http.Response, error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -27,7 +28,8 @@
 	}
 	transport := c.pooled
 	if r.Key != "" {
-		// As between instances: no connection that may have gone stale.
+		// As between instances, an operation that runs at most once is not sent on a
+		// reused connection, since the instance may have closed it already.
 		transport = c.unpooled
 	}
 	resp, err := transport.RoundTrip(req)
@@ -45,6 +47,8 @@
 	return nil, &UnknownError{Reason: protocol.ReasonResponseLost, Detail: err.Error(), RetryAfter: time.Second, Err: err}
 }
 
+// markUnreachable records that an instance could not be reached, or that a connection to it
+// failed.
 func (c *Client) markUnreachable(service, id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,6 +57,7 @@
 	}
 }
 
+// newRequest returns the HTTP request of an attempt to the instance at addr.
 func newRequest(ctx context.Context, r Request, addr string, attempt int) (*http.Request, error) {
 	var src io.Reader
 	if r.Body != nil {
@@ -92,11 +97,12 @@
 	return req, nil
 }
 
-// expectContinueBytes is the length from which a body waits for the instance to take
-// the request.
+// expectContinueBytes is the length above which, as with an unknown length, a body is sent only
+// after the instance has accepted the request, by the header Expect: 100-continue.
 const expectContinueBytes = 64 << 10
 
-// checkOutcome turns an answer that the system gave by itself into an error.
+// checkOutcome returns a response of a target as it is, and converts a refusal of an instance
+// into an error. It closes the body of a refusal.
 func checkOutcome(resp *http.Response) (*http.Response, error) {
 	outcome := retry.ParseOutcome(resp.Header.Get(protocol.HeaderOutcome))
 	if outcome == retry.Ran && resp.Header.Get(protocol.HeaderTarget) != "" {
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -19,12 +19,12 @@
 	"github.com/rainford/rainford/protocol"
 )
 
-// fakeInstance is a fake instance.
+// fakeInstance is an HTTP server that stands in for an instance and counts its calls.
 type fakeInstance struct {
 	*httptest.Server
 	lookups atomic.Int64
 	calls   atomic.Int64
-	// lookupResponse is what a look-up gets, and serve what a call does.
+	// lookupResponse returns the response to a look-up, and serve handles a call.
 	lookupResponse func() lookup.Response
 	serve          func(w http.ResponseWriter, r *http.Request)
 }
@@ -114,7 +114,7 @@
 	c := newClient(t, e)
 	for range 3 {
 		_, err := do(c, caller.NewKey())
-		require.NoError(t, err, "a request that was never sent may go elsewhere, once-only or not")
+		require.NoError(t, err, "a request that was never sent may be sent to another instance, with or without a key")
 	}
 }
 
@@ -143,30 +143,30 @@
 		calls int64
 		check func(t *testing.T, err error)
 	}{
-		{"not run is final when the system says when to come back", refusal("not-run", protocol.ReasonCap, 1500*time.Millisecond), false, 1, func(t *testing.T, err error) {
+		{"refusal with a retry time is final", refusal("not-run", protocol.ReasonCap, 1500*time.Millisecond), false, 1, func(t *testing.T, err error) {
 			var e *caller.NotRunError
 			require.ErrorAs(t, err, &e)
 			require.Equal(t, 1500*time.Millisecond, e.RetryAfter)
 		}},
-		{"a once-only request whose answer is lost is not sent again", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true, 1, func(t *testing.T, err error) {
+		{"request with a key is not repeated after a lost response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true, 1, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 		}},
-		{"another one is", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false, 2, func(t *testing.T, err error) {
+		{"request without a key is repeated after a lost response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false, 2, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 		}},
-		{"done before", refusal("ran", protocol.ReasonAlreadyDone, 0), true, 1, func(t *testing.T, err error) {
+		{"earlier attempt done", refusal("ran", protocol.ReasonAlreadyDone, 0), true, 1, func(t *testing.T, err error) {
 			var e *caller.DoneError
 			require.ErrorAs(t, err, &e)
 			require.Equal(t, 201, e.Status)
 		}},
-		{"unknown", refusal("unknown", protocol.ReasonInProgress, time.Second), true, 1, func(t *testing.T, err error) {
+		{"unknown outcome", refusal("unknown", protocol.ReasonInProgress, time.Second), true, 1, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 			require.Equal(t, time.Second, e.RetryAfter)
 		}},
-		{"an answer that says nothing is unknown", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, true, 1, func(t *testing.T, err error) {
+		{"response without an outcome means unknown", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, true, 1, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 		}},
@@ -186,8 +186,9 @@
 	}
 }
 
-// TestUnreachableAfterUnknownAttempt checks that an attempt that reaches nobody is
-// no proof about an operation whose earlier attempt ended unknown.
+// TestUnreachableAfterUnknownAttempt checks that Do returns an *UnknownError if no instance can be
+// reached and an earlier attempt at the operation ended unknown. A *NotRunError would be wrong, since
+// the earlier attempt may have run.
 func TestUnreachableAfterUnknownAttempt(t *testing.T) {
 	down, e := newFakeInstance(t), newFakeInstance(t)
 	e.lookupResponse = lookupResponseOf(time.Hour, down)
@@ -227,7 +228,7 @@
 	_, err = c.Do(context.Background(), req)
 	var notRun *caller.NotRunError
 	if errors.As(err, &notRun) {
-		fmt.Println("not run, come back after", notRun.RetryAfter)
+		fmt.Println("not run, retry after", notRun.RetryAfter)
 	}
-	// Output: not run, come back after 1s
+	// Output: not run, retry after 1s
 }
--- a/caller/lookup.go
+++ b/caller/lookup.go
@@ -13,7 +13,8 @@
 	"github.com/rainford/rainford/protocol"
 )
 
-// choose returns the next instance to try.
+// choose returns the first instance of the service's look-up that was not tried yet. Instances that
+// could not be reached lately come last.
 func (c *Client) choose(ctx context.Context, service string, tried map[string]bool) (lookup.Instance, error) {
 	cached, err := c.instances(ctx, service)
 	if err != nil {
@@ -41,7 +42,8 @@
 	return lookup.Instance{}, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: "no instance answers", RetryAfter: time.Second}
 }
 
-// instances returns the cached answer, or asks for a new one.
+// instances returns the cached look-up of a service, or makes a new one if the TTL has passed. If no
+// instance answers, it returns the cached one until it is too old.
 func (c *Client) instances(ctx context.Context, service string) (*cachedLookup, error) {
 	c.mu.Lock()
 	cached := c.lookups[service]
@@ -64,8 +66,8 @@
 	return nil, &NotRunError{local: true, Reason: protocol.ReasonUnreachable, Detail: fmt.Sprintf("no instance answers a look-up: %v", lastErr), RetryAfter: time.Second}
 }
 
-// lookupAddrs returns the instances of the last answer, then the bootstrap
-// addresses.
+// lookupAddrs returns the addresses to send a look-up to: those of the instances in the cached
+// look-up, then the bootstrap addresses.
 func (c *Client) lookupAddrs(cached *cachedLookup) []string {
 	var out []string
 	if cached != nil {
@@ -76,6 +78,7 @@
 	return append(out, c.config.Bootstrap...)
 }
 
+// cacheLookup caches the response of a look-up. It keeps the record of unreachable instances.
 func (c *Client) cacheLookup(service string, previous *cachedLookup, response lookup.Response) *cachedLookup {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,6 +90,7 @@
 	return cached
 }
 
+// fetchLookup sends a look-up to one instance. A response without instances is an error.
 func (c *Client) fetchLookup(ctx context.Context, addr, service string) (lookup.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
@@ -111,7 +115,8 @@
 	return response, err
 }
 
-// Lookup returns the instances that the client would use, in order.
+// Lookup returns the instances that the client uses for a service, in order of
+// preference.
 func (c *Client) Lookup(ctx context.Context, service string) (lookup.Response, error) {
 	cached, err := c.instances(ctx, service)
 	if err != nil {
