--- a/telemetry/entry_metrics.go
+++ b/telemetry/entry_metrics.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// EntryMetrics are the instruments of an entry instance on the project's own object
-// service.
+// EntryMetrics are the instruments of an entry instance, which is an instance that accepts
+// requests of callers and uses rainford's own object service (package objectstore).
 type EntryMetrics struct {
 	*Metrics
 
@@ -16,7 +16,7 @@
 	violations *Counter
 }
 
-// NewEntryMetrics returns the instruments of an entry instance, in a registry of their own.
+// NewEntryMetrics returns the instruments of an entry instance, in a new registry.
 func NewEntryMetrics() (*EntryMetrics, error) {
 	m, err := New()
 	if err != nil {
@@ -31,14 +31,15 @@
 	return e, errors.Join(errs[:]...)
 }
 
-// Request counts one request of a caller.
+// Request counts one request of a caller, with its outcome and the reason of a refusal, and
+// records how long it took.
 func (e *EntryMetrics) Request(service, outcome, reason string, took time.Duration) {
 	e.requests.Add(1, service, outcome, reason)
 	e.latency.Record(took.Seconds(), service)
 }
 
-// Lookup counts one look-up.
+// Lookup counts one answered look-up.
 func (e *EntryMetrics) Lookup() { e.lookups.Add(1) }
 
-// Violation counts a broken invariant.
+// Violation counts a violation of the named invariant.
 func (e *EntryMetrics) Violation(name string) { e.violations.Add(1, name) }
--- a/telemetry/labels.go
+++ b/telemetry/labels.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// maxLabels is the number of labels that an instrument may have.
+	// maxLabels is the largest number of labels of an instrument.
 	maxLabels = 4
-	// maxSeries bounds the series of an instrument. Further ones are counted
-	// together under overflowValue, so that names that come from outside cannot
-	// fill the memory.
+	// maxSeries is the largest number of series of a counter or histogram. Events
+	// of further series are counted in one series whose labels have the value
+	// overflowValue. Label values that come from requests could otherwise use up
+	// the memory.
 	maxSeries     = 512
 	overflowValue = "other"
 )
 
-// labelValues are the labelValues of an instrument's labels.
+// labelValues are the values of an instrument's labels, in the order of the labels. Elements
+// beyond the number of labels are empty.
 type labelValues [maxLabels]string
 
-// seriesCache hands out the attributes of an instrument's seriesCache. Making a set anew with
-// each event would cost more than counting it.
+// seriesCache caches the attribute sets of an instrument's series, because building a set for
+// each event would cost more than counting the event. It is safe for concurrent use.
 type seriesCache struct {
 	labels []string
 
@@ -35,7 +37,8 @@
 	return &seriesCache{labels: labels, options: make(map[labelValues]metric.MeasurementOption)}
 }
 
-// option returns the attributes of the series with the values.
+// option returns the attributes of the series with the given label values, or those of the
+// overflow series if the instrument has too many series.
 func (s *seriesCache) option(of ...string) metric.MeasurementOption {
 	var key labelValues
 	copy(key[:], of)
@@ -57,6 +60,7 @@
 	return option
 }
 
+// attributeSet returns the attributes for the values of the labels.
 func (s *seriesCache) attributeSet(key labelValues) attribute.Set {
 	attributes := make([]attribute.KeyValue, len(s.labels))
 	for i, label := range s.labels {
@@ -65,13 +69,13 @@
 	return attribute.NewSet(attributes...)
 }
 
-// Counter counts events by labels.
+// Counter is a counter of events with labels.
 type Counter struct {
 	series  *seriesCache
 	counter metric.Int64Counter
 }
 
-// Counter returns a counter with at most four labels.
+// Counter registers a counter with at most four labels.
 func (m *Metrics) Counter(name, description string, labels ...string) (*Counter, error) {
 	counter, err := m.meter.Int64Counter(name, metric.WithDescription(description))
 	if err != nil {
@@ -80,18 +84,18 @@
 	return &Counter{series: newSeriesCache(labels), counter: counter}, nil
 }
 
-// Add counts n events. Values are those of the labels, in their order.
+// Add counts n events. values are the values of the labels, in the order of the labels.
 func (c *Counter) Add(n int64, values ...string) {
 	c.counter.Add(context.Background(), n, c.series.option(values...))
 }
 
-// Histogram records times by labels.
+// Histogram is a histogram of durations with labels.
 type Histogram struct {
 	series    *seriesCache
 	histogram metric.Float64Histogram
 }
 
-// Histogram returns a histogram of times in seconds with at most four labels.
+// Histogram registers a histogram of durations in seconds with at most four labels.
 func (m *Metrics) Histogram(name, description string, labels ...string) (*Histogram, error) {
 	histogram, err := m.meter.Float64Histogram(name, metric.WithUnit("s"), metric.WithDescription(description),
 		metric.WithExplicitBucketBoundaries(latencyBounds...))
@@ -101,13 +105,15 @@
 	return &Histogram{series: newSeriesCache(labels), histogram: histogram}, nil
 }
 
-// Record records a time in seconds. Values are those of the labels, in their order.
+// Record records a duration in seconds. values are the values of the labels, in the order of
+// the labels.
 func (h *Histogram) Record(seconds float64, values ...string) {
 	h.histogram.Record(context.Background(), seconds, h.series.option(values...))
 }
 
-// Gauges registers values that are read when the metrics are. Read calls observe
-// once for each series, with the values of the labels in their order.
+// Gauges registers a gauge with at most four labels. read is called when the metrics are
+// scraped. It calls observe once for each series, with the value of the gauge and the values
+// of the labels in the order of the labels.
 func (m *Metrics) Gauges(name, description string, labels []string, read func(observe func(value float64, values ...string))) error {
 	s := newSeriesCache(labels)
 	_, err := m.meter.Float64ObservableGauge(name, metric.WithDescription(description),
--- a/telemetry/labels_test.go
+++ b/telemetry/labels_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestSeriesAreBounded checks that names from outside fill neither the memory nor
-// the answer.
+// TestSeriesAreBounded checks that the number of series stays bounded if the values of a label
+// come from outside, so that they use up neither the memory nor the size of a scrape.
 func TestSeriesAreBounded(t *testing.T) {
 	m, err := telemetry.New()
 	require.NoError(t, err)
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -12,14 +12,14 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// Metrics is a registry of instruments and its handler.
+// Metrics is a registry of instruments with an HTTP handler that serves them.
 type Metrics struct {
 	provider *sdk.MeterProvider
 	handler  http.Handler
 	meter    metric.Meter
 }
 
-// latencyBounds are the bounds of the latency histogram in seconds.
+// latencyBounds are the upper bounds of the buckets of all histograms, in seconds.
 var latencyBounds = []float64{.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 5, 10}
 
 // New returns a registry without instruments.
@@ -37,7 +37,7 @@
 	}, nil
 }
 
-// Gauge registers a value that is read when the metrics are.
+// Gauge registers a gauge without labels. Its value is read when the metrics are scraped.
 func (m *Metrics) Gauge(name, description string, read func() int64) error {
 	_, err := m.meter.Int64ObservableGauge(name, metric.WithDescription(description),
 		metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close ends the recording.
+// Close shuts the recording of metrics down.
 func (m *Metrics) Close(ctx context.Context) error { return m.provider.Shutdown(ctx) }
