--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -62,9 +62,12 @@
 	})
 }
 
-// HungUp is Closed for a connection on which bytes are known to lie unread.
+// HungUp is like PeerClosed, for a connection that is known to have unread bytes. It needs one system
+// call instead of two.
 func HungUp(conn net.Conn) bool { return checkDescriptor(conn, hungUp) }
 
+// hungUp reports whether poll shows that the peer has closed or reset the connection. It detects
+// this also while bytes are unread, whereas a peek at the next byte does not.
 func hungUp(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := unix.Poll(fds, 0)
