--- a/cmd/rainford/common.go
+++ b/cmd/rainford/common.go
@@ -21,10 +21,10 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// common are the flags of subcommands that talk to the platform.
-type common struct {
+// commonFlags are the flags of subcommands that talk to the platform.
+type commonFlags struct {
 	platform string
-	who      string
+	operator string
 	json     bool
 	timeout  time.Duration
 }
@@ -33,26 +33,26 @@
 
 func newFlags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
-func (c *common) register(fs *flag.FlagSet) {
+func (c *commonFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&c.platform, "platform", "http://127.0.0.1:7000", "base URL of the platform's service, or objects://IP:PORT")
 	fs.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long to try")
 	c.registerJSON(fs)
 }
 
-func (c *common) registerJSON(fs *flag.FlagSet) {
+func (c *commonFlags) registerJSON(fs *flag.FlagSet) {
 	fs.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// registerWho adds the flag of subcommands that change the configuration.
-func (c *common) registerWho(fs *flag.FlagSet) {
-	fs.StringVar(&c.who, "who", os.Getenv("USER"), "operator's name for the audit trail")
+// registerOperator adds the flag of subcommands that change the configuration.
+func (c *commonFlags) registerOperator(fs *flag.FlagSet) {
+	fs.StringVar(&c.operator, "who", os.Getenv("USER"), "operator's name for the audit trail")
 }
 
 // objectsScheme begins the address of a platform whose store is one of objects
 // by kind.
 const objectsScheme = "objects://"
 
-func (c *common) client() objectstore.Service {
+func (c *commonFlags) client() objectstore.Service {
 	if addr, ok := strings.CutPrefix(c.platform, objectsScheme); ok {
 		return platform.NewObjects(addr)
 	}
@@ -60,11 +60,11 @@
 }
 
 // editor returns an editor for the audit trail's who and what.
-func (c *common) editor(client objectstore.Service, what string) (*config.Editor, error) {
-	if c.who == "" {
+func (c *commonFlags) editor(client objectstore.Service, what string) (*config.Editor, error) {
+	if c.operator == "" {
 		return nil, usagef("say who you are with -who or RAINFORD_WHO: the audit trail needs it")
 	}
-	return &config.Editor{Store: client, Operator: c.who, Command: what, NewID: newID, Now: time.Now}, nil
+	return &config.Editor{Store: client, Operator: c.operator, Command: what, NewID: newID, Now: time.Now}, nil
 }
 
 func newID() string {
@@ -73,8 +73,8 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// document reads the accepted configuration.
-func document(ctx context.Context, client objectstore.Service) (*config.Document, error) {
+// readDocument reads the accepted configuration.
+func readDocument(ctx context.Context, client objectstore.Service) (*config.Document, error) {
 	obj, err := client.Get(ctx, config.Key)
 	if errors.Is(err, objectstore.ErrNotFound) {
 		return &config.Document{}, nil
@@ -91,8 +91,8 @@
 	return enc.Encode(v)
 }
 
-// accepted prints an accepted change.
-func (a *app) accepted(c *common, change config.Change) error {
+// printChange prints an printChange change.
+func (a *app) printChange(c *commonFlags, change config.Change) error {
 	if c.json {
 		return a.printJSON(change)
 	}
@@ -112,7 +112,7 @@
 
 func (a *app) versionCommand() *ffcli.Command {
 	fs := newFlags("rainford version")
-	c := &common{}
+	c := &commonFlags{}
 	c.registerJSON(fs)
 	return a.command("version", "rainford version [-json]", "print the version of the program", fs, func(context.Context, []string) error {
 		version := "devel"
--- a/cmd/rainford/demo.go
+++ b/cmd/rainford/demo.go
@@ -11,15 +11,15 @@
 	"github.com/rainford/rainford/internal/demo"
 )
 
-// errBroken says that the demo broke an invariant, which it has printed.
-type errBroken struct{ count int }
+// errInvariantsBroken says that the demo broke an invariant, which it has printed.
+type errInvariantsBroken struct{ count int }
 
 // Error implements error.
-func (e errBroken) Error() string { return fmt.Sprintf("%d invariants were broken", e.count) }
+func (e errInvariantsBroken) Error() string { return fmt.Sprintf("%d invariants were broken", e.count) }
 
 func (a *app) demoCommand() *ffcli.Command {
 	fs := newFlags("rainford demo")
-	c := &common{}
+	c := &commonFlags{}
 	c.registerJSON(fs)
 	estate := fs.String("estate", "estatedesk", "whose sizes to run: estatedesk or pampa")
 	duration := fs.Duration("duration", 10*time.Second, "how long to send requests")
@@ -67,7 +67,7 @@
 	Print(w io.Writer) error
 }
 
-func (a *app) printReport(c *common, report printer, broken int) error {
+func (a *app) printReport(c *commonFlags, report printer, broken int) error {
 	var err error
 	if c.json {
 		err = a.printJSON(report)
@@ -78,7 +78,7 @@
 		return err
 	}
 	if broken > 0 {
-		return errBroken{broken}
+		return errInvariantsBroken{broken}
 	}
 	return nil
 }
--- a/cmd/rainford/estate.go
+++ b/cmd/rainford/estate.go
@@ -16,8 +16,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// edit makes one change of the configuration.
-func (a *app) edit(ctx context.Context, c *common, what string, f func(*table.Table) error) error {
+// editTable makes one change of the configuration.
+func (a *app) editTable(ctx context.Context, c *commonFlags, what string, f func(*table.Table) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	client := c.client()
@@ -29,14 +29,14 @@
 	if err != nil {
 		return err
 	}
-	return a.accepted(c, change)
+	return a.printChange(c, change)
 }
 
 func (a *app) serviceCommand() *ffcli.Command {
 	set := newFlags("rainford service set")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(set)
-	c.registerWho(set)
+	c.registerOperator(set)
 	once := set.Bool("once", false, "operations of the service run at most once")
 	floor := set.Int("floor", 0, "percentage of each hall's slots kept for the own region's requests")
 	setCmd := a.command("set", "rainford service set [-once] [-floor N] NAME", "create or change a service", set, func(ctx context.Context, args []string) error {
@@ -44,7 +44,7 @@
 			return usagef("service set takes one name")
 		}
 		service := table.Service{Name: args[0], NonIdempotent: *once, Reserve: *floor}
-		return a.edit(ctx, c, "service set "+args[0], func(t *table.Table) error {
+		return a.editTable(ctx, c, "service set "+args[0], func(t *table.Table) error {
 			for i := range t.Services {
 				if t.Services[i].Name == service.Name {
 					t.Services[i] = service
@@ -56,14 +56,14 @@
 		})
 	})
 	remove := newFlags("rainford service remove")
-	rc := &common{}
+	rc := &commonFlags{}
 	rc.register(remove)
-	rc.registerWho(remove)
+	rc.registerOperator(remove)
 	removeCmd := a.command("remove", "rainford service remove NAME", "remove a service without rows", remove, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
 			return usagef("service remove takes one name")
 		}
-		return a.edit(ctx, rc, "service remove "+args[0], func(t *table.Table) error {
+		return a.editTable(ctx, rc, "service remove "+args[0], func(t *table.Table) error {
 			for i := range t.Services {
 				if t.Services[i].Name == args[0] {
 					t.Services = append(t.Services[:i], t.Services[i+1:]...)
@@ -78,15 +78,15 @@
 
 func (a *app) regionCommand() *ffcli.Command {
 	set := newFlags("rainford region set")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(set)
-	c.registerWho(set)
+	c.registerOperator(set)
 	setCmd := a.command("set", "rainford region set NAME HALL…", "create a region or change its halls", set, func(ctx context.Context, args []string) error {
 		if len(args) < 2 {
 			return usagef("region set takes a name and at least one hall")
 		}
 		region := table.Region{Name: args[0], Halls: args[1:]}
-		return a.edit(ctx, c, "region set "+strings.Join(args, " "), func(t *table.Table) error {
+		return a.editTable(ctx, c, "region set "+strings.Join(args, " "), func(t *table.Table) error {
 			for i := range t.Regions {
 				if t.Regions[i].Name == region.Name {
 					t.Regions[i] = region
@@ -102,7 +102,7 @@
 
 func (a *app) blocksCommand() *ffcli.Command {
 	fs := newFlags("rainford blocks apply")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	apply := a.command("apply", "rainford blocks apply FILE", "replace the table of client blocks by a CSV file with the header block,hall", fs, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
@@ -138,15 +138,15 @@
 		name, help = "undrain", "take a drained region, hall or target back into use"
 	}
 	fs := newFlags("rainford " + name)
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
-	c.registerWho(fs)
+	c.registerOperator(fs)
 	return a.command(name, "rainford "+name+" [-who NAME] [-json] region|hall|target NAME", help, fs, func(ctx context.Context, args []string) error {
 		if len(args) != 2 {
 			return usagef("%s takes a scope (region, hall or target) and a name", name)
 		}
 		d := table.Drain{Scope: table.DrainScope(args[0]), Name: args[1]}
-		return a.edit(ctx, c, name+" "+strings.Join(args, " "), func(t *table.Table) error {
+		return a.editTable(ctx, c, name+" "+strings.Join(args, " "), func(t *table.Table) error {
 			t.SetDrain(d, on)
 			return nil
 		})
@@ -157,7 +157,7 @@
 // their replacements can't know whether the old ones still use them.
 func (a *app) seatsCommand() *ffcli.Command {
 	fs := newFlags("rainford seats release")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	sure := fs.Bool("instances-are-dead", false, "confirm that every former instance of the hall has ended")
 	release := a.command("release", "rainford seats release -instances-are-dead HALL", "free all seats of a hall whose former instances have all ended", fs, func(ctx context.Context, args []string) error {
--- a/cmd/rainford/explain.go
+++ b/cmd/rainford/explain.go
@@ -84,8 +84,8 @@
 	Limit *float64 `json:"limit_per_s"`
 }
 
-// story is what is known of one request.
-type story struct {
+// explanation is what is known of one request.
+type explanation struct {
 	RequestID string            `json:"request_id"`
 	Verdict   string            `json:"verdict"`
 	Requests  []json.RawMessage `json:"requests"`
@@ -93,7 +93,7 @@
 	Lines     int               `json:"lines"`
 	BadLines  int               `json:"bad_lines"`
 
-	requests, beliefs []logLine
+	requests, stateChanges []logLine
 }
 
 func (a *app) explainCommand() *ffcli.Command {
@@ -114,7 +114,7 @@
 			if len(args) < 2 {
 				return usagef("want a request ID and at least one file")
 			}
-			s, err := a.readStory(args[0], args[1:])
+			s, err := a.readExplanation(args[0], args[1:])
 			if err != nil {
 				return err
 			}
@@ -132,7 +132,7 @@
 	if len(files) == 0 || every <= 0 {
 		return usagef("want at least one file and a span over 0")
 	}
-	s := summary{every: every}
+	s := summary{interval: every}
 	for _, name := range files {
 		r, err := a.openLog(name)
 		if err != nil {
@@ -148,10 +148,10 @@
 	return nil
 }
 
-// readStory reads the logs twice over in memory: first for the request, then for
+// readExplanation reads the logs twice over in memory: first for the request, then for
 // the beliefs of the instances that it touched.
-func (a *app) readStory(id string, files []string) (*story, error) {
-	s := &story{RequestID: id}
+func (a *app) readExplanation(id string, files []string) (*explanation, error) {
+	s := &explanation{RequestID: id}
 	var lines []logLine
 	for _, name := range files {
 		r, err := a.openLog(name)
@@ -161,7 +161,7 @@
 		lines = s.scan(r, lines)
 		_ = r.Close()
 	}
-	s.pick(lines)
+	s.selectLines(lines)
 	s.Verdict = verdictOf(s.requests)
 	return s, nil
 }
@@ -199,7 +199,7 @@
 
 // scan appends the lines of a log that may matter. Lines that are no log lines
 // are counted.
-func (s *story) scan(r io.Reader, lines []logLine) []logLine {
+func (s *explanation) scan(r io.Reader, lines []logLine) []logLine {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLine)
 	for scanner.Scan() {
@@ -226,9 +226,9 @@
 	return lines
 }
 
-// pick keeps the lines of the request, and the beliefs of the same instances that
+// selectLines keeps the lines of the request, and the beliefs of the same instances that
 // could have decided it.
-func (s *story) pick(lines []logLine) {
+func (s *explanation) selectLines(lines []logLine) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time.Before(lines[j].Time) })
 	for _, l := range lines {
 		if l.RequestID == s.RequestID {
@@ -238,7 +238,7 @@
 	}
 	for _, l := range lines {
 		if l.RequestID == "" && s.concerns(l) {
-			s.beliefs = append(s.beliefs, l)
+			s.stateChanges = append(s.stateChanges, l)
 			s.Beliefs = append(s.Beliefs, json.RawMessage(l.raw))
 		}
 	}
@@ -248,7 +248,7 @@
 // instance's, from shortly before the request's end, and about one of its targets
 // or about no target at all; or it is of requests that are alike, at any instance and at
 // any time before, since what is learned of them is told to all and kept for long.
-func (s *story) concerns(l logLine) bool {
+func (s *explanation) concerns(l logLine) bool {
 	for _, r := range s.requests {
 		if l.isAlike(r) {
 			return !l.Time.After(r.Time)
@@ -292,7 +292,7 @@
 	reasonTargetsRest = "targets-rest"
 )
 
-func (s *story) print(w io.Writer) {
+func (s *explanation) print(w io.Writer) {
 	fmt.Fprintf(w, "request %s: %s\n", s.RequestID, s.Verdict)
 	for _, r := range s.requests {
 		fmt.Fprintf(w, "%s %s: route %s, service %s, configuration %d, news %d ms old, %d of %d ms\n",
@@ -300,15 +300,15 @@
 		for i, t := range r.Attempts {
 			fmt.Fprintf(w, "  attempt %d: target %s in %s (%s, load %.2f): %s after %d ms %s\n",
 				i+1, t.Target, t.Region, t.Reason, t.Load, t.Outcome, t.TookMs, t.Error)
-			t.printWord(w)
+			t.printNotices(w)
 		}
 		r.printAccount(w)
 		fmt.Fprintf(w, "  answer %d: %s\n", r.Status, r.Reason)
 	}
-	if len(s.beliefs) > 0 {
+	if len(s.stateChanges) > 0 {
 		fmt.Fprintln(w, "what the instance came to believe before:")
 	}
-	for _, l := range s.beliefs {
+	for _, l := range s.stateChanges {
 		fmt.Fprintf(w, "  %s\n", l.raw)
 	}
 	if s.BadLines > 0 {
@@ -316,8 +316,8 @@
 	}
 }
 
-// printWord tells what the target said of itself.
-func (t *logAttempt) printWord(w io.Writer) {
+// printNotices tells what the target said of itself.
+func (t *logAttempt) printNotices(w io.Writer) {
 	if t.Leaves {
 		fmt.Fprintln(w, "    the target said that it leaves")
 	}
@@ -344,8 +344,8 @@
 	}
 }
 
-// reasons explains the reasons of final answers.
-var reasons = map[string]string{
+// reasonTexts explains the reasonTexts of final answers.
+var reasonTexts = map[string]string{
 	"answered":             "a target answered",
 	"client-left":          "the client left before there was an answer",
 	"no-route":             "no route of the configuration has the host and path",
@@ -381,7 +381,7 @@
 		return "no line: thinned out (see lines of \"log lines dropped\"), another instance's, or never arrived"
 	}
 	last := requests[len(requests)-1]
-	text, ok := reasons[last.Reason]
+	text, ok := reasonTexts[last.Reason]
 	if !ok {
 		text = last.Reason
 	}
--- a/cmd/rainford/explain_test.go
+++ b/cmd/rainford/explain_test.go
@@ -48,7 +48,7 @@
 	require.NoError(t, w.Close())
 	text, code := explain(t, packed.String(), "-json", "q1", "-")
 	require.Zero(t, code, text)
-	var got story
+	var got explanation
 	require.NoError(t, json.Unmarshal([]byte(text), &got))
 	require.Len(t, got.Requests, 1)
 	require.Len(t, got.Beliefs, 2)
--- a/cmd/rainford/gateways.go
+++ b/cmd/rainford/gateways.go
@@ -11,18 +11,18 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// gatewayAnswer is the status of a gateway, or why there is none.
-type gatewayAnswer struct {
+// gatewayResult is the status of a gateway, or why there is none.
+type gatewayResult struct {
 	Addr   string          `json:"addr"`
 	Status *gateway.Status `json:"status,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// askGateways asks the gateways at some admin addresses for their status.
-func askGateways(ctx context.Context, addrs []string) []gatewayAnswer {
+// fetchGatewayStatuses asks the gateways at some admin addresses for their status.
+func fetchGatewayStatuses(ctx context.Context, addrs []string) []gatewayResult {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	out := make([]gatewayAnswer, len(addrs))
+	out := make([]gatewayResult, len(addrs))
 	var wg sync.WaitGroup
 	for i, addr := range addrs {
 		out[i].Addr = addr
@@ -41,8 +41,8 @@
 }
 
 // gatewayStatus prints the status of gateways. It fails if none answers.
-func (a *app) gatewayStatus(ctx context.Context, c *common, addrs []string) error {
-	answers := askGateways(ctx, addrs)
+func (a *app) gatewayStatus(ctx context.Context, c *commonFlags, addrs []string) error {
+	answers := fetchGatewayStatuses(ctx, addrs)
 	answered := 0
 	for _, answer := range answers {
 		if answer.Status != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func (a *app) printGateways(answers []gatewayAnswer) {
+func (a *app) printGateways(answers []gatewayResult) {
 	tw := tabwriter.NewWriter(a.stdout, 2, 8, 2, ' ', 0)
 	for _, answer := range answers {
 		s := answer.Status
@@ -73,17 +73,17 @@
 		}
 		fmt.Fprintf(tw, "%s\t%s\tconfiguration %d\t%s\t%d targets, %d of them get nothing\n", s.Instance, s.Hall, s.ConfigVersion, gatewayState(s), s.Targets, len(s.Unavailable))
 		for _, t := range s.Unavailable {
-			fmt.Fprintf(tw, "  %s\t%s\t%s\t%s by %s\t%s\n", t.Target, t.Hall, t.Service, t.Cause, t.Source, lasting(t.ForMs, t.RemainingMs))
+			fmt.Fprintf(tw, "  %s\t%s\t%s\t%s by %s\t%s\n", t.Target, t.Hall, t.Service, t.Cause, t.Source, formatTimes(t.ForMs, t.RemainingMs))
 		}
 		for _, t := range s.Limited {
-			fmt.Fprintf(tw, "  %s\t%s\t%s\ttakes %g/s by %s\t%s, %.1f/s from here, permits by %s\n", t.Target, t.Hall, t.Service, t.PerSecond, t.Source, lasting(t.ForMs, 0), t.UsedRate, t.Owner)
+			fmt.Fprintf(tw, "  %s\t%s\t%s\ttakes %g/s by %s\t%s, %.1f/s from here, permits by %s\n", t.Target, t.Hall, t.Service, t.PerSecond, t.Source, formatTimes(t.ForMs, 0), t.UsedRate, t.Owner)
 		}
 		for _, r := range s.Rollouts {
-			fmt.Fprintf(tw, "  %s\tversion %s\t%s\t%s%s\t%.3g of the requests, for %s of %s%s\n", r.Service, r.Version, stateName(r.State), r.Stage, because(r.Reason), r.Share,
-				time.Duration(r.ForMs)*time.Millisecond, time.Duration(r.DurationMs)*time.Millisecond, ledBy(r))
+			fmt.Fprintf(tw, "  %s\tversion %s\t%s\t%s%s\t%.3g of the requests, for %s of %s%s\n", r.Service, r.Version, stateName(r.State), r.Stage, formatReason(r.Reason), r.Share,
+				time.Duration(r.ForMs)*time.Millisecond, time.Duration(r.DurationMs)*time.Millisecond, formatLeader(r))
 		}
 		for _, h := range s.Held {
-			fmt.Fprintf(tw, "  %s\theld\t%d targets ended\t%d trials failed\t%s\n", h.Content, h.Crashes, h.FailedTrials, lasting(0, h.RemainingMs))
+			fmt.Fprintf(tw, "  %s\theld\t%d targets ended\t%d trials failed\t%s\n", h.Content, h.Crashes, h.FailedTrials, formatTimes(0, h.RemainingMs))
 		}
 	}
 	_ = tw.Flush()
@@ -100,9 +100,9 @@
 	}
 }
 
-// lasting says for how long something has been so, and for how much longer it will be, in
+// formatTimes says for how long something has been so, and for how much longer it will be, in
 // milliseconds, as far as either is known.
-func lasting(forMs, leftMs int64) string {
+func formatTimes(forMs, leftMs int64) string {
 	text := ""
 	if forMs > 0 {
 		text = "for " + (time.Duration(forMs) * time.Millisecond).String()
@@ -113,15 +113,15 @@
 	return text
 }
 
-func because(why rollout.Reason) string {
+func formatReason(why rollout.Reason) string {
 	if why == rollout.ReasonNone {
 		return ""
 	}
 	return " because of " + string(why)
 }
 
-// ledBy says who decides on a rollout, and what the one that does has seen.
-func ledBy(r gateway.RolloutStatus) string {
+// formatLeader says who decides on a rollout, and what the one that does has seen.
+func formatLeader(r gateway.RolloutStatus) string {
 	switch {
 	case r.IsLeader:
 		return fmt.Sprintf(", decided here: %d of %d to new targets, odds of failing %.1f, of slow %.1f", r.SentNew, r.Sent, r.FailureLLR, r.SlowLLR)
--- a/cmd/rainford/gateways_test.go
+++ b/cmd/rainford/gateways_test.go
@@ -21,7 +21,7 @@
 // TestGatewayStatus checks what operators see of targets that get nothing, and by whose word, and
 // that an address that nobody answers at is told beside those that answer.
 func TestGatewayStatus(t *testing.T) {
-	w := newWalk(t)
+	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	status := func() string {
 		text, code := runCommand(t, "status", "-gateways", w.admin+",127.0.0.1:1")
@@ -37,14 +37,14 @@
 	require.Contains(t, text, "127.0.0.1:1  no answer")
 	w.server.SetRetryAfter(time.Now(), 0)
 
-	limited := newWalk(t)
+	limited := newGatewayFixture(t)
 	limited.server.SetExtraHeaders(func(*http.Request) string { return "Server-Limit: 2.5\r\n" })
 	require.Eventually(t, func() bool { return limited.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	text, code := runCommand(t, "status", "-gateways", limited.admin)
 	require.Zero(t, code)
 	require.Regexp(t, `i-1 +a1 +s +takes 2\.5/s by word`, text)
 
-	left := newWalk(t)
+	left := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return left.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	left.server.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	left.send("told")
--- a/cmd/rainford/hold.go
+++ b/cmd/rainford/hold.go
@@ -14,8 +14,8 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// held is a request that is held back, as the store keeps it.
-type held struct {
+// heldRequest is a request that is heldRequest back, as the store keeps it.
+type heldRequest struct {
 	// Content is the form of its digest in logs.
 	Content string `json:"content"`
 	Digest  string `json:"digest"`
@@ -30,7 +30,7 @@
 // holdCommand lists and releases requests that are held back because targets end under them.
 func (a *app) holdCommand() *ffcli.Command {
 	list := newFlags("rainford hold list")
-	lc := &common{}
+	lc := &commonFlags{}
 	lc.register(list)
 	listCmd := a.command("list", "rainford hold list [-json]", "list the requests, and the accounts, that are held back because targets ended under them", list, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
@@ -45,14 +45,14 @@
 		return a.printHeld(lc, all)
 	})
 	release := newFlags("rainford hold release")
-	rc := &common{}
+	rc := &commonFlags{}
 	rc.register(release)
-	rc.registerWho(release)
+	rc.registerOperator(release)
 	releaseCmd := a.command("release", "rainford hold release [-who NAME] CONTENT", "have a request sent again like any other, at all instances", release, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
 			return usagef("hold release takes the content of one request, as request lines and hold list show it")
 		}
-		if rc.who == "" {
+		if rc.operator == "" {
 			return usagef("say who you are with -who or RAINFORD_WHO: the release is kept with it")
 		}
 		ctx, cancel := context.WithTimeout(ctx, rc.timeout)
@@ -63,12 +63,12 @@
 }
 
 // readHeld reads the held requests from the store, the latest first.
-func readHeld(ctx context.Context, client objectstore.Service) ([]held, error) {
+func readHeld(ctx context.Context, client objectstore.Service) ([]heldRequest, error) {
 	listing, err := client.List(ctx, quarantine.StoredPrefix)
 	if err != nil {
 		return nil, err
 	}
-	byDigest := make(map[quarantine.Digest]*held)
+	byDigest := make(map[quarantine.Digest]*heldRequest)
 	for _, o := range listing.Objects {
 		kept, err := quarantine.ParseStoredRecord(o.Key, o.Value)
 		if err != nil {
@@ -79,12 +79,12 @@
 		}
 		h := byDigest[kept.Digest]
 		if h == nil {
-			h = &held{Content: kept.Digest.String(), Digest: hex.EncodeToString(kept.Digest[:])}
+			h = &heldRequest{Content: kept.Digest.String(), Digest: hex.EncodeToString(kept.Digest[:])}
 			byDigest[kept.Digest] = h
 		}
-		h.add(kept)
+		h.merge(kept)
 	}
-	var all []held
+	var all []heldRequest
 	for _, h := range byDigest {
 		if h.Released.Before(h.Last) {
 			h.Released, h.By = time.Time{}, ""
@@ -95,8 +95,8 @@
 	return all, nil
 }
 
-// add takes in one of the objects of the request.
-func (h *held) add(kept quarantine.StoredRecord) {
+// merge takes in one of the objects of the request.
+func (h *heldRequest) merge(kept quarantine.StoredRecord) {
 	if kept.Released > 0 {
 		if at := kept.LastEvent(); at.After(h.Released) {
 			h.Released, h.By = at, kept.ReleasedBy
@@ -109,7 +109,7 @@
 	}
 }
 
-func (a *app) printHeld(c *common, all []held) error {
+func (a *app) printHeld(c *commonFlags, all []heldRequest) error {
 	if c.json {
 		return a.printJSON(all)
 	}
@@ -124,13 +124,13 @@
 }
 
 // releaseHeld writes a release of the one held request whose content is given.
-func (a *app) releaseHeld(ctx context.Context, c *common, content string) error {
+func (a *app) releaseHeld(ctx context.Context, c *commonFlags, content string) error {
 	client := c.client()
 	all, err := readHeld(ctx, client)
 	if err != nil {
 		return err
 	}
-	var found []held
+	var found []heldRequest
 	for _, h := range all {
 		if (strings.HasPrefix(h.Digest, content) || h.Content == content) && h.Released.IsZero() {
 			found = append(found, h)
@@ -143,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	kept := quarantine.StoredRecord{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), ReleasedBy: c.who}
+	kept := quarantine.StoredRecord{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), ReleasedBy: c.operator}
 	_, err = client.Put(ctx, kept.Key(), 0, kept)
 	if err != nil {
 		return err
--- a/cmd/rainford/main.go
+++ b/cmd/rainford/main.go
@@ -58,14 +58,14 @@
 	if err == nil {
 		err = root.Run(ctx)
 	}
-	if errors.Is(err, flag.ErrHelp) && slices.ContainsFunc(args, asksHelp) {
+	if errors.Is(err, flag.ErrHelp) && slices.ContainsFunc(args, isHelpFlag) {
 		return exitOK
 	}
 	return a.exit(err)
 }
 
-// asksHelp tells whether an argument asks for help, which is no mistake.
-func asksHelp(arg string) bool {
+// isHelpFlag tells whether an argument asks for help, which is no mistake.
+func isHelpFlag(arg string) bool {
 	return arg == "-h" || arg == "-help" || arg == "--help"
 }
 
@@ -73,7 +73,7 @@
 func (a *app) exit(err error) int {
 	var usage errUsage
 	var findings table.Findings
-	var broken errBroken
+	var broken errInvariantsBroken
 	switch {
 	case err == nil:
 		return exitOK
--- a/cmd/rainford/main_test.go
+++ b/cmd/rainford/main_test.go
@@ -44,13 +44,13 @@
 	return stdout
 }
 
-func (o *operator) file(text string) string {
+func (o *operator) writeTable(text string) string {
 	path := filepath.Join(o.t.TempDir(), "table.csv")
 	require.NoError(o.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-func (o *operator) estate() {
+func (o *operator) configureTable() {
 	o.must("region", "set", "accra", "a1", "a2")
 	o.must("region", "set", "kumasi", "k1")
 	o.must("service", "set", "-floor", "20", "listings")
@@ -60,23 +60,23 @@
 
 func TestExportEditApply(t *testing.T) {
 	o := newOperator(t)
-	o.estate()
+	o.configureTable()
 	export := o.must("table", "get")
 	require.Contains(t, export, "# rainford table version 5\n")
 	o.must("table", "set", "listings", "accra", "kumasi", "cap=50")
 
 	edited := strings.Replace(export, "listings,accra,accra,90", "listings,accra,accra,80", 1)
-	o.must("table", "apply", o.file(edited))
+	o.must("table", "apply", o.writeTable(edited))
 	now := o.must("table", "get")
 	require.Contains(t, now, "listings,accra,accra,80,")
 	require.Contains(t, now, "listings,accra,kumasi,10,50,", "an old export must not undo the other change")
 
-	code, _, stderr := o.run("table", "apply", o.file(strings.Replace(export, ",10,40,", ",10,45,", 1)))
+	code, _, stderr := o.run("table", "apply", o.writeTable(strings.Replace(export, ",10,40,", ",10,45,", 1)))
 	require.Equal(t, exitFailure, code)
 	require.Contains(t, stderr, `row listings/accra/kumasi cap: was "40", you want "45", now "50"`)
 	require.Equal(t, now, o.must("table", "get"), "a conflict changes nothing")
 
-	code, _, stderr = o.run("table", "apply", o.file(strings.SplitN(export, "\n", 2)[1]))
+	code, _, stderr = o.run("table", "apply", o.writeTable(strings.SplitN(export, "\n", 2)[1]))
 	require.Equal(t, exitUsage, code)
 	require.Contains(t, stderr, "does not say which version")
 
@@ -90,11 +90,11 @@
 	require.Equal(t, "ama", trail[6].Who)
 }
 
-func TestFindingsComeTogether(t *testing.T) {
+func TestAllFindingsReported(t *testing.T) {
 	o := newOperator(t)
-	o.estate()
+	o.configureTable()
 	before := o.must("table", "get")
-	bad := o.file("# rainford table version 5\nservice,from,to,weight,cap,shift,ramp\nlistings,accra,accra,x,,100,0s\nlistings,accra,tema,5,,100,0s\n")
+	bad := o.writeTable("# rainford table version 5\nservice,from,to,weight,cap,shift,ramp\nlistings,accra,accra,x,,100,0s\nlistings,accra,tema,5,,100,0s\n")
 	for _, command := range []string{"check", "apply"} {
 		code, _, stderr := o.run("table", command, bad)
 		require.Equal(t, exitUsage, code)
@@ -107,7 +107,7 @@
 
 func TestExitCodes(t *testing.T) {
 	o := newOperator(t)
-	o.estate()
+	o.configureTable()
 	cases := []struct {
 		name string
 		args []string
--- a/cmd/rainford/rollout.go
+++ b/cmd/rainford/rollout.go
@@ -26,7 +26,7 @@
 
 func (a *app) rolloutStartCommand() *ffcli.Command {
 	fs := newFlags("rainford rollout start")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	duration := fs.Duration("duration", defaultRolloutTime, "time within which the requests are to be moved")
 	return a.command("start", "rainford rollout start [-duration TIME] SERVICE VERSION",
@@ -49,7 +49,7 @@
 
 // startRollout gives an order, in place of one that has ended.
 func (a *app) startRollout(ctx context.Context, store *platform.Store, o rollout.Order) error {
-	held, found, err := rolloutOf(ctx, store, o.Service)
+	held, found, err := findRollout(ctx, store, o.Service)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 
 func (a *app) rolloutStatusCommand() *ffcli.Command {
 	fs := newFlags("rainford rollout status")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	return a.command("status", "rainford rollout status [-json]", "list the orders to bring versions in, and what has become of them", fs, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
@@ -99,7 +99,7 @@
 
 func (a *app) rolloutAbortCommand() *ffcli.Command {
 	fs := newFlags("rainford rollout abort")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	return a.command("abort", "rainford rollout abort SERVICE", "take the order to bring a version in back: its targets get nothing any more", fs, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
@@ -111,7 +111,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		defer cancel()
-		held, found, err := rolloutOf(ctx, store, args[0])
+		held, found, err := findRollout(ctx, store, args[0])
 		switch {
 		case err != nil:
 			return err
@@ -130,7 +130,7 @@
 
 // objects returns the client of a platform whose store is one of objects by kind: the other has no targets
 // that name a version.
-func (c *common) objects() (*platform.Store, error) {
+func (c *commonFlags) objects() (*platform.Store, error) {
 	addr, ok := strings.CutPrefix(c.platform, objectsScheme)
 	if !ok {
 		return nil, usagef("-platform must be " + objectsScheme + "IP:PORT: targets tell their versions only there")
@@ -138,8 +138,8 @@
 	return platform.NewStore(addr), nil
 }
 
-// rolloutOf returns the order for a service, false if there is none.
-func rolloutOf(ctx context.Context, store *platform.Store, service string) (rollout.Record, bool, error) {
+// findRollout returns the order for a service, false if there is none.
+func findRollout(ctx context.Context, store *platform.Store, service string) (rollout.Record, bool, error) {
 	all, err := store.Rollouts(ctx)
 	if err != nil {
 		return rollout.Record{}, false, err
--- a/cmd/rainford/status.go
+++ b/cmd/rainford/status.go
@@ -46,9 +46,9 @@
 
 const statusTimeout = 2 * time.Second
 
-// gather asks every listed instance for its status.
-func gather(ctx context.Context, client objectstore.Service) (*overview, error) {
-	doc, err := document(ctx, client)
+// fetchOverview asks every listed instance for its status.
+func fetchOverview(ctx context.Context, client objectstore.Service) (*overview, error) {
+	doc, err := readDocument(ctx, client)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out.Instances[i].ask(ctx)
+			out.Instances[i].fetch(ctx)
 		}()
 	}
 	wg.Wait()
@@ -74,7 +74,7 @@
 	return out, nil
 }
 
-func (s *instanceStatus) ask(ctx context.Context) {
+func (s *instanceStatus) fetch(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var st node.Status
@@ -110,7 +110,7 @@
 
 func (a *app) statusCommand() *ffcli.Command {
 	fs := newFlags("rainford status")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	gateways := fs.String("gateways", "", "admin addresses of gateways, with commas between: show these, and which targets they send nothing to")
 	return a.command("status", "rainford status [-gateways IP:PORT,…] [-json]", "show every instance with the version that it has in force", fs, func(ctx context.Context, args []string) error {
@@ -122,7 +122,7 @@
 		if *gateways != "" {
 			return a.gatewayStatus(ctx, c, strings.Split(*gateways, ","))
 		}
-		o, err := gather(ctx, c.client())
+		o, err := fetchOverview(ctx, c.client())
 		if err != nil {
 			return err
 		}
@@ -166,19 +166,19 @@
 
 func (a *app) watchCommand() *ffcli.Command {
 	fs := newFlags("rainford watch")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	count := fs.Int("n", 0, "end after this many changes; 0 goes on")
 	return a.command("watch", "rainford watch [-n N] [-json]", "follow accepted changes, and when each is in force everywhere", fs, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
 			return usagef("watch takes no arguments")
 		}
-		return a.follow(ctx, c, *count)
+		return a.followChanges(ctx, c, *count)
 	})
 }
 
 // change is one line of watch.
-type inForce struct {
+type changeReport struct {
 	config.Change
 	// InForceSeconds is the time until every instance that answers had the
 	// change in force, or -1 if that took too long to wait for.
@@ -187,14 +187,14 @@
 }
 
 const (
-	followWait  = 20 * time.Second
+	watchWait   = 20 * time.Second
 	inForceMax  = 30 * time.Second
 	inForcePoll = 100 * time.Millisecond
 )
 
-func (a *app) follow(ctx context.Context, c *common, count int) error {
+func (a *app) followChanges(ctx context.Context, c *commonFlags, count int) error {
 	client := c.client()
-	doc, err := document(ctx, client)
+	doc, err := readDocument(ctx, client)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 	}
 	after := int64(0)
 	for shown := 0; ctx.Err() == nil && (count == 0 || shown < count); {
-		listing, err := client.Watch(ctx, []string{config.Key}, after, followWait)
+		listing, err := client.Watch(ctx, []string{config.Key}, after, watchWait)
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -234,11 +234,11 @@
 	return nil
 }
 
-func (a *app) showChange(ctx context.Context, c *common, client objectstore.Service, change config.Change) error {
+func (a *app) showChange(ctx context.Context, c *commonFlags, client objectstore.Service, change config.Change) error {
 	began := time.Now()
-	line := inForce{Change: change, InForceSeconds: -1}
+	line := changeReport{Change: change, InForceSeconds: -1}
 	for time.Since(began) < inForceMax && ctx.Err() == nil {
-		o, err := gather(ctx, client)
+		o, err := fetchOverview(ctx, client)
 		if err == nil {
 			behind := 0
 			line.Silent = 0
@@ -266,7 +266,7 @@
 
 func (a *app) auditCommand() *ffcli.Command {
 	fs := newFlags("rainford audit")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	last := fs.Int("n", 20, "show the last N changes; 0 shows all")
 	return a.command("audit", "rainford audit [-n N] [-json]", "print the accepted changes: who, when, before, after, version", fs, func(ctx context.Context, args []string) error {
@@ -297,7 +297,7 @@
 
 func (a *app) lookupCommand() *ffcli.Command {
 	fs := newFlags("rainford lookup")
-	c := &common{}
+	c := &commonFlags{}
 	c.registerJSON(fs)
 	entry := fs.String("entry", "", "IP:PORT of an instance's callers' address")
 	return a.command("lookup", "rainford lookup -entry IP:PORT [-json] SERVICE", "ask an instance which ones a caller here should use", fs, func(ctx context.Context, args []string) error {
--- a/cmd/rainford/summary.go
+++ b/cmd/rainford/summary.go
@@ -14,39 +14,39 @@
 // summary tells where requests are late or refused, by service, region and span of time,
 // from the request lines of many instances.
 type summary struct {
-	every time.Duration
-	lines []logLine
-	lost  int
-	// routeless counts requests that no route is for: questions which configuration
+	interval   time.Duration
+	lines      []logLine
+	unreadable int
+	// noRoute counts requests that no route is for: questions which configuration
 	// is in force, or callers' mistakes.
-	routeless int
+	noRoute int
 }
 
 // reasonNoRoute is the reason of a request that no route is for.
 const reasonNoRoute = "no-route"
 
-// spanKey names a row of the summary. Region is that of the last target that got the
+// rowKey names a row of the summary. Region is that of the last target that got the
 // request, or "" if none did.
-type spanKey struct {
+type rowKey struct {
 	at      time.Time
 	service string
 	region  string
 }
 
-// span is what happened in one row.
-type span struct {
+// summaryRow is what happened in one row.
+type summaryRow struct {
 	requests, late, failed int
 	refused                map[string]int
-	// first counts attempts at the first target of a key, fresh those on a new
+	// firstChoice counts attempts at the firstChoice target of a key, newConnections those on a new
 	// connection.
-	attempts, first, fresh int
-	load                   float64
-	tookMs                 []int64
-	targets                map[string]*targetSpan
+	attempts, firstChoice, newConnections int
+	load                                  float64
+	tookMs                                []int64
+	targets                               map[string]*targetUse
 }
 
-// targetSpan is what one target got in a span.
-type targetSpan struct {
+// targetUse is what one target got in a span.
+type targetUse struct {
 	busyMs  int64
 	objects map[string]bool
 }
@@ -64,11 +64,11 @@
 		var l logLine
 		err := json.Unmarshal([]byte("{"+text), &l)
 		if err != nil {
-			s.lost++
+			s.unreadable++
 			continue
 		}
 		if l.Reason == reasonNoRoute {
-			s.routeless++
+			s.noRoute++
 			continue
 		}
 		s.lines = append(s.lines, l)
@@ -76,18 +76,18 @@
 	return scanner.Err()
 }
 
-// spans counts the lines by row.
-func (s *summary) spans() map[spanKey]*span {
-	out := make(map[spanKey]*span)
+// rows counts the lines by row.
+func (s *summary) rows() map[rowKey]*summaryRow {
+	out := make(map[rowKey]*summaryRow)
 	for _, l := range s.lines {
 		began := l.Time.Add(-time.Duration(l.TookMs) * time.Millisecond)
-		key := spanKey{at: began.Truncate(s.every), service: l.Service}
+		key := rowKey{at: began.Truncate(s.interval), service: l.Service}
 		if n := len(l.Attempts); n > 0 {
 			key.region = l.Attempts[n-1].Region
 		}
 		row := out[key]
 		if row == nil {
-			row = &span{refused: make(map[string]int), targets: make(map[string]*targetSpan)}
+			row = &summaryRow{refused: make(map[string]int), targets: make(map[string]*targetUse)}
 			out[key] = row
 		}
 		row.add(l)
@@ -95,7 +95,7 @@
 	return out
 }
 
-func (row *span) add(l logLine) {
+func (row *summaryRow) add(l logLine) {
 	row.requests++
 	row.tookMs = append(row.tookMs, l.TookMs)
 	switch {
@@ -111,18 +111,18 @@
 	}
 }
 
-func (row *span) attempt(l logLine, a logAttempt) {
+func (row *summaryRow) attempt(l logLine, a logAttempt) {
 	row.attempts++
 	row.load += a.Load
 	if a.Reason == "first-choice" {
-		row.first++
+		row.firstChoice++
 	}
 	if !a.Reused {
-		row.fresh++
+		row.newConnections++
 	}
 	t := row.targets[a.Target]
 	if t == nil {
-		t = &targetSpan{objects: make(map[string]bool)}
+		t = &targetUse{objects: make(map[string]bool)}
 		row.targets[a.Target] = t
 	}
 	t.busyMs += a.TookMs
@@ -132,8 +132,8 @@
 // print writes a row a line, and then the time of an attempt by the number of other
 // objects that the target has had since it last had the request's.
 func (s *summary) print(w io.Writer) {
-	rows := s.spans()
-	keys := make([]spanKey, 0, len(rows))
+	rows := s.rows()
+	keys := make([]rowKey, 0, len(rows))
 	for key := range rows {
 		keys = append(keys, key)
 	}
@@ -155,11 +155,11 @@
 			row.requests, row.late, row.failed, row.refusals(), median(row.tookMs), row.attemptsText())
 	}
 	s.printObjects(w)
-	if s.routeless > 0 {
-		fmt.Fprintf(w, "%d requests without a route left out\n", s.routeless)
+	if s.noRoute > 0 {
+		fmt.Fprintf(w, "%d requests without a route left out\n", s.noRoute)
 	}
-	if s.lost > 0 {
-		fmt.Fprintf(w, "%d lines could not be read\n", s.lost)
+	if s.unreadable > 0 {
+		fmt.Fprintf(w, "%d lines could not be read\n", s.unreadable)
 	}
 }
 
@@ -171,7 +171,7 @@
 }
 
 // refusals returns the refused requests by reason.
-func (row *span) refusals() string {
+func (row *summaryRow) refusals() string {
 	var parts []string
 	for reason, n := range row.refused {
 		parts = append(parts, fmt.Sprintf("%s=%d", reason, n))
@@ -181,7 +181,7 @@
 }
 
 // attemptsText returns the columns that tell of attempts.
-func (row *span) attemptsText() string {
+func (row *summaryRow) attemptsText() string {
 	if row.attempts == 0 {
 		return "- - - - -"
 	}
@@ -194,7 +194,7 @@
 	}
 	n := float64(row.attempts)
 	return fmt.Sprintf("%.2f %.1f %.1f %.2f %.2f", row.load/n, float64(most)/float64(max(median(busy), 1)),
-		float64(objects)/float64(len(row.targets)), float64(row.first)/n, float64(row.fresh)/n)
+		float64(objects)/float64(len(row.targets)), float64(row.firstChoice)/n, float64(row.newConnections)/n)
 }
 
 // median returns the median of values, 0 if there are none.
@@ -206,9 +206,9 @@
 	return values[len(values)/2]
 }
 
-// sinceBounds are the upper bounds of the classes of objects since last seen. A target
+// reuseBounds are the upper bounds of the classes of objects since last seen. A target
 // of the sites of today keeps a few dozen.
-var sinceBounds = []int{8, 16, 32, 64}
+var reuseBounds = []int{8, 16, 32, 64}
 
 // printObjects writes the median time of answered attempts by how many other objects
 // the target has had since it last had this one, which shows how many it keeps.
@@ -220,9 +220,9 @@
 	for _, l := range s.lines {
 		for _, a := range l.Attempts {
 			var since int
-			recent[a.Target], since = touch(recent[a.Target], l.Route+"/"+l.Key)
+			recent[a.Target], since = moveToEnd(recent[a.Target], l.Route+"/"+l.Key)
 			if a.Outcome == "ran" {
-				class := l.Service + " " + sinceClass(since)
+				class := l.Service + " " + reuseClass(since)
 				classes[class] = append(classes[class], a.TookMs)
 			}
 		}
@@ -237,9 +237,9 @@
 	}
 }
 
-// touch moves an object to the end of a target's recent ones. It returns how many
+// moveToEnd moves an object to the end of a target's recent ones. It returns how many
 // others came since it was there last, or -1 if it was not there.
-func touch(recent []string, object string) ([]string, int) {
+func moveToEnd(recent []string, object string) ([]string, int) {
 	for i := len(recent) - 1; i >= 0; i-- {
 		if recent[i] == object {
 			since := len(recent) - 1 - i
@@ -249,14 +249,14 @@
 	return append(recent, object), -1
 }
 
-func sinceClass(since int) string {
+func reuseClass(since int) string {
 	if since < 0 {
 		return "never-seen"
 	}
-	for _, bound := range sinceBounds {
+	for _, bound := range reuseBounds {
 		if since < bound {
 			return fmt.Sprintf("under-%03d", bound)
 		}
 	}
-	return fmt.Sprintf("over-%03d", sinceBounds[len(sinceBounds)-1])
+	return fmt.Sprintf("over-%03d", reuseBounds[len(reuseBounds)-1])
 }
--- a/cmd/rainford/summary_test.go
+++ b/cmd/rainford/summary_test.go
@@ -28,11 +28,11 @@
 	require.Equal(t, exitUsage, code)
 }
 
-func TestTouch(t *testing.T) {
-	recent, since := touch(nil, "a")
+func TestMoveToEnd(t *testing.T) {
+	recent, since := moveToEnd(nil, "a")
 	require.Equal(t, -1, since)
-	recent, _ = touch(recent, "b")
-	recent, since = touch(recent, "a")
+	recent, _ = moveToEnd(recent, "b")
+	recent, since = moveToEnd(recent, "a")
 	require.Equal(t, 1, since)
 	require.Equal(t, []string{"b", "a"}, recent)
 }
--- a/cmd/rainford/table.go
+++ b/cmd/rainford/table.go
@@ -20,15 +20,15 @@
 		a.tableGet(), a.tableCheck(), a.tableApply(), a.tableSet())
 }
 
-// baseLine is the first line of an exported table. It tells apply which
+// versionHeader is the first line of an exported table. It tells apply which
 // version the edits were made from.
-const baseLine = "# rainford table version "
+const versionHeader = "# rainford table version "
 
-var baseForm = regexp.MustCompile(`^# rainford table version (\d+)`)
+var versionHeaderPattern = regexp.MustCompile(`^# rainford table version (\d+)`)
 
 func (a *app) tableGet() *ffcli.Command {
 	fs := newFlags("rainford table get")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	return a.command("get", "rainford table get [-json]", "print the table as CSV", fs, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
@@ -36,7 +36,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		defer cancel()
-		doc, err := document(ctx, c.client())
+		doc, err := readDocument(ctx, c.client())
 		if err != nil {
 			return err
 		}
@@ -46,19 +46,19 @@
 				Table   table.Table `json:"table"`
 			}{doc.Number, doc.Table})
 		}
-		fmt.Fprintf(a.stdout, "%s%d\n", baseLine, doc.Number)
+		fmt.Fprintf(a.stdout, "%s%d\n", versionHeader, doc.Number)
 		return table.WriteCSV(a.stdout, doc.Table.Rows)
 	})
 }
 
-// sheet is a table read from a file.
-type sheet struct {
+// exportedSheet is a table read from a file.
+type exportedSheet struct {
 	*table.Sheet
 	// base is the version that the file was exported from, or -1.
 	base int64
 }
 
-func (a *app) readSheet(path string) (*sheet, error) {
+func (a *app) readSheet(path string) (*exportedSheet, error) {
 	var raw []byte
 	var err error
 	if path == "-" {
@@ -69,17 +69,17 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &sheet{base: -1}
-	if m := baseForm.FindSubmatch(raw); m != nil {
+	out := &exportedSheet{base: -1}
+	if m := versionHeaderPattern.FindSubmatch(raw); m != nil {
 		out.base, _ = strconv.ParseInt(string(m[1]), 10, 64)
 	}
 	out.Sheet, err = table.ReadCSV(bytes.NewReader(raw))
 	return out, err
 }
 
-// check returns all findings of a sheet: of its form, and of its content
+// checkSheet returns all findings of a sheet: of its form, and of its content
 // against the regions and services of a table.
-func check(s *sheet, formErr error, against *table.Table) error {
+func checkSheet(s *exportedSheet, formErr error, against *table.Table) error {
 	findings, ok := formErr.(table.Findings)
 	if formErr != nil && !ok {
 		return formErr
@@ -89,8 +89,8 @@
 	return append(findings, table.Check(next, s.Sheet)...).Err()
 }
 
-// namedIn returns a table with the regions and services that rows name, and no rows.
-func namedIn(rows []table.Row) *table.Table {
+// tableFromRows returns a table with the regions and services that rows name, and no rows.
+func tableFromRows(rows []table.Row) *table.Table {
 	t := &table.Table{}
 	regions, services := make(map[string]bool), make(map[string]bool)
 	for _, row := range rows {
@@ -110,7 +110,7 @@
 
 func (a *app) tableCheck() *ffcli.Command {
 	fs := newFlags("rainford table check")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	offline := fs.Bool("offline", false, "ask no platform: take the regions and services to be those that the rows name")
 	return a.command("check", "rainford table check [-json] [-offline] FILE", "check a table without changing anything; FILE may be -", fs, func(ctx context.Context, args []string) error {
@@ -123,15 +123,15 @@
 		if s == nil {
 			return formErr
 		}
-		against := namedIn(s.Rows)
+		against := tableFromRows(s.Rows)
 		if !*offline {
-			doc, err := document(ctx, c.client())
+			doc, err := readDocument(ctx, c.client())
 			if err != nil {
 				return err
 			}
 			against = &doc.Table
 		}
-		err := check(s, formErr, against)
+		err := checkSheet(s, formErr, against)
 		if c.json {
 			findings, _ := err.(table.Findings)
 			if findings == nil {
@@ -151,9 +151,9 @@
 
 func (a *app) tableApply() *ffcli.Command {
 	fs := newFlags("rainford table apply")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
-	c.registerWho(fs)
+	c.registerOperator(fs)
 	base := fs.Int64("base", -1, "version that the file was made from, if the file does not say")
 	return a.command("apply", "rainford table apply [-base N] [-who NAME] [-json] FILE", "replace the rows by those of a file; FILE may be -", fs, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
@@ -172,11 +172,11 @@
 			return usagef("%s does not say which version it was made from: export it with table get, or give -base", args[0])
 		}
 		client := c.client()
-		doc, err := document(ctx, client)
+		doc, err := readDocument(ctx, client)
 		if err != nil {
 			return err
 		}
-		if err := check(s, formErr, &doc.Table); err != nil {
+		if err := checkSheet(s, formErr, &doc.Table); err != nil {
 			return err
 		}
 		editor, err := c.editor(client, "table apply "+args[0])
@@ -190,15 +190,15 @@
 		if err != nil {
 			return err
 		}
-		return a.accepted(c, change)
+		return a.printChange(c, change)
 	})
 }
 
 func (a *app) tableSet() *ffcli.Command {
 	fs := newFlags("rainford table set")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
-	c.registerWho(fs)
+	c.registerOperator(fs)
 	return a.command("set", "rainford table set [-who NAME] [-json] SERVICE FROM TO CELL=VALUE…", "change cells of one row: weight, cap, shift, ramp", fs, func(ctx context.Context, args []string) error {
 		if len(args) < 4 {
 			return usagef("table set takes a service, from, to and at least one CELL=VALUE")
@@ -214,7 +214,7 @@
 		if err != nil {
 			return err
 		}
-		return a.accepted(c, change)
+		return a.printChange(c, change)
 	})
 }
 
--- a/cmd/rainford/walks_account_test.go
+++ b/cmd/rainford/walks_account_test.go
@@ -13,8 +13,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// accounts writes a configuration of two accounts and two routes, one of which has a home.
-func (w *walk) accounts(version int, keys ...string) {
+// configureAccounts writes a configuration of two configureAccounts and two routes, one of which has a home.
+func (w *gatewayFixture) configureAccounts(version int, keys ...string) {
 	route := func(prefix string, homes ...string) objects.Route {
 		return objects.Route{Host: "h.example", PathPrefix: prefix, RouteType: "non_idempotent", Timeout: "400ms", TargetLatency: "200ms",
 			Service: "s", MaxAttempts: 2, AllowedRegions: homes}
@@ -32,7 +32,7 @@
 }
 
 // sendAs sends a request with a key.
-func (w *walk) sendAs(id, key, path string) int {
+func (w *gatewayFixture) sendAs(id, key, path string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+path, strings.NewReader("b"))
 	require.NoError(w.t, err)
 	req.Host = "h.example"
@@ -47,17 +47,17 @@
 	return resp.StatusCode
 }
 
-func (w *walk) await(key string, status int) {
+func (w *gatewayFixture) waitForStatus(key string, status int) {
 	require.Eventually(w.t, func() bool { return w.sendAs("warm", key, "/") == status }, 10*time.Second, 5*time.Millisecond)
 }
 
-// TestWalkKeyTaken follows a request that is turned away after a change of keys.
-func TestWalkKeyTaken(t *testing.T) {
-	w := newWalk(t)
-	w.accounts(4, "old-key")
-	w.await("old-key", 200)
-	w.accounts(5, "new-key")
-	w.await("old-key", 401)
+// TestExplainRevokedKey follows a request that is turned away after a change of keys.
+func TestExplainRevokedKey(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.configureAccounts(4, "old-key")
+	w.waitForStatus("old-key", 200)
+	w.configureAccounts(5, "new-key")
+	w.waitForStatus("old-key", 401)
 	require.Equal(t, 401, w.sendAs("turned-away", "old-key", "/"))
 	text := w.explain("turned-away")
 	require.Contains(t, text, "request turned-away: 401, no account of the configuration has its key; it did not run")
@@ -66,11 +66,11 @@
 	require.NotContains(t, text, "old-key")
 }
 
-// TestWalkOverLimit follows a request of an account beyond its limit.
-func TestWalkOverLimit(t *testing.T) {
-	w := newWalk(t)
-	w.accounts(4, "old-key")
-	w.await("small-key", 429)
+// TestExplainOverLimit follows a request of an account beyond its limit.
+func TestExplainOverLimit(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.configureAccounts(4, "old-key")
+	w.waitForStatus("small-key", 429)
 	require.Equal(t, 429, w.sendAs("beyond", "small-key", "/"))
 	text := w.explain("beyond")
 	require.Contains(t, text, "request beyond: 429, its account was beyond its limit; it did not run")
@@ -78,12 +78,12 @@
 	require.Contains(t, text, "limit: n1 was asked last; this instance got")
 }
 
-// TestWalkNoCommonHome follows a request of an account in a region that it may not use.
-func TestWalkNoCommonHome(t *testing.T) {
-	w := newWalk(t)
-	w.accounts(4, "old-key")
+// TestExplainNoCommonHome follows a request of an account in a region that it may not use.
+func TestExplainNoCommonHome(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.configureAccounts(4, "old-key")
 	// Only the configuration with accounts turns a key away; the one before serves any.
-	w.await("nobodys-key", 401)
+	w.waitForStatus("nobodys-key", 401)
 	runs := len(w.server.Runs())
 	require.Equal(t, 503, w.sendAs("abroad", "abroad-key", "/home/"))
 	text := w.explain("abroad")
@@ -92,19 +92,19 @@
 	require.Len(t, w.server.Runs(), runs)
 }
 
-// TestWalkAccountEndsTargets follows a request that is held back because targets end under
+// TestExplainQuarantinedAccount follows a request that is held back because targets end under
 // different ones of its account to what was said of the account.
-func TestWalkAccountEndsTargets(t *testing.T) {
-	w := newWalk(t)
-	w.accounts(4, "ada-key")
-	w.await("ada-key", 200)
+func TestExplainQuarantinedAccount(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.configureAccounts(4, "ada-key")
+	w.waitForStatus("ada-key", 200)
 	sent := 0
 	held := func() bool {
 		sent++
-		w.script(origin.Crash)
+		w.setFault(origin.Crash)
 		status := w.sendAs(fmt.Sprint("end", sent), "ada-key", fmt.Sprint("/", sent))
 		if status == 502 {
-			w.replace(fmt.Sprint("i-next", sent))
+			w.replaceServer(fmt.Sprint("i-next", sent))
 		}
 		return status == 503 && strings.Contains(w.explain(fmt.Sprint("end", sent)), "account-ends-targets")
 	}
--- a/cmd/rainford/walks_test.go
+++ b/cmd/rainford/walks_test.go
@@ -38,8 +38,8 @@
 	return l.b.String()
 }
 
-// walk is one instance with one server, whose log is read by explain.
-type walk struct {
+// gatewayFixture is one instance with one server, whose log is read by explain.
+type gatewayFixture struct {
 	t      *testing.T
 	log    logBuffer
 	addr   string
@@ -48,8 +48,8 @@
 	store  *objects.Store
 }
 
-func newWalk(t *testing.T) *walk {
-	w := &walk{t: t, store: objects.New()}
+func newGatewayFixture(t *testing.T) *gatewayFixture {
+	w := &gatewayFixture{t: t, store: objects.New()}
 	store := httptest.NewServer(w.store)
 	t.Cleanup(func() {
 		store.CloseClientConnections()
@@ -91,7 +91,7 @@
 	return w
 }
 
-func (w *walk) send(id string) int {
+func (w *gatewayFixture) send(id string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/", bytes.NewReader([]byte("b")))
 	require.NoError(w.t, err)
 	req.Host = "h.example"
@@ -106,7 +106,7 @@
 }
 
 // explain runs the command of docs/OPERATIONS.md on the log.
-func (w *walk) explain(id string) string {
+func (w *gatewayFixture) explain(id string) string {
 	var text string
 	require.Eventually(w.t, func() bool {
 		text, _ = explain(w.t, w.log.String(), id, "-")
@@ -115,13 +115,13 @@
 	return text
 }
 
-func (w *walk) script(f origin.Fault) {
+func (w *gatewayFixture) setFault(f origin.Fault) {
 	w.server.SetScript(func(*http.Request) origin.Fault { return f })
 }
 
-// TestWalkRefused follows a request that was refused without having run.
-func TestWalkRefused(t *testing.T) {
-	w := newWalk(t)
+// TestExplainEvacuatedHall follows a request that was refused without having run.
+func TestExplainEvacuatedHall(t *testing.T) {
+	w := newGatewayFixture(t)
 	w.store.Set("evacuations", "a1", struct{}{})
 	require.Eventually(t, func() bool { return w.send("warm") == 503 }, 10*time.Second, 5*time.Millisecond)
 	runs := len(w.server.Runs())
@@ -133,10 +133,10 @@
 	require.Len(t, w.server.Runs(), runs)
 }
 
-// TestWalkTimeout follows a request that was given up at its route's timeout.
-func TestWalkTimeout(t *testing.T) {
-	w := newWalk(t)
-	w.script(origin.Silent)
+// TestExplainTimeout follows a request that was given up at its route's timeout.
+func TestExplainTimeout(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.setFault(origin.Silent)
 	require.Equal(t, 504, w.send("slow"))
 	text := w.explain("slow")
 	require.Contains(t, text, "request slow: 504, its time ended while a target had it; it may have run")
@@ -145,10 +145,10 @@
 	require.Contains(t, text, `"belief":"suspected","cause":"silent"`)
 }
 
-// TestWalkUnknown follows a request whose answer was lost after it was sent.
-func TestWalkUnknown(t *testing.T) {
-	w := newWalk(t)
-	w.script(origin.LostResponse)
+// TestExplainLostResponse follows a request whose answer was lost after it was sent.
+func TestExplainLostResponse(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.setFault(origin.LostResponse)
 	require.Equal(t, 502, w.send("lost"))
 	text := w.explain("lost")
 	require.Contains(t, text, "request lost: 502, the connection or the answer broke after it was sent")
@@ -157,8 +157,8 @@
 	require.Contains(t, text, "EOF")
 }
 
-// replace has another server take the place of the one before.
-func (w *walk) replace(id string) {
+// replaceServer has another server take the place of the one before.
+func (w *gatewayFixture) replaceServer(id string) {
 	w.store.Remove("servers", w.server.ID)
 	server, err := origin.Start(id, "s", "a1", 1)
 	require.NoError(w.t, err)
@@ -168,15 +168,15 @@
 		"state": "ready", "warmupRemaining": "0ms", "sequence": 1})
 }
 
-// TestWalkEnding follows a request that is held back because targets end under it to the
+// TestExplainQuarantinedRequest follows a request that is held back because targets end under it to the
 // targets that have ended.
-func TestWalkEnding(t *testing.T) {
-	w := newWalk(t)
+func TestExplainQuarantinedRequest(t *testing.T) {
+	w := newGatewayFixture(t)
 	for i, id := range []string{"i-2", "i-3", "i-4"} {
-		w.script(origin.Crash)
+		w.setFault(origin.Crash)
 		ends := func() bool { return w.send(fmt.Sprint("end", i)) == 502 }
 		require.Eventually(t, ends, 10*time.Second, 20*time.Millisecond)
-		w.replace(id)
+		w.replaceServer(id)
 	}
 	require.Eventually(t, func() bool { return w.send("held") == 503 }, 10*time.Second, 20*time.Millisecond)
 	text := w.explain("held")
@@ -187,9 +187,9 @@
 	require.Empty(t, w.server.Runs())
 }
 
-// TestWalkRest follows a request that was refused as its target rests to what the target asked for.
-func TestWalkRest(t *testing.T) {
-	w := newWalk(t)
+// TestExplainTargetBackoff follows a request that was refused as its target rests to what the target asked for.
+func TestExplainTargetBackoff(t *testing.T) {
+	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	w.server.SetRetryAfter(time.Now().Add(time.Minute), 30*time.Second)
 	require.Equal(t, 503, w.send("asks"))
@@ -200,9 +200,9 @@
 	require.Contains(t, text, `"target":"i-1","belief":"resting"`)
 }
 
-// TestWalkLeaving follows a request that found no target, as that had said that it leaves.
-func TestWalkLeaving(t *testing.T) {
-	w := newWalk(t)
+// TestExplainLeavingTarget follows a request that found no target, as that had said that it leaves.
+func TestExplainLeavingTarget(t *testing.T) {
+	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	w.server.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	require.Equal(t, 200, w.send("told"))
--- a/cmd/rainfordd/gateway.go
+++ b/cmd/rainfordd/gateway.go
@@ -45,7 +45,7 @@
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	s, err := readGateway(args, stderr)
+	s, err := readGatewaySettings(args, stderr)
 	if errors.Is(err, flag.ErrHelp) {
 		return exitOK
 	}
@@ -67,7 +67,7 @@
 		s.Log.Error("start", "error", err.Error())
 		return exitFailure
 	}
-	go reloadOn(hup, args, g)
+	go reloadOnSignal(hup, args, g)
 	err = g.Run(ctx)
 	if err != nil {
 		s.Log.Error("stop", "error", err.Error())
@@ -76,11 +76,11 @@
 	return exitOK
 }
 
-// reloadOn reads the settings again whenever the signal comes. Settings that are
+// reloadOnSignal reads the settings again whenever the signal comes. Settings that are
 // wrong change nothing.
-func reloadOn(hup <-chan os.Signal, args []string, g *gateway.Gateway) {
+func reloadOnSignal(hup <-chan os.Signal, args []string, g *gateway.Gateway) {
 	for range hup {
-		s, err := readGateway(args, io.Discard)
+		s, err := readGatewaySettings(args, io.Discard)
 		if err != nil {
 			g.ReloadFailed(err)
 			continue
@@ -89,9 +89,9 @@
 	}
 }
 
-// readGateway reads flags, RAINFORD_… variables and the settings file, and checks
+// readGatewaySettings reads flags, RAINFORD_… variables and the settings file, and checks
 // all of them together.
-func readGateway(args []string, stderr io.Writer) (*gatewaySettings, error) {
+func readGatewaySettings(args []string, stderr io.Writer) (*gatewaySettings, error) {
 	s := &gatewaySettings{Config: gateway.Defaults()}
 	fs := flag.NewFlagSet("rainfordd gateway", flag.ContinueOnError)
 	fs.SetOutput(stderr)
--- a/cmd/rainfordd/main.go
+++ b/cmd/rainfordd/main.go
@@ -38,7 +38,7 @@
 func run(args []string, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	config, err := settings(args, stderr)
+	config, err := readSettings(args, stderr)
 	if errors.Is(err, flag.ErrHelp) {
 		return exitOK
 	}
@@ -59,9 +59,9 @@
 	return exitOK
 }
 
-// settings reads flags and RAINFORD_… variables and checks all of them
+// readSettings reads flags and RAINFORD_… variables and checks all of them
 // together.
-func settings(args []string, stderr io.Writer) (*node.Config, error) {
+func readSettings(args []string, stderr io.Writer) (*node.Config, error) {
 	c := node.Defaults()
 	fs := flag.NewFlagSet("rainfordd", flag.ContinueOnError)
 	fs.SetOutput(stderr)
--- a/cmd/rainfordload/main.go
+++ b/cmd/rainfordload/main.go
@@ -39,15 +39,15 @@
 }
 
 type settings struct {
-	estates   []demo.Estate
-	scenarios []experiment.Scenario
-	policies  []experiment.Policy
-	loads     []float64
-	loans     []time.Duration
-	duration  time.Duration
-	slow      float64
-	seed      uint64
-	json      bool
+	estates     []demo.Estate
+	scenarios   []experiment.Scenario
+	policies    []experiment.Policy
+	loads       []float64
+	loanLengths []time.Duration
+	duration    time.Duration
+	slow        float64
+	seed        uint64
+	json        bool
 	// idle lists sizes as REGIONSxINSTANCES of a hall; with it nothing else
 	// is run.
 	idle []experiment.IdleSize
@@ -75,7 +75,7 @@
 		results = append(results, result)
 		fmt.Fprintln(stderr, "done:", result.Options)
 	}
-	err = output(stdout, s.json, results)
+	err = printResults(stdout, s.json, results)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitFailure
@@ -110,7 +110,7 @@
 		for _, scenario := range s.scenarios {
 			for _, load := range s.loads {
 				for _, policy := range s.policies {
-					for _, loan := range s.loans {
+					for _, loan := range s.loanLengths {
 						out = append(out, experiment.Options{
 							Estate: clone(estate), Scenario: scenario, Policy: policy, Load: load, LoanLength: loan,
 							Duration: s.duration, Slow: s.slow, Seed: s.seed,
@@ -147,31 +147,31 @@
 		return nil, err
 	}
 	var errs []error
-	each(*estates, func(v string) {
+	forEachItem(*estates, func(v string) {
 		e, err := demo.ByName(v)
 		s.estates = append(s.estates, e)
 		errs = append(errs, err)
 	})
-	each(*scenarios, func(v string) {
+	forEachItem(*scenarios, func(v string) {
 		s.scenarios = append(s.scenarios, experiment.Scenario(v))
-		errs = append(errs, known(experiment.Scenario(v), experiment.Scenarios))
+		errs = append(errs, checkKnown(experiment.Scenario(v), experiment.Scenarios))
 	})
-	each(*policies, func(v string) {
+	forEachItem(*policies, func(v string) {
 		s.policies = append(s.policies, experiment.Policy(v))
-		errs = append(errs, known(experiment.Policy(v), experiment.Policies))
+		errs = append(errs, checkKnown(experiment.Policy(v), experiment.Policies))
 	})
-	each(*loads, func(v string) {
+	forEachItem(*loads, func(v string) {
 		n, err := strconv.ParseFloat(v, 64)
 		s.loads = append(s.loads, n)
 		errs = append(errs, err)
 	})
-	each(*loans, func(v string) {
+	forEachItem(*loans, func(v string) {
 		d, err := time.ParseDuration(v)
-		s.loans = append(s.loans, d)
+		s.loanLengths = append(s.loanLengths, d)
 		errs = append(errs, err)
 	})
 	if *idle != "" {
-		each(*idle, func(v string) {
+		forEachItem(*idle, func(v string) {
 			var size experiment.IdleSize
 			_, err := fmt.Sscanf(v, "%dx%d", &size.Regions, &size.PerHall)
 			s.idle = append(s.idle, size)
@@ -181,13 +181,13 @@
 	return s, errors.Join(errs...)
 }
 
-func each(list string, f func(string)) {
+func forEachItem(list string, f func(string)) {
 	for _, v := range strings.Split(list, ",") {
 		f(strings.TrimSpace(v))
 	}
 }
 
-func known[T comparable](v T, all []T) error {
+func checkKnown[T comparable](v T, all []T) error {
 	for _, have := range all {
 		if have == v {
 			return nil
@@ -196,8 +196,8 @@
 	return fmt.Errorf("no %v: want one of %v", v, all)
 }
 
-// reasons prints counts as "a:1 b:2", or "-" for none.
-func reasons(counts map[protocol.Reason]int64) string {
+// formatReasons prints counts as "a:1 b:2", or "-" for none.
+func formatReasons(counts map[protocol.Reason]int64) string {
 	if len(counts) == 0 {
 		return "-"
 	}
@@ -209,7 +209,7 @@
 	return strings.Join(parts, " ")
 }
 
-func output(w io.Writer, asJSON bool, results []*experiment.Result) error {
+func printResults(w io.Writer, asJSON bool, results []*experiment.Result) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(results)
 	}
@@ -222,7 +222,7 @@
 			}
 			fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%s\t\n",
 				r.Options, s.Service, s.Requests, s.OK, s.NotRun, s.Unknown, s.Used, s.P50Ms, s.P99Ms, s.P999Ms, s.RefusalP99Ms,
-				r.DrainSeconds, r.RecoverSeconds, r.CapUse, r.OverSlots, r.RunTwice, reasons(s.Reasons))
+				r.DrainSeconds, r.RecoverSeconds, r.CapUse, r.OverSlots, r.RunTwice, formatReasons(s.Reasons))
 		}
 	}
 	return tw.Flush()
