--- a/cmd/rainfordload/main.go
+++ b/cmd/rainfordload/main.go
@@ -112,8 +112,8 @@
 				for _, policy := range s.policies {
 					for _, loan := range s.loanLengths {
 						out = append(out, experiment.Options{
-							Estate: clone(estate), Scenario: scenario, Policy: policy, Load: load, LoanLength: loan,
-							Duration: s.duration, Slow: s.slow, Seed: s.seed,
+							Estate: clone(estate), Scenario: scenario, Policy: policy, Load: load, LoanDuration: loan,
+							Duration: s.duration, ServiceTimeFactor: s.slow, Seed: s.seed,
 						})
 					}
 				}
--- a/deploy/days_test.go
+++ b/deploy/days_test.go
@@ -49,15 +49,15 @@
 // usersDays are days that the users wrote, word for word. They name a site's kinds of requests.
 var usersDays = map[string]bool{"deadly": true}
 
-// leastDays is the number of days that are kept at least.
-const leastDays = 12
+// minDays is the number of days that are kept at least.
+const minDays = 12
 
 // TestDays checks the form of the days: every field is one that days have; and of those of our
 // own, that two lines say what each is and guards, and that no site's names are in it.
 func TestDays(t *testing.T) {
 	files, err := filepath.Glob("days/*.toml")
 	require.NoError(t, err)
-	require.GreaterOrEqual(t, len(files), leastDays)
+	require.GreaterOrEqual(t, len(files), minDays)
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			raw, err := os.ReadFile(file)
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -35,12 +35,12 @@
 
 // Cluster is a running estate.
 type Cluster struct {
-	Estate   Estate
-	Store    *platformstore.Store
-	Platform *platformstore.Server
-	Client   *objectstore.Client
-	Runs     *backend.Runs
-	Flow     *Flow
+	Estate     Estate
+	Store      *platformstore.Store
+	Platform   *platformstore.Server
+	Client     *objectstore.Client
+	Runs       *backend.Runs
+	Admissions *AdmissionLog
 	// Links are the halls' ways to the platform, by hall. Each can be cut.
 	Links map[string]*platformstore.Server
 
@@ -83,14 +83,14 @@
 // table in force.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	c := &Cluster{
-		Estate:   options.Estate,
-		Store:    platformstore.NewStore(),
-		Runs:     backend.NewRuns(),
-		Flow:     NewFlow(),
-		Links:    make(map[string]*platformstore.Server),
-		options:  options,
-		linkURLs: make(map[string]string),
-		targets:  make(map[string][]*Target),
+		Estate:     options.Estate,
+		Store:      platformstore.NewStore(),
+		Runs:       backend.NewRuns(),
+		Admissions: NewAdmissionLog(),
+		Links:      make(map[string]*platformstore.Server),
+		options:    options,
+		linkURLs:   make(map[string]string),
+		targets:    make(map[string][]*Target),
 	}
 	if c.options.Log == nil {
 		c.options.Log = slog.New(slog.DiscardHandler)
@@ -285,7 +285,7 @@
 	settings.Secret = "demo"
 	settings.LookupTTL = time.Second
 	settings.Log = c.options.Log
-	settings.OnAdmit = c.Flow.Record
+	settings.OnAdmit = c.Admissions.Record
 	if c.options.Change != nil {
 		c.options.Change(&settings)
 	}
@@ -356,7 +356,7 @@
 		all := c.Instances()
 		for _, in := range all {
 			st := in.Status()
-			if !st.Ready || st.Seats == 0 || heard(st) < len(all)-1 {
+			if !st.Ready || st.Seats == 0 || livePeers(st) < len(all)-1 {
 				return false
 			}
 		}
@@ -364,8 +364,8 @@
 	})
 }
 
-// heard returns the number of live instances that one has heard.
-func heard(st node.Status) int {
+// livePeers returns the number of live instances that one has livePeers.
+func livePeers(st node.Status) int {
 	n := 0
 	for _, p := range st.Peers {
 		if p.State == member.Live && p.Version > 0 {
--- a/internal/demo/estate.go
+++ b/internal/demo/estate.go
@@ -79,12 +79,12 @@
 
 // Settings of the demo's rows.
 const (
-	localWeight  = 90
-	remoteWeight = 5
-	remoteCap    = 40
-	remoteShift  = 50
-	remoteRamp   = time.Second
-	floorPercent = 20
+	localWeight    = 90
+	remoteWeight   = 5
+	remoteCap      = 40
+	remoteShift    = 50
+	remoteRamp     = time.Second
+	reservePercent = 20
 )
 
 // Table returns the table that the demo starts with.
@@ -94,7 +94,7 @@
 		t.Regions = append(t.Regions, table.Region{Name: r, Halls: Halls(r)})
 	}
 	for _, s := range e.Services {
-		t.Services = append(t.Services, table.Service{Name: s.Name, NonIdempotent: s.Once, Reserve: floorPercent})
+		t.Services = append(t.Services, table.Service{Name: s.Name, NonIdempotent: s.Once, Reserve: reservePercent})
 		for _, from := range e.Regions {
 			for _, to := range e.Regions {
 				t.Rows = append(t.Rows, demoRow(s.Name, from, to))
--- a/internal/demo/fault_test.go
+++ b/internal/demo/fault_test.go
@@ -59,14 +59,14 @@
 	return out
 }
 
-// troubles brings about random faults until ctx ends.
-type troubles struct {
+// faultInjector brings about random faults until ctx ends.
+type faultInjector struct {
 	cluster *Cluster
 	rnd     *rand.Rand
 	kills   int
 }
 
-func (f *troubles) run(ctx context.Context, t *testing.T) {
+func (f *faultInjector) run(ctx context.Context, t *testing.T) {
 	for {
 		if !pause.For(ctx, time.Duration(200+f.rnd.IntN(400))*time.Millisecond) {
 			break
@@ -83,14 +83,14 @@
 	}
 }
 
-func (f *troubles) platform() {
+func (f *faultInjector) platform() {
 	choices := []platformstore.Faults{
 		{}, {}, {}, {}, {}, {}, {Down: true}, {Delay: 200 * time.Millisecond}, {LoseReplies: 3}, {StaleReads: true},
 	}
 	f.cluster.SetFaults(choices[f.rnd.IntN(len(choices))])
 }
 
-func (f *troubles) targets() {
+func (f *faultInjector) targets() {
 	for _, target := range f.cluster.Targets("") {
 		target.Server.UpdateSettings(func(s *backend.Settings) {
 			s.DropBefore, s.DropDuring, s.DropAfter, s.Refuse = 0, 0, 0, 0
@@ -110,7 +110,7 @@
 }
 
 // kill ends an instance in the middle of its work and starts another.
-func (f *troubles) kill(t *testing.T) {
+func (f *faultInjector) kill(t *testing.T) {
 	all := f.cluster.Instances()
 	victim := all[f.rnd.IntN(len(all))]
 	self := victim.Node.Instance()
@@ -121,9 +121,9 @@
 	require.NoError(t, err)
 }
 
-// onceRun sends operations through faults and checks that none ran twice, and
+// testAtMostOnce sends operations through faults and checks that none ran twice, and
 // that none ran that was said not to have run.
-func onceRun(t *testing.T, seed uint64, length time.Duration) {
+func testAtMostOnce(t *testing.T, seed uint64, length time.Duration) {
 	cluster := startCluster(t, Options{Estate: small(1), Change: func(c *node.Config) { c.DefaultDeadline = 2 * time.Second }})
 	generator := load.NewGenerator()
 	ctx, cancel := context.WithTimeout(context.Background(), length)
@@ -138,7 +138,7 @@
 			generator.Run(ctx, stream, rand.NewPCG(seed, uint64(i)))
 		}()
 	}
-	f := &troubles{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 99))}
+	f := &faultInjector{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 99))}
 	f.run(ctx, t)
 	wg.Wait()
 	generator.Wait()
@@ -156,11 +156,11 @@
 	require.Positive(t, st.OK)
 }
 
-func TestAtMostOnceThroughFaults(t *testing.T) { onceRun(t, 1, 8*time.Second) }
+func TestAtMostOnceThroughFaults(t *testing.T) { testAtMostOnce(t, 1, 8*time.Second) }
 
 func TestLongAtMostOnce(t *testing.T) {
 	if *longRun == 0 {
 		t.Skip("set -long to a length of time")
 	}
-	onceRun(t, *longSeed, *longRun)
+	testAtMostOnce(t, *longSeed, *longRun)
 }
--- a/internal/demo/flow.go
+++ b/internal/demo/flow.go
@@ -8,32 +8,32 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Flow records when requests were admitted to rows, over all instances.
-type Flow struct {
+// AdmissionLog records when requests were admitted to rows, over all instances.
+type AdmissionLog struct {
 	mu    sync.Mutex
 	times map[table.RowKey][]time.Time
 }
 
-// NewFlow returns an empty record.
-func NewFlow() *Flow { return &Flow{times: make(map[table.RowKey][]time.Time)} }
+// NewAdmissionLog returns an empty record.
+func NewAdmissionLog() *AdmissionLog { return &AdmissionLog{times: make(map[table.RowKey][]time.Time)} }
 
 // Record adds one request.
-func (f *Flow) Record(row table.RowKey, at time.Time) {
+func (f *AdmissionLog) Record(row table.RowKey, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.times[row] = append(f.times[row], at)
 }
 
-// Carried returns the number of requests admitted to a row.
-func (f *Flow) Carried(row table.RowKey) int {
+// Count returns the number of requests admitted to a row.
+func (f *AdmissionLog) Count(row table.RowKey) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.times[row])
 }
 
-// WorstWindow returns the most requests admitted to a row within any sliding
+// MaxPerWindow returns the most requests admitted to a row within any sliding
 // window, of those admitted at or after a time.
-func (f *Flow) WorstWindow(row table.RowKey, since time.Time) int {
+func (f *AdmissionLog) MaxPerWindow(row table.RowKey, since time.Time) int {
 	f.mu.Lock()
 	times := append([]time.Time(nil), f.times[row]...)
 	f.mu.Unlock()
--- a/internal/demo/gateway.go
+++ b/internal/demo/gateway.go
@@ -36,9 +36,9 @@
 	targetsPerHall = 2
 	targetSlots    = 6
 	targetWork     = 15 * time.Millisecond
-	// settled is how long a change may take to be in force, by the promise that a
+	// propagationTime is how long a change may take to be in force, by the promise that a
 	// leaving target gets no new work after a few seconds.
-	settled = time.Second
+	propagationTime = time.Second
 )
 
 // gatewayEstate is a running estate of gateways.
@@ -47,7 +47,7 @@
 	store     *objects.Store
 	storeHTTP *http.Server
 	storeAddr string
-	seen      *observer
+	observer  *observer
 
 	instances []*gatewayInstance
 	targets   []*origin.Server
@@ -66,7 +66,7 @@
 // runs it, targets say themselves that they leave or want rest, and an account sends three
 // times what it may, and reports what held.
 func RunGateways(ctx context.Context, options GatewayOptions) (*GatewayReport, error) {
-	e := &gatewayEstate{options: options, store: objects.New(), seen: newObserver()}
+	e := &gatewayEstate{options: options, store: objects.New(), observer: newObserver()}
 	defer e.close()
 	err := e.start(ctx)
 	if err != nil {
@@ -81,8 +81,8 @@
 		return nil, fmt.Errorf("demo: %w", err)
 	}
 	load.report(report)
-	e.seen.report(report, options.busyLimit())
-	e.reportWords(report)
+	e.observer.report(report, options.busyLimit())
+	e.reportBackOff(report)
 	return report, nil
 }
 
@@ -140,7 +140,7 @@
 		return err
 	}
 	t.SetServiceTime(targetWork)
-	t.SetObserver(e.seen.arrived)
+	t.SetObserver(e.observer.arrived)
 	e.targets = append(e.targets, t)
 	e.record(t, objects.Ready)
 	return nil
@@ -218,7 +218,7 @@
 	pause.For(ctx, part)
 	began = time.Now()
 	e.configure(3, false)
-	err = e.await(ctx, takenKey, "/read/1/", http.StatusUnauthorized)
+	err = e.await(ctx, revokedKey, "/read/1/", http.StatusUnauthorized)
 	if err != nil {
 		return err
 	}
@@ -227,23 +227,23 @@
 	pause.For(ctx, part)
 	e.store.Evacuate("kumasi-a")
 	say("kumasi-a is to be emptied")
-	e.seen.forbid(func(t *origin.Server) bool { return t.Zone == "kumasi-a" }, time.Now().Add(settled))
+	e.observer.forbid(func(t *origin.Server) bool { return t.Zone == "kumasi-a" }, time.Now().Add(propagationTime))
 	pause.For(ctx, part)
-	e.seen.allow()
+	e.observer.allow()
 	e.store.CancelEvacuation("kumasi-a")
 	say("kumasi-a is back")
 	pause.For(ctx, part)
-	report.Ended, err = e.sendEnding(ctx)
+	report.Ended, err = e.sendCrashing(ctx)
 	if err != nil {
 		return err
 	}
-	say("%d targets ended under a request that ends each that runs it, sent %d times", report.Ended, endingSends)
+	say("%d targets ended under a request that ends each that runs it, sent %d times", report.Ended, crashSends)
 	pause.For(ctx, part)
 	busy := e.busiest()
 	tired, told, leaving := busy[0], busy[1], busy[2]
-	report.Rested = e.rest(ctx, tired)
-	say("%s asked for rest and got %d requests in %v", tired.ID, report.Rested, tiredFor)
-	err = e.leaveByWord(ctx, told)
+	report.Rested = e.requestBackOff(ctx, tired)
+	say("%s asked for rest and got %d requests in %v", tired.ID, report.Rested, refusalTime)
+	err = e.leaveByNotice(ctx, told)
 	if err != nil {
 		return err
 	}
@@ -251,7 +251,7 @@
 	pause.For(ctx, part)
 	e.record(leaving, objects.Draining)
 	say("%s leaves", leaving.ID)
-	e.seen.forbid(func(t *origin.Server) bool { return t == leaving || t == told }, time.Now().Add(settled))
+	e.observer.forbid(func(t *origin.Server) bool { return t == leaving || t == told }, time.Now().Add(propagationTime))
 	pause.For(ctx, part)
 	began = time.Now()
 	e.instances[0].stop()
--- a/internal/demo/gatewayaccounts.go
+++ b/internal/demo/gatewayaccounts.go
@@ -15,7 +15,7 @@
 const (
 	estateAccount = "estate"
 	estateKey     = "estate-key-2"
-	takenKey      = "estate-key-1"
+	revokedKey    = "estate-key-1"
 	busyAccount   = "busy"
 	busyKey       = "busy-key-1"
 
@@ -36,7 +36,7 @@
 func (e *gatewayEstate) tenants(withTaken bool) map[string]objects.Tenant {
 	keys := []string{estateKey}
 	if withTaken {
-		keys = append(keys, takenKey)
+		keys = append(keys, revokedKey)
 	}
 	limit := e.options.busyLimit()
 	return map[string]objects.Tenant{
@@ -53,8 +53,8 @@
 	return estateKey
 }
 
-// noteAccount notes what a target learns of an account. The caller holds mu.
-func (o *observer) noteAccount(a origin.Arrival) {
+// recordAccount notes what a target learns of an account. The caller holds mu.
+func (o *observer) recordAccount(a origin.Arrival) {
 	if a.Header.Get("Credential") != "" {
 		o.keysSeen++
 	}
--- a/internal/demo/gatewayending.go
+++ b/internal/demo/gatewayending.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// endingPath is that of a request that ends each target that runs it.
-	endingPath = "/read/1/ends-targets"
-	// endingSends is how often it is sent, and endingEvery the time between.
-	endingSends = 40
-	endingEvery = 20 * time.Millisecond
-	// mostEnded is the largest number of targets that may end under it.
-	mostEnded = 6
+	// crashPath is that of a request that ends each target that runs it.
+	crashPath = "/read/1/ends-targets"
+	// crashSends is how often it is sent, and endingEvery the time between.
+	crashSends    = 40
+	crashInterval = 20 * time.Millisecond
+	// maxCrashes is the largest number of targets that may end under it.
+	maxCrashes = 6
 )
 
-// sendEnding sends a request that ends each target that runs it to the instances in turn, and
+// sendCrashing sends a request that ends each target that runs it to the instances in turn, and
 // returns how many targets ended. Others take their place afterwards.
-func (e *gatewayEstate) sendEnding(ctx context.Context) (int, error) {
+func (e *gatewayEstate) sendCrashing(ctx context.Context) (int, error) {
 	var mu sync.Mutex
 	var ended []*origin.Server
 	for _, t := range e.targets {
-		t.SetCrash(func(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, endingPath) }, func(origin.Run) {
+		t.SetCrash(func(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, crashPath) }, func(origin.Run) {
 			mu.Lock()
 			defer mu.Unlock()
 			ended = append(ended, t)
 		})
 	}
-	for i := range endingSends {
+	for i := range crashSends {
 		in := e.instances[i%len(e.instances)]
-		sendTo(ctx, in.config.Listen, estateKey, fmt.Sprint("ending-", i), http.MethodGet, endingPath, nil)
-		pause.For(ctx, endingEvery)
+		sendTo(ctx, in.config.Listen, estateKey, fmt.Sprint("ending-", i), http.MethodGet, crashPath, nil)
+		pause.For(ctx, crashInterval)
 	}
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/demo/gatewayload.go
+++ b/internal/demo/gatewayload.go
@@ -19,11 +19,11 @@
 	mu   sync.Mutex
 	runs map[string]int
 	// forbidden names targets that are to get nothing from since on.
-	forbidden func(*origin.Server) bool
-	since     time.Time
-	late      int
-	byHall    map[string]int
-	byTarget  map[*origin.Server]int
+	forbidden         func(*origin.Server) bool
+	since             time.Time
+	forbiddenArrivals int
+	byHall            map[string]int
+	byTarget          map[*origin.Server]int
 	// keysSeen counts the requests that came with their key, and busy are the runs of the
 	// account with a limit.
 	keysSeen int
@@ -47,9 +47,9 @@
 	if a.RetryAfter > 0 {
 		o.rested++
 	}
-	o.noteAccount(a)
+	o.recordAccount(a)
 	if o.forbidden != nil && o.forbidden(a.Server) && a.At.After(o.since) {
-		o.late++
+		o.forbiddenArrivals++
 	}
 }
 
@@ -65,19 +65,19 @@
 	o.forbidden = nil
 }
 
-// answered is what a client got.
-type answered struct {
-	id     string
-	once   bool
-	status int
-	whole  bool
-	took   time.Duration
+// clientResponse is what a client got.
+type clientResponse struct {
+	id            string
+	nonIdempotent bool
+	status        int
+	complete      bool
+	took          time.Duration
 }
 
 // sendTo sends one request of a client to an instance.
-func sendTo(ctx context.Context, addr, key, id, method, path string, body []byte) answered {
+func sendTo(ctx context.Context, addr, key, id, method, path string, body []byte) clientResponse {
 	began := time.Now()
-	a := answered{id: id}
+	a := clientResponse{id: id}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return a
@@ -95,7 +95,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	a.status, a.took = resp.StatusCode, time.Since(began)
-	a.whole = err == nil && strings.HasSuffix(string(raw), " to "+id)
+	a.complete = err == nil && strings.HasSuffix(string(raw), " to "+id)
 	return a
 }
 
@@ -108,7 +108,7 @@
 	group   sync.WaitGroup
 
 	mu      sync.Mutex
-	answers []answered
+	answers []clientResponse
 }
 
 func newGatewayLoad(e *gatewayEstate, options GatewayOptions) *gatewayLoad {
@@ -149,7 +149,7 @@
 		method, path, body = http.MethodPost, "/pay/", []byte("receipt")
 	}
 	a := sendTo(context.Background(), in.config.Listen, keyOf(n), id, method, path, body)
-	a.once = method == http.MethodPost
+	a.nonIdempotent = method == http.MethodPost
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers = append(l.answers, a)
--- a/internal/demo/gatewayreport.go
+++ b/internal/demo/gatewayreport.go
@@ -41,7 +41,7 @@
 	// Broken lists the invariants that did not hold.
 	Broken []string `json:"broken"`
 
-	answers []answered
+	answers []clientResponse
 }
 
 // report takes in what clients got.
@@ -54,7 +54,7 @@
 	for _, a := range l.answers {
 		r.Requests++
 		switch {
-		case a.status == http.StatusOK && a.whole:
+		case a.status == http.StatusOK && a.complete:
 			r.Served++
 			times = append(times, a.took)
 		case a.status == http.StatusOK:
@@ -83,19 +83,19 @@
 	for _, a := range r.answers {
 		runs := o.runs[a.id]
 		switch {
-		case a.once && runs > 1:
+		case a.nonIdempotent && runs > 1:
 			r.Broken = append(r.Broken, fmt.Sprintf("%s ran %d times", a.id, runs))
-		case a.once && runs > 0 && (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests):
+		case a.nonIdempotent && runs > 0 && (a.status == http.StatusServiceUnavailable || a.status == http.StatusTooManyRequests):
 			r.Broken = append(r.Broken, a.id+" was refused and had run")
 		case runs > 0 && a.status == 0:
 			r.Broken = append(r.Broken, a.id+" was cut")
 		}
 	}
-	if o.late > 0 {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d requests reached targets that were to get nothing", o.late))
+	if o.forbiddenArrivals > 0 {
+		r.Broken = append(r.Broken, fmt.Sprintf("%d requests reached targets that were to get nothing", o.forbiddenArrivals))
 	}
 	o.reportAccounts(r, limit)
-	if r.Ended > mostEnded {
+	if r.Ended > maxCrashes {
 		r.Broken = append(r.Broken, fmt.Sprintf("%d targets ended under one request", r.Ended))
 	}
 	if r.Served == 0 {
--- a/internal/demo/invariant_test.go
+++ b/internal/demo/invariant_test.go
@@ -62,7 +62,7 @@
 	return w.fell
 }
 
-func (c *Cluster) weight(t *testing.T, n int) int64 {
+func (c *Cluster) setWeight(t *testing.T, n int) int64 {
 	t.Helper()
 	change, err := c.Editor("weight").Edit(context.Background(), func(tab *table.Table) error {
 		tab.Rows[0].Weight = n
@@ -72,7 +72,7 @@
 	return change.Number
 }
 
-func (c *Cluster) inForce(t *testing.T, what string, number int64) {
+func (c *Cluster) requireInForce(t *testing.T, what string, number int64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -87,10 +87,10 @@
 func TestConfigurationThroughFaults(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(2)})
 	w := watchVersions(c)
-	c.inForce(t, "no fault", c.weight(t, 11))
+	c.requireInForce(t, "no fault", c.setWeight(t, 11))
 
 	c.Links["accra-1"].SetFaults(platformstore.Faults{Down: true})
-	c.inForce(t, "hall cut from the platform only", c.weight(t, 12))
+	c.requireInForce(t, "hall cut from the platform only", c.setWeight(t, 12))
 	c.SetFaults(platformstore.Faults{})
 
 	c.SetFaults(platformstore.Faults{StaleReads: true})
@@ -105,16 +105,16 @@
 		return nil
 	})
 	require.NoError(t, err)
-	c.inForce(t, "stale reads", change.Number)
+	c.requireInForce(t, "stale reads", change.Number)
 	c.SetFaults(platformstore.Faults{})
 	c.SetFaults(platformstore.Faults{LoseReplies: 1})
-	c.inForce(t, "lost reply", c.weight(t, 14))
+	c.requireInForce(t, "lost reply", c.setWeight(t, 14))
 
 	for _, hall := range c.Estate.AllHalls()[1:] {
 		c.Links[hall].SetFaults(platformstore.Faults{Down: true})
 	}
-	number := c.weight(t, 15)
-	c.inForce(t, "all halls but one cut from the platform", number)
+	number := c.setWeight(t, 15)
+	c.requireInForce(t, "all halls but one cut from the platform", number)
 	c.SetFaults(platformstore.Faults{Down: true})
 
 	self := c.Instances()[0].Node.Instance()
@@ -122,11 +122,11 @@
 	c.options.Change = func(cfg *node.Config) { cfg.Bootstrap = peers }
 	late, err := c.StartInstance(self.Region, self.Hall, "late")
 	require.NoError(t, err)
-	c.inForce(t, "an instance that starts while the platform is down", number)
+	c.requireInForce(t, "an instance that starts while the platform is down", number)
 	require.Eventually(t, func() bool { return late.Status().Ready }, time.Minute, 10*time.Millisecond)
 
 	c.SetFaults(platformstore.Faults{})
-	c.inForce(t, "after the outage", c.weight(t, 16))
+	c.requireInForce(t, "after the outage", c.setWeight(t, 16))
 	require.False(t, w.end(), "a version fell")
 }
 
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -147,10 +147,10 @@
 
 // rowReports sums up the rows. Since bounds the windows to those after the
 // caps named were in force.
-func rowReports(t *table.Table, flow *Flow, caps map[table.RowKey]capSpan) []RowReport {
+func rowReports(t *table.Table, flow *AdmissionLog, caps map[table.RowKey]loweredCap) []RowReport {
 	sums := make(map[[2]string]int)
 	for _, row := range t.Rows {
-		sums[[2]string{row.Service, row.From}] += flow.Carried(row.Key())
+		sums[[2]string{row.Service, row.From}] += flow.Count(row.Key())
 	}
 	var out []RowReport
 	for _, row := range t.Rows {
@@ -160,16 +160,16 @@
 			To:          row.To,
 			Weight:      row.Weight,
 			Cap:         row.Cap,
-			Carried:     flow.Carried(row.Key()),
-			WorstWindow: flow.WorstWindow(row.Key(), time.Time{}),
+			Carried:     flow.Count(row.Key()),
+			WorstWindow: flow.MaxPerWindow(row.Key(), time.Time{}),
 			limit:       row.Cap,
 		}
 		if span, ok := caps[row.Key()]; ok {
 			r.limit = span.before
-			if flow.WorstWindow(row.Key(), span.lowered) > row.Cap {
+			if flow.MaxPerWindow(row.Key(), span.lowered) > row.Cap {
 				// Over the lowered cap: report against that one.
 				r.limit = row.Cap
-				r.WorstWindow = flow.WorstWindow(row.Key(), span.lowered)
+				r.WorstWindow = flow.MaxPerWindow(row.Key(), span.lowered)
 			}
 		}
 		if sum := sums[[2]string{row.Service, row.From}]; sum > 0 {
@@ -180,9 +180,9 @@
 	return out
 }
 
-// capSpan is a cap that was lowered: the cap before, and one window after the
+// loweredCap is a cap that was lowered: the cap before, and one window after the
 // lower one was in force everywhere.
-type capSpan struct {
+type loweredCap struct {
 	before  int
 	lowered time.Time
 }
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -31,7 +31,7 @@
 // Run starts an estate, sends a mixed load, raises a weight, lowers a cap and
 // drains a region on the way, and reports.
 func Run(ctx context.Context, options RunOptions) (*Report, error) {
-	d := &demo{options: options, caps: make(map[table.RowKey]capSpan), generator: load.NewGenerator()}
+	d := &demo{options: options, caps: make(map[table.RowKey]loweredCap), generator: load.NewGenerator()}
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	d.say("starting %s", options.Estate.Name)
@@ -49,7 +49,7 @@
 	cluster   *Cluster
 	generator *load.Generator
 	clients   []*caller.Client
-	caps      map[table.RowKey]capSpan
+	caps      map[table.RowKey]loweredCap
 	report    Report
 }
 
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	d.caps[key] = capSpan{before: remoteCap, lowered: time.Now().Add(table.CapWindow)}
+	d.caps[key] = loweredCap{before: remoteCap, lowered: time.Now().Add(table.CapWindow)}
 	if !pause.For(ctx, quarter) {
 		return ctx.Err()
 	}
@@ -202,7 +202,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.report.Rows = rowReports(current, d.cluster.Flow, d.caps)
+	d.report.Rows = rowReports(current, d.cluster.Admissions, d.caps)
 	for _, s := range d.cluster.Estate.Services {
 		st := d.generator.Stats(s.Name)
 		d.report.Drain.CutRequests += st.Broken
@@ -213,12 +213,12 @@
 		d.report.Services = append(d.report.Services, serviceReport(s.Name, st, twice))
 	}
 	d.report.check()
-	d.falseNotRun()
+	d.checkNotRun()
 	return &d.report, nil
 }
 
-// falseNotRun finds operations that were said not to have run and did.
-func (d *demo) falseNotRun() {
+// checkNotRun finds operations that were said not to have run and did.
+func (d *demo) checkNotRun() {
 	for _, s := range d.cluster.Estate.Services {
 		for _, key := range d.generator.Stats(s.Name).NotRunKeys {
 			if d.cluster.Runs.Count(key) > 0 {
--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -20,8 +20,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// flow sends a stream from each hall until ctx ends.
-func (s *system) flow(ctx context.Context, g *load.Generator, stream load.Stream) *sync.WaitGroup {
+// startLoad sends a stream from each hall until ctx ends.
+func (s *system) startLoad(ctx context.Context, g *load.Generator, stream load.Stream) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range s.halls {
 		stream.Client = s.caller(i)
@@ -91,7 +91,7 @@
 	s.awaitVersion(change.Number)
 	g := load.NewGenerator()
 	ctx, cancel := context.WithCancel(context.Background())
-	wg := s.flow(ctx, g, load.Stream{Service: reads, Kind: load.Read, Rate: 60, Timeout: 2 * time.Second})
+	wg := s.startLoad(ctx, g, load.Stream{Service: reads, Kind: load.Read, Rate: 60, Timeout: 2 * time.Second})
 
 	paused, killed := s.instances["north-1-1"], s.instances["north-2-1"]
 	require.NoError(t, paused.Process.Signal(syscall.SIGSTOP))
@@ -139,7 +139,7 @@
 	s := newSystem(t, 2, 50)
 	g := load.NewGenerator()
 	ctx, cancel := context.WithCancel(context.Background())
-	wg := s.flow(ctx, g, load.Stream{Service: pays, Kind: load.Operate, Rate: 30, Bytes: 100, Timeout: 2 * time.Second, MaxRetries: 3, DuplicateFraction: 0.2})
+	wg := s.startLoad(ctx, g, load.Stream{Service: pays, Kind: load.Operate, Rate: 30, Bytes: 100, Timeout: 2 * time.Second, MaxRetries: 3, DuplicateFraction: 0.2})
 	for i := range 4 {
 		time.Sleep(time.Second)
 		region := regions[i%2]
--- a/internal/e2e/system_test.go
+++ b/internal/e2e/system_test.go
@@ -285,7 +285,7 @@
 		ready := 0
 		for _, in := range s.listed() {
 			st, ok := status(in.AdminAddr)
-			if ok && st.Ready && st.Seats > 0 && !st.Leaving && hears(st, len(s.instances)-1) {
+			if ok && st.Ready && st.Seats > 0 && !st.Leaving && seesPeers(st, len(s.instances)-1) {
 				ready++
 			}
 		}
@@ -306,8 +306,8 @@
 	})
 }
 
-// hears tells whether an instance sees at least count others alive and ready.
-func hears(st node.Status, count int) bool {
+// seesPeers tells whether an instance sees at least count others alive and ready.
+func seesPeers(st node.Status, count int) bool {
 	alive := 0
 	for _, p := range st.Peers {
 		if p.State == member.Live && p.Version > 0 {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -65,12 +65,12 @@
 	// Load is the offered load as a part of the targets' capacity.
 	Load     float64
 	Duration time.Duration
-	// Slow multiplies the service times, so that the capacity of an estate
+	// ServiceTimeFactor multiplies the service times, so that the capacity of an estate
 	// fits one machine.
-	Slow float64
-	Seed uint64
-	// LoanLength overrides the length of loans; 0 leaves it.
-	LoanLength time.Duration
+	ServiceTimeFactor float64
+	Seed              uint64
+	// LoanDuration overrides the length of loans; 0 leaves it.
+	LoanDuration time.Duration
 }
 
 // Result is what a run measured.
@@ -112,7 +112,7 @@
 // Run runs one experiment.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	for i := range o.Estate.Services {
-		o.Estate.Services[i].Time = time.Duration(float64(o.Estate.Services[i].Time) * o.Slow)
+		o.Estate.Services[i].Time = time.Duration(float64(o.Estate.Services[i].Time) * o.ServiceTimeFactor)
 	}
 	startCtx, cancel := context.WithTimeout(ctx, time.Minute)
 	defer cancel()
@@ -130,7 +130,7 @@
 }
 
 func baseline(o Options) node.Baseline {
-	b := node.Baseline{LoanDuration: o.LoanLength}
+	b := node.Baseline{LoanDuration: o.LoanDuration}
 	switch o.Policy {
 	case RoundRobin:
 		b.Policy = &balance.RoundRobin{}
@@ -267,7 +267,7 @@
 	restore = func() {}
 	switch r.options.Scenario {
 	case RegionLost:
-		r.lose(region)
+		r.killRegion(region)
 	case Drain:
 		d := table.Drain{Scope: table.ScopeRegion, Name: region}
 		_, err = r.cluster.Editor("drain").Edit(ctx, func(t *table.Table) error { t.SetDrain(d, true); return nil })
@@ -287,8 +287,8 @@
 	return restore, err
 }
 
-// lose kills a region's instances and cuts its targets off.
-func (r *run) lose(region string) {
+// killRegion kills a region's instances and cuts its targets off.
+func (r *run) killRegion(region string) {
 	for _, in := range r.cluster.Instances() {
 		if in.Node.Instance().Region == region {
 			r.cluster.Remove(in)
@@ -348,8 +348,8 @@
 func (r *run) finish() {
 	o := r.options
 	r.result.Options = fmt.Sprintf("%s %s %s load %.1f %s", o.Estate.Name, o.Scenario, o.Policy, o.Load, o.Duration)
-	if o.LoanLength > 0 {
-		r.result.Options += " loans " + o.LoanLength.String()
+	if o.LoanDuration > 0 {
+		r.result.Options += " loans " + o.LoanDuration.String()
 	}
 	r.result.RecoverSeconds = r.recovery()
 	r.result.RunTwice = r.cluster.Runs.Duplicates()
@@ -359,7 +359,7 @@
 		}
 	}
 	if o.Scenario == CapBound {
-		r.result.CapUse = float64(r.cluster.Flow.Carried(r.capRow())) / (boundCap * o.Duration.Seconds())
+		r.result.CapUse = float64(r.cluster.Admissions.Count(r.capRow())) / (boundCap * o.Duration.Seconds())
 	}
 	for _, s := range r.cluster.Estate.Services {
 		st := r.generator.Stats(s.Name)
--- a/internal/experiment/idle.go
+++ b/internal/experiment/idle.go
@@ -68,7 +68,7 @@
 	n := float64(len(cluster.Instances()))
 	result := &IdleResult{Halls: len(estate.AllHalls()), Instances: int(n), HeapKB: (liveHeap() - before) / n / 1024}
 	measureIdle(cluster, length, result)
-	result.InForceSeconds, err = worstInForce(ctx, cluster)
+	result.InForceSeconds, err = maxInForce(ctx, cluster)
 	result.OutageReads = readsAfterOutage(cluster)
 	return result, err
 }
@@ -129,7 +129,7 @@
 	return sum
 }
 
-func worstInForce(ctx context.Context, cluster *demo.Cluster) (float64, error) {
+func maxInForce(ctx context.Context, cluster *demo.Cluster) (float64, error) {
 	worst := 0.0
 	for i := range idleChanges {
 		change, err := cluster.Editor("change").Edit(ctx, func(t *table.Table) error {
