--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -128,16 +128,16 @@
 func (o *oracle) judgeAccount(a *attempt, v origin.Arrival) {
 	o.checks["KEY"]++
 	if v.Header.Get("Credential") != "" {
-		o.broken("KEY", "%s reached %s with its key", a.id, v.Server.ID)
+		o.violated("KEY", "%s reached %s with its key", a.id, v.Server.ID)
 	}
 	if got := v.Header.Values("Tenant"); v.Executed && fmt.Sprint(got) != fmt.Sprint(a.names()) {
-		o.broken("UNASKED", "%s of account %q ran as %q", a.id, a.account, got)
+		o.violated("UNASKED", "%s of account %q ran as %q", a.id, a.account, got)
 	}
-	if a.key == "" || !a.touched {
+	if a.key == "" || !a.connected {
 		return
 	}
 	if _, forgotten := o.keys.due(a.key, a.at); v.Executed && forgotten {
-		o.broken("KEY", "%s from %s ran with a key that had been taken away", a.id, a.instance)
+		o.violated("KEY", "%s from %s ran with a key that had been taken away", a.id, a.instance)
 	}
 }
 
@@ -155,7 +155,7 @@
 		return false
 	}
 	known, _ := o.keys.due(a.key, a.at)
-	return !known || !a.touched
+	return !known || !a.connected
 }
 
 // limits checks the limits of the whole run: in any window, the requests of an account
@@ -184,7 +184,7 @@
 				start++
 			}
 			if end-start+1 > most {
-				o.broken("LIMIT", "account %s had %d requests run in %s, of %d", a.name, end-start+1, limitWindow, most)
+				o.violated("LIMIT", "account %s had %d requests run in %s, of %d", a.name, end-start+1, limitWindow, most)
 				break
 			}
 		}
--- a/internal/soak/attempt.go
+++ b/internal/soak/attempt.go
@@ -14,7 +14,7 @@
 	instance        string
 	run             int
 	at              time.Time
-	touched         bool
+	connected       bool
 	probe           int
 	// account and key are those of the client, empty for none.
 	account, key string
--- a/internal/soak/ending.go
+++ b/internal/soak/ending.go
@@ -28,18 +28,18 @@
 	lateSends   = 3
 )
 
-// endings are the servers that ended under one request.
-type endings struct {
+// serverCrashes are the servers that ended under one request.
+type serverCrashes struct {
 	at []time.Time
 	// late are the arrivals that count against lateSends.
 	late int
 }
 
-func isEnding(uri string) bool { return strings.Contains(uri, endingMark) }
+func crashesServer(uri string) bool { return strings.Contains(uri, endingMark) }
 
-// sendEnding sends a request that ends each server that runs it again and again, to any
+// sendCrashing sends a request that ends each server that runs it again and again, to any
 // instance: a read, an operation with one body, or bursts of a read.
-func (r *runner) sendEnding(f Fault) {
+func (r *runner) sendCrashing(f Fault) {
 	s := r.site
 	caller := newClient(s, places[f.Which%len(places)], accounts[len(accounts)-1], uint64(f.Which))
 	method, uri, body := http.MethodGet, "/read"+endingMark+strconv.Itoa(f.How), []byte(nil)
@@ -56,14 +56,14 @@
 				continue
 			}
 			in := s.instances[rnd.IntN(len(s.instances))]
-			r.wg.Go(func() { caller.attemptEnding(in, method, uri, body) })
+			r.wg.Go(func() { caller.attemptCrashing(in, method, uri, body) })
 			time.Sleep(endingEvery)
 		}
 	})
 }
 
-// attemptEnding sends one of these requests.
-func (c *client) attemptEnding(in *instance, method, uri string, body []byte) {
+// attemptCrashing sends one of these requests.
+func (c *client) attemptCrashing(in *instance, method, uri string, body []byte) {
 	a := c.site.oracle.begin(in, method, uri, body)
 	a.account, a.key, a.hot = c.account.name, c.site.keys.use(c.account.name), true
 	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
@@ -87,8 +87,8 @@
 	c.site.oracle.finish(a, result{status: resp.StatusCode, header: resp.Header})
 }
 
-// endUnder ends a server that has run such a request, and has another one take its place.
-func (s *site) endUnder(srv *server) {
+// crashUnder ends a server that has run such a request, and has another one take its place.
+func (s *site) crashUnder(srv *server) {
 	if !s.markGone(srv) {
 		return
 	}
@@ -100,32 +100,32 @@
 	})
 }
 
-// endedUnder notes the end of a server under a request.
-func (o *oracle) endedUnder(uri string) {
+// noteCrash notes the end of a server under a request.
+func (o *oracle) noteCrash(uri string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e := o.endings[uri]
 	if e == nil {
-		e = &endings{}
+		e = &serverCrashes{}
 		o.endings[uri] = e
 	}
 	e.at = append(e.at, time.Now())
 }
 
-// judgeEnding checks that a request under which several servers have ended is no longer sent
+// judgeCrashing checks that a request under which several servers have ended is no longer sent
 // by instances that could know it. The caller holds mu.
-func (o *oracle) judgeEnding(a *attempt, v origin.Arrival) {
+func (o *oracle) judgeCrashing(a *attempt, v origin.Arrival) {
 	e := o.endings[a.uri]
 	if e == nil || len(e.at) < surelyKnown {
 		return
 	}
 	o.checks["ENDING"]++
-	if v.At.Sub(e.at[surelyKnown-1]) <= contact || !o.inTouch(a.instance, v.At) {
+	if v.At.Sub(e.at[surelyKnown-1]) <= contact || !o.connected(a.instance, v.At) {
 		return
 	}
 	e.late++
 	if e.late == lateSends+1 {
-		o.broken("BUDGET", "%s was sent to servers %d times, %.2f s after the third had ended under it; %d ended in all",
+		o.violated("BUDGET", "%s was sent to servers %d times, %.2f s after the third had ended under it; %d ended in all",
 			a.uri, e.late, v.At.Sub(e.at[surelyKnown-1]).Seconds(), len(e.at))
 	}
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,8 +13,8 @@
 // lost is how long before its end a fault on the store may still delay news.
 const storeSettle = 500 * time.Millisecond
 
-// bring brings a fault about and ends it after its time.
-func (r *runner) bring(f Fault) {
+// inject brings a fault about and ends it after its time.
+func (r *runner) inject(f Fault) {
 	s := r.site
 	in := s.instances[f.Which%len(s.instances)]
 	end := time.Now().Add(f.For)
@@ -65,8 +65,8 @@
 		r.writeForeign(f)
 	case SameID:
 		r.startAgain(f)
-	case EndingRequests:
-		r.sendEnding(f)
+	case CrashingRequests:
+		r.sendCrashing(f)
 	case Rollout:
 		r.rollout(f)
 	case ConfigChange:
@@ -103,7 +103,7 @@
 		}
 		return
 	}
-	p.set([]Mode{Delay, Trickle, Silent, DeafUp, DeafDown}[f.How%5])
+	p.set([]Mode{Delay, Trickle, Stall, StallUp, StallDown}[f.How%5])
 	r.later(f.For, func() { p.set(Pass) })
 }
 
@@ -193,13 +193,13 @@
 	case ServerReuse:
 		r.reuse(srv, f)
 	case ServerLeaves:
-		r.sayLeaving(srv, f)
+		r.announceLeaving(srv, f)
 	case ServerLimits:
-		r.nameLimits(srv, f)
-	case ServerRests:
-		r.askForRest(srv, f)
-	case ServerSays:
-		r.sayWrongly(srv, f)
+		r.announceLimits(srv, f)
+	case ServerBackoff:
+		r.requestBackoff(srv, f)
+	case ServerBadHeaders:
+		r.sendMalformedHeaders(srv, f)
 	case NewServer:
 		_, _ = s.addServer(srv.Service, srv.place, true)
 	}
@@ -212,7 +212,7 @@
 		return
 	}
 	if f.How%2 == 0 {
-		srv.proxy.set(Silent)
+		srv.proxy.set(Stall)
 	} else {
 		srv.Close()
 	}
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -44,11 +44,11 @@
 	// namedAt is when the server last named it: another word may have taken its place.
 	namedAt time.Time
 
-	// told is when an instance first passed on the limit.
-	told map[string]said
-	came []time.Time
-	// broke says that the rule was broken: it is told once.
-	broke bool
+	// toldBy is when an instance first passed on the limit.
+	toldBy map[string]notice
+	came   []time.Time
+	// reported says that the rule was broken: it is told once.
+	reported bool
 }
 
 // now returns what the server names at a time, false if nothing.
@@ -67,8 +67,8 @@
 	return l.script[int(part*float64(len(l.script)))], true
 }
 
-// goesOn tells whether the server still names a limit at a time at which a request arrives.
-func (l *limited) goesOn(at time.Time) bool {
+// active tells whether the server still names a limit at a time at which a request arrives.
+func (l *limited) active(at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return at.Sub(l.namedAt) < time.Second
@@ -89,11 +89,11 @@
 	return highest
 }
 
-// nameLimits has one server, those of a hall, or all of a service name limits for a while.
-func (r *runner) nameLimits(srv *server, f Fault) {
+// announceLimits has one server, those of a hall, or all of a service name limits for a while.
+func (r *runner) announceLimits(srv *server, f Fault) {
 	script := limitScripts[f.How%len(limitScripts)]
 	from := time.Now()
-	for _, other := range r.site.there() {
+	for _, other := range r.site.present() {
 		same := other == srv
 		switch f.How / len(limitScripts) % 4 {
 		case 2:
@@ -102,15 +102,15 @@
 			same = other.Service == srv.Service
 		}
 		if same {
-			r.nameLimit(other, &limited{from: from, until: from.Add(f.For), script: script, told: make(map[string]said)})
+			r.announceLimit(other, &limited{from: from, until: from.Add(f.For), script: script, toldBy: make(map[string]notice)})
 		}
 	}
 }
 
-func (r *runner) nameLimit(srv *server, l *limited) {
+func (r *runner) announceLimit(srv *server, l *limited) {
 	o := r.site.oracle
 	o.mu.Lock()
-	o.words.limits[srv.ID] = l
+	o.signals.limits[srv.ID] = l
 	o.mu.Unlock()
 	srv.SetExtraHeaders(func(*http.Request) string {
 		value, ok := l.now(time.Now())
@@ -121,17 +121,17 @@
 	})
 }
 
-// hearLimit notes that an instance has passed on an answer in which its server names a limit. The
+// noteLimit notes that an instance has passed on an answer in which its server names a limit. The
 // caller holds mu.
-func (o *oracle) hearLimit(a *attempt, r result) {
+func (o *oracle) noteLimit(a *attempt, r result) {
 	server, signed := strings.CutPrefix(r.header.Get("Server-Signature"), "sig.")
-	l := o.words.limits[server]
+	l := o.signals.limits[server]
 	if r.err != nil || !signed || l == nil || r.header.Get(limitHeader) == "" || a.run != o.runs[a.instance] {
 		return
 	}
-	first, known := l.told[a.instance]
+	first, known := l.toldBy[a.instance]
 	if !known || first.run != a.run {
-		l.told[a.instance] = said{at: a.doneAt, run: a.run}
+		l.toldBy[a.instance] = notice{at: a.doneAt, run: a.run}
 	}
 }
 
@@ -139,11 +139,11 @@
 // within it. A restart, freeze or cut of an instance since excuses that instance. The caller holds
 // mu.
 func (o *oracle) judgeLimit(a *attempt, v origin.Arrival) {
-	l := o.words.limits[v.Server.ID]
-	if l == nil || !v.At.Before(l.until) || !l.goesOn(v.At) {
+	l := o.signals.limits[v.Server.ID]
+	if l == nil || !v.At.Before(l.until) || !l.active(v.At) {
 		return
 	}
-	word, told := l.told[a.instance]
+	word, told := l.toldBy[a.instance]
 	if !told || word.run != a.run || v.At.Sub(word.at) <= limitGrace || !o.quietSince[a.instance].Before(word.at) {
 		return
 	}
@@ -157,8 +157,8 @@
 	}
 	o.checks["NAMED LIMIT"]++
 	allowed := namedOver*limitSpan.Seconds()*l.highest(v.At) + namedSlack
-	if float64(len(l.came)) > allowed && !l.broke {
-		l.broke = true
-		o.broken("NAMED LIMIT", "%s got %d requests in %v from instances that it had told, %.0f allowed, %.1f s after it named its limit", v.Server.ID, len(l.came), limitSpan, allowed, v.At.Sub(l.from).Seconds())
+	if float64(len(l.came)) > allowed && !l.reported {
+		l.reported = true
+		o.violated("NAMED LIMIT", "%s got %d requests in %v from instances that it had told, %.0f allowed, %.1f s after it named its limit", v.Server.ID, len(l.came), limitSpan, allowed, v.At.Sub(l.from).Seconds())
 	}
 }
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -19,7 +19,7 @@
 
 func newLimitPlay(script ...float64) *limitPlay {
 	p := &limitPlay{o: newOracle(newKeyring()), server: &origin.Server{ID: "i-1", Service: "read", Zone: "a1"}, from: time.Now()}
-	p.o.words.limits["i-1"] = &limited{from: p.from, until: p.from.Add(time.Minute), script: script, namedAt: p.from.Add(contact + 2*limitSpan), told: make(map[string]said)}
+	p.o.signals.limits["i-1"] = &limited{from: p.from, until: p.from.Add(time.Minute), script: script, namedAt: p.from.Add(contact + 2*limitSpan), toldBy: make(map[string]notice)}
 	return p
 }
 
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -43,8 +43,8 @@
 	// silencedAt is when the connections of clients to an instance were last silenced.
 	silencedAt map[string]time.Time
 	// endings are the servers that ended under a request, by its path.
-	endings map[string]*endings
-	words   words
+	endings map[string]*serverCrashes
+	signals serverSignals
 	// versions are the rollouts of the run.
 	versions []*versionCheck
 	// restoredAt is when the store last came back from a copy.
@@ -58,13 +58,13 @@
 		keys: keys, start: time.Now(), attempts: make(map[string]*attempt), checks: make(map[string]int),
 		quietSince: make(map[string]time.Time), stopping: make(map[string]time.Time), runs: make(map[string]int),
 		versionAt: make(map[int]time.Time), seen: make(map[string]int), draining: make(map[string]time.Time),
-		evacuated: make(map[string]time.Time), coldSends: make(map[string][]time.Time), servers: make(map[string]*server), endings: make(map[string]*endings), silencedAt: make(map[string]time.Time),
-		words: newWords(), frozenAt: make(map[string]time.Time),
+		evacuated: make(map[string]time.Time), coldSends: make(map[string][]time.Time), servers: make(map[string]*server), endings: make(map[string]*serverCrashes), silencedAt: make(map[string]time.Time),
+		signals: newWords(), frozenAt: make(map[string]time.Time),
 	}
 }
 
-// broken notes a broken promise. The caller holds mu.
-func (o *oracle) broken(rule, format string, args ...any) {
+// violated notes a violated promise. The caller holds mu.
+func (o *oracle) violated(rule, format string, args ...any) {
 	o.violations = append(o.violations, Violation{Rule: rule, At: time.Since(o.start), Detail: fmt.Sprintf(format, args...)})
 }
 
@@ -116,14 +116,14 @@
 func (o *oracle) watchServer(s *server) {
 	o.mu.Lock()
 	o.servers[s.ID] = s
-	o.words.forget(s.ID)
+	o.signals.forget(s.ID)
 	o.mu.Unlock()
 	s.SetObserver(o.arrived)
 }
 
-// inTouch tells whether an instance was without disturbance for long enough. The
+// connected tells whether an instance was without disturbance for long enough. The
 // caller holds mu.
-func (o *oracle) inTouch(name string, at time.Time) bool {
+func (o *oracle) connected(name string, at time.Time) bool {
 	return at.Sub(o.quietSince[name]) >= contact
 }
 
@@ -136,7 +136,7 @@
 	if in != nil {
 		a.instance = in.name
 		a.run = o.runs[in.name]
-		a.touched = o.inTouch(in.name, a.at)
+		a.connected = o.connected(in.name, a.at)
 	}
 	o.attempts[a.id] = a
 	return a
@@ -176,19 +176,19 @@
 	o.checks["UNASKED"]++
 	a := o.attempts[v.ID]
 	if a == nil {
-		o.broken("UNASKED", "server %s got a request with the unknown id %q", v.Server.ID, v.ID)
+		o.violated("UNASKED", "server %s got a request with the unknown id %q", v.Server.ID, v.ID)
 		return
 	}
 	if v.Executed && (v.Method != a.method || v.URI != a.uri || sha256.Sum256(v.Body) != a.digest) {
-		o.broken("UNASKED", "%s was changed on the way: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
+		o.violated("UNASKED", "%s was changed on the way: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
 	}
 	a.arrivals = append(a.arrivals, arrival{server: v.Server.ID, hall: v.Server.Zone, at: v.At, ran: v.Executed})
 	o.judgePlace(a, v)
 	o.judgeAccount(a, v)
 	o.judgeTimes(a, v)
 	o.judgeCold(v)
-	o.judgeEnding(a, v)
-	o.judgeWords(a, v)
+	o.judgeCrashing(a, v)
+	o.judgeSignals(a, v)
 	o.judgeExposure(a, v)
 }
 
@@ -196,10 +196,10 @@
 func (o *oracle) judgePlace(a *attempt, v origin.Arrival) {
 	o.checks["ROUTE"]++
 	if v.Server.Service != a.service() {
-		o.broken("ROUTE", "%s %s was run by service %s", a.id, a.uri, v.Server.Service)
+		o.violated("ROUTE", "%s %s was run by service %s", a.id, a.uri, v.Server.Service)
 	}
 	if strings.HasPrefix(a.uri, "/home/") && !strings.HasPrefix(v.Server.Zone, "a") {
-		o.broken("HOME", "%s arrived in hall %s", a.id, v.Server.Zone)
+		o.violated("HOME", "%s arrived in hall %s", a.id, v.Server.Zone)
 	}
 	ran := 0
 	servers := make(map[string]bool)
@@ -211,36 +211,36 @@
 	}
 	o.checks["TWICE"]++
 	if !a.repeatable() && ran > 1 {
-		o.broken("TWICE", "%s %s ran %d times", a.id, a.uri, ran)
+		o.violated("TWICE", "%s %s ran %d times", a.id, a.uri, ran)
 	}
 	if len(servers) > 2 {
-		o.broken("BUDGET", "%s ran at %d servers", a.id, len(servers))
+		o.violated("BUDGET", "%s ran at %d servers", a.id, len(servers))
 	}
 	if v.Executed && refusal(a.result.status) && !a.repeatable() {
-		o.broken("REFUSED", "%s was answered %d and then ran", a.id, a.result.status)
+		o.violated("REFUSED", "%s was answered %d and then ran", a.id, a.result.status)
 	}
 }
 
 // judgeTimes checks draining, evacuation and clients that have left. The caller
 // holds mu.
 func (o *oracle) judgeTimes(a *attempt, v origin.Arrival) {
-	touched := o.inTouch(a.instance, v.At)
+	touched := o.connected(a.instance, v.At)
 	if at, ok := o.draining[v.Server.ID]; ok && touched {
 		o.checks["DRAIN"]++
 		if v.At.Sub(at) > drainTimeout {
-			o.broken("DRAIN", "%s from %s reached %s %.2f s after it began to leave", a.id, a.instance, v.Server.ID, v.At.Sub(at).Seconds())
+			o.violated("DRAIN", "%s from %s reached %s %.2f s after it began to leave", a.id, a.instance, v.Server.ID, v.At.Sub(at).Seconds())
 		}
 	}
 	if at, ok := o.evacuated[v.Server.Zone]; ok && touched {
 		o.checks["EVAC"]++
 		if v.At.Sub(at) > evacuateTime {
-			o.broken("EVAC", "%s from %s reached hall %s %.2f s after its evacuation", a.id, a.instance, v.Server.Zone, v.At.Sub(at).Seconds())
+			o.violated("EVAC", "%s from %s reached hall %s %.2f s after its evacuation", a.id, a.instance, v.Server.Zone, v.At.Sub(at).Seconds())
 		}
 	}
 	if !a.leftAt.IsZero() && touched {
 		o.checks["GONE"]++
 		if v.At.Sub(a.leftAt) > 500*time.Millisecond {
-			o.broken("GONE", "%s reached %s %.2f s after its client had left", a.id, v.Server.ID, v.At.Sub(a.leftAt).Seconds())
+			o.violated("GONE", "%s reached %s %.2f s after its client had left", a.id, v.Server.ID, v.At.Sub(a.leftAt).Seconds())
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	sends = append(sends, v.At)
 	o.coldSends[s.ID] = sends
 	if len(sends) > warmupRate*3/2+5 {
-		o.broken("FAILBACK", "cold server %s got %d requests in a second", s.ID, len(sends))
+		o.violated("FAILBACK", "cold server %s got %d requests in a second", s.ID, len(sends))
 	}
 }
 
@@ -280,8 +280,8 @@
 		}
 	}
 	o.judgeAnswer(a, r, ran)
-	o.hearWord(a, r)
-	o.hearLimit(a, r)
+	o.noteLeaving(a, r)
+	o.noteLimit(a, r)
 	o.judgeConfig(a, r)
 	o.judgeEnd(a, r, ran)
 }
@@ -294,14 +294,14 @@
 	o.checks["MIXED"]++
 	switch {
 	case r.status == http.StatusOK && r.header.Get("Server-Signature") == "":
-		o.broken("MIXED", "%s got a success without a signature", a.id)
+		o.violated("MIXED", "%s got a success without a signature", a.id)
 	case r.status == http.StatusOK && !strings.HasSuffix(r.body, " to "+a.id):
-		o.broken("MIXED", "%s got the body %.40q", a.id, r.body)
+		o.violated("MIXED", "%s got the body %.40q", a.id, r.body)
 	case refusal(r.status) && ran > 0 && !a.repeatable():
-		o.broken("REFUSED", "%s was answered %d and had run", a.id, r.status)
+		o.violated("REFUSED", "%s was answered %d and had run", a.id, r.status)
 	case o.mayBeUnauthorized(a, r.status):
 	case r.status/100 == 4 && !refusal(r.status) && a.probe == 0 && r.header.Get("Server-Signature") == "":
-		o.broken("DENIED", "%s %s got %d from %s", a.id, a.uri, r.status, a.instance)
+		o.violated("DENIED", "%s %s got %d from %s", a.id, a.uri, r.status, a.instance)
 	}
 }
 
@@ -318,21 +318,21 @@
 		}
 		return
 	}
-	if a.touched {
-		o.broken("CONFIG", "%s does not have version %d, %.2f s after it was written", a.instance, a.probe, a.at.Sub(o.versionAt[a.probe]).Seconds())
+	if a.connected {
+		o.violated("CONFIG", "%s does not have version %d, %.2f s after it was written", a.instance, a.probe, a.at.Sub(o.versionAt[a.probe]).Seconds())
 	}
 	if a.probe <= o.seen[a.instance] && a.probe > o.newest-20 {
-		o.broken("CONFIG", "%s went back behind version %d", a.instance, a.probe)
+		o.violated("CONFIG", "%s went back behind version %d", a.instance, a.probe)
 	}
 }
 
 // judgeEnd checks time-outs and planned stops. The caller holds mu.
 func (o *oracle) judgeEnd(a *attempt, r result, ran int) {
 	took := a.doneAt.Sub(a.at)
-	if a.touched && o.inTouch(a.instance, a.doneAt) && a.leftAt.IsZero() && o.carries(a) {
+	if a.connected && o.connected(a.instance, a.doneAt) && a.leftAt.IsZero() && o.carries(a) {
 		o.checks["TIMEOUT"]++
 		if took > routeTimeout+500*time.Millisecond {
-			o.broken("TIMEOUT", "%s %s took %.2f s at %s", a.id, a.uri, took.Seconds(), a.instance)
+			o.violated("TIMEOUT", "%s %s took %.2f s at %s", a.id, a.uri, took.Seconds(), a.instance)
 		}
 	}
 	at, stopping := o.stopping[a.instance]
@@ -341,7 +341,7 @@
 	}
 	o.checks["LOST"]++
 	if at.Sub(o.quietSince[a.instance]) >= contact && a.at.Sub(at) < 3*time.Second && took < routeTimeout {
-		o.broken("LOST", "%s %s was cut by the planned stop of %s: %v", a.id, a.uri, a.instance, r.err)
+		o.violated("LOST", "%s %s was cut by the planned stop of %s: %v", a.id, a.uri, a.instance, r.err)
 	}
 }
 
@@ -351,14 +351,14 @@
 	defer o.mu.Unlock()
 	o.checks["ENDS"]++
 	if !expected {
-		o.broken("ENDS", "a process of %s ended by itself: %v", name, err)
+		o.violated("ENDS", "a process of %s ended by itself: %v", name, err)
 	}
 	if at, ok := o.stopping[name]; ok {
 		if err != nil {
-			o.broken("STOP", "%s ended its planned stop with %v", name, err)
+			o.violated("STOP", "%s ended its planned stop with %v", name, err)
 		}
 		if took := time.Since(at); took > grace+time.Second {
-			o.broken("STOP", "%s took %.2f s to stop", name, took.Seconds())
+			o.violated("STOP", "%s took %.2f s to stop", name, took.Seconds())
 		}
 		delete(o.stopping, name)
 	}
@@ -389,7 +389,7 @@
 			repeats := within(again, end.Add(-window), end)
 			most := max(within(sent, end.Add(-window), end), within(sent, end.Add(-2*window), end.Add(-window)), within(sent, end.Add(-3*window/2), end.Add(-window/2)))
 			if float64(repeats) > ratio*float64(most)+slack {
-				o.broken("BUDGET", "service %s got %d repeats for %d requests", service, repeats, most)
+				o.violated("BUDGET", "service %s got %d repeats for %d requests", service, repeats, most)
 				break
 			}
 		}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -12,41 +12,41 @@
 
 // The kinds.
 const (
-	InstanceTerm   FaultKind = "instance-term"
-	InstanceKill   FaultKind = "instance-kill"
-	InstancePause  FaultKind = "instance-pause"
-	InstanceReload FaultKind = "instance-reload"
-	KillAll        FaultKind = "kill-all"
-	FrontLink      FaultKind = "front-link"
-	PeerLink       FaultKind = "peer-link"
-	StoreLink      FaultKind = "store-link"
-	LinkReset      FaultKind = "link-reset"
-	StoreDown      FaultKind = "store-down"
-	StoreSlow      FaultKind = "store-slow"
-	StoreLoses     FaultKind = "store-loses-replies"
-	StoreForgets   FaultKind = "store-forgets"
-	ServerCrash    FaultKind = "server-crash"
-	ServerSlow     FaultKind = "server-slow"
-	ServerFaults   FaultKind = "server-faults"
-	ServerDrain    FaultKind = "server-drain"
-	ServerReuse    FaultKind = "server-address-reused"
-	ServerForgets  FaultKind = "server-forgets-connections"
-	NewServer      FaultKind = "new-server"
-	Evacuation     FaultKind = "evacuation"
-	ConfigChange   FaultKind = "config-change"
-	ConfigStorm    FaultKind = "config-storm"
-	KeyChange      FaultKind = "key-change"
-	LinkSilence    FaultKind = "link-silence"
-	ServerSilence  FaultKind = "server-silence"
-	EndingRequests FaultKind = "ending-requests"
-	ForeignEntry   FaultKind = "foreign-entry"
-	SameID         FaultKind = "server-starts-under-its-id"
-	ServerLeaves   FaultKind = "server-leaves-by-word"
-	ServerRests    FaultKind = "server-asks-for-rest"
-	ServerSays     FaultKind = "server-says-wrong-words"
-	ServerLimits   FaultKind = "server-names-limit"
-	Rollout        FaultKind = "rollout"
-	StoreRestored  FaultKind = "store-restored"
+	InstanceTerm     FaultKind = "instance-term"
+	InstanceKill     FaultKind = "instance-kill"
+	InstancePause    FaultKind = "instance-pause"
+	InstanceReload   FaultKind = "instance-reload"
+	KillAll          FaultKind = "kill-all"
+	FrontLink        FaultKind = "front-link"
+	PeerLink         FaultKind = "peer-link"
+	StoreLink        FaultKind = "store-link"
+	LinkReset        FaultKind = "link-reset"
+	StoreDown        FaultKind = "store-down"
+	StoreSlow        FaultKind = "store-slow"
+	StoreLoses       FaultKind = "store-loses-replies"
+	StoreForgets     FaultKind = "store-forgets"
+	ServerCrash      FaultKind = "server-crash"
+	ServerSlow       FaultKind = "server-slow"
+	ServerFaults     FaultKind = "server-faults"
+	ServerDrain      FaultKind = "server-drain"
+	ServerReuse      FaultKind = "server-address-reused"
+	ServerForgets    FaultKind = "server-forgets-connections"
+	NewServer        FaultKind = "new-server"
+	Evacuation       FaultKind = "evacuation"
+	ConfigChange     FaultKind = "config-change"
+	ConfigStorm      FaultKind = "config-storm"
+	KeyChange        FaultKind = "key-change"
+	LinkSilence      FaultKind = "link-silence"
+	ServerSilence    FaultKind = "server-silence"
+	CrashingRequests FaultKind = "ending-requests"
+	ForeignEntry     FaultKind = "foreign-entry"
+	SameID           FaultKind = "server-starts-under-its-id"
+	ServerLeaves     FaultKind = "server-leaves-by-word"
+	ServerBackoff    FaultKind = "server-asks-for-rest"
+	ServerBadHeaders FaultKind = "server-says-wrong-words"
+	ServerLimits     FaultKind = "server-names-limit"
+	Rollout          FaultKind = "rollout"
+	StoreRestored    FaultKind = "store-restored"
 )
 
 // laterKinds came after seeds were kept. They are drawn by themselves, so that the other
@@ -57,7 +57,7 @@
 var entryKinds = []FaultKind{ForeignEntry, SameID}
 
 // wordKinds came after these, and are drawn by themselves too. ServerLimits came last.
-var wordKinds = []FaultKind{ServerLeaves, ServerRests, ServerRests, ServerSays}
+var wordKinds = []FaultKind{ServerLeaves, ServerBackoff, ServerBackoff, ServerBadHeaders}
 
 // kindsOfFaults are all kinds, with how often they come.
 var kindsOfFaults = []struct {
@@ -119,7 +119,7 @@
 	}
 	ending := rand.New(rand.NewPCG(seed, 4))
 	at := 700*time.Millisecond + time.Duration(ending.Int64N(int64(duration/10)))
-	out = append(out, Fault{At: at, For: last - at, Kind: EndingRequests, Which: ending.IntN(1 << 16), How: ending.IntN(1 << 16)})
+	out = append(out, Fault{At: at, For: last - at, Kind: CrashingRequests, Which: ending.IntN(1 << 16), How: ending.IntN(1 << 16)})
 	entries := rand.New(rand.NewPCG(seed, 6))
 	for at := 900 * time.Millisecond; at < last; at += 2*gap + time.Duration(entries.Int64N(int64(3*gap))) {
 		out = append(out, Fault{At: at, For: time.Duration(300+entries.IntN(2000)) * time.Millisecond, Kind: entryKinds[entries.IntN(len(entryKinds))],
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -19,12 +19,12 @@
 	Delay
 	// Trickle passes few bytes at a time.
 	Trickle
-	// Silent passes nothing in either direction until the mode changes.
-	Silent
-	// DeafUp passes nothing from the side that connects, DeafDown nothing to
+	// Stall passes nothing in either direction until the mode changes.
+	Stall
+	// StallUp passes nothing from the side that connects, DeafDown nothing to
 	// it.
-	DeafUp
-	DeafDown
+	StallUp
+	StallDown
 )
 
 const (
@@ -142,8 +142,8 @@
 	defer p.track(server, false)
 	defer func() { _ = server.Close() }()
 	done := make(chan struct{}, 2)
-	go p.copy(server, client, DeafUp, done)
-	go p.copy(client, server, DeafDown, done)
+	go p.copy(server, client, StallUp, done)
+	go p.copy(client, server, StallDown, done)
 	<-done
 	<-done
 }
@@ -182,7 +182,7 @@
 func (p *proxy) next(left int, deaf Mode) int {
 	for {
 		switch mode := p.current(); mode {
-		case Silent, deaf:
+		case Stall, deaf:
 			time.Sleep(modePoll)
 		case Delay:
 			time.Sleep(delayTime)
--- a/internal/soak/rollouts.go
+++ b/internal/soak/rollouts.go
@@ -81,14 +81,14 @@
 			if err != nil {
 				continue
 			}
-			r.spoil(srv, check)
+			r.degrade(srv, check)
 		}
 	}
 	r.awaitVerdict(check)
 }
 
-// spoil gives a server of a version what is wrong with it.
-func (r *runner) spoil(srv *server, check *versionCheck) {
+// degrade gives a server of a version what is wrong with it.
+func (r *runner) degrade(srv *server, check *versionCheck) {
 	var n atomic.Int64
 	fails := func(req *http.Request) bool {
 		switch check.quality {
@@ -124,14 +124,14 @@
 	s := r.site
 	state := s.rolloutState(check.service)
 	if state != "" && state != "running" || time.Now().After(check.until.Add(2*time.Second)) {
-		s.oracle.ruled(check, state)
+		s.oracle.noteVerdict(check, state)
 		succeeded := state == "succeeded"
 		if succeeded {
 			s.setVersion(check.service, check.version)
 		} else {
 			s.reject(check.version)
 		}
-		for _, srv := range s.there() {
+		for _, srv := range s.present() {
 			if srv.Service != check.service || (srv.version == check.version) == succeeded {
 				continue
 			}
@@ -183,8 +183,8 @@
 	}
 }
 
-// ruled notes the verdict of a rollout.
-func (o *oracle) ruled(check *versionCheck, verdict string) {
+// noteVerdict notes the verdict of a rollout.
+func (o *oracle) noteVerdict(check *versionCheck, verdict string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	check.verdict = verdict
@@ -204,7 +204,7 @@
 		if v.At.Before(check.until) {
 			check.all++
 		}
-		if srv.version != check.version || !check.isBad() || check.forgotten || !o.inTouch(a.instance, v.At) {
+		if srv.version != check.version || !check.isBad() || check.forgotten || !o.connected(a.instance, v.At) {
 			continue
 		}
 		o.checks["EXPOSURE"]++
@@ -213,7 +213,7 @@
 		}
 		if !check.fiftiethAt.IsZero() && v.At.Sub(check.fiftiethAt) > rollbackWithin && !check.late {
 			check.late = true
-			o.broken("EXPOSURE", "%s of %s got a request from %s %.2f s after its fiftieth bad answer", check.version, check.service, a.instance, v.At.Sub(check.fiftiethAt).Seconds())
+			o.violated("EXPOSURE", "%s of %s got a request from %s %.2f s after its fiftieth bad answer", check.version, check.service, a.instance, v.At.Sub(check.fiftiethAt).Seconds())
 		}
 	}
 }
@@ -227,9 +227,9 @@
 	}
 	o.checks["VERDICT"]++
 	if check.verdict != "" && check.verdict != "running" && state != check.verdict {
-		o.broken("VERDICT", "the rollout of %s of %s was %s and is %s", check.version, check.service, check.verdict, state)
+		o.violated("VERDICT", "the rollout of %s of %s was %s and is %s", check.version, check.service, check.verdict, state)
 	}
 	if check.isBad() && float64(check.atNew) > exposedShare*float64(check.all)+exposedSlack {
-		o.broken("EXPOSURE", "%s of %s (quality %d) got %d of %d requests", check.version, check.service, check.quality, check.atNew, check.all)
+		o.violated("EXPOSURE", "%s of %s (quality %d) got %d of %d requests", check.version, check.service, check.quality, check.atNew, check.all)
 	}
 }
--- a/internal/soak/rollouts_test.go
+++ b/internal/soak/rollouts_test.go
@@ -70,7 +70,7 @@
 // TestVerdictIsJudged checks that a verdict that changes is told.
 func TestVerdictIsJudged(t *testing.T) {
 	o, check, _ := exposed(soundVersion)
-	o.ruled(check, "succeeded")
+	o.noteVerdict(check, "succeeded")
 	o.judgeVersion(check, "succeeded")
 	require.Empty(t, o.violations)
 	o.judgeVersion(check, "rolled_back")
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -144,7 +144,7 @@
 		}
 		r.report.Faults[string(f.Kind)]++
 		fmt.Fprintf(r.options.Progress, "seed %d: %s\n", r.options.Seed, f)
-		r.bring(f)
+		r.inject(f)
 	}
 }
 
@@ -158,11 +158,11 @@
 	defer o.mu.Unlock()
 	o.checks["RECOVER"]++
 	if r.report.AfterEnd < recoverPart {
-		o.broken("RECOVER", "%d of %d requests served after the last fault", served, all)
+		o.violated("RECOVER", "%d of %d requests served after the last fault", served, all)
 	}
 	o.checks["GROWTH"]++
 	if r.report.PeakMemory > mostMemory || r.report.PeakFiles > mostFiles {
-		o.broken("GROWTH", "%d bytes, %d descriptors", r.report.PeakMemory, r.report.PeakFiles)
+		o.violated("GROWTH", "%d bytes, %d descriptors", r.report.PeakMemory, r.report.PeakFiles)
 	}
 }
 
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -230,9 +230,9 @@
 		return nil, err
 	}
 	srv := &server{Server: o, proxy: px, place: p, born: time.Now(), version: version}
-	o.SetCrash(func(r *http.Request) bool { return isEnding(r.RequestURI) }, func(r origin.Run) {
-		s.oracle.endedUnder(r.URI)
-		s.endUnder(srv)
+	o.SetCrash(func(r *http.Request) bool { return crashesServer(r.RequestURI) }, func(r origin.Run) {
+		s.oracle.noteCrash(r.URI)
+		s.crashUnder(srv)
 	})
 	if cold {
 		srv.coldUntil = time.Now().Add(warmupTime)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -115,7 +115,7 @@
 		p.set(mode)
 		require.NoError(t, send())
 	}
-	for _, mode := range []Mode{Silent, DeafUp, DeafDown} {
+	for _, mode := range []Mode{Stall, StallUp, StallDown} {
 		p.set(mode)
 		time.AfterFunc(100*time.Millisecond, func() { p.set(Pass) })
 		require.NoError(t, send())
@@ -125,13 +125,13 @@
 	for _, run := range runs {
 		require.Equal(t, body, run.Body)
 	}
-	p.set(Silent)
+	p.set(Stall)
 	time.AfterFunc(50*time.Millisecond, p.reset)
 	require.Error(t, send())
 }
 
-// TestOracleSeesEachBreak feeds the oracle with what a broken system would show.
-func TestOracleSeesEachBreak(t *testing.T) {
+// TestOracleDetectsEachViolation feeds the oracle with what a broken system would show.
+func TestOracleDetectsEachViolation(t *testing.T) {
 	in := &instance{name: "n1"}
 	ok := func(id string) result {
 		return result{status: 200, header: http.Header{"Server-Signature": {"s"}}, body: "answer of i-1 to " + id}
@@ -243,14 +243,14 @@
 			arrive(o, a, nil)
 			o.finish(a, leaving(a.id))
 			next := o.begin(&instance{name: "n2"}, "GET", "/read/1", nil)
-			next.at = a.doneAt.Add(newsTime + time.Millisecond)
+			next.at = a.doneAt.Add(propagationTime + time.Millisecond)
 			arrive(o, next, nil)
 		},
 		"BUDGET by rest": func(o *oracle) {
 			asked := time.Now()
 			arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.Executed, v.RetryAfter = false, time.Minute })
-			for i := range mostInRest + 1 {
-				arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.At = asked.Add(restGrace + time.Duration(i+1)*time.Second) })
+			for i := range maxDuringBackoff + 1 {
+				arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.At = asked.Add(backoffGrace + time.Duration(i+1)*time.Second) })
 			}
 		},
 		"KEY": func(o *oracle) {
@@ -302,9 +302,9 @@
 	}
 }
 
-// TestWordsAreExcused checks what the oracle does not hold against an instance: requests sent soon
+// TestExcusedSignals checks what the oracle does not hold against an instance: requests sent soon
 // after a word, and those of one that was restarted, stood still, or was cut off since.
-func TestWordsAreExcused(t *testing.T) {
+func TestExcusedSignals(t *testing.T) {
 	in := &instance{name: "n1"}
 	server := &origin.Server{ID: "i-1", Service: "read", Zone: "a1"}
 	for name, excuse := range map[string]func(o *oracle, asked time.Time, late *attempt){
@@ -321,13 +321,13 @@
 			asked := time.Now()
 			o.arrived(origin.Arrival{Server: server, At: asked, Run: origin.Run{ID: a.id}, RetryAfter: time.Minute})
 			o.finish(a, result{status: 200, header: http.Header{"Server-Signature": {"sig.i-1"}, leavingHeader: {"1"}}, body: " to " + a.id})
-			for range mostInRest + 1 {
+			for range maxDuringBackoff + 1 {
 				late := o.begin(in, "GET", "/read/1", nil)
 				late.at = asked.Add(2 * drainTimeout)
 				excuse(o, asked, late)
 				at := asked.Add(2 * drainTimeout)
 				if name == "soon" {
-					at = asked.Add(restGrace)
+					at = asked.Add(backoffGrace)
 				}
 				o.arrived(origin.Arrival{Server: server, At: at, Executed: true, Run: origin.Run{ID: late.id, Method: "GET", URI: "/read/1"}})
 			}
@@ -349,7 +349,7 @@
 		silenced := time.Now().Add(-time.Minute)
 		o.silencedAt["n0"] = silenced
 		a := o.begin(in, http.MethodGet, "/read/1", nil)
-		require.True(t, a.touched)
+		require.True(t, a.connected)
 		a.at = time.Now().Add(-routeTimeout - time.Second)
 		o.sentOver(a, silenced.Add(c.opened))
 		o.finish(a, result{err: context.DeadlineExceeded})
--- a/internal/soak/words.go
+++ b/internal/soak/words.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// newsTime is within how long all instances in touch are to know what a server has told
+	// propagationTime is within how long all instances in touch are to know what a server has told
 	// one of them.
-	newsTime = time.Second
-	// restGrace is for requests that are on their way when a server asks for rest, and
+	propagationTime = time.Second
+	// backoffGrace is for requests that are on their way when a server asks for rest, and
 	// mostInRest the number of those that may come later.
-	restGrace  = 500 * time.Millisecond
-	mostInRest = 2
+	backoffGrace     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
 // leavingHeader is by which a server says that it leaves.
 const leavingHeader = "Server-Leaving"
 
-// rests are what servers that turn requests away ask for.
-var rests = []time.Duration{time.Second, 2 * time.Second, 1500 * time.Millisecond, 3 * time.Second}
+// retryAfters are what servers that turn requests away ask for.
+var retryAfters = []time.Duration{time.Second, 2 * time.Second, 1500 * time.Millisecond, 3 * time.Second}
 
-// wrongWords are header lines that say nothing that a server may say.
-var wrongWords = []string{
+// malformedHeaders are header lines that say nothing that a server may say.
+var malformedHeaders = []string{
 	"Server-Leaving: soon\r\n",
 	"Server-Leaving: \r\n",
 	"Server-Leaving: 0\r\n",
@@ -35,46 +35,46 @@
 	"Retry-After: Fri, 31 Dec 2999 23:59:59 GMT\r\n",
 }
 
-// words are what servers have said of themselves to instances.
-type words struct {
+// serverSignals are what servers have said of themselves to instances.
+type serverSignals struct {
 	// passedOn is when an instance passed on the first answer of a server that says that it
 	// leaves, by server and instance, with the run of the instance.
-	passedOn map[string]map[string]said
-	// rests are those that servers have asked instances for, by server and instance.
-	rests map[string]map[string][]*askedRest
+	passedOn map[string]map[string]notice
+	// backoffs are those that servers have asked instances for, by server and instance.
+	backoffs map[string]map[string][]*backoffRequest
 	// limits are of the servers that have named one.
 	limits map[string]*limited
 }
 
-// said is a word to one run of an instance.
-type said struct {
+// notice is a word to one run of an instance.
+type notice struct {
 	at  time.Time
 	run int
-	// touched says that the instance was in touch at the time.
-	touched bool
+	// connected says that the instance was in touch at the time.
+	connected bool
 }
 
-// askedRest is a rest that was asked of an instance, with the requests that came all the same.
-type askedRest struct {
-	said
+// backoffRequest is a rest that was asked of an instance, with the requests that came all the same.
+type backoffRequest struct {
+	notice
 	until    time.Time
 	arrivals int
 }
 
-func newWords() words {
-	return words{passedOn: make(map[string]map[string]said), rests: make(map[string]map[string][]*askedRest), limits: make(map[string]*limited)}
+func newWords() serverSignals {
+	return serverSignals{passedOn: make(map[string]map[string]notice), backoffs: make(map[string]map[string][]*backoffRequest), limits: make(map[string]*limited)}
 }
 
 // forget forgets what a server has said: another one has its ID.
-func (w *words) forget(server string) {
+func (w *serverSignals) forget(server string) {
 	delete(w.passedOn, server)
-	delete(w.rests, server)
+	delete(w.backoffs, server)
 	delete(w.limits, server)
 }
 
-// sayLeaving has a server leave by its own word alone, its entry saying that it serves, beside a
+// announceLeaving has a server leave by its own word alone, its entry saying that it serves, beside a
 // store that is silent or not. It serves on, and ends.
-func (r *runner) sayLeaving(srv *server, f Fault) {
+func (r *runner) announceLeaving(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
 		return
@@ -94,15 +94,15 @@
 	})
 }
 
-// askForRest has one server, those of a hall, or all of a service turn away everything for a
+// requestBackoff has one server, those of a hall, or all of a service turn away everything for a
 // while, and ask for rest.
-func (r *runner) askForRest(srv *server, f Fault) {
-	asks := rests[f.How%len(rests)]
+func (r *runner) requestBackoff(srv *server, f Fault) {
+	asks := retryAfters[f.How%len(retryAfters)]
 	until := time.Now().Add(f.For)
-	for _, other := range r.site.there() {
+	for _, other := range r.site.present() {
 		sameHall := other.Zone == srv.Zone
 		sameService := other.Service == srv.Service
-		switch f.How / len(rests) % 3 {
+		switch f.How / len(retryAfters) % 3 {
 		case 0:
 			if other != srv {
 				continue
@@ -120,22 +120,22 @@
 	}
 }
 
-// sayWrongly has a server say things of itself that it may not, or that mean nothing.
-func (r *runner) sayWrongly(srv *server, f Fault) {
-	if !r.site.isThere(srv) {
+// sendMalformedHeaders has a server say things of itself that it may not, or that mean nothing.
+func (r *runner) sendMalformedHeaders(srv *server, f Fault) {
+	if !r.site.isPresent(srv) {
 		return
 	}
-	lines := wrongWords[f.How%len(wrongWords)]
+	lines := malformedHeaders[f.How%len(malformedHeaders)]
 	srv.SetExtraHeaders(func(*http.Request) string { return lines })
 	r.later(f.For, func() {
-		if r.site.isThere(srv) {
+		if r.site.isPresent(srv) {
 			srv.SetExtraHeaders(nil)
 		}
 	})
 }
 
-// there returns the servers that are there.
-func (s *site) there() []*server {
+// present returns the servers that are present.
+func (s *site) present() []*server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []*server
@@ -147,78 +147,78 @@
 	return out
 }
 
-func (s *site) isThere(srv *server) bool {
+func (s *site) isPresent(srv *server) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !srv.gone
 }
 
-// hearWord notes that an instance has passed on an answer in which its server says that it
+// noteLeaving notes that an instance has passed on an answer in which its server says that it
 // leaves. The caller holds mu.
-func (o *oracle) hearWord(a *attempt, r result) {
+func (o *oracle) noteLeaving(a *attempt, r result) {
 	server, signed := strings.CutPrefix(r.header.Get("Server-Signature"), "sig.")
 	if r.err != nil || !signed || r.header.Get(leavingHeader) != "1" || a.run != o.runs[a.instance] {
 		return
 	}
-	by := o.words.passedOn[server]
+	by := o.signals.passedOn[server]
 	if by == nil {
-		by = make(map[string]said)
-		o.words.passedOn[server] = by
+		by = make(map[string]notice)
+		o.signals.passedOn[server] = by
 	}
 	first, known := by[a.instance]
 	if !known || first.run != a.run {
-		by[a.instance] = said{at: a.doneAt, run: a.run, touched: o.inTouch(a.instance, a.doneAt)}
+		by[a.instance] = notice{at: a.doneAt, run: a.run, connected: o.connected(a.instance, a.doneAt)}
 	}
 }
 
-// judgeWords checks an arrival by what its server has said of itself. The caller holds mu.
-func (o *oracle) judgeWords(a *attempt, v origin.Arrival) {
+// judgeSignals checks an arrival by what its server has said of itself. The caller holds mu.
+func (o *oracle) judgeSignals(a *attempt, v origin.Arrival) {
 	o.judgeDeparture(a, v)
 	o.judgeLimit(a, v)
-	o.judgeRests(a, v)
+	o.judgeBackoffs(a, v)
 	if v.RetryAfter == 0 {
 		return
 	}
-	by := o.words.rests[v.Server.ID]
+	by := o.signals.backoffs[v.Server.ID]
 	if by == nil {
-		by = make(map[string][]*askedRest)
-		o.words.rests[v.Server.ID] = by
+		by = make(map[string][]*backoffRequest)
+		o.signals.backoffs[v.Server.ID] = by
 	}
-	by[a.instance] = append(by[a.instance], &askedRest{said: said{at: v.At, run: a.run}, until: v.At.Add(v.RetryAfter)})
+	by[a.instance] = append(by[a.instance], &backoffRequest{notice: notice{at: v.At, run: a.run}, until: v.At.Add(v.RetryAfter)})
 }
 
 // judgeDeparture checks that a server that has said that it leaves gets nothing from who has
 // passed that on, in touch or not, and nothing from others in touch once they can know it.
 func (o *oracle) judgeDeparture(a *attempt, v origin.Arrival) {
-	for instance, word := range o.words.passedOn[v.Server.ID] {
+	for instance, word := range o.signals.passedOn[v.Server.ID] {
 		own := instance == a.instance && word.run == a.run && !o.frozenAt[instance].After(word.at)
-		both := word.touched && o.quietSince[instance].Before(word.at) && o.inTouch(a.instance, v.At)
+		both := word.connected && o.quietSince[instance].Before(word.at) && o.connected(a.instance, v.At)
 		switch {
 		case own:
 			o.checks["WORD"]++
 			if a.at.Sub(word.at) > drainTimeout {
-				o.broken("DRAIN", "%s from %s reached %s, sent %.2f s after %s had passed on that it leaves", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
+				o.violated("DRAIN", "%s from %s reached %s, sent %.2f s after %s had passed on that it leaves", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
 			}
 		case instance != a.instance && both:
 			o.checks["NEWS"]++
-			if a.at.Sub(word.at) > newsTime {
-				o.broken("NEWS", "%s from %s reached %s, sent %.2f s after %s had passed on that it leaves", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
+			if a.at.Sub(word.at) > propagationTime {
+				o.violated("NEWS", "%s from %s reached %s, sent %.2f s after %s had passed on that it leaves", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
 			}
 		}
 	}
 }
 
-// judgeRests checks that a server that has asked an instance for rest gets it.
-func (o *oracle) judgeRests(a *attempt, v origin.Arrival) {
-	for _, rest := range o.words.rests[v.Server.ID][a.instance] {
+// judgeBackoffs checks that a server that has asked an instance for rest gets it.
+func (o *oracle) judgeBackoffs(a *attempt, v origin.Arrival) {
+	for _, rest := range o.signals.backoffs[v.Server.ID][a.instance] {
 		since := v.At.Sub(rest.at)
-		if since <= restGrace || !v.At.Before(rest.until) || rest.run != a.run || !o.quietSince[a.instance].Before(rest.at) {
+		if since <= backoffGrace || !v.At.Before(rest.until) || rest.run != a.run || !o.quietSince[a.instance].Before(rest.at) {
 			continue
 		}
 		o.checks["REST"]++
 		rest.arrivals++
-		if rest.arrivals == mostInRest+1 {
-			o.broken("BUDGET", "%s got %d requests from %s within a rest of %.1f s, %s %.2f s after it asked for it", v.Server.ID, rest.arrivals, a.instance,
+		if rest.arrivals == maxDuringBackoff+1 {
+			o.violated("BUDGET", "%s got %d requests from %s within a rest of %.1f s, %s %.2f s after it asked for it", v.Server.ID, rest.arrivals, a.instance,
 				rest.until.Sub(rest.at).Seconds(), a.id, since.Seconds())
 		}
 	}
