--- a/cmd/rainford/explain.go
+++ b/cmd/rainford/explain.go
@@ -162,7 +162,7 @@
 		_ = r.Close()
 	}
 	s.selectLines(lines)
-	s.Verdict = verdictOf(s.requests)
+	s.Verdict = formatVerdict(s.requests)
 	return s, nil
 }
 
@@ -237,20 +237,20 @@
 		}
 	}
 	for _, l := range lines {
-		if l.RequestID == "" && s.concerns(l) {
+		if l.RequestID == "" && s.mayExplain(l) {
 			s.stateChanges = append(s.stateChanges, l)
 			s.Beliefs = append(s.Beliefs, json.RawMessage(l.raw))
 		}
 	}
 }
 
-// concerns tells whether a belief may have decided the request: it is the same
+// mayExplain tells whether a belief may have decided the request: it is the same
 // instance's, from shortly before the request's end, and about one of its targets
 // or about no target at all; or it is of requests that are alike, at any instance and at
 // any time before, since what is learned of them is told to all and kept for long.
-func (s *explanation) concerns(l logLine) bool {
+func (s *explanation) mayExplain(l logLine) bool {
 	for _, r := range s.requests {
-		if l.isAlike(r) {
+		if l.sharesContent(r) {
 			return !l.Time.After(r.Time)
 		}
 		if l.Content != "" || len(l.Contents) > 0 {
@@ -259,7 +259,7 @@
 		if l.Instance != r.Instance || l.Time.After(r.Time) || r.Time.Sub(l.Time) > explainWindow {
 			continue
 		}
-		if l.Target == "" || l.keepsAway(r) {
+		if l.Target == "" || l.explainsNoTarget(r) {
 			return true
 		}
 		for _, attempt := range r.Attempts {
@@ -271,25 +271,25 @@
 	return false
 }
 
-// isAlike tells whether a line is about requests of the content of another line's.
-func (l logLine) isAlike(r logLine) bool {
+// sharesContent tells whether a line is about requests of the content of another line's.
+func (l logLine) sharesContent(r logLine) bool {
 	if r.HeldAs != "" && l.Content == r.HeldAs {
 		return true
 	}
 	return r.Content != "" && (l.Content == r.Content || slices.Contains(l.Contents, r.Content))
 }
 
-// keepsAway tells whether a line is about what a target said of itself that may have kept a
+// explainsNoTarget tells whether a line is about what a target said of itself that may have kept a
 // request from it, which found no target.
-func (l logLine) keepsAway(r logLine) bool {
-	found := r.Reason != reasonNoTarget && r.Reason != reasonTargetsRest
+func (l logLine) explainsNoTarget(r logLine) bool {
+	found := r.Reason != reasonNoTarget && r.Reason != reasonTargetsBackOff
 	return !found && (l.Belief == "resting" || l.Belief == "leaving")
 }
 
 // Reasons of requests that found no target.
 const (
-	reasonNoTarget    = "no-target"
-	reasonTargetsRest = "targets-rest"
+	reasonNoTarget       = "no-target"
+	reasonTargetsBackOff = "targets-rest"
 )
 
 func (s *explanation) print(w io.Writer) {
@@ -352,7 +352,7 @@
 	"no-configuration":     "the instance had no configuration yet; it did not run",
 	"stopping":             "the instance was stopping; it did not run",
 	reasonNoTarget:         "no target could be used; it did not run",
-	reasonTargetsRest:      "all its targets have asked for rest; it did not run",
+	reasonTargetsBackOff:   "all its targets have asked for rest; it did not run",
 	"false-promise":        "the target's refusal did not say that it has not run; it may have run and must not be repeated",
 	"targets-full":         "the targets of its key were full for as long as it could wait; it did not run",
 	"queue-full":           "too many requests were waiting; it did not run",
@@ -376,7 +376,7 @@
 	"no-limit-owner":       "no instance that keeps its account's limit could be asked; it did not run",
 }
 
-func verdictOf(requests []logLine) string {
+func formatVerdict(requests []logLine) string {
 	if len(requests) == 0 {
 		return "no line: thinned out (see lines of \"log lines dropped\"), another instance's, or never arrived"
 	}
--- a/cmd/rainford/gateways.go
+++ b/cmd/rainford/gateways.go
@@ -28,7 +28,7 @@
 		out[i].Addr = addr
 		wg.Go(func() {
 			var status gateway.Status
-			err := getJSON(ctx, "http://"+addr+gateway.StatusPath, &status)
+			err := fetchJSON(ctx, "http://"+addr+gateway.StatusPath, &status)
 			if err != nil {
 				out[i].Error = err.Error()
 				return
--- a/cmd/rainford/status.go
+++ b/cmd/rainford/status.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var st node.Status
-	err := getJSON(ctx, "http://"+s.Instance.AdminAddr+node.StatusPath, &st)
+	err := fetchJSON(ctx, "http://"+s.Instance.AdminAddr+node.StatusPath, &st)
 	if err != nil {
 		s.Error = err.Error()
 		return
@@ -88,7 +88,7 @@
 
 const maxBody = 8 << 20
 
-func getJSON(ctx context.Context, url string, out any) error {
+func fetchJSON(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -183,7 +183,7 @@
 	// InForceSeconds is the time until every instance that answers had the
 	// change in force, or -1 if that took too long to wait for.
 	InForceSeconds float64 `json:"in_force_seconds"`
-	Silent         int     `json:"silent_instances"`
+	Unresponsive   int     `json:"silent_instances"`
 }
 
 const (
@@ -241,10 +241,10 @@
 		o, err := fetchOverview(ctx, client)
 		if err == nil {
 			behind := 0
-			line.Silent = 0
+			line.Unresponsive = 0
 			for _, s := range o.Instances {
 				if s.Status == nil {
-					line.Silent++
+					line.Unresponsive++
 				} else if s.Status.Version < change.Number {
 					behind++
 				}
@@ -260,7 +260,7 @@
 		return a.printJSON(line)
 	}
 	fmt.Fprintf(a.stdout, "version %d by %s at %s: %s; in force after %.2f s, %d instances silent\n",
-		change.Number, change.Operator, change.At.Format(time.RFC3339), change.Command, line.InForceSeconds, line.Silent)
+		change.Number, change.Operator, change.At.Format(time.RFC3339), change.Command, line.InForceSeconds, line.Unresponsive)
 	return nil
 }
 
@@ -308,7 +308,7 @@
 		defer cancel()
 		var answer lookup.Response
 		query := url.Values{"service": {args[0]}}
-		err := getJSON(ctx, "http://"+*entry+protocol.LookupPath+"?"+query.Encode(), &answer)
+		err := fetchJSON(ctx, "http://"+*entry+protocol.LookupPath+"?"+query.Encode(), &answer)
 		if err != nil {
 			return err
 		}
