--- a/cmd/rainford/common.go
+++ b/cmd/rainford/common.go
@@ -21,7 +21,8 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// commonFlags are the flags of subcommands that talk to the platform.
+// commonFlags holds the flags that several subcommands share. The platform is the external
+// service that stores the configuration and the list of instances.
 type commonFlags struct {
 	platform string
 	operator string
@@ -43,15 +44,17 @@
 	fs.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// registerOperator adds the flag of subcommands that change the configuration.
+// registerOperator adds the flag that names the operator. Subcommands that change the
+// configuration need it for the audit trail.
 func (c *commonFlags) registerOperator(fs *flag.FlagSet) {
 	fs.StringVar(&c.operator, "who", os.Getenv("USER"), "operator's name for the audit trail")
 }
 
-// objectsScheme begins the address of a platform whose store is one of objects
-// by kind.
+// objectsScheme is the prefix of the address of a platform whose store lists objects by
+// kind, such as servers and rollouts.
 const objectsScheme = "objects://"
 
+// client returns a client of the platform that the -platform flag names.
 func (c *commonFlags) client() objectstore.Service {
 	if addr, ok := strings.CutPrefix(c.platform, objectsScheme); ok {
 		return platform.NewObjects(addr)
@@ -59,21 +62,24 @@
 	return objectstore.NewClient(c.platform, 0)
 }
 
-// editor returns an editor for the audit trail's who and what.
+// editor returns an editor of the configuration. The audit trail records the operator and
+// what, the command that makes the change. Without an operator it returns a usage error.
 func (c *commonFlags) editor(client objectstore.Service, what string) (*config.Editor, error) {
 	if c.operator == "" {
-		return nil, usagef("say who you are with -who or RAINFORD_WHO: the audit trail needs it")
+		return nil, usagef("the operator's name is missing: the audit trail needs -who or RAINFORD_WHO")
 	}
 	return &config.Editor{Store: client, Operator: c.operator, Command: what, NewID: newID, Now: time.Now}, nil
 }
 
+// newID returns a random identifier of a change.
 func newID() string {
 	var raw [12]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// readDocument reads the accepted configuration.
+// readDocument reads the accepted configuration. It returns an empty document if the
+// platform has none.
 func readDocument(ctx context.Context, client objectstore.Service) (*config.Document, error) {
 	obj, err := client.Get(ctx, config.Key)
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -91,7 +97,7 @@
 	return enc.Encode(v)
 }
 
-// printChange prints an printChange change.
+// printChange prints an accepted change with the cells that it changed.
 func (a *app) printChange(c *commonFlags, change config.Change) error {
 	if c.json {
 		return a.printJSON(change)
--- a/cmd/rainford/configuration.go
+++ b/cmd/rainford/configuration.go
@@ -16,7 +16,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// editTable makes one change of the configuration.
+// editTable makes one change of the configuration by f and prints it. The audit trail
+// records what, the command that makes the change.
 func (a *app) editTable(ctx context.Context, c *commonFlags, what string, f func(*table.Table) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -153,8 +154,10 @@
 	})
 }
 
-// seatsCommand frees the seats of a hall whose instances have all died at once:
-// their replacements can't know whether the old ones still use them.
+// seatsCommand returns the command that frees the seats of a hall. A seat entitles an
+// instance to a fixed share of the hall's caps. If all instances of a hall die at once,
+// their replacements cannot find out whether the former instances still use the seats, so
+// that an operator has to confirm that they have ended.
 func (a *app) seatsCommand() *ffcli.Command {
 	fs := newFlags("rainford seats release")
 	c := &commonFlags{}
@@ -165,7 +168,7 @@
 			return usagef("seats release takes one hall")
 		}
 		if !*sure {
-			return usagef("an instance that still runs would go over its caps: make sure that all have ended, then add -instances-are-dead")
+			return usagef("an instance that still runs would exceed its caps: make sure that all former instances have ended, then add -instances-are-dead")
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		defer cancel()
--- a/cmd/rainford/demo.go
+++ b/cmd/rainford/demo.go
@@ -11,7 +11,8 @@
 	"github.com/rainford/rainford/internal/demo"
 )
 
-// errInvariantsBroken says that the demo broke an invariant, which it has printed.
+// errInvariantsBroken reports that the demo broke invariants. The demo's report, which is
+// printed before, lists them.
 type errInvariantsBroken struct{ count int }
 
 // Error implements error.
@@ -36,7 +37,7 @@
 			return usagef("%v", err)
 		}
 		if *duration < time.Second || *rate <= 0 {
-			return usagef("demo: -duration must be 1s at least and -rate above 0")
+			return usagef("demo: -duration must be at least 1s and -rate must be above 0")
 		}
 		if *gateways {
 			report, err := demo.RunGateways(ctx, demo.GatewayOptions{Duration: *duration, Rate: min(*rate, maxGatewayRate), Progress: a.stderr})
@@ -58,15 +59,16 @@
 	})
 }
 
-// maxGatewayRate is the most requests a second that the few targets of the gateways'
-// demo carry.
+// maxGatewayRate is the highest rate, in requests per second, that the few targets of the
+// gateways' demo can serve.
 const maxGatewayRate = 300
 
-// printer is a report that can be printed as a table.
+// printer is a report that can print itself as a table.
 type printer interface {
 	Print(w io.Writer) error
 }
 
+// printReport prints a demo's report. It returns errInvariantsBroken if broken is above 0.
 func (a *app) printReport(c *commonFlags, report printer, broken int) error {
 	var err error
 	if c.json {
--- a/cmd/rainford/explain.go
+++ b/cmd/rainford/explain.go
@@ -19,14 +19,15 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// explainWindow is how long before a request's end the beliefs that may have
-// decided it are looked for.
+// explainWindow is the time before the end of a request in which changes of state are taken
+// for possible reasons of its result.
 const explainWindow = 15 * time.Second
 
-// maxLine bounds a line of a log.
+// maxLine is the maximum length of a log line, in bytes.
 const maxLine = 4 << 20
 
-// logLine is one line of an instance's log. Only what explain uses is decoded.
+// logLine is one line of an instance's log. Only the fields that explain and its summary
+// use are decoded.
 type logLine struct {
 	Time      time.Time `json:"time"`
 	Level     string    `json:"level"`
@@ -41,22 +42,24 @@
 	Reason    string    `json:"reason"`
 	TookMs    int64     `json:"took_ms"`
 	BudgetMs  int64     `json:"budget_ms"`
-	// ObjectiveMs is the time within which the route's answers should come.
+	// ObjectiveMs is the target latency of the route, in milliseconds.
 	ObjectiveMs int64        `json:"objective_ms"`
 	Key         string       `json:"key"`
 	NewsAgeMs   int64        `json:"news_age_ms"`
 	Attempts    []logAttempt `json:"attempts"`
 	Target      string       `json:"target"`
-	// Content is the same for requests that are alike; Contents are those of several, and
-	// HeldAs stands for the account for which a request was held back.
+	// Content is the digest of a request's content, which is the same for all requests that
+	// are alike. Contents holds the digests of several requests. HeldAs is the digest of the
+	// quarantined client account because of which a request was held.
 	Content  string   `json:"content"`
 	Contents []string `json:"contents"`
 	HeldAs   string   `json:"held_as"`
-	// Belief is what an instance came to believe of a target.
+	// Belief is the state that an instance assigned to a target.
 	Belief string `json:"belief"`
 
-	// What follows is on lines of accounts with a limit. PermitMs is how long the
-	// request waited for a permit; the others are on those that got none.
+	// The following fields are logged for requests of client accounts with a rate limit.
+	// PermitMs is the time that the request waited for a permit. The other fields are only
+	// logged for requests that did not get one.
 	PermitMs     *int64  `json:"permit_ms"`
 	LimitOwner   string  `json:"limit_owner"`
 	SentPerS     float64 `json:"sent_per_s"`
@@ -66,7 +69,7 @@
 	raw string
 }
 
-// logAttempt is one attempt of a request.
+// logAttempt is one attempt to run a request at a target.
 type logAttempt struct {
 	Target  string  `json:"target"`
 	Region  string  `json:"region"`
@@ -75,16 +78,19 @@
 	Outcome string  `json:"outcome"`
 	Error   string  `json:"error"`
 	TookMs  int64   `json:"took_ms"`
-	// Reused says that the connection was open before the request came.
+	// Reused is set if the connection was open before the request arrived.
 	Reused bool `json:"reused"`
-	// Leaves, RestMs and Limit, nil for none, are what the target said of itself.
+	// Leaves, RestMs and Limit are the notices in the target's response: that it is leaving,
+	// the requested back-off, and its rate limit. Limit is nil if the target announced none.
 	Leaves bool  `json:"leaves"`
 	RestMs int64 `json:"rest_ms"`
-	// Limit is in requests a second.
+	// Limit is in requests per second, for all instances together.
 	Limit *float64 `json:"limit_per_s"`
 }
 
-// explanation is what is known of one request.
+// explanation collects the log lines that explain the result of one request. Requests holds
+// the lines on the request itself, and Beliefs those on changes of state that may have
+// caused its result.
 type explanation struct {
 	RequestID string            `json:"request_id"`
 	Verdict   string            `json:"verdict"`
@@ -112,7 +118,7 @@
 				return a.summarize(args, *every)
 			}
 			if len(args) < 2 {
-				return usagef("want a request ID and at least one file")
+				return usagef("explain takes a request ID and at least one file")
 			}
 			s, err := a.readExplanation(args[0], args[1:])
 			if err != nil {
@@ -127,10 +133,11 @@
 	}
 }
 
-// summarize prints the summary of logs.
+// summarize prints the summary of all requests in the files. A row of the summary covers
+// the time every.
 func (a *app) summarize(files []string, every time.Duration) error {
 	if len(files) == 0 || every <= 0 {
-		return usagef("want at least one file and a span over 0")
+		return usagef("explain -summary takes at least one file and needs -every above 0")
 	}
 	s := summary{interval: every}
 	for _, name := range files {
@@ -148,8 +155,8 @@
 	return nil
 }
 
-// readExplanation reads the logs twice over in memory: first for the request, then for
-// the beliefs of the instances that it touched.
+// readExplanation reads the logs and selects the lines on the request and
+// the preceding changes of state of the instances that handled it.
 func (a *app) readExplanation(id string, files []string) (*explanation, error) {
 	s := &explanation{RequestID: id}
 	var lines []logLine
@@ -166,7 +173,8 @@
 	return s, nil
 }
 
-// openLog opens a log, unpacking gzip.
+// openLog opens a log and decompresses it if it begins with the magic number of gzip. The
+// name - stands for standard input.
 func (a *app) openLog(name string) (io.ReadCloser, error) {
 	var r io.Reader = a.stdin
 	var closer io.Closer = io.NopCloser(nil)
@@ -192,13 +200,14 @@
 	return readCloser{unpacked, closer}, nil
 }
 
+// readCloser reads from one object and closes another.
 type readCloser struct {
 	io.Reader
 	io.Closer
 }
 
-// scan appends the lines of a log that may matter. Lines that are no log lines
-// are counted.
+// scan appends the log lines of r to lines, without those of other requests. It counts the
+// lines that cannot be decoded.
 func (s *explanation) scan(r io.Reader, lines []logLine) []logLine {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLine)
@@ -226,8 +235,8 @@
 	return lines
 }
 
-// selectLines keeps the lines of the request, and the beliefs of the same instances that
-// could have decided it.
+// selectLines selects, in the order of time, the lines on the request and those on changes
+// of state that may have caused its result.
 func (s *explanation) selectLines(lines []logLine) {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time.Before(lines[j].Time) })
 	for _, l := range lines {
@@ -244,10 +253,12 @@
 	}
 }
 
-// mayExplain tells whether a belief may have decided the request: it is the same
-// instance's, from shortly before the request's end, and about one of its targets
-// or about no target at all; or it is of requests that are alike, at any instance and at
-// any time before, since what is learned of them is told to all and kept for long.
+// mayExplain reports whether the change of state in l may have caused the result of the
+// request. Such a line comes from an instance that handled the request, was logged within
+// explainWindow before the request ended, and concerns one of the request's targets or no
+// target at all. For a request that found no target, it may also concern another target, see
+// explainsNoTarget. A line on requests with the same content may come from any instance and
+// any earlier time, because instances gossip crash records and keep them for a long time.
 func (s *explanation) mayExplain(l logLine) bool {
 	for _, r := range s.requests {
 		if l.sharesContent(r) {
@@ -271,7 +282,8 @@
 	return false
 }
 
-// sharesContent tells whether a line is about requests of the content of another line's.
+// sharesContent reports whether l is about requests with the content of request r, or about
+// the quarantined client account because of which r was held.
 func (l logLine) sharesContent(r logLine) bool {
 	if r.HeldAs != "" && l.Content == r.HeldAs {
 		return true
@@ -279,19 +291,21 @@
 	return r.Content != "" && (l.Content == r.Content || slices.Contains(l.Contents, r.Content))
 }
 
-// explainsNoTarget tells whether a line is about what a target said of itself that may have kept a
-// request from it, which found no target.
+// explainsNoTarget reports whether l records that a target is leaving or requested a
+// back-off, and r is a request that found no target. The request made no attempt at that
+// target, so that its own line does not name it.
 func (l logLine) explainsNoTarget(r logLine) bool {
 	found := r.Reason != reasonNoTarget && r.Reason != reasonTargetsBackOff
 	return !found && (l.Belief == "resting" || l.Belief == "leaving")
 }
 
-// Reasons of requests that found no target.
+// Reasons in log lines of requests that found no target.
 const (
 	reasonNoTarget       = "no-target"
 	reasonTargetsBackOff = "targets-rest"
 )
 
+// print writes the explanation as text.
 func (s *explanation) print(w io.Writer) {
 	fmt.Fprintf(w, "request %s: %s\n", s.RequestID, s.Verdict)
 	for _, r := range s.requests {
@@ -316,7 +330,7 @@
 	}
 }
 
-// printNotices tells what the target said of itself.
+// printNotices prints the notices about itself that the target sent in its response.
 func (t *logAttempt) printNotices(w io.Writer) {
 	if t.Leaves {
 		fmt.Fprintln(w, "    the target said that it leaves")
@@ -329,7 +343,7 @@
 	}
 }
 
-// printAccount tells of the client account and of its limit, as far as they decided.
+// printAccount prints the client account and its rate limit, if the line names them.
 func (l *logLine) printAccount(w io.Writer) {
 	if l.Account != "" {
 		fmt.Fprintf(w, "  account %s", l.Account)
@@ -344,7 +358,7 @@
 	}
 }
 
-// reasonTexts explains the reasonTexts of final answers.
+// reasonTexts holds an explanation for each reason of a final response.
 var reasonTexts = map[string]string{
 	"answered":             "a target answered",
 	"client-left":          "the client left before there was an answer",
@@ -376,6 +390,7 @@
 	"no-limit-owner":       "no instance that keeps its account's limit could be asked; it did not run",
 }
 
+// formatVerdict returns the status and the reason of the last line of a request.
 func formatVerdict(requests []logLine) string {
 	if len(requests) == 0 {
 		return "no line: thinned out (see lines of \"log lines dropped\"), another instance's, or never arrived"
--- a/cmd/rainford/explain_account_test.go
+++ b/cmd/rainford/explain_account_test.go
@@ -13,7 +13,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// configureAccounts writes a configuration of two configureAccounts and two routes, one of which has a home.
+// configureAccounts writes a configuration with three client accounts and two routes. One route
+// is restricted to region a. The argument keys holds the API keys of the account ada.
 func (w *gatewayFixture) configureAccounts(version int, keys ...string) {
 	route := func(prefix string, homes ...string) objects.Route {
 		return objects.Route{Host: "h.example", PathPrefix: prefix, RouteType: "non_idempotent", Timeout: "400ms", TargetLatency: "200ms",
@@ -31,7 +32,7 @@
 	})
 }
 
-// sendAs sends a request with a key.
+// sendAs sends a request with an API key. It returns the status, or 0 if there is no response.
 func (w *gatewayFixture) sendAs(id, key, path string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+path, strings.NewReader("b"))
 	require.NoError(w.t, err)
@@ -47,11 +48,13 @@
 	return resp.StatusCode
 }
 
+// waitForStatus sends requests with key until the response has the given status.
 func (w *gatewayFixture) waitForStatus(key string, status int) {
 	require.Eventually(w.t, func() bool { return w.sendAs("warm", key, "/") == status }, 10*time.Second, 5*time.Millisecond)
 }
 
-// TestExplainRevokedKey follows a request that is turned away after a change of keys.
+// TestExplainRevokedKey checks the explanation of a request whose API key a newer configuration
+// has removed.
 func TestExplainRevokedKey(t *testing.T) {
 	w := newGatewayFixture(t)
 	w.configureAccounts(4, "old-key")
@@ -66,7 +69,8 @@
 	require.NotContains(t, text, "old-key")
 }
 
-// TestExplainOverLimit follows a request of an account beyond its limit.
+// TestExplainOverLimit checks the explanation of a request that exceeds the rate limit of its
+// client account.
 func TestExplainOverLimit(t *testing.T) {
 	w := newGatewayFixture(t)
 	w.configureAccounts(4, "old-key")
@@ -78,11 +82,13 @@
 	require.Contains(t, text, "limit: n1 was asked last; this instance got")
 }
 
-// TestExplainNoCommonHome follows a request of an account in a region that it may not use.
+// TestExplainNoCommonHome checks the explanation of a request whose client account is not
+// allowed in any region of its route. The request must not reach a target.
 func TestExplainNoCommonHome(t *testing.T) {
 	w := newGatewayFixture(t)
 	w.configureAccounts(4, "old-key")
-	// Only the configuration with accounts turns a key away; the one before serves any.
+	// The configuration without accounts admits any key, so that a rejected key shows that
+	// the new configuration is in force.
 	w.waitForStatus("nobodys-key", 401)
 	runs := len(w.server.Runs())
 	require.Equal(t, 503, w.sendAs("abroad", "abroad-key", "/home/"))
@@ -92,8 +98,9 @@
 	require.Len(t, w.server.Runs(), runs)
 }
 
-// TestExplainQuarantinedAccount follows a request that is held back because targets end under
-// different ones of its account to what was said of the account.
+// TestExplainQuarantinedAccount checks the explanation of a request that is held because
+// different requests of its client account crashed targets. It must show the log line on the
+// account's quarantine.
 func TestExplainQuarantinedAccount(t *testing.T) {
 	w := newGatewayFixture(t)
 	w.configureAccounts(4, "ada-key")
--- a/cmd/rainford/explain_gateway_test.go
+++ b/cmd/rainford/explain_gateway_test.go
@@ -20,7 +20,7 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// logBuffer collects what an instance logs.
+// logBuffer collects the log of an instance. It is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -38,7 +38,7 @@
 	return l.b.String()
 }
 
-// gatewayFixture is one instance with one server, whose log is read by explain.
+// gatewayFixture is one gateway with one target. Its log is the input of explain.
 type gatewayFixture struct {
 	t      *testing.T
 	log    logBuffer
@@ -48,6 +48,7 @@
 	store  *objects.Store
 }
 
+// newGatewayFixture starts a gateway and a target, and waits until a request succeeds.
 func newGatewayFixture(t *testing.T) *gatewayFixture {
 	w := &gatewayFixture{t: t, store: objects.New()}
 	store := httptest.NewServer(w.store)
@@ -91,6 +92,7 @@
 	return w
 }
 
+// send sends a request and returns the status, or 0 if there is no response.
 func (w *gatewayFixture) send(id string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/", bytes.NewReader([]byte("b")))
 	require.NoError(w.t, err)
@@ -105,7 +107,8 @@
 	return resp.StatusCode
 }
 
-// explain runs the command of docs/OPERATIONS.md on the log.
+// explain runs rainford explain on the log until it finds the request, as
+// docs/OPERATIONS.md describes for operators.
 func (w *gatewayFixture) explain(id string) string {
 	var text string
 	require.Eventually(w.t, func() bool {
@@ -115,11 +118,13 @@
 	return text
 }
 
+// setFault makes the target apply f to each request.
 func (w *gatewayFixture) setFault(f origin.Fault) {
 	w.server.SetScript(func(*http.Request) origin.Fault { return f })
 }
 
-// TestExplainEvacuatedHall follows a request that was refused without having run.
+// TestExplainEvacuatedHall checks the explanation of a request that is refused, without having
+// run, because the only hall is evacuated.
 func TestExplainEvacuatedHall(t *testing.T) {
 	w := newGatewayFixture(t)
 	w.store.Set("evacuations", "a1", struct{}{})
@@ -133,7 +138,7 @@
 	require.Len(t, w.server.Runs(), runs)
 }
 
-// TestExplainTimeout follows a request that was given up at its route's timeout.
+// TestExplainTimeout checks the explanation of a request that exceeds the timeout of its route.
 func TestExplainTimeout(t *testing.T) {
 	w := newGatewayFixture(t)
 	w.setFault(origin.Silent)
@@ -145,7 +150,8 @@
 	require.Contains(t, text, `"belief":"suspected","cause":"silent"`)
 }
 
-// TestExplainLostResponse follows a request whose answer was lost after it was sent.
+// TestExplainLostResponse checks the explanation of a request whose response is lost after the
+// request was sent.
 func TestExplainLostResponse(t *testing.T) {
 	w := newGatewayFixture(t)
 	w.setFault(origin.LostResponse)
@@ -157,7 +163,7 @@
 	require.Contains(t, text, "EOF")
 }
 
-// replaceServer has another server take the place of the one before.
+// replaceServer removes the target and starts another one with the given ID.
 func (w *gatewayFixture) replaceServer(id string) {
 	w.store.Remove("servers", w.server.ID)
 	server, err := origin.Start(id, "s", "a1", 1)
@@ -168,8 +174,8 @@
 		"state": "ready", "warmupRemaining": "0ms", "sequence": 1})
 }
 
-// TestExplainQuarantinedRequest follows a request that is held back because targets end under it to the
-// targets that have ended.
+// TestExplainQuarantinedRequest checks the explanation of a request that is held because targets
+// crash while they run it. It must name the targets that crashed.
 func TestExplainQuarantinedRequest(t *testing.T) {
 	w := newGatewayFixture(t)
 	for i, id := range []string{"i-2", "i-3", "i-4"} {
@@ -187,7 +193,8 @@
 	require.Empty(t, w.server.Runs())
 }
 
-// TestExplainTargetBackoff follows a request that was refused as its target rests to what the target asked for.
+// TestExplainTargetBackoff checks the explanation of a request that is refused because its target
+// requested a back-off in the response to an earlier request.
 func TestExplainTargetBackoff(t *testing.T) {
 	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
@@ -200,7 +207,8 @@
 	require.Contains(t, text, `"target":"i-1","belief":"resting"`)
 }
 
-// TestExplainLeavingTarget follows a request that found no target, as that had said that it leaves.
+// TestExplainLeavingTarget checks the explanation of a request that finds no target because the
+// only one has announced that it is leaving.
 func TestExplainLeavingTarget(t *testing.T) {
 	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
--- a/cmd/rainford/explain_test.go
+++ b/cmd/rainford/explain_test.go
@@ -22,12 +22,16 @@
 {"time":"2026-01-01T00:00:02Z","level":"INFO","msg":"request","instance":"n1","request_id":"q2","status":200,"reason":"answered"}
 `
 
+// explain runs rainford explain with the given standard input. It returns what the command
+// prints and its exit code.
 func explain(t *testing.T, stdin string, args ...string) (string, int) {
 	var out, errs bytes.Buffer
 	code := run(context.Background(), append([]string{"explain"}, args...), strings.NewReader(stdin), &out, &errs)
 	return out.String() + errs.String(), code
 }
 
+// TestExplain checks that explain shows a request with its attempts, the configuration in force
+// and the state changes of its targets at its instance, and counts unreadable lines.
 func TestExplain(t *testing.T) {
 	plain := filepath.Join(t.TempDir(), "n1.log")
 	require.NoError(t, os.WriteFile(plain, []byte(sampleLog), 0o600))
@@ -36,10 +40,11 @@
 	require.Contains(t, text, "request q1: 502, the connection or the answer broke")
 	require.Contains(t, text, "attempt 1: target i-1 in a (first-choice, load 0.50): unknown after 39 ms EOF")
 	require.Contains(t, text, "configuration in force")
-	require.Equal(t, 1, strings.Count(text, "target belief"), "this instance's and this target's only")
+	require.Equal(t, 1, strings.Count(text, "target belief"), "only the lines of the request's instance and target")
 	require.Contains(t, text, "1 of 7 lines could not be read")
 }
 
+// TestExplainReadsGzipAndStandardInput checks that a gzip log on standard input is read.
 func TestExplainReadsGzipAndStandardInput(t *testing.T) {
 	var packed bytes.Buffer
 	w := gzip.NewWriter(&packed)
@@ -55,6 +60,8 @@
 	require.Equal(t, 1, got.BadLines)
 }
 
+// TestExplainUnknownRequest checks that a request without log lines is no error, and that
+// missing files are.
 func TestExplainUnknownRequest(t *testing.T) {
 	text, code := explain(t, sampleLog, "q7", "-")
 	require.Zero(t, code)
@@ -68,7 +75,8 @@
 {"time":"2026-01-01T00:00:02Z","level":"INFO","msg":"request","instance":"n1","request_id":"q2","account":"","route":"r","config":4,"status":401,"reason":"unknown-key"}
 `
 
-// TestExplainAccounts checks what is told of requests that were turned away at the door.
+// TestExplainAccounts checks the explanation of requests that an instance rejected because of
+// the client account's rate limit or because of an unknown key.
 func TestExplainAccounts(t *testing.T) {
 	text, code := explain(t, accountLog, "q1", "-")
 	require.Zero(t, code, text)
@@ -78,5 +86,5 @@
 	text, code = explain(t, accountLog, "q2", "-")
 	require.Zero(t, code, text)
 	require.Contains(t, text, "request q2: 401, no account of the configuration has its key")
-	require.Contains(t, text, "configuration in force", "with the version that decided")
+	require.Contains(t, text, "configuration in force", "the configuration that rejected the key must be shown")
 }
--- a/cmd/rainford/gateways.go
+++ b/cmd/rainford/gateways.go
@@ -11,14 +11,15 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// gatewayResult is the status of a gateway, or why there is none.
+// gatewayResult is the status of a gateway, or the error of the request for it.
 type gatewayResult struct {
 	Addr   string          `json:"addr"`
 	Status *gateway.Status `json:"status,omitempty"`
 	Error  string          `json:"error,omitempty"`
 }
 
-// fetchGatewayStatuses asks the gateways at some admin addresses for their status.
+// fetchGatewayStatuses requests the status of the gateways at the admin addresses addrs, all
+// at the same time. The results are in the order of addrs.
 func fetchGatewayStatuses(ctx context.Context, addrs []string) []gatewayResult {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -40,7 +41,8 @@
 	return out
 }
 
-// gatewayStatus prints the status of gateways. It fails if none answers.
+// gatewayStatus prints the status of the gateways at the admin addresses addrs. It returns an
+// error if none of them responds.
 func (a *app) gatewayStatus(ctx context.Context, c *commonFlags, addrs []string) error {
 	answers := fetchGatewayStatuses(ctx, addrs)
 	answered := 0
@@ -58,7 +60,7 @@
 		a.printGateways(answers)
 	}
 	if answered == 0 {
-		return fmt.Errorf("no gateway answered")
+		return fmt.Errorf("no gateway responded to the status request")
 	}
 	return nil
 }
@@ -100,8 +102,8 @@
 	}
 }
 
-// formatTimes says for how long something has been so, and for how much longer it will be, in
-// milliseconds, as far as either is known.
+// formatTimes formats the time that a condition has lasted and the time until it ends, both
+// in milliseconds. A time that is not positive is unknown and is left out.
 func formatTimes(forMs, leftMs int64) string {
 	text := ""
 	if forMs > 0 {
@@ -113,6 +115,7 @@
 	return text
 }
 
+// formatReason formats the reason of a rollout's state, or nothing if there is none.
 func formatReason(why rollout.Reason) string {
 	if why == rollout.ReasonNone {
 		return ""
@@ -120,7 +123,9 @@
 	return " because of " + string(why)
 }
 
-// formatLeader says who decides on a rollout, and what the one that does has seen.
+// formatLeader formats the instance that leads a rollout. If the instance that reported r is
+// the leader, it adds the number of requests and the log-likelihood ratios for failing and for
+// slow responses that the decision is based on.
 func formatLeader(r gateway.RolloutStatus) string {
 	switch {
 	case r.IsLeader:
--- a/cmd/rainford/gateways_test.go
+++ b/cmd/rainford/gateways_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// runCommand runs the command and returns what it prints.
+// runCommand runs the command. It returns what the command prints and its exit code.
 func runCommand(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -18,8 +18,9 @@
 	return out.String() + errs.String(), code
 }
 
-// TestGatewayStatus checks what operators see of targets that get nothing, and by whose word, and
-// that an address that nobody answers at is told beside those that answer.
+// TestGatewayStatus checks that status lists the targets that get no or limited traffic, each
+// with its cause and source, and that it lists a gateway that does not respond beside those
+// that do.
 func TestGatewayStatus(t *testing.T) {
 	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
--- a/cmd/rainford/hold.go
+++ b/cmd/rainford/hold.go
@@ -14,20 +14,24 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// heldRequest is a request that is heldRequest back, as the store keeps it.
+// heldRequest is a quarantined request, merged from its records in the store. Instances hold
+// such a request because targets crashed while they ran it.
 type heldRequest struct {
-	// Content is the form of its digest in logs.
+	// Content is the digest of the request's content in the form that log lines use, and
+	// Digest is the whole digest in hexadecimal.
 	Content string `json:"content"`
 	Digest  string `json:"digest"`
-	// Ends is the number of targets that have ended under it, and Last when the last did.
+	// Ends is the number of targets that crashed while they ran the request, and Last is the
+	// time of the last crash.
 	Ends int       `json:"ends"`
 	Last time.Time `json:"last"`
-	// Released is when it was released, and By by whom; zero while it is held.
+	// Released is the time of the release, and By is the operator who released the request.
+	// Both are zero while the request is held.
 	Released time.Time `json:"released,omitzero"`
 	By       string    `json:"by,omitempty"`
 }
 
-// holdCommand lists and releases requests that are held back because targets end under them.
+// holdCommand returns the commands that list and release quarantined requests.
 func (a *app) holdCommand() *ffcli.Command {
 	list := newFlags("rainford hold list")
 	lc := &commonFlags{}
@@ -50,10 +54,10 @@
 	rc.registerOperator(release)
 	releaseCmd := a.command("release", "rainford hold release [-who NAME] CONTENT", "have a request sent again like any other, at all instances", release, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
-			return usagef("hold release takes the content of one request, as request lines and hold list show it")
+			return usagef("hold release takes the content of one request, as printed by hold list and in request log lines")
 		}
 		if rc.operator == "" {
-			return usagef("say who you are with -who or RAINFORD_WHO: the release is kept with it")
+			return usagef("the operator's name is missing: the release is stored with the name from -who or RAINFORD_WHO")
 		}
 		ctx, cancel := context.WithTimeout(ctx, rc.timeout)
 		defer cancel()
@@ -62,7 +66,8 @@
 	return a.group("hold", "rainford hold <list|release>", "see and release requests that are held back", listCmd, releaseCmd)
 }
 
-// readHeld reads the held requests from the store, the latest first.
+// readHeld reads the quarantined requests from the store. The request with the latest crash
+// comes first. A request that was released before its latest crash is held again.
 func readHeld(ctx context.Context, client objectstore.Service) ([]heldRequest, error) {
 	listing, err := client.List(ctx, quarantine.StoredPrefix)
 	if err != nil {
@@ -95,7 +100,7 @@
 	return all, nil
 }
 
-// merge takes in one of the objects of the request.
+// merge applies one stored record of the request, which is a release or a list of crashes.
 func (h *heldRequest) merge(kept quarantine.StoredRecord) {
 	if kept.Released > 0 {
 		if at := kept.LastEvent(); at.After(h.Released) {
@@ -123,7 +128,9 @@
 	return nil
 }
 
-// releaseHeld writes a release of the one held request whose content is given.
+// releaseHeld stores a release of the one held request whose digest begins with content, or
+// whose digest has the form content in logs. It returns an error if no request or several
+// requests match.
 func (a *app) releaseHeld(ctx context.Context, c *commonFlags, content string) error {
 	client := c.client()
 	all, err := readHeld(ctx, client)
@@ -137,7 +144,7 @@
 		}
 	}
 	if len(found) != 1 || content == "" {
-		return fmt.Errorf("%d held requests have the content %q", len(found), content)
+		return fmt.Errorf("%d held requests match the content %q: give the content of exactly one", len(found), content)
 	}
 	raw, err := hex.DecodeString(found[0].Digest)
 	if err != nil {
--- a/cmd/rainford/hold_test.go
+++ b/cmd/rainford/hold_test.go
@@ -14,8 +14,9 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// TestHold checks that held requests are listed, that one is released by its content with the
-// operator's name, and that what is no longer held is not released again.
+// TestHold checks that hold list prints the quarantined requests, that hold release releases one
+// of them by its content under the operator's name, and that a released request cannot be
+// released again.
 func TestHold(t *testing.T) {
 	server := httptest.NewServer(objects.New())
 	t.Cleanup(server.Close)
--- a/cmd/rainford/main.go
+++ b/cmd/rainford/main.go
@@ -1,4 +1,10 @@
-// Command rainford is the operators' command.
+// Command rainford is the command line tool of the operators. It reads and changes the
+// configuration of the traffic steering system, shows the status of its instances, and
+// explains from their logs how requests ended.
+//
+// An instance is a running gateway. A hall is a group of instances and targets in one
+// building, and a region consists of one or more halls. A target is a server that runs
+// requests. A client account is the party that a request belongs to.
 package main
 
 import (
@@ -32,14 +38,14 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 }
 
-// app is what all subcommands share.
+// app holds the streams that all subcommands read and write.
 type app struct {
 	stdin  io.Reader
 	stdout io.Writer
 	stderr io.Writer
 }
 
-// errUsage is a call whose words are off.
+// errUsage reports wrong arguments or flags. The program then exits with exitUsage.
 type errUsage struct{ text string }
 
 // Error implements error.
@@ -64,12 +70,14 @@
 	return a.exit(err)
 }
 
-// isHelpFlag tells whether an argument asks for help, which is no mistake.
+// isHelpFlag reports whether an argument requests help. Printing help on request is a
+// success, while printing it because a command is missing is a usage error.
 func isHelpFlag(arg string) bool {
 	return arg == "-h" || arg == "-help" || arg == "--help"
 }
 
-// exit prints an error and returns the exit code for it.
+// exit prints err and returns the exit code for it. A configuration that already has the
+// requested content is not an error.
 func (a *app) exit(err error) int {
 	var usage errUsage
 	var findings table.Findings
@@ -97,8 +105,8 @@
 	}
 }
 
-// command returns a subcommand whose flags can also be set by RAINFORD_…
-// variables.
+// command returns a subcommand whose flags can also be set by environment variables with
+// the prefix RAINFORD_.
 func (a *app) command(name, usage, help string, fs *flag.FlagSet, exec func(ctx context.Context, args []string) error) *ffcli.Command {
 	fs.SetOutput(a.stderr)
 	return &ffcli.Command{
@@ -111,6 +119,7 @@
 	}
 }
 
+// group returns a command that only has subcommands.
 func (a *app) group(name, usage, help string, subs ...*ffcli.Command) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(a.stderr)
@@ -122,7 +131,7 @@
 		Subcommands: subs,
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) > 0 {
-				return usagef("%s: no command %q; see %s -h", name, args[0], name)
+				return usagef("%s: unknown command %q; see %s -h", name, args[0], name)
 			}
 			return flag.ErrHelp
 		},
--- a/cmd/rainford/main_test.go
+++ b/cmd/rainford/main_test.go
@@ -15,7 +15,7 @@
 	"github.com/rainford/rainford/internal/standin/platformstore"
 )
 
-// operator runs the command against a stand-in of the platform.
+// operator runs the command as an operator does, against a simulated platform.
 type operator struct {
 	t      *testing.T
 	server *platformstore.Server
@@ -58,6 +58,8 @@
 	o.must("table", "set", "listings", "accra", "kumasi", "weight=10", "cap=40")
 }
 
+// TestExportEditApply checks that applying an edited export keeps changes that others made
+// since the export, and that a conflicting edit is rejected without any change.
 func TestExportEditApply(t *testing.T) {
 	o := newOperator(t)
 	o.configureTable()
@@ -69,16 +71,16 @@
 	o.must("table", "apply", o.writeTable(edited))
 	now := o.must("table", "get")
 	require.Contains(t, now, "listings,accra,accra,80,")
-	require.Contains(t, now, "listings,accra,kumasi,10,50,", "an old export must not undo the other change")
+	require.Contains(t, now, "listings,accra,kumasi,10,50,", "applying an older export must not revert a later change")
 
 	code, _, stderr := o.run("table", "apply", o.writeTable(strings.Replace(export, ",10,40,", ",10,45,", 1)))
 	require.Equal(t, exitFailure, code)
 	require.Contains(t, stderr, `row listings/accra/kumasi cap: was "40", you want "45", now "50"`)
-	require.Equal(t, now, o.must("table", "get"), "a conflict changes nothing")
+	require.Equal(t, now, o.must("table", "get"), "a conflicting apply must leave the table unchanged")
 
 	code, _, stderr = o.run("table", "apply", o.writeTable(strings.SplitN(export, "\n", 2)[1]))
 	require.Equal(t, exitUsage, code)
-	require.Contains(t, stderr, "does not say which version")
+	require.Contains(t, stderr, "does not name the version that it was made from")
 
 	var trail []struct {
 		Number int
@@ -90,6 +92,8 @@
 	require.Equal(t, "ama", trail[6].Who)
 }
 
+// TestAllFindingsReported checks that check and apply report the findings on the form and on
+// the content of a table together, and change nothing.
 func TestAllFindingsReported(t *testing.T) {
 	o := newOperator(t)
 	o.configureTable()
@@ -105,6 +109,8 @@
 	require.Equal(t, before, o.must("table", "get"))
 }
 
+// TestExitCodes checks the exit code of each kind of success and failure, also while the
+// platform is down and after a reply of the platform was lost.
 func TestExitCodes(t *testing.T) {
 	o := newOperator(t)
 	o.configureTable()
@@ -121,10 +127,10 @@
 		{"bad cell", []string{"table", "set", "listings", "accra", "kumasi", "cap=lots"}, exitUsage},
 		{"no such cell", []string{"table", "set", "listings", "accra", "kumasi", "color=red"}, exitFailure},
 		{"no change", []string{"table", "set", "listings", "accra", "kumasi", "cap=40"}, exitOK},
-		{"drain of nothing", []string{"drain", "region", "tema"}, exitUsage},
+		{"drain of unknown region", []string{"drain", "region", "tema"}, exitUsage},
 		{"bad scope", []string{"drain", "planet", "tema"}, exitUsage},
 		{"seats without confirmation", []string{"seats", "release", "a1"}, exitUsage},
-		{"demo of nobody", []string{"demo", "-estate", "x"}, exitUsage},
+		{"demo of unknown estate", []string{"demo", "-estate", "x"}, exitUsage},
 		{"status", []string{"status", "-json"}, exitOK},
 		{"version", []string{"version", "-json"}, exitOK},
 	}
@@ -140,5 +146,5 @@
 	require.Contains(t, stderr, "unavailable")
 	o.server.SetFaults(platformstore.Faults{LoseReplies: 1})
 	o.must("drain", "region", "kumasi")
-	require.Equal(t, 1, strings.Count(o.must("audit"), "drain region kumasi"), "a lost reply is settled, not repeated")
+	require.Equal(t, 1, strings.Count(o.must("audit"), "drain region kumasi"), "after a lost reply the change must not be applied a second time")
 }
--- a/cmd/rainford/rollout.go
+++ b/cmd/rainford/rollout.go
@@ -15,10 +15,12 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// defaultRolloutTime is for how long a rollout may go on where nothing else is said.
+// defaultRolloutTime is the default of -duration, the time within which a rollout shifts all
+// requests to the new version.
 const defaultRolloutTime = 10 * time.Minute
 
-// rolloutCommand orders that versions of services are brought in, and shows what becomes of the orders.
+// rolloutCommand returns the commands that order, list and abort rollouts of new versions of
+// services.
 func (a *app) rolloutCommand() *ffcli.Command {
 	return a.group("rollout", "rainford rollout <start|status|abort>", "bring a new version of a service in step by step",
 		a.rolloutStartCommand(), a.rolloutStatusCommand(), a.rolloutAbortCommand())
@@ -47,14 +49,15 @@
 		})
 }
 
-// startRollout gives an order, in place of one that has ended.
+// startRollout stores the rollout order o. It replaces an earlier order for the service if that
+// rollout has ended, and returns an error if it is still in progress.
 func (a *app) startRollout(ctx context.Context, store *platform.Store, o rollout.Order) error {
 	held, found, err := findRollout(ctx, store, o.Service)
 	if err != nil {
 		return err
 	}
 	if found && !held.State.IsFinal() {
-		return fmt.Errorf("version %s of %s is being brought in: wait for its end, or say rainford rollout abort %s first", held.Version, o.Service, o.Service)
+		return fmt.Errorf("the rollout of version %s of %s is still in progress: wait for its end, or run rainford rollout abort %s first", held.Version, o.Service, o.Service)
 	}
 	if found {
 		if err := store.Remove(ctx, gateway.KindRollouts, o.Service); err != nil {
@@ -116,7 +119,7 @@
 		case err != nil:
 			return err
 		case !found:
-			return fmt.Errorf("no version of %s is ordered", args[0])
+			return fmt.Errorf("there is no rollout order for service %s", args[0])
 		case held.State.IsFinal():
 			return fmt.Errorf("the rollout of version %s of %s has ended: %s", held.Version, held.Service, stateName(held.State))
 		}
@@ -128,17 +131,17 @@
 	})
 }
 
-// objects returns the client of a platform whose store is one of objects by kind: the other has no targets
-// that name a version.
+// objects returns a client of a platform whose store lists objects by kind. Rollouts need such
+// a platform, because only there the targets announce their versions.
 func (c *commonFlags) objects() (*platform.Store, error) {
 	addr, ok := strings.CutPrefix(c.platform, objectsScheme)
 	if !ok {
-		return nil, usagef("-platform must be " + objectsScheme + "IP:PORT: targets tell their versions only there")
+		return nil, usagef("-platform must be " + objectsScheme + "IP:PORT: only there do targets announce their versions")
 	}
 	return platform.NewStore(addr), nil
 }
 
-// findRollout returns the order for a service, false if there is none.
+// findRollout returns the rollout order for a service. It returns false if there is none.
 func findRollout(ctx context.Context, store *platform.Store, service string) (rollout.Record, bool, error) {
 	all, err := store.Rollouts(ctx)
 	if err != nil {
@@ -151,7 +154,8 @@
 	return all[i], true, nil
 }
 
-// stateName names the state of an order, also of one that nobody has taken up yet.
+// stateName returns the name of the state of a rollout. The state is empty until an instance
+// has started the rollout.
 func stateName(s rollout.State) string {
 	if s == "" {
 		return "ordered"
--- a/cmd/rainford/rollout_test.go
+++ b/cmd/rainford/rollout_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/internal/standin/objects"
 )
 
-// TestRollout checks that an operator gives, sees and takes back an order, and that one that goes on is not
-// replaced.
+// TestRollout checks that an operator can start, list and abort a rollout, and that a rollout in
+// progress is not replaced by another.
 func TestRollout(t *testing.T) {
 	store := objects.New()
 	server := httptest.NewServer(store)
--- a/cmd/rainford/status.go
+++ b/cmd/rainford/status.go
@@ -23,6 +23,7 @@
 	"github.com/rainford/rainford/protocol"
 )
 
+// decode unmarshals the value of obj into out, which must be a pointer.
 func decode(obj objectstore.Object, out any) error {
 	err := json.Unmarshal(obj.Value, out)
 	if err != nil {
@@ -31,22 +32,24 @@
 	return nil
 }
 
-// instanceStatus is one line of the status.
+// instanceStatus is an instance with its status, or with the error of the request for it.
 type instanceStatus struct {
 	Instance member.Instance `json:"instance"`
 	Status   *node.Status    `json:"status,omitempty"`
 	Error    string          `json:"error,omitempty"`
 }
 
-// overview is the status of the whole system.
+// overview is the number of the accepted configuration and the status of every instance.
 type overview struct {
 	Version   int64            `json:"version"`
 	Instances []instanceStatus `json:"instances"`
 }
 
+// statusTimeout bounds a request for the status of an instance or for a look-up.
 const statusTimeout = 2 * time.Second
 
-// fetchOverview asks every listed instance for its status.
+// fetchOverview requests the status of every instance that the platform lists, all at the
+// same time. An instance that does not respond is included with its error.
 func fetchOverview(ctx context.Context, client objectstore.Service) (*overview, error) {
 	doc, err := readDocument(ctx, client)
 	if err != nil {
@@ -86,8 +89,11 @@
 	s.Status = &st
 }
 
+// maxBody is the maximum size of a response, in bytes.
 const maxBody = 8 << 20
 
+// fetchJSON requests url and decodes the response, of at most maxBody bytes, into out. A
+// status other than 200 is an error.
 func fetchJSON(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -177,21 +183,26 @@
 	})
 }
 
-// change is one line of watch.
+// changeReport is one line of the watch command.
 type changeReport struct {
 	config.Change
-	// InForceSeconds is the time until every instance that answers had the
-	// change in force, or -1 if that took too long to wait for.
+	// InForceSeconds is the time until every instance that responds had the change in
+	// force, in seconds. It is -1 if that took longer than inForceMax.
 	InForceSeconds float64 `json:"in_force_seconds"`
 	Unresponsive   int     `json:"silent_instances"`
 }
 
 const (
-	watchWait   = 20 * time.Second
+	// watchWait is the maximum time that one watch request waits for a change.
+	watchWait = 20 * time.Second
+	// inForceMax is the maximum time to wait until a change is in force everywhere, and
+	// inForcePoll is the interval between the requests for the status meanwhile.
 	inForceMax  = 30 * time.Second
 	inForcePoll = 100 * time.Millisecond
 )
 
+// followChanges prints each change that is accepted from now on, until count changes are
+// printed or ctx ends. A count of 0 means no bound.
 func (a *app) followChanges(ctx context.Context, c *commonFlags, count int) error {
 	client := c.client()
 	doc, err := readDocument(ctx, client)
@@ -234,6 +245,8 @@
 	return nil
 }
 
+// showChange polls the instances until all that respond have the change in force, and prints
+// the change with the time that this took.
 func (a *app) showChange(ctx context.Context, c *commonFlags, client objectstore.Service, change config.Change) error {
 	began := time.Now()
 	line := changeReport{Change: change, InForceSeconds: -1}
--- a/cmd/rainford/summary.go
+++ b/cmd/rainford/summary.go
@@ -11,48 +11,52 @@
 	"time"
 )
 
-// summary tells where requests are late or refused, by service, region and span of time,
-// from the request lines of many instances.
+// summary counts late, failed and refused requests by service, region and interval of time,
+// from the request lines of the logs of several instances.
 type summary struct {
 	interval   time.Duration
 	lines      []logLine
 	unreadable int
-	// noRoute counts requests that no route is for: questions which configuration
-	// is in force, or callers' mistakes.
+	// noRoute counts requests that match no route. Such requests are probes for the
+	// configuration that is in force, or mistakes of clients.
 	noRoute int
 }
 
-// reasonNoRoute is the reason of a request that no route is for.
+// reasonNoRoute is the reason in the log line of a request that matches no route.
 const reasonNoRoute = "no-route"
 
-// rowKey names a row of the summary. Region is that of the last target that got the
-// request, or "" if none did.
+// rowKey identifies a row of the summary. The field at is the start of the interval in which
+// the requests began. The region is that of the last target that a request was sent to, or
+// empty if it was sent to none.
 type rowKey struct {
 	at      time.Time
 	service string
 	region  string
 }
 
-// summaryRow is what happened in one row.
+// summaryRow counts the requests and attempts of one row. A request that took longer than the
+// target latency of its route is late.
 type summaryRow struct {
 	requests, late, failed int
 	refused                map[string]int
-	// firstChoice counts attempts at the firstChoice target of a key, newConnections those on a new
-	// connection.
+	// firstChoice counts the attempts at the preferred target of a key, and newConnections
+	// counts the attempts on a new connection. The field load is the sum of the targets'
+	// loads, in requests in flight per slot.
 	attempts, firstChoice, newConnections int
 	load                                  float64
 	tookMs                                []int64
 	targets                               map[string]*targetUse
 }
 
-// targetUse is what one target got in a span.
+// targetUse is the total time of the attempts at one target in a row, in milliseconds, and the
+// set of objects that were requested from it. An object is identified by its route and key.
 type targetUse struct {
 	busyMs  int64
 	objects map[string]bool
 }
 
-// read takes in a log's request lines. What stands before the first brace of a line,
-// which log collectors put there, is left out.
+// read appends the request lines of a log. It ignores the text before the first brace of a
+// line, because log collectors insert a prefix there.
 func (s *summary) read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLine)
@@ -76,7 +80,7 @@
 	return scanner.Err()
 }
 
-// rows counts the lines by row.
+// rows groups the lines into rows.
 func (s *summary) rows() map[rowKey]*summaryRow {
 	out := make(map[rowKey]*summaryRow)
 	for _, l := range s.lines {
@@ -129,8 +133,7 @@
 	t.objects[l.Route+"/"+l.Key] = true
 }
 
-// print writes a row a line, and then the time of an attempt by the number of other
-// objects that the target has had since it last had the request's.
+// print writes one line for each row. The table of printObjects follows.
 func (s *summary) print(w io.Writer) {
 	rows := s.rows()
 	keys := make([]rowKey, 0, len(rows))
@@ -170,7 +173,7 @@
 	return text
 }
 
-// refusals returns the refused requests by reason.
+// refusals formats the number of refused requests for each reason.
 func (row *summaryRow) refusals() string {
 	var parts []string
 	for reason, n := range row.refused {
@@ -180,7 +183,9 @@
 	return orDash(strings.Join(parts, ","))
 }
 
-// attemptsText returns the columns that tell of attempts.
+// attemptsText formats the columns on attempts: the mean load of the targets, the busy time of
+// the busiest target relative to the median, the mean number of objects per target, and the
+// fractions of attempts at the first choice and on a new connection.
 func (row *summaryRow) attemptsText() string {
 	if row.attempts == 0 {
 		return "- - - - -"
@@ -197,7 +202,7 @@
 		float64(objects)/float64(len(row.targets)), float64(row.firstChoice)/n, float64(row.newConnections)/n)
 }
 
-// median returns the median of values, 0 if there are none.
+// median sorts values and returns their median, or 0 if there are none.
 func median(values []int64) int64 {
 	if len(values) == 0 {
 		return 0
@@ -206,12 +211,14 @@
 	return values[len(values)/2]
 }
 
-// reuseBounds are the upper bounds of the classes of objects since last seen. A target
-// of the sites of today keeps a few dozen.
+// reuseBounds holds the exclusive upper bounds of the classes of reuse distance. The reuse
+// distance of an object is the number of other objects that were requested from the target
+// since the last request for this object. The bounds cover the cache of a target, which
+// typically holds a few dozen objects.
 var reuseBounds = []int{8, 16, 32, 64}
 
-// printObjects writes the median time of answered attempts by how many other objects
-// the target has had since it last had this one, which shows how many it keeps.
+// printObjects writes the median time of successful attempts for each class of reuse
+// distance. The distance at which the time increases shows how many objects a target caches.
 func (s *summary) printObjects(w io.Writer) {
 	fmt.Fprintln(w, "service objects_since_last_seen attempts p50_ms")
 	sort.SliceStable(s.lines, func(i, j int) bool { return s.lines[i].Time.Before(s.lines[j].Time) })
@@ -237,8 +244,9 @@
 	}
 }
 
-// moveToEnd moves an object to the end of a target's recent ones. It returns how many
-// others came since it was there last, or -1 if it was not there.
+// moveToEnd moves object to the end of recent, the objects of a target in the order of their
+// last requests. It returns the new list and the reuse distance of object, which is -1 if
+// recent did not contain it.
 func moveToEnd(recent []string, object string) ([]string, int) {
 	for i := len(recent) - 1; i >= 0; i-- {
 		if recent[i] == object {
@@ -249,6 +257,8 @@
 	return append(recent, object), -1
 }
 
+// reuseClass returns the name of the class of a reuse distance. A distance below 0 stands for
+// an object that was not requested from the target before.
 func reuseClass(since int) string {
 	if since < 0 {
 		return "never-seen"
--- a/cmd/rainford/summary_test.go
+++ b/cmd/rainford/summary_test.go
@@ -14,6 +14,8 @@
 {"time":"2026-01-01T00:00:02.5Z","msg":"request",
 `
 
+// TestSummary checks the rows of a summary, the classes of reuse distance, and the numbers of
+// lines that were left out.
 func TestSummary(t *testing.T) {
 	text, code := explain(t, sampleRequests, "-summary", "-")
 	require.Zero(t, code, text)
@@ -28,6 +30,7 @@
 	require.Equal(t, exitUsage, code)
 }
 
+// TestMoveToEnd checks the order of the objects and the reuse distance.
 func TestMoveToEnd(t *testing.T) {
 	recent, since := moveToEnd(nil, "a")
 	require.Equal(t, -1, since)
--- a/cmd/rainford/table.go
+++ b/cmd/rainford/table.go
@@ -20,8 +20,9 @@
 		a.tableGet(), a.tableCheck(), a.tableApply(), a.tableSet())
 }
 
-// versionHeader is the first line of an exported table. It tells apply which
-// version the edits were made from.
+// versionHeader begins the first line of an exported table, and the number of the version
+// follows. It names the version that edits of the file are based on, so that table apply can
+// detect conflicting changes.
 const versionHeader = "# rainford table version "
 
 var versionHeaderPattern = regexp.MustCompile(`^# rainford table version (\d+)`)
@@ -51,13 +52,16 @@
 	})
 }
 
-// exportedSheet is a table read from a file.
+// exportedSheet is a table that was read from a file.
 type exportedSheet struct {
 	*table.Sheet
-	// base is the version that the file was exported from, or -1.
+	// base is the version that the file was exported from, or -1 if the file does not
+	// name it.
 	base int64
 }
 
+// readSheet reads a table from the file path, or from standard input if path is -. If the form
+// of the table has faults, it returns the sheet together with them as table.Findings.
 func (a *app) readSheet(path string) (*exportedSheet, error) {
 	var raw []byte
 	var err error
@@ -77,8 +81,9 @@
 	return out, err
 }
 
-// checkSheet returns all findings of a sheet: of its form, and of its content
-// against the regions and services of a table.
+// checkSheet returns all findings on a sheet together: the findings on its form, given as
+// formErr, and those on its content, checked against the regions and services of the table
+// against. A formErr of another type is returned as it is.
 func checkSheet(s *exportedSheet, formErr error, against *table.Table) error {
 	findings, ok := formErr.(table.Findings)
 	if formErr != nil && !ok {
@@ -89,7 +94,7 @@
 	return append(findings, table.Check(next, s.Sheet)...).Err()
 }
 
-// tableFromRows returns a table with the regions and services that rows name, and no rows.
+// tableFromRows returns a table without rows, with the regions and services that rows name.
 func tableFromRows(rows []table.Row) *table.Table {
 	t := &table.Table{}
 	regions, services := make(map[string]bool), make(map[string]bool)
@@ -169,7 +174,7 @@
 			s.base = *base
 		}
 		if s.base < 0 {
-			return usagef("%s does not say which version it was made from: export it with table get, or give -base", args[0])
+			return usagef("%s does not name the version that it was made from: export it with table get, or set -base", args[0])
 		}
 		client := c.client()
 		doc, err := readDocument(ctx, client)
@@ -218,6 +223,8 @@
 	})
 }
 
+// setCells changes cells of one row of t. The arguments are the service, from, to and at least
+// one CELL=VALUE. A row that does not exist is added, with no cap and a full shift.
 func setCells(t *table.Table, args []string) error {
 	row := table.Row{Service: args[0], From: args[1], To: args[2], Cap: table.NoCap, Shift: table.FullShift}
 	for _, r := range t.Rows {
--- a/cmd/rainford/table_test.go
+++ b/cmd/rainford/table_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCheckOffline checks that a table is checked without a platform, and that all findings are
-// reported together, each with its line and column.
+// TestCheckOffline checks that table check -offline needs no platform and reports all findings
+// together, each with its line and column.
 func TestCheckOffline(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
