--- a/affinity/affinity_test.go
+++ b/affinity/affinity_test.go
@@ -11,13 +11,13 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// groupOf puts a target in one of three groups by its number.
+// groupOf assigns a target to one of three groups by its index.
 func groupOf(i int) int { return i % 3 }
 
 func rankIn(key string, ids []string, preferred int, group func(int) int) []string {
 	r := affinity.NewRanker(key)
 	for i, id := range ids {
-		r.Offer(i, group(i), affinity.Hash(id), 6)
+		r.Add(i, group(i), affinity.Hash(id), 6)
 	}
 	var out []string
 	for _, i := range r.Ranking(preferred) {
@@ -32,11 +32,12 @@
 	return rankIn(key, ids, affinity.NoGroup, func(int) int { return 0 })
 }
 
-// rankNaive follows the definition: the best target of the preferred group, or of
-// all, then the best of the other groups, or of the same one if there is no other.
+// rankNaive computes the ranking from its definition. The first target is the best one of the
+// preferred group, or of all groups. The second is the best one of the other groups, or of the same
+// group if there is no other.
 func rankNaive(key string, ids []string, preferred int, group func(int) int) []string {
 	score := func(i int) float64 {
-		return mix.Weighted(mix.Join(affinity.Hash(key), affinity.Hash(ids[i])), 6)
+		return mix.RendezvousScore(mix.Combine(affinity.Hash(key), affinity.Hash(ids[i])), 6)
 	}
 	best := func(allowed func(int) bool) int {
 		found := -1
@@ -72,7 +73,7 @@
 	return ids
 }
 
-func TestRankingFollowsItsDefinition(t *testing.T) {
+func TestRankingMatchesDefinition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := targets(rapid.IntRange(0, 30).Draw(t, "targets"))
 		key := rapid.StringN(0, 8, 8).Draw(t, "key")
@@ -83,7 +84,7 @@
 	})
 }
 
-// TestFewKeysMove checks that only the keys of a target that leaves move.
+// TestFewKeysMove checks that only the keys of a removed target move.
 func TestFewKeysMove(t *testing.T) {
 	ids := targets(12)
 	for i := range 500 {
@@ -118,7 +119,7 @@
 			for b.Loop() {
 				r := affinity.NewRanker("r-abc/17")
 				for i, id := range hashes {
-					r.Offer(i, groupOf(i), id, 6)
+					r.Add(i, groupOf(i), id, 6)
 				}
 			}
 		})
--- a/availability/state.go
+++ b/availability/state.go
@@ -2,277 +2,282 @@
 
 import "time"
 
-// Cause is what keeps requests from a target.
+// Cause is the reason why a target gets no requests.
 type Cause string
 
-// The causes, the most lasting first. The last three are set by who counts the requests at the
-// target: one request is finding out whether a target that was suspected is back, a cold target
-// has had what it bears, and one that names a limit what it takes.
+// The causes of a Verdict, the most persistent first. A State does not return the last three. They
+// are set by the code that counts the requests at the target. CauseProbing: one request probes
+// whether a suspected target has recovered. CauseCold: a cold target has received its admissible
+// rate. CauseRateLimited: the rate limit that the target announced is used up.
 const (
-	CauseNone      Cause = ""
-	CauseReplaced  Cause = "replaced"
-	CauseGone      Cause = "gone"
-	CauseLeaving   Cause = "leaving"
-	CauseEvacuated Cause = "evacuated"
-	CauseResting   Cause = "resting"
-	CauseSuspected Cause = "suspected"
-	CausePaused    Cause = "paused"
-	CauseTrying    Cause = "trying"
-	CauseCold      Cause = "cold"
-	CauseLimited   Cause = "limited"
+	CauseNone        Cause = ""
+	CauseReplaced    Cause = "replaced"
+	CauseGone        Cause = "gone"
+	CauseLeaving     Cause = "leaving"
+	CauseEvacuated   Cause = "evacuated"
+	CauseBackoff     Cause = "resting"
+	CauseSuspected   Cause = "suspected"
+	CausePaused      Cause = "paused"
+	CauseProbing     Cause = "trying"
+	CauseCold        Cause = "cold"
+	CauseRateLimited Cause = "limited"
 )
 
-// Source is who has said what keeps requests from a target.
+// Source is the origin of the information that a target gets no requests.
 type Source string
 
-// The sources.
+// The sources of a Verdict.
 const (
-	// SourceList is the list of targets, or of halls that are being emptied.
+	// SourceList is the list of targets, or the list of halls that are being evacuated.
 	SourceList Source = "list"
-	// SourceOperator is the operators' table.
+	// SourceOperator is the table that operators maintain.
 	SourceOperator Source = "operator"
-	// SourceWord is the target itself, in an answer to this instance.
-	SourceWord Source = "word"
+	// SourceTarget is the target itself, by a SelfReport to this instance.
+	SourceTarget Source = "word"
 	// SourcePeer is another instance.
 	SourcePeer Source = "peer"
-	// SourceOwn is what requests of this instance have met.
-	SourceOwn Source = "own"
+	// SourceLocal is the outcome of requests of this instance.
+	SourceLocal Source = "own"
 )
 
-// Verdict says whether a target may be sent a request, and if not, what is in the way.
+// Verdict states whether a target may be sent a request, and the cause if not.
 type Verdict struct {
-	// Cause is CauseNone if the target may be sent one.
+	// Cause is CauseNone if the target may be sent a request.
 	Cause  Cause
 	Source Source
-	// Since is when the cause became known here.
+	// Since is the time at which this instance learned of the cause.
 	Since time.Time
-	// Until is when it passes, zero if nobody can tell.
+	// Until is the time at which the cause ends, zero if that is not known.
 	Until time.Time
 }
 
-// OK tells whether the target may be sent a request.
+// OK reports whether the target may be sent a request.
 func (v Verdict) OK() bool { return v.Cause == CauseNone }
 
-// longestRest bounds what a target may ask for. One that asks for more is asked again after
-// that time, by one request of each instance: a value that was written by mistake must not keep
-// a target from all callers for good.
-const longestRest = time.Hour
+// maxBackoff bounds the back-off that a target may request. After that time one request of each
+// instance is sent to the target and may return another back-off. An erroneous value thus cannot
+// exclude a target forever.
+const maxBackoff = time.Hour
 
-// mark is a fact that keeps requests from a target. The zero value is none.
-type mark struct {
-	set    bool
+// condition is a persistent condition that excludes a target. The zero value is inactive.
+type condition struct {
+	active bool
 	source Source
 	since  time.Time
 }
 
-// put sets the mark, unless it is, or clears it.
-func (m *mark) put(now time.Time, source Source, set bool) {
+// update activates or clears the condition. An active condition keeps its source and start.
+func (c *condition) update(now time.Time, source Source, set bool) {
 	switch {
 	case !set:
-		*m = mark{}
-	case !m.set:
-		*m = mark{set: true, source: source, since: now}
+		*c = condition{}
+	case !c.active:
+		*c = condition{active: true, source: source, since: now}
 	}
 }
 
-// span is a fact that keeps requests from a target until a time.
-type span struct {
+// timedCondition is a condition that excludes a target until a certain time.
+type timedCondition struct {
 	source       Source
 	since, until time.Time
 }
 
-// extend has the span last until a time, if that is later than it does.
-func (s *span) extend(now time.Time, source Source, until time.Time) {
-	if !until.After(s.until) {
+// extend prolongs the condition to the given time. It does nothing if the condition lasts as long
+// already.
+func (c *timedCondition) extend(now time.Time, source Source, until time.Time) {
+	if !until.After(c.until) {
 		return
 	}
-	if !now.Before(s.until) {
-		s.since = now
+	if !now.Before(c.until) {
+		c.since = now
 	}
-	s.source, s.until = source, until
+	c.source, c.until = source, until
 }
 
-// State is what is known of one incarnation of a target. The zero value keeps nothing from
-// it. It is not safe for concurrent use.
+// State holds the conditions of one incarnation of a target. The zero value has no conditions. A
+// State is not safe for concurrent use.
 type State struct {
-	// lasting says that one of the marks is set, and until is the latest end of the
-	// spans: most targets are judged by these two alone, which come first to lie in one
-	// cache line with what comes before them.
-	lasting bool
-	until   time.Time
-
-	// facts is nil while there are none, as for nearly all of the thousands of targets of a large
-	// fleet.
-	facts *facts
+	// persistent reports whether a persistent condition is active, and until is the latest end of
+	// the timed conditions. For most targets only these two fields are read. They come first, so
+	// that they share a cache line with the field that precedes a State.
+	persistent bool
+	until      time.Time
+
+	// conditions is nil if there are no conditions. This saves memory, since nearly all of the
+	// thousands of targets of a large fleet have none.
+	conditions *conditions
 }
 
-// facts are what keeps requests from a target.
-type facts struct {
-	rest, suspicion, pause span
+// conditions holds all conditions of a target.
+type conditions struct {
+	backoff, suspicion, pause timedCondition
 
-	replaced, gone, evacuated mark
-	// The three ways to know that a target leaves.
-	listed, word, drained mark
+	replaced, gone, evacuated condition
+	// The three sources for a target being about to leave.
+	listedLeaving, announcedLeaving, drained condition
 }
 
-// noFacts is what is read where there are none. It is never written to.
-var noFacts = new(facts)
+// noConditions is read in place of a nil pointer. It must not be modified.
+var noConditions = new(conditions)
 
-// known returns what is known, to be read only.
-func (s *State) known() *facts {
-	if s.facts == nil {
-		return noFacts
+// current returns the conditions for reading only.
+func (s *State) current() *conditions {
+	if s.conditions == nil {
+		return noConditions
 	}
-	return s.facts
+	return s.conditions
 }
 
-// own returns what is known, to be changed.
-func (s *State) own() *facts {
-	if s.facts == nil {
-		s.facts = &facts{}
+// mutable returns the conditions for modification.
+func (s *State) mutable() *conditions {
+	if s.conditions == nil {
+		s.conditions = &conditions{}
 	}
-	return s.facts
+	return s.conditions
 }
 
-// put sets or clears the mark that a function returns.
-func (s *State) put(now time.Time, source Source, set bool, of func(*facts) *mark) {
-	if set || s.facts != nil {
-		of(s.own()).put(now, source, set)
-		s.review()
+// setCondition activates or clears the condition that selectFrom returns.
+func (s *State) setCondition(now time.Time, source Source, set bool, selectFrom func(*conditions) *condition) {
+	if set || s.conditions != nil {
+		selectFrom(s.mutable()).update(now, source, set)
+		s.recompute()
 	}
 }
 
-func (s *State) review() {
-	f := s.known()
-	s.lasting = f.replaced.set || f.gone.set || f.evacuated.set || f.listed.set || f.word.set || f.drained.set
-	s.until = f.rest.until
-	if f.suspicion.until.After(s.until) {
-		s.until = f.suspicion.until
+func (s *State) recompute() {
+	conds := s.current()
+	s.persistent = conds.replaced.active || conds.gone.active || conds.evacuated.active || conds.listedLeaving.active || conds.announcedLeaving.active || conds.drained.active
+	s.until = conds.backoff.until
+	if conds.suspicion.until.After(s.until) {
+		s.until = conds.suspicion.until
 	}
-	if f.pause.until.After(s.until) {
-		s.until = f.pause.until
+	if conds.pause.until.After(s.until) {
+		s.until = conds.pause.until
 	}
-	if !s.lasting && s.until.IsZero() {
-		s.facts = nil
+	if !s.persistent && s.until.IsZero() {
+		s.conditions = nil
 	}
 }
 
-// List takes in the target's entry in the list, which says whether it leaves. A target with an
-// entry is not gone.
-func (s *State) List(now time.Time, leaves bool) {
-	s.put(now, SourceList, false, func(f *facts) *mark { return &f.gone })
-	s.put(now, SourceList, leaves, func(f *facts) *mark { return &f.listed })
+// SetListed records the target's entry in the list, which states whether the target is leaving. It
+// ends the condition of SetUnlisted.
+func (s *State) SetListed(now time.Time, leaving bool) {
+	s.setCondition(now, SourceList, false, func(conds *conditions) *condition { return &conds.gone })
+	s.setCondition(now, SourceList, leaving, func(conds *conditions) *condition { return &conds.listedLeaving })
 }
 
-// Unlist takes in that the target is no longer in the list.
-func (s *State) Unlist(now time.Time) {
-	s.put(now, SourceList, true, func(f *facts) *mark { return &f.gone })
+// SetUnlisted records that the target is no longer in the list.
+func (s *State) SetUnlisted(now time.Time) {
+	s.setCondition(now, SourceList, true, func(conds *conditions) *condition { return &conds.gone })
 }
 
-// Drain takes in whether operators drain the target.
-func (s *State) Drain(now time.Time, drained bool) {
-	s.put(now, SourceOperator, drained, func(f *facts) *mark { return &f.drained })
+// SetDrained records whether operators are draining the target.
+func (s *State) SetDrained(now time.Time, drained bool) {
+	s.setCondition(now, SourceOperator, drained, func(conds *conditions) *condition { return &conds.drained })
 }
 
-// Evacuate takes in whether the target's hall is being emptied.
-func (s *State) Evacuate(now time.Time, evacuated bool) {
-	s.put(now, SourceList, evacuated, func(f *facts) *mark { return &f.evacuated })
+// SetEvacuated records whether the target's hall is being evacuated.
+func (s *State) SetEvacuated(now time.Time, evacuated bool) {
+	s.setCondition(now, SourceList, evacuated, func(conds *conditions) *condition { return &conds.evacuated })
 }
 
-// Replace takes in that another target has answered at the address.
-func (s *State) Replace(now time.Time) {
-	s.put(now, SourceOwn, true, func(f *facts) *mark { return &f.replaced })
+// SetReplaced records that another target has answered at the address.
+func (s *State) SetReplaced(now time.Time) {
+	s.setCondition(now, SourceLocal, true, func(conds *conditions) *condition { return &conds.replaced })
 }
 
-// Leave takes in that the target said at a time, to this or to another instance, that it
-// leaves. It reports whether that is new. Nothing takes it back.
-func (s *State) Leave(at time.Time, source Source) bool {
-	if s.known().word.set {
+// SetLeaving records that the target announced, at the given time and to this or another instance,
+// that it is leaving. It reports whether this is new. The condition is never cleared.
+func (s *State) SetLeaving(at time.Time, source Source) bool {
+	if s.current().announcedLeaving.active {
 		return false
 	}
-	s.put(at, source, true, func(f *facts) *mark { return &f.word })
+	s.setCondition(at, source, true, func(conds *conditions) *condition { return &conds.announcedLeaving })
 	return true
 }
 
-// Rest takes in that the target asks for a rest from now on. A shorter one than it has asked for
-// before changes nothing.
-func (s *State) Rest(now time.Time, length time.Duration) {
-	s.own().rest.extend(now, SourceWord, now.Add(min(length, longestRest)))
-	s.review()
+// BackOff records that the target requests a back-off of the given length from now on. It does not
+// shorten an earlier back-off.
+func (s *State) BackOff(now time.Time, length time.Duration) {
+	s.mutable().backoff.extend(now, SourceTarget, now.Add(min(length, maxBackoff)))
+	s.recompute()
 }
 
-// Suspect keeps requests from the target until a time because it did not answer.
+// Suspect excludes the target until the given time because it did not answer.
 func (s *State) Suspect(now, until time.Time) {
-	s.own().suspicion.extend(now, SourceOwn, until)
-	s.review()
+	s.mutable().suspicion.extend(now, SourceLocal, until)
+	s.recompute()
 }
 
-// Pause keeps requests from the target until a time.
+// Pause excludes the target until the given time.
 func (s *State) Pause(now, until time.Time, source Source) {
-	s.own().pause.extend(now, source, until)
-	s.review()
+	s.mutable().pause.extend(now, source, until)
+	s.recompute()
 }
 
-// Serves tells whether nothing lasting keeps requests from the target: spans pass.
-func (s *State) Serves() bool { return !s.lasting }
+// InService reports whether no persistent condition excludes the target. Timed conditions do not
+// count.
+func (s *State) InService() bool { return !s.persistent }
 
-// May tells whether the target may be sent a request now. It is Judge(now).OK() at less cost.
-func (s *State) May(now time.Time) bool { return !s.lasting && !now.Before(s.until) }
+// Available reports whether the target may be sent a request now. It is a faster form of
+// Verdict(now).OK().
+func (s *State) Available(now time.Time) bool { return !s.persistent && !now.Before(s.until) }
 
-// Judge tells whether the target may be sent a request now, and what lasts longest if not.
-func (s *State) Judge(now time.Time) Verdict {
-	if s.lasting {
-		return s.lastingVerdict()
+// Verdict returns whether the target may be sent a request now. If not, it returns the cause that
+// lasts longest.
+func (s *State) Verdict(now time.Time) Verdict {
+	if s.persistent {
+		return s.persistentVerdict()
 	}
 	if !now.Before(s.until) {
 		return Verdict{}
 	}
-	f := s.known()
+	conds := s.current()
 	for _, c := range []struct {
 		cause Cause
-		span  span
-	}{{CauseResting, f.rest}, {CauseSuspected, f.suspicion}, {CausePaused, f.pause}} {
-		if c.span.until.Equal(s.until) {
-			return Verdict{Cause: c.cause, Source: c.span.source, Since: c.span.since, Until: c.span.until}
+		cond  timedCondition
+	}{{CauseBackoff, conds.backoff}, {CauseSuspected, conds.suspicion}, {CausePaused, conds.pause}} {
+		if c.cond.until.Equal(s.until) {
+			return Verdict{Cause: c.cause, Source: c.cond.source, Since: c.cond.since, Until: c.cond.until}
 		}
 	}
 	return Verdict{}
 }
 
-func (s *State) lastingVerdict() Verdict {
-	f := s.known()
+func (s *State) persistentVerdict() Verdict {
+	conds := s.current()
 	for _, c := range []struct {
 		cause Cause
-		mark  mark
+		cond  condition
 	}{
-		{CauseReplaced, f.replaced}, {CauseGone, f.gone},
-		{CauseLeaving, f.word}, {CauseLeaving, f.listed}, {CauseLeaving, f.drained},
-		{CauseEvacuated, f.evacuated},
+		{CauseReplaced, conds.replaced}, {CauseGone, conds.gone},
+		{CauseLeaving, conds.announcedLeaving}, {CauseLeaving, conds.listedLeaving}, {CauseLeaving, conds.drained},
+		{CauseEvacuated, conds.evacuated},
 	} {
-		if c.mark.set {
-			return Verdict{Cause: c.cause, Source: c.mark.source, Since: c.mark.since}
+		if c.cond.active {
+			return Verdict{Cause: c.cause, Source: c.cond.source, Since: c.cond.since}
 		}
 	}
 	return Verdict{}
 }
 
-// SuspectedUntil returns until when the target gets nothing because it did not answer.
-func (s *State) SuspectedUntil() time.Time { return s.known().suspicion.until }
+// SuspectedUntil returns the end of the suspicion because the target did not answer.
+func (s *State) SuspectedUntil() time.Time { return s.current().suspicion.until }
 
-// PausedUntil returns until when the target gets nothing because it was paused.
-func (s *State) PausedUntil() time.Time { return s.known().pause.until }
+// PausedUntil returns the end of the pause.
+func (s *State) PausedUntil() time.Time { return s.current().pause.until }
 
-// RestsUntil returns until when the target gets nothing because it asked for that.
-func (s *State) RestsUntil() time.Time { return s.known().rest.until }
+// BackoffUntil returns the end of the back-off that the target requested.
+func (s *State) BackoffUntil() time.Time { return s.current().backoff.until }
 
-// Replaced tells whether another target has answered at the address.
-func (s *State) Replaced() bool { return s.known().replaced.set }
+// Replaced reports whether another target has answered at the address.
+func (s *State) Replaced() bool { return s.current().replaced.active }
 
-// Gone tells whether the target is no longer listed.
-func (s *State) Gone() bool { return s.known().gone.set }
+// Gone reports whether the target is no longer in the list.
+func (s *State) Gone() bool { return s.current().gone.active }
 
-// Evacuated tells whether the target's hall is being emptied.
-func (s *State) Evacuated() bool { return s.known().evacuated.set }
+// Evacuated reports whether the target's hall is being evacuated.
+func (s *State) Evacuated() bool { return s.current().evacuated.active }
 
-// Leaves tells whether the target said itself that it leaves.
-func (s *State) Leaves() bool { return s.known().word.set }
+// AnnouncedLeaving reports whether the target itself announced that it is leaving.
+func (s *State) AnnouncedLeaving() bool { return s.current().announcedLeaving.active }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -13,8 +13,7 @@
 	"github.com/rainford/rainford/balance"
 )
 
-// The properties draw the same cases in every run unless -rapid.seed says
-// otherwise.
+// The property tests use the same random cases in every run unless -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var epoch = time.Unix(0, 0)
@@ -36,38 +35,38 @@
 }
 
 func request(id uint64) balance.Request {
-	return balance.Request{ID: id, Deadline: epoch.Add(time.Hour), Patience: time.Hour}
+	return balance.Request{ID: id, Deadline: epoch.Add(time.Hour), QueueTimeout: time.Hour}
 }
 
-// warmUp answers until every target may use its whole share.
+// warmUp releases requests with success until the pool's limit reaches want.
 func warmUp(p *balance.Pool, want int) {
 	for i := uint64(1); p.Load(epoch).Limit < want; i++ {
-		var taken []string
+		var running []string
 		for {
 			r := request(i)
-			r.Patience = 0
+			r.QueueTimeout = 0
 			d := p.Acquire(epoch, r)
-			if d.Verdict != balance.Run {
+			if d.Action != balance.Run {
 				break
 			}
-			taken = append(taken, d.Target.ID)
+			running = append(running, d.Target.ID)
 		}
-		for _, id := range taken {
+		for _, id := range running {
 			p.Release(epoch, id, balance.Answered, 10*time.Millisecond)
 		}
 	}
 }
 
-// TestNeverOverSlots drives a pool through arrivals, answers, refusals, broken
-// exchanges, drains and changes of the shares. No target may get more than its
-// share at the time, none new work while it leaves, every queued request ends
-// in one grant, and a request of another region stays off the floor.
-func TestNeverOverSlots(t *testing.T) {
+// TestSlotsAreNeverExceeded drives a pool through arrivals, all results of requests, and changes of
+// the targets and their slots. It checks that no target exceeds its share of slots, that unlisted
+// targets get no new requests, that every queued request ends with one grant, and that requests of
+// another region do not use the reserve.
+func TestSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rand"), 1))})
 		floor := rapid.IntRange(0, 100).Draw(t, "floor")
-		p.SetFloor(floor)
-		m := &poolModel{t: t, slots: map[string]int{}, inFlight: map[string]int{}, shifted: map[string]int{}, waiting: map[uint64]bool{}}
+		p.SetReserve(floor)
+		m := &poolModel{t: t, slots: map[string]int{}, inFlight: map[string]int{}, fromOtherRegion: map[string]int{}, waiting: map[uint64]bool{}}
 		now := epoch
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
@@ -81,45 +80,45 @@
 					next = append(next, balance.Spec{ID: id, Addr: id, Slots: n})
 					m.slots[id] = n
 				}
-				m.granted(p.SetTargets(now, next))
+				m.checkGrants(p.SetTargets(now, next))
 			case 1, 2, 3:
 				r := balance.Request{
-					ID:       uint64(step + 1),
-					Deadline: now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond),
-					Patience: time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond,
-					Shifted:  rapid.Bool().Draw(t, "shifted"),
+					ID:              uint64(step + 1),
+					Deadline:        now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "deadline")) * time.Millisecond),
+					QueueTimeout:    time.Duration(rapid.IntRange(0, 2000).Draw(t, "patience")) * time.Millisecond,
+					FromOtherRegion: rapid.Bool().Draw(t, "shifted"),
 				}
 				before := p.Load(now)
 				d := p.Acquire(now, r)
-				if d.Verdict == balance.Run && r.Shifted {
+				if d.Action == balance.Run && r.FromOtherRegion {
 					require.Less(t, before.InFlight, before.Limit-before.Limit*floor/100+1)
 				}
-				m.decided(r.ID, d)
+				m.checkDecision(r.ID, d)
 			default:
 				if id := m.anyInFlight(); id != "" {
 					m.inFlight[id]--
 					result := balance.Result(rapid.IntRange(0, 4).Draw(t, "result"))
-					m.granted(p.Release(now, id, result, time.Duration(rapid.IntRange(1, 50).Draw(t, "latency"))*time.Millisecond))
+					m.checkGrants(p.Release(now, id, result, time.Duration(rapid.IntRange(1, 50).Draw(t, "latency"))*time.Millisecond))
 				}
 			}
-			m.granted(p.Tick(now))
+			m.checkGrants(p.Tick(now))
 			require.Equal(t, len(m.waiting), p.Load(now).Queued)
 		}
 	})
 }
 
 type poolModel struct {
-	t        *rapid.T
-	slots    map[string]int
-	inFlight map[string]int
-	shifted  map[string]int
-	waiting  map[uint64]bool
+	t               *rapid.T
+	slots           map[string]int
+	inFlight        map[string]int
+	fromOtherRegion map[string]int
+	waiting         map[uint64]bool
 }
 
-func (m *poolModel) decided(id uint64, d balance.Decision) {
-	switch d.Verdict {
+func (m *poolModel) checkDecision(id uint64, d balance.Decision) {
+	switch d.Action {
 	case balance.Run:
-		m.ran(d)
+		m.checkRun(d)
 	case balance.Wait:
 		m.waiting[id] = true
 	case balance.Refuse:
@@ -127,19 +126,19 @@
 	}
 }
 
-func (m *poolModel) ran(d balance.Decision) {
-	slots, named := m.slots[d.Target.ID]
-	require.True(m.t, named, "a leaving target got new work")
+func (m *poolModel) checkRun(d balance.Decision) {
+	slots, listed := m.slots[d.Target.ID]
+	require.True(m.t, listed, "an unlisted target got a request")
 	m.inFlight[d.Target.ID]++
 	require.LessOrEqual(m.t, m.inFlight[d.Target.ID], slots)
 }
 
-func (m *poolModel) granted(grants []balance.Grant) {
+func (m *poolModel) checkGrants(grants []balance.Grant) {
 	for _, g := range grants {
-		require.True(m.t, m.waiting[g.ID], "a grant for nobody")
+		require.True(m.t, m.waiting[g.ID], "a grant for a request that is not queued")
 		delete(m.waiting, g.ID)
-		require.NotEqual(m.t, balance.Wait, g.Decision.Verdict)
-		m.decided(g.ID, g.Decision)
+		require.NotEqual(m.t, balance.Wait, g.Decision.Action)
+		m.checkDecision(g.ID, g.Decision)
 	}
 }
 
@@ -159,7 +158,7 @@
 	for range 3 {
 		n := p.Load(epoch).Limit
 		for i := range n {
-			require.Equal(t, balance.Run, p.Acquire(epoch, request(uint64(i))).Verdict)
+			require.Equal(t, balance.Run, p.Acquire(epoch, request(uint64(i))).Action)
 		}
 		for range n {
 			p.Release(epoch, "t0", balance.Answered, 10*time.Millisecond)
@@ -169,8 +168,8 @@
 	require.Equal(t, []int{2, 4, 8}, limits)
 }
 
-// TestOneCutPerCooldown checks that a burst of refusals halves the limit once.
-func TestOneCutPerCooldown(t *testing.T) {
+// TestOneHalvingPerCooldown checks that a burst of refusals halves the limit only once.
+func TestOneHalvingPerCooldown(t *testing.T) {
 	p := newPool(t, 8)
 	warmUp(p, 8)
 	for i := range 8 {
@@ -182,7 +181,7 @@
 	require.Equal(t, 4, p.Load(epoch).Limit)
 }
 
-func TestColdTargetRisesSlowlyAndNeverFoldsUp(t *testing.T) {
+func TestColdTargetLimitGrowsSlowly(t *testing.T) {
 	p := newPool(t, 8, 8)
 	warmUp(p, 16)
 	p.SetTargets(epoch, []balance.Spec{{ID: "t0", Addr: "t0", Slots: 8}, {ID: "cold", Addr: "cold", Slots: 8}})
@@ -200,37 +199,37 @@
 	require.Greater(t, last, 9)
 }
 
-// TestGivenUpAtOnce checks that a queued request is refused when its place says
-// that it will be late, not when it is.
-func TestGivenUpAtOnce(t *testing.T) {
+// TestLateRequestIsRefusedEarly checks that a queued request is refused as soon as its expected
+// wait shows that it will miss its deadline.
+func TestLateRequestIsRefusedEarly(t *testing.T) {
 	p := newPool(t, 1)
-	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Verdict)
-	late := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), Patience: time.Hour}
-	require.Equal(t, balance.Refuse, p.Acquire(epoch, late).Verdict)
+	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Action)
+	late := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), QueueTimeout: time.Hour}
+	require.Equal(t, balance.Refuse, p.Acquire(epoch, late).Action)
 	late.Deadline = epoch.Add(time.Second)
-	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Verdict)
-	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "it may still make it: the target is tried again after 500 ms")
+	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
+	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "the request may meet its deadline: the target is probed after 500 ms")
 	require.Empty(t, p.Tick(epoch.Add(100*time.Millisecond)))
 	grants := p.SetTargets(epoch.Add(200*time.Millisecond), nil)
 	require.Len(t, grants, 1, "no target is left, 800 ms before the deadline")
-	require.Equal(t, balance.Refuse, grants[0].Decision.Verdict)
+	require.Equal(t, balance.Refuse, grants[0].Decision.Action)
 }
 
-// TestWaitIsBounded has uploads hold every slot while the usual request takes
-// 10 ms. Who waits is refused after its patience, and else when as much time has
-// passed without a free slot as is left.
+// TestWaitIsBounded has uploads hold every slot while the usual request takes 10 ms. It checks that
+// a waiting request is refused when its queue timeout expires, or when the time without a released
+// slot is as long as the time to its deadline.
 func TestWaitIsBounded(t *testing.T) {
 	p := newPool(t, 2)
 	warmUp(p, 2)
 	p.Acquire(epoch, request(1))
 	p.Acquire(epoch, request(2))
 	deadline := epoch.Add(4 * time.Second)
-	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 3, Deadline: deadline, Patience: 100 * time.Millisecond}).Verdict)
-	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 4, Deadline: deadline, Patience: 4 * time.Second}).Verdict)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 3, Deadline: deadline, QueueTimeout: 100 * time.Millisecond}).Action)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, balance.Request{ID: 4, Deadline: deadline, QueueTimeout: 4 * time.Second}).Action)
 	refused := make(map[uint64]time.Duration)
 	for at := time.Duration(0); at < 4*time.Second; at += 50 * time.Millisecond {
 		for _, g := range p.Tick(epoch.Add(at)) {
-			require.Equal(t, balance.Refuse, g.Decision.Verdict)
+			require.Equal(t, balance.Refuse, g.Decision.Action)
 			refused[g.ID] = at
 		}
 	}
@@ -238,34 +237,34 @@
 	require.InDelta(t, 2, refused[4].Seconds(), 0.1)
 }
 
-// TestNoShareIsNoQueue checks that nobody waits at an instance whose share of
-// the slots is nothing, as after it gave its seats back.
-func TestNoShareIsNoQueue(t *testing.T) {
+// TestNoSlotsNoQueue checks that requests do not queue at an instance whose share of the slots is
+// zero, as after it released its seats.
+func TestNoSlotsNoQueue(t *testing.T) {
 	p := newPool(t, 0, 0)
-	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), Patience: 5 * time.Second})
-	require.Equal(t, balance.Refuse, d.Verdict)
+	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second})
+	require.Equal(t, balance.Refuse, d.Action)
 	p = newPool(t, 1)
 	p.Acquire(epoch, request(1))
-	require.Equal(t, balance.Wait, p.Acquire(epoch, request(2)).Verdict)
-	late := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), Patience: 5 * time.Second}
-	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Verdict)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, request(2)).Action)
+	late := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second}
+	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
 	grants := p.SetTargets(epoch, specs(0))
-	require.Len(t, grants, 1, "the one that can't wait for ever is refused at once")
+	require.Len(t, grants, 1, "the request that cannot meet its deadline is refused at once")
 	require.EqualValues(t, 3, grants[0].ID)
 }
 
-func TestBrokenTargetIsLeftOutAfterThreeInARow(t *testing.T) {
+func TestTargetSuspectedAfterThreeBroken(t *testing.T) {
 	p := newPool(t, 1)
 	r := request(1)
-	r.Patience = 0
+	r.QueueTimeout = 0
 	for i := range 3 {
-		require.Equal(t, balance.Run, p.Acquire(epoch, r).Verdict, "exchange %d", i)
+		require.Equal(t, balance.Run, p.Acquire(epoch, r).Action, "exchange %d", i)
 		p.Release(epoch, "t0", balance.Broken, 0)
 	}
 	d := p.Acquire(epoch, r)
-	require.Equal(t, balance.Refuse, d.Verdict)
-	require.InDelta(t, 0.78, d.RetryAfter.Seconds(), 0.27, "about when it is tried again, with jitter")
-	require.Equal(t, balance.Run, p.Acquire(epoch.Add(time.Second), r).Verdict)
+	require.Equal(t, balance.Refuse, d.Action)
+	require.InDelta(t, 0.78, d.RetryAfter.Seconds(), 0.27, "about the time until the next probe, with jitter")
+	require.Equal(t, balance.Run, p.Acquire(epoch.Add(time.Second), r).Action)
 }
 
 func BenchmarkPool(b *testing.B) {
@@ -289,9 +288,9 @@
 	p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(1, 2))})
 	now := time.Unix(0, 0)
 	p.SetTargets(now, []balance.Spec{{ID: "a", Addr: "127.0.0.1:80", Slots: 2}})
-	first := p.Acquire(now, balance.Request{ID: 1, Deadline: now.Add(time.Second), Patience: time.Second})
-	second := p.Acquire(now, balance.Request{ID: 2, Deadline: now.Add(time.Second), Patience: time.Second})
-	fmt.Println(first.Verdict == balance.Run, second.Verdict == balance.Wait)
+	first := p.Acquire(now, balance.Request{ID: 1, Deadline: now.Add(time.Second), QueueTimeout: time.Second})
+	second := p.Acquire(now, balance.Request{ID: 2, Deadline: now.Add(time.Second), QueueTimeout: time.Second})
+	fmt.Println(first.Action == balance.Run, second.Action == balance.Wait)
 	for _, g := range p.Release(now, first.Target.ID, balance.Answered, 10*time.Millisecond) {
 		fmt.Println("request", g.ID, "runs on", g.Decision.Target.ID)
 	}
--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -19,22 +19,22 @@
 	"github.com/rainford/rainford/protocol"
 )
 
-// entry is a fake instance.
-type entry struct {
+// fakeInstance is an HTTP server that stands in for an instance and counts its calls.
+type fakeInstance struct {
 	*httptest.Server
 	lookups atomic.Int64
 	calls   atomic.Int64
-	// answer is what a look-up gets, and serve what a call does.
-	answer func() lookup.Answer
-	serve  func(w http.ResponseWriter, r *http.Request)
+	// lookupResponse returns the response to a look-up, and serve handles a call.
+	lookupResponse func() lookup.Response
+	serve          func(w http.ResponseWriter, r *http.Request)
 }
 
-func newEntry(t testing.TB) *entry {
-	e := &entry{}
+func newFakeInstance(t testing.TB) *fakeInstance {
+	e := &fakeInstance{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+protocol.LookupPath, func(w http.ResponseWriter, _ *http.Request) {
 		e.lookups.Add(1)
-		_ = json.NewEncoder(w).Encode(e.answer())
+		_ = json.NewEncoder(w).Encode(e.lookupResponse())
 	})
 	mux.HandleFunc(protocol.CallPath, func(w http.ResponseWriter, r *http.Request) {
 		e.calls.Add(1)
@@ -46,13 +46,13 @@
 	return e
 }
 
-func (e *entry) addr() string { return e.Listener.Addr().String() }
+func (e *fakeInstance) addr() string { return e.Listener.Addr().String() }
 
-func answerOf(ttl time.Duration, entries ...*entry) func() lookup.Answer {
-	return func() lookup.Answer {
-		a := lookup.Answer{TTLMillis: ttl.Milliseconds()}
-		for i, e := range entries {
-			a.Instances = append(a.Instances, lookup.Entry{ID: fmt.Sprint(i), Addr: e.addr()})
+func lookupResponseOf(ttl time.Duration, instances ...*fakeInstance) func() lookup.Response {
+	return func() lookup.Response {
+		a := lookup.Response{TTLMillis: ttl.Milliseconds()}
+		for i, e := range instances {
+			a.Instances = append(a.Instances, lookup.Instance{ID: fmt.Sprint(i), Addr: e.addr()})
 		}
 		return a
 	}
@@ -73,9 +73,9 @@
 	}
 }
 
-func newClient(t testing.TB, entries ...*entry) *caller.Client {
+func newClient(t testing.TB, instances ...*fakeInstance) *caller.Client {
 	var bootstrap []string
-	for _, e := range entries {
+	for _, e := range instances {
 		bootstrap = append(bootstrap, e.addr())
 	}
 	c, err := caller.New(caller.Config{Bootstrap: bootstrap, Timeout: 10 * time.Second})
@@ -95,8 +95,8 @@
 }
 
 func TestLookupIsCached(t *testing.T) {
-	e := newEntry(t)
-	e.answer, e.serve = answerOf(time.Hour, e), ran
+	e := newFakeInstance(t)
+	e.lookupResponse, e.serve = lookupResponseOf(time.Hour, e), ran
 	c := newClient(t, e)
 	for range 5 {
 		body, err := do(c, "")
@@ -107,28 +107,28 @@
 	require.EqualValues(t, 5, e.calls.Load())
 }
 
-func TestFailsOverToTheNext(t *testing.T) {
-	gone, e := newEntry(t), newEntry(t)
-	e.answer, e.serve = answerOf(time.Hour, gone, e), ran
-	gone.Close()
+func TestFailsOverToNextInstance(t *testing.T) {
+	down, e := newFakeInstance(t), newFakeInstance(t)
+	e.lookupResponse, e.serve = lookupResponseOf(time.Hour, down, e), ran
+	down.Close()
 	c := newClient(t, e)
 	for range 3 {
 		_, err := do(c, caller.NewKey())
-		require.NoError(t, err, "a request that was never sent may go elsewhere, once-only or not")
+		require.NoError(t, err, "a request that was never sent may be sent to another instance, with or without a key")
 	}
 }
 
-func TestUsesOldAnswerWhileNobodyAnswersLookups(t *testing.T) {
-	e := newEntry(t)
-	e.answer, e.serve = answerOf(time.Minute, e), ran
+func TestNoInstanceAnswersLookup(t *testing.T) {
+	e := newFakeInstance(t)
+	e.lookupResponse, e.serve = lookupResponseOf(time.Minute, e), ran
 	c := newClient(t, e)
 	_, err := do(c, "")
 	require.NoError(t, err)
-	old := newEntry(t)
-	old.Close()
-	lost, err := caller.New(caller.Config{Bootstrap: []string{old.addr()}})
+	down := newFakeInstance(t)
+	down.Close()
+	client, err := caller.New(caller.Config{Bootstrap: []string{down.addr()}})
 	require.NoError(t, err)
-	_, err = do(lost, "")
+	_, err = do(client, "")
 	var notRun *caller.NotRunError
 	require.ErrorAs(t, err, &notRun)
 	require.Equal(t, protocol.ReasonUnreachable, notRun.Reason)
@@ -143,38 +143,38 @@
 		calls int64
 		check func(t *testing.T, err error)
 	}{
-		{"not run is final when the system says when to come back", refusal("not-run", protocol.ReasonCap, 1500*time.Millisecond), false, 1, func(t *testing.T, err error) {
+		{"refusal with a retry time is final", refusal("not-run", protocol.ReasonCap, 1500*time.Millisecond), false, 1, func(t *testing.T, err error) {
 			var e *caller.NotRunError
 			require.ErrorAs(t, err, &e)
 			require.Equal(t, 1500*time.Millisecond, e.RetryAfter)
 		}},
-		{"a once-only request whose answer is lost is not sent again", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true, 1, func(t *testing.T, err error) {
+		{"request with a key is not repeated after a lost response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, true, 1, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 		}},
-		{"another one is", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false, 2, func(t *testing.T, err error) {
+		{"request without a key is repeated after a lost response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false, 2, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 		}},
-		{"done before", refusal("ran", protocol.ReasonDone, 0), true, 1, func(t *testing.T, err error) {
+		{"earlier attempt done", refusal("ran", protocol.ReasonAlreadyDone, 0), true, 1, func(t *testing.T, err error) {
 			var e *caller.DoneError
 			require.ErrorAs(t, err, &e)
 			require.Equal(t, 201, e.Status)
 		}},
-		{"unknown", refusal("unknown", protocol.ReasonInProgress, time.Second), true, 1, func(t *testing.T, err error) {
+		{"unknown outcome", refusal("unknown", protocol.ReasonInProgress, time.Second), true, 1, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 			require.Equal(t, time.Second, e.RetryAfter)
 		}},
-		{"an answer that says nothing is unknown", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, true, 1, func(t *testing.T, err error) {
+		{"response without an outcome means unknown", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }, true, 1, func(t *testing.T, err error) {
 			var e *caller.UnknownError
 			require.ErrorAs(t, err, &e)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			a, b := newEntry(t), newEntry(t)
-			a.answer, a.serve, b.serve = answerOf(time.Hour, a, b), c.serve, c.serve
+			a, b := newFakeInstance(t), newFakeInstance(t)
+			a.lookupResponse, a.serve, b.serve = lookupResponseOf(time.Hour, a, b), c.serve, c.serve
 			key := ""
 			if c.key {
 				key = caller.NewKey()
@@ -186,12 +186,13 @@
 	}
 }
 
-// TestNotRunSpeaksOfTheOperation checks that an attempt that reaches nobody is
-// no proof about an operation whose earlier attempt ended unknown.
-func TestNotRunSpeaksOfTheOperation(t *testing.T) {
-	gone, e := newEntry(t), newEntry(t)
-	e.answer = answerOf(time.Hour, gone)
-	gone.Close()
+// TestUnreachableAfterUnknownAttempt checks that Do returns an *UnknownError if no instance can be
+// reached and an earlier attempt at the operation ended unknown. A *NotRunError would be wrong, since
+// the earlier attempt may have run.
+func TestUnreachableAfterUnknownAttempt(t *testing.T) {
+	down, e := newFakeInstance(t), newFakeInstance(t)
+	e.lookupResponse = lookupResponseOf(time.Hour, down)
+	down.Close()
 	c := newClient(t, e)
 	req := caller.Request{Service: "s", Method: http.MethodPost, Path: "/x", Key: caller.NewKey()}
 	_, err := c.Do(context.Background(), req)
@@ -199,14 +200,14 @@
 	require.ErrorAs(t, err, &notRun)
 	req.EarlierUnknown, req.FirstAttempt = true, 10
 	_, err = c.Do(context.Background(), req)
-	var lost *caller.UnknownError
-	require.ErrorAs(t, err, &lost)
-	require.Positive(t, lost.RetryAfter)
+	var unknown *caller.UnknownError
+	require.ErrorAs(t, err, &unknown)
+	require.Positive(t, unknown.RetryAfter)
 }
 
-func TestBrokenAnswerIsAnError(t *testing.T) {
-	e := newEntry(t)
-	e.answer = answerOf(time.Hour, e)
+func TestTruncatedResponseIsError(t *testing.T) {
+	e := newFakeInstance(t)
+	e.lookupResponse = lookupResponseOf(time.Hour, e)
 	e.serve = func(w http.ResponseWriter, r *http.Request) {
 		ran(w, r)
 		_ = http.NewResponseController(w).Flush()
@@ -227,7 +228,7 @@
 	_, err = c.Do(context.Background(), req)
 	var notRun *caller.NotRunError
 	if errors.As(err, &notRun) {
-		fmt.Println("not run, come back after", notRun.RetryAfter)
+		fmt.Println("not run, retry after", notRun.RetryAfter)
 	}
-	// Output: not run, come back after 1s
+	// Output: not run, retry after 1s
 }
--- a/catalog/account_test.go
+++ b/catalog/account_test.go
@@ -13,8 +13,9 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// TestKeyIsNeverShown checks every way in which a value gets into a text.
-func TestKeyIsNeverShown(t *testing.T) {
+// TestKeyIsRedacted checks that no formatting verb, JSON encoding or log handler outputs the
+// secret of a key.
+func TestKeyIsRedacted(t *testing.T) {
 	const secret = "s3cret"
 	key := catalog.NewKey(secret)
 	account := catalog.Account{Name: "ada", Keys: []catalog.Key{key}}
@@ -31,7 +32,7 @@
 	require.NotContains(t, shown.String(), fmt.Sprintf("%x", secret))
 }
 
-func TestSharedKeyIsNotValid(t *testing.T) {
+func TestSharedKeyIsRejected(t *testing.T) {
 	a, b := catalog.NewKey("a"), catalog.NewKey("b")
 	account := func(name string, keys ...catalog.Key) catalog.Account { return catalog.Account{Name: name, Keys: keys} }
 	_, err := catalog.NewRouter(&catalog.Config{Accounts: []catalog.Account{account("x", a, b), account("y", b), account("z", a)}})
@@ -45,7 +46,7 @@
 	require.Nil(t, router.Account(catalog.Key{}))
 }
 
-func TestHomes(t *testing.T) {
+func TestHomeRegions(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		route, account []string
@@ -59,17 +60,17 @@
 		{"nothing in common", []string{"a"}, []string{"b"}, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, ok := catalog.Homes(&catalog.Route{Regions: c.route}, &catalog.Account{Regions: c.account})
+			got, ok := catalog.HomeRegions(&catalog.Route{Regions: c.route}, &catalog.Account{Regions: c.account})
 			require.Equal(t, c.want, got)
 			require.Equal(t, c.ok, ok)
 		})
 	}
-	got, ok := catalog.Homes(&catalog.Route{Regions: []string{"a"}}, nil)
+	got, ok := catalog.HomeRegions(&catalog.Route{Regions: []string{"a"}}, nil)
 	require.True(t, ok)
 	require.Equal(t, []string{"a"}, got)
 }
 
-func TestPriorityOfAccountGoesFirst(t *testing.T) {
+func TestAccountPriorityOverridesRoute(t *testing.T) {
 	zero := 0
 	route := &catalog.Route{Priority: 2}
 	require.Equal(t, 2, catalog.PriorityOf(route, nil))
@@ -77,7 +78,7 @@
 	require.Equal(t, 0, catalog.PriorityOf(route, &catalog.Account{Priority: &zero}))
 }
 
-func TestHomeShares(t *testing.T) {
+func TestHomeRegionShares(t *testing.T) {
 	account := func(rate float64, regions ...string) catalog.Account {
 		return catalog.Account{Rate: rate, Regions: regions}
 	}
@@ -92,12 +93,13 @@
 		{"some", []catalog.Account{account(70), account(10, "a"), account(20, "a", "b"), account(0, "c")}, map[string]float64{"a": 0.2, "b": 0.1, "c": 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, (&catalog.Config{Accounts: c.accounts}).HomeShares())
+			require.Equal(t, c.want, (&catalog.Config{Accounts: c.accounts}).HomeRegionShares())
 		})
 	}
 }
 
-// BenchmarkAccount measures the look-up by key and the memory of an account with two keys.
+// BenchmarkAccount measures the time of Router.Account and the memory of an account with two
+// keys.
 func BenchmarkAccount(b *testing.B) {
 	for _, n := range []int{79, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
--- a/catalog/catalog_test.go
+++ b/catalog/router_test.go
@@ -11,9 +11,9 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// findNaive is the definition: of the host's routes, the longest prefix that
-// begins the path.
-func findNaive(config *catalog.Config, host, path string) string {
+// findByDefinition is the reference implementation of Router.Find. It searches all routes
+// of the host for the longest prefix of the path.
+func findByDefinition(config *catalog.Config, host, path string) string {
 	name, longest := "", -1
 	for _, r := range config.Routes {
 		if r.Host == host && strings.HasPrefix(path, r.Prefix) && len(r.Prefix) > longest {
@@ -50,12 +50,12 @@
 		if r := router.Find(host+":8080", path); r != nil {
 			got = r.Name
 		}
-		require.Equal(t, findNaive(config, host, path), got)
+		require.Equal(t, findByDefinition(config, host, path), got)
 	})
 }
 
-func TestPartsFollowWeights(t *testing.T) {
-	route := &catalog.Route{Parts: []catalog.Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
+func TestServicesFollowWeights(t *testing.T) {
+	route := &catalog.Route{Services: []catalog.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	counts := map[string]int{}
 	for i := range 20000 {
 		counts[route.ServiceFor(fmt.Sprintf("%016x", i*7919))]++
--- a/claim/key.go
+++ b/claim/key.go
@@ -8,42 +8,46 @@
 	"time"
 )
 
-// TimeForm is the form of the time that a key starts with, in UTC.
-const TimeForm = "20060102T150405Z"
+// TimeLayout is the layout of the UTC time at the start of a key.
+const TimeLayout = "20060102T150405Z"
 
-// Bounds on a key.
+// Bounds on keys and shards.
 const (
 	MaxKeyBytes = 128
-	// MaxAge is the oldest key that is taken.
+	// MaxAge is the age up to which a key is accepted.
 	MaxAge = 5 * time.Hour
-	// MaxAhead bounds the error of a caller's clock.
-	MaxAhead = 5 * time.Minute
-	// Keep is how long a shard is kept after its slice has ended. It is over
-	// MaxAge by a margin for the errors of clocks.
-	Keep = MaxAge + time.Hour
+	// MaxClockSkew is the largest time by which a key may lie in the future. It allows for
+	// errors of the caller's clock.
+	MaxClockSkew = 5 * time.Minute
+	// Retention is the time for which a shard is stored after the end of its time slice. It
+	// exceeds MaxAge by a margin for clock errors.
+	Retention = MaxAge + time.Hour
 )
 
-// Slice is the length of time whose keys share a set of shards.
-const Slice = 30 * time.Second
+// TimeSlice is the length of a time slice. All keys created within a time slice share its
+// shards.
+const TimeSlice = 30 * time.Second
 
-// Shards is the number of shards of a slice. Few shards make large groups, and
-// each is written by one instance as long as all agree which one: see Writer.
-const Shards = 4
+// ShardsPerSlice is the number of shards of a time slice. A small number makes the batches
+// large. Each shard is written by one instance, as long as all instances agree on it; see
+// WriterFor.
+const ShardsPerSlice = 4
 
-// Prefix is the prefix of the shards' object keys.
-const Prefix = "claims/"
+// ObjectPrefix is the prefix of the shards' object keys in the store.
+const ObjectPrefix = "claims/"
 
-// ErrBadKey means that a key has not the form that this package takes, or is
-// too old or too new.
+// ErrBadKey is returned for a key that is malformed, older than MaxAge, or further in the
+// future than MaxClockSkew.
 var ErrBadKey = errors.New("claim: bad operation key")
 
-// NewKey returns the key of an operation made at a time; random should have
+// NewKey returns the key of an operation created at the time now. The string random should hold
 // at least 64 random bits.
 func NewKey(now time.Time, random string) string {
-	return now.UTC().Format(TimeForm) + "-" + random
+	return now.UTC().Format(TimeLayout) + "-" + random
 }
 
-// ParseKey checks a key and returns the time it was made.
+// ParseKey checks a key and returns the time at which it was created. The error wraps
+// ErrBadKey.
 func ParseKey(key string, now time.Time) (time.Time, error) {
 	stamp, random, ok := strings.Cut(key, "-")
 	if !ok || random == "" || len(key) > MaxKeyBytes {
@@ -54,56 +58,58 @@
 			return time.Time{}, fmt.Errorf("%w: want printable ASCII", ErrBadKey)
 		}
 	}
-	made, err := time.Parse(TimeForm, stamp)
+	createdAt, err := time.Parse(TimeLayout, stamp)
 	if err != nil {
 		return time.Time{}, fmt.Errorf("%w: %w", ErrBadKey, err)
 	}
-	if now.Sub(made) > MaxAge {
-		return time.Time{}, fmt.Errorf("%w: made %s ago, at most %s", ErrBadKey, now.Sub(made).Round(time.Second), MaxAge)
+	if now.Sub(createdAt) > MaxAge {
+		return time.Time{}, fmt.Errorf("%w: made %s ago, at most %s", ErrBadKey, now.Sub(createdAt).Round(time.Second), MaxAge)
 	}
-	if made.Sub(now) > MaxAhead {
-		return time.Time{}, fmt.Errorf("%w: made %s ahead", ErrBadKey, made.Sub(now).Round(time.Second))
+	if createdAt.Sub(now) > MaxClockSkew {
+		return time.Time{}, fmt.Errorf("%w: made %s ahead", ErrBadKey, createdAt.Sub(now).Round(time.Second))
 	}
-	return made, nil
+	return createdAt, nil
 }
 
-// ShardID names the record that an operation's claim belongs to.
+// ShardID identifies the shard that holds the claim of an operation.
 type ShardID struct {
-	Slice  string `msgpack:"s"`
-	Number int    `msgpack:"n"`
+	TimeSlice string `msgpack:"s"`
+	Number    int    `msgpack:"n"`
 }
 
-// ShardOf returns the shard of an operation key made at a time. It depends on
-// nothing else, so every instance finds the same shard.
-func ShardOf(key string, made time.Time) ShardID {
+// ShardOf returns the shard of an operation key that was created at the time made. The result
+// depends only on the arguments, so every instance determines the same shard.
+func ShardOf(key string, createdAt time.Time) ShardID {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(key))
-	return ShardID{Slice: sliceOf(made), Number: int(h.Sum32() % Shards)}
+	return ShardID{TimeSlice: sliceOf(createdAt), Number: int(h.Sum32() % ShardsPerSlice)}
 }
 
-func sliceOf(t time.Time) string { return t.UTC().Truncate(Slice).Format(TimeForm) }
+func sliceOf(t time.Time) string { return t.UTC().Truncate(TimeSlice).Format(TimeLayout) }
 
-// ObjectKey returns the platform's key of the shard.
+// ObjectKey returns the key of the shard's object in the store.
 func (id ShardID) ObjectKey() string {
-	return fmt.Sprintf("%s%s/%02d", Prefix, id.Slice, id.Number)
+	return fmt.Sprintf("%s%s/%02d", ObjectPrefix, id.TimeSlice, id.Number)
 }
 
-// ExpiredSlices returns the prefixes of the shards' object keys of the slices
-// whose keys became too old within a time before now.
-func ExpiredSlices(now time.Time, within time.Duration) []string {
+// ExpiredSlicePrefixes returns the object key prefixes of the time slices whose retention ended
+// within the given time before now.
+func ExpiredSlicePrefixes(now time.Time, within time.Duration) []string {
 	var out []string
-	last := now.Add(-Keep - Slice)
-	for t := last.Add(-within); !t.After(last); t = t.Add(Slice) {
-		out = append(out, Prefix+sliceOf(t)+"/")
+	last := now.Add(-Retention - TimeSlice)
+	for t := last.Add(-within); !t.After(last); t = t.Add(TimeSlice) {
+		out = append(out, ObjectPrefix+sliceOf(t)+"/")
 	}
 	return out
 }
 
-// Writer returns the instance that should write the shards of a number, out of
-// those that are alive, by rendezvous hashing (Thaler and Ravishankar, 1998).
-// That all agree saves conflicts; correctness does not rest on it, since every
-// write is conditional. It returns "" when there is none.
-func Writer(number int, instances []string) string {
+// WriterFor returns the instance that writes the shards with the given number, chosen among the
+// given live instances by rendezvous hashing (Thaler and Ravishankar, 1998). It returns "" if
+// instances is empty.
+//
+// Agreement on the writer avoids write conflicts. Correctness does not depend on it, because
+// every write is conditional.
+func WriterFor(number int, instances []string) string {
 	best, bestHash := "", uint32(0)
 	for _, id := range instances {
 		h := fnv.New32a()
--- a/claim/queue.go
+++ b/claim/queue.go
@@ -2,72 +2,74 @@
 
 import "time"
 
-// Pace bounds the writes of one instance: Rate a second with bursts of Burst.
-type Pace struct {
+// TokenBucket limits the writes of one instance to Rate per second, with bursts of up to Burst
+// writes.
+type TokenBucket struct {
 	Rate  float64
 	Burst float64
 
-	level float64
-	last  time.Time
+	tokens    float64
+	updatedAt time.Time
 }
 
-// Allow takes one write if the pace permits it. If not, it returns how long to
-// wait.
-func (p *Pace) Allow(now time.Time) (bool, time.Duration) {
-	if p.last.IsZero() {
-		p.level = p.Burst
+// Allow takes one token if one is available. Otherwise it returns false and the time until the
+// next token is available.
+func (b *TokenBucket) Allow(now time.Time) (bool, time.Duration) {
+	if b.updatedAt.IsZero() {
+		b.tokens = b.Burst
 	} else {
-		p.level = min(p.Burst, p.level+now.Sub(p.last).Seconds()*p.Rate)
+		b.tokens = min(b.Burst, b.tokens+now.Sub(b.updatedAt).Seconds()*b.Rate)
 	}
-	p.last = now
-	if p.level >= 1 {
-		p.level--
+	b.updatedAt = now
+	if b.tokens >= 1 {
+		b.tokens--
 		return true, 0
 	}
-	if p.Rate <= 0 {
+	if b.Rate <= 0 {
 		return false, time.Second
 	}
-	return false, time.Duration((1 - p.level) / p.Rate * float64(time.Second))
+	return false, time.Duration((1 - b.tokens) / b.Rate * float64(time.Second))
 }
 
-// Queue groups operations by shard until they are written. The zero value is
-// ready. It is not safe for concurrent use.
+// Queue groups operations by shard until they are written. The zero value is an empty queue. A
+// Queue is not safe for concurrent use.
 type Queue struct {
-	shards map[ShardID]*pending
-	next   int64
+	shards       map[ShardID]*shardQueue
+	lastSequence int64
 }
 
-type pending struct {
-	// arrived numbers the oldest operation, so that shards are served in the
-	// order of their oldest claim.
-	arrived int64
-	urgent  bool
-	ops     []Op
-	writing bool
+type shardQueue struct {
+	// sequence determines the order in which shards are served: shards with a lower sequence
+	// have waited longer.
+	sequence int64
+	urgent   bool
+	ops      []Op
+	writing  bool
 }
 
-// MaxBatch bounds the operations of one write, so that the shard's growth by
-// one write stays far below the platform's value limit.
+// MaxBatch is the largest number of operations in one write. It keeps the growth of a shard by
+// one write far below the store's limit on the size of a value.
 const MaxBatch = 512
 
-// Add queues an operation of a shard. An operation that a caller waits for is
-// urgent; others wait for an urgent one or for a call of Next with all set.
+// Add queues an operation of a shard. An operation is urgent if a caller waits for its result.
+// Other operations are written together with an urgent operation, or when NextBatch is called
+// with all set.
 func (q *Queue) Add(shard ShardID, op Op, urgent bool) {
 	if q.shards == nil {
-		q.shards = make(map[ShardID]*pending)
+		q.shards = make(map[ShardID]*shardQueue)
 	}
 	p := q.shards[shard]
 	if p == nil {
-		q.next++
-		p = &pending{arrived: q.next}
+		q.lastSequence++
+		p = &shardQueue{sequence: q.lastSequence}
 		q.shards[shard] = p
 	}
 	p.ops = append(p.ops, op)
 	p.urgent = p.urgent || urgent
 }
 
-// Withdraw takes an operation that is not being written out of the queue. It
-// reports whether it was there.
+// Withdraw removes an operation from the queue, unless a batch with it is being written. It
+// reports whether the operation was removed.
 func (q *Queue) Withdraw(shard ShardID, op Op) bool {
 	p := q.shards[shard]
 	if p == nil {
@@ -82,8 +84,8 @@
 	return false
 }
 
-// Waiting tells whether Next would return a batch of a number.
-func (q *Queue) Waiting(number int, all bool) bool {
+// HasBatch reports whether NextBatch would return a batch for the same arguments.
+func (q *Queue) HasBatch(number int, all bool) bool {
 	for id, p := range q.shards {
 		if id.Number == number && p.ready(all) {
 			return true
@@ -92,21 +94,22 @@
 	return false
 }
 
-// Idle tells whether nothing is queued or being written.
+// Idle reports whether no operation is queued or being written.
 func (q *Queue) Idle() bool { return len(q.shards) == 0 }
 
-func (p *pending) ready(all bool) bool {
+func (p *shardQueue) ready(all bool) bool {
 	return !p.writing && len(p.ops) > 0 && (p.urgent || all)
 }
 
-// Next returns the operations to write next, of the shard that has waited
-// longest among those of a number. Unless all is set only shards with an urgent
-// operation count. The caller must call Written when the write has ended.
-func (q *Queue) Next(number int, all bool) (ShardID, []Op) {
+// NextBatch removes the next batch of operations from the queue and returns it with its shard.
+// Among the shards with the given number, it selects the one that has waited longest. Unless
+// all is set, only shards with an urgent operation are eligible. The caller must call BatchDone
+// when the write has ended.
+func (q *Queue) NextBatch(number int, all bool) (ShardID, []Op) {
 	var best ShardID
-	var oldest *pending
+	var oldest *shardQueue
 	for id, p := range q.shards {
-		if id.Number == number && p.ready(all) && (oldest == nil || p.arrived < oldest.arrived) {
+		if id.Number == number && p.ready(all) && (oldest == nil || p.sequence < oldest.sequence) {
 			best, oldest = id, p
 		}
 	}
@@ -121,8 +124,8 @@
 	return best, batch
 }
 
-// Written ends the write of a shard's batch.
-func (q *Queue) Written(shard ShardID) {
+// BatchDone marks the write of a shard's batch as ended.
+func (q *Queue) BatchDone(shard ShardID) {
 	p := q.shards[shard]
 	if p == nil {
 		return
@@ -132,6 +135,6 @@
 		delete(q.shards, shard)
 		return
 	}
-	q.next++
-	p.arrived = q.next
+	q.lastSequence++
+	p.sequence = q.lastSequence
 }
--- a/config/audit.go
+++ b/config/audit.go
@@ -13,32 +13,33 @@
 // AuditPrefix is the prefix of the audit pages' object keys.
 const AuditPrefix = "audit/"
 
-// pageSpan is the number of changes of one audit page. A change of the largest
-// table has about 0.7 MB, so large changes make pages of their own: see
-// pageKey.
-const pageSpan = 20
+// changesPerPage is the number of consecutive change numbers that share an audit page. A change
+// of a table of the maximum size has about 0.7 MB. Large changes therefore get pages of their own,
+// see pageKey.
+const changesPerPage = 20
 
-// page is one object of archived changes.
-type page struct {
+// auditPage is a stored object that holds archived changes.
+type auditPage struct {
 	Changes []Change `json:"changes"`
 }
 
-// pageKey returns the key of the page for a change. Changes over largeBytes
-// get a page of their own.
+// pageKey returns the object key of the audit page for a change whose encoding has size bytes. A
+// change larger than largeChangeBytes gets a page of its own.
 func pageKey(c Change, size int) string {
-	if size > largeBytes {
+	if size > largeChangeBytes {
 		return fmt.Sprintf("%s%010d-large", AuditPrefix, c.Number)
 	}
-	return fmt.Sprintf("%s%010d", AuditPrefix, c.Number/pageSpan*pageSpan)
+	return fmt.Sprintf("%s%010d", AuditPrefix, c.Number/changesPerPage*changesPerPage)
 }
 
-// largeBytes keeps a page of small changes below the platform's value limit.
-const largeBytes = 40 << 10
+// largeChangeBytes is the maximum size of a change on a shared page. It keeps these pages below the
+// platform's size limit of values.
+const largeChangeBytes = 40 << 10
 
-// archive copies changes to the audit pages. Copying one twice is harmless.
+// archive copies changes to the audit pages. It is idempotent.
 func archive(ctx context.Context, store Store, changes []Change) error {
 	for _, c := range changes {
-		err := archiveOne(ctx, store, c)
+		err := archiveChange(ctx, store, c)
 		if err != nil {
 			return fmt.Errorf("config: archive change %d: %w", c.Number, err)
 		}
@@ -46,24 +47,26 @@
 	return nil
 }
 
-func archiveOne(ctx context.Context, store Store, c Change) error {
+// archiveChange copies a change to its audit page, unless the page contains it already. It retries
+// after conflicts and uncertain writes, with at most maxAttempts attempts.
+func archiveChange(ctx context.Context, store Store, c Change) error {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
 	key := pageKey(c, len(raw))
-	for range maxTries {
+	for range maxAttempts {
 		obj, err := store.Get(ctx, key)
 		if errors.Is(err, objectstore.ErrNotFound) {
 			obj = objectstore.Object{}
 		} else if err != nil {
 			return err
 		}
-		p, err := decodePage(obj.Value)
+		p, err := decodeAuditPage(obj.Value)
 		if err != nil {
 			return err
 		}
-		if p.has(c.Number) {
+		if p.contains(c.Number) {
 			return nil
 		}
 		p.Changes = append(p.Changes, c)
@@ -79,8 +82,8 @@
 	return errors.New("too many conflicts")
 }
 
-func decodePage(raw []byte) (*page, error) {
-	p := &page{}
+func decodeAuditPage(raw []byte) (*auditPage, error) {
+	p := &auditPage{}
 	if len(raw) == 0 {
 		return p, nil
 	}
@@ -91,7 +94,8 @@
 	return p, nil
 }
 
-func (p *page) has(number int64) bool {
+// contains reports whether the page contains the change with the given number.
+func (p *auditPage) contains(number int64) bool {
 	for _, c := range p.Changes {
 		if c.Number == number {
 			return true
@@ -100,21 +104,21 @@
 	return false
 }
 
-// Lister is what reading the audit trail needs of the platform.
-type Lister interface {
+// AuditStore provides the operations of the platform's store that AuditTrail needs.
+type AuditStore interface {
 	Get(ctx context.Context, key string) (objectstore.Object, error)
 	List(ctx context.Context, prefix string) (objectstore.Listing, error)
 }
 
-// Trail returns all accepted changes, oldest first.
-func Trail(ctx context.Context, store Lister) ([]Change, error) {
+// AuditTrail returns all accepted changes, oldest first, from the audit pages and the document.
+func AuditTrail(ctx context.Context, store AuditStore) ([]Change, error) {
 	byNumber := make(map[int64]Change)
 	listing, err := store.List(ctx, AuditPrefix)
 	if err != nil {
 		return nil, err
 	}
 	for _, obj := range listing.Objects {
-		p, err := decodePage(obj.Value)
+		p, err := decodeAuditPage(obj.Value)
 		if err != nil {
 			return nil, err
 		}
--- a/config/document.go
+++ b/config/document.go
@@ -14,30 +14,30 @@
 
 // Document is the accepted configuration.
 type Document struct {
-	// Number is the number of the latest accepted change. It is the version
-	// that operators see.
+	// Number is the number of the latest accepted change, which operators see as the
+	// version of the configuration.
 	Number int64       `json:"number"`
 	Table  table.Table `json:"table"`
-	// Recent are the latest accepted changes, oldest first.
+	// Recent holds the latest accepted changes, oldest first.
 	Recent []Change `json:"recent"`
 }
 
-// Change is one accepted change, as kept in the audit trail.
+// Change is an accepted change, as stored in the audit trail.
 type Change struct {
-	Number int64     `json:"number"`
-	ID     string    `json:"id"`
-	Who    string    `json:"who"`
-	At     time.Time `json:"at"`
-	// What is the command that made the change.
-	What  string         `json:"what"`
-	Cells []table.Change `json:"cells"`
+	Number   int64     `json:"number"`
+	ID       string    `json:"id"`
+	Operator string    `json:"who"`
+	At       time.Time `json:"at"`
+	// Command is the operator's command that made the change.
+	Command string         `json:"what"`
+	Cells   []table.Change `json:"cells"`
 }
 
-// ErrTooOld means that a version lies before the changes that the document
-// still holds.
+// ErrTooOld means that a version is older than the changes in the document, so that its table
+// can't be reconstructed.
 var ErrTooOld = errors.New("config: version is too old to merge with")
 
-// Decode reads a document. An empty value is the empty document.
+// Decode decodes a document. An empty value is the empty document.
 func Decode(raw []byte) (*Document, error) {
 	doc := &Document{}
 	if len(raw) == 0 {
@@ -50,9 +50,9 @@
 	return doc, nil
 }
 
-// At returns the table as it was after change number, by undoing the later
-// changes.
-func (d *Document) At(number int64) (*table.Table, error) {
+// TableAt returns the table as of version number, by undoing the later changes. It returns
+// ErrTooOld if these are no longer all in the document.
+func (d *Document) TableAt(number int64) (*table.Table, error) {
 	if number < 0 || number > d.Number {
 		return nil, fmt.Errorf("config: no version %d: the latest is %d", number, d.Number)
 	}
@@ -66,8 +66,8 @@
 	return t, nil
 }
 
-// find returns the change called id.
-func (d *Document) find(id string) (Change, bool) {
+// changeByID returns the recent change with the given ID, and whether there is one.
+func (d *Document) changeByID(id string) (Change, bool) {
 	for _, c := range d.Recent {
 		if c.ID == id {
 			return c, true
@@ -76,12 +76,14 @@
 	return Change{}, false
 }
 
-// recentBytes bounds the changes kept in the document, as encoded. Every
-// instance gets them with every change, see docs/CAPACITY.md.
-const recentBytes = 32 << 10
+// maxRecentBytes is the maximum size of the encoded changes in the document, unless the latest
+// change alone is larger. The size is bounded because every instance receives these changes with
+// each new one, see docs/CAPACITY.md.
+const maxRecentBytes = 32 << 10
 
-// trim returns how many of the oldest changes have to leave the document.
-func trim(changes []Change) (int, error) {
+// countExcess returns how many of the oldest changes have to be removed from the document to keep
+// within maxRecentBytes. The latest change always stays.
+func countExcess(changes []Change) (int, error) {
 	total := 0
 	for i := len(changes) - 1; i >= 0; i-- {
 		raw, err := json.Marshal(changes[i])
@@ -89,7 +91,7 @@
 			return 0, fmt.Errorf("config: encode change: %w", err)
 		}
 		total += len(raw)
-		if total > recentBytes && i < len(changes)-1 {
+		if total > maxRecentBytes && i < len(changes)-1 {
 			return i + 1, nil
 		}
 	}
--- a/config/supersede.go
+++ b/config/supersede.go
@@ -2,81 +2,84 @@
 
 import "strings"
 
-// Supersedes tells whether the value that was held under a key holds all that a stored value does and
-// more: the stored one is an earlier state of it. It is false where either can't be read, where both
-// say the same, and where each holds a change that the other lacks.
+// Supersedes reports whether the stored value of an object is an earlier state of the value that an
+// instance held under its key: the held value contains all changes of the stored one, and more. The
+// store loses changes when it is restored from a backup. The result is false if a value can't be
+// decoded, if both contain the same changes, and if each contains a change that the other lacks.
 func Supersedes(key string, held, stored []byte) bool {
 	switch {
 	case key == Key:
 		return supersedesDocument(held, stored)
 	case strings.HasPrefix(key, AuditPrefix):
-		return supersedesPage(held, stored)
+		return supersedesAuditPage(held, stored)
 	default:
 		return false
 	}
 }
 
 func supersedesDocument(held, stored []byte) bool {
-	mine, err := Decode(held)
+	heldDoc, err := Decode(held)
 	if err != nil {
 		return false
 	}
-	theirs, err := Decode(stored)
-	if err != nil || theirs.Number >= mine.Number {
+	storedDoc, err := Decode(stored)
+	if err != nil || storedDoc.Number >= heldDoc.Number {
 		return false
 	}
-	if len(theirs.Recent) == 0 {
-		return theirs.Number == 0
+	if len(storedDoc.Recent) == 0 {
+		return storedDoc.Number == 0
 	}
-	_, known := mine.find(theirs.Recent[len(theirs.Recent)-1].ID)
+	_, known := heldDoc.changeByID(storedDoc.Recent[len(storedDoc.Recent)-1].ID)
 	return known
 }
 
-func supersedesPage(held, stored []byte) bool {
-	mine, err := decodePage(held)
+func supersedesAuditPage(held, stored []byte) bool {
+	heldPage, err := decodeAuditPage(held)
 	if err != nil {
 		return false
 	}
-	theirs, err := decodePage(stored)
-	if err != nil || len(theirs.Changes) >= len(mine.Changes) {
+	storedPage, err := decodeAuditPage(stored)
+	if err != nil || len(storedPage.Changes) >= len(heldPage.Changes) {
 		return false
 	}
-	for _, c := range theirs.Changes {
-		if !mine.has(c.Number) {
+	for _, c := range storedPage.Changes {
+		if !heldPage.contains(c.Number) {
 			return false
 		}
 	}
 	return true
 }
 
-// IsSame tells whether two values of the document are of the same latest change.
-func IsSame(a, b []byte) bool {
-	one, err := Decode(a)
+// SameLatestChange reports whether two encoded documents have the same latest change. The result is
+// false if one of them can't be decoded.
+func SameLatestChange(a, b []byte) bool {
+	docA, err := Decode(a)
 	if err != nil {
 		return false
 	}
-	other, err := Decode(b)
-	if err != nil || one.Number != other.Number || len(one.Recent) == 0 || len(other.Recent) == 0 {
+	docB, err := Decode(b)
+	if err != nil || docA.Number != docB.Number || len(docA.Recent) == 0 || len(docB.Recent) == 0 {
 		return false
 	}
-	return one.Recent[len(one.Recent)-1].ID == other.Recent[len(other.Recent)-1].ID
+	return docA.Recent[len(docA.Recent)-1].ID == docB.Recent[len(docB.Recent)-1].ID
 }
 
-// Lost returns the latest changes of the document that was held which a stored one lacks, the earliest
-// first. It returns none where either can't be read.
-func Lost(held, stored []byte) []Change {
-	mine, err := Decode(held)
+// LostChanges returns the recent changes of a held document that the stored document lacks, the
+// earliest first. Changes older than the recent changes of the stored document are left out. The
+// result is empty if one of the documents can't be decoded.
+func LostChanges(held, stored []byte) []Change {
+	heldDoc, err := Decode(held)
 	if err != nil {
 		return nil
 	}
-	theirs, err := Decode(stored)
+	storedDoc, err := Decode(stored)
 	if err != nil {
 		return nil
 	}
 	var out []Change
-	for _, c := range mine.Recent {
-		_, known := theirs.find(c.ID)
-		if !known && (len(theirs.Recent) == 0 || c.Number >= theirs.Recent[0].Number) {
+	for _, c := range heldDoc.Recent {
+		_, known := storedDoc.changeByID(c.ID)
+		if !known && (len(storedDoc.Recent) == 0 || c.Number >= storedDoc.Recent[0].Number) {
 			out = append(out, c)
 		}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -21,65 +21,68 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Fleet is what an entry needs to know of the configuration and of the other
-// instances. Its methods are called for every request.
+// Fleet provides the routing table in force and the state of the other instances. Its methods
+// are called for every request.
 type Fleet interface {
-	// Plan returns the table in force, or nil while there is none.
+	// Plan returns the compiled table in force, or nil if there is none yet.
 	Plan() *table.Plan
-	// Candidates returns the rows of a service from the own region with the
-	// states of their destinations.
+	// Candidates returns the rows of a service with the own region as origin, and the states of
+	// their destinations.
 	Candidates(service string) []route.Candidate
-	// HallOpen tells whether the own hall takes new work.
+	// HallOpen reports whether the own hall accepts new requests.
 	HallOpen() bool
-	// Hops returns the instances through which a region's targets can be
-	// reached, other than this one and those in avoid. Busy tells that some
-	// were left out because they have declined of late.
+	// Hops returns the instances through which the targets of a region can be reached, without
+	// this instance and those in avoid. The result busy reports whether instances were left out
+	// because they refused requests recently.
 	Hops(region, service string, avoid map[string]bool) (hops []Hop, busy bool)
-	// Sent records that a request was sent to an instance. Answered records
-	// that it ran, and Declined that it did not and when to ask again.
-	Sent(instance, service string)
-	Answered(service, region string, latency time.Duration)
-	Declined(instance, service string, wait time.Duration)
+	// RecordSent records that a request was sent to an instance. RecordAnswered records that a
+	// request ran, with its latency. RecordDeclined records that the instance refused a
+	// request, and the time to wait before the next one.
+	RecordSent(instance, service string)
+	RecordAnswered(service, region string, latency time.Duration)
+	RecordDeclined(instance, service string, wait time.Duration)
 }
 
-// Hop is an instance that could take a request.
+// Hop is an instance to which a request can be forwarded.
 type Hop struct {
 	route.Peer
 	Addr string
 	Hall string
 }
 
-// Caps admits requests to rows.
+// Caps enforces the caps of routing rows. If a request is not admitted, Admit returns the time
+// until a unit of the cap may be available.
 type Caps interface {
-	Take(row table.Row) (share.Admission, time.Duration)
+	Admit(row table.Row) (share.Admission, time.Duration)
 }
 
-// Claims records claims of once-only operations.
+// Claims records claims of operations that must run at most once.
 type Claims interface {
-	// Take claims a key for an attempt before ctx ends. When it returns an
-	// error no claim of the attempt is held, and none ever will be.
-	Take(ctx context.Context, attempt Attempt) (claim.Reply, error)
-	// Finish and Release record the end of the attempt, in the background.
-	Finish(attempt Attempt, status int)
-	Release(attempt Attempt)
+	// Acquire claims a key for an attempt. It returns when the reply is known or ctx has ended.
+	// If it returns an error, the attempt holds no claim and never will.
+	Acquire(ctx context.Context, attempt OperationAttempt) (claim.Reply, error)
+	// Finish and Release record the end of an attempt. They return at once, and the claim is
+	// updated in the background.
+	Finish(attempt OperationAttempt, status int)
+	Release(attempt OperationAttempt)
 }
 
-// Attempt is one attempt at a once-only operation.
-type Attempt struct {
-	Key  string
-	Made time.Time
-	// Owner names the attempt. It is unique.
+// OperationAttempt is an attempt at an operation that must run at most once.
+type OperationAttempt struct {
+	Key       string
+	CreatedAt time.Time
+	// Owner identifies the attempt. It is unique.
 	Owner string
-	// Number is the caller's number of the attempt.
+	// Number is the number that the caller gave the attempt.
 	Number int
 }
 
-// Observer takes in what became of each request.
+// Observer receives the outcome and the latency of each request.
 type Observer interface {
 	Observe(service string, outcome retry.Outcome, reason protocol.Reason, latency time.Duration)
 }
 
-// Config are the settings of an entry.
+// Config holds the settings of an Entry.
 type Config struct {
 	Instance string
 	Region   string
@@ -89,99 +92,103 @@
 	Hall     *Hall
 	Observer Observer
 	Log      *slog.Logger
-	// Draw returns a random order of rows and picks hops. It must be safe
-	// for concurrent use.
-	Draw Draw
-	// DefaultDeadline holds for requests that give none, and MaxDeadline for
-	// all. Stall ends a transfer that does not move.
+	// Chooser orders the rows and selects hops at random. It must be safe for concurrent use.
+	Chooser Chooser
+	// DefaultDeadline applies to requests without a deadline of their own. MaxDeadline bounds
+	// the deadline of every request. StallTimeout ends a transfer without progress.
 	DefaultDeadline time.Duration
 	MaxDeadline     time.Duration
-	Stall           time.Duration
+	StallTimeout    time.Duration
 }
 
-// Draw makes the random choices of a request.
-type Draw interface {
+// Chooser makes the random choices for a request: the order of the routing rows, the index of
+// the instance to forward to (negative if there is none), and the random variation of retry
+// times.
+type Chooser interface {
 	Order(candidates []route.Candidate) []table.Row
 	Pick(peers []route.Peer) int
 	Jitter(d time.Duration) time.Duration
 }
 
-// Settings that are not operators' business.
+// Constants that operators cannot set.
 const (
-	// localPatience is the wait in the own hall that is shorter than going
-	// elsewhere.
-	localPatience = 30 * time.Millisecond
-	// homeWait bounds the wait for a slot at home. A longer queue serves no
-	// more requests, each of them later.
-	homeWait = time.Second
-	// hopPatience is the wait in another hall, which saves the way back.
-	hopPatience = 100 * time.Millisecond
-	// answerPart and maxAnswerTime are the part of a deadline that is kept
-	// for the way back.
-	answerPart    = 20
-	maxAnswerTime = 100 * time.Millisecond
-	maxTries      = 4
-	// maxOpen bounds the requests under way at an instance.
-	maxOpen    = 8192
-	maxHops    = 2
-	fullStatus = http.StatusServiceUnavailable
+	// localQueueTimeout bounds the wait for a slot in the own hall before other instances and
+	// rows are tried. It is shorter than the time to reach another region.
+	localQueueTimeout = 30 * time.Millisecond
+	// homeQueueTimeout bounds the wait for a slot in the own hall after all rows have been
+	// tried. A longer wait would not increase the number of requests served, only their
+	// latency.
+	homeQueueTimeout = time.Second
+	// hopQueueTimeout bounds the wait for a slot of a forwarded request. A wait there is
+	// cheaper than a refusal, which would have to travel back.
+	hopQueueTimeout = 100 * time.Millisecond
+	// The part of the deadline that is reserved for returning the response is the deadline
+	// divided by returnTimeDivisor, but at most maxReturnTime.
+	returnTimeDivisor = 20
+	maxReturnTime     = 100 * time.Millisecond
+	maxAttempts       = 4
+	// maxInFlight bounds the requests in flight at an instance.
+	maxInFlight   = 8192
+	maxHops       = 2
+	statusRefused = http.StatusServiceUnavailable
 )
 
-// Entry serves requests of callers and of other instances.
+// Entry serves the requests of callers and those that other instances forward.
 type Entry struct {
-	config     Config
-	transports *Transports
-	callers    Stage
-	hops       Stage
+	config      Config
+	transports  *Transports
+	callerStage Stage
+	hopStage    Stage
 
-	// open counts the requests under way.
-	open atomic.Int64
+	// inFlight counts the requests in flight.
+	inFlight atomic.Int64
 
 	mu     sync.Mutex
 	budget retry.Budget
 }
 
-// New returns an entry. All fields of config must be set.
+// New returns an Entry. All fields of config must be set.
 func New(config Config) *Entry {
 	e := &Entry{config: config, transports: NewTransports()}
-	e.callers = pipe(e.region, e.log, e.deadline, e.classify, e.claim)
-	e.hops = pipe(e.ownHall, e.log, e.deadline, e.classifyHop)
+	e.callerStage = pipe(e.serveCaller, e.log, e.deadline, e.classify, e.claim)
+	e.hopStage = pipe(e.serveHop, e.log, e.deadline, e.classifyHop)
 	return e
 }
 
-// Close ends the entry's idle connections.
+// Close closes the idle connections to targets and other instances.
 func (e *Entry) Close() { e.transports.Close() }
 
-// CallerHandler serves requests of callers below protocol.CallPath.
-func (e *Entry) CallerHandler() http.Handler { return e.handler(e.callers, false) }
+// CallerHandler serves the requests of callers under protocol.CallPath.
+func (e *Entry) CallerHandler() http.Handler { return e.handler(e.callerStage, false) }
 
-// HopHandler serves requests that other instances pass on.
-func (e *Entry) HopHandler() http.Handler { return e.handler(e.hops, true) }
+// HopHandler serves the requests that other instances forward.
+func (e *Entry) HopHandler() http.Handler { return e.handler(e.hopStage, true) }
 
 func (e *Entry) handler(stage Stage, hop bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		ex := &Exchange{w: w, r: r, Hop: hop, Start: time.Now(), body: newBody(r)}
+		ex := &Exchange{w: w, r: r, FromHop: hop, Start: time.Now(), body: newBody(r)}
 		w.Header().Set(protocol.HeaderInstance, e.config.Instance)
-		defer e.open.Add(-1)
-		res := notRun(fullStatus, protocol.ReasonCapacity, "too many requests at this instance", e.jitter(time.Second))
-		if e.open.Add(1) <= maxOpen {
+		defer e.inFlight.Add(-1)
+		res := notRun(statusRefused, protocol.ReasonCapacity, "too many requests at this instance", e.jitter(time.Second))
+		if e.inFlight.Add(1) <= maxInFlight {
 			res = stage(ex)
 		}
-		res = ex.cautious(res)
+		res = ex.adjustForEarlier(res)
 		switch {
-		case res.Broken:
-			// The caller must not take a part for the whole.
+		case res.Incomplete:
+			// Closing the connection shows the caller that the response is incomplete.
 			panic(http.ErrAbortHandler)
-		case !res.Sent:
+		case !res.ResponseSent:
 			if hop && res.Outcome == retry.NotRun {
-				w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
+				w.Header().Set(protocol.HeaderNotRun, protocol.FlagSet)
 			}
-			ex.answer(res)
+			ex.writeRefusal(res)
 		}
 	})
 }
 
-// log names the request and writes its line of the log at the end.
+// log sets the request ID. When the request has ended, it reports the result to the observer and
+// logs it.
 func (e *Entry) log(next Stage) Stage {
 	return func(ex *Exchange) Result {
 		ex.ID = ex.r.Header.Get(protocol.HeaderRequestID)
@@ -190,27 +197,27 @@
 		}
 		ex.w.Header().Set(protocol.HeaderRequestID, ex.ID)
 		res := next(ex)
-		took := time.Since(ex.Start)
-		if !ex.Hop {
-			e.config.Observer.Observe(ex.Service.Name, res.Outcome, res.Reason, took)
+		latency := time.Since(ex.Start)
+		if !ex.FromHop {
+			e.config.Observer.Observe(ex.Service.Name, res.Outcome, res.Reason, latency)
 		}
 		level := slog.LevelDebug
-		if res.Broken || res.Outcome == retry.Unknown {
+		if res.Incomplete || res.Outcome == retry.Unknown {
 			level = slog.LevelWarn
 		}
 		e.config.Log.Log(ex.r.Context(), level, "request",
 			"request_id", ex.ID,
 			"service", ex.Service.Name,
-			"hop", ex.Hop,
-			"to", ex.rowTo,
+			"hop", ex.FromHop,
+			"to", ex.destination,
 			"target", ex.target,
 			"outcome", res.Outcome.String(),
 			"status", res.Status,
 			"reason", string(res.Reason),
 			"detail", res.Detail,
-			"tries", ex.tries,
-			"broken", res.Broken,
-			"ms", float64(took.Microseconds())/1000,
+			"tries", ex.attempts,
+			"broken", res.Incomplete,
+			"ms", float64(latency.Microseconds())/1000,
 		)
 		return res
 	}
@@ -236,33 +243,33 @@
 	return hex.EncodeToString(raw[:])
 }
 
-// deadline sets the time that the exchange has.
+// deadline sets the deadline of the exchange.
 func (e *Entry) deadline(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		left := protocol.Deadline(ex.r.Header)
-		if left == 0 {
-			left = e.config.DefaultDeadline
+		remaining := protocol.Deadline(ex.r.Header)
+		if remaining == 0 {
+			remaining = e.config.DefaultDeadline
 		}
-		left = min(left, e.config.MaxDeadline)
-		// The final answer has to be back in time too.
-		left -= min(left/answerPart, maxAnswerTime)
-		ex.Deadline = ex.Start.Add(left)
+		remaining = min(remaining, e.config.MaxDeadline)
+		// The deadline includes the time to return the response.
+		remaining -= min(remaining/returnTimeDivisor, maxReturnTime)
+		ex.Deadline = ex.Start.Add(remaining)
 		return next(ex)
 	}
 }
 
-// classify finds the service and checks the operation key.
+// classify determines the service of a request and checks its operation key.
 func (e *Entry) classify(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		ex.From = e.config.Region
+		ex.OriginRegion = e.config.Region
 		res, ok := e.findService(ex)
 		if !ok {
 			return res
 		}
-		if !ex.Service.Once {
+		if !ex.Service.NonIdempotent {
 			return next(ex)
 		}
-		ex.Key = ex.r.Header.Get(protocol.HeaderKey)
+		ex.Key = ex.r.Header.Get(protocol.HeaderIdempotencyKey)
 		if _, err := claim.ParseKey(ex.Key, time.Now()); err != nil {
 			return notRun(http.StatusBadRequest, protocol.ReasonBadRequest, err.Error(), 0)
 		}
@@ -270,10 +277,10 @@
 	}
 }
 
-// classifyHop finds the service of a request that another instance checked.
+// classifyHop determines the service of a request that another instance has already checked.
 func (e *Entry) classifyHop(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		ex.From = ex.r.Header.Get(protocol.HeaderFrom)
+		ex.OriginRegion = ex.r.Header.Get(protocol.HeaderOriginRegion)
 		res, ok := e.findService(ex)
 		if !ok {
 			return res
@@ -300,23 +307,24 @@
 	return Result{}, true
 }
 
-// claim holds the claim of a once-only operation while it runs.
+// claim acquires the claim of an operation that must run at most once, and records the end of
+// the attempt.
 func (e *Entry) claim(next Stage) Stage {
 	return func(ex *Exchange) Result {
-		if !ex.Service.Once {
+		if !ex.Service.NonIdempotent {
 			return next(ex)
 		}
-		attempt := attemptOf(ex)
+		attempt := newOperationAttempt(ex)
 		ctx, cancel := context.WithDeadline(ex.r.Context(), ex.Deadline)
-		reply, err := e.config.Claims.Take(ctx, attempt)
+		reply, err := e.config.Claims.Acquire(ctx, attempt)
 		cancel()
 		if err != nil {
-			return notRun(fullStatus, protocol.ReasonClaims, err.Error(), e.jitter(time.Second))
+			return notRun(statusRefused, protocol.ReasonClaimsUnavailable, err.Error(), e.jitter(time.Second))
 		}
-		if reply.Answer != claim.Granted {
-			return e.claimed(reply)
+		if reply.Result != claim.Granted {
+			return e.claimConflict(reply)
 		}
-		ex.granted = true
+		ex.claimHeld = true
 		res := next(ex)
 		switch res.Outcome {
 		case retry.Ran:
@@ -328,21 +336,22 @@
 	}
 }
 
-func attemptOf(ex *Exchange) Attempt {
+func newOperationAttempt(ex *Exchange) OperationAttempt {
 	made, _ := claim.ParseKey(ex.Key, ex.Start)
 	number, err := strconv.Atoi(ex.r.Header.Get(protocol.HeaderAttempt))
 	if err != nil || number < 1 {
 		number = 1
 	}
-	return Attempt{Key: ex.Key, Made: made, Owner: newID(), Number: number}
+	return OperationAttempt{Key: ex.Key, CreatedAt: made, Owner: newID(), Number: number}
 }
 
-// claimed is the result of an attempt that found the claim of another.
-func (e *Entry) claimed(reply claim.Reply) Result {
+// claimConflict returns the result of an attempt that did not get the claim, because of another
+// attempt at the same operation.
+func (e *Entry) claimConflict(reply claim.Reply) Result {
 	var res Result
-	switch reply.Answer {
+	switch reply.Result {
 	case claim.AlreadyDone:
-		res = unknown(protocol.ReasonDone, "an earlier attempt was answered", 0)
+		res = unknown(protocol.ReasonAlreadyDone, "an earlier attempt was answered", 0)
 		res.Outcome = retry.Ran
 		res.EarlierStatus = reply.Status
 	case claim.Superseded:
@@ -354,15 +363,15 @@
 	return res
 }
 
-func (e *Entry) jitter(d time.Duration) time.Duration { return e.config.Draw.Jitter(d) }
+func (e *Entry) jitter(d time.Duration) time.Duration { return e.config.Chooser.Jitter(d) }
 
-// mayRetry tells whether another attempt may follow, and takes it from the
-// budget.
+// mayRetry reports whether another attempt is allowed. If so, it takes the attempt from the
+// retry budget.
 func (e *Entry) mayRetry(ex *Exchange, outcome retry.Outcome) bool {
-	if ex.tries >= maxTries || !ex.body.replayable() || !time.Now().Before(ex.Deadline) {
+	if ex.attempts >= maxAttempts || !ex.body.replayable() || !time.Now().Before(ex.Deadline) {
 		return false
 	}
-	if !retry.May(outcome, !ex.Service.Once) || ex.r.Context().Err() != nil {
+	if !retry.Allowed(outcome, !ex.Service.NonIdempotent) || ex.r.Context().Err() != nil {
 		return false
 	}
 	e.mu.Lock()
@@ -370,21 +379,21 @@
 	return e.budget.Spend()
 }
 
-func (e *Entry) succeeded() {
+func (e *Entry) recordSuccess() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.budget.Success()
 }
 
-// soonest keeps the refusal whose time to come back is the nearest.
-func soonest(a, b Result) Result {
-	if rank(b) < rank(a) {
+// earliestRetry returns the refusal with the shorter time to wait before a retry.
+func earliestRetry(a, b Result) Result {
+	if retryRank(b) < retryRank(a) {
 		return b
 	}
 	return a
 }
 
-func rank(r Result) int64 {
+func retryRank(r Result) int64 {
 	if r.Status == 0 {
 		return math.MaxInt64
 	}
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -21,19 +21,19 @@
 	"github.com/rainford/rainford/table"
 )
 
-func exchange(t *testing.T, service table.Service, method string, data []byte) *Exchange {
+func newExchange(t *testing.T, service table.Service, method string, data []byte) *Exchange {
 	t.Helper()
 	r := httptest.NewRequest(method, "/v1/call/s/x", bytes.NewReader(data))
 	if len(data) == 0 {
 		r.Body = http.NoBody
 		r.ContentLength = 0
 	}
-	r.Header.Set(protocol.HeaderKey, "20260301T120000Z-1")
+	r.Header.Set(protocol.HeaderIdempotencyKey, "20260301T120000Z-1")
 	return &Exchange{w: httptest.NewRecorder(), r: r, Service: service, Deadline: time.Now().Add(10 * time.Second), body: newBody(r)}
 }
 
-// staleServer answers the first request of each connection and ends the
-// connection when a second one has come, after counting it as run.
+// staleServer responds to the first request of each connection. It counts the second request as
+// run and closes the connection without a response.
 func staleServer(t *testing.T) (addr string, runs *atomic.Int64) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,29 +69,29 @@
 	}
 }
 
-// TestTransportNeverRepeats sends once-only requests to a server that runs the
-// second request of a connection and ends it without an answer: net/http would
-// repeat such a request by itself.
-func TestTransportNeverRepeats(t *testing.T) {
+// TestTransportNeverRetries sends requests that must run at most once to a server that runs the
+// second request of a connection and then closes it without a response. On a reused connection,
+// net/http would send such a request again by itself, and it would run twice.
+func TestTransportNeverRetries(t *testing.T) {
 	addr, runs := staleServer(t)
 	tr := NewTransports()
 	defer tr.Close()
 	sent := int64(0)
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodPut} {
 		for range 3 {
-			ex := exchange(t, table.Service{Name: "s", Once: true}, method, nil)
+			ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, method, nil)
 			a := tr.send(ex, addr, "/x", func(http.Header) {}, time.Second)
 			sent++
 			require.NoError(t, a.err)
-			require.Equal(t, retry.Ran, retry.Judge(a.evidence))
+			require.Equal(t, retry.Ran, retry.Classify(a.evidence))
 			_, _ = io.Copy(io.Discard, a.resp.Body)
 			a.close()
-			require.Equal(t, sent, runs.Load(), "a request was repeated")
+			require.Equal(t, sent, runs.Load(), "a request was sent again")
 		}
 	}
 }
 
-// TestOutcomeOfAttempts checks the evidence that each failure leaves.
+// TestOutcomeOfAttempts checks the outcome that is derived from each kind of failure.
 func TestOutcomeOfAttempts(t *testing.T) {
 	answer := func(head func(http.ResponseWriter)) *httptest.Server {
 		return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,9 +106,9 @@
 		server *httptest.Server
 		want   retry.Outcome
 	}{
-		{"nobody listens", closed, retry.NotRun},
+		{"no listener", closed, retry.NotRun},
 		{"refused", answer(func(w http.ResponseWriter) {
-			w.Header().Set(protocol.HeaderNotRun, protocol.HeaderSet)
+			w.Header().Set(protocol.HeaderNotRun, protocol.FlagSet)
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}), retry.NotRun},
 		{"503 without the header", answer(func(w http.ResponseWriter) { w.WriteHeader(http.StatusServiceUnavailable) }), retry.Ran},
@@ -119,32 +119,32 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			defer c.server.Close()
-			ex := exchange(t, table.Service{Name: "s", Once: true}, http.MethodPost, []byte("rent"))
+			ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, []byte("rent"))
 			a := tr.send(ex, c.server.Listener.Addr().String(), "/x", func(http.Header) {}, 5*time.Second)
 			defer a.close()
-			require.Equal(t, c.want, retry.Judge(a.evidence))
+			require.Equal(t, c.want, retry.Classify(a.evidence))
 		})
 	}
 }
 
-// TestCautious checks that "not run" is said of an operation only when its claim
-// was held or no earlier attempt is in doubt.
-func TestCautious(t *testing.T) {
+// TestOutcomeAfterUnknownEarlierAttempt checks that an operation is reported as not run only if
+// this attempt held the claim or no earlier attempt has an unknown outcome.
+func TestOutcomeAfterUnknownEarlierAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name             string
 		earlier, granted bool
 		want             retry.Outcome
 	}{
 		{"first attempt", false, false, retry.NotRun},
-		{"earlier in doubt, no claim", true, false, retry.Unknown},
-		{"earlier in doubt, claim held", true, true, retry.NotRun},
+		{"earlier outcome unknown, no claim", true, false, retry.Unknown},
+		{"earlier outcome unknown, claim held", true, true, retry.NotRun},
 	} {
-		ex := exchange(t, table.Service{Name: "s", Once: true}, http.MethodPost, nil)
+		ex := newExchange(t, table.Service{Name: "s", NonIdempotent: true}, http.MethodPost, nil)
 		if c.earlier {
-			ex.r.Header.Set(protocol.HeaderEarlier, "unknown")
+			ex.r.Header.Set(protocol.HeaderEarlierOutcome, "unknown")
 		}
-		ex.granted = c.granted
-		require.Equal(t, c.want, ex.cautious(notRun(503, protocol.ReasonNotReady, "", 0)).Outcome, c.name)
+		ex.claimHeld = c.granted
+		require.Equal(t, c.want, ex.adjustForEarlier(notRun(503, protocol.ReasonNotReady, "", 0)).Outcome, c.name)
 	}
 }
 
@@ -163,12 +163,12 @@
 	require.Equal(t, "hello", first)
 	whole, err := read(small, 1000)
 	require.NoError(t, err)
-	require.Equal(t, "hello world", whole, "from the start again")
+	require.Equal(t, "hello world", whole, "second read from the start")
 	require.False(t, small.unread())
 
-	data := strings.Repeat("x", replayBytes+1)
+	data := strings.Repeat("x", maxReplayBytes+1)
 	large := newBody(httptest.NewRequest(http.MethodPost, "/", strings.NewReader(data)))
-	_, err = read(large, replayBytes/2)
+	_, err = read(large, maxReplayBytes/2)
 	require.NoError(t, err)
 	require.True(t, large.replayable())
 	whole, err = read(large, len(data))
@@ -176,19 +176,19 @@
 	require.Equal(t, data, whole)
 	require.False(t, large.replayable())
 	_, err = read(large, 1)
-	require.ErrorIs(t, err, errSpent)
+	require.ErrorIs(t, err, errNotReplayable)
 }
 
-// TestOldReaderGetsNothing checks that a reader left over from an attempt that
-// was given up takes nothing from the next one.
-func TestOldReaderGetsNothing(t *testing.T) {
+// TestSupersededReaderFails checks that the reader of an abandoned attempt cannot consume bytes
+// of the body that the next attempt needs.
+func TestSupersededReaderFails(t *testing.T) {
 	b := newBody(httptest.NewRequest(http.MethodPost, "/", strings.NewReader("hello")))
 	old, err := b.open(func() {})
 	require.NoError(t, err)
 	_, err = b.open(func() {})
 	require.NoError(t, err)
 	_, err = old.Read(make([]byte, 5))
-	require.ErrorIs(t, err, errSpent)
+	require.ErrorIs(t, err, errNotReplayable)
 }
 
 func TestCopyHeaderDropsConnectionHeaders(t *testing.T) {
@@ -198,8 +198,9 @@
 	require.Equal(t, http.Header{"X-Two": {"2"}}, dst)
 }
 
-// TestHallHandsEachGrantOnce has many requests wait and go away at random.
-func TestHallHandsEachGrantOnce(t *testing.T) {
+// TestHallDeliversEachGrantOnce runs many concurrent requests that wait for few slots and hold
+// them for different times. Afterwards no slot may be in use and no waiter may be left.
+func TestHallDeliversEachGrantOnce(t *testing.T) {
 	h := NewHall(balance.Config{Rand: rand.New(rand.NewPCG(1, 1)), NoSlowStart: true})
 	h.SetTargets(time.Now(), map[string][]balance.Spec{"s": {{ID: "a", Addr: "a", Slots: 3}}}, nil)
 	done := make(chan bool)
@@ -207,7 +208,7 @@
 		go func() {
 			r := httptest.NewRequest(http.MethodGet, "/", nil)
 			ctx := r.Context()
-			slot, _ := h.Acquire(ctx, "s", balance.Request{Deadline: time.Now().Add(time.Minute), Patience: time.Minute})
+			slot, _ := h.Acquire(ctx, "s", balance.Request{Deadline: time.Now().Add(time.Minute), QueueTimeout: time.Minute})
 			if slot != nil {
 				time.Sleep(time.Duration(i%5) * time.Millisecond)
 				slot.Release(balance.Answered, time.Millisecond)
--- a/entry/forward.go
+++ b/entry/forward.go
@@ -15,150 +15,150 @@
 	"github.com/rainford/rainford/retry"
 )
 
-// Transports are the connections to targets and to other instances.
+// Transports holds the HTTP transports to targets and other instances.
 type Transports struct {
-	// kept reuses connections. It serves requests that may be retried.
-	kept *http.Transport
-	// fresh opens a connection for each request, so that a once-only request
-	// never meets one that the other side has closed already: its outcome
-	// would be unknown without need. It also keeps net/http from repeating a
-	// request by itself, which it does on reused connections only.
-	fresh *http.Transport
+	// pooled reuses connections. It sends requests that may be retried.
+	pooled *http.Transport
+	// unpooled opens a connection for each request that must run at most once. On a reused
+	// connection, which the other side may already have closed, the outcome of such a request
+	// could be unknown without need. In addition, net/http sends a request again by itself only
+	// on reused connections.
+	unpooled *http.Transport
 }
 
 const (
 	dialTimeout = time.Second
-	// idleConnTimeout is below the time that a stopping instance lingers, so
-	// that no reused connection leads to an instance that has gone.
+	// idleConnTimeout is shorter than the time for which a stopping instance continues to
+	// serve, so that no reused connection leads to an instance that has stopped.
 	idleConnTimeout = 2 * time.Second
-	// expectTimeout is how long a large body waits for the other side to
-	// take the request.
-	expectTimeout     = 2 * time.Second
-	maxAnswerHead     = 64 << 10
-	maxConnsPerTarget = 130
-	copyBytes         = 32 << 10
+	// expectTimeout bounds the wait for the 100 Continue status before a large body is sent.
+	expectTimeout          = 2 * time.Second
+	maxResponseHeaderBytes = 64 << 10
+	maxConnsPerTarget      = 130
+	copyBufferBytes        = 32 << 10
 )
 
-// NewTransports returns transports with the project's settings.
+// NewTransports returns the transports with their time-outs and limits set.
 func NewTransports() *Transports {
 	base := http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		IdleConnTimeout:        idleConnTimeout,
 		ExpectContinueTimeout:  expectTimeout,
-		MaxResponseHeaderBytes: maxAnswerHead,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		MaxIdleConnsPerHost:    maxConnsPerTarget,
 		DisableCompression:     true,
 	}
 	kept := base.Clone()
 	fresh := base.Clone()
 	fresh.DisableKeepAlives = true
-	return &Transports{kept: kept, fresh: fresh}
+	return &Transports{pooled: kept, unpooled: fresh}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (t *Transports) Close() {
-	t.kept.CloseIdleConnections()
-	t.fresh.CloseIdleConnections()
+	t.pooled.CloseIdleConnections()
+	t.unpooled.CloseIdleConnections()
 }
 
-// attempt is one try to have a request answered by another process.
+// attempt is an attempt to get a response from a target or another instance.
 type attempt struct {
-	evidence retry.Evidence
-	resp     *http.Response
-	err      error
-	watch    *stallWatch
-	began    time.Time
-	// latency is the time to the head of the answer, or 0 for a large body:
-	// that takes as long as its sender does.
+	evidence  retry.Evidence
+	resp      *http.Response
+	err       error
+	watchdog  *stallWatchdog
+	startedAt time.Time
+	// latency is the time until the response headers arrived. It is 0 for a large body, whose
+	// transfer time depends on its sender.
 	latency time.Duration
 }
 
-// close ends the attempt.
+// close closes the response body and stops the watchdog.
 func (a *attempt) close() {
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
 	}
-	a.watch.stop()
+	a.watchdog.stop()
 }
 
-// unreachable tells whether no connection could be had.
+// unreachable reports whether no connection could be opened.
 func (a *attempt) unreachable() bool { return !a.evidence.Connected }
 
-// stallWatch cancels a context when nothing has moved for a while.
-type stallWatch struct {
-	cancel context.CancelFunc
-	timer  *time.Timer
-	limit  time.Duration
-	ended  atomic.Bool
+// stallWatchdog cancels a context when no bytes have been transferred for the time-out.
+type stallWatchdog struct {
+	cancel  context.CancelFunc
+	timer   *time.Timer
+	timeout time.Duration
+	stopped atomic.Bool
 }
 
-func newStallWatch(parent context.Context, limit time.Duration) (context.Context, *stallWatch) {
+func newStallWatchdog(parent context.Context, limit time.Duration) (context.Context, *stallWatchdog) {
 	ctx, cancel := context.WithCancel(parent)
-	w := &stallWatch{cancel: cancel, limit: limit}
+	w := &stallWatchdog{cancel: cancel, timeout: limit}
 	w.timer = time.AfterFunc(limit, cancel)
 	return ctx, w
 }
 
-// touch says that something has moved.
-func (w *stallWatch) touch() {
-	if !w.ended.Load() {
-		w.timer.Reset(w.limit)
+// reset restarts the time-out after a transfer of bytes.
+func (w *stallWatchdog) reset() {
+	if !w.stopped.Load() {
+		w.timer.Reset(w.timeout)
 	}
 }
 
-func (w *stallWatch) stop() {
-	w.ended.Store(true)
+func (w *stallWatchdog) stop() {
+	w.stopped.Store(true)
 	w.timer.Stop()
 	w.cancel()
 }
 
-// send sends the exchange's request to addr and returns with the head of the
-// answer, or without one.
-func (t *Transports) send(ex *Exchange, addr, path string, mark func(http.Header), stall time.Duration) *attempt {
-	ctx, watch := newStallWatch(ex.r.Context(), stall)
-	a := &attempt{watch: watch, began: time.Now()}
+// send sends the request of an exchange to addr. It returns when the response headers have
+// arrived or the attempt has failed.
+func (t *Transports) send(ex *Exchange, addr, path string, setHeaders func(http.Header), stallTimeout time.Duration) *attempt {
+	ctx, watchdog := newStallWatchdog(ex.r.Context(), stallTimeout)
+	a := &attempt{watchdog: watchdog, startedAt: time.Now()}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	if !ex.body.large() {
-		// A small request has its deadline; a large one goes on as long
-		// as it moves.
-		limit := time.AfterFunc(time.Until(ex.Deadline), watch.cancel)
-		defer limit.Stop()
+		// The deadline bounds a request with a small body. A large body may take longer, as
+		// long as its transfer makes progress.
+		deadlineTimer := time.AfterFunc(time.Until(ex.Deadline), watchdog.cancel)
+		defer deadlineTimer.Stop()
 	}
-	req, err := t.request(ctx, ex, addr, path, watch)
+	req, err := t.newRequest(ctx, ex, addr, path, watchdog)
 	if err != nil {
 		a.err = err
 		return a
 	}
-	mark(req.Header)
-	a.resp, a.err = t.of(ex).RoundTrip(req)
+	setHeaders(req.Header)
+	a.resp, a.err = t.transportFor(ex).RoundTrip(req)
 	if !ex.body.large() {
-		a.latency = time.Since(a.began)
+		a.latency = time.Since(a.startedAt)
 	}
 	a.evidence = evidenceOf(connected.Load(), a.resp)
 	return a
 }
 
-func (t *Transports) of(ex *Exchange) *http.Transport {
-	if ex.Service.Once {
-		return t.fresh
+func (t *Transports) transportFor(ex *Exchange) *http.Transport {
+	if ex.Service.NonIdempotent {
+		return t.unpooled
 	}
-	return t.kept
+	return t.pooled
 }
 
 func evidenceOf(connected bool, resp *http.Response) retry.Evidence {
 	e := retry.Evidence{Connected: connected, Answered: resp != nil}
 	if resp != nil {
-		e.Refusal = resp.Header.Get(protocol.HeaderNotRun) == protocol.HeaderSet
+		e.Refused = resp.Header.Get(protocol.HeaderNotRun) == protocol.FlagSet
 	}
 	return e
 }
 
-func (t *Transports) request(ctx context.Context, ex *Exchange, addr, path string, watch *stallWatch) (*http.Request, error) {
-	// The body hides its type, so that net/http has no GetBody.
-	src, err := ex.body.open(watch.touch)
+func (t *Transports) newRequest(ctx context.Context, ex *Exchange, addr, path string, watchdog *stallWatchdog) (*http.Request, error) {
+	// The type of src is unknown to net/http, so that it does not set GetBody and cannot send
+	// the body again.
+	src, err := ex.body.open(watchdog.reset)
 	if err != nil {
 		return nil, err
 	}
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	req.ContentLength = ex.body.length
-	if ex.body.length == 0 && !ex.Service.Once {
+	if ex.body.length == 0 && !ex.Service.NonIdempotent {
 		req.Body = http.NoBody
 	}
 	copyHeader(req.Header, ex.r.Header)
@@ -183,37 +183,37 @@
 	return req, nil
 }
 
-// copyHeader copies the headers that are not of the connection.
+// copyHeader copies the end-to-end headers, that is, without those of the connection.
 func copyHeader(dst, src http.Header) {
-	for name, values := range forward.EndToEnd(src) {
+	for name, values := range forward.EndToEndHeaders(src) {
 		dst[name] = append([]string(nil), values...)
 	}
 }
 
-// relay passes the answer on to the caller. It returns false when the answer
-// broke midway, whichever side broke it.
-func relay(ex *Exchange, a *attempt, mark func(http.Header)) bool {
+// relay copies the response to the caller. It returns false if the response broke off, on
+// either side.
+func relay(ex *Exchange, a *attempt, setHeaders func(http.Header)) bool {
 	h := ex.w.Header()
 	copyHeader(h, a.resp.Header)
 	if a.resp.ContentLength >= 0 {
 		h["Content-Length"] = a.resp.Header["Content-Length"]
 	}
-	mark(h)
+	setHeaders(h)
 	ex.w.WriteHeader(a.resp.StatusCode)
 	if ex.r.Method == http.MethodHead {
 		return true
 	}
 	control := http.NewResponseController(ex.w)
-	buf := make([]byte, copyBytes)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := a.resp.Body.Read(buf)
-		a.watch.touch()
+		a.watchdog.reset()
 		if n > 0 {
 			_, writeErr := ex.w.Write(buf[:n])
 			if writeErr != nil {
 				return false
 			}
-			a.watch.touch()
+			a.watchdog.reset()
 		}
 		if errors.Is(err, io.EOF) {
 			return true
--- a/entry/hall.go
+++ b/entry/hall.go
@@ -10,17 +10,17 @@
 	"github.com/rainford/rainford/member"
 )
 
-// Hall holds the pools of the own hall's targets, one for each service. It is
-// safe for concurrent use.
+// Hall holds the pools of the own hall's targets, one pool for each service. It is safe for
+// concurrent use.
 type Hall struct {
 	mu      sync.Mutex
 	config  balance.Config
 	pools   map[string]*balance.Pool
 	waiters map[uint64]chan balance.Decision
-	next    uint64
+	lastID  uint64
 }
 
-// NewHall returns a hall without targets. Config.Rand is used under the hall's
+// NewHall returns a Hall without targets. The Hall calls config.Rand only while it holds its
 // lock.
 func NewHall(config balance.Config) *Hall {
 	return &Hall{
@@ -30,9 +30,9 @@
 	}
 }
 
-// SetTargets replaces the targets of all services. Floors gives each service's
-// floor in percent.
-func (h *Hall) SetTargets(now time.Time, targets map[string][]balance.Spec, floors map[string]int) {
+// SetTargets replaces the targets of all services. The map reserves holds, by service, the
+// percentage of the slots reserved for requests of the own region.
+func (h *Hall) SetTargets(now time.Time, targets map[string][]balance.Spec, reserves map[string]int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for service := range targets {
@@ -41,22 +41,21 @@
 		}
 	}
 	for service, pool := range h.pools {
-		pool.SetFloor(floors[service])
+		pool.SetReserve(reserves[service])
 		h.deliver(pool.SetTargets(now, targets[service]))
 	}
 }
 
-// Slot is a target's slot taken for a request.
+// Slot is a slot of a target that a request holds.
 type Slot struct {
-	Target  balance.Spec
-	hall    *Hall
-	service string
-	taken   time.Time
+	Target     balance.Spec
+	hall       *Hall
+	service    string
+	acquiredAt time.Time
 }
 
-// Acquire takes a slot for a request of a service. It waits as long as the
-// request's patience allows. Without a slot it returns nil and the time after
-// which to come back.
+// Acquire takes a slot for a request of a service. It waits for at most req.QueueTimeout. If it
+// gets no slot, it returns nil and the time to wait before a retry.
 func (h *Hall) Acquire(ctx context.Context, service string, req balance.Request) (*Slot, time.Duration) {
 	h.mu.Lock()
 	pool := h.pools[service]
@@ -64,28 +63,28 @@
 		h.mu.Unlock()
 		return nil, time.Second
 	}
-	h.next++
-	req.ID = h.next
+	h.lastID++
+	req.ID = h.lastID
 	now := time.Now()
 	decision := pool.Acquire(now, req)
-	var wait chan balance.Decision
-	if decision.Verdict == balance.Wait {
-		wait = make(chan balance.Decision, 1)
-		h.waiters[req.ID] = wait
+	var decided chan balance.Decision
+	if decision.Action == balance.Wait {
+		decided = make(chan balance.Decision, 1)
+		h.waiters[req.ID] = decided
 	}
 	h.mu.Unlock()
-	if wait != nil {
-		decision = h.await(ctx, pool, req.ID, wait)
+	if decided != nil {
+		decision = h.await(ctx, pool, req.ID, decided)
 	}
-	if decision.Verdict != balance.Run {
+	if decision.Action != balance.Run {
 		return nil, decision.RetryAfter
 	}
-	return &Slot{Target: decision.Target, hall: h, service: service, taken: time.Now()}, 0
+	return &Slot{Target: decision.Target, hall: h, service: service, acquiredAt: time.Now()}, 0
 }
 
-func (h *Hall) await(ctx context.Context, pool *balance.Pool, id uint64, wait chan balance.Decision) balance.Decision {
+func (h *Hall) await(ctx context.Context, pool *balance.Pool, id uint64, decided chan balance.Decision) balance.Decision {
 	select {
-	case d := <-wait:
+	case d := <-decided:
 		return d
 	case <-ctx.Done():
 	}
@@ -93,13 +92,13 @@
 	defer h.mu.Unlock()
 	if pool.Cancel(id) {
 		delete(h.waiters, id)
-		return balance.Decision{Verdict: balance.Refuse, RetryAfter: time.Second}
+		return balance.Decision{Action: balance.Refuse, RetryAfter: time.Second}
 	}
-	// The grant came at the same moment.
-	return <-wait
+	// The slot was granted just before the request could be canceled.
+	return <-decided
 }
 
-// Release gives the slot back with the result of the request.
+// Release releases the slot with the result and the latency of the request.
 func (s *Slot) Release(result balance.Result, latency time.Duration) {
 	s.hall.mu.Lock()
 	defer s.hall.mu.Unlock()
@@ -107,14 +106,15 @@
 	s.hall.deliver(pool.Release(time.Now(), s.Target.ID, result, latency))
 }
 
-// Hear takes in what the slot's target said of itself.
-func (s *Slot) Hear(w availability.Word) {
+// ApplySelfReport applies a self-report of the slot's target.
+func (s *Slot) ApplySelfReport(w availability.SelfReport) {
 	s.hall.mu.Lock()
 	defer s.hall.mu.Unlock()
-	s.hall.pools[s.service].Hear(time.Now(), s.Target.ID, w)
+	s.hall.pools[s.service].ApplySelfReport(time.Now(), s.Target.ID, w)
 }
 
-// Tick gives up queued requests whose time is over.
+// Tick refuses queued requests that would miss their queue timeout or deadline, and grants free
+// slots to others.
 func (h *Hall) Tick(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,18 +123,18 @@
 	}
 }
 
-// deliver hands grants to those who wait for them.
+// deliver sends the grants to the requests that wait for them.
 func (h *Hall) deliver(grants []balance.Grant) {
 	for _, g := range grants {
-		wait := h.waiters[g.ID]
+		decided := h.waiters[g.ID]
 		delete(h.waiters, g.ID)
-		if wait != nil {
-			wait <- g.Decision
+		if decided != nil {
+			decided <- g.Decision
 		}
 	}
 }
 
-// Loads returns the state of all pools.
+// Loads returns the load of all pools, by service.
 func (h *Hall) Loads(now time.Time) []member.Load {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -146,7 +146,7 @@
 	return out
 }
 
-// InFlight returns the requests that hold a slot or wait for one.
+// InFlight returns the number of requests that hold a slot or wait for one.
 func (h *Hall) InFlight() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/entry/region.go
+++ b/entry/region.go
@@ -14,44 +14,44 @@
 	"github.com/rainford/rainford/table"
 )
 
-// region is the last stage for requests of callers: it tries the rows of the
-// table in the order drawn. When none takes the request at once it may wait for
-// a slot at home; else it is given up with the nearest time to come back.
-func (e *Entry) region(ex *Exchange) Result {
-	rows := e.config.Draw.Order(e.config.Fleet.Candidates(ex.Service.Name))
+// serveCaller is the last stage for requests of callers. It tries the candidate rows in random
+// order. If no row accepts the request at once, the request waits for a slot in the own hall,
+// if a row leads there. Otherwise it is refused with the shortest retry time of all refusals.
+func (e *Entry) serveCaller(ex *Exchange) Result {
+	rows := e.config.Chooser.Order(e.config.Fleet.Candidates(ex.Service.Name))
 	best := Result{}
 	for _, row := range rows {
-		res, again := e.row(ex, row)
-		if !again {
+		res, tryNext := e.tryRow(ex, row)
+		if !tryNext {
 			return res
 		}
-		best = soonest(best, res)
+		best = earliestRetry(best, res)
 	}
 	for _, row := range rows {
 		if row.To != e.config.Region || !e.config.Fleet.HallOpen() {
 			continue
 		}
-		ex.rowTo = row.To
-		res, again := e.local(ex, row, homeWait)
-		if !again {
+		ex.destination = row.To
+		res, tryNext := e.tryLocal(ex, row, homeQueueTimeout)
+		if !tryNext {
 			return res
 		}
-		best = soonest(best, res)
+		best = earliestRetry(best, res)
 	}
 	if best.Status == 0 {
-		return notRun(fullStatus, protocol.ReasonUnreachable, "no region takes the service now", e.jitter(time.Second))
+		return notRun(statusRefused, protocol.ReasonUnreachable, "no region takes the service now", e.jitter(time.Second))
 	}
 	return best
 }
 
-// row tries to have the request served on one row. Again is true when it
-// certainly did not run and another row may be tried.
-func (e *Entry) row(ex *Exchange, row table.Row) (res Result, again bool) {
-	ex.rowTo = row.To
+// tryRow tries to serve the request through one row. The result tryNext is true if another row
+// may be tried.
+func (e *Entry) tryRow(ex *Exchange, row table.Row) (res Result, tryNext bool) {
+	ex.destination = row.To
 	best := Result{}
 	if row.To == e.config.Region && e.config.Fleet.HallOpen() {
-		res, again = e.local(ex, row, localPatience)
-		if !again {
+		res, tryNext = e.tryLocal(ex, row, localQueueTimeout)
+		if !tryNext {
 			return res, false
 		}
 		best = res
@@ -59,16 +59,17 @@
 	if best.Reason == protocol.ReasonCap {
 		return best, true
 	}
-	res, again = e.remote(ex, row)
-	if !again {
+	res, tryNext = e.tryRemote(ex, row)
+	if !tryNext {
 		return res, false
 	}
-	return soonest(best, res), true
+	return earliestRetry(best, res), true
 }
 
-// local serves the request at a target of the own hall.
-func (e *Entry) local(ex *Exchange, row table.Row, patience time.Duration) (Result, bool) {
-	slot, refused := e.slot(ex, patience, "")
+// tryLocal tries to serve the request at a target of the own hall. The second result is true if
+// the request may be tried elsewhere.
+func (e *Entry) tryLocal(ex *Exchange, row table.Row, queueTimeout time.Duration) (Result, bool) {
+	slot, refused := e.acquireSlot(ex, queueTimeout, "")
 	if slot == nil {
 		return refused, true
 	}
@@ -76,26 +77,26 @@
 		slot.Release(balance.Abandoned, 0)
 		return res, true
 	}
-	return e.toTarget(ex, slot)
+	return e.tryTargets(ex, slot)
 }
 
-// admit asks for a unit of the row's cap.
+// admit takes a unit of the row's cap. It returns false and a refusal if none is available.
 func (e *Entry) admit(row table.Row) (Result, bool) {
-	admission, wait := e.config.Caps.Take(row)
+	admission, wait := e.config.Caps.Admit(row)
 	if admission == share.Admitted {
 		return Result{}, true
 	}
 	detail := "the cap of " + row.Key().String() + " is used up"
-	if admission == share.Ramping {
+	if admission == share.RampLimited {
 		detail = "the shift on " + row.Key().String() + " is still ramping"
 	}
-	return notRun(fullStatus, protocol.ReasonCap, detail, e.jitter(max(wait, 50*time.Millisecond))), false
+	return notRun(statusRefused, protocol.ReasonCap, detail, e.jitter(max(wait, 50*time.Millisecond))), false
 }
 
-// remote serves the request through an instance that is near the row's
-// targets.
-func (e *Entry) remote(ex *Exchange, row table.Row) (Result, bool) {
-	best := notRun(fullStatus, protocol.ReasonUnreachable, "no instance in "+row.To+" takes the service now", e.jitter(time.Second))
+// tryRemote tries to serve the request through another instance in the row's destination
+// region. The second result is true if the request may be tried elsewhere.
+func (e *Entry) tryRemote(ex *Exchange, row table.Row) (Result, bool) {
+	best := notRun(statusRefused, protocol.ReasonUnreachable, "no instance in "+row.To+" takes the service now", e.jitter(time.Second))
 	tried := make(map[string]bool)
 	admitted := false
 	for range maxHops {
@@ -104,27 +105,27 @@
 		for i := range hops {
 			peers[i] = hops[i].Peer
 		}
-		i := e.config.Draw.Pick(peers)
+		i := e.config.Chooser.Pick(peers)
 		if i < 0 && busy {
-			return notRun(fullStatus, protocol.ReasonCapacity, "every instance in "+row.To+" is busy", e.jitter(200*time.Millisecond)), true
+			return notRun(statusRefused, protocol.ReasonCapacity, "every instance in "+row.To+" is busy", e.jitter(200*time.Millisecond)), true
 		}
 		if i < 0 {
 			break
 		}
 		if !admitted {
-			// One request takes one unit, however many instances it is
-			// offered to.
+			// A request takes one unit, regardless of the number of instances to which it is
+			// sent.
 			if res, ok := e.admit(row); !ok {
 				return res, true
 			}
 			admitted = true
 		}
 		tried[hops[i].ID] = true
-		res, again := e.toHop(ex, row, hops[i])
-		if !again {
+		res, tryNext := e.tryHop(ex, row, hops[i])
+		if !tryNext {
 			return res, false
 		}
-		best = soonest(Result{}, res)
+		best = earliestRetry(Result{}, res)
 		if !e.mayRetry(ex, res.Outcome) {
 			return res, res.Outcome == retry.NotRun && ex.body.replayable()
 		}
@@ -132,78 +133,79 @@
 	return best, true
 }
 
-// toHop sends the request to another instance. Again is true when the request
-// may be tried elsewhere.
-func (e *Entry) toHop(ex *Exchange, row table.Row, hop Hop) (Result, bool) {
-	ex.tries++
-	e.config.Fleet.Sent(hop.ID, ex.Service.Name)
+// tryHop sends the request to another instance. The second result is true if the request may be
+// tried elsewhere.
+func (e *Entry) tryHop(ex *Exchange, row table.Row, hop Hop) (Result, bool) {
+	ex.attempts++
+	e.config.Fleet.RecordSent(hop.ID, ex.Service.Name)
 	a := e.transports.send(ex, hop.Addr, ex.r.URL.EscapedPath(), func(h http.Header) {
-		h.Set(protocol.HeaderFrom, e.config.Region)
+		h.Set(protocol.HeaderOriginRegion, e.config.Region)
 		h.Set(protocol.HeaderConfig, strconv.FormatInt(ex.plan.Version, 10))
-	}, e.config.Stall)
+	}, e.config.StallTimeout)
 	defer a.close()
-	outcome := retry.Judge(a.evidence)
+	outcome := retry.Classify(a.evidence)
 	if outcome == retry.Ran {
-		// The other instance may say itself that it does not know.
-		outcome = retry.Parse(a.resp.Header.Get(protocol.HeaderOutcome))
+		// The response of the other instance may itself state that the outcome is unknown.
+		outcome = retry.ParseOutcome(a.resp.Header.Get(protocol.HeaderOutcome))
 	}
 	switch outcome {
 	case retry.Ran:
 		if a.latency > 0 {
-			e.config.Fleet.Answered(ex.Service.Name, row.To, a.latency)
+			e.config.Fleet.RecordAnswered(ex.Service.Name, row.To, a.latency)
 		}
 		ex.target = a.resp.Header.Get(protocol.HeaderTarget)
-		return e.pass(ex, a, func(http.Header) {}), false
+		return e.relayResponse(ex, a, func(http.Header) {}), false
 	case retry.NotRun:
-		res := e.declined(a, "instance "+hop.ID+" in "+row.To)
-		e.config.Fleet.Declined(hop.ID, ex.Service.Name, res.RetryAfter)
+		res := e.refusalResult(a, "instance "+hop.ID+" in "+row.To)
+		e.config.Fleet.RecordDeclined(hop.ID, ex.Service.Name, res.RetryAfter)
 		return res, true
 	default:
-		return e.lost(ex, a)
+		return e.unknownResult(ex, a)
 	}
 }
 
-// ownHall is the last stage for requests of other instances.
-func (e *Entry) ownHall(ex *Exchange) Result {
+// serveHop is the last stage for requests that other instances forward.
+func (e *Entry) serveHop(ex *Exchange) Result {
 	if !e.config.Fleet.HallOpen() {
-		return notRun(fullStatus, protocol.ReasonUnreachable, "hall is drained", e.jitter(time.Second))
+		return notRun(statusRefused, protocol.ReasonUnreachable, "hall is drained", e.jitter(time.Second))
 	}
-	ex.rowTo = e.config.Region
-	slot, refused := e.slot(ex, hopPatience, "")
+	ex.destination = e.config.Region
+	slot, refused := e.acquireSlot(ex, hopQueueTimeout, "")
 	if slot == nil {
 		return refused
 	}
-	res, _ := e.toTarget(ex, slot)
+	res, _ := e.tryTargets(ex, slot)
 	return res
 }
 
-// slot takes a slot of a target of the own hall.
-func (e *Entry) slot(ex *Exchange, patience time.Duration, avoid string) (*Slot, Result) {
+// acquireSlot acquires a slot of a target in the own hall. It returns nil and a refusal if no
+// slot becomes free in time.
+func (e *Entry) acquireSlot(ex *Exchange, queueTimeout time.Duration, tried string) (*Slot, Result) {
 	slot, wait := e.config.Hall.Acquire(ex.r.Context(), ex.Service.Name, balance.Request{
-		Deadline: ex.Deadline,
-		Patience: patience,
-		Shifted:  ex.From != e.config.Region,
-		Avoid:    avoid,
+		Deadline:        ex.Deadline,
+		QueueTimeout:    queueTimeout,
+		FromOtherRegion: ex.OriginRegion != e.config.Region,
+		Tried:           tried,
 	})
 	if slot == nil {
-		return nil, notRun(fullStatus, protocol.ReasonCapacity, "every target in reach is busy", wait)
+		return nil, notRun(statusRefused, protocol.ReasonCapacity, "every target in reach is busy", wait)
 	}
 	return slot, Result{}
 }
 
-// toTarget sends the request to the slot's target, and to others of the hall
-// while it is refused. Again is true when it certainly did not run and its
-// body can be sent again.
-func (e *Entry) toTarget(ex *Exchange, slot *Slot) (Result, bool) {
+// tryTargets sends the request to the slot's target and, as long as retries are allowed, to
+// other targets of the hall. The second result is true if the request may be tried elsewhere,
+// because its last attempt certainly did not run and its body can be sent again.
+func (e *Entry) tryTargets(ex *Exchange, slot *Slot) (Result, bool) {
 	for {
-		res, again := e.tryTarget(ex, slot)
-		if !again {
+		res, tryNext := e.tryTarget(ex, slot)
+		if !tryNext {
 			return res, false
 		}
 		if !e.mayRetry(ex, res.Outcome) {
 			return res, res.Outcome == retry.NotRun && ex.body.replayable()
 		}
-		next, refused := e.slot(ex, localPatience, slot.Target.ID)
+		next, refused := e.acquireSlot(ex, localQueueTimeout, slot.Target.ID)
 		if next == nil {
 			if res.Outcome == retry.Unknown {
 				return res, false
@@ -215,15 +217,15 @@
 }
 
 func (e *Entry) tryTarget(ex *Exchange, slot *Slot) (Result, bool) {
-	ex.tries++
+	ex.attempts++
 	ex.target = slot.Target.ID
-	a := e.transports.send(ex, slot.Target.Addr, ex.Path, stripOwn, e.config.Stall)
+	a := e.transports.send(ex, slot.Target.Addr, ex.Path, stripInstanceHeaders, e.config.StallTimeout)
 	defer a.close()
-	outcome := retry.Judge(a.evidence)
-	slot.Hear(a.word(outcome))
+	outcome := retry.Classify(a.evidence)
+	slot.ApplySelfReport(a.selfReport(outcome))
 	switch outcome {
 	case retry.Ran:
-		res := e.pass(ex, a, func(h http.Header) {
+		res := e.relayResponse(ex, a, func(h http.Header) {
 			h.Set(protocol.HeaderOutcome, retry.Ran.String())
 			h.Set(protocol.HeaderRegion, e.config.Region)
 			h.Set(protocol.HeaderTarget, slot.Target.ID)
@@ -238,78 +240,79 @@
 		} else {
 			slot.Release(balance.Refused, a.latency)
 		}
-		return e.declined(a, "target "+slot.Target.ID), true
+		return e.refusalResult(a, "target "+slot.Target.ID), true
 	default:
 		e.releaseBroken(ex, slot)
-		return e.lost(ex, a)
+		return e.unknownResult(ex, a)
 	}
 }
 
-// word returns what a target said of itself in its answer. The time after which to come back
-// counts for the target only in a refusal: else it is for the caller.
-func (a *attempt) word(outcome retry.Outcome) availability.Word {
+// selfReport returns the self-report in a target's response. A retry time in a refusal applies
+// to the target. In any other response it is meant for the caller.
+func (a *attempt) selfReport(outcome retry.Outcome) availability.SelfReport {
 	if a.resp == nil {
-		return availability.Word{}
+		return availability.SelfReport{}
 	}
-	word := availability.Word{Leaves: a.resp.Header.Get(protocol.HeaderDraining) == protocol.HeaderSet}
+	word := availability.SelfReport{Leaving: a.resp.Header.Get(protocol.HeaderDraining) == protocol.FlagSet}
 	if outcome == retry.NotRun {
-		word.Rest = protocol.RetryAfter(a.resp.Header)
+		word.Backoff = protocol.RetryAfter(a.resp.Header)
 	}
 	return word
 }
 
-// releaseBroken gives back the slot of an exchange that broke. When the
-// caller's side broke it the target is not to blame.
+// releaseBroken releases the slot of an exchange that broke off. If the caller's side or the
+// deadline ended it, the target is not at fault.
 func (e *Entry) releaseBroken(ex *Exchange, slot *Slot) {
-	if ex.r.Context().Err() != nil || ex.body.failed() != nil || !time.Now().Before(ex.Deadline) {
+	if ex.r.Context().Err() != nil || ex.body.readError() != nil || !time.Now().Before(ex.Deadline) {
 		slot.Release(balance.Abandoned, 0)
 		return
 	}
 	slot.Release(balance.Broken, 0)
 }
 
-// stripOwn removes the headers that only instances use.
-func stripOwn(h http.Header) {
-	h.Del(protocol.HeaderFrom)
+// stripInstanceHeaders removes the headers that only instances use.
+func stripInstanceHeaders(h http.Header) {
+	h.Del(protocol.HeaderOriginRegion)
 	h.Del(protocol.HeaderConfig)
 }
 
-// pass relays an answer.
-func (e *Entry) pass(ex *Exchange, a *attempt, mark func(http.Header)) Result {
-	whole := relay(ex, a, func(h http.Header) {
+// relayResponse relays a response to the caller and returns the result.
+func (e *Entry) relayResponse(ex *Exchange, a *attempt, setHeaders func(http.Header)) Result {
+	complete := relay(ex, a, func(h http.Header) {
 		h.Set(protocol.HeaderInstance, e.config.Instance)
 		h.Set(protocol.HeaderRequestID, ex.ID)
-		mark(h)
+		setHeaders(h)
 	})
-	e.succeeded()
-	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, Sent: true, Broken: !whole}
+	e.recordSuccess()
+	return Result{Outcome: retry.Ran, Status: a.resp.StatusCode, ResponseSent: true, Incomplete: !complete}
 }
 
-// declined is the result of an attempt that did not run.
-func (e *Entry) declined(a *attempt, who string) Result {
+// refusalResult returns the result of an attempt that did not run.
+func (e *Entry) refusalResult(a *attempt, peer string) Result {
 	if a.resp == nil {
-		detail := who + " can't be reached"
+		detail := peer + " can't be reached"
 		if a.err != nil {
 			detail += ": " + a.err.Error()
 		}
-		return notRun(fullStatus, protocol.ReasonUnreachable, detail, e.jitter(500*time.Millisecond))
+		return notRun(statusRefused, protocol.ReasonUnreachable, detail, e.jitter(500*time.Millisecond))
 	}
 	wait := protocol.RetryAfter(a.resp.Header)
 	if wait == 0 {
 		wait = e.jitter(200 * time.Millisecond)
 	}
-	return notRun(fullStatus, protocol.ReasonCapacity, who+" refused", wait)
+	return notRun(statusRefused, protocol.ReasonCapacity, peer+" refused", wait)
 }
 
-// lost is the result of an attempt whose end is not known.
-func (e *Entry) lost(ex *Exchange, a *attempt) (Result, bool) {
+// unknownResult returns the result of an attempt whose outcome is unknown. The second result is
+// true if the request may be retried nevertheless.
+func (e *Entry) unknownResult(ex *Exchange, a *attempt) (Result, bool) {
 	detail := "the answer was lost"
 	if a.err != nil {
 		detail += ": " + a.err.Error()
 	}
-	reason := protocol.ReasonLost
+	reason := protocol.ReasonResponseLost
 	if !time.Now().Before(ex.Deadline) {
 		reason = protocol.ReasonDeadline
 	}
-	return unknown(reason, detail, e.jitter(time.Second)), !ex.Service.Once
+	return unknown(reason, detail, e.jitter(time.Second)), !ex.Service.NonIdempotent
 }
--- a/feed/catchup_test.go
+++ b/feed/catchup_test.go
@@ -14,13 +14,14 @@
 var noon = time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 
 const (
-	askEvery = 300 * time.Millisecond
-	round    = 500 * time.Millisecond
+	requestInterval = 300 * time.Millisecond
+	gossipRound     = 500 * time.Millisecond
 )
 
-// TestCatchUp plays what a replica at revision 10 hears and checks whom it asks. An event
-// is at a time in milliseconds: a claim of a source, or, with gap set, a delta of it that
-// left a gap; or, if reached is set, changes that bring the replica to a revision.
+// TestCatchUp checks which source a replica at revision 10 asks after a sequence of events.
+// Each event happens at a time in milliseconds. It is the announcement of a source, a delta
+// of a source that leaves a gap (gap), or the arrival of changes up to a revision
+// (reached).
 func TestCatchUp(t *testing.T) {
 	type event struct {
 		at      int
@@ -35,52 +36,52 @@
 		name   string
 		events []event
 	}{
-		{"at once if there is nothing to wait for", []event{{at: 0, from: "a", claims: 11, asks: "a"}}},
-		{"not if it is not ahead", []event{{at: 0, from: "a", claims: 10}}},
-		{"once the usual way had its time", []event{
+		{"a source without a delay is asked at once", []event{{at: 0, from: "a", claims: 11, asks: "a"}}},
+		{"a source that is not ahead is not asked", []event{{at: 0, from: "a", claims: 10}}},
+		{"a source is asked after its delay", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 500, from: "a", claims: 11, after: 700},
 			{at: 1000, from: "a", claims: 11, after: 700, asks: "a"},
 		}},
-		{"not if the usual way has brought it", []event{
+		{"no request after the changes have arrived", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 100, reached: 11},
 			{at: 1000, from: "a", claims: 11, after: 700},
 		}},
-		{"not sooner for what comes later", []event{
+		{"the delay starts again for later changes", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 100, reached: 11},
 			{at: 1000, from: "a", claims: 12, after: 700},
 			{at: 1500, from: "a", claims: 12, after: 700},
 			{at: 2000, from: "a", claims: 12, after: 700, asks: "a"},
 		}},
-		{"at once after a gap, the sender first", []event{
+		{"after a gap the sender is asked at once", []event{
 			{at: 0, from: "b", claims: 13, after: 700},
 			{at: 100, from: "a", claims: 13, gap: true, asks: "a"},
 		}},
-		{"a far one only later", []event{
+		{"a distant source has a longer delay", []event{
 			{at: 0, from: "far", claims: 11, after: 1400},
 			{at: 200, from: "near", claims: 11, after: 700},
 			{at: 800, from: "far", claims: 11, after: 1400, asks: "near"},
 		}},
-		{"another one when there is no answer, the same one in the end", []event{
+		{"another source is asked if there is no reply, then the first one again", []event{
 			{at: 0, from: "a", claims: 13, gap: true, asks: "a"},
 			{at: 200, from: "b", claims: 13, after: 700},
 			{at: 500, from: "a", claims: 13, after: 700, asks: "b"},
 			{at: 700, from: "b", claims: 13, after: 700},
 			{at: 1000, from: "a", claims: 13, after: 700, asks: "a"},
 		}},
-		{"the only one again", []event{
+		{"the only source is asked again", []event{
 			{at: 0, from: "a", claims: 11, asks: "a"},
 			{at: 299, from: "a", claims: 11},
 			{at: 300, from: "a", claims: 11, asks: "a"},
 		}},
-		{"an old claim is forgotten, and so is the wait", []event{
+		{"an announcement expires, and the delay starts again", []event{
 			{at: 0, from: "a", claims: 11, after: 700},
 			{at: 3001, from: "b", claims: 11, after: 700},
 			{at: 3701, from: "b", claims: 11, after: 700, asks: "b"},
 		}},
-		{"an answer that brings a part only", []event{
+		{"a reply that brings only some of the changes", []event{
 			{at: 0, from: "a", claims: 13, gap: true, asks: "a"},
 			{at: 100, reached: 12},
 			{at: 350, from: "b", claims: 13, after: 700, asks: "a"},
@@ -92,67 +93,68 @@
 			revision := int64(10)
 			for _, e := range c.events {
 				now := noon.Add(time.Duration(e.at) * time.Millisecond)
-				source := feed.Source{Addr: e.from, Position: feed.At(0, e.claims), After: time.Duration(e.after) * time.Millisecond}
+				source := feed.Source{Addr: e.from, Position: feed.At(0, e.claims), Delay: time.Duration(e.after) * time.Millisecond}
 				switch {
 				case e.reached > 0:
 					revision = e.reached
-					catchUp.Answered()
+					catchUp.Received()
 				case e.gap:
-					catchUp.Gap(now, feed.At(0, revision), source)
+					catchUp.AddSourceAfterGap(now, feed.At(0, revision), source)
 				default:
-					catchUp.Ahead(now, feed.At(0, revision), source)
+					catchUp.AddSource(now, feed.At(0, revision), source)
 				}
-				addr, ok := catchUp.Next(now, feed.At(0, revision))
+				addr, ok := catchUp.NextRequest(now, feed.At(0, revision))
 				require.Equal(t, e.asks, addr, "at %d ms", e.at)
 				require.Equal(t, e.asks != "", ok)
 				if ok {
-					question, open := catchUp.Open()
+					question, open := catchUp.Pending()
 					require.True(t, open)
-					require.Equal(t, feed.Question{To: addr, At: now}, question)
+					require.Equal(t, feed.Request{To: addr, SentAt: now}, question)
 				}
 			}
 		})
 	}
 }
 
-// TestCatchUpAsksOneThatAnswers has any number of sources gossip once a round, each at its
-// own moment, of which some never answer, and checks that one that does is asked before
-// long: each silent one costs a round at most.
-func TestCatchUpAsksOneThatAnswers(t *testing.T) {
+// TestCatchUpReachesResponsiveSource guards against a catch-up that keeps asking sources
+// that never reply. Several sources announce themselves once per gossip round, each at its
+// own time in the round, and some of them never reply. Each of these may delay the request
+// to a responsive source by one round at most.
+func TestCatchUpReachesResponsiveSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const after = 700 * time.Millisecond
 		n := rapid.IntRange(1, 8).Draw(t, "sources")
 		silent := rapid.IntRange(0, n-1).Draw(t, "silent")
 		phases := make([]time.Duration, n)
 		for i := range phases {
-			phases[i] = time.Duration(rapid.IntRange(0, int(round/time.Millisecond)-1).Draw(t, "phase")) * time.Millisecond
+			phases[i] = time.Duration(rapid.IntRange(0, int(gossipRound/time.Millisecond)-1).Draw(t, "phase")) * time.Millisecond
 		}
 		var catchUp feed.CatchUp
 		gap := rapid.Bool().Draw(t, "gap")
 		if gap {
-			catchUp.Gap(noon, feed.At(0, 1), feed.Source{Addr: "0", Position: feed.At(0, 2)})
-			addr, ok := catchUp.Next(noon, feed.At(0, 1))
+			catchUp.AddSourceAfterGap(noon, feed.At(0, 1), feed.Source{Addr: "0", Position: feed.At(0, 2)})
+			addr, ok := catchUp.NextRequest(noon, feed.At(0, 1))
 			require.True(t, ok)
 			require.Equal(t, "0", addr)
 			if silent == 0 {
 				return
 			}
 		}
-		bound := after + round + time.Duration(silent+1)*round
+		bound := after + gossipRound + time.Duration(silent+1)*gossipRound
 		asked := make(map[string]time.Time)
 		for at := time.Duration(0); at <= bound; at += time.Millisecond {
 			now := noon.Add(at)
 			for i, phase := range phases {
-				if at%round != phase {
+				if at%gossipRound != phase {
 					continue
 				}
-				catchUp.Ahead(now, feed.At(0, 1), feed.Source{Addr: fmt.Sprint(i), Position: feed.At(0, 2), After: after})
-				addr, ok := catchUp.Next(now, feed.At(0, 1))
+				catchUp.AddSource(now, feed.At(0, 1), feed.Source{Addr: fmt.Sprint(i), Position: feed.At(0, 2), Delay: after})
+				addr, ok := catchUp.NextRequest(now, feed.At(0, 1))
 				if !ok {
 					continue
 				}
 				for _, before := range asked {
-					require.GreaterOrEqual(t, now.Sub(before), askEvery)
+					require.GreaterOrEqual(t, now.Sub(before), requestInterval)
 				}
 				asked[addr] = now
 				if addr >= fmt.Sprint(silent) {
@@ -160,6 +162,6 @@
 				}
 			}
 		}
-		t.Fatalf("only silent ones were asked within %v: %v", bound, asked)
+		t.Fatalf("only unresponsive sources were asked within %v: %v", bound, asked)
 	})
 }
--- /dev/null
+++ b/feed/removal_hold_test.go
@@ -0,0 +1,78 @@
+package feed_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"pgregory.net/rapid"
+
+	"github.com/rainford/rainford/feed"
+)
+
+// TestRemovalHold checks random sequences of outages, removals and returning objects. A
+// removal must be held only in the two seconds after an outage of at least three seconds.
+// An object that has returned must never be removed, and each held removal must take effect
+// exactly once.
+func TestRemovalHold(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var h feed.RemovalHold
+		now := time.Unix(1000, 0)
+		heard, until := now, time.Time{}
+		h.StoreAnswered(now)
+		missing := map[string]bool{}
+		names := []string{"a", "b", "c"}
+		for range 60 {
+			now = now.Add(time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond)
+			for _, name := range h.Expired(now) {
+				require.True(t, missing[name], name)
+				require.False(t, now.Before(until))
+				delete(missing, name)
+			}
+			name := rapid.SampledFrom(names).Draw(t, "name")
+			switch rapid.IntRange(0, 3).Draw(t, "step") {
+			case 0:
+				h.StoreAnswered(now)
+				heard = now
+			case 1:
+				away := time.Duration(rapid.IntRange(0, 8).Draw(t, "away")) * time.Second
+				now = now.Add(away)
+				for _, name := range h.Expired(now) {
+					delete(missing, name)
+				}
+				h.StoreFailed()
+				h.StoreAnswered(now)
+				if now.Sub(heard) >= 3*time.Second {
+					until = now.Add(2 * time.Second)
+				}
+				heard = now
+			case 2:
+				held := h.Hold(now, name)
+				require.Equal(t, now.Before(until), held)
+				if held {
+					missing[name] = true
+				}
+			case 3:
+				h.Cancel(name)
+				delete(missing, name)
+			}
+		}
+		now = now.Add(10 * time.Second)
+		require.Len(t, h.Expired(now), len(missing))
+		require.Empty(t, h.Expired(now))
+	})
+}
+
+// TestRemovalHoldInherited checks that an instance that has seen no outage holds removals
+// for as long as the instance that sent them.
+func TestRemovalHoldInherited(t *testing.T) {
+	var h feed.RemovalHold
+	now := time.Unix(1000, 0)
+	require.False(t, h.Hold(now, "a"))
+	h.Inherit(now, time.Second)
+	require.True(t, h.Hold(now, "a"))
+	require.Empty(t, h.Expired(now.Add(999*time.Millisecond)))
+	require.Equal(t, []string{"a"}, h.Expired(now.Add(time.Second)))
+	h.Inherit(now, time.Hour)
+	require.Equal(t, 2*time.Second, h.Remaining(now), "the hold is bounded")
+}
--- a/feed/replica_test.go
+++ b/feed/replica_test.go
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// store is the reference: every state that the store went through.
+// store is the reference. It records every state that the store has had.
 type store struct {
 	at      feed.Position
 	states  map[feed.Position]map[string]string
@@ -31,23 +31,23 @@
 	}
 	s.at.Revision++
 	s.states[s.at] = next
-	s.changes[s.at] = feed.Change{Object: feed.Object{Name: name, Value: []byte(value)}, Gone: gone}
+	s.changes[s.at] = feed.Change{Object: feed.Object{Name: name, Value: []byte(value)}, Removed: gone}
 }
 
-// restore has the store come back from a copy that lacks the latest writes.
+// restore simulates a restore from a backup that lacks the latest writes.
 func (s *store) restore(lost int64) {
 	copied := feed.At(s.at.Era, max(s.at.Revision-lost, 0))
 	state := s.states[copied]
 	if state == nil {
-		// The era before had fewer writes.
+		// The previous era had fewer writes.
 		return
 	}
 	s.at = feed.At(s.at.Era+1, copied.Revision)
 	s.states[s.at] = state
 }
 
-// since is what a watch from a position of the same era brings.
-func (s *store) since(from feed.Position) feed.Delta {
+// deltaSince returns the delta that a watch from a position of the current era delivers.
+func (s *store) deltaSince(from feed.Position) feed.Delta {
 	d := feed.Delta{From: from, To: s.at}
 	for r := from.Revision + 1; r <= s.at.Revision; r++ {
 		d.Changes = append(d.Changes, s.changes[feed.At(s.at.Era, r)])
@@ -55,7 +55,7 @@
 	return d
 }
 
-func (s *store) whole() feed.Delta {
+func (s *store) fullDelta() feed.Delta {
 	d := feed.Delta{To: s.at, Full: true}
 	for name, value := range s.states[s.at] {
 		d.Changes = append(d.Changes, feed.Change{Object: feed.Object{Name: name, Value: []byte(value)}})
@@ -63,17 +63,18 @@
 	return d
 }
 
-func held(r *feed.Replica) map[string]string {
+func objectsOf(r *feed.Replica) map[string]string {
 	out := map[string]string{}
-	r.Objects(func(o feed.Object) { out[o.Name] = string(o.Value) })
+	r.Range(func(o feed.Object) { out[o.Name] = string(o.Value) })
 	return out
 }
 
-// TestReplicasFollowTheStore has two watchers and three followers. Deltas are
-// lost, delayed, repeated and passed on by anyone, watchers list anew, and the store comes
-// back from copies of itself. Every replica always holds exactly a state that the store had,
-// and never an older one than before, where a state of a later era counts as later. Once
-// nothing is lost any more, all hold the store's.
+// TestReplicasFollowTheStore checks that replicas converge to the store. Two watchers and
+// three followers receive deltas that are lost, delayed, duplicated and relayed by any of
+// them, while watchers list the store anew and the store is restored from backups. Every
+// replica must always hold exactly one of the states of the store, and must never move to
+// an earlier state, where a state of a later era counts as later. Once no delta is lost any
+// more, all replicas must hold the state of the store.
 func TestReplicasFollowTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -83,50 +84,50 @@
 		}
 		var wire []feed.Delta
 		check := func(r *feed.Replica, before feed.Position) {
-			require.False(t, before.After(r.At()))
-			if !r.At().IsZero() {
-				require.Equal(t, s.states[r.At()], held(r))
+			require.False(t, before.After(r.Position()))
+			if !r.Position().IsZero() {
+				require.Equal(t, s.states[r.Position()], objectsOf(r))
 			}
 			for _, other := range replicas {
-				require.Equal(t, maps.Equal(held(r), held(other)), r.Digest() == other.Digest())
+				require.Equal(t, maps.Equal(objectsOf(r), objectsOf(other)), r.Digest() == other.Digest())
 			}
 		}
 		take := func(r *feed.Replica, d feed.Delta) {
-			before := r.At()
+			before := r.Position()
 			_, ok := r.Apply(d)
-			require.Equal(t, ok, !d.To.After(r.At()))
+			require.Equal(t, ok, !d.To.After(r.Position()))
 			check(r, before)
 		}
 		watch := func(r *feed.Replica) {
-			if r.At().IsZero() || r.At().Era != s.at.Era {
+			if r.Position().IsZero() || r.Position().Era != s.at.Era {
 				return
 			}
-			d := s.since(r.At())
+			d := s.deltaSince(r.Position())
 			wire = append(wire, d)
 			take(r, d)
 		}
 		list := func(r *feed.Replica) {
-			d := s.whole()
-			before := r.At()
+			d := s.fullDelta()
+			before := r.Position()
 			changes, ok := r.Apply(d)
 			require.True(t, ok)
 			check(r, before)
 			wire = append(wire, d)
-			if !before.IsZero() && r.At().After(before) {
-				wire = append(wire, feed.Difference("k", before, r.At(), changes))
+			if !before.IsZero() && r.Position().After(before) {
+				wire = append(wire, feed.ExactDelta("k", before, r.Position(), changes))
 			}
 		}
 		ask := func(r, other *feed.Replica) {
-			if !other.At().After(r.At()) {
+			if !other.Position().After(r.Position()) {
 				return
 			}
-			d := other.Since(r.At(), r.Digest())
+			d := other.DeltaSince(r.Position(), r.Digest())
 			if r.Digest() == other.Digest() && r.Len() > 0 {
 				require.Empty(t, d.Changes)
 			}
 			wire = append(wire, d)
 			take(r, d)
-			require.Equal(t, other.At(), r.At())
+			require.Equal(t, other.Position(), r.Position())
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			r := replicas[rapid.IntRange(0, 4).Draw(t, "replica")]
@@ -138,11 +139,11 @@
 				watch(r)
 			case 3:
 				list(r)
-			case 4: // A delta arrives, late or again.
+			case 4: // A delta arrives late or again.
 				if len(wire) > 0 {
 					take(r, wire[rapid.IntRange(0, len(wire)-1).Draw(t, "delta")])
 				}
-			case 5: // A replica asks another for what it lacks.
+			case 5: // A replica requests its missing changes from another one.
 				ask(r, replicas[rapid.IntRange(0, 4).Draw(t, "other")])
 			case 6:
 				s.restore(rapid.Int64Range(0, 10).Draw(t, "lost"))
@@ -152,47 +153,49 @@
 		list(replicas[0])
 		for _, r := range replicas[1:] {
 			ask(r, replicas[0])
-			require.Equal(t, s.states[s.at], held(r))
+			require.Equal(t, s.states[s.at], objectsOf(r))
 		}
 	})
 }
 
-func TestGapIsRefused(t *testing.T) {
+func TestGapIsRejected(t *testing.T) {
 	r := feed.NewReplica("k")
 	_, ok := r.Apply(feed.Delta{From: feed.At(0, 0), To: feed.At(0, 3)})
-	require.False(t, ok, "a delta does not start a replica")
+	require.False(t, ok, "an incremental delta does not apply to an empty replica")
 	_, ok = r.Apply(feed.Delta{To: feed.At(0, 3), Full: true})
 	require.True(t, ok)
 	_, ok = r.Apply(feed.Delta{From: feed.At(0, 4), To: feed.At(0, 6)})
 	require.False(t, ok)
-	require.Equal(t, feed.At(0, 3), r.At())
+	require.Equal(t, feed.At(0, 3), r.Position())
 }
 
-// TestSameObjectsNeedNothing checks that a replica that was read anew, and so reflects a
-// later revision than those of its neighbours, brings them to its own revision without
-// sending them what they hold, and that a change goes on from there without a gap.
-func TestSameObjectsNeedNothing(t *testing.T) {
+// TestEqualReplicasExchangeNoObjects checks a replica that was read from the store anew and
+// so reflects a later revision than its neighbours, with the same objects. It must advance
+// the neighbours to its own revision without sending these objects, so that the next change
+// applies to them without a gap.
+func TestEqualReplicasExchangeNoObjects(t *testing.T) {
 	object := feed.Change{Object: feed.Object{Name: "o", Value: []byte("1")}}
 	follower, anew := feed.NewReplica("k"), feed.NewReplica("k")
 	follower.Apply(feed.Delta{Kind: "k", To: feed.At(0, 126), Full: true, Changes: []feed.Change{object}})
 	anew.Apply(feed.Delta{Kind: "k", To: feed.At(0, 128), Full: true, Changes: []feed.Change{object}})
-	d := anew.Since(follower.At(), follower.Digest())
-	require.Equal(t, feed.Difference("k", feed.At(0, 126), feed.At(0, 128), nil), d)
+	d := anew.DeltaSince(follower.Position(), follower.Digest())
+	require.Equal(t, feed.ExactDelta("k", feed.At(0, 126), feed.At(0, 128), nil), d)
 	_, ok := follower.Apply(d)
 	require.True(t, ok)
 	object.Value = []byte("2")
 	_, ok = follower.Apply(feed.Delta{Kind: "k", From: feed.At(0, 128), To: feed.At(0, 129), Changes: []feed.Change{object}})
 	require.True(t, ok)
-	require.Equal(t, feed.At(0, 129), follower.At())
-	require.True(t, anew.Since(feed.At(0, 126), follower.Digest()).Full, "another object is held")
+	require.Equal(t, feed.At(0, 129), follower.Position())
+	require.True(t, anew.DeltaSince(feed.At(0, 126), follower.Digest()).Full, "the objects differ")
 }
 
-// TestWithinAnExactDelta checks that a replica that holds something which came and went
-// between the two states of an exact delta is brought on by the whole kind, whether or not
-// the delta is empty and whatever was remembered before it.
-func TestWithinAnExactDelta(t *testing.T) {
+// TestPositionInsideExactDelta guards against objects that are never removed. A replica
+// holds an object that was created and removed between the two states of an exact delta. It
+// must get a full delta, whether or not the exact delta is empty and whatever the history
+// holds before it.
+func TestPositionInsideExactDelta(t *testing.T) {
 	object := func(name string, gone bool) feed.Change {
-		return feed.Change{Object: feed.Object{Name: name, Value: []byte("1")}, Gone: gone}
+		return feed.Change{Object: feed.Object{Name: name, Value: []byte("1")}, Removed: gone}
 	}
 	whole := func(to int64, names ...string) feed.Delta {
 		d := feed.Delta{To: feed.At(0, to), Full: true}
@@ -205,10 +208,10 @@
 		name  string
 		steps []feed.Delta
 	}{
-		{"with a difference", []feed.Delta{whole(1), whole(5, "a")}},
-		{"empty", []feed.Delta{whole(1), whole(5)}},
-		{"empty, after one that is not exact", []feed.Delta{whole(1), {From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{object("a", false)}}, whole(5, "a")}},
-		{"before another one", []feed.Delta{whole(1), whole(5), {From: feed.At(0, 5), To: feed.At(0, 6), Changes: []feed.Change{object("a", false)}}}},
+		{"exact delta with changes", []feed.Delta{whole(1), whole(5, "a")}},
+		{"empty exact delta", []feed.Delta{whole(1), whole(5)}},
+		{"empty exact delta after an incremental one", []feed.Delta{whole(1), {From: feed.At(0, 1), To: feed.At(0, 2), Changes: []feed.Change{object("a", false)}}, whole(5, "a")}},
+		{"empty exact delta before an incremental one", []feed.Delta{whole(1), whole(5), {From: feed.At(0, 5), To: feed.At(0, 6), Changes: []feed.Change{object("a", false)}}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -218,10 +221,10 @@
 				require.True(t, ok)
 			}
 			within.Apply(whole(3, "came and went"))
-			_, ok := within.Apply(r.Since(within.At(), within.Digest()))
+			_, ok := within.Apply(r.DeltaSince(within.Position(), within.Digest()))
 			require.True(t, ok)
-			require.Equal(t, held(r), held(within))
-			require.Equal(t, r.At(), within.At())
+			require.Equal(t, objectsOf(r), objectsOf(within))
+			require.Equal(t, r.Position(), within.Position())
 		})
 	}
 }
--- a/fleet/model_test.go
+++ b/fleet/model_test.go
@@ -19,41 +19,39 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// model is a fleet whose messages are lost now and then and arrive within the
-// round.
+// model simulates a fleet. Messages arrive within the round or are lost at random.
 type model struct {
 	views   map[string]*fleet.View
 	members map[string]fleet.Member
 	dead    map[string]bool
 	now     time.Time
-	rnd     *rand.Rand
-	// turns is the order in which instances gossip within a round: they started at
-	// different moments.
-	turns []string
-	// cut tells whether two instances can't reach each other, nil if all can.
-	cut    func(a, b string) bool
-	bytes  int
-	rounds int
+	rng     *rand.Rand
+	// sendOrder is the order in which instances gossip within a round. It is random, as instances
+	// start at different times.
+	sendOrder []string
+	// partitioned reports whether two instances can't reach each other. It is nil if all can.
+	partitioned func(a, b string) bool
+	bytes       int
+	rounds      int
 }
 
-// large adds the fleet of the size to come, which takes a minute.
+// large enables the model of the largest fleet, which takes a minute.
 var large = flag.Bool("large", false, "run the model of 730 instances too")
 
 const round = fleet.RoundTime
 
-// positions are those that a message of gossip carries.
+// positions are the positions that each gossip message carries.
 var positions = slices.Repeat([]feed.Position{feed.At(3, 70_000)}, 5)
 
-// busy are as many loads of targets as a message of gossip carries, as while a site is
-// overloaded.
-var busy = make(upstream.Sightings, 24)
+// busyLoads are the loads that a gossip message carries at most, as while a site is overloaded.
+var busyLoads = make(upstream.TargetReports, 24)
 
-// introduceEvery is the number of messages of which one carries the sender itself.
+// introduceEvery is the number of rounds of which one carries the member of the sender.
 const introduceEvery = 8
 
 func newModel(n, regions int, seed uint64) *model {
 	m := &model{views: map[string]*fleet.View{}, members: map[string]fleet.Member{}, dead: map[string]bool{},
-		now: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC), rnd: rand.New(rand.NewPCG(seed, 1))}
+		now: time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC), rng: rand.New(rand.NewPCG(seed, 1))}
 	for i := range n {
 		name := fmt.Sprintf("edge-%03d", i)
 		m.members[name] = fleet.Member{Name: name, Hall: fmt.Sprint("h", i%(3*regions)), Region: fmt.Sprint("r", i%regions),
@@ -64,8 +62,8 @@
 		v.Add(slices.Collect(maps.Values(m.members))...)
 		m.views[name] = v
 	}
-	m.turns = m.names()
-	m.rnd.Shuffle(len(m.turns), func(i, j int) { m.turns[i], m.turns[j] = m.turns[j], m.turns[i] })
+	m.sendOrder = m.names()
+	m.rng.Shuffle(len(m.sendOrder), func(i, j int) { m.sendOrder[i], m.sendOrder[j] = m.sendOrder[j], m.sendOrder[i] })
 	return m
 }
 
@@ -80,42 +78,42 @@
 	return out
 }
 
-// round has every instance gossip once.
+// round lets every living instance gossip once.
 func (m *model) round() {
 	m.now = m.now.Add(round)
 	m.rounds++
-	for _, name := range m.turns {
+	for _, name := range m.sendOrder {
 		if m.dead[name] {
 			continue
 		}
 		v := m.views[name]
 		flags := fleet.Ready
-		if v.Watches(m.now) {
+		if v.ShouldWatch(m.now) {
 			flags |= fleet.Watching
 		}
 		v.SetFlags(flags)
-		v.Beat(m.now)
-		for _, partner := range v.Partners(m.now, m.rnd) {
-			beats := v.Beats(m.now, partner.Region)
-			message := &peer.Gossip{Beats: beats, Positions: positions}
+		v.AdvanceHeartbeat(m.now)
+		for _, partner := range v.Partners(m.now, m.rng) {
+			heartbeats := v.HeartbeatsFor(m.now, partner.Region)
+			message := &peer.Gossip{Heartbeats: heartbeats, Positions: positions}
 			if partner.Region == v.Self().Region {
-				message.Busy = busy
+				message.Overloaded = busyLoads
 			}
 			if m.rounds%introduceEvery == 0 {
 				self := v.Self()
 				message.Member = &self
 			}
-			m.send(message)
-			if m.reaches(name, partner.Name) {
-				m.views[partner.Name].Hear(m.now, beats)
+			m.countBytes(message)
+			if m.delivers(name, partner.Name) {
+				m.views[partner.Name].MergeHeartbeats(m.now, heartbeats)
 			}
 		}
 		m.probe(v)
 	}
 }
 
-// send counts the bytes of a message.
-func (m *model) send(message peer.Message) {
+// countBytes adds the length of a message to the total.
+func (m *model) countBytes(message peer.Message) {
 	raw, err := peer.Encode(message)
 	if err != nil {
 		panic(err)
@@ -123,76 +121,75 @@
 	m.bytes += len(raw)
 }
 
-// reaches tells whether a message arrives. One in fifty is lost.
-func (m *model) reaches(from, to string) bool {
-	if m.dead[to] || (m.cut != nil && m.cut(from, to)) {
+// delivers reports whether a message arrives. One in fifty is lost.
+func (m *model) delivers(from, to string) bool {
+	if m.dead[to] || (m.partitioned != nil && m.partitioned(from, to)) {
 		return false
 	}
-	return m.rnd.IntN(50) > 0
+	return m.rng.IntN(50) > 0
 }
 
-// probe has an instance ask those that it doubts. An answer comes back at once.
+// probe sends the probes of an instance. Replies arrive within the round.
 func (m *model) probe(v *fleet.View) {
 	for _, asked := range v.Probes(m.now) {
-		m.send(&peer.Probe{ReplyTo: v.Self().PeerAddr})
-		if !m.reaches(v.Self().Name, asked.Name) {
+		m.countBytes(&peer.Probe{ReplyTo: v.Self().PeerAddr})
+		if !m.delivers(v.Self().Name, asked.Name) {
 			continue
 		}
-		answer := fleet.Beats{m.views[asked.Name].OwnBeat()}
-		m.send(&peer.Gossip{Beats: answer, Reply: true})
-		v.Hear(m.now, answer)
+		answer := fleet.Heartbeats{m.views[asked.Name].OwnHeartbeat()}
+		m.countBytes(&peer.Gossip{Heartbeats: answer, Reply: true})
+		v.MergeHeartbeats(m.now, answer)
 	}
 }
 
-// TestBeatsOnTheWire checks that beats arrive as they were, in few bytes, and that
-// ones that are cut short are refused.
-func TestBeatsOnTheWire(t *testing.T) {
-	beats := fleet.Beats{
-		{Member: fleet.IDOf("edge-1"), Number: fleet.NumberAt(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)) + 70_000, Flags: fleet.Ready | fleet.Watching},
-		{Member: fleet.IDOf("edge-2"), Number: 1},
+// TestHeartbeatEncoding checks that heartbeats survive encoding, that they take few bytes, and that
+// truncated ones are rejected.
+func TestHeartbeatEncoding(t *testing.T) {
+	heartbeats := fleet.Heartbeats{
+		{Member: fleet.IDOf("edge-1"), Sequence: fleet.SequenceAt(time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)) + 70_000, Flags: fleet.Ready | fleet.Watching},
+		{Member: fleet.IDOf("edge-2"), Sequence: 1},
 	}
-	raw, err := msgpack.Marshal(beats)
+	raw, err := msgpack.Marshal(heartbeats)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(raw), 2+2*9)
-	var got fleet.Beats
+	var got fleet.Heartbeats
 	require.NoError(t, msgpack.Unmarshal(raw, &got))
-	require.Equal(t, beats, got)
+	require.Equal(t, heartbeats, got)
 	cut, err := msgpack.Marshal([]byte("12345"))
 	require.NoError(t, err)
-	require.ErrorIs(t, msgpack.Unmarshal(cut, &got), fleet.ErrBeats)
+	require.ErrorIs(t, msgpack.Unmarshal(cut, &got), fleet.ErrTruncated)
 }
 
-// TestClockAhead checks that a member whose process ended with a clock that was an
-// hour ahead is alive again to others once its new process, whose clock is right, has
-// been told.
-func TestClockAhead(t *testing.T) {
+// TestRestartAfterFastClock guards against a restarted member that remains suspected. If the
+// earlier process had a clock an hour ahead, the heartbeats of the new process are older than the
+// recorded ones until it receives the newer heartbeat.
+func TestRestartAfterFastClock(t *testing.T) {
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	self, other := fleet.Member{Name: "a", Region: "r", PeerAddr: "a:1"}, fleet.Member{Name: "b", Region: "r", PeerAddr: "b:1"}
-	view := fleet.NewView(other, fleet.NumberAt(now), fleet.DefaultSettings)
+	view := fleet.NewView(other, fleet.SequenceAt(now), fleet.DefaultSettings)
 	view.Add(self)
-	ahead := fleet.NewView(self, fleet.NumberAt(now.Add(time.Hour)), fleet.DefaultSettings)
-	ahead.Beat(now.Add(time.Hour))
-	view.Hear(now, ahead.Beats(now, "r"))
+	ahead := fleet.NewView(self, fleet.SequenceAt(now.Add(time.Hour)), fleet.DefaultSettings)
+	ahead.AdvanceHeartbeat(now.Add(time.Hour))
+	view.MergeHeartbeats(now, ahead.HeartbeatsFor(now, "r"))
 	now = now.Add(time.Minute)
-	fresh := fleet.NewView(self, fleet.NumberAt(now), fleet.DefaultSettings)
+	restarted := fleet.NewView(self, fleet.SequenceAt(now), fleet.DefaultSettings)
 	state := func() fleet.State { return view.All(now)[0].State }
-	view.Hear(now, fresh.Beats(now, "r"))
+	view.MergeHeartbeats(now, restarted.HeartbeatsFor(now, "r"))
 	require.Equal(t, fleet.Suspect, state())
-	outlived, behind := view.Outlived(fresh.Beats(now, "r"))
+	newer, behind := view.NewerHeartbeat(restarted.HeartbeatsFor(now, "r"))
 	require.True(t, behind)
-	fresh.Hear(now, fleet.Beats{outlived})
-	view.Hear(now, fresh.Beats(now, "r"))
+	restarted.MergeHeartbeats(now, fleet.Heartbeats{newer})
+	view.MergeHeartbeats(now, restarted.HeartbeatsFor(now, "r"))
 	require.Equal(t, fleet.Alive, state())
-	_, behind = view.Outlived(fresh.Beats(now, "r"))
+	_, behind = view.NewerHeartbeat(restarted.HeartbeatsFor(now, "r"))
 	require.False(t, behind)
 }
 
-// TestGossipAtSizes runs fleets of the sizes of today and to come. It checks that
-// instances of a region do not suspect each other without a reason, that a dead
-// one is soon suspected by all of its region, that each region has watchers, few
-// of them, and that the bytes of an instance stay within the bound of
-// docs/CAPACITY.md.
-func TestGossipAtSizes(t *testing.T) {
+// TestGossipAtFleetSizes simulates fleets of current and expected sizes. It checks that instances
+// of a region hardly suspect each other without a reason, that all instances of a region soon
+// suspect a dead one, that each region has a few watchers, and that the bytes sent by an instance
+// stay within the bound of docs/CAPACITY.md.
+func TestGossipAtFleetSizes(t *testing.T) {
 	for _, size := range []struct{ members, regions int }{{12, 3}, {85, 3}, {300, 3}, {730, 7}} {
 		if size.members > 300 && !*large {
 			continue
@@ -206,21 +203,21 @@
 			wrong, seen := 0, 0
 			for range 12 {
 				m.round()
-				w, s := m.wrongSuspicions()
+				w, s := m.wrongViews()
 				wrong, seen = wrong+w, seen+s
 			}
 			perSecond := float64(m.bytes) / float64(m.rounds) / round.Seconds() / float64(size.members)
 			victim := m.names()[size.members/2]
 			m.dead[victim] = true
 			took := 0
-			for m.trusted(victim) && took < 40 {
+			for m.heldAlive(victim) && took < 40 {
 				m.round()
 				took++
 			}
 			watchers := m.watchers()
-			t.Logf("%d instances: %.0f bytes/s sent by each, %.5f of the views wrong, a death known after %v, watchers %v",
+			t.Logf("%d instances: %.0f bytes/s sent by each, %.5f of the views wrong, dead instance suspected after %v, watchers %v",
 				size.members, perSecond, float64(wrong)/float64(seen), time.Duration(took)*round, watchers)
-			require.LessOrEqual(t, perSecond, 5_500.0, "both ways no more than the bound; see docs/CAPACITY.md")
+			require.LessOrEqual(t, perSecond, 5_500.0, "bytes sent by each instance; see the bound for both directions in docs/CAPACITY.md")
 			require.LessOrEqual(t, float64(wrong)/float64(seen), 0.002)
 			require.LessOrEqual(t, time.Duration(took)*round, 6*time.Second)
 			require.Len(t, watchers, size.regions)
@@ -232,9 +229,9 @@
 	}
 }
 
-// wrongSuspicions counts the views that suspect a living instance of their own
-// region.
-func (m *model) wrongSuspicions() (wrong, seen int) {
+// wrongViews counts the living members that instances of the same region do not consider alive, and
+// all living members of these views.
+func (m *model) wrongViews() (wrong, seen int) {
 	for _, name := range m.names() {
 		for _, s := range m.views[name].All(m.now) {
 			if s.Region != m.members[name].Region || m.dead[s.Name] {
@@ -249,9 +246,8 @@
 	return wrong, seen
 }
 
-// trusted tells whether any instance of its region still holds the instance to be
-// alive.
-func (m *model) trusted(victim string) bool {
+// heldAlive reports whether any instance of its region still considers the victim alive.
+func (m *model) heldAlive(victim string) bool {
 	for _, name := range m.names() {
 		if m.members[name].Region != m.members[victim].Region {
 			continue
@@ -265,10 +261,11 @@
 	return false
 }
 
+// watchers returns the number of watchers of each region.
 func (m *model) watchers() map[string]int {
 	out := map[string]int{}
 	for _, name := range m.names() {
-		if m.views[name].Watches(m.now) {
+		if m.views[name].ShouldWatch(m.now) {
 			out[m.members[name].Region]++
 		}
 	}
--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -8,22 +8,22 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// RoundTime is the time between two rounds of gossip.
+// RoundTime is the interval of the gossip rounds.
 const RoundTime = 500 * time.Millisecond
 
 const (
-	// farChoices is the number of members of another region among which an instance
-	// changes from round to round, so that one that is down does not cut it off.
-	farChoices = 4
-	// maxProbes bounds the members that are asked directly in a round: most of the
-	// silent ones of a lost hall need not be.
+	// remoteChoices is the number of members of another region among which an instance rotates from
+	// round to round, so that a single failed one does not isolate it from that region.
+	remoteChoices = 4
+	// maxProbes limits the members that are probed in a round. When a hall is lost, most of its
+	// members need not be probed.
 	maxProbes = 8
-	// refusedFor is how long a member of another region that refused a connection is
-	// passed over.
-	refusedFor = 5 * time.Second
+	// refusalBackoff is the time for which a member of another region is skipped as a partner after
+	// it has refused a connection.
+	refusalBackoff = 5 * time.Second
 )
 
-// ringLess orders the members of a region so that neighbours are of one hall.
+// ringLess orders the members of a region on the ring, so that the members of a hall are adjacent.
 func ringLess(a, b Member) bool {
 	if a.Hall != b.Hall {
 		return a.Hall < b.Hall
@@ -31,34 +31,36 @@
 	return a.Name < b.Name
 }
 
-// nextRound counts the rounds so that instances whose clocks agree are in the same one.
+// nextRound increments the round number and keeps it within one of the clock's, so that instances
+// with synchronized clocks are in the same round.
 func (v *View) nextRound(now time.Time) {
-	byClock := int64(NumberAt(now))
+	byClock := int64(SequenceAt(now))
 	v.round++
 	if off := v.round - byClock; off < -1 || off > 1 {
 		v.round = byClock
 	}
 }
 
-// Partners returns the members that a round of gossip goes to: some of the own region,
-// by a schedule that all instances share, one of another region, whether or not it was
-// heard of, and one of the own region that is not alive, so that a healed cut is noticed.
+// Partners returns the members to which this round's gossip is sent. These are some living members
+// of the own region, by a schedule that all instances share, one member of another region, whatever
+// its state, and one member of the own region that is not alive, so that the end of a network
+// partition is noticed.
 func (v *View) Partners(now time.Time, rnd *rand.Rand) []Member {
 	v.nextRound(now)
-	var near, silent []Member
-	before := 0
-	for _, r := range v.near {
+	var alive, silent []Member
+	rank := 0
+	for _, r := range v.local {
 		if v.state(now, r) != Alive {
 			silent = append(silent, r.member)
 			continue
 		}
 		if ringLess(r.member, v.self) {
-			before++
+			rank++
 		}
-		near = append(near, r.member)
+		alive = append(alive, r.member)
 	}
-	out := v.neighbours(near, before)
-	if m, ok := v.farPartner(now, before, len(near)+1); ok {
+	out := v.localPartners(alive, rank)
+	if m, ok := v.remotePartner(now, rank, len(alive)+1); ok {
 		out = append(out, m)
 	}
 	if len(silent) > 0 {
@@ -67,22 +69,23 @@
 	return out
 }
 
-// neighbours picks the partners of this round on the ring of a region's living members,
-// of which before stand ahead of the own one. All members take partners at the same
-// distances, which change with the round as if drawn, so that each hears from as many
-// others in each round, where partners that each draws for itself leave some out.
-func (v *View) neighbours(ring []Member, before int) []Member {
+// localPartners chooses this round's partners on the ring of the living members of the region. Rank
+// is the position of the own member on the ring. All members choose partners at the same distances,
+// which change pseudorandomly with each round. So each member receives gossip from the same number
+// of others in each round. If each member chose partners at random, some members would receive
+// none.
+func (v *View) localPartners(ring []Member, rank int) []Member {
 	n := len(ring) + 1
 	var out []Member
-	taken := make(map[int]bool, v.settings.Near)
-	for draw := uint64(0); len(out) < min(v.settings.Near, n-1); draw++ {
-		distance := 1 + int(mix.Join(uint64(v.round), draw)%uint64(n-1))
+	taken := make(map[int]bool, v.settings.LocalFanout)
+	for draw := uint64(0); len(out) < min(v.settings.LocalFanout, n-1); draw++ {
+		distance := 1 + int(mix.Combine(uint64(v.round), draw)%uint64(n-1))
 		if taken[distance] {
 			continue
 		}
 		taken[distance] = true
-		at := (before + distance) % n
-		if at > before {
+		at := (rank + distance) % n
+		if at > rank {
 			at--
 		}
 		out = append(out, ring[at])
@@ -90,32 +93,32 @@
 	return out
 }
 
-// farPartner returns the partner of another region in this round: the regions take
-// turns, and in each the instance has a few partners that others do not have, at the
-// place of the other ring that corresponds to its own.
-func (v *View) farPartner(now time.Time, before, n int) (Member, bool) {
-	if len(v.farRegions) == 0 {
+// remotePartner returns this round's partner in another region. The regions take turns. In each,
+// the instance rotates through a few members around the position on that region's ring which
+// corresponds to its own, so that different instances have different partners.
+func (v *View) remotePartner(now time.Time, rank, n int) (Member, bool) {
+	if len(v.remoteRegions) == 0 {
 		return Member{}, false
 	}
-	turn := int(v.round % int64(len(v.farRegions)))
-	ring := v.far[v.farRegions[turn]]
-	at := before*len(ring)/n + int(v.round/int64(len(v.farRegions)))%farChoices
+	turn := int(v.round % int64(len(v.remoteRegions)))
+	ring := v.remote[v.remoteRegions[turn]]
+	at := rank*len(ring)/n + int(v.round/int64(len(v.remoteRegions)))%remoteChoices
 	for i := range ring {
 		r := ring[(at+i)%len(ring)]
-		if now.Sub(r.refusedAt) >= refusedFor {
+		if now.Sub(r.refusedAt) >= refusalBackoff {
 			return r.member, true
 		}
 	}
 	return Member{}, false
 }
 
-// Probes returns the members to ask directly whether they are alive: those of which no
-// heartbeat has come for a while, before they are suspected.
+// Probes returns the members to probe: those that are still alive in this view, but whose last
+// heartbeat is at least ProbeAfter old. Members with the oldest heartbeats come first.
 func (v *View) Probes(now time.Time) []Member {
 	var doubtful []*record
 	for _, r := range v.members {
 		silence := now.Sub(r.heardAt)
-		if v.follows(r) && v.state(now, r) == Alive && silence >= v.settings.ProbeAfter {
+		if v.tracks(r) && v.state(now, r) == Alive && silence >= v.settings.ProbeAfter {
 			doubtful = append(doubtful, r)
 		}
 	}
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -7,73 +7,71 @@
 	"time"
 )
 
-// Settings are the settings of a view.
+// Settings are the parameters of a view.
 type Settings struct {
-	// ProbeAfter is the time without a new heartbeat after which a member of the
-	// own region is asked directly, and SuspectAfter that after which it is
-	// suspected.
+	// ProbeAfter is the time without a new heartbeat after which a member of the own region is
+	// probed. SuspectAfter is the time after which it is suspected.
 	ProbeAfter, SuspectAfter time.Duration
 	// Watchers is the number of watchers in each region.
 	Watchers int
-	// Near is the number of members of the own region that a round of gossip goes
-	// to.
-	Near int
+	// LocalFanout is the number of members of the own region to which a round of gossip is sent.
+	LocalFanout int
 }
 
-// DefaultSettings suit a round of gossip each RoundTime. With three partners news of a
-// member mostly comes in each round, and of one in a hundred in the third one only, so
-// one that was silent for two rounds is asked, twice before it is suspected. The model
-// tests measure what follows at 12 to 730 instances.
+// DefaultSettings suit a gossip interval of RoundTime. With three partners, new heartbeats of a
+// member mostly arrive in each round, and those of one member in a hundred only in the third round.
+// So a member without new heartbeats for two rounds is probed, and it is probed twice before it is
+// suspected. The model tests check the consequences for 12 to 730 instances.
 var DefaultSettings = Settings{
 	ProbeAfter:   2 * RoundTime,
 	SuspectAfter: 4 * RoundTime,
 	Watchers:     2,
-	Near:         3,
+	LocalFanout:  3,
 }
 
-// View is one instance's view of the fleet. It is not safe for concurrent use.
+// View is the membership as seen by one instance. It is not safe for concurrent use.
 type View struct {
-	settings Settings
-	self     Member
-	beat     Beat
-	members  map[string]*record
-	byID     map[ID]*record
-	// order holds the members in the order of their names.
-	order []*record
-	// near are the members of the own region and far those of the others, by region,
-	// in the order of ringLess. farRegions are the regions of far in order.
-	near       []*record
-	far        map[string][]*record
-	farRegions []string
-	// round counts the rounds of gossip.
+	settings  Settings
+	self      Member
+	heartbeat Heartbeat
+	members   map[string]*record
+	byID      map[ID]*record
+	// byName holds the records sorted by name.
+	byName []*record
+	// local holds the records of the own region, and remote those of each other region, in the
+	// order of ringLess. remoteRegions are the sorted keys of remote.
+	local         []*record
+	remote        map[string][]*record
+	remoteRegions []string
+	// round is the number of the current gossip round.
 	round int64
 }
 
 type record struct {
-	member Member
-	beat   Beat
-	// heardAt is when the beat last rose, zero if none was heard.
+	member    Member
+	heartbeat Heartbeat
+	// heardAt is the time at which heartbeat was last raised, or zero if no heartbeat has arrived.
 	heardAt time.Time
-	// refusedAt is when the member's peer address last refused a connection.
+	// refusedAt is the time at which the member's peer address last refused a connection.
 	refusedAt time.Time
 }
 
-// NewView returns the view of a member's process that knows only itself. Number is that
-// of its first heartbeat.
-func NewView(self Member, number Number, settings Settings) *View {
+// NewView returns the view of a process that knows only its own member. Number is the sequence
+// number of its first heartbeat.
+func NewView(self Member, number Sequence, settings Settings) *View {
 	return &View{
-		settings: settings,
-		self:     self,
-		beat:     Beat{Member: IDOf(self.Name), Number: number},
-		members:  make(map[string]*record),
-		byID:     make(map[ID]*record),
-		far:      make(map[string][]*record),
+		settings:  settings,
+		self:      self,
+		heartbeat: Heartbeat{Member: IDOf(self.Name), Sequence: number},
+		members:   make(map[string]*record),
+		byID:      make(map[ID]*record),
+		remote:    make(map[string][]*record),
 	}
 }
 
-// Member returns the member of an ID, the own one too.
+// Member returns the member with the given ID, which may be the own one.
 func (v *View) Member(id ID) (Member, bool) {
-	if id == v.beat.Member {
+	if id == v.heartbeat.Member {
 		return v.self, true
 	}
 	r := v.byID[id]
@@ -86,10 +84,10 @@
 // Self returns the own member.
 func (v *View) Self() Member { return v.self }
 
-// SetFlags sets what the own process says of itself.
-func (v *View) SetFlags(flags Flags) { v.beat.Flags = flags }
+// SetFlags sets the flags that the own process reports.
+func (v *View) SetFlags(flags Flags) { v.heartbeat.Flags = flags }
 
-// Add takes in members that the store or a peer named.
+// Add adds or updates members that were read from the store or received from a peer.
 func (v *View) Add(members ...Member) {
 	changed := false
 	for _, m := range members {
@@ -105,25 +103,26 @@
 		}
 	}
 	if changed {
-		v.arrange()
+		v.reindex()
 	}
 }
 
-func (v *View) arrange() {
-	v.order, v.near, v.farRegions = v.order[:0], v.near[:0], v.farRegions[:0]
+// reindex rebuilds the indexes of the records after a change of the members.
+func (v *View) reindex() {
+	v.byName, v.local, v.remoteRegions = v.byName[:0], v.local[:0], v.remoteRegions[:0]
 	clear(v.byID)
-	clear(v.far)
+	clear(v.remote)
 	for name, r := range v.members {
-		v.order = append(v.order, r)
+		v.byName = append(v.byName, r)
 		v.byID[IDOf(name)] = r
 	}
-	slices.SortFunc(v.order, func(a, b *record) int { return strings.Compare(a.member.Name, b.member.Name) })
-	for _, r := range v.order {
+	slices.SortFunc(v.byName, func(a, b *record) int { return strings.Compare(a.member.Name, b.member.Name) })
+	for _, r := range v.byName {
 		if r.member.Region == v.self.Region {
-			v.near = append(v.near, r)
+			v.local = append(v.local, r)
 			continue
 		}
-		v.far[r.member.Region] = append(v.far[r.member.Region], r)
+		v.remote[r.member.Region] = append(v.remote[r.member.Region], r)
 	}
 	byRing := func(a, b *record) int {
 		if ringLess(a.member, b.member) {
@@ -131,100 +130,105 @@
 		}
 		return 1
 	}
-	slices.SortFunc(v.near, byRing)
-	for region, ring := range v.far {
-		v.farRegions = append(v.farRegions, region)
+	slices.SortFunc(v.local, byRing)
+	for region, ring := range v.remote {
+		v.remoteRegions = append(v.remoteRegions, region)
 		slices.SortFunc(ring, byRing)
 	}
-	sort.Strings(v.farRegions)
+	sort.Strings(v.remoteRegions)
 }
 
-// Remove drops a member that is known from the store alone and not alive.
+// Remove removes a member unless it is alive.
 func (v *View) Remove(now time.Time, name string) {
 	r := v.members[name]
 	if r != nil && v.state(now, r) != Alive {
 		delete(v.members, name)
-		v.arrange()
+		v.reindex()
 	}
 }
 
-// Beat counts one heartbeat of the own process.
-func (v *View) Beat(now time.Time) { v.beat.Number = max(v.beat.Number+1, NumberAt(now)) }
+// AdvanceHeartbeat raises the sequence number of the own heartbeat, at least to that of the current
+// time.
+func (v *View) AdvanceHeartbeat(now time.Time) {
+	v.heartbeat.Sequence = max(v.heartbeat.Sequence+1, SequenceAt(now))
+}
 
-// fullView is the number of members up to which beats of all are passed on. In a
-// larger fleet an instance follows its own region and the others' watchers.
-const fullView = 32
+// fullViewSize is the number of other members from which on an instance tracks only its own region
+// and the watchers of the others. In a smaller fleet the heartbeats of all members are gossiped.
+const fullViewSize = 32
 
-// Beats returns the beats to pass on to a member of a region, the own one first.
-func (v *View) Beats(now time.Time, region string) Beats {
-	out := make(Beats, 0, len(v.order)+1)
-	out = append(out, v.beat)
-	for _, r := range v.order {
-		if now.Sub(r.heardAt) < v.settings.SuspectAfter && v.concerns(r, region) {
-			out = append(out, r.beat)
+// HeartbeatsFor returns the heartbeats to gossip to a member of a region, the own one first.
+func (v *View) HeartbeatsFor(now time.Time, region string) Heartbeats {
+	out := make(Heartbeats, 0, len(v.byName)+1)
+	out = append(out, v.heartbeat)
+	for _, r := range v.byName {
+		if now.Sub(r.heardAt) < v.settings.SuspectAfter && v.gossipsTo(r, region) {
+			out = append(out, r.heartbeat)
 		}
 	}
 	return out
 }
 
-// concerns tells whether members of a region are told of a member: of all in a small
-// fleet, else by their own region of its members and by others of the watchers alone.
-func (v *View) concerns(r *record, region string) bool {
-	if len(v.members) < fullView || r.beat.Flags&Watching != 0 {
+// gossipsTo reports whether the heartbeats of a member are gossiped to a region. In a small fleet
+// all are. Otherwise the heartbeats of watchers are gossiped to all regions, and those of other
+// members of the own region within it.
+func (v *View) gossipsTo(r *record, region string) bool {
+	if len(v.members) < fullViewSize || r.heartbeat.Flags&Watching != 0 {
 		return true
 	}
 	return region == v.self.Region && r.member.Region == region
 }
 
-// follows tells whether the heartbeats of a member are expected to arrive.
-func (v *View) follows(r *record) bool {
-	return len(v.members) < fullView || r.member.Region == v.self.Region
+// tracks reports whether heartbeats of a member are expected to arrive.
+func (v *View) tracks(r *record) bool {
+	return len(v.members) < fullViewSize || r.member.Region == v.self.Region
 }
 
-// Hear takes in beats.
-func (v *View) Hear(now time.Time, beats Beats) {
-	for _, b := range beats {
-		if b.Member == v.beat.Member {
-			v.outlive(b)
+// MergeHeartbeats merges received heartbeats into the view.
+func (v *View) MergeHeartbeats(now time.Time, heartbeats Heartbeats) {
+	for _, h := range heartbeats {
+		if h.Member == v.heartbeat.Member {
+			v.advancePast(h)
 			continue
 		}
-		r := v.byID[b.Member]
-		if r == nil || b.Number <= r.beat.Number {
+		r := v.byID[h.Member]
+		if r == nil || h.Sequence <= r.heartbeat.Sequence {
 			continue
 		}
-		r.beat = b
+		r.heartbeat = h
 		r.heardAt = now
 	}
 }
 
-// outlive raises the own number above that of an earlier process, which may have had
-// a clock that was ahead.
-func (v *View) outlive(b Beat) {
-	if b.Number > v.beat.Number {
-		v.beat.Number = b.Number + 1
+// advancePast raises the own sequence number above that of an earlier process of the same member,
+// whose clock may have been ahead.
+func (v *View) advancePast(h Heartbeat) {
+	if h.Sequence > v.heartbeat.Sequence {
+		v.heartbeat.Sequence = h.Sequence + 1
 	}
 }
 
-// OwnBeat returns the heartbeat of the own process.
-func (v *View) OwnBeat() Beat { return v.beat }
+// OwnHeartbeat returns the latest heartbeat of the own process.
+func (v *View) OwnHeartbeat() Heartbeat { return v.heartbeat }
 
-// Outlived returns a heartbeat of the sender's member that is newer than all that the
-// sender itself knows: an earlier process had a clock that was ahead. The sender has
-// to be told, or its own heartbeats would count for nothing.
-func (v *View) Outlived(beats Beats) (Beat, bool) {
-	if len(beats) == 0 {
-		return Beat{}, false
+// NewerHeartbeat returns the recorded heartbeat of the sender of a list of heartbeats if it is
+// newer than the sender's own. This happens if an earlier process of the sender had a clock that
+// was ahead. The heartbeat has to be sent to the sender, whose own heartbeats are ignored
+// otherwise.
+func (v *View) NewerHeartbeat(heartbeats Heartbeats) (Heartbeat, bool) {
+	if len(heartbeats) == 0 {
+		return Heartbeat{}, false
 	}
-	r := v.byID[beats[0].Member]
-	if r == nil || r.beat.Number <= beats[0].Number {
-		return Beat{}, false
+	r := v.byID[heartbeats[0].Member]
+	if r == nil || r.heartbeat.Sequence <= heartbeats[0].Sequence {
+		return Heartbeat{}, false
 	}
-	return r.beat, true
+	return r.heartbeat, true
 }
 
-// Refused takes in that a peer address refused a connection, which shows that
-// its process has ended.
-func (v *View) Refused(now time.Time, peerAddr string) {
+// MarkRefused records that a peer address has refused a connection, which shows that its process
+// has ended.
+func (v *View) MarkRefused(now time.Time, peerAddr string) {
 	for _, r := range v.members {
 		if r.member.PeerAddr == peerAddr {
 			r.refusedAt = now
@@ -237,46 +241,46 @@
 	silent := now.Sub(r.heardAt) >= v.settings.SuspectAfter
 	refused := r.refusedAt.After(r.heardAt)
 	switch {
-	case heard && r.beat.Flags&Leaving != 0:
-		return Gone
+	case heard && r.heartbeat.Flags&Leaving != 0:
+		return Stopping
 	case heard && !silent && !refused:
 		return Alive
-	case v.follows(r) && (heard || refused):
+	case v.tracks(r) && (heard || refused):
 		return Suspect
 	default:
 		return Unknown
 	}
 }
 
-// Misses tells whether a member whose heartbeats are expected is not heard.
-func (v *View) Misses(now time.Time, name string) bool {
+// IsMissing reports whether a member whose heartbeats are expected is suspect or unknown.
+func (v *View) IsMissing(now time.Time, name string) bool {
 	r := v.members[name]
-	if r == nil || !v.follows(r) {
+	if r == nil || !v.tracks(r) {
 		return false
 	}
 	state := v.state(now, r)
 	return state == Suspect || state == Unknown
 }
 
-// All returns every member, the own one too, in the order of names.
+// All returns the status of every member, including the own one, sorted by name.
 func (v *View) All(now time.Time) []Status {
-	own := Status{Member: v.self, State: Alive, Flags: v.beat.Flags}
-	if v.beat.Flags&Leaving != 0 {
-		own.State = Gone
+	own := Status{Member: v.self, State: Alive, Flags: v.heartbeat.Flags}
+	if v.heartbeat.Flags&Leaving != 0 {
+		own.State = Stopping
 	}
 	out := v.Others(now)
 	at := sort.Search(len(out), func(i int) bool { return out[i].Name > v.self.Name })
 	return slices.Insert(out, at, own)
 }
 
-// Others returns every member but the own one, in the order of names.
+// Others returns the status of every member except the own one, sorted by name.
 func (v *View) Others(now time.Time) []Status {
-	out := make([]Status, 0, len(v.order)+1)
-	for _, r := range v.order {
-		out = append(out, Status{Member: r.member, State: v.state(now, r), Flags: r.beat.Flags})
+	out := make([]Status, 0, len(v.byName)+1)
+	for _, r := range v.byName {
+		out = append(out, Status{Member: r.member, State: v.state(now, r), Flags: r.heartbeat.Flags})
 	}
 	return out
 }
 
-// Len returns the number of members, the own one too.
-func (v *View) Len() int { return len(v.order) + 1 }
+// Len returns the number of members, including the own one.
+func (v *View) Len() int { return len(v.byName) + 1 }
