--- a/forward/client.go
+++ b/forward/client.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	// inlineBody is the largest body that is written before the answer is
-	// read. A larger one is written beside: a target that answers early need
-	// not read on, and would hold the writer up.
-	inlineBody = 8 << 10
-	// maxSurplus bounds the answers to other requests that are skipped.
-	maxSurplus = 8
-	// arrivedTime is how long an answer is read that had arrived when the deadline had
-	// passed: its bytes lie in the kernel's buffer.
-	arrivedTime = 5 * time.Millisecond
-	// keepAliveMargin is taken off the time that a target says it keeps a
-	// connection.
+	// maxInlineBody is the largest body, in bytes, that is written before the response is
+	// read. A larger one is written concurrently: a target that responds early may stop
+	// reading and block the write.
+	maxInlineBody = 8 << 10
+	// maxSkippedResponses bounds the number of responses to other requests that are
+	// skipped.
+	maxSkippedResponses = 8
+	// bufferedReadTimeout is the time to read a response that had arrived when the deadline
+	// passed. Its bytes are already in the receive buffer of the kernel.
+	bufferedReadTimeout = 5 * time.Millisecond
+	// keepAliveMargin is subtracted from the keep-alive timeout that a target announces.
 	keepAliveMargin = time.Second
 )
 
 // Errors of an attempt.
 var (
-	ErrUnsigned = errors.New("forward: success without a signature")
-	ErrForeign  = errors.New("forward: answers to other requests only")
-	ErrEncoded  = errors.New("forward: body is encoded")
-	ErrWithheld = errors.New("forward: the target is no longer to be sent to")
+	ErrUnsigned   = errors.New("forward: success without a signature")
+	ErrMismatched = errors.New("forward: only responses to other requests arrived")
+	ErrEncoded    = errors.New("forward: response body has a content encoding")
+	ErrWithheld   = errors.New("forward: target became unavailable before the request was sent")
 )
 
-// Codec reads what answers say in the target's format.
+// Codec parses what responses contain in the format of the targets.
 type Codec interface {
-	Load(text string) *upstream.Report
-	// Replaced tells whether a status says that another incarnation or
-	// service has the address.
-	Replaced(status int) bool
-	// Word reads what the target says of itself.
-	Word(status int, header http.Header) availability.Word
+	// ParseLoad parses the load header. It returns nil if the text is malformed.
+	ParseLoad(text string) *upstream.LoadReport
+	// IsReplaced reports whether a status means that the address belongs to another
+	// incarnation or service now.
+	IsReplaced(status int) bool
+	// ParseSelfReport parses what the target reports about its own availability.
+	ParseSelfReport(status int, header http.Header) availability.SelfReport
 }
 
 // Client sends requests to targets. It is safe for concurrent use.
@@ -55,58 +56,60 @@
 	headers Headers
 	codec   Codec
 	clock   *clock.Clock
-	idle    idle
-	spares  spares
+	idle    idlePool
+	spares  sparePolicy
 }
 
-// NewClient returns a client without connections. The deadlines of its requests are times of
-// a clock.
+// NewClient returns a client without connections. The deadlines of its requests are times
+// of the clock.
 func NewClient(headers Headers, codec Codec, clock *clock.Clock) *Client {
-	return &Client{headers: headers, codec: codec, clock: clock, idle: idle{clock: clock, conns: make(map[string][]*conn)},
-		spares: spares{slow: slowDial, targets: make(map[string]*spareState)}}
+	return &Client{headers: headers, codec: codec, clock: clock, idle: idlePool{clock: clock, conns: make(map[string][]*conn)},
+		spares: sparePolicy{slowDial: slowDial, targets: make(map[string]*spareState)}}
 }
 
-// Expire closes connections that were idle for too long. It is to be called now
-// and then.
-func (c *Client) Expire(now time.Time) {
+// CloseExpired closes connections that have been idle for too long. It should be called
+// periodically.
+func (c *Client) CloseExpired(now time.Time) {
 	c.idle.expire(now)
 	c.spares.expire(now)
 }
 
-// Do sends a request and reads the answer.
+// Do sends a request and reads the response. It stops early if ctx is canceled.
 func (c *Client) Do(ctx context.Context, r *Request) Attempt {
 	start := c.clock.Now()
 	cn, err := c.connect(ctx, r)
 	if err != nil {
 		a := Attempt{Outcome: retry.NotRun, Err: err}
-		a.Target.Outcome = upstream.Unreachable
+		a.TargetResult.Outcome = upstream.Unreachable
 		if ctx.Err() != nil {
-			a.Target.Outcome = upstream.Abandoned
+			a.TargetResult.Outcome = upstream.Abandoned
 		}
 		return a
 	}
-	if r.May != nil && !r.May() {
-		c.idle.keep(r.place(), cn)
+	if r.MaySend != nil && !r.MaySend() {
+		c.idle.release(r.endpoint(), cn)
 		a := Attempt{Outcome: retry.NotRun, Err: ErrWithheld}
-		a.Target.Outcome = upstream.Abandoned
+		a.TargetResult.Outcome = upstream.Abandoned
 		return a
 	}
-	// Once the exchange is over the connection may be another request's.
+	// After the exchange another request may use the connection.
 	reused := cn.reused
 	a := c.exchange(ctx, cn, r)
 	a.Sent = true
 	a.Reused = reused
-	a.Target.Took = c.clock.Since(start)
+	a.TargetResult.Latency = c.clock.Since(start)
 	return a
 }
 
+// connect returns an idle connection for the request, or opens one. It also opens a spare
+// connection in the background if the target should have one.
 func (c *Client) connect(ctx context.Context, r *Request) (*conn, error) {
 	limit := maxIdle
-	if r.Once {
-		limit = maxIdleOnce
+	if r.NonIdempotent {
+		limit = maxIdleNonIdempotent
 	}
-	cn := c.idle.take(r.place(), limit)
-	if c.idle.count(r.place()) < sparesAhead && c.spares.begin(c.clock.Now(), r.Target) {
+	cn := c.idle.take(r.endpoint(), limit)
+	if c.idle.size(r.endpoint()) < minIdleConns && c.spares.startOpening(c.clock.Now(), r.Target) {
 		go c.openSpare(r.Target, r.Addr)
 	}
 	if cn != nil {
@@ -115,14 +118,13 @@
 	start := c.clock.Now()
 	cn, err := dial(ctx, r.Addr, c.clock.Until(r.Deadline))
 	if err == nil {
-		c.spares.dialed(r.Target, c.clock.Since(start))
+		c.spares.recordDial(r.Target, c.clock.Since(start))
 	}
 	return cn, err
 }
 
-// exchange writes the request and reads the answer. The connection is kept if
-// nothing speaks against it, and closed otherwise, which also tells the target
-// to drop the request.
+// exchange writes the request and reads the response. It keeps the connection only if it
+// can be used again. Closing it otherwise also makes the target cancel the request.
 func (c *Client) exchange(ctx context.Context, cn *conn, r *Request) Attempt {
 	reused := cn.reused
 	_ = cn.SetDeadline(c.clock.System(r.Deadline))
@@ -134,29 +136,29 @@
 		keep = false
 	}
 	if keep {
-		cn.maxIdle = idleLimit(resp.Header)
-		c.idle.keep(r.place(), cn)
+		cn.maxIdle = keepAliveTimeout(resp.Header)
+		c.idle.release(r.endpoint(), cn)
 	} else {
 		_ = cn.Close()
 	}
 	if err != nil {
-		a := c.failure(ctx, r, resp, err)
-		if reused && resp == nil && a.Target.Outcome != upstream.Abandoned {
-			// What silenced or forgot a kept connection has most often done so to all that
-			// were open at the time. New ones may well work.
-			c.idle.drop(r.place())
+		a := c.failed(ctx, r, resp, err)
+		if reused && resp == nil && a.TargetResult.Outcome != upstream.Abandoned {
+			// What made a kept connection silent, or made the target forget it, has usually
+			// affected all connections that were open at the time. New ones may well work.
+			c.idle.closeAll(r.endpoint())
 		}
 		return a
 	}
-	return c.judge(resp)
+	return c.completed(resp)
 }
 
-// write sends the request and returns a channel that is closed once all of it is
-// written. A failure to write shows when the answer is read.
+// write sends the request. It returns a channel that is closed once the whole request is
+// written. A write error shows when the response is read.
 func (c *Client) write(cn *conn, r *Request) <-chan struct{} {
 	done := make(chan struct{})
 	head := c.head(r)
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		_, err := cn.Write(append(head, r.Body...))
 		if err == nil {
 			close(done)
@@ -175,6 +177,7 @@
 	return done
 }
 
+// isDone reports whether the channel is closed.
 func isDone(ch <-chan struct{}) bool {
 	select {
 	case <-ch:
@@ -184,9 +187,10 @@
 	}
 }
 
-// head returns the request line and the headers.
+// head returns the request line and the headers. The capacity has room for a body that is
+// written with them.
 func (c *Client) head(r *Request) []byte {
-	buf := make([]byte, 0, 512+len(r.Body)*boolInt(len(r.Body) <= inlineBody))
+	buf := make([]byte, 0, 512+len(r.Body)*boolInt(len(r.Body) <= maxInlineBody))
 	buf = append(buf, r.Method...)
 	buf = append(buf, ' ')
 	buf = append(buf, r.URI...)
@@ -194,7 +198,7 @@
 	buf = append(buf, r.Host...)
 	buf = append(buf, "\r\n"...)
 	for name, values := range r.Header {
-		if c.replaced(name) {
+		if c.isReserved(name) {
 			continue
 		}
 		for _, value := range values {
@@ -202,7 +206,7 @@
 		}
 	}
 	buf = appendHeader(buf, c.headers.Deadline, strconv.FormatInt(max(1, r.Timeout.Milliseconds()), 10))
-	buf = appendHeader(buf, c.headers.Expected, r.Name)
+	buf = appendHeader(buf, c.headers.Expected, r.TargetName)
 	if r.Account != "" {
 		buf = appendHeader(buf, c.headers.Account, r.Account)
 	}
@@ -212,9 +216,10 @@
 	return append(buf, "\r\n"...)
 }
 
-// replaced tells whether a header of a client's request is not passed on: the system sets
-// it itself, or it is a secret between the client and the system.
-func (c *Client) replaced(name string) bool {
+// isReserved reports whether a header of the client's request is not forwarded. The gateway
+// sets some headers itself, and the credential of a client account is a secret that targets
+// must not see.
+func (c *Client) isReserved(name string) bool {
 	switch name {
 	case c.headers.Deadline, c.headers.Expected, c.headers.Account, c.headers.Credential:
 		return true
@@ -237,16 +242,18 @@
 	return append(buf, "\r\n"...)
 }
 
-// answer is an answer read to its end, or as far as it came.
-type answer struct {
+// fullResponse is a response whose body has been read, to its end or to the point of a read
+// error.
+type fullResponse struct {
 	*http.Response
 	body []byte
 }
 
-// read reads answers until one that belongs to the request.
-func (c *Client) read(cn *conn, r *Request) (*answer, error) {
-	for range maxSurplus {
-		err := c.await(cn)
+// read reads responses until one that belongs to the request. If its body is incomplete,
+// read returns both the response and an error.
+func (c *Client) read(cn *conn, r *Request) (*fullResponse, error) {
+	for range maxSkippedResponses {
+		err := c.awaitResponse(cn)
 		if err != nil {
 			return nil, err
 		}
@@ -257,47 +264,47 @@
 		if resp.StatusCode/100 == 1 {
 			continue
 		}
-		if !c.belongs(resp, r) {
+		if !c.matches(resp, r) {
 			_, err = io.Copy(io.Discard, resp.Body)
 			if err != nil || resp.Close {
-				return nil, fmt.Errorf("%w: %w", ErrForeign, errOr(err, io.EOF))
+				return nil, fmt.Errorf("%w: %w", ErrMismatched, firstError(err, io.EOF))
 			}
 			continue
 		}
-		a := &answer{Response: resp}
+		a := &fullResponse{Response: resp}
 		a.body, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if err != nil {
 			return a, err
 		}
-		return a, c.check(resp)
+		return a, c.validate(resp)
 	}
-	return nil, ErrForeign
+	return nil, ErrMismatched
 }
 
-// await waits for the first byte of an answer until the connection's deadline. An answer
-// that has arrived by then is read even if this process was paused meanwhile and the
-// deadline has passed: the target has run the request.
-func (c *Client) await(cn *conn) error {
+// awaitResponse waits for the first byte of a response until the connection's deadline. A
+// response that has arrived by then is read even if the deadline has passed because this
+// process was suspended: the target has run the request.
+func (c *Client) awaitResponse(cn *conn) error {
 	_, err := cn.reader.Peek(1)
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	_ = cn.SetReadDeadline(time.Now().Add(arrivedTime))
+	_ = cn.SetReadDeadline(time.Now().Add(bufferedReadTimeout))
 	_, err = cn.reader.Peek(1)
 	return err
 }
 
-func errOr(err, fallback error) error {
+func firstError(err, fallback error) error {
 	if err != nil {
 		return err
 	}
 	return fallback
 }
 
-// belongs tells whether an answer is to the request. One that says that the
-// request did not run may lack the ID.
-func (c *Client) belongs(resp *http.Response, r *Request) bool {
+// matches reports whether a response belongs to the request. A response that says that the
+// request was not run may lack the request ID.
+func (c *Client) matches(resp *http.Response, r *Request) bool {
 	id := resp.Header.Get(c.headers.RequestID)
 	if id == "" {
 		return c.notRun(resp) && r.ID != ""
@@ -305,12 +312,14 @@
 	return id == r.ID
 }
 
+// notRun reports whether a response says that the request was not run.
 func (c *Client) notRun(resp *http.Response) bool {
-	return resp.Header.Get(c.headers.NotRun) != "" || c.codec.Replaced(resp.StatusCode)
+	return resp.Header.Get(c.headers.NotRun) != "" || c.codec.IsReplaced(resp.StatusCode)
 }
 
-// check finds what a success must have and lacks.
-func (c *Client) check(resp *http.Response) error {
+// validate checks that a successful response is signed and that its body has no content
+// encoding.
+func (c *Client) validate(resp *http.Response) error {
 	if resp.StatusCode/100 != 2 {
 		return nil
 	}
@@ -323,53 +332,55 @@
 	return nil
 }
 
-// word returns what the head of an answer to the request says of its target. It counts whatever
-// became of the rest of the answer, and whether or not the client is still there. What another
-// incarnation says does not, nor what a success says that no target has signed.
-func (c *Client) word(resp *http.Response) availability.Word {
+// selfReport returns what the head of a response reports about the target. The report
+// counts even if the rest of the response did not arrive or the client has disconnected.
+// The report of another incarnation does not count, nor that of a successful response
+// without a signature.
+func (c *Client) selfReport(resp *http.Response) availability.SelfReport {
 	unsigned := resp.StatusCode/100 == 2 && resp.Header.Get(c.headers.Signature) == ""
-	if unsigned || c.codec.Replaced(resp.StatusCode) {
-		return availability.Word{}
+	if unsigned || c.codec.IsReplaced(resp.StatusCode) {
+		return availability.SelfReport{}
 	}
-	return c.codec.Word(resp.StatusCode, resp.Header)
+	return c.codec.ParseSelfReport(resp.StatusCode, resp.Header)
 }
 
-// judge turns a whole answer into an attempt.
-func (c *Client) judge(resp *answer) Attempt {
+// completed returns the attempt for a complete response.
+func (c *Client) completed(resp *fullResponse) Attempt {
 	a := Attempt{Outcome: retry.Ran}
-	a.Target.Report = c.codec.Load(resp.Header.Get(c.headers.Load))
-	a.Target.Word = c.word(resp.Response)
+	a.TargetResult.LoadReport = c.codec.ParseLoad(resp.Header.Get(c.headers.Load))
+	a.TargetResult.SelfReport = c.selfReport(resp.Response)
 	switch {
-	case c.codec.Replaced(resp.StatusCode):
-		a.Outcome, a.Target.Outcome = retry.NotRun, upstream.Replaced
+	case c.codec.IsReplaced(resp.StatusCode):
+		a.Outcome, a.TargetResult.Outcome = retry.NotRun, upstream.Replaced
 	case c.notRun(resp.Response):
-		a.Outcome, a.Target.Outcome = retry.NotRun, upstream.Rejected
+		a.Outcome, a.TargetResult.Outcome = retry.NotRun, upstream.Rejected
 	default:
-		a.Target.Failed = resp.StatusCode >= http.StatusInternalServerError
-		a.Response = &Response{Status: resp.StatusCode, Header: EndToEnd(resp.Header), Body: resp.body}
+		a.TargetResult.ServerError = resp.StatusCode >= http.StatusInternalServerError
+		a.Response = &Response{Status: resp.StatusCode, Header: EndToEndHeaders(resp.Header), Body: resp.body}
 	}
 	return a
 }
 
-// failure turns a missing or broken answer into an attempt.
-func (c *Client) failure(ctx context.Context, r *Request, resp *answer, err error) Attempt {
+// failed returns the attempt for a missing or incomplete response.
+func (c *Client) failed(ctx context.Context, r *Request, resp *fullResponse, err error) Attempt {
 	a := Attempt{Outcome: retry.Unknown, Err: err}
 	if resp != nil {
-		a.Target.Word = c.word(resp.Response)
+		a.TargetResult.SelfReport = c.selfReport(resp.Response)
 	}
 	switch {
 	case ctx.Err() != nil:
-		a.Target.Outcome = upstream.Abandoned
+		a.TargetResult.Outcome = upstream.Abandoned
 	case resp == nil && !c.clock.Now().Before(r.Deadline):
-		a.Target.Outcome = upstream.Silent
+		a.TargetResult.Outcome = upstream.TimedOut
 	default:
-		a.Target.Outcome = upstream.Broken
+		a.TargetResult.Outcome = upstream.Broken
 	}
 	return a
 }
 
-// idleLimit is how long a connection may be idle by what the answer says.
-func idleLimit(h http.Header) time.Duration {
+// keepAliveTimeout returns how long the connection may be idle according to the response,
+// at most maxIdle.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !ok {
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -13,35 +13,37 @@
 
 const (
 	maxDialTime = 800 * time.Millisecond
-	// unackedTimeout ends a connection whose bytes the other side does not
-	// acknowledge: it is cut off or has lost power.
+	// unackedTimeout is how long sent bytes may remain unacknowledged before a connection
+	// is closed. The target is then cut off from the network or has lost power.
 	unackedTimeout = 2 * time.Second
 	readBuffer     = 4 << 10
 
-	// maxIdle is how long a connection is kept for requests that may run
-	// more than once, and maxIdleOnce for those that may not.
-	maxIdle     = 8 * time.Second
-	maxIdleOnce = 3 * time.Second
-	// maxIdlePerTarget bounds the connections kept to one target.
+	// maxIdle is how long an idle connection is used for idempotent requests, and
+	// maxIdleNonIdempotent for others. A target may close an idle connection just when a
+	// request is sent on it, and a request that must not run twice can't be retried then.
+	maxIdle              = 8 * time.Second
+	maxIdleNonIdempotent = 3 * time.Second
+	// maxIdlePerTarget bounds the number of idle connections to a target.
 	maxIdlePerTarget = 16
 )
 
 // conn is a connection to a target.
 type conn struct {
 	net.Conn
-	reader *bufio.Reader
-	idleAt time.Time
-	// maxIdle is what the target allows.
+	reader    *bufio.Reader
+	idleSince time.Time
+	// maxIdle is how long the target keeps the connection open when it is idle.
 	maxIdle time.Duration
-	reused  bool
+	// reused is set once the connection has been taken from the idle pool.
+	reused bool
 }
 
-// dial opens a connection to a target within the time that is left.
+// dial opens a connection to a target. It takes at most the remaining time left.
 func dial(ctx context.Context, addr string, left time.Duration) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout:   min(maxDialTime, left),
 		KeepAlive: -1,
-		Control:   sockopt.LimitUnacked(unackedTimeout),
+		Control:   sockopt.UserTimeout(unackedTimeout),
 	}
 	c, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -50,40 +52,40 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), maxIdle: maxIdle}, nil
 }
 
-// quiet tells whether the connection is open and nothing has arrived on it since
-// the last answer: a kept connection with bytes on it carries something that is
-// nobody's answer, and one at its end is of no use.
-func (c *conn) quiet() bool {
+// isQuiet reports whether the connection is open and nothing has arrived on it since the
+// last response. Bytes on an idle connection belong to no response that this client
+// expects, and a closed connection is of no use.
+func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	return sockopt.Quiet(c.Conn)
+	return sockopt.Idle(c.Conn)
 }
 
-// idle holds the kept connections by target.
-type idle struct {
+// idlePool holds idle connections by endpoint.
+type idlePool struct {
 	clock *clock.Clock
 
 	mu    sync.Mutex
 	conns map[string][]*conn
 }
 
-// take returns the connection used last, if it was used less than limit ago and
-// is quiet.
-func (i *idle) take(target string, limit time.Duration) *conn {
+// take returns the most recently used connection that is quiet, or nil if there is none or
+// it has been idle for limit or longer. It closes connections that can no longer be used.
+func (i *idlePool) take(target string, limit time.Duration) *conn {
 	now := i.clock.Now()
 	for {
 		c := i.pop(target)
 		if c == nil {
 			return nil
 		}
-		age := now.Sub(c.idleAt)
-		if age < min(limit, c.maxIdle) && c.quiet() {
+		age := now.Sub(c.idleSince)
+		if age < min(limit, c.maxIdle) && c.isQuiet() {
 			c.reused = true
 			return c
 		}
-		if age < c.maxIdle && age >= limit && c.quiet() {
-			// Good enough for others.
+		if age < c.maxIdle && age >= limit && c.isQuiet() {
+			// Requests with a longer limit can use it.
 			i.put(target, c)
 			return nil
 		}
@@ -91,7 +93,8 @@
 	}
 }
 
-func (i *idle) pop(target string) *conn {
+// pop removes and returns the connection that was added last, or nil.
+func (i *idlePool) pop(target string) *conn {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	list := i.conns[target]
@@ -103,19 +106,21 @@
 	return c
 }
 
-// count returns the number of connections to a target that are kept.
-func (i *idle) count(target string) int {
+// size returns the number of idle connections to a target.
+func (i *idlePool) size(target string) int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return len(i.conns[target])
 }
 
-func (i *idle) keep(target string, c *conn) {
-	c.idleAt = i.clock.Now()
+// release adds a connection that has become idle now.
+func (i *idlePool) release(target string, c *conn) {
+	c.idleSince = i.clock.Now()
 	i.put(target, c)
 }
 
-func (i *idle) put(target string, c *conn) {
+// put adds a connection, or closes it if there are maxIdlePerTarget.
+func (i *idlePool) put(target string, c *conn) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if len(i.conns[target]) >= maxIdlePerTarget {
@@ -125,8 +130,8 @@
 	i.conns[target] = append(i.conns[target], c)
 }
 
-// drop closes all connections kept to a target.
-func (i *idle) drop(target string) {
+// closeAll closes all idle connections to a target.
+func (i *idlePool) closeAll(target string) {
 	i.mu.Lock()
 	list := i.conns[target]
 	delete(i.conns, target)
@@ -136,14 +141,14 @@
 	}
 }
 
-// expire closes connections that were idle for too long.
-func (i *idle) expire(now time.Time) {
+// expire closes the connections that have been idle for too long.
+func (i *idlePool) expire(now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for target, list := range i.conns {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Sub(c.idleAt) < c.maxIdle {
+			if now.Sub(c.idleSince) < c.maxIdle {
 				kept = append(kept, c)
 				continue
 			}
--- a/forward/answer_fuzz_test.go
+++ b/forward/response_fuzz_test.go
@@ -14,29 +14,32 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// scripted is a connection on which bytes have arrived and that ends after them.
-type scripted struct{ *bytes.Reader }
+// scriptedConn is a connection on which some bytes have arrived and that ends after them.
+type scriptedConn struct{ *bytes.Reader }
 
-func (scripted) Write(p []byte) (int, error)      { return len(p), nil }
-func (scripted) Close() error                     { return nil }
-func (scripted) LocalAddr() net.Addr              { return nil }
-func (scripted) RemoteAddr() net.Addr             { return nil }
-func (scripted) SetDeadline(time.Time) error      { return nil }
-func (scripted) SetReadDeadline(time.Time) error  { return nil }
-func (scripted) SetWriteDeadline(time.Time) error { return nil }
+func (scriptedConn) Write(p []byte) (int, error)      { return len(p), nil }
+func (scriptedConn) Close() error                     { return nil }
+func (scriptedConn) LocalAddr() net.Addr              { return nil }
+func (scriptedConn) RemoteAddr() net.Addr             { return nil }
+func (scriptedConn) SetDeadline(time.Time) error      { return nil }
+func (scriptedConn) SetReadDeadline(time.Time) error  { return nil }
+func (scriptedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// plainCodec knows no loads, and 421 as the answer of another target.
+// plainCodec parses no loads and no self-reports. Status 421 means that the target was
+// replaced.
 type plainCodec struct{}
 
-func (plainCodec) Load(string) *upstream.Report { return nil }
-func (plainCodec) Replaced(status int) bool     { return status == http.StatusMisdirectedRequest }
+func (plainCodec) ParseLoad(string) *upstream.LoadReport { return nil }
+func (plainCodec) IsReplaced(status int) bool            { return status == http.StatusMisdirectedRequest }
 
-func (plainCodec) Word(int, http.Header) availability.Word { return availability.Word{} }
+func (plainCodec) ParseSelfReport(int, http.Header) availability.SelfReport {
+	return availability.SelfReport{}
+}
 
-// FuzzAnswer has a target answer with any bytes and close, and checks that a request counts
-// as not run only if a head says so, and that an answer is taken only if it carries the
-// request's ID, and as a success only with the target's signature.
-func FuzzAnswer(f *testing.F) {
+// FuzzResponse has a target send arbitrary bytes and close the connection. A request must
+// count as not run only if a response head says so. A response must be accepted only if it
+// contains the ID of the request, and as a success only with a signature.
+func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{
 		"",
 		"HTTP/1.1 200 OK\r\nRequest-Id: q\r\nServer-Signature: s\r\nContent-Length: 2\r\n\r\nok",
@@ -52,25 +55,25 @@
 	headers := Headers{RequestID: "Request-Id", Signature: "Server-Signature", NotRun: "Not-Executed"}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c := NewClient(headers, plainCodec{}, nil)
-		raw := scripted{bytes.NewReader(data)}
+		raw := scriptedConn{bytes.NewReader(data)}
 		a := c.exchange(t.Context(), &conn{Conn: raw, reader: bufio.NewReader(raw)}, &Request{
-			Method: "GET", URI: "/", Host: "h.example", Header: http.Header{}, ID: "q", Target: "i-1", Name: "i-1", Timeout: time.Second,
+			Method: "GET", URI: "/", Host: "h.example", Header: http.Header{}, ID: "q", Target: "i-1", TargetName: "i-1", Timeout: time.Second,
 		})
 		text := strings.ToLower(string(data))
 		if a.Outcome == retry.NotRun && !strings.Contains(text, "not-executed") && !strings.Contains(text, "421") {
-			t.Fatalf("not run, by %q", data)
+			t.Fatalf("counted as not run after %q", data)
 		}
 		if a.Response == nil {
 			return
 		}
 		if a.Outcome != retry.Ran || a.Response.Header.Get("Request-Id") != "q" {
-			t.Fatalf("not an answer to the request: %q", data)
+			t.Fatalf("accepted a response to another request: %q", data)
 		}
 		if a.Response.Status/100 == 2 && a.Response.Header.Get("Server-Signature") == "" {
-			t.Fatalf("a success without a signature: %q", data)
+			t.Fatalf("accepted a success without a signature: %q", data)
 		}
 		if !bytes.Contains(data, a.Response.Body) && !strings.Contains(text, "chunked") {
-			t.Fatalf("a body that was not sent: %q of %q", a.Response.Body, data)
+			t.Fatalf("the body %q is not in the bytes sent, %q", a.Response.Body, data)
 		}
 	})
 }
--- /dev/null
+++ b/forward/self_report_test.go
@@ -0,0 +1,104 @@
+package forward_test
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/rainford/rainford/availability"
+	"github.com/rainford/rainford/forward"
+	"github.com/rainford/rainford/internal/standin/origin"
+	"github.com/rainford/rainford/retry"
+	"github.com/rainford/rainford/upstream"
+)
+
+// TestSelfReportInResponse checks which responses count for what a target reports about
+// itself. The complete head of a response to the request is sufficient. Responses to other
+// requests, of other incarnations or of unknown origin do not count.
+func TestSelfReportInResponse(t *testing.T) {
+	leaves := availability.SelfReport{Leaving: true}
+	rests := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
+	for _, c := range []struct {
+		name  string
+		fault origin.Fault
+		want  availability.SelfReport
+	}{
+		{"success", origin.None, leaves},
+		{"server error", origin.Failed, leaves},
+		{"rejection", origin.Shed, rests},
+		{"surplus response", origin.Surplus, leaves},
+		{"response before the body is read", origin.EarlyRefusal, leaves},
+		{"no content length", origin.Unframed, leaves},
+		{"reset in the body", origin.UnframedReset, leaves},
+		{"truncated body", origin.Cut, leaves},
+		{"body never completed", origin.Stalled, leaves},
+		{"response to another request", origin.Foreign, availability.SelfReport{}},
+		{"success without a signature", origin.Unsigned, availability.SelfReport{}},
+		{"garbage", origin.Garbage, availability.SelfReport{}},
+		{"no response", origin.LostResponse, availability.SelfReport{}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s, client := startTarget(t, c.fault)
+			s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\nRetry-After: 3\r\n" })
+			a := client.Do(context.Background(), newRequest(s))
+			require.Equal(t, c.want, a.TargetResult.SelfReport)
+		})
+	}
+}
+
+// TestSelfReportOfReplacedTarget checks that the self-report of a server that now has the
+// address of a target does not count for that target.
+func TestSelfReportOfReplacedTarget(t *testing.T) {
+	s, client := startTarget(t, origin.None)
+	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+	r := newRequest(s)
+	r.Target, r.TargetName = "i-0", "i-0"
+	a := client.Do(context.Background(), r)
+	require.Equal(t, upstream.Replaced, a.TargetResult.Outcome)
+	require.Zero(t, a.TargetResult.SelfReport)
+}
+
+// TestSelfReportAfterClientDisconnect checks that the self-report in a response head counts
+// although the client disconnects before the rest of the response arrives. The test repeats
+// the request with a later disconnect until the head arrives before it.
+func TestSelfReportAfterClientDisconnect(t *testing.T) {
+	s, client := startTarget(t, origin.Stalled)
+	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
+	for stay := 20 * time.Millisecond; stay < 10*time.Second; stay *= 2 {
+		ctx, leave := context.WithCancel(context.Background())
+		time.AfterFunc(stay, leave)
+		r := newRequest(s)
+		r.Deadline = time.Now().Add(time.Minute)
+		a := client.Do(ctx, r)
+		require.Equal(t, upstream.Abandoned, a.TargetResult.Outcome)
+		if a.TargetResult.SelfReport.Leaving {
+			return
+		}
+	}
+	t.Fatal("no self-report counted")
+}
+
+// TestWithheldRequest checks that a request is not sent if MaySend returns false once the
+// connection is established, and that the next request uses that connection.
+func TestWithheldRequest(t *testing.T) {
+	s, client := startTarget(t, origin.None)
+	r := newRequest(s)
+	accepted := 0
+	r.MaySend = func() bool {
+		accepted++
+		return false
+	}
+	a := client.Do(context.Background(), r)
+	require.ErrorIs(t, a.Err, forward.ErrWithheld)
+	require.Equal(t, retry.NotRun, a.Outcome)
+	require.False(t, a.Sent)
+	require.Equal(t, 1, accepted)
+	require.Empty(t, s.Runs())
+	next := client.Do(context.Background(), newRequest(s))
+	require.Equal(t, retry.Ran, next.Outcome)
+	require.True(t, next.Reused)
+	require.Equal(t, 1, s.Accepted())
+}
--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -15,93 +15,96 @@
 	"github.com/rainford/rainford/table"
 )
 
-// sourceStore is the source of a delta that the own watch brought.
+// sourceStore is the source of a delta that this instance has read from the store.
 const sourceStore = "store"
 
-// sourceLapse is the source of a change that was held back after an outage of the
-// store.
-const sourceLapse = "lapse"
+// sourceHoldExpired is the source of a change that was held after an outage or a restore of the
+// store, and whose hold has ended.
+const sourceHoldExpired = "lapse"
 
-// provenance is where changes come from.
+// provenance describes where changes come from.
 type provenance struct {
-	// source is sourceStore, the peer address of the instance that sent them, or sourceLapse.
+	// source is sourceStore, the peer address of the instance that sent the changes, or
+	// sourceHoldExpired.
 	source string
-	// revision is that of the replica with them.
+	// revision is the revision of the replica after the changes.
 	revision int64
-	// restored says that they lead from what was held to what a store holds that came back from a
-	// copy: some are no changes that anybody has made.
+	// restored states that the changes lead to the contents of a store that was restored from
+	// a backup. Some of them undo writes that the backup lacks, and were made by no writer.
 	restored bool
 }
 
-// take applies a delta and puts its changes in force. Source is sourceStore or
-// the peer address of the instance that sent it. It reports whether the replica
-// now reflects the delta's end.
-func (g *Gateway) take(d feed.Delta, source string) bool {
+// applyDelta applies a delta to the replica of its kind, applies the resulting changes to the
+// instance and pushes them to others. Source is sourceStore or the peer address of the instance
+// that sent the delta. The result is false if the replica does not reach the end of the delta,
+// because the delta leaves a gap or the kind is not replicated here.
+func (g *Gateway) applyDelta(d feed.Delta, source string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[d.Kind]
 	if replica == nil {
 		return false
 	}
-	before := replica.At()
-	own := g.ownObjects(d)
+	before := replica.Position()
+	own := g.ownObjectsBeforeRestore(d)
 	changes, ok := replica.Apply(d)
 	if !ok {
 		return false
 	}
-	if source != sourceStore && g.catchUp[d.Kind].Answered() {
-		g.metrics.question(d.Kind, questionAnswered)
+	if source != sourceStore && g.catchUp[d.Kind].Received() {
+		g.metrics.deltaRequest(d.Kind, deltaRequestAnswered)
 	}
-	at := replica.At()
+	at := replica.Position()
 	if at == before {
 		return true
 	}
 	now := g.clock.Now()
 	g.enterEra(at.Era, source)
 	if before.IsZero() {
-		g.answerAskers(d.Kind)
+		g.answerPendingDeltaRequests(d.Kind)
 	}
 	if before.IsZero() && d.Kind == KindInstances {
-		g.instancesAt = now
+		g.instancesKnownAt = now
 	}
 	from := provenance{source: source, revision: at.Revision, restored: !before.IsZero() && before.Era != at.Era}
 	if from.restored {
-		g.holdBack(now, d.Kind)
-		g.noteLost(now, own, changes)
+		g.holdAfterRestore(now, d.Kind)
+		g.recordLostObjects(now, own, changes)
 	}
 	if len(changes) > 0 {
-		g.putInForce(now, d.Kind, changes, from)
+		g.applyChanges(now, d.Kind, changes, from)
 	}
 	if before.IsZero() {
-		g.noteKnown(now, d.Kind)
+		g.onKindLoaded(now, d.Kind)
 	}
-	g.noteReady()
+	g.signalReady()
 	if !before.IsZero() && (len(changes) > 0 || from.restored) {
 		if d.Full {
-			d = feed.Difference(d.Kind, before, d.To, changes)
+			d = feed.ExactDelta(d.Kind, before, d.To, changes)
 		}
-		g.passOn(d, source)
+		g.pushDelta(d, source)
 	}
 	if len(changes) > 0 && source != sourceStore {
-		g.watch.missed(d.Kind, now)
+		g.watch.recordMissed(d.Kind, now)
 	}
 	return true
 }
 
-// noteKnown takes in that the first objects of a kind are in force. The caller holds mu.
-func (g *Gateway) noteKnown(now time.Time, kind feed.Kind) {
+// onKindLoaded updates the state that depends on the first objects of a kind, after they have
+// been applied. The caller holds mu.
+func (g *Gateway) onKindLoaded(now time.Time, kind feed.Kind) {
 	switch kind {
 	case KindInstances:
-		g.shareOut(now)
+		g.updateInstanceShares(now)
 	case KindTargets:
-		g.readiness.knowsTargets.Store(true)
+		g.readiness.targetsLoaded.Store(true)
 	case KindRollouts:
-		g.knowRollouts()
+		g.setRolloutsLoaded()
 	}
 }
 
-// putInForce makes changes count. The caller holds mu.
-func (g *Gateway) putInForce(now time.Time, kind feed.Kind, changes []feed.Change, from provenance) {
+// applyChanges puts changes of a kind in force. The caller holds mu.
+func (g *Gateway) applyChanges(now time.Time, kind feed.Kind, changes []feed.Change, from provenance) {
 	switch kind {
 	case KindConfig:
 		for _, c := range changes {
@@ -112,41 +115,41 @@
 	case KindEvacuations:
 		g.applyEvacuations(now, changes, from)
 	case KindTable:
-		// What releases held requests comes last: it counts for all that is told of them
-		// before.
-		slices.SortStableFunc(changes, func(a, b feed.Change) int { return cmp.Compare(releases(a), releases(b)) })
+		// Releases of held requests are applied last, so that they cover all crashes that
+		// the other records hold.
+		slices.SortStableFunc(changes, func(a, b feed.Change) int { return cmp.Compare(releaseRank(a), releaseRank(b)) })
 		for _, c := range changes {
 			g.applyTable(c, from)
 		}
-		g.pools.setTargets(now, g.listed.specs, g.evacuated)
+		g.pools.setTargets(now, g.targetList.specs, g.evacuated)
 	case KindInstances:
 		g.applyInstances(now, changes, from)
-		g.shareOut(now)
+		g.updateInstanceShares(now)
 	case KindRollouts:
-		for _, c := range g.held[KindRollouts].counting(now, changes, from.restored) {
+		for _, c := range g.heldChanges[KindRollouts].effective(now, changes, from.restored) {
 			g.applyRollout(now, c, from)
 		}
-		g.awaitHeld(now, KindRollouts)
+		g.scheduleHeldChanges(now, KindRollouts)
 	}
 }
 
-// applyEvacuations has halls be emptied or taken back. The caller holds mu.
+// applyEvacuations begins and ends evacuations of halls. The caller holds mu.
 func (g *Gateway) applyEvacuations(now time.Time, changes []feed.Change, from provenance) {
-	for _, c := range g.held[KindEvacuations].counting(now, changes, from.restored) {
-		g.evacuated[c.Name] = !c.Gone
-		if c.Gone {
+	for _, c := range g.heldChanges[KindEvacuations].effective(now, changes, from.restored) {
+		g.evacuated[c.Name] = !c.Removed
+		if c.Removed {
 			delete(g.evacuated, c.Name)
 		}
-		g.log.Info(logEvacuation, "hall", c.Name, "evacuated", !c.Gone, "source", from.source, "revision", from.revision)
+		g.log.Info(logEvacuation, "hall", c.Name, "evacuated", !c.Removed, "source", from.source, "revision", from.revision)
 	}
-	g.pools.setTargets(now, g.listed.specs, g.evacuated)
-	g.awaitHeld(now, KindEvacuations)
+	g.pools.setTargets(now, g.targetList.specs, g.evacuated)
+	g.scheduleHeldChanges(now, KindEvacuations)
 }
 
-// applyConfig puts a configuration in force unless it is older than the one
-// that is.
+// applyConfig puts a configuration in force if it is valid and its version is higher than that of
+// the current one. The caller holds mu.
 func (g *Gateway) applyConfig(c feed.Change, from provenance) {
-	if c.Gone {
+	if c.Removed {
 		return
 	}
 	config, err := g.codec.Config(c.Name, c.Value)
@@ -166,16 +169,17 @@
 	}
 	g.router.Store(router)
 	g.pools.setServices(config.Services)
-	g.pools.setHomeShares(config.HomeShares())
+	g.pools.setHomeShares(config.HomeRegionShares())
 	g.log.Info(logConfig, "version", config.Version, "routes", len(config.Routes), "source", from.source, "revision", from.revision)
 }
 
-// applyTable puts the operators' table in force: their rows in place of the shares
-// computed from slots, and their drains. Other objects of the kind are not for
-// instances.
+// applyTable applies an object of KindTable. The rows of the operators' table replace the shares
+// that are computed from the targets' slots, and its drains are put in force. Records of the
+// quarantine are passed to applyStoredRecord. Other objects of the kind do not concern instances.
+// The caller holds mu.
 func (g *Gateway) applyTable(c feed.Change, from provenance) {
-	if strings.HasPrefix(c.Name, quarantine.KeptPrefix) {
-		g.applyKept(c, from)
+	if strings.HasPrefix(c.Name, quarantine.StoredPrefix) {
+		g.applyStoredRecord(c, from)
 		return
 	}
 	if c.Name != config.Key || g.isLost(c, from) {
@@ -186,7 +190,7 @@
 		g.log.Error(logTableRefused, "error", err.Error(), "source", from.source, "revision", from.revision)
 		return
 	}
-	if c.Gone {
+	if c.Removed {
 		doc = &config.Document{}
 	}
 	plan := table.Compile(&doc.Table, doc.Number)
@@ -194,14 +198,15 @@
 	g.log.Info(logTable, "number", doc.Number, "rows", len(doc.Table.Rows), "source", from.source, "revision", from.revision)
 }
 
-// applyInstances takes in changes of instances' entries. The caller holds mu.
+// applyInstances applies changes of instances' entries to the view of the fleet and to the
+// ownership of limits. The caller holds mu.
 func (g *Gateway) applyInstances(now time.Time, changes []feed.Change, from provenance) {
 	var named []fleet.Member
-	for _, c := range g.held[KindInstances].counting(now, changes, from.restored) {
-		if c.Gone {
+	for _, c := range g.heldChanges[KindInstances].effective(now, changes, from.restored) {
+		if c.Removed {
 			named = slices.DeleteFunc(named, func(m fleet.Member) bool { return m.Name == c.Name })
 			delete(g.registered, c.Name)
-			g.noteUnregistered(c.Name)
+			g.onInstanceRemoved(c.Name)
 			g.view.Remove(now, c.Name)
 			continue
 		}
@@ -211,10 +216,10 @@
 			err = g.checkInstance(c.Name, m)
 		}
 		if err != nil {
-			// Another writer has made it: what it replaced is no longer listed.
+			// A foreign writer has overwritten the entry, so the instance is no longer listed.
 			delete(g.registered, c.Name)
-			g.noteUnregistered(c.Name)
-			g.metrics.refused.Add(1, string(KindInstances), "entry")
+			g.onInstanceRemoved(c.Name)
+			g.metrics.refusedEntries.Add(1, string(KindInstances), "entry")
 			g.log.Error(logInstanceRefused, "name", c.Name, "error", err.Error())
 			continue
 		}
@@ -222,20 +227,20 @@
 		g.registered[m.Name] = m
 	}
 	g.view.Add(named...)
-	g.permits.setMembers(now, g.config, g.registered)
-	g.reviewOwners(now)
-	g.readiness.knowsInstances.Store(true)
-	g.awaitHeld(now, KindInstances)
+	g.accountPermits.setInstances(now, g.config, g.registered)
+	g.updateLimitOwners(now)
+	g.readiness.instancesLoaded.Store(true)
+	g.scheduleHeldChanges(now, KindInstances)
 }
 
-// checkInstance tells why the entry of an instance can't be one that an instance has made.
+// checkInstance returns an error if an entry cannot have been written by the instance of its name.
 func (g *Gateway) checkInstance(name string, m fleet.Member) error {
 	_, hall := g.config.RegionOf[m.Hall]
 	switch {
 	case m.Name != name:
-		return &catalog.EntryError{Field: "name", Problem: "is not that of the object"}
+		return &catalog.EntryError{Field: "name", Problem: "differs from the name of the object"}
 	case !hall || g.config.RegionOf[m.Hall] != m.Region:
-		return &catalog.EntryError{Field: "hall", Problem: "is not one of the settings, or in another region"}
+		return &catalog.EntryError{Field: "hall", Problem: "is not in the settings, or belongs to another region there"}
 	case m.PeerAddr == "" || m.FrontAddr == "":
 		return &catalog.EntryError{Field: "address", Problem: "is missing"}
 	default:
@@ -243,11 +248,12 @@
 	}
 }
 
-// shareOut divides what all instances share anew. One that has not read which instances there are
-// has no part: those that it happens to know are fewer than the others divide by, and the parts
-// would add up to more than there is. The caller holds mu.
-func (g *Gateway) shareOut(now time.Time) {
-	if g.replicas[KindInstances].At().IsZero() {
+// updateInstanceShares divides the quotas that all instances share by the current number of
+// instances. An instance that has not read the list of instances takes no share. It would divide
+// by fewer instances than the others do, and the shares would add up to more than the quota. The
+// caller holds mu.
+func (g *Gateway) updateInstanceShares(now time.Time) {
+	if g.replicas[KindInstances].Position().IsZero() {
 		return
 	}
 	members := make(map[string][]string)
@@ -255,5 +261,5 @@
 	for _, s := range all {
 		members[s.Hall] = append(members[s.Hall], s.Name)
 	}
-	g.pools.setMembers(members, len(all))
+	g.pools.setInstances(members, len(all))
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,82 +14,82 @@
 )
 
 const (
-	// soonRetryAfter is told when a target with free slots has rejected a request: it
-	// may well take the next one, and the answer is then still in time. It is about
-	// the shortest that clients' timers keep.
-	soonRetryAfter = 20 * time.Millisecond
-	// maxUnsent bounds the targets that could not be reached, on top of the
-	// attempts that the route allows.
-	maxUnsent = 3
-	// patienceShare is the part of a route's objective that a request waits
-	// for a target before it is refused. With the way to the client it is told
-	// within a quarter of its objective, early enough to come back in time.
-	patienceShare   = 8
-	defaultPatience = 250 * time.Millisecond
-	// targetMargin is how much less time than is left a target is given, and
-	// lateMargin how long after the deadline its answer is waited for. A
-	// target that says in time that it never began makes the answer a refusal
-	// that may be repeated.
-	targetMargin = 10 * time.Millisecond
-	lateMargin   = 60 * time.Millisecond
+	// shortRetryAfter is the Retry-After if a target with free slots has rejected the request. That
+	// target may well accept the next request, and a response is then still in time. Clients'
+	// timers hardly resolve shorter times.
+	shortRetryAfter = 20 * time.Millisecond
+	// maxUnsentAttempts bounds the attempts at unreachable targets, in addition to the attempts
+	// that the route allows.
+	maxUnsentAttempts = 3
+	// queueTimeoutDivisor divides a route's latency objective to get its queue timeout. A client
+	// that is refused after an eighth of the objective receives the refusal within a quarter of it,
+	// including the network, and can still retry in time.
+	queueTimeoutDivisor = 8
+	defaultQueueTimeout = 250 * time.Millisecond
+	// targetMargin is subtracted from the remaining time to get the timeout of the target.
+	// lateResponseMargin is how long after the deadline the target's response is awaited. If the
+	// target reports within that time that it never started the request, the client can be told
+	// that the request may be repeated.
+	targetMargin       = 10 * time.Millisecond
+	lateResponseMargin = 60 * time.Millisecond
 )
 
 // reasonAnswered is the reason of a request that a target has answered.
 const reasonAnswered = "answered"
 
-// run sends the request to targets until one answers or it is given up.
-func (g *Gateway) run(ex *exchange) (verdict, *forward.Response) {
+// run sends the request to targets until one answers or no further attempt is allowed.
+func (g *Gateway) run(ex *exchange) (requestResult, *forward.Response) {
 	defer g.endTrial(ex)
 	p := g.pools.get(ex.service)
 	if p == nil {
-		return notRun("no-target", defaultRetryAfter), nil
+		return notRunResult("no-target", defaultRetryAfter), nil
 	}
-	p.arrived()
-	want := g.want(ex)
-	header := forward.EndToEnd(ex.r.Header)
+	p.recordArrival()
+	request := g.upstreamRequest(ex)
+	header := forward.EndToEndHeaders(ex.r.Header)
 	unknown := false
 	backoff := defaultRetryAfter
-	for sent, unsent := 0, 0; sent < ex.attemptsAllowed() && unsent <= maxUnsent; {
-		if v, ok := g.pass(ex, unknown); !ok {
-			return v, nil
+	for sent, unsent := 0, 0; sent < ex.maxAttempts() && unsent <= maxUnsentAttempts; {
+		if result, ok := g.checkQuarantine(ex, unknown); !ok {
+			return result, nil
 		}
-		if sent > 0 && !p.spend() {
-			return p.giveUp(want, unknown, "no-budget", backoff), nil
+		if sent > 0 && !p.spendRetry() {
+			return p.finalRefusal(request, unknown, "no-budget", backoff), nil
 		}
-		want.Alone = ex.isTrial()
+		request.Isolated = ex.isTrial()
 		queuedAt := g.clock.Now()
-		decision := p.acquire(ex.ctx, want)
-		g.metrics.queued.Record(g.clock.Since(queuedAt).Seconds(), ex.service)
-		if decision.Verdict != upstream.Send {
-			return given(unknown, string(decision.Reason), decision.RetryAfter), nil
+		decision := p.acquire(ex.ctx, request)
+		g.metrics.queueDuration.Record(g.clock.Since(queuedAt).Seconds(), ex.service)
+		if decision.Action != upstream.Send {
+			return failedResult(unknown, string(decision.Reason), decision.RetryAfter), nil
 		}
-		if v, ok := g.checkAgain(ex); !ok {
-			p.unsent(decision)
+		if result, ok := g.recheckKey(ex); !ok {
+			p.releaseUnsent(decision)
 			if unknown {
-				v = given(unknown, v.reason, 0)
+				result = failedResult(unknown, result.reason, 0)
 			}
-			return v, nil
+			return result, nil
 		}
-		if !g.stillPasses(ex) {
-			p.unsent(decision)
+		if !g.isStillAllowed(ex) {
+			p.releaseUnsent(decision)
 			continue
 		}
-		p.noteSent(decision)
-		a := g.attempt(ex, header, p, decision)
-		a.Target.Sent, a.Target.NotSent = decision.Sent, !a.Sent
-		g.hearLimit(decision, a)
-		p.release(decision.Target.ID, a.Target)
-		g.observe(ex, p, want, decision, a)
-		g.metrics.attempt(ex.service, decision.Target, a.Target)
-		ex.note(decision, a)
-		g.witness(ex, decision.Target, a)
-		if a.Target.Word.Leaves {
-			g.heardLeaving(decision.Target.ID)
+		p.recordSent(decision)
+		a := g.sendAttempt(ex, header, p, decision)
+		a.TargetResult.SendState, a.TargetResult.NotSent = decision.SendState, !a.Sent
+		g.observeLimit(decision, a)
+		p.release(decision.Target.ID, a.TargetResult)
+		g.recordObservation(ex, p, request, decision, a)
+		g.metrics.attempt(ex.service, decision.Target, a.TargetResult)
+		ex.recordAttempt(decision, a)
+		g.observeAttempt(ex, decision.Target, a)
+		if a.TargetResult.SelfReport.Leaving {
+			g.recordDeparture(decision.Target.ID)
 		}
 		if a.Response != nil {
 			ex.answered = true
-			g.sizes.note(ex.route.Name, len(ex.body)+len(a.Response.Body))
-			return ex.deliver(a.Response)
+			g.bodySizes.record(ex.route.Name, len(ex.body)+len(a.Response.Body))
+			return ex.clientResult(a.Response)
 		}
 		if a.Sent {
 			sent++
@@ -97,42 +97,45 @@
 			unsent++
 		}
 		unknown = unknown || a.Outcome == retry.Unknown
-		if stop, v := g.after(ex, a); stop {
-			return v, nil
+		if stop, result := g.afterAttempt(ex, a); stop {
+			return result, nil
 		}
-		if a.Target.Outcome == upstream.Rejected && decision.Sent.Load < 1 && !a.Target.Word.Says() {
-			// The target was not full and is the one that knows the object.
-			backoff = soonRetryAfter
+		if a.TargetResult.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.TargetResult.SelfReport.Restricts() {
+			// The request goes to the same target again: it was not full, and it probably has the
+			// object cached.
+			backoff = shortRetryAfter
 			continue
 		}
-		backoff = backoffAfter(a)
-		want.Avoid = append(want.Avoid, decision.Target.ID)
+		backoff = retryAfterAttempt(a)
+		request.Tried = append(request.Tried, decision.Target.ID)
 	}
-	return p.giveUp(want, unknown, "no-attempt-left", backoff), nil
+	return p.finalRefusal(request, unknown, "no-attempt-left", backoff), nil
 }
 
-// giveUp is the answer to a request that is not sent to another target, for a reason. If none may
-// be sent to for a while, that is the reason, and the caller is told when one may.
-func (p *pool) giveUp(want upstream.Request, unknown bool, reason string, retryAfter time.Duration) verdict {
-	refusal, away := p.away(want)
-	if away {
-		return given(unknown, string(refusal.Reason), refusal.RetryAfter)
+// finalRefusal returns the result of a request that is not sent to another target. If none of the
+// targets is available for a while, the result has that as its reason, and its Retry-After is the
+// time until one is available. Otherwise the result has the given reason and Retry-After.
+func (p *pool) finalRefusal(request upstream.Request, unknown bool, reason string, retryAfter time.Duration) requestResult {
+	refusal, unavailable := p.refuseIfUnavailable(request)
+	if unavailable {
+		return failedResult(unknown, string(refusal.Reason), refusal.RetryAfter)
 	}
-	return given(unknown, reason, retryAfter)
+	return failedResult(unknown, reason, retryAfter)
 }
 
-// deliver returns a target's answer to a request, or what the client is told in its place. A status
-// by which this system says that a request has not run must not be passed on for an operation
-// that may run once: the target has not said so, and the client would send it again.
-func (ex *exchange) deliver(answer *forward.Response) (verdict, *forward.Response) {
-	if ex.route.Kind != catalog.Idempotent && promisesNotRun(answer.Status) {
-		return verdict{status: http.StatusBadGateway, reason: "false-promise"}, nil
+// clientResult returns the response for the client, given a target's response. A non-idempotent
+// request needs care: clients take some statuses of an instance as a promise that the request has
+// not run, and repeat it. The target has not made that promise, so the instance sends 502 in place
+// of such a status.
+func (ex *exchange) clientResult(answer *forward.Response) (requestResult, *forward.Response) {
+	if ex.route.Kind != catalog.Idempotent && impliesNotRun(answer.Status) {
+		return requestResult{status: http.StatusBadGateway, reason: "false-promise"}, nil
 	}
-	return verdict{reason: reasonAnswered}, answer
+	return requestResult{reason: reasonAnswered}, answer
 }
 
-// promisesNotRun tells whether a status says to clients that the request has not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether clients take a status to mean that the request has not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -141,122 +144,124 @@
 	}
 }
 
-// backoffAfter is when the caller should come back if an attempt was the last one. Where the
-// target has just said that it wants nothing, the next choice is another one, so at once.
-func backoffAfter(a forward.Attempt) time.Duration {
-	if a.Target.Outcome == upstream.Rejected && a.Target.Word.Says() {
-		return soonRetryAfter
+// retryAfterAttempt returns the Retry-After for the client if the given attempt was the last one.
+// After a rejection by a target that has announced back-off, a limit or its departure, the client's
+// next request goes to another target and can be sent soon.
+func retryAfterAttempt(a forward.Attempt) time.Duration {
+	if a.TargetResult.Outcome == upstream.Rejected && a.TargetResult.SelfReport.Restricts() {
+		return shortRetryAfter
 	}
 	return defaultRetryAfter
 }
 
-// attemptsAllowed is the number of targets that a request may be sent to.
-func (ex *exchange) attemptsAllowed() int {
+// maxAttempts returns the number of targets that the request may be sent to.
+func (ex *exchange) maxAttempts() int {
 	if ex.isTrial() {
 		return 1
 	}
 	return ex.route.MaxAttempts
 }
 
-// want says what the request needs of a target.
-func (g *Gateway) want(ex *exchange) upstream.Request {
+// upstreamRequest returns the requirements that the request has for a target.
+func (g *Gateway) upstreamRequest(ex *exchange) upstream.Request {
 	key := ex.r.Header.Get(g.headers.Key)
-	want := upstream.Request{
-		Key:      key,
-		Sticky:   key != "",
-		Regions:  ex.homes,
-		Priority: catalog.PriorityOf(ex.route, ex.account),
-		Heavy:    g.sizes.heavy(ex.route.Name, len(ex.body)),
-		Deadline: ex.deadline,
-		Patience: defaultPatience,
+	request := upstream.Request{
+		Key:          key,
+		Sticky:       key != "",
+		Regions:      ex.homeRegions,
+		Priority:     catalog.PriorityOf(ex.route, ex.account),
+		Heavy:        g.bodySizes.isHeavy(ex.route.Name, len(ex.body)),
+		Deadline:     ex.deadline,
+		QueueTimeout: defaultQueueTimeout,
 	}
 	if key == "" {
-		want.Key = ex.id
+		request.Key = ex.id
 	} else {
-		// Objects of different services and kinds are different ones.
-		want.Key = ex.route.Name + "/" + key
+		// The key is qualified by the route, since the same key on another route names another
+		// object.
+		request.Key = ex.route.Name + "/" + key
 	}
-	if ex.route.Objective > 0 {
-		want.Patience = ex.route.Objective / patienceShare
+	if ex.route.LatencyObjective > 0 {
+		request.QueueTimeout = ex.route.LatencyObjective / queueTimeoutDivisor
 	}
-	return want
+	return request
 }
 
-func (g *Gateway) attempt(ex *exchange, header http.Header, p *pool, d upstream.Decision) forward.Attempt {
-	left := g.clock.Until(ex.deadline)
+func (g *Gateway) sendAttempt(ex *exchange, header http.Header, p *pool, d upstream.Decision) forward.Attempt {
+	remaining := g.clock.Until(ex.deadline)
 	return g.targets.Do(ex.ctx, &forward.Request{
-		Method:   ex.r.Method,
-		URI:      ex.uri,
-		Host:     ex.r.Host,
-		Header:   header,
-		Body:     ex.body,
-		ID:       ex.id,
-		Account:  accountName(ex.account),
-		Target:   d.Target.ID,
-		Name:     d.Target.Name,
-		Addr:     d.Target.Addr,
-		Timeout:  left - targetMargin,
-		Deadline: ex.deadline.Add(lateMargin),
-		Once:     ex.route.Kind != catalog.Idempotent,
-		May:      func() bool { return p.may(d) },
+		Method:        ex.r.Method,
+		URI:           ex.uri,
+		Host:          ex.r.Host,
+		Header:        header,
+		Body:          ex.body,
+		ID:            ex.id,
+		Account:       accountName(ex.account),
+		Target:        d.Target.ID,
+		TargetName:    d.Target.Name,
+		Addr:          d.Target.Addr,
+		Timeout:       remaining - targetMargin,
+		Deadline:      ex.deadline.Add(lateResponseMargin),
+		NonIdempotent: ex.route.Kind != catalog.Idempotent,
+		MaySend:       func() bool { return p.maySend(d) },
 	})
 }
 
-// after tells whether the request is given up after an attempt without an
-// answer, and with what.
-func (g *Gateway) after(ex *exchange, a forward.Attempt) (bool, verdict) {
+// afterAttempt reports whether the request ends after an attempt without a response, and with which
+// result.
+func (g *Gateway) afterAttempt(ex *exchange, a forward.Attempt) (bool, requestResult) {
 	late := !g.clock.Now().Before(ex.deadline)
 	switch {
 	case ex.ctx.Err() != nil:
-		return true, verdict{reason: reasonClientLeft}
+		return true, requestResult{reason: reasonClientLeft}
 	case a.Outcome == retry.NotRun && late:
-		return true, notRun("late-not-run", defaultRetryAfter)
+		return true, notRunResult("late-not-run", defaultRetryAfter)
 	case a.Outcome == retry.NotRun:
-		return false, verdict{}
+		return false, requestResult{}
 	case late || errors.Is(a.Err, os.ErrDeadlineExceeded):
-		return true, verdict{status: http.StatusGatewayTimeout, reason: "timeout"}
-	case !retry.May(a.Outcome, ex.route.Kind == catalog.Idempotent):
-		return true, verdict{status: http.StatusBadGateway, reason: "unknown-outcome"}
+		return true, requestResult{status: http.StatusGatewayTimeout, reason: "timeout"}
+	case !retry.Allowed(a.Outcome, ex.route.Kind == catalog.Idempotent):
+		return true, requestResult{status: http.StatusBadGateway, reason: "unknown-outcome"}
 	default:
-		return false, verdict{}
+		return false, requestResult{}
 	}
 }
 
-// given is the answer to a request that is given up: a refusal only if it
-// certainly did not run.
-func given(unknown bool, reason string, retryAfter time.Duration) verdict {
+// failedResult returns the result of a request that is not retried. It is a refusal, which tells
+// the client that the request did not run, unless the outcome of an attempt is unknown.
+func failedResult(unknown bool, reason string, retryAfter time.Duration) requestResult {
 	if unknown {
-		return verdict{status: http.StatusBadGateway, reason: reason}
+		return requestResult{status: http.StatusBadGateway, reason: reason}
 	}
-	return notRun(reason, retryAfter)
+	return notRunResult(reason, retryAfter)
 }
 
-func notRun(reason string, retryAfter time.Duration) verdict {
-	return verdict{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
+func notRunResult(reason string, retryAfter time.Duration) requestResult {
+	return requestResult{status: http.StatusServiceUnavailable, reason: reason, retryAfter: retryAfter}
 }
 
-func (ex *exchange) note(d upstream.Decision, a forward.Attempt) {
-	h := hop{
-		Target:  d.Target.ID,
-		Region:  d.Target.Region,
-		Reason:  string(d.Reason),
-		Load:    d.Sent.Load,
-		Outcome: a.Outcome.String(),
-		Reused:  a.Reused,
-		TookMs:  a.Target.Took.Milliseconds(),
-		Leaves:  a.Target.Word.Leaves,
-		RestMs:  a.Target.Word.Rest.Milliseconds(),
+func (ex *exchange) recordAttempt(d upstream.Decision, a forward.Attempt) {
+	h := attemptRecord{
+		Target:    d.Target.ID,
+		Region:    d.Target.Region,
+		Reason:    string(d.Reason),
+		Load:      d.SendState.Load,
+		Outcome:   a.Outcome.String(),
+		Reused:    a.Reused,
+		TookMs:    a.TargetResult.Latency.Milliseconds(),
+		Leaving:   a.TargetResult.SelfReport.Leaving,
+		BackoffMs: a.TargetResult.SelfReport.Backoff.Milliseconds(),
 	}
-	if a.Target.Word.Limited {
-		h.Limit = &a.Target.Word.Limit
+	if a.TargetResult.SelfReport.HasLimit {
+		h.Limit = &a.TargetResult.SelfReport.RateLimit
 	}
 	if a.Err != nil {
 		h.Error = a.Err.Error()
 	}
-	ex.trail = append(ex.trail, h)
+	ex.attempts = append(ex.attempts, h)
 }
 
-// sampled tells whether an ordinary request is logged, one in so many by its ID.
-func sampled(id string, one int) bool {
+// isSampled reports whether an ordinary request is logged. One request in n is, chosen by its ID.
+func isSampled(id string, one int) bool {
 	return one > 0 && mix.Pair(id, "log")%uint64(one) == 0
 }
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -7,26 +7,27 @@
 	"github.com/rainford/rainford/pipelining"
 )
 
-// answerTime is how long a client may take to read its answer. One that does not read
-// holds the answer's bytes in memory and a connection.
-const answerTime = 30 * time.Second
+// responseWriteTimeout is how long writing a response to a client may take. A client that does not
+// read its response holds the response's memory and a connection.
+const responseWriteTimeout = 30 * time.Second
 
-// aheadLimits bound the requests that are run before those ahead of them on their connections
-// have been answered. Each takes about 30 kB beside its answer.
-var aheadLimits = pipelining.Limits{PerConn: 16, Total: 512, Held: 8 << 20}
+// pipeliningLimits bounds the pipelined requests that run before the preceding ones on their
+// connections have been answered. Each such request takes about 30 kB in addition to its response.
+var pipeliningLimits = pipelining.Limits{PerConn: 16, Total: 512, HeldBytes: 8 << 20}
 
-// awaitTurn has a request wait for those that its client has sent ahead of it, unless all of them
-// may run more than once. The client may leave meanwhile. The HTTP server notices that by itself a
-// moment after it has read the request, which is too late for one that had waited unread for
-// longer than its client: without the last look such a request is sent to a target first and
-// cancelled then.
-func (ex *exchange) awaitTurn() (verdict, bool) {
-	err := pipelining.Start(ex.r, ex.route.Kind == catalog.Idempotent)
-	if err != nil || pipelining.HasLeft(ex.r) {
-		return verdict{reason: reasonClientLeft}, false
+// awaitPipelineTurn waits for the preceding requests of the client's connection, unless all of them
+// are idempotent. It returns false if the client has disconnected meanwhile.
+//
+// The HTTP server detects a disconnect a moment after it has read the request. That is too late for
+// a request that lay unread until its client disconnected: without the explicit check it would be
+// sent to a target and then cancelled.
+func (ex *exchange) awaitPipelineTurn() (requestResult, bool) {
+	err := pipelining.AwaitStart(ex.r, ex.route.Kind == catalog.Idempotent)
+	if err != nil || pipelining.ClientGone(ex.r) {
+		return requestResult{reason: reasonClientLeft}, false
 	}
-	return verdict{}, true
+	return requestResult{}, true
 }
 
-// reasonClientLeft is the reason of a request whose client did not wait for the answer.
+// reasonClientLeft is the reason of a request whose client disconnected before the response.
 const reasonClientLeft = "client-left"
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -5,21 +5,22 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// urgent tells whether the changes of a kind are few and have to be in force
-// everywhere soon. They are pushed on every way. Those of other kinds are pushed by
-// one watcher to its own region, however it came to know them, since other regions have
-// watchers of their own; what is lost on the way is made up by gossip.
-func urgent(kind feed.Kind) bool {
+// isUrgent reports whether changes of a kind are rare and have to be in force at all instances
+// soon. Every watcher pushes them to its region, and those that it reads from the store also to
+// the watchers of other regions. Changes of other kinds are pushed by the first watcher of a
+// region only, and to its own region only, since other regions have their own watchers. Gossip
+// repairs the losses of messages.
+func isUrgent(kind feed.Kind) bool {
 	return kind == KindConfig || kind == KindEvacuations || kind == KindTable || kind == KindRollouts
 }
 
-// passOn sends a delta to the instances that this one is the source of: those of its
-// region, by way of a few of them, and for urgent kinds the watchers of others. The caller
-// holds mu.
-func (g *Gateway) passOn(d feed.Delta, source string) {
+// pushDelta pushes a delta along the broadcast tree of the region, if this instance is
+// responsible for that. A delta of an urgent kind that comes from the store is also sent to the
+// watchers of other regions. See isUrgent. The caller holds mu.
+func (g *Gateway) pushDelta(d feed.Delta, source string) {
 	now := g.clock.Now()
 	fromStore := source == sourceStore
-	if !urgent(d.Kind) && !g.view.WatchesFirst(now) {
+	if !isUrgent(d.Kind) && !g.view.IsFirstWatcher(now) {
 		return
 	}
 	if !fromStore && !g.watch.isWatching() {
@@ -30,20 +31,20 @@
 		g.log.Error(logDeltaRefused, "kind", d.Kind, "error", err.Error())
 		return
 	}
-	message.Lapse = g.held[KindTargets].lapse.Remaining(now)
-	for _, branch := range g.view.Spread(now) {
+	message.RemovalHold = g.heldChanges[KindTargets].removals.Remaining(now)
+	for _, branch := range g.view.Branches(now) {
 		g.mesh.Send(branch.PeerAddr, message.RelayTo(branch))
 	}
-	if !fromStore || !urgent(d.Kind) {
+	if !fromStore || !isUrgent(d.Kind) {
 		return
 	}
-	for _, m := range g.view.FarWatchers(now) {
+	for _, m := range g.view.RemoteWatchers(now) {
 		g.mesh.Send(m.PeerAddr, message)
 	}
 }
 
-// receiveDelta passes a delta on to those that the sender has left to this instance, and
-// takes it in.
+// receiveDelta relays a delta along the broadcast tree and applies it. If the delta leaves a gap,
+// the missing changes are requested.
 func (g *Gateway) receiveDelta(from string, m *peer.Delta) {
 	g.relayDelta(m)
 	delta, err := m.Unpack()
@@ -51,27 +52,28 @@
 		g.log.Error(logDeltaRefused, "kind", m.Kind, "source", from, "error", err.Error())
 		return
 	}
-	g.learnLapse(m)
-	if !g.take(delta, from) {
-		g.askFor(from, delta)
+	g.inheritRemovalHold(m)
+	if !g.applyDelta(delta, from) {
+		g.requestAfterGap(from, delta)
 	}
 }
 
-// relayDelta passes a delta on if its sender asks for it.
+// relayDelta sends a delta to the next instances of the broadcast tree, if it is part of a
+// broadcast.
 func (g *Gateway) relayDelta(m *peer.Delta) {
 	if !m.Relay {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, branch := range g.view.SpreadUntil(g.clock.Now(), m.Until) {
+	for _, branch := range g.view.BranchesUntil(g.clock.Now(), m.RelayUntil) {
 		g.mesh.Send(branch.PeerAddr, m.RelayTo(branch))
 	}
 }
 
-// askFor asks for what is missing before a delta that left a gap, the instance that sent it
-// first.
-func (g *Gateway) askFor(from string, d feed.Delta) {
+// requestAfterGap requests the changes that are missing before a delta that leaves a gap. The
+// sender of the delta is the first source.
+func (g *Gateway) requestAfterGap(from string, d feed.Delta) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[d.Kind]
@@ -79,77 +81,78 @@
 		return
 	}
 	now := g.clock.Now()
-	g.log.Info(logGap, "kind", d.Kind, "source", from, "begins", d.From.Revision, "revision", replica.At().Revision)
-	g.catchUp[d.Kind].Gap(now, replica.At(), feed.Source{Addr: from, Position: d.To})
-	g.ask(now, d.Kind)
+	g.log.Info(logDeltaGap, "kind", d.Kind, "source", from, "begins", d.From.Revision, "revision", replica.Position().Revision)
+	g.catchUp[d.Kind].AddSourceAfterGap(now, replica.Position(), feed.Source{Addr: from, Position: d.To})
+	g.sendDeltaRequest(now, d.Kind)
 }
 
-// learnLapse has removals held back as long as the sender of the delta does.
-func (g *Gateway) learnLapse(m *peer.Delta) {
-	if m.Kind != KindTargets || m.Lapse <= 0 {
+// inheritRemovalHold holds the removals of targets for at least as long as the sender of the
+// delta does.
+func (g *Gateway) inheritRemovalHold(m *peer.Delta) {
+	if m.Kind != KindTargets || m.RemovalHold <= 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.held[KindTargets].lapse.Learned(g.clock.Now(), m.Lapse)
+	g.heldChanges[KindTargets].removals.Inherit(g.clock.Now(), m.RemovalHold)
 }
 
-// answer sends the changes that another instance asks for, at once or when this instance
-// has them itself.
-func (g *Gateway) answer(m *peer.Since) {
+// handleDeltaRequest sends the changes that another instance has requested. If this instance has
+// no objects of the kind yet, the request is kept until it has some.
+func (g *Gateway) handleDeltaRequest(m *peer.DeltaRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	replica := g.replicas[m.Kind]
 	switch {
 	case replica == nil:
-	case replica.At().IsZero() && len(g.askers[m.Kind]) < maxAskers:
-		g.askers[m.Kind] = append(g.askers[m.Kind], m)
-	case replica.At().After(m.Position):
-		g.sendSince(replica, m)
+	case replica.Position().IsZero() && len(g.pendingDeltaRequests[m.Kind]) < maxPendingDeltaRequests:
+		g.pendingDeltaRequests[m.Kind] = append(g.pendingDeltaRequests[m.Kind], m)
+	case replica.Position().After(m.Position):
+		g.sendDelta(replica, m)
 	}
 }
 
-// answerAskers answers those that have asked for a kind before this instance had it. The
-// caller holds mu.
-func (g *Gateway) answerAskers(kind feed.Kind) {
-	for _, m := range g.askers[kind] {
-		g.sendSince(g.replicas[kind], m)
+// answerPendingDeltaRequests replies to the delta requests that were kept until this instance had
+// objects of the kind. The caller holds mu.
+func (g *Gateway) answerPendingDeltaRequests(kind feed.Kind) {
+	for _, m := range g.pendingDeltaRequests[kind] {
+		g.sendDelta(g.replicas[kind], m)
 	}
-	delete(g.askers, kind)
+	delete(g.pendingDeltaRequests, kind)
 }
 
-// sendSince sends the changes that another instance asks for. The caller holds mu.
-func (g *Gateway) sendSince(replica *feed.Replica, m *peer.Since) {
-	answer, err := g.answers.since(replica, m)
+// sendDelta replies to a delta request. The caller holds mu.
+func (g *Gateway) sendDelta(replica *feed.Replica, m *peer.DeltaRequest) {
+	answer, err := g.deltaCache.message(replica, m)
 	if err != nil {
 		g.log.Error(logDeltaRefused, "kind", m.Kind, "error", err.Error())
 		return
 	}
-	answer.Lapse = g.held[KindTargets].lapse.Remaining(g.clock.Now())
+	answer.RemovalHold = g.heldChanges[KindTargets].removals.Remaining(g.clock.Now())
 	g.mesh.Send(m.ReplyTo, &answer)
 }
 
-// answers keep the last delta that was packed of each kind: many instances that start
-// together ask for the same one.
-type answers map[feed.Kind]packedDelta
+// deltaCache holds the last packed delta of each kind, since many instances that start at the
+// same time request the same delta.
+type deltaCache map[feed.Kind]cachedDelta
 
-// packedDelta is a delta from one state to another.
-type packedDelta struct {
+// cachedDelta is a packed delta with the states that it leads from and to.
+type cachedDelta struct {
 	from    feed.Position
 	digest  uint64
 	to      feed.Position
 	message *peer.Delta
 }
 
-// since returns the message that leads from what an asker holds to what the replica does.
-func (a answers) since(replica *feed.Replica, m *peer.Since) (peer.Delta, error) {
+// message returns the delta from the state of the requesting instance to that of the replica.
+func (a deltaCache) message(replica *feed.Replica, m *peer.DeltaRequest) (peer.Delta, error) {
 	held, ok := a[m.Kind]
-	if !ok || held.from != m.Position || held.digest != m.Digest || held.to != replica.At() {
-		message, err := peer.NewDelta(replica.Since(m.Position, m.Digest))
+	if !ok || held.from != m.Position || held.digest != m.Digest || held.to != replica.Position() {
+		message, err := peer.NewDelta(replica.DeltaSince(m.Position, m.Digest))
 		if err != nil {
 			return peer.Delta{}, err
 		}
-		held = packedDelta{from: m.Position, digest: m.Digest, to: replica.At(), message: message}
+		held = cachedDelta{from: m.Position, digest: m.Digest, to: replica.Position(), message: message}
 		a[m.Kind] = held
 	}
 	return *held.message, nil
--- a/gateway/delta_test.go
+++ b/gateway/delta_test.go
@@ -13,7 +13,7 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// inbox is an instance that keeps the messages that it gets.
+// inbox is another instance that records the messages that it receives.
 type inbox struct {
 	addr     string
 	messages chan peer.Message
@@ -25,6 +25,7 @@
 // Unreachable implements peer.Receiver.
 func (i *inbox) Unreachable(string) {}
 
+// next returns the next message, and fails the test if there is none within 10 s.
 func (i *inbox) next(t *testing.T) peer.Message {
 	select {
 	case m := <-i.messages:
@@ -48,39 +49,39 @@
 	return in
 }
 
-// newSender returns an instance without a store or a listener, which sends messages.
+// newSender returns an instance without a store and listeners, which can send messages.
 func newSender(t *testing.T) *Gateway {
 	log := slog.New(slog.DiscardHandler)
 	g := &Gateway{
-		config:   Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: log},
-		log:      log,
-		replicas: make(map[feed.Kind]*feed.Replica),
-		askers:   make(map[feed.Kind][]*peer.Since),
-		answers:  make(answers),
-		view:     viewOf(time.Now(), 0, 0),
+		config:               Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: log},
+		log:                  log,
+		replicas:             make(map[feed.Kind]*feed.Replica),
+		pendingDeltaRequests: make(map[feed.Kind][]*peer.DeltaRequest),
+		deltaCache:           make(deltaCache),
+		view:                 viewOf(time.Now(), 0, 0),
 
-		registered: make(map[string]fleet.Member),
-		held:       newHeld(),
+		registered:  make(map[string]fleet.Member),
+		heldChanges: newHeldChanges(),
 	}
-	g.limitOwner = newLimitOwner(g.config, g.mesh, g.startedAt, &g.targetLimits)
-	g.pools = newPools(g.config, g.departures.all, g.targetLimits.all, g.askForPermits)
+	g.targetLimitOwner = newTargetLimitOwner(g.config, g.mesh, g.startedAt, &g.targetLimits)
+	g.pools = newPools(g.config, g.departures.all, g.targetLimits.all, g.requestPermits)
 	for _, kind := range kinds {
 		g.replicas[kind] = feed.NewReplica(kind)
 	}
 	g.mesh = peer.NewMesh("n0", "", g, log)
-	g.permits = newPermits(g.config, g.mesh, time.Now(), g.limitOf)
+	g.accountPermits = newPermits(g.config, g.mesh, time.Now(), g.limitOf)
 	t.Cleanup(g.mesh.Close)
 	return g
 }
 
-// TestAskersAreAnswered checks that an instance that is asked for a kind before it has it
-// answers once it has, and the next one at once.
-func TestAskersAreAnswered(t *testing.T) {
+// TestPendingDeltaRequestsAreAnswered checks that a delta request for a kind of which an instance has
+// no objects yet is answered once it has some, and that a later request is answered at once.
+func TestPendingDeltaRequestsAreAnswered(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
-	g.Receive("", &peer.Since{Kind: KindInstances, ReplyTo: in.addr})
+	g.Receive("", &peer.DeltaRequest{Kind: KindInstances, ReplyTo: in.addr})
 	whole := feed.Delta{Kind: KindInstances, To: feed.At(0, 7), Full: true, Changes: []feed.Change{{Object: feed.Object{Name: "n1", Value: []byte(`{"name":"n1","hall":"a1","region":"a","front_addr":"10.0.0.1:1","peer_addr":"10.0.0.1:2"}`)}}}}
-	require.True(t, g.take(whole, sourceStore))
-	g.Receive("", &peer.Since{Kind: KindInstances, ReplyTo: in.addr})
+	require.True(t, g.applyDelta(whole, sourceStore))
+	g.Receive("", &peer.DeltaRequest{Kind: KindInstances, ReplyTo: in.addr})
 	for range 2 {
 		answer, ok := in.next(t).(*peer.Delta)
 		require.True(t, ok)
@@ -89,25 +90,25 @@
 		require.Equal(t, whole, got)
 		require.False(t, answer.Relay)
 	}
-	require.Empty(t, g.askers)
+	require.Empty(t, g.pendingDeltaRequests)
 }
 
-// TestProbeIsAnswered checks that an instance that is asked whether it is alive says so with
-// a heartbeat of its own that is newer than the one before.
+// TestProbeIsAnswered checks that an instance replies to a probe with a heartbeat of its own that is
+// newer than the previous one.
 func TestProbeIsAnswered(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
-	before := g.view.OwnBeat()
+	before := g.view.OwnHeartbeat()
 	g.Receive("", &peer.Probe{ReplyTo: in.addr})
 	answer, ok := in.next(t).(*peer.Gossip)
 	require.True(t, ok)
 	require.True(t, answer.Reply)
-	require.Len(t, answer.Beats, 1)
-	require.Equal(t, fleet.IDOf("n0"), answer.Beats[0].Member)
-	require.Greater(t, answer.Beats[0].Number, before.Number)
+	require.Len(t, answer.Heartbeats, 1)
+	require.Equal(t, fleet.IDOf("n0"), answer.Heartbeats[0].Member)
+	require.Greater(t, answer.Heartbeats[0].Sequence, before.Sequence)
 }
 
-// TestDeltaIsRelayed checks that a delta is passed on, as it came, to those that its sender
-// has left to this instance, also if it brings nothing new here.
+// TestDeltaIsRelayed checks that a delta is relayed unchanged along the broadcast tree, also if it
+// changes nothing at the relaying instance.
 func TestDeltaIsRelayed(t *testing.T) {
 	g, in := newSender(t), newInbox(t)
 	now := time.Now()
@@ -116,7 +117,7 @@
 		{Name: "n2", Hall: "a1", Region: "a", PeerAddr: "127.0.0.1:1"},
 	} {
 		g.view.Add(m)
-		g.view.Hear(now, fleet.Beats{{Member: fleet.IDOf(m.Name), Number: fleet.NumberAt(now)}})
+		g.view.MergeHeartbeats(now, fleet.Heartbeats{{Member: fleet.IDOf(m.Name), Sequence: fleet.SequenceAt(now)}})
 	}
 	message, err := peer.NewDelta(feed.Delta{Kind: KindTargets, From: feed.At(0, 1), To: feed.At(0, 2)})
 	require.NoError(t, err)
@@ -125,6 +126,6 @@
 	relayed, ok := in.next(t).(*peer.Delta)
 	require.True(t, ok)
 	require.Equal(t, message.Packed, relayed.Packed)
-	require.Equal(t, fleet.IDOf("n1"), relayed.Until)
-	require.Empty(t, in.messages, "a delta that is not to be relayed was not")
+	require.Equal(t, fleet.IDOf("n1"), relayed.RelayUntil)
+	require.Empty(t, in.messages, "only the delta of the broadcast is relayed")
 }
--- a/gateway/departures.go
+++ b/gateway/departures.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	// departuresPause is the longest time for which departures are collected before all
-	// instances are told. Several instances hear of one in the same moment; each waits for
-	// a drawn time, and what it is told meanwhile it need not tell. It is a tenth of the
-	// time within which all are to know.
-	departuresPause = 100 * time.Millisecond
-	// maxDepartures bounds the departures in a message: less than 700 bytes.
-	maxDepartures = 64
+	// departureGossipDelay bounds the random delay after which a departure is broadcast.
+	// Several instances receive the announcement of a target at about the same time. Because
+	// of the random delay the first one broadcasts it, and the others drop it from their own
+	// broadcasts. The bound is a tenth of the time within which all instances have to know of
+	// a departure.
+	departureGossipDelay = 100 * time.Millisecond
+	// maxGossipedDepartures bounds the departures in a message, to less than 700 bytes.
+	maxGossipedDepartures = 64
 )
 
-// departures keep which targets have said themselves that they leave. It is safe for concurrent
-// use.
+// departures holds the targets that have announced their planned shutdown themselves. It is safe
+// for concurrent use.
 type departures struct {
 	mu    sync.Mutex
 	known availability.Departures
-	// untold are those heard from targets here of which the others are not told yet.
-	untold availability.DepartureList
+	// unsent are the departures that targets have announced to this instance and that have
+	// not been broadcast yet.
+	unsent availability.DepartureList
 }
 
+// expire drops the departures whose TTL is over.
 func (d *departures) expire(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.known.Expire(now)
 }
 
-// has tells whether a target has said that it leaves.
+// has reports whether a target has announced its departure.
 func (d *departures) has(target string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, ok := d.known.Has(availability.IDOf(target))
+	_, ok := d.known.FirstHeard(availability.IDOf(target))
 	return ok
 }
 
-// add takes in that a target has said to this instance that it leaves. It reports whether that
-// is new, and whether it is the first of which the others have to be told.
+// add records a departure that a target has announced to this instance. Fresh reports whether it
+// was unknown, and first whether it is the only one to broadcast so far.
 func (d *departures) add(now time.Time, target string) (fresh, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,94 +55,97 @@
 	if !d.known.Add(now, id) {
 		return false, false
 	}
-	d.untold = append(d.untold, availability.Departure{ID: id})
-	return true, len(d.untold) == 1
+	d.unsent = append(d.unsent, availability.Departure{ID: id})
+	return true, len(d.unsent) == 1
 }
 
-// merge takes in what another instance has told, which is known to the others too, and returns
-// what is new.
-func (d *departures) merge(now time.Time, told availability.DepartureList) availability.DepartureList {
+// merge records departures that another instance has sent, and returns those that were unknown.
+// They need no broadcast by this instance, since the sender has sent them to the others too.
+func (d *departures) merge(now time.Time, received availability.DepartureList) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.untold = slices.DeleteFunc(d.untold, func(own availability.Departure) bool {
-		return slices.ContainsFunc(told, func(other availability.Departure) bool { return other.ID == own.ID })
+	d.unsent = slices.DeleteFunc(d.unsent, func(own availability.Departure) bool {
+		return slices.ContainsFunc(received, func(other availability.Departure) bool { return other.ID == own.ID })
 	})
-	return d.known.Merge(now, told)
+	return d.known.Merge(now, received)
 }
 
-// takeUntold returns what the others are to be told.
-func (d *departures) takeUntold() availability.DepartureList {
+// takeUnsent returns the departures to broadcast, and counts them as sent.
+func (d *departures) takeUnsent() availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	untold := d.untold
-	d.untold = nil
-	return untold
+	unsent := d.unsent
+	d.unsent = nil
+	return unsent
 }
 
-// sum returns a number by which instances see that they do not know the same.
-func (d *departures) sum(now time.Time) uint32 {
+// checksum returns a checksum of the departures, by which instances detect that they do not hold
+// the same ones.
+func (d *departures) checksum(now time.Time) uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.known.Sum(now)
+	return d.known.Checksum(now)
 }
 
-// missing returns what to tell an instance that does not know the same.
+// missing returns departures for an instance whose checksum is sum, or nil if it holds the same
+// ones. The salt selects which ones if there are more than fit into a message.
 func (d *departures) missing(now time.Time, sum uint32, salt uint64) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.known.Sum(now) == sum {
+	if d.known.Checksum(now) == sum {
 		return nil
 	}
-	return d.known.Some(now, maxDepartures, salt)
+	return d.known.Sample(now, maxGossipedDepartures, salt)
 }
 
-// all returns all departures that are told to others.
+// all returns all departures that are still gossiped.
 func (d *departures) all(now time.Time) availability.DepartureList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.known.Some(now, d.known.Len(), 0)
+	return d.known.Sample(now, d.known.Len(), 0)
 }
 
-// heardLeaving takes in that a target has said to this instance that it leaves, and has all
-// instances know: the store may be away, or know of it late.
-func (g *Gateway) heardLeaving(target string) {
+// recordDeparture records a departure that a target has announced to this instance, and schedules
+// its broadcast. The other instances may learn of it from the store only late, or not at all
+// while the store is unreachable.
+func (g *Gateway) recordDeparture(target string) {
 	now := g.clock.Now()
 	fresh, first := g.departures.add(now, target)
 	if !fresh {
 		return
 	}
-	g.endsAsPlanned(target)
+	g.ignoreInterruptions(target)
 	if first {
-		time.AfterFunc(rand.N(departuresPause), g.tellDepartures)
+		time.AfterFunc(rand.N(departureGossipDelay), g.gossipDepartures)
 	}
 }
 
-// tellDepartures tells all instances of the targets that said here that they leave.
-func (g *Gateway) tellDepartures() {
+// gossipDepartures broadcasts the departures that targets have announced to this instance.
+func (g *Gateway) gossipDepartures() {
 	now := g.clock.Now()
-	for told := range slices.Chunk(g.departures.takeUntold(), maxDepartures) {
-		g.broadcast(now, peer.Gossip{Departures: told})
+	for batch := range slices.Chunk(g.departures.takeUnsent(), maxGossipedDepartures) {
+		g.broadcast(now, peer.Gossip{Departures: batch})
 	}
 }
 
-// hearDepartures takes in which targets have said to other instances that they leave.
-func (g *Gateway) hearDepartures(now time.Time, told availability.DepartureList) {
-	if len(told) == 0 {
+// receiveDepartures applies departures that another instance has sent.
+func (g *Gateway) receiveDepartures(now time.Time, received availability.DepartureList) {
+	if len(received) == 0 {
 		return
 	}
-	fresh := g.departures.merge(now, told)
-	for _, target := range g.pools.hearDepartures(now, fresh, availability.SourcePeer) {
-		g.endsAsPlanned(target)
+	fresh := g.departures.merge(now, received)
+	for _, target := range g.pools.applyDepartures(now, fresh, availability.SourcePeer) {
+		g.ignoreInterruptions(target)
 	}
 }
 
-// endsAsPlanned takes in that a target leaves: what it breaks off is no sign that requests end
-// targets.
-func (g *Gateway) endsAsPlanned(target string) {
-	if !g.holds.known.Load() {
+// ignoreInterruptions excludes a leaving target from the crash correlation. The connections that
+// it closes during its planned shutdown are no sign that a request crashes targets.
+func (g *Gateway) ignoreInterruptions(target string) {
+	if !g.quarantine.nonEmpty.Load() {
 		return
 	}
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	g.holds.witness.Leaves(target)
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	g.quarantine.correlator.TargetLeaving(target)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,7 +22,7 @@
 	"github.com/rainford/rainford/pipelining"
 )
 
-// Gateway is one instance.
+// Gateway is one instance. New creates it, and Run serves requests until its context ends.
 type Gateway struct {
 	config  Config
 	store   Store
@@ -30,67 +30,70 @@
 	headers forward.Headers
 	log     *slog.Logger
 
-	mesh    *peer.Mesh
-	targets *forward.Client
-	pools   *pools
-	permits *permits
-	holds   *holds
-	// kinds are those that the instance replicates, and rollouts the orders among them.
+	mesh           *peer.Mesh
+	targets        *forward.Client
+	pools          *pools
+	accountPermits *accountPermits
+	quarantine     *quarantineState
+	// kinds are the kinds of objects that the instance replicates. rollouts holds the rollout
+	// orders among these objects.
 	kinds    []feed.Kind
 	rollouts *rollouts
-	// departures are the targets that have said themselves that they leave.
+	// departures holds the targets that have announced in a response that they leave.
 	departures departures
-	// targetLimits are how much targets take from all instances together, and limitOwner issues the
-	// permits of some of them.
-	targetLimits targetLimits
-	limitOwner   *limitOwner
-	router       atomic.Pointer[catalog.Router]
-	lookups      lookupCache
-	sizes        sizes
-	metrics      *metrics
+	// targetLimits holds the rate limits that targets announce. Each limit holds for the requests
+	// of all instances together. targetLimitOwner issues the permits of the limits that this
+	// instance owns.
+	targetLimits     targetLimits
+	targetLimitOwner *targetLimitOwner
+	router           atomic.Pointer[catalog.Router]
+	lookups          lookupCache
+	bodySizes        bodySizes
+	metrics          *metrics
 
-	listeners listeners
-	front     *http.Server
-	// ahead accepts the connections of clients.
-	ahead *pipelining.Listener
+	listeners   listeners
+	frontServer *http.Server
+	// clientListener accepts the connections of clients and reads pipelined requests from them.
+	clientListener *pipelining.Listener
 
-	// clock tells all times by which something is judged.
+	// clock is the source of all times by which timeouts, leases and back-offs are checked.
 	clock     *clock.Clock
 	startedAt time.Time
 
-	// mu guards the replicas and the view.
-	mu        sync.Mutex
-	replicas  map[feed.Kind]*feed.Replica
-	view      *fleet.View
-	rand      *rand.Rand
-	evacuated map[string]bool
-	listed    listed
-	// catchUp decides whom to ask for what a replica lacks.
+	// mu guards the replicas, the view and the other state of the fields from here to reporter.
+	mu         sync.Mutex
+	replicas   map[feed.Kind]*feed.Replica
+	view       *fleet.View
+	rand       *rand.Rand
+	evacuated  map[string]bool
+	targetList targetList
+	// catchUp chooses, for each kind, the instance from which missing changes are requested.
 	catchUp map[feed.Kind]*feed.CatchUp
-	// probed are the members that the last round of gossip asked directly.
+	// probed holds the members that the last round of gossip probed directly.
 	probed map[string]bool
-	// renewedAt is when a connection was last opened anew to an instance that does not
-	// hear this one.
-	renewedAt map[string]time.Time
-	// rounds counts the rounds of gossip.
-	rounds  int
-	answers answers
-	// instancesAt is when this instance came to know which are registered.
-	instancesAt time.Time
-	// absences are the members of the own region that are not alive.
-	absences fleet.Absences
-	// unregistered has an element when the own entry has gone from the store.
+	// reconnectedAt is the time of the last reconnection to each instance that reported that it
+	// does not receive this one's messages. The keys are peer addresses.
+	reconnectedAt map[string]time.Time
+	// gossipRounds is the number of gossip rounds so far.
+	gossipRounds int
+	deltaCache   deltaCache
+	// instancesKnownAt is the time at which this instance first received the list of instances.
+	instancesKnownAt time.Time
+	// absences tracks the members of the own region that are not alive.
+	absences fleet.AbsenceTracker
+	// unregistered has an element when the instance's own entry is missing in the store.
 	unregistered chan struct{}
-	// registered are the instances that the store lists.
+	// registered holds the instances that the store lists, by name.
 	registered map[string]fleet.Member
-	// askers are instances that asked for a kind that this one does not have yet.
-	askers map[feed.Kind][]*peer.Since
-	// held are the changes that do not count yet, after an outage of the store or its return from
-	// a copy.
-	held map[feed.Kind]*held
-	// lostOwn are the own objects that a restored store has lost.
-	lostOwn  lostObjects
-	reported reporter
+	// pendingDeltaRequests holds the delta requests of other instances for kinds that this instance
+	// has not read yet.
+	pendingDeltaRequests map[feed.Kind][]*peer.DeltaRequest
+	// heldChanges holds the changes that are not in force yet, after an outage of the store or
+	// after it was restored from a backup.
+	heldChanges map[feed.Kind]*heldChanges
+	// lostOwnObjects holds the objects written by rainford itself that a restored store has lost.
+	lostOwnObjects lostObjects
+	reporter       reporter
 
 	readiness readiness
 
@@ -98,17 +101,18 @@
 	leaving  atomic.Bool
 	refusing atomic.Bool
 	inFlight atomic.Int64
-	// heardAt is when the store or another instance was last heard, in
+	// lastContactAt is the time of the last message from the store or another instance, in
 	// nanoseconds of Unix time.
-	heardAt atomic.Int64
-	wg      sync.WaitGroup
+	lastContactAt atomic.Int64
+	wg            sync.WaitGroup
 }
 
 type listeners struct {
 	front, lookup, ready, peer, admin net.Listener
 }
 
-// New opens the instance's addresses. The caller must call Run.
+// New creates an instance and opens its listeners. It returns an error if the settings are invalid
+// or an address is not available. The caller must call Run.
 func New(config Config, store Store, codec Codec, headers forward.Headers) (*Gateway, error) {
 	if err := config.Check().Err(); err != nil {
 		return nil, err
@@ -118,24 +122,24 @@
 	}
 	config.Log = config.Log.With("instance", config.Name)
 	g := &Gateway{
-		config:     config,
-		store:      store,
-		codec:      codec,
-		headers:    headers,
-		log:        config.Log,
-		targets:    forward.NewClient(headers, codec, config.Clock),
-		replicas:   make(map[feed.Kind]*feed.Replica),
-		evacuated:  make(map[string]bool),
-		listed:     newListed(),
-		startedAt:  config.Clock.Now(),
-		clock:      config.Clock,
-		readiness:  readiness{reached: make(chan struct{})},
-		catchUp:    make(map[feed.Kind]*feed.CatchUp),
-		answers:    make(answers),
-		askers:     make(map[feed.Kind][]*peer.Since),
-		renewedAt:  make(map[string]time.Time),
-		registered: make(map[string]fleet.Member),
-		held:       newHeld(),
+		config:               config,
+		store:                store,
+		codec:                codec,
+		headers:              headers,
+		log:                  config.Log,
+		targets:              forward.NewClient(headers, codec, config.Clock),
+		replicas:             make(map[feed.Kind]*feed.Replica),
+		evacuated:            make(map[string]bool),
+		targetList:           newTargetList(),
+		startedAt:            config.Clock.Now(),
+		clock:                config.Clock,
+		readiness:            readiness{reached: make(chan struct{})},
+		catchUp:              make(map[feed.Kind]*feed.CatchUp),
+		deltaCache:           make(deltaCache),
+		pendingDeltaRequests: make(map[feed.Kind][]*peer.DeltaRequest),
+		reconnectedAt:        make(map[string]time.Time),
+		registered:           make(map[string]fleet.Member),
+		heldChanges:          newHeldChanges(),
 
 		unregistered: make(chan struct{}, 1),
 		rand:         rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), rand.Uint64())),
@@ -153,31 +157,31 @@
 		Name:      config.Name,
 		Hall:      config.Hall,
 		Region:    config.Region,
-		FrontAddr: orElse(config.AdvertiseFront, g.listeners.front.Addr().String()),
-		PeerAddr:  orElse(config.AdvertisePeer, g.listeners.peer.Addr().String()),
+		FrontAddr: firstNonEmpty(config.AdvertiseFront, g.listeners.front.Addr().String()),
+		PeerAddr:  firstNonEmpty(config.AdvertisePeer, g.listeners.peer.Addr().String()),
 	}
-	g.view = fleet.NewView(self, fleet.NumberAt(g.clock.Now()), fleet.DefaultSettings)
+	g.view = fleet.NewView(self, fleet.SequenceAt(g.clock.Now()), fleet.DefaultSettings)
 	g.mesh = peer.NewMesh(self.PeerAddr, "", g, g.log)
-	g.limitOwner = newLimitOwner(config, g.mesh, g.startedAt, &g.targetLimits)
-	g.limitOwner.hear = g.receiveLimitIssue
-	g.pools = newPools(config, g.departures.all, g.targetLimits.all, g.askForPermits)
-	g.permits = newPermits(config, g.mesh, g.startedAt, g.limitOf)
-	g.holds = newHolds()
+	g.targetLimitOwner = newTargetLimitOwner(config, g.mesh, g.startedAt, &g.targetLimits)
+	g.targetLimitOwner.onGrant = g.receiveTargetPermitGrant
+	g.pools = newPools(config, g.departures.all, g.targetLimits.all, g.requestPermits)
+	g.accountPermits = newPermits(config, g.mesh, g.startedAt, g.limitOf)
+	g.quarantine = newQuarantineState()
 	g.watch = newWatchState()
 	g.metrics, err = newMetrics(g)
 	return g, err
 }
 
-func (g *Gateway) expireListed(now time.Time) {
+func (g *Gateway) expireTombstones(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.listed.expire(now)
-	for _, h := range g.held {
-		h.relisted.Forget(now)
+	g.targetList.expire(now)
+	for _, h := range g.heldChanges {
+		h.tombstones.Prune(now)
 	}
 }
 
-func orElse(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
@@ -194,7 +198,7 @@
 	return nil
 }
 
-// Version returns the version of the program.
+// Version returns the version of the program from its build information, or "unknown".
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
@@ -203,21 +207,22 @@
 	return info.Main.Version
 }
 
-// Run serves until ctx ends and then stops as planned.
+// Run serves until ctx ends, and then performs a planned stop, which lets requests in flight
+// finish.
 func (g *Gateway) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g.start(func() { g.serveMesh() })
+	g.startGoroutine(func() { g.serveMesh() })
 	for _, kind := range g.kinds {
-		g.start(func() { g.watchLoop(work, kind) })
+		g.startGoroutine(func() { g.watchLoop(work, kind) })
 	}
-	if config := g.config; config.bringsVersionsIn() {
-		g.start(func() { g.rolloutLoop(work) })
+	if config := g.config; config.rolloutsEnabled() {
+		g.startGoroutine(func() { g.rolloutLoop(work) })
 	}
-	g.start(func() { g.probeLoop(work) })
-	g.start(func() { g.keepRegistered(work) })
-	g.start(func() { g.gossipLoop(work) })
-	g.start(func() { g.upkeepLoop(work) })
+	g.startGoroutine(func() { g.probeLoop(work) })
+	g.startGoroutine(func() { g.keepRegistered(work) })
+	g.startGoroutine(func() { g.gossipLoop(work) })
+	g.startGoroutine(func() { g.maintenanceLoop(work) })
 	g.serveClients()
 	g.log.Info(logStart, "version", Version(), "hall", g.config.Hall, "region", g.config.Region,
 		"listen", g.config.Listen, "peer", g.config.PeerListen, "seeds", g.config.Seeds, "log_sample", g.config.LogSample)
@@ -226,7 +231,7 @@
 	return nil
 }
 
-func (g *Gateway) start(f func()) {
+func (g *Gateway) startGoroutine(f func()) {
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
@@ -237,25 +242,25 @@
 func (g *Gateway) serveMesh() {
 	err := g.mesh.Serve(g.listeners.peer)
 	if err != nil {
-		g.log.Error("peer listener", "error", err.Error())
+		g.log.Error("peer listener failed", "error", err.Error())
 	}
 }
 
-// reviewLimits has who issues permits follow the states of the instances, and forgets permits
-// that nobody asks for.
-func (g *Gateway) reviewLimits(now time.Time) {
+// reviewTargetLimits updates the owners of targets' limits to the states of the instances, and
+// evicts limits for which no permits are requested.
+func (g *Gateway) reviewTargetLimits(now time.Time) {
 	g.mu.Lock()
-	g.reviewOwners(now)
+	g.updateLimitOwners(now)
 	g.mu.Unlock()
-	g.limitOwner.forget(now)
-	g.pools.forget(now)
+	g.targetLimitOwner.evictIdle(now)
+	g.pools.evictIdle(now)
 }
 
-// upkeepEvery is the time between rounds of upkeep.
-const upkeepEvery = time.Second
+// maintenanceInterval is the time between two rounds of maintenance, which expires old state.
+const maintenanceInterval = time.Second
 
-func (g *Gateway) upkeepLoop(ctx context.Context) {
-	ticker := time.NewTicker(upkeepEvery)
+func (g *Gateway) maintenanceLoop(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -263,16 +268,16 @@
 			return
 		case <-ticker.C:
 			now := g.clock.Now()
-			g.targets.Expire(now)
-			g.permits.forget(now)
-			g.holds.expire(now)
+			g.targets.CloseExpired(now)
+			g.accountPermits.evictIdle(now)
+			g.quarantine.expire(now)
 			g.departures.expire(now)
 			g.expireLimits(now)
-			g.reviewLimits(now)
-			g.expireListed(now)
-			g.forgetLost(ctx, now)
-			g.forgetKept(ctx, now)
-			g.rewriteLost(ctx, now)
+			g.reviewTargetLimits(now)
+			g.expireTombstones(now)
+			g.removeLostInstance(ctx, now)
+			g.removeExpiredRecord(ctx, now)
+			g.rewriteLostObjects(ctx, now)
 		}
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,11 +23,11 @@
 	"github.com/rainford/rainford/table"
 )
 
-var safeRoute = route{prefix: "/x/", service: "s", kind: "idempotent"}
+var idempotentRoute = route{prefix: "/x/", service: "s", kind: "idempotent"}
 
 func TestRequestReachesItsService(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute, route{prefix: "/x/deep/", service: "t", kind: "upload"})
+	s.configure(1, idempotentRoute, route{prefix: "/x/deep/", service: "t", kind: "upload"})
 	one, two := s.server("i-1", "s", "a1"), s.server("i-2", "t", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitReady()
@@ -42,7 +42,7 @@
 	require.Equal(t, 413, in.send("POST", "/x/deep/", strings.Repeat("z", 1<<20+1)).status)
 }
 
-// TestNoConfiguration checks that an instance that knows none refuses.
+// TestNoConfiguration checks that an instance without a configuration refuses requests.
 func TestNoConfiguration(t *testing.T) {
 	s := newSite(t)
 	in := s.instance("n1", "a1")
@@ -51,12 +51,12 @@
 	require.NotEmpty(t, in.send("GET", "/x/", "").header.Get("Retry-After"))
 }
 
-// TestChangesReachEveryInstance has three instances in one region, of which two
-// watch the store, and checks configuration, evacuation, draining and removal at
-// all of them.
+// TestChangesReachEveryInstance checks that changes of the configuration, an evacuation, and the
+// draining and removal of targets take effect at three instances of a region, of which two watch
+// the store.
 func TestChangesReachEveryInstance(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	one := s.server("i-1", "s", "a1")
 	two := s.server("i-2", "s", "a2")
 	var fleet []*instance
@@ -69,38 +69,38 @@
 		}
 	}
 	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 200 })
-	s.configure(2, safeRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
+	s.configure(2, idempotentRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
 	all(func(in *instance) bool { return in.send("GET", "/new/", "").status == 200 })
-	byOf := func(in *instance) string { return in.send("GET", "/x/", "").body[len("answer of "):][:3] }
+	answeredBy := func(in *instance) string { return in.send("GET", "/x/", "").body[len("answer of "):][:3] }
 
 	s.store.Set("evacuations", "a1", struct{}{})
-	all(func(in *instance) bool { return byOf(in) == two.ID })
+	all(func(in *instance) bool { return answeredBy(in) == two.ID })
 	s.store.Remove("evacuations", "a1")
 	s.record(two, "draining")
-	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 200 && byOf(in) == one.ID })
+	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 200 && answeredBy(in) == one.ID })
 	s.store.Remove("servers", one.ID)
 	all(func(in *instance) bool { return in.send("GET", "/x/", "").status == 503 })
 }
 
-// TestOldConfigurationIsNotTaken checks that a lower version changes nothing.
-func TestOldConfigurationIsNotTaken(t *testing.T) {
+// TestOlderConfigurationIsIgnored checks that a configuration with a lower version has no effect.
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	s := newSite(t)
-	s.configure(5, safeRoute)
+	s.configure(5, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	s.configure(4, route{prefix: "/old/", service: "s", kind: "idempotent"})
-	s.configure(6, safeRoute, route{prefix: "/six/", service: "s", kind: "idempotent"})
+	s.configure(6, idempotentRoute, route{prefix: "/six/", service: "s", kind: "idempotent"})
 	in.awaitStatus("/six/", 200)
 	require.Equal(t, 404, in.send("GET", "/old/", "").status)
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 }
 
-// TestNewInstanceWithoutStore checks that an instance that starts while the store
-// is away takes everything from a peer.
+// TestNewInstanceWithoutStore checks that an instance that starts while the store is unreachable
+// gets everything from a peer.
 func TestNewInstanceWithoutStore(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	old := s.instance("n1", "a1")
 	old.awaitStatus("/x/", 200)
@@ -109,33 +109,32 @@
 	fresh.awaitStatus("/x/", 200)
 }
 
-// TestSilentStore checks that watches whose answers were lost in a short outage of the
-// store do not keep an instance from what changes after it. A watch waits for longer
-// than the bound here.
+// TestSilentStore checks that an instance receives later changes after a short outage in which the
+// store silently dropped the responses to watches. A pending watch alone would wait longer than
+// bound.
 func TestSilentStore(t *testing.T) {
 	const bound = 7 * time.Second
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	s.store.SetFaults(objects.Faults{Silent: true})
 	second := route{prefix: "/second/", service: "s", kind: "idempotent"}
-	s.configure(2, safeRoute, second)
-	// The pending watch brings this; the next one gets no answer.
+	s.configure(2, idempotentRoute, second)
+	// The pending watch delivers this configuration. The next watch gets no response.
 	in.awaitStatus("/second/", 200)
 	time.Sleep(1500 * time.Millisecond)
 	s.store.SetFaults(objects.Faults{})
-	s.configure(3, safeRoute, second, route{prefix: "/third/", service: "s", kind: "idempotent"})
+	s.configure(3, idempotentRoute, second, route{prefix: "/third/", service: "s", kind: "idempotent"})
 	require.Eventually(t, func() bool { return in.send("GET", "/third/", "").status == 200 }, bound, poll)
 }
 
-// TestLapsedTargets checks that targets whose entries lapsed during an outage of the
-// store go on being used for the time in which they may be back, and that one that
-// is still missing then is not.
-func TestLapsedTargets(t *testing.T) {
+// TestExpiredTargets checks that targets whose entries expired during an outage of the store stay
+// in use until their hold ends, and that a target that is still missing then is dropped.
+func TestExpiredTargets(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute, route{prefix: "/other/", service: "t", kind: "idempotent"})
+	s.configure(1, idempotentRoute, route{prefix: "/other/", service: "t", kind: "idempotent"})
 	back, lost := s.server("i-1", "s", "a1"), s.server("i-2", "t", "a1")
 	in := s.instance("n1", "a1")
 	second := s.instance("n2", "a1", func(c *gateway.Config) { c.Seeds = []string{in.config.PeerListen} })
@@ -157,30 +156,30 @@
 			status = in.send("GET", "/x/", "").status
 			return status != 200 || in.send("GET", "/other/", "").status == 503
 		}, wait, poll)
-		require.Equal(t, 200, status, "a target that is back in time was given up")
+		require.Equal(t, 200, status, "a target whose entry reappeared in time was dropped")
 	}
 }
 
-// TestHistoryGone checks that changes made while the history was dropped arrive.
+// TestHistoryGone checks that changes are received even if the store has dropped their history.
 func TestHistoryGone(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	s.store.SetFaults(objects.Faults{Down: true})
-	s.configure(2, safeRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
-	s.store.Forget()
+	s.configure(2, idempotentRoute, route{prefix: "/new/", service: "s", kind: "idempotent"})
+	s.store.CompactHistory()
 	s.store.SetFaults(objects.Faults{})
 	in.awaitStatus("/new/", 200)
 }
 
-// thirdOfTime is the longest time for which clients heed when to come back: a third of the three
-// seconds that they have.
-const thirdOfTime = time.Second
+// maxRetryWait is the longest Retry-After that the clients respect: a third of their timeout of
+// three seconds.
+const maxRetryWait = time.Second
 
-// comeBack returns the time after which a refused client is told to come back, 0 if it is not.
-func (r reply) comeBack() time.Duration {
+// retryAfter returns the response's Retry-After, or 0 if it has none.
+func (r reply) retryAfter() time.Duration {
 	seconds, err := strconv.ParseFloat(r.header.Get("Retry-After"), 64)
 	if err != nil {
 		return 0
@@ -188,11 +187,11 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// TestAnswersUnderFaults sends requests while the servers do everything wrong
-// that they can, and checks every promise that an answer makes.
+// TestAnswersUnderFaults sends requests while the servers show all faults at random, and checks
+// every guarantee that a response gives.
 func TestAnswersUnderFaults(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute,
+	s.configure(1, idempotentRoute,
 		route{prefix: "/once/", service: "s", kind: "non_idempotent", timeout: "400ms"},
 		route{prefix: "/up/", service: "s", kind: "upload", timeout: "400ms"})
 	var servers []*origin.Server
@@ -217,7 +216,7 @@
 			for j := range 40 {
 				path := paths[(i+j)%len(paths)]
 				r := in.send("POST", path, strings.Repeat("b", 1+20_000*(j%3)))
-				time.Sleep(min(r.comeBack(), thirdOfTime))
+				time.Sleep(min(r.retryAfter(), maxRetryWait))
 				r.header.Set("Path", path)
 				mu.Lock()
 				replies = append(replies, r)
@@ -243,23 +242,23 @@
 			require.True(t, strings.HasSuffix(r.body, " to "+r.id), r.body)
 			require.NotEmpty(t, r.header.Get("Server-Signature"))
 		case r.status == 503 && once:
-			require.Zero(t, runs[r.id], "refused, but ran: %s", r.id)
+			require.Zero(t, runs[r.id], "refused request has run: %s", r.id)
 		}
 		if once {
 			require.LessOrEqual(t, runs[r.id], 1)
 		} else {
-			require.LessOrEqual(t, runs[r.id], 2, "more than the route's attempts")
+			require.LessOrEqual(t, runs[r.id], 2, "more runs than the route allows attempts")
 		}
 	}
 	t.Logf("succeeded %d", succeeded)
 	require.Greater(t, succeeded, 50)
 }
 
-// TestOperatorsTable checks that the operators' rows take the place of the computed
-// shares, and that their drains count.
+// TestOperatorsTable checks that the operators' rows replace the computed shares, and that their
+// drains take effect.
 func TestOperatorsTable(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	near, far := s.server("i-1", "s", "a1"), s.server("i-2", "s", "b1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -275,17 +274,17 @@
 		Rows:     []table.Row{{Service: "s", From: "a", To: "b", Weight: 1}},
 	}}
 	s.store.Set("rainford-objects", "config~table", doc)
-	require.Eventually(t, servedBy(far), 30*time.Second, 50*time.Millisecond, "by bounded steps")
+	require.Eventually(t, servedBy(far), 30*time.Second, 50*time.Millisecond, "traffic shifts in bounded steps")
 	doc.Number, doc.Table.Drains = 2, []table.Drain{{Scope: table.ScopeRegion, Name: "b"}}
 	s.store.Set("rainford-objects", "config~table", doc)
 	require.Eventually(t, servedBy(near), wait, poll)
 }
 
-// TestLimits checks that the limits of the configuration in force hold, also for
-// connections that were open before.
+// TestLimits checks that the current limits of the configuration apply, also to connections that
+// were opened before.
 func TestLimits(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -303,11 +302,11 @@
 	slow := dialTo(t, in)
 	_, err := slow.Write([]byte("GET /x/ HTTP/1.1\r\nHost: h.exa"))
 	require.NoError(t, err)
-	requireEnd(t, slow)
+	requireClosed(t, slow)
 
 	_, err = idle.Write([]byte("GET /x/ HTTP/1.1\r\nHost: h.example\r\nRequest-Id: a\r\n\r\n"))
 	require.NoError(t, err)
-	requireEnd(t, idle)
+	requireClosed(t, idle)
 }
 
 func dialTo(t *testing.T, in *instance) net.Conn {
@@ -317,14 +316,14 @@
 	return c
 }
 
-// requireEnd reads until the other side ends the connection.
-func requireEnd(t *testing.T, c net.Conn) {
+// requireClosed reads until the peer closes the connection.
+func requireClosed(t *testing.T, c net.Conn) {
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(wait)))
 	_, err := io.Copy(io.Discard, c)
 	require.NoError(t, err)
 }
 
-// TestTimeout checks that a request is answered at its route's timeout.
+// TestTimeout checks that a request is answered at its route's timeout and cancelled at its target.
 func TestTimeout(t *testing.T) {
 	s := newSite(t)
 	s.configure(1, route{prefix: "/x/", service: "s", kind: "idempotent", timeout: "200ms"})
@@ -332,13 +331,13 @@
 	server.SetScript(func(*http.Request) origin.Fault { return origin.Silent })
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 504)
-	require.Eventually(t, func() bool { return server.Canceled() > 0 }, wait, poll, "and the target is told")
+	require.Eventually(t, func() bool { return server.Canceled() > 0 }, wait, poll, "request not cancelled at the target")
 }
 
-// TestClientLeaves checks that a target is told when the client has left.
+// TestClientLeaves checks that a request is cancelled at its target when the client disconnects.
 func TestClientLeaves(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -349,15 +348,15 @@
 	require.Eventually(t, func() bool { return server.Canceled() == 1 }, wait, poll)
 }
 
-// TestPlannedStop checks that a stop cuts nothing, and that others no longer name
-// the instance to clients.
+// TestPlannedStop checks that a planned stop interrupts no request, and that other instances no
+// longer direct clients to the stopping instance.
 func TestPlannedStop(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
-	server.Work = 300 * time.Millisecond
-	patient := func(c *gateway.Config) { c.Grace = 3 * time.Second }
-	leaver, stayer := s.instance("n1", "a1", patient), s.instance("n2", "a1")
+	server.ServiceTime = 300 * time.Millisecond
+	withGrace := func(c *gateway.Config) { c.Grace = 3 * time.Second }
+	leaver, stayer := s.instance("n1", "a1", withGrace), s.instance("n2", "a1")
 	leaver.awaitStatus("/x/", 200)
 	stayer.awaitStatus("/x/", 200)
 	require.Eventually(t, func() bool { return len(addresses(t, stayer)) == 2 }, wait, poll)
@@ -392,20 +391,20 @@
 	return answer.Addresses
 }
 
-// TestFewWatchers checks that the calls that a change brings about do not grow
-// with the instances.
+// TestFewWatchers checks that the number of store calls caused by a change does not grow with the
+// number of instances.
 func TestFewWatchers(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	for _, name := range []string{"n1", "n2", "n3", "n4", "n5", "n6"} {
 		s.instance(name, "a1").awaitStatus("/x/", 200)
 	}
-	// Four kinds, two watchers: a change of one kind wakes two calls.
+	// Two instances watch each kind, so a change of one kind completes two calls.
 	require.Eventually(t, func() bool {
 		before := s.store.Calls()
 		time.Sleep(200 * time.Millisecond)
-		s.configure(int(time.Now().UnixMilli()), safeRoute)
+		s.configure(int(time.Now().UnixMilli()), idempotentRoute)
 		time.Sleep(200 * time.Millisecond)
 		return s.store.Calls()-before <= 4
 	}, wait, poll)
--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -12,43 +12,46 @@
 )
 
 const (
-	// introduceFor is the time from its start on for which an instance introduces
-	// itself in all its messages, and introduceEvery the number of rounds between
-	// two introductions later: most others know it from the store or from the first
-	// time, and those of a hall that was cut off until then learn of it late.
+	// introduceFor is the time after its start during which an instance includes its own
+	// member record in all its gossip. introduceEvery is the number of rounds from one such
+	// message to the next after that time. By then most instances know the member from the
+	// store or from earlier messages, except for those that were partitioned.
 	introduceFor   = 10 * time.Second
 	introduceEvery = 8
-	// maxSightings bounds the loads of busy targets in a message: 150 bytes, less than
-	// a fifth of the message.
-	maxSightings = 24
-	// hearTime is how long after its start an instance takes it that it should hear the
-	// others: by then each has sent it several messages.
-	hearTime = 4 * fleet.RoundTime
-	// awayTime is how long an instance may stand still, frozen or suspended, before it asks
-	// all others at once for what it missed: they take it for gone by then.
-	awayTime = 4 * fleet.RoundTime
-	// renewPause is the least time between two connections to an instance that does not
-	// hear this one, for what is on the way to it over the first.
-	renewPause = time.Second
-	// askAfter and askFarAfter are how long a watcher's push may take before an
-	// instance asks one of its own or of another region.
-	askAfter    = 700 * time.Millisecond
-	askFarAfter = 1400 * time.Millisecond
+	// maxTargetReports bounds the reports of overloaded targets in a message, to 150 bytes,
+	// which is less than a fifth of the message.
+	maxTargetReports = 24
+	// heartbeatsExpectedAfter is the time after its start from which an instance expects
+	// heartbeats of all others. By then each of them has sent it several messages.
+	heartbeatsExpectedAfter = 4 * fleet.RoundTime
+	// pauseThreshold is the pause of the process, frozen or suspended, after which its next
+	// round of gossip goes to all instances, to learn what it has missed. The other instances
+	// suspect it by then.
+	pauseThreshold = 4 * fleet.RoundTime
+	// reconnectInterval is the least time between two reconnections to an instance that does
+	// not receive the messages of this one. Messages over the new connection need this time
+	// to take effect.
+	reconnectInterval = time.Second
+	// localRequestDelay and remoteRequestDelay are the times for which an instance that is
+	// behind waits for the push of a watcher, before it sends a delta request to an instance
+	// of its own region or of another region.
+	localRequestDelay  = 700 * time.Millisecond
+	remoteRequestDelay = 1400 * time.Millisecond
 )
 
-// gossipLoop tells others what this instance knows of the fleet and how far its
-// replicas are.
+// gossipLoop sends a round of gossip every fleet.RoundTime. The messages carry heartbeats of the
+// fleet and the positions of this instance's replicas.
 func (g *Gateway) gossipLoop(ctx context.Context) {
 	ticker := time.NewTicker(fleet.RoundTime)
 	defer ticker.Stop()
 	last, suspended := g.clock.Now(), g.clock.Suspended()
 	for {
 		now := g.clock.Now()
-		away := now.Sub(last) >= awayTime
-		if away {
-			g.log.Warn(logWasAway, "for_ms", now.Sub(last).Milliseconds(), "suspended_ms", (g.clock.Suspended() - suspended).Milliseconds())
+		paused := now.Sub(last) >= pauseThreshold
+		if paused {
+			g.log.Warn(logProcessPaused, "for_ms", now.Sub(last).Milliseconds(), "suspended_ms", (g.clock.Suspended() - suspended).Milliseconds())
 		}
-		g.gossip(now, away)
+		g.gossip(now, paused)
 		last, suspended = now, g.clock.Suspended()
 		select {
 		case <-ctx.Done():
@@ -58,49 +61,50 @@
 	}
 }
 
-// gossip sends one round, to all that are alive if wide is set.
+// gossip sends one round of gossip: to all members that are alive or stopping if wide is set, and
+// otherwise to the partners of this round. If there are none, it goes to the seeds.
 func (g *Gateway) gossip(now time.Time, wide bool) {
-	g.noteEra()
+	g.updateEra()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	watches := g.watches(now)
+	watches := g.shouldWatch(now)
 	g.watch.setWatching(watches)
-	g.report(now, watches)
-	if g.watch.review(now, watches) && g.watch.setDeaf(true) {
-		g.log.Warn(logStoreLost, "error", "others hear changes that the own watch does not bring")
+	g.logMemberChanges(now, watches)
+	if g.watch.cancelOutdated(now, watches) && g.watch.setStoreUnreachable(true) {
+		g.log.Warn(logStoreLost, "error", "other instances receive changes that the watch of this instance does not return")
 	}
 	g.view.SetFlags(g.flags())
-	g.view.Beat(now)
-	g.rounds++
+	g.view.AdvanceHeartbeat(now)
+	g.gossipRounds++
 	partners := g.partners(now, wide)
-	settled := now.Sub(g.startedAt) >= hearTime
-	busy := g.pools.sightings(now).Sample(maxSightings, g.rand)
+	settled := now.Sub(g.startedAt) >= heartbeatsExpectedAfter
+	busy := g.pools.targetReports(now).Sample(maxTargetReports, g.rand)
 	for _, m := range partners {
-		message := g.message(now, m.Region)
+		message := g.gossipMessage(now, m.Region)
 		if m.Region == g.config.Region {
-			message.Busy = busy
+			message.Overloaded = busy
 		}
-		message.Unheard = settled && g.view.Misses(now, m.Name)
+		message.NotReceiving = settled && g.view.IsMissing(now, m.Name)
 		g.mesh.Send(m.PeerAddr, message)
 	}
-	g.probe(g.view.Probes(now))
+	g.probeMembers(g.view.Probes(now))
 	if len(partners) > 0 {
 		return
 	}
 	for _, addr := range g.config.Seeds {
-		g.mesh.Send(addr, g.message(now, g.config.Region))
+		g.mesh.Send(addr, g.gossipMessage(now, g.config.Region))
 	}
 }
 
-// probe asks members of which nothing was heard for a while whether they are alive. One
-// that did not answer the last time is asked over a new connection: the open one may be
-// silent for good while the member is well. The caller holds mu.
-func (g *Gateway) probe(doubtful []fleet.Member) {
-	probed := make(map[string]bool, len(doubtful))
-	for _, m := range doubtful {
+// probeMembers sends probes to members without recent heartbeats. If a member did not reply to
+// the previous probe, both directions are reconnected instead, because the open connections may
+// drop all packets without an error while the member is alive. The caller holds mu.
+func (g *Gateway) probeMembers(unresponsive []fleet.Member) {
+	probed := make(map[string]bool, len(unresponsive))
+	for _, m := range unresponsive {
 		probed[m.Name] = true
 		if g.probed[m.Name] {
-			g.mesh.RenewBoth(m.PeerAddr)
+			g.mesh.ReconnectBoth(m.PeerAddr)
 			continue
 		}
 		g.mesh.Send(m.PeerAddr, &peer.Probe{ReplyTo: g.view.Self().PeerAddr})
@@ -108,19 +112,20 @@
 	g.probed = probed
 }
 
-// message returns what this instance tells one of a region. The caller holds mu.
-func (g *Gateway) message(now time.Time, region string) *peer.Gossip {
-	m := &peer.Gossip{Beats: g.view.Beats(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), NewsSum: g.newsSum(), DeparturesSum: g.departures.sum(now), LimitsSum: g.targetLimits.sum(now)}
+// gossipMessage returns the gossip for an instance of the given region. The caller holds mu.
+func (g *Gateway) gossipMessage(now time.Time, region string) *peer.Gossip {
+	m := &peer.Gossip{Heartbeats: g.view.HeartbeatsFor(now, region), Positions: make([]feed.Position, 0, len(g.kinds)), QuarantineChecksum: g.quarantineChecksum(), DeparturesChecksum: g.departures.checksum(now), LimitsChecksum: g.targetLimits.checksum(now)}
 	for _, kind := range g.kinds {
-		m.Positions = append(m.Positions, g.replicas[kind].At())
+		m.Positions = append(m.Positions, g.replicas[kind].Position())
 	}
-	if now.Sub(g.startedAt) < introduceFor || g.rounds%introduceEvery == 0 {
+	if now.Sub(g.startedAt) < introduceFor || g.gossipRounds%introduceEvery == 0 {
 		self := g.view.Self()
 		m.Member = &self
 	}
 	return m
 }
 
+// flags returns the flags for the heartbeat of this instance.
 func (g *Gateway) flags() fleet.Flags {
 	var flags fleet.Flags
 	if g.isReady() {
@@ -129,8 +134,8 @@
 	if g.leaving.Load() {
 		flags |= fleet.Leaving
 	}
-	if g.watch.isDeaf() {
-		flags |= fleet.Deaf
+	if g.watch.isStoreUnreachable() {
+		flags |= fleet.StoreUnreachable
 	}
 	if g.watch.isWatching() {
 		flags |= fleet.Watching
@@ -138,14 +143,15 @@
 	return flags
 }
 
-// partners returns the members that a round goes to. The caller holds mu.
+// partners returns the members that a round of gossip goes to: all that are alive or stopping if
+// wide is set. The caller holds mu.
 func (g *Gateway) partners(now time.Time, wide bool) []fleet.Member {
 	if !wide {
 		return g.view.Partners(now, g.rand)
 	}
 	var out []fleet.Member
 	for _, s := range g.view.All(now) {
-		if (s.State == fleet.Alive || s.State == fleet.Gone) && s.Name != g.config.Name {
+		if (s.State == fleet.Alive || s.State == fleet.Stopping) && s.Name != g.config.Name {
 			out = append(out, s.Member)
 		}
 	}
@@ -156,196 +162,205 @@
 func (g *Gateway) Receive(from string, m peer.Message) {
 	switch m := m.(type) {
 	case *peer.Gossip:
-		g.hear(m)
+		g.receiveGossip(m)
 	case *peer.Delta:
 		g.receiveDelta(from, m)
-	case *peer.Since:
-		g.answer(m)
+	case *peer.DeltaRequest:
+		g.handleDeltaRequest(m)
 	case *peer.Probe:
 		g.answerProbe(m)
-	case *peer.PermitAsk:
-		g.receivePermitAsk(m)
-	case *peer.PermitIssue:
-		g.receivePermitIssue(m)
-	case *peer.TrialAsk:
-		g.receiveTrialAsk(m)
-	case *peer.TrialAnswer:
-		g.receiveTrialAnswer(m)
-	case *peer.Answers:
-		g.receiveAnswers(m)
+	case *peer.PermitRequest:
+		g.receivePermitRequest(m)
+	case *peer.PermitGrant:
+		g.receivePermitGrant(m)
+	case *peer.TrialRequest:
+		g.receiveTrialRequest(m)
+	case *peer.TrialReply:
+		g.receiveTrialReply(m)
+	case *peer.AnsweredRequests:
+		g.receiveAnsweredRequests(m)
 	case *peer.RolloutReport:
 		g.receiveRolloutReport(m)
 	}
 }
 
-// answerProbe tells an instance that doubts it that this one is alive.
+// answerProbe replies to a probe with a new heartbeat of this instance. If the sender does not
+// receive the messages of this instance, it also reconnects.
 func (g *Gateway) answerProbe(m *peer.Probe) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.view.SetFlags(g.flags())
-	g.view.Beat(g.clock.Now())
-	if m.Again {
-		g.renewFor(g.clock.Now(), m.ReplyTo)
+	g.view.AdvanceHeartbeat(g.clock.Now())
+	if m.Reconnect {
+		g.reconnectTo(g.clock.Now(), m.ReplyTo)
 	}
-	g.mesh.Send(m.ReplyTo, &peer.Gossip{Beats: fleet.Beats{g.view.OwnBeat()}, Reply: true})
+	g.mesh.Send(m.ReplyTo, &peer.Gossip{Heartbeats: fleet.Heartbeats{g.view.OwnHeartbeat()}, Reply: true})
 }
 
-// renewFor opens another connection to an instance that says that it does not hear this one.
-// The open one may be silent for good without a sign of it on this side: something on the way
-// still acknowledges what is sent. Only the instance that does not hear can tell; where it
-// does not, one whose connections from others fall silent hears nobody for as long as it runs
-// (TestHeardAgain). The caller holds mu.
-func (g *Gateway) renewFor(now time.Time, addr string) {
-	if now.Sub(g.renewedAt[addr]) < renewPause {
+// reconnectTo replaces the connection to an instance that reports that it does not receive the
+// messages of this one. The open connection may drop all packets without an error on this side,
+// if something on the path still acknowledges them. Only the receiver can detect this. Without its
+// report, an instance whose incoming connections have failed in this way would receive nothing
+// for as long as it runs, see TestReconnectsAfterSilentConnections. The caller holds mu.
+func (g *Gateway) reconnectTo(now time.Time, addr string) {
+	if now.Sub(g.reconnectedAt[addr]) < reconnectInterval {
 		return
 	}
-	g.renewedAt[addr] = now
-	g.mesh.Renew(addr)
-	g.log.Info(logNotHeard, "addr", addr)
+	g.reconnectedAt[addr] = now
+	g.mesh.Reconnect(addr)
+	g.log.Info(logNotReceivedByPeer, "addr", addr)
 }
 
-// Unreachable implements peer.Receiver.
+// Unreachable implements peer.Receiver. Addr is the peer address of an instance to which no
+// connection can be opened.
 func (g *Gateway) Unreachable(addr string) {
-	g.refused(addr)
-	g.permits.unreachable(addr)
-	g.pools.ownerUnreachable(g.clock.Now(), g.limitOwner.nameOf(addr))
+	g.markRefused(addr)
+	g.accountPermits.ownerUnreachable(addr)
+	g.pools.ownerUnreachable(g.clock.Now(), g.targetLimitOwner.instanceAt(addr))
 }
 
-// receivePermitAsk answers a question for permits of an account's or a target's limit.
-func (g *Gateway) receivePermitAsk(m *peer.PermitAsk) {
-	if m.Target {
-		g.receiveLimitAsk(m)
+// receivePermitRequest handles a request for permits under the limit of a client account or of a
+// target.
+func (g *Gateway) receivePermitRequest(m *peer.PermitRequest) {
+	if m.ForTarget {
+		g.receiveTargetPermitRequest(m)
 		return
 	}
-	g.permits.receiveAsk(m)
+	g.accountPermits.receiveRequest(m)
 }
 
-// receivePermitIssue takes in the answer to such a question.
-func (g *Gateway) receivePermitIssue(m *peer.PermitIssue) {
-	if m.Target {
-		g.receiveLimitIssue(m)
+// receivePermitGrant handles the reply to a permit request.
+func (g *Gateway) receivePermitGrant(m *peer.PermitGrant) {
+	if m.ForTarget {
+		g.receiveTargetPermitGrant(m)
 		return
 	}
-	g.permits.receiveIssue(m)
+	g.accountPermits.receiveGrant(m)
 }
 
-func (g *Gateway) refused(addr string) {
+// markRefused records that a connection to a peer address was refused.
+func (g *Gateway) markRefused(addr string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.view.Refused(g.clock.Now(), addr)
+	g.view.MarkRefused(g.clock.Now(), addr)
 }
 
-// hear takes in gossip and asks for what the sender is ahead with. A sender that is
-// behind is told so, and will ask.
-func (g *Gateway) hear(m *peer.Gossip) {
-	if len(m.Beats) == 0 {
+// receiveGossip applies gossip. It sends delta requests for the kinds in which the sender is ahead.
+// If the sender is behind, it replies with its own positions, and the sender sends delta requests.
+func (g *Gateway) receiveGossip(m *peer.Gossip) {
+	if len(m.Heartbeats) == 0 {
 		return
 	}
 	now := g.clock.Now()
-	g.heardNews(now)
+	g.recordContact(now)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	known := g.view.Len()
 	if m.Member != nil {
 		g.view.Add(*m.Member)
 	}
-	g.view.Hear(now, m.Beats)
-	g.pools.hear(now, m.Busy)
-	g.relayNews(now, m)
-	g.hearNews(now, m.News)
-	g.hearDepartures(now, m.Departures)
-	g.hearLimits(now, m.Limits)
-	g.hearStages(now, m.Stages)
+	g.view.MergeHeartbeats(now, m.Heartbeats)
+	g.pools.applyTargetReports(now, m.Overloaded)
+	g.relayBroadcast(now, m)
+	g.receiveQuarantine(now, m.Quarantine)
+	g.receiveDepartures(now, m.Departures)
+	g.receiveLimits(now, m.Limits)
+	g.receiveStages(now, m.Stages)
 	if g.view.Len() != known {
-		g.shareOut(now)
+		g.updateInstanceShares(now)
 	}
-	sender, ok := g.view.Member(m.Beats[0].Member)
+	sender, ok := g.view.Member(m.Heartbeats[0].Member)
 	if !ok {
-		// It introduces itself before long.
+		// The sender will soon include its member record, see introduceEvery.
 		return
 	}
-	if m.Unheard {
-		g.renewFor(now, sender.PeerAddr)
+	if m.NotReceiving {
+		g.reconnectTo(now, sender.PeerAddr)
 	}
-	ahead := g.compare(now, sender, m.Positions)
-	outlived, behindItself := g.view.Outlived(m.Beats)
-	var missed quarantine.News
+	ahead := g.comparePositions(now, sender, m.Positions)
+	newer, newerKnown := g.view.NewerHeartbeat(m.Heartbeats)
+	var missed quarantine.Updates
 	var left availability.DepartureList
-	var limits availability.LimitList
+	var limits availability.RateLimitList
 	if !m.Reply {
-		missed = g.newsFor(now, m.NewsSum)
-		left = g.departures.missing(now, m.DeparturesSum, g.rand.Uint64())
-		limits = g.targetLimits.missing(now, m.LimitsSum, g.rand.Uint64())
+		missed = g.missingQuarantine(now, m.QuarantineChecksum)
+		left = g.departures.missing(now, m.DeparturesChecksum, g.rand.Uint64())
+		limits = g.targetLimits.missing(now, m.LimitsChecksum, g.rand.Uint64())
 	}
-	if (ahead || behindItself || m.Unheard || len(missed)+len(left)+len(limits) > 0) && !m.Reply {
-		reply := g.message(now, sender.Region)
+	if (ahead || newerKnown || m.NotReceiving || len(missed)+len(left)+len(limits) > 0) && !m.Reply {
+		reply := g.gossipMessage(now, sender.Region)
 		reply.Reply = true
-		reply.News, reply.Departures, reply.Limits = missed, left, limits
-		if behindItself {
-			reply.Beats = append(reply.Beats, outlived)
+		reply.Quarantine, reply.Departures, reply.Limits = missed, left, limits
+		if newerKnown {
+			reply.Heartbeats = append(reply.Heartbeats, newer)
 		}
 		g.mesh.Send(sender.PeerAddr, reply)
 	}
 	for _, kind := range g.kinds {
-		g.ask(now, kind)
+		g.sendDeltaRequest(now, kind)
 	}
 }
 
-// compare holds the positions of another instance against the own ones. It notes the kinds
-// with which the other is ahead, and tells whether it has to be told that it is behind. The
-// caller holds mu.
-func (g *Gateway) compare(now time.Time, sender fleet.Member, positions []feed.Position) (ahead bool) {
+// comparePositions compares the positions of the sender's replicas with those of this instance. It
+// registers the sender as a source for the kinds in which it is ahead. It reports whether this
+// instance is ahead in a kind for which the sender needs a reply: an urgent one, or one that the
+// sender lacks altogether. The caller holds mu.
+func (g *Gateway) comparePositions(now time.Time, sender fleet.Member, positions []feed.Position) (ahead bool) {
 	for i, kind := range g.kinds {
 		if i >= len(positions) {
 			break
 		}
-		at := g.replicas[kind].At()
+		at := g.replicas[kind].Position()
 		if kind == KindRollouts && positions[i] == at && sender.Region == g.config.Region {
-			g.knowRollouts()
+			g.setRolloutsLoaded()
 		}
 		switch position := positions[i]; {
 		case position.After(at):
-			after := g.patience(now, kind, !at.IsZero(), sender.Region == g.config.Region)
-			g.catchUp[kind].Ahead(now, at, feed.Source{Addr: sender.PeerAddr, Position: position, After: after})
-		case at.After(position) && (position.IsZero() || urgent(kind)):
+			after := g.requestDelay(now, kind, !at.IsZero(), sender.Region == g.config.Region)
+			g.catchUp[kind].AddSource(now, at, feed.Source{Addr: sender.PeerAddr, Position: position, Delay: after})
+		case at.After(position) && (position.IsZero() || isUrgent(kind)):
 			ahead = true
 		}
 	}
 	return ahead
 }
 
-// patience is how long a replica, which holds something or not, may be behind before an instance, which is
-// near or not, is asked for what is missing: not at all if the kind is urgent, until the own
-// first read had its time if the replica holds nothing and the instance is near, and else as
-// long as a push may take. That is longer while a watcher of the own region may be about to
-// push, for which a watcher does not wait: its own watch would have told it.
-func (g *Gateway) patience(now time.Time, kind feed.Kind, held, near bool) time.Duration {
+// requestDelay returns how long a replica may be behind before a delta request is sent to an
+// instance that is ahead. Held states whether the replica has any objects, and local whether that
+// instance belongs to the region of this one.
+//
+// There is no delay for urgent kinds. A replica without objects waits for the first read of this
+// instance, if the other instance is local, but not at the first start of the system. Otherwise the
+// delay is the time that a push may take. This time is longer for an instance of another region,
+// because a local watcher may be about to push the changes. An instance that watches itself does
+// not wait that long, since its own watch would have returned the changes.
+func (g *Gateway) requestDelay(now time.Time, kind feed.Kind, held, local bool) time.Duration {
 	switch {
-	case urgent(kind):
+	case isUrgent(kind):
 		return 0
-	case near && !held && g.config.FirstStart:
+	case local && !held && g.config.FirstStart:
 		return 0
-	case near && !held:
-		return max(0, readTime-now.Sub(g.startedAt))
-	case near || g.watch.isWatching():
-		return askAfter
+	case local && !held:
+		return max(0, firstReadTime-now.Sub(g.startedAt))
+	case local || g.watch.isWatching():
+		return localRequestDelay
 	default:
-		return askFarAfter
+		return remoteRequestDelay
 	}
 }
 
-// ask asks an instance that is ahead with a kind for the changes since the own revision, if
-// it is time. The caller holds mu.
-func (g *Gateway) ask(now time.Time, kind feed.Kind) {
-	at := g.replicas[kind].At()
-	last, open := g.catchUp[kind].Open()
-	addr, ok := g.catchUp[kind].Next(now, at)
+// sendDeltaRequest sends a delta request for a kind to an instance that is ahead, if one is due.
+// If the previous request has had no reply, this is logged and counted. The caller holds mu.
+func (g *Gateway) sendDeltaRequest(now time.Time, kind feed.Kind) {
+	at := g.replicas[kind].Position()
+	last, open := g.catchUp[kind].Pending()
+	addr, ok := g.catchUp[kind].NextRequest(now, at)
 	if !ok {
 		return
 	}
 	if open {
-		g.metrics.question(kind, questionUnanswered)
-		g.log.Warn(logUnanswered, "kind", kind, "asked", last.To, "for_ms", now.Sub(last.At).Milliseconds(), "revision", at.Revision)
+		g.metrics.deltaRequest(kind, deltaRequestUnanswered)
+		g.log.Warn(logDeltaRequestUnanswered, "kind", kind, "asked", last.To, "for_ms", now.Sub(last.SentAt).Milliseconds(), "revision", at.Revision)
 	}
-	g.mesh.Send(addr, &peer.Since{Kind: kind, Position: at, Digest: g.replicas[kind].Digest(), ReplyTo: g.view.Self().PeerAddr})
+	g.mesh.Send(addr, &peer.DeltaRequest{Kind: kind, Position: at, Digest: g.replicas[kind].Digest(), ReplyTo: g.view.Self().PeerAddr})
 }
--- a/gateway/incarnation_test.go
+++ b/gateway/incarnation_test.go
@@ -13,53 +13,52 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// recordBorn writes the entry of a server that tells when it started, and returns its
-// revision.
-func (s *site) recordBorn(server *origin.Server, state string, born int64) int64 {
-	return s.store.Record(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
-		State: state, WarmupRemaining: "0ms", Sequence: 1, Born: born, Version: "v1"})
+// recordIncarnation writes the entry of a server with its start time, and returns the store's revision.
+func (s *site) recordIncarnation(server *origin.Server, state string, born int64) int64 {
+	return s.store.SetServer(server.ID, objects.Server{Service: server.Service, Address: server.Addr(), Zone: server.Zone, Slots: server.Slots,
+		State: state, WarmupRemaining: "0ms", Sequence: 1, StartUnixMilli: born, Version: "v1"})
 }
 
-// bornServer starts a server that tells when it started.
-func (s *site) bornServer(id string, born int64) *origin.Server {
+// startIncarnation starts a server whose entry holds its start time.
+func (s *site) startIncarnation(id string, born int64) *origin.Server {
 	server, err := origin.Start(id, "s", "a1", 9)
 	require.NoError(s.t, err)
 	s.t.Cleanup(server.Close)
-	s.recordBorn(server, objects.Ready, born)
+	s.recordIncarnation(server, objects.Ready, born)
 	return server
 }
 
-// TestStartsAgainUnderItsID has a target leave, end, and start again under its ID at another
-// address, and checks that nothing of the first one sticks to the second: it is used though
-// its ID was leaving, and what the first wrote comes too late to count.
-func TestStartsAgainUnderItsID(t *testing.T) {
+// TestTargetRestartsUnderSameID lets a target leave, stop, and start again under the same ID at another
+// address. The second incarnation is used, although the ID was leaving. Entries that the first one
+// writes late have no effect.
+func TestTargetRestartsUnderSameID(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
-	first := s.bornServer("i-1", 1000)
+	s.configure(1, idempotentRoute)
+	first := s.startIncarnation("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
-	s.recordBorn(first, objects.Draining, 1000)
+	s.recordIncarnation(first, objects.Draining, 1000)
 	in.awaitStatus("/x/", 503)
 	first.Close()
-	second := s.bornServer("i-1", 2000)
+	second := s.startIncarnation("i-1", 2000)
 	in.awaitStatus("/x/", 200)
 	served := len(second.Runs())
 	require.NotZero(t, served)
-	// What the first one wrote late.
-	in.awaitTargets(s.recordBorn(first, objects.Draining, 1000))
+	// Late writes of the first incarnation.
+	in.awaitTargets(s.recordIncarnation(first, objects.Draining, 1000))
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
-	in.awaitTargets(s.recordBorn(first, objects.Ready, 1000))
+	in.awaitTargets(s.recordIncarnation(first, objects.Ready, 1000))
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 	s.store.Remove(objects.KindServers, "i-1")
 	in.awaitStatus("/x/", 503)
-	in.awaitTargets(s.recordBorn(first, objects.Ready, 1000))
+	in.awaitTargets(s.recordIncarnation(first, objects.Ready, 1000))
 	require.Equal(t, 503, in.send("GET", "/x/", "").status)
 }
 
-// targetRevision matches the revision of the targets that an instance holds.
+// targetRevision matches the metric for the revision of the targets that an instance holds.
 var targetRevision = regexp.MustCompile(`rainford_replica_revision\{kind="targets"[^}]*\} (\S+)`)
 
-// awaitTargets waits until an instance holds the targets as of a revision.
+// awaitTargets waits until an instance holds the targets of at least the given revision.
 func (in *instance) awaitTargets(revision int64) {
 	require.Eventually(in.site.t, func() bool {
 		found := targetRevision.FindStringSubmatch(in.scrape())
@@ -71,26 +70,26 @@
 	}, wait, poll)
 }
 
-// TestNewIncarnationIsNotSuspected checks that a target that starts again under its ID, at the
-// same address, is used at once though the one before was suspected for seconds.
+// TestNewIncarnationIsNotSuspected checks that a target that restarts under the same ID and at the same
+// address is used at once, although its previous incarnation was suspected for seconds.
 func TestNewIncarnationIsNotSuspected(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
-	server := s.bornServer("i-1", 1000)
+	s.configure(1, idempotentRoute)
+	server := s.startIncarnation("i-1", 1000)
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	server.Close()
 	for range 20 {
 		in.send("GET", "/x/", "")
 	}
-	again := s.bornServer("i-1", 2000)
-	in.awaitTargets(s.recordBorn(again, objects.Ready, 2001))
+	again := s.startIncarnation("i-1", 2000)
+	in.awaitTargets(s.recordIncarnation(again, objects.Ready, 2001))
 	require.Equal(t, 200, in.send("GET", "/x/", "").status)
 	require.NotEmpty(t, again.Runs())
 }
 
-// foreign are entries of other writers.
-var foreign = []any{
+// foreignEntries are entries of other writers, which are invalid as entries of targets.
+var foreignEntries = []any{
 	map[string]any{"service": "s"},
 	map[string]any{"service": "s", "address": 7, "zone": "a1", "version": "v1", "slots": 3, "state": "ready", "warmupRemaining": "0ms", "sequence": 1},
 	map[string]any{"service": "s", "address": "127.0.0.1:1", "zone": "a1", "version": "v1", "slots": 3, "state": "resting", "warmupRemaining": "0ms", "sequence": 1},
@@ -98,13 +97,13 @@
 	"bytes that can't be read", nil, 7, []int{1},
 }
 
-// TestForeignEntriesNameNoTarget has entries of other writers beside that of a target, at the
-// start and later, and checks that only the target is used, and that a target whose entry is
-// written over is no longer.
-func TestForeignEntriesNameNoTarget(t *testing.T) {
+// TestForeignEntriesAreRejected writes invalid entries beside that of a target, before and after the start
+// of an instance. Only the target is used, and a target whose entry is overwritten by an invalid one is
+// no longer used.
+func TestForeignEntriesAreRejected(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
-	for i, entry := range foreign {
+	s.configure(1, idempotentRoute)
+	for i, entry := range foreignEntries {
 		s.store.Set(objects.KindServers, fmt.Sprint("f-", i), entry)
 	}
 	good := s.server("i-1", "s", "a1")
@@ -116,33 +115,33 @@
 		}
 	}
 	serves()
-	for i, entry := range foreign {
+	for i, entry := range foreignEntries {
 		s.store.Set(objects.KindServers, fmt.Sprint("g-", i), entry)
 	}
-	require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreign) }, wait, poll)
+	require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries) }, wait, poll)
 	serves()
-	over := s.server("i-2", "s", "a1")
-	require.Eventually(t, func() bool { in.send("GET", "/x/", ""); in.sendKey("other"); return len(over.Runs()) > 0 }, wait, poll)
-	for i, entry := range foreign {
-		s.record(over, objects.Ready)
-		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreign) }, wait, poll)
+	overwritten := s.server("i-2", "s", "a1")
+	require.Eventually(t, func() bool { in.send("GET", "/x/", ""); in.sendKey("other"); return len(overwritten.Runs()) > 0 }, wait, poll)
+	for i, entry := range foreignEntries {
+		s.record(overwritten, objects.Ready)
+		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries) }, wait, poll)
 		s.store.Set(objects.KindServers, "i-2", entry)
-		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreign)+1 }, wait, poll, "%d", i)
-		before := len(over.Runs())
+		require.Eventually(t, func() bool { return in.metric("rainford_targets_refused") == 2*len(foreignEntries)+1 }, wait, poll, "%d", i)
+		before := len(overwritten.Runs())
 		for n := range 10 {
 			in.sendKey(fmt.Sprint("k", n))
 		}
-		require.Len(t, over.Runs(), before, "entry %d", i)
+		require.Len(t, overwritten.Runs(), before, "entry %d", i)
 	}
 	require.NotEmpty(t, good.Runs())
 }
 
-// sendKey sends a read of an object.
+// sendKey sends a GET request with an affinity key.
 func (in *instance) sendKey(key string) reply {
 	return in.sendWith(in.site.t.Context(), in.site.newID(), "GET", "/x/", "", map[string][]string{"Affinity-Key": {key}})
 }
 
-// metric returns the value of a metric without labels of its own, -1 if there is none.
+// metric returns the value of the first metric whose name and labels begin with name, or -1 if there is none.
 func (in *instance) metric(name string) int {
 	for _, line := range strings.Split(in.scrape(), "\n") {
 		if fields := strings.Fields(line); len(fields) == 2 && strings.HasPrefix(fields[0], name) {
--- a/gateway/logs.go
+++ b/gateway/logs.go
@@ -10,97 +10,96 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// The messages of the log lines. docs/OPERATIONS.md lists their fields.
+// Messages of log lines. docs/OPERATIONS.md lists their fields.
 const (
-	logStart          = "start"
-	logLeaving        = "leaving"
-	logStop           = "stop"
-	logReload         = "reload"
-	logReloadRefused  = "reload refused"
-	logRequest        = "request"
-	logConfig         = "configuration in force"
-	logConfigRefused  = "configuration refused"
-	logConfigOld      = "configuration is not newer"
-	logTarget         = "target"
-	logTargets        = "targets"
-	logTargetRefused  = "target refused"
-	logTargetsRefused = "targets refused"
-	logTargetOld      = "target is not newer"
-	logTargetOfCopy   = "target is as in the store's copy"
-	logTargetGone     = "target gone"
-	logTargetLapsed   = "target lapsed"
-	logTargetBelief   = "target belief"
-	logTargetBeliefs  = "target beliefs"
-	logRollout        = "rollout"
-	logRolloutRefused = "rollout refused"
-	logRolloutLeads   = "rollout led here"
-	logRolloutStage   = "rollout stage"
-	logRolloutState   = "rollout state written"
-	logEvacuation     = "evacuation"
-	logTable          = "table in force"
-	logTableRefused   = "table refused"
-	logMember         = "member"
-	logMembers        = "members"
-	logWatching       = "watching"
-	logStoreLost      = "store lost"
-	logStoreRegained  = "store regained"
-	logHistoryGone    = "history gone"
-	logStoreEra       = "store era"
-	logListBehind     = "list ends before the replica"
-	logNotRegistered  = "not registered"
-	logDeltaRefused   = "delta refused"
-	logGap            = "delta leaves a gap"
-	logUnanswered     = "question not answered"
-	logWasAway        = "was away"
-	logNotHeard       = "not heard by another instance"
-	logTargetLimit    = "target limit"
-	logTargetLimits   = "target limits"
-	logTargetEnded    = "target ended"
-	logRequestHeld    = "request held"
-	logRequestFreed   = "request freed"
-	logAccountHeld    = "account held"
-	logAccountFreed   = "account freed"
-	logObjectsLost    = "own objects lost by the store"
-	logNotKept        = "held request not kept"
-	logKeptRefused    = "held request refused"
+	logStart                  = "start"
+	logLeaving                = "leaving"
+	logStop                   = "stop"
+	logReload                 = "reload"
+	logReloadRefused          = "reload refused"
+	logRequest                = "request"
+	logConfig                 = "configuration in force"
+	logConfigRefused          = "configuration refused"
+	logConfigOld              = "configuration is not newer"
+	logTarget                 = "target"
+	logTargets                = "targets"
+	logTargetRefused          = "target refused"
+	logTargetsRefused         = "targets refused"
+	logTargetOld              = "target is not newer"
+	logTargetFromBackup       = "target is as in the store's copy"
+	logTargetGone             = "target gone"
+	logTargetExpired          = "target lapsed"
+	logTargetEvent            = "target belief"
+	logTargetEvents           = "target beliefs"
+	logRollout                = "rollout"
+	logRolloutRefused         = "rollout refused"
+	logRolloutLeads           = "rollout led here"
+	logRolloutStage           = "rollout stage"
+	logRolloutState           = "rollout state written"
+	logEvacuation             = "evacuation"
+	logTable                  = "table in force"
+	logTableRefused           = "table refused"
+	logMember                 = "member"
+	logMembers                = "members"
+	logWatching               = "watching"
+	logStoreLost              = "store lost"
+	logStoreRegained          = "store regained"
+	logHistoryGone            = "history gone"
+	logStoreEra               = "store era"
+	logListBehind             = "list ends before the replica"
+	logNotRegistered          = "not registered"
+	logDeltaRefused           = "delta refused"
+	logDeltaGap               = "delta leaves a gap"
+	logDeltaRequestUnanswered = "question not answered"
+	logProcessPaused          = "was away"
+	logNotReceivedByPeer      = "not heard by another instance"
+	logTargetLimit            = "target limit"
+	logTargetLimits           = "target limits"
+	logTargetCrashed          = "target ended"
+	logRequestHeld            = "request held"
+	logRequestReleased        = "request freed"
+	logAccountHeld            = "account held"
+	logAccountReleased        = "account freed"
+	logObjectsLost            = "own objects lost by the store"
+	logRecordNotStored        = "held request not kept"
+	logStoredRecordRefused    = "held request refused"
 
 	logChangeLost          = "change of the table lost"
 	logObjectRewritten     = "own object written again"
 	logObjectsNotRewritten = "own objects not written again"
 
-	logStatusNotSent   = "status not sent"
-	logInstanceRefused = "instance refused"
-	logForgotten       = "instance forgotten"
-	logNotForgotten    = "instance not forgotten"
+	logStatusNotSent      = "status not sent"
+	logInstanceRefused    = "instance refused"
+	logInstanceRemoved    = "instance forgotten"
+	logInstanceNotRemoved = "instance not forgotten"
 )
 
-// RequestMessage is the message of the line of a request, by which logs are
-// thinned out under load.
+// RequestMessage is the message of the log line of a request. Under load, log handlers may drop
+// lines with this message.
 const RequestMessage = logRequest
 
-// maxMemberLines is the number of changes in the view of the fleet that a round of
-// gossip tells in a line each. More are told in one line, so that the lines of an
-// instance are bounded whatever the size of the fleet, as when a hall is lost or all
-// instances start.
+// maxMemberLines is the number of state changes of members up to which a round of gossip logs each
+// of them in its own line. A larger number is logged in one line, which bounds the log whatever
+// the size of the fleet, for example when a hall is lost or all instances start.
 const maxMemberLines = 4
 
-// maxMembersNamed bounds the members that a line on many changes names.
-const maxMembersNamed = 8
+// maxNamedMembers bounds the members that the line on many changes names.
+const maxNamedMembers = 8
 
-// reporter logs what changes in the view of the fleet.
+// reporter holds the states of the members as they were last logged.
 type reporter struct {
 	states   map[string]fleet.State
 	watching bool
 }
 
-// memberChange is a member whose state has changed.
+// memberChange is a member whose state has changed, with the state before.
 type memberChange struct {
 	fleet.Status
 	before fleet.State
 }
 
-// changes returns the members whose state differs from the one told last. That nothing is
-// known of a member is not told.
+// changes returns the members whose state differs from the one that was last returned. It leaves
+// out members whose state is unknown.
 func (r *reporter) changes(members []fleet.Status) []memberChange {
 	if r.states == nil {
 		r.states = make(map[string]fleet.State)
@@ -117,25 +116,26 @@
 	return out
 }
 
-// report logs what has changed since the last call. The caller holds mu.
-func (g *Gateway) report(now time.Time, watching bool) {
-	changes := g.reported.changes(g.view.Others(now))
+// logMemberChanges logs the changes of members' states, and of whether this instance watches,
+// since the last call. The caller holds mu.
+func (g *Gateway) logMemberChanges(now time.Time, watching bool) {
+	changes := g.reporter.changes(g.view.Others(now))
 	if len(changes) > maxMemberLines {
-		g.reportMany(changes)
+		g.logMemberSummary(changes)
 	} else {
 		for _, c := range changes {
 			g.log.Log(context.Background(), memberLevel(c.State), logMember, "member", c.Name, "hall", c.Hall, "state", c.State, "before", c.before)
 		}
 	}
-	if watching != g.reported.watching {
-		g.reported.watching = watching
+	if watching != g.reporter.watching {
+		g.reporter.watching = watching
 		g.log.Info(logWatching, "watching", watching)
 	}
 }
 
-// reportMany logs many changes in one line: how many came to each state, and some of
-// them by name, suspected ones first.
-func (g *Gateway) reportMany(changes []memberChange) {
+// logMemberSummary logs many changes in one line, which holds the number of members for each new
+// state and the names of some members, suspected ones first.
+func (g *Gateway) logMemberSummary(changes []memberChange) {
 	slices.SortStableFunc(changes, func(a, b memberChange) int {
 		return cmp.Compare(memberLevel(b.State), memberLevel(a.State))
 	})
@@ -143,12 +143,12 @@
 	var named []string
 	for _, c := range changes {
 		counts[c.State]++
-		if len(named) < maxMembersNamed {
+		if len(named) < maxNamedMembers {
 			named = append(named, c.Name+"="+string(c.State))
 		}
 	}
 	g.log.Log(context.Background(), memberLevel(changes[0].State), logMembers, "changes", len(changes),
-		"alive", counts[fleet.Alive], "suspect", counts[fleet.Suspect], "leaving", counts[fleet.Gone], "named", named)
+		"alive", counts[fleet.Alive], "suspect", counts[fleet.Suspect], "leaving", counts[fleet.Stopping], "named", named)
 }
 
 func memberLevel(s fleet.State) slog.Level {
@@ -158,13 +158,15 @@
 	return slog.LevelInfo
 }
 
-// newsAge is the time since the store or another instance was last heard.
-func (g *Gateway) newsAge(now time.Time) time.Duration {
-	at := g.heardAt.Load()
+// contactAge returns the time since the last contact with the store or another instance, or -1 ns
+// if there has been none.
+func (g *Gateway) contactAge(now time.Time) time.Duration {
+	at := g.lastContactAt.Load()
 	if at == 0 {
 		return -1
 	}
 	return now.Sub(time.Unix(0, at))
 }
 
-func (g *Gateway) heardNews(now time.Time) { g.heardAt.Store(now.UnixNano()) }
+// recordContact records a contact with the store or another instance.
+func (g *Gateway) recordContact(now time.Time) { g.lastContactAt.Store(now.UnixNano()) }
--- a/gateway/logs_test.go
+++ b/gateway/logs_test.go
@@ -14,25 +14,25 @@
 	"github.com/rainford/rainford/fleet"
 )
 
-// viewOf returns the view of an instance that has heard of the first heard of count
-// others of its region.
+// viewOf returns the view of an instance that knows count other instances of its region, and has received
+// heartbeats of the first heard of them.
 func viewOf(now time.Time, count, heard int) *fleet.View {
-	view := fleet.NewView(fleet.Member{Name: "n0", Hall: "a1", Region: "a"}, fleet.NumberAt(now), fleet.DefaultSettings)
-	var beats fleet.Beats
+	view := fleet.NewView(fleet.Member{Name: "n0", Hall: "a1", Region: "a"}, fleet.SequenceAt(now), fleet.DefaultSettings)
+	var beats fleet.Heartbeats
 	for i := range count {
 		name := fmt.Sprintf("n%d", i+1)
 		view.Add(fleet.Member{Name: name, Hall: "a1", Region: "a"})
 		if i < heard {
-			beats = append(beats, fleet.Beat{Member: fleet.IDOf(name), Number: fleet.NumberAt(now), Flags: fleet.Ready})
+			beats = append(beats, fleet.Heartbeat{Member: fleet.IDOf(name), Sequence: fleet.SequenceAt(now), Flags: fleet.Ready})
 		}
 	}
-	view.Hear(now, beats)
+	view.MergeHeartbeats(now, beats)
 	return view
 }
 
-// TestMemberLines checks that a few changes in the view of the fleet are told in a line
-// each, many in one, and those that nothing is known of in none.
-func TestMemberLines(t *testing.T) {
+// TestMemberLogLines checks that a few state changes of members are logged in a line each, many changes in
+// one line, and members of unknown state not at all.
+func TestMemberLogLines(t *testing.T) {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	cases := []struct {
 		name         string
@@ -48,28 +48,28 @@
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			g := &Gateway{log: slog.New(slog.NewJSONHandler(&out, nil)), view: viewOf(now, c.count, c.heard)}
-			g.report(now, false)
+			g.logMemberChanges(now, false)
 			require.Equal(t, c.lines, strings.Count(out.String(), "\n"), out.String())
 			require.Contains(t, out.String(), c.want)
 			out.Reset()
-			g.report(now, false)
-			require.Empty(t, out.String(), "what was told is not told again")
-			g.report(now.Add(time.Minute), false)
-			require.Equal(t, c.lines, strings.Count(out.String(), `"level":"WARN"`), "all that were heard are silent now")
+			g.logMemberChanges(now, false)
+			require.Empty(t, out.String(), "logged changes are not logged again")
+			g.logMemberChanges(now.Add(time.Minute), false)
+			require.Equal(t, c.lines, strings.Count(out.String(), `"level":"WARN"`), "all members with heartbeats are suspected after a minute without any")
 		})
 	}
 }
 
-// TestBeliefLines checks that the beliefs on many targets that change together, as when
-// new ones join, are told in one line with their number.
-func TestBeliefLines(t *testing.T) {
+// TestTargetEventLogLines checks that events of many targets at the same time, as when new ones join, are
+// logged in one line with their number.
+func TestTargetEventLogLines(t *testing.T) {
 	var out bytes.Buffer
 	config := Config{Name: "n0", Hall: "a1", Region: "a", RegionOf: map[string]string{"a1": "a"}, Log: slog.New(slog.NewJSONHandler(&out, nil))}
 	ps := newPools(config, new(departures).all, new(targetLimits).all, nil)
 	specs := make(map[string]*catalog.Target)
 	for i := range 300 {
 		name := fmt.Sprint("t", i)
-		specs[name] = &catalog.Target{ID: name, Service: "s", Hall: "a1", Slots: 9, ColdFor: 3 * time.Second}
+		specs[name] = &catalog.Target{ID: name, Service: "s", Hall: "a1", Slots: 9, RemainingWarmup: 3 * time.Second}
 	}
 	ps.setTargets(time.Now(), specs, nil)
 	require.Equal(t, 1, strings.Count(out.String(), "\n"), out.String())
--- a/gateway/forget_test.go
+++ b/gateway/lost_instances_test.go
@@ -11,11 +11,11 @@
 	"github.com/rainford/rainford/gateway"
 )
 
-// TestLostInstanceIsForgotten checks that the entry of an instance that never comes back
-// goes, and that one that is there keeps its own or gets it back.
-func TestLostInstanceIsForgotten(t *testing.T) {
+// TestLostInstanceIsRemoved checks that the entry of an instance that does not run any more is removed
+// from the store. Running instances keep their entries, and write them again if they are removed.
+func TestLostInstanceIsRemoved(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	s.server("i-1", "s", "a1")
 	s.store.Set(instancesKind, "n9", fleet.Member{Name: "n9", Hall: "a1", Region: "a", FrontAddr: "127.0.0.1:1", PeerAddr: "127.0.0.1:2"})
 	soon := func(c *gateway.Config) { c.ForgetAfter = 2 * time.Second }
@@ -30,5 +30,5 @@
 	require.Eventually(t, func() bool { return listed("n2") }, wait, poll)
 }
 
-// instancesKind is the kind of instances' entries in the store.
+// instancesKind is the store's name of the kind of instances' entries.
 const instancesKind = "rainford-instances"
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -12,41 +12,42 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// metrics are the instance's figures. docs/OPERATIONS.md lists them.
+// metrics holds the instance's metrics. docs/OPERATIONS.md lists them.
 type metrics struct {
 	telemetry *telemetry.Metrics
 
-	requests  *telemetry.Counter
-	refusals  *telemetry.Counter
-	attempts  *telemetry.Counter
-	repeats   *telemetry.Counter
-	cold      *telemetry.Counter
-	words     *telemetry.Counter
-	permits   *telemetry.Counter
-	calls     *telemetry.Counter
-	questions *telemetry.Counter
-	ends      *telemetry.Counter
-	refused   *telemetry.Counter
-	versions  *telemetry.Counter
-	whole     *telemetry.Histogram
-	queued    *telemetry.Histogram
-	attempted *telemetry.Histogram
+	requests        *telemetry.Counter
+	refusals        *telemetry.Counter
+	attempts        *telemetry.Counter
+	retries         *telemetry.Counter
+	coldAttempts    *telemetry.Counter
+	selfReports     *telemetry.Counter
+	permits         *telemetry.Counter
+	storeReads      *telemetry.Counter
+	deltaRequests   *telemetry.Counter
+	targetCrashes   *telemetry.Counter
+	refusedEntries  *telemetry.Counter
+	rolloutAttempts *telemetry.Counter
+	requestDuration *telemetry.Histogram
+	queueDuration   *telemetry.Histogram
+	attemptDuration *telemetry.Histogram
 }
 
-// The results of a question to another instance, as the metrics name them.
+// Results of a delta request, as label values.
 const (
-	questionAnswered   = "answered"
-	questionUnanswered = "unanswered"
+	deltaRequestAnswered   = "answered"
+	deltaRequestUnanswered = "unanswered"
 )
 
-// The results of a call to the store, as the metrics name them.
+// Results of a read of the store, as label values.
 const (
-	callOK          = "ok"
-	callFailed      = "failed"
-	callHistoryGone = "history-gone"
-	callBehind      = "behind"
+	readOK          = "ok"
+	readFailed      = "failed"
+	readHistoryGone = "history-gone"
+	readBehind      = "behind"
 )
 
+// newMetrics registers the metrics of an instance.
 func newMetrics(g *Gateway) (*metrics, error) {
 	t, err := telemetry.New()
 	if err != nil {
@@ -56,6 +57,7 @@
 	return m, errors.Join(m.counters(), m.histograms(), m.gauges(g), m.poolGauges(g.pools))
 }
 
+// counters registers the counters.
 func (m *metrics) counters() error {
 	var errs []error
 	counter := func(to **telemetry.Counter, name, description string, labels ...string) {
@@ -66,18 +68,19 @@
 	counter(&m.requests, "rainford.requests", "Requests of clients, by the region of the target that answered.", "service", "kind", "region", "outcome")
 	counter(&m.refusals, "rainford.refusals", "Requests that no target answered, by what decided it.", "service", "reason")
 	counter(&m.attempts, "rainford.attempts", "Attempts at targets, by what became of them.", "service", "region", "outcome")
-	counter(&m.repeats, "rainford.repeats", "Attempts after the first one of a request.", "service")
-	counter(&m.cold, "rainford.cold.attempts", "Attempts at targets that are cold.", "service")
-	counter(&m.words, "rainford.target.words", "Answers in which a target spoke of itself, by what it said.", "service", "word")
+	counter(&m.retries, "rainford.repeats", "Attempts after the first one of a request.", "service")
+	counter(&m.coldAttempts, "rainford.cold.attempts", "Attempts at targets that are cold.", "service")
+	counter(&m.selfReports, "rainford.target.words", "Answers in which a target spoke of itself, by what it said.", "service", "word")
 	counter(&m.permits, "rainford.permits", "Requests of accounts with a limit, by what became of their permit.", "result")
-	counter(&m.calls, "rainford.store.reads", "Reads of the store, by what became of them.", "kind", "result")
-	counter(&m.questions, "rainford.questions", "Questions to other instances for changes that this one lacks, by what became of them.", "kind", "result")
-	counter(&m.refused, "rainford.entries.refused", "Entries of the store that could not be taken, by the field at fault.", "kind", "field")
-	counter(&m.versions, "rainford.rollout.attempts", "Attempts at targets of a service that a version is brought in of, by version.", "service", "version", "outcome")
-	counter(&m.ends, "rainford.target.ends", "Targets that ended while they had requests of this instance.")
+	counter(&m.storeReads, "rainford.store.reads", "Reads of the store, by what became of them.", "kind", "result")
+	counter(&m.deltaRequests, "rainford.questions", "Questions to other instances for changes that this one lacks, by what became of them.", "kind", "result")
+	counter(&m.refusedEntries, "rainford.entries.refused", "Entries of the store that could not be taken, by the field at fault.", "kind", "field")
+	counter(&m.rolloutAttempts, "rainford.rollout.attempts", "Attempts at targets of a service that a version is brought in of, by version.", "service", "version", "outcome")
+	counter(&m.targetCrashes, "rainford.target.ends", "Targets that ended while they had requests of this instance.")
 	return errors.Join(errs...)
 }
 
+// histograms registers the histograms, all in seconds.
 func (m *metrics) histograms() error {
 	var errs []error
 	histogram := func(to **telemetry.Histogram, name, description string) {
@@ -85,13 +88,13 @@
 		*to = h
 		errs = append(errs, err)
 	}
-	histogram(&m.whole, "rainford.request.duration", "Time from the arrival of a request to the end of its answer.")
-	histogram(&m.queued, "rainford.queue.duration", "Time that a request waited here for a target.")
-	histogram(&m.attempted, "rainford.attempt.duration", "Time from the sending of an attempt to the end of its answer.")
+	histogram(&m.requestDuration, "rainford.request.duration", "Time from the arrival of a request to the end of its answer.")
+	histogram(&m.queueDuration, "rainford.queue.duration", "Time that a request waited here for a target.")
+	histogram(&m.attemptDuration, "rainford.attempt.duration", "Time from the sending of an attempt to the end of its answer.")
 	return errors.Join(errs...)
 }
 
-// gauges registers the instance's own values.
+// gauges registers the gauges of the instance itself.
 func (m *metrics) gauges(g *Gateway) error {
 	var errs []error
 	gauge := func(name, description string, read func() int64) {
@@ -106,14 +109,14 @@
 	gauge("rainford.targets.refused", "Listed entries of targets that name no target to use.", func() int64 {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return int64(len(g.listed.refused))
+		return int64(len(g.targetList.refused))
 	})
-	gauge("rainford.requests.held", "Requests, by content, that are held back because targets end under them.", g.holds.suspects)
+	gauge("rainford.requests.held", "Requests, by content, that are held back because targets end under them.", g.quarantine.suspectCount)
 	gauge("rainford.requests.in_flight", "Requests of clients in flight.", g.inFlight.Load)
 	gauge("rainford.requests.ahead", "Requests in flight that were read before those ahead of them on their connections were answered.",
-		func() int64 { requests, _ := g.aheadUsage(); return requests })
+		func() int64 { requests, _ := g.pipeliningUsage(); return requests })
 	gauge("rainford.requests.ahead.held", "Bytes of answers to such requests that wait for those ahead.",
-		func() int64 { _, held := g.aheadUsage(); return held })
+		func() int64 { _, held := g.pipeliningUsage(); return held })
 	gauge("rainford.store.era", "Latest era of the store that its answers name, 0 if they name none, -1 before the first.", g.store.Era)
 	gauge("rainford.store.calls", "Calls made to the store.", g.store.Calls)
 	gauge("rainford.peer.sent", "Bytes sent to other instances.", func() int64 { sent, _, _ := g.mesh.Traffic(); return sent })
@@ -121,43 +124,45 @@
 	errs = append(errs,
 		m.telemetry.Gauges("rainford.rollout.share", "Part of the requests that this instance sends to targets of a version that is brought in.",
 			[]string{"service", "version"}, func(observe func(float64, ...string)) {
-				for _, r := range g.rollouts.list(g.clock.Now()) {
+				for _, r := range g.rollouts.statuses(g.clock.Now()) {
 					observe(r.Share, r.Service, r.Version)
 				}
 			}),
 		m.telemetry.Gauges("rainford.news.age.seconds", "Time since the store or another instance was last heard, -1 before.", nil,
-			func(observe func(float64, ...string)) { observe(g.newsAge(g.clock.Now()).Seconds()) }),
+			func(observe func(float64, ...string)) { observe(g.contactAge(g.clock.Now()).Seconds()) }),
 		m.telemetry.Gauges("rainford.replica.revision", "Revision that is held of each kind of object.", []string{"kind"}, g.observeRevisions),
 		m.telemetry.Gauges("rainford.account.use", "What is asked of the parts of limits that this instance owns, over the part, of the accounts that ask most.",
-			[]string{"account"}, g.permits.observe),
+			[]string{"account"}, g.accountPermits.observeUtilization),
 		m.telemetry.Gauges("rainford.members", "Instances by state in this instance's view.", []string{"state"}, g.observeMembers))
 	return errors.Join(errs...)
 }
 
-func (g *Gateway) aheadUsage() (requests, held int64) {
-	if g.ahead == nil {
+// pipeliningUsage returns the number of pipelined requests in flight whose predecessors are still
+// unanswered, and the bytes of their buffered responses.
+func (g *Gateway) pipeliningUsage() (requests, held int64) {
+	if g.clientListener == nil {
 		return 0, 0
 	}
-	return g.ahead.Usage()
+	return g.clientListener.Usage()
 }
 
-// poolGauges registers the values of each service's targets.
+// poolGauges registers the gauges of each service's pool of targets.
 func (m *metrics) poolGauges(ps *pools) error {
 	return errors.Join(
 		m.telemetry.Gauges("rainford.repeats.left", "Attempts after the first one that the budget allows now.", []string{"service"},
-			ps.observe(func(p *pool, emit emit) { emit(p.tokens.Held()) })),
+			ps.observe(func(p *pool, emit emit) { emit(p.retryBudget.Available()) })),
 		m.telemetry.Gauges("rainford.queue.length", "Requests that wait here for a target.", []string{"service"},
 			ps.observe(func(p *pool, emit emit) { emit(float64(p.upstream.Waiting())) })),
 		m.telemetry.Gauges("rainford.targets", "Targets by hall and state.", []string{"service", "hall", "state"},
 			ps.observe(func(p *pool, emit emit) {
-				for group, n := range p.upstream.Census(p.clock.Now()) {
+				for group, n := range p.upstream.TargetCounts(p.clock.Now()) {
 					emit(float64(n.Targets), group.Hall, string(group.State))
 				}
 			})),
 		m.telemetry.Gauges("rainford.targets.limited", "Targets that name how many requests they take, by hall.", []string{"service", "hall"},
 			ps.observe(func(p *pool, emit emit) {
 				halls := make(map[string]int)
-				for _, l := range p.upstream.Limited(p.clock.Now()) {
+				for _, l := range p.upstream.LimitedTargets(p.clock.Now()) {
 					halls[l.Hall]++
 				}
 				for hall, n := range halls {
@@ -167,7 +172,7 @@
 		m.telemetry.Gauges("rainford.attempts.in_flight", "Attempts in flight by the target's hall.", []string{"service", "hall"},
 			ps.observe(func(p *pool, emit emit) {
 				inFlight := make(map[string]int)
-				for group, n := range p.upstream.Census(p.clock.Now()) {
+				for group, n := range p.upstream.TargetCounts(p.clock.Now()) {
 					inFlight[group.Hall] += n.InFlight
 				}
 				for hall, n := range inFlight {
@@ -176,11 +181,10 @@
 			})))
 }
 
-// emit observes a value of one service, with the values of the labels after the
-// service's name.
+// emit reports a value of one service. Values are those of the labels after the service.
 type emit func(value float64, values ...string)
 
-// observe returns a reader of all pools' values.
+// observe returns a callback for a gauge that calls read for each pool, with the pool locked.
 func (ps *pools) observe(read func(*pool, emit)) func(observe func(float64, ...string)) {
 	return func(observe func(float64, ...string)) {
 		ps.mu.RLock()
@@ -195,14 +199,16 @@
 	}
 }
 
+// observeRevisions reports the revision of each replica.
 func (g *Gateway) observeRevisions(observe func(float64, ...string)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for kind, replica := range g.replicas {
-		observe(float64(replica.At().Revision), string(kind))
+		observe(float64(replica.Position().Revision), string(kind))
 	}
 }
 
+// observeMembers reports the number of members in each state.
 func (g *Gateway) observeMembers(observe func(float64, ...string)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -215,83 +221,86 @@
 	}
 }
 
-// request counts a request of a client and its attempts.
+// request counts a client's request, its retries and its result, and records its duration.
 func (m *metrics) request(ex *exchange, status int, reason string, took time.Duration) {
 	kind, region := "", ""
 	if ex.route != nil {
 		kind = string(ex.route.Kind)
 	}
-	if len(ex.trail) > 0 {
-		region = ex.trail[len(ex.trail)-1].Region
-		m.repeats.Add(int64(len(ex.trail)-1), ex.service)
+	if len(ex.attempts) > 0 {
+		region = ex.attempts[len(ex.attempts)-1].Region
+		m.retries.Add(int64(len(ex.attempts)-1), ex.service)
 	}
-	m.requests.Add(1, ex.service, kind, region, outcomeOf(status))
-	m.whole.Record(took.Seconds(), ex.service)
+	m.requests.Add(1, ex.service, kind, region, outcomeClass(status))
+	m.requestDuration.Record(took.Seconds(), ex.service)
 	if reason != reasonAnswered {
 		m.refusals.Add(1, ex.service, reason)
 	}
 }
 
-// attempt counts an attempt at a target.
+// attempt counts an attempt at a target and the target's self-report, and records the duration.
 func (m *metrics) attempt(service string, target upstream.Choice, r upstream.Result) {
 	m.attempts.Add(1, service, target.Region, r.Outcome.String())
-	m.attempted.Record(r.Took.Seconds(), service)
+	m.attemptDuration.Record(r.Latency.Seconds(), service)
 	if target.Cold {
-		m.cold.Add(1, service)
+		m.coldAttempts.Add(1, service)
 	}
-	m.word(service, r.Word)
+	m.selfReport(service, r.SelfReport)
 }
 
-// sideNames are the versions of a rollout's targets, as the metrics name them: few, whatever versions are
-// ordered.
-var sideNames = map[bool]string{false: "old", true: "new"}
+// cohortNames are the label values of a rollout's cohorts, by whether the targets have the new
+// version. The names of versions are not used as label values, which bounds their number.
+var cohortNames = map[bool]string{false: "old", true: "new"}
 
-// version counts an attempt at a target while a version of its service is brought in.
-func (m *metrics) version(service string, isNew bool, r upstream.Result) {
-	m.versions.Add(1, service, sideNames[isNew], r.Outcome.String())
+// rolloutAttempt counts an attempt at a target during a rollout of its service.
+func (m *metrics) rolloutAttempt(service string, isNew bool, r upstream.Result) {
+	m.rolloutAttempts.Add(1, service, cohortNames[isNew], r.Outcome.String())
 }
 
-// What targets say of themselves, as the metrics name it.
+// Contents of a target's self-report, as label values.
 const (
-	wordLeaves     = "leaves"
-	wordRests      = "rests"
-	wordLimited    = "limited"
-	wordUnreadable = "unreadable"
+	selfReportLeaving   = "leaves"
+	selfReportBackoff   = "rests"
+	selfReportLimited   = "limited"
+	selfReportMalformed = "unreadable"
 )
 
-// word counts what a target said of itself in an answer.
-func (m *metrics) word(service string, w availability.Word) {
-	if w.Leaves {
-		m.words.Add(1, service, wordLeaves)
+// selfReport counts what a target has reported about itself with a response.
+func (m *metrics) selfReport(service string, w availability.SelfReport) {
+	if w.Leaving {
+		m.selfReports.Add(1, service, selfReportLeaving)
 	}
-	if w.Rest > 0 {
-		m.words.Add(1, service, wordRests)
+	if w.Backoff > 0 {
+		m.selfReports.Add(1, service, selfReportBackoff)
 	}
-	if w.Limited {
-		m.words.Add(1, service, wordLimited)
+	if w.HasLimit {
+		m.selfReports.Add(1, service, selfReportLimited)
 	}
-	if len(w.Unreadable) > 0 {
-		m.words.Add(1, service, wordUnreadable)
+	if len(w.Malformed) > 0 {
+		m.selfReports.Add(1, service, selfReportMalformed)
 	}
 }
 
-// read counts a read of the store.
-func (m *metrics) read(kind feed.Kind, err error) {
-	result := callOK
+// storeRead counts a read of the store, by kind and result.
+func (m *metrics) storeRead(kind feed.Kind, err error) {
+	result := readOK
 	switch {
 	case errors.Is(err, ErrHistoryGone):
-		result = callHistoryGone
+		result = readHistoryGone
 	case err != nil:
-		result = callFailed
+		result = readFailed
 	}
-	m.calls.Add(1, string(kind), result)
+	m.storeReads.Add(1, string(kind), result)
 }
 
-func (m *metrics) question(kind feed.Kind, result string) { m.questions.Add(1, string(kind), result) }
+// deltaRequest counts a delta request, by kind and result.
+func (m *metrics) deltaRequest(kind feed.Kind, result string) {
+	m.deltaRequests.Add(1, string(kind), result)
+}
 
 func (m *metrics) handler() http.Handler { return m.telemetry.Handler() }
 
-// routeName returns the name of a route, "" if there is none.
+// routeName returns the name of a route, or "" if r is nil.
 func routeName(r *catalog.Route) string {
 	if r == nil {
 		return ""
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -12,127 +12,134 @@
 )
 
 const (
-	// maxRewrites bounds the objects that an instance writes again in a round, one round a
-	// rewritePause.
-	maxRewrites  = 8
-	rewritePause = time.Second
-	// rewriteTime is how long it is tried to have a restored store hold what it has lost.
-	rewriteTime = time.Minute
+	// maxRewrites bounds the objects that an instance writes again in one round. The rounds
+	// are rewriteInterval apart.
+	maxRewrites     = 8
+	rewriteInterval = time.Second
+	// lostObjectsTimeout is the time after a restore of the store after which lost objects
+	// are no longer written again.
+	lostObjectsTimeout = time.Minute
 )
 
-// lostObjects are what the product itself had kept in the store, and a store that came back from a copy
-// has lost: nobody else writes it again. Names are those of objects of KindTable.
+// lostObjects holds objects of KindTable, by name, that were in the store and are missing since it
+// was restored from a backup. They are rainford's own objects, so the instances have to write them
+// again.
 type lostObjects struct {
 	values map[string][]byte
-	// until is how long it is tried to write them again.
-	until time.Time
-	// writing says that it is tried now.
+	// deadline is the end of the attempts to write the objects again.
+	deadline time.Time
+	// writing is set while a round of writes is under way.
 	writing bool
 }
 
-// ownObjects returns the product's own objects as they are held, if a delta leads to another era of the
-// store, which may lack some of them. The caller holds mu.
-func (g *Gateway) ownObjects(d feed.Delta) map[string][]byte {
+// ownObjectsBeforeRestore returns rainford's own objects as the replica holds them, if a delta
+// leads to another era of the store. The restored store may lack some of them. In all other cases
+// it returns nil. The caller holds mu.
+func (g *Gateway) ownObjectsBeforeRestore(d feed.Delta) map[string][]byte {
 	replica := g.replicas[KindTable]
-	if d.Kind != KindTable || d.To.Era == replica.At().Era {
+	if d.Kind != KindTable || d.To.Era == replica.Position().Era {
 		return nil
 	}
 	out := make(map[string][]byte, replica.Len())
-	replica.Objects(func(o feed.Object) { out[o.Name] = o.Value })
+	replica.Range(func(o feed.Object) { out[o.Name] = o.Value })
 	return out
 }
 
-// noteLost takes in the changes that led from what was held before to what a restored store holds. The
+// recordLostObjects records the objects of rainford that a restored store has lost. Before is the result of
+// ownObjectsBeforeRestore, and changes lead from there to the contents of the restored store. The
 // caller holds mu.
-func (g *Gateway) noteLost(now time.Time, before map[string][]byte, changes []feed.Change) {
+func (g *Gateway) recordLostObjects(now time.Time, before map[string][]byte, changes []feed.Change) {
 	for _, c := range changes {
 		held, known := before[c.Name]
 		if !known {
 			continue
 		}
-		if !c.Gone && !config.Supersedes(c.Name, held, c.Value) {
-			g.tellOverwritten(c, held)
+		if !c.Removed && !config.Supersedes(c.Name, held, c.Value) {
+			g.logOverwritten(c, held)
 			continue
 		}
-		if g.lostOwn.values == nil {
-			g.lostOwn.values = make(map[string][]byte)
+		if g.lostOwnObjects.values == nil {
+			g.lostOwnObjects.values = make(map[string][]byte)
 		}
-		g.lostOwn.values[c.Name] = held
-		g.lostOwn.until = now.Add(rewriteTime)
+		g.lostOwnObjects.values[c.Name] = held
+		g.lostOwnObjects.deadline = now.Add(lostObjectsTimeout)
 	}
-	if len(g.lostOwn.values) > 0 {
-		g.log.Warn(logObjectsLost, "objects", len(g.lostOwn.values))
+	if len(g.lostOwnObjects.values) > 0 {
+		g.log.Warn(logObjectsLost, "objects", len(g.lostOwnObjects.values))
 	}
 }
 
-// tellOverwritten tells which changes of the operators' table are lost for good: another one was made to
-// what the restored store holds.
-func (g *Gateway) tellOverwritten(c feed.Change, held []byte) {
+// logOverwritten logs the changes of the operators' table that are lost for good, because operators
+// have changed the restored table before the instances could write the lost changes again.
+func (g *Gateway) logOverwritten(c feed.Change, held []byte) {
 	if c.Name != config.Key {
 		return
 	}
-	for _, change := range config.Lost(held, c.Value) {
-		g.log.Error(logChangeLost, "number", change.Number, "id", change.ID, "who", change.Who, "what", change.What)
+	for _, change := range config.LostChanges(held, c.Value) {
+		g.log.Error(logChangeLost, "number", change.Number, "id", change.ID, "who", change.Operator, "what", change.Command)
 	}
 }
 
-// isLost tells whether a change is that a restored store has lost an object: what it held still counts.
-// The caller holds mu.
+// isLost reports whether a change only reflects that a restored store has lost an object. Such a
+// change is not applied. The caller holds mu.
 func (g *Gateway) isLost(c feed.Change, from provenance) bool {
-	_, lost := g.lostOwn.values[c.Name]
+	_, lost := g.lostOwnObjects.values[c.Name]
 	return lost && from.restored
 }
 
-// rewriteLost has the store hold again what it has lost. The first watcher of a region does it; all
-// others know what it is, in case that one ends.
-func (g *Gateway) rewriteLost(ctx context.Context, now time.Time) {
+// rewriteLostObjects writes lost objects to the store again, in the background. Only the first
+// watcher of a region does so. All other instances record the lost objects too, so that any of
+// them can take over.
+func (g *Gateway) rewriteLostObjects(ctx context.Context, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	names := g.missing(now)
-	if len(names) == 0 || g.lostOwn.writing || !g.watch.isWatching() || !g.view.WatchesFirst(now) {
+	names := g.missingObjects(now)
+	if len(names) == 0 || g.lostOwnObjects.writing || !g.watch.isWatching() || !g.view.IsFirstWatcher(now) {
 		return
 	}
 	batch := make(map[string][]byte, maxRewrites)
 	for _, name := range names[:min(len(names), maxRewrites)] {
-		batch[name] = g.lostOwn.values[name]
+		batch[name] = g.lostOwnObjects.values[name]
 	}
-	g.lostOwn.writing = true
-	g.start(func() {
+	g.lostOwnObjects.writing = true
+	g.startGoroutine(func() {
 		for name, value := range batch {
-			g.rewrite(ctx, name, value)
+			g.rewriteObject(ctx, name, value)
 		}
-		// The watch brings what was written.
-		pause.For(ctx, rewritePause)
+		// The pause leaves time for the watch to return what was written.
+		pause.For(ctx, rewriteInterval)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.lostOwn.writing = false
+		g.lostOwnObjects.writing = false
 	})
 }
 
-// missing returns the names of the lost objects that the store does not hold again, in order, and forgets
-// those that it does. The caller holds mu.
-func (g *Gateway) missing(now time.Time) []string {
+// missingObjects returns the sorted names of the lost objects that the store still lacks. It drops
+// the record of those that the store holds again, and of all after the deadline. The caller holds
+// mu.
+func (g *Gateway) missingObjects(now time.Time) []string {
 	var names []string
 	replica := g.replicas[KindTable]
-	for name, value := range g.lostOwn.values {
+	for name, value := range g.lostOwnObjects.values {
 		stored, listed := replica.Get(name)
 		if listed && !config.Supersedes(name, value, stored) {
-			delete(g.lostOwn.values, name)
+			delete(g.lostOwnObjects.values, name)
 			continue
 		}
 		names = append(names, name)
 	}
-	if len(names) > 0 && now.After(g.lostOwn.until) {
+	if len(names) > 0 && now.After(g.lostOwnObjects.deadline) {
 		g.log.Error(logObjectsNotRewritten, "objects", len(names), "first", names[0])
-		g.lostOwn.values = nil
+		g.lostOwnObjects.values = nil
 		return nil
 	}
 	slices.Sort(names)
 	return names
 }
 
-// rewrite has the store hold an object again, unless it holds one that is no earlier state of it.
-func (g *Gateway) rewrite(ctx context.Context, name string, value []byte) {
+// rewriteObject writes an object to the store again, unless the store holds a version of it that
+// value does not supersede.
+func (g *Gateway) rewriteObject(ctx context.Context, name string, value []byte) {
 	stored, err := g.store.Get(ctx, KindTable, name)
 	switch {
 	case err != nil:
