--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -13,157 +13,160 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// Reasons of requests that end by their account's limit.
+// Reasons of requests that are refused because of their account's rate limit.
 const (
 	reasonOverLimit = "over-limit"
-	// reasonNoOwner means that no instance that could tell was reached.
+	// reasonNoOwner means that no owner of the limit was reached.
 	reasonNoOwner = "no-limit-owner"
 )
 
-// permitTick is how often owners that do not answer are looked for while any is asked.
-const permitTick = 10 * time.Millisecond
+// permitTickInterval is the interval at which unresponsive owners and queued requests are checked
+// while permit requests are pending.
+const permitTickInterval = 10 * time.Millisecond
 
-// permits keeps the limits of accounts: it takes a permit for each request of a limited
-// account, and issues those that this instance owns. It is safe for concurrent use.
-type permits struct {
-	name    string
-	mesh    *peer.Mesh
-	limitOf func(account string) (ratelimit.Limit, bool)
-	began   time.Time
-	clock   *clock.Clock
+// accountPermits enforces the rate limits of accounts. It acquires a permit for each request of a
+// limited account, and issues the permits of the limits that this instance owns. It is safe for
+// concurrent use.
+type accountPermits struct {
+	name      string
+	mesh      *peer.Mesh
+	limitOf   func(account string) (ratelimit.Limit, bool)
+	startedAt time.Time
+	clock     *clock.Clock
 
 	mu     sync.Mutex
 	holder *ratelimit.Holder
 	issuer *ratelimit.Issuer
-	// addrs are the peer addresses of the instances that the store lists.
+	// addrs holds the peer addresses of the instances that the store lists, by name.
 	addrs   map[string]string
-	waits   map[uint64]chan ratelimit.Answer
+	waiting map[uint64]chan ratelimit.Result
 	lastID  uint64
 	ticking bool
 }
 
-func newPermits(c Config, mesh *peer.Mesh, startedAt time.Time, limitOf func(string) (ratelimit.Limit, bool)) *permits {
-	return &permits{
-		name:    c.Name,
-		mesh:    mesh,
-		limitOf: limitOf,
-		began:   startedAt,
-		clock:   c.Clock,
-		holder:  ratelimit.NewHolder(c.Name),
-		issuer:  ratelimit.NewIssuer(c.Limits, startedAt, c.FirstStart),
-		addrs:   make(map[string]string),
-		waits:   make(map[uint64]chan ratelimit.Answer),
+func newPermits(c Config, mesh *peer.Mesh, startedAt time.Time, limitOf func(string) (ratelimit.Limit, bool)) *accountPermits {
+	return &accountPermits{
+		name:      c.Name,
+		mesh:      mesh,
+		limitOf:   limitOf,
+		startedAt: startedAt,
+		clock:     c.Clock,
+		holder:    ratelimit.NewHolder(c.Name),
+		issuer:    ratelimit.NewIssuer(c.Limits, startedAt, c.FirstStart),
+		addrs:     make(map[string]string),
+		waiting:   make(map[uint64]chan ratelimit.Result),
 	}
 }
 
-// limitOf returns the limit of an account by the configuration in force, false if it has
-// none.
+// limitOf returns the rate limit of an account in the current configuration, false if it has none.
 func (g *Gateway) limitOf(account string) (ratelimit.Limit, bool) {
 	router := g.router.Load()
 	if router == nil {
 		return ratelimit.Limit{}, false
 	}
 	a := router.AccountNamed(account)
-	if !a.Limited() {
+	if !a.HasRateLimit() {
 		return ratelimit.Limit{}, false
 	}
 	return ratelimit.Limit{Rate: a.Rate, Burst: a.Burst}, true
 }
 
-// setMembers takes in the instances that the store lists, which own the parts of limits.
-func (p *permits) setMembers(now time.Time, c Config, members map[string]fleet.Member) {
-	places := make([]ratelimit.Place, 0, len(members))
+// setInstances sets the instances that the store lists. They own the shares of the limits.
+func (p *accountPermits) setInstances(now time.Time, c Config, members map[string]fleet.Member) {
+	instances := make([]ratelimit.Instance, 0, len(members))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	clear(p.addrs)
 	for _, m := range members {
-		places = append(places, ratelimit.Place{Name: m.Name, Hall: m.Hall, Region: m.Region})
+		instances = append(instances, ratelimit.Instance{Name: m.Name, Hall: m.Hall, Region: m.Region})
 		p.addrs[m.Name] = m.PeerAddr
 	}
-	self := ratelimit.Place{Name: c.Name, Hall: c.Hall, Region: c.Region}
-	owners := ratelimit.NewOwners(limitDivision, self, c.RegionOf, places)
+	self := ratelimit.Instance{Name: c.Name, Hall: c.Hall, Region: c.Region}
+	owners := ratelimit.NewOwners(limitScope, self, c.RegionOf, instances)
 	p.holder.SetOwners(owners)
 	p.issuer.SetOwners(now, owners)
 }
 
-// limitDivision is the division of limits: one owner in each hall.
-const limitDivision = ratelimit.ByHall
+// limitScope is the scope of limit domains: each hall is a domain with one owner per account.
+const limitScope = ratelimit.PerHall
 
-// permit is the right of one request of an account to be sent.
+// permit is the right to send one request of an account.
 type permit struct {
-	account string
-	until   time.Time
+	account   string
+	expiresAt time.Time
 }
 
-// take takes a permit for a request of an account, or returns why there is none. It waits
-// for the answer of an owner if the instance holds none.
-func (p *permits) take(ctx context.Context, account string) (permit, ratelimit.Answer) {
+// acquire acquires a permit for a request of an account. If the instance has none, it waits for an
+// owner's reply. The result states why there is no permit.
+func (p *accountPermits) acquire(ctx context.Context, account string) (permit, ratelimit.Result) {
 	now := p.clock.Now()
 	p.mu.Lock()
 	p.lastID++
 	id := p.lastID
-	answer, asks := p.holder.Take(now, id, account)
-	var wait chan ratelimit.Answer
-	if answer.Verdict == ratelimit.Wait {
-		wait = make(chan ratelimit.Answer, 1)
-		p.waits[id] = wait
+	result, requests := p.holder.Acquire(now, id, account)
+	var wait chan ratelimit.Result
+	if result.Decision == ratelimit.Wait {
+		wait = make(chan ratelimit.Result, 1)
+		p.waiting[id] = wait
 	}
-	p.send(now, asks)
+	p.sendRequests(now, requests)
 	p.tick()
 	p.mu.Unlock()
 	if wait != nil {
 		select {
-		case answer = <-wait:
+		case result = <-wait:
 		case <-ctx.Done():
 			p.cancel(account, id, wait)
-			return permit{}, ratelimit.Answer{Verdict: ratelimit.Unknown}
+			return permit{}, ratelimit.Result{Decision: ratelimit.Unavailable}
 		}
 	}
-	return permit{account: account, until: answer.Until}, answer
+	return permit{account: account, expiresAt: result.ExpiresAt}, result
 }
 
-// cancel ends the wait of a request whose client has left.
-func (p *permits) cancel(account string, id uint64, wait chan ratelimit.Answer) {
+// cancel ends the wait of a request whose client has disconnected. It returns the permit if one was
+// granted meanwhile.
+func (p *accountPermits) cancel(account string, id uint64, wait chan ratelimit.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waits, id)
+	delete(p.waiting, id)
 	p.holder.Cancel(account, id)
 	select {
-	case answer := <-wait:
-		if answer.Verdict == ratelimit.Admit {
-			p.holder.Return(p.clock.Now(), account, answer.Until)
+	case result := <-wait:
+		if result.Decision == ratelimit.Admit {
+			p.holder.Release(p.clock.Now(), account, result.ExpiresAt)
 		}
 	default:
 	}
 }
 
-// giveBack returns the permit of a request that was not run.
-func (p *permits) giveBack(unused permit) {
+// release returns the permit of a request that has not run.
+func (p *accountPermits) release(unused permit) {
 	if unused.account == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder.Return(p.clock.Now(), unused.account, unused.until)
+	p.holder.Release(p.clock.Now(), unused.account, unused.expiresAt)
 }
 
-// send sends questions to owners. The caller holds mu.
-func (p *permits) send(now time.Time, asks []ratelimit.Ask) {
-	for _, ask := range asks {
-		claim := ratelimit.Claim{From: p.name, At: p.stamp(now), N: ask.N}
-		if ask.To.Name == p.name {
-			p.issue(now, ask.Account, claim)
+// sendRequests sends permit requests to owners. The caller holds mu.
+func (p *accountPermits) sendRequests(now time.Time, requests []ratelimit.PermitRequest) {
+	for _, request := range requests {
+		issueRequest := ratelimit.IssueRequest{From: p.name, At: p.timestamp(now), N: request.N}
+		if request.To.Name == p.name {
+			p.issue(now, request.Account, issueRequest)
 			continue
 		}
-		p.mesh.Send(p.addrs[ask.To.Name], &peer.PermitAsk{Account: ask.Account, From: claim.From, At: claim.At, N: claim.N})
+		p.mesh.Send(p.addrs[request.To.Name], &peer.PermitRequest{Account: request.Account, From: issueRequest.From, SentAt: issueRequest.At, N: issueRequest.N})
 	}
 }
 
-// issue answers a claim of the own domain, and borrows if need be. The caller holds mu.
-func (p *permits) issue(now time.Time, account string, c ratelimit.Claim) {
+// issue handles a permit request in the own domain, and borrows permits of other domains if
+// necessary. The caller holds mu.
+func (p *accountPermits) issue(now time.Time, account string, c ratelimit.IssueRequest) {
 	limit, ok := p.limitOf(account)
 	if !ok {
-		p.reply(now, ratelimit.Reply{To: c.From, At: c.At, Account: account, Issue: ratelimit.Issue{Foreign: true}})
+		p.reply(now, ratelimit.Reply{To: c.From, At: c.At, Account: account, Grant: ratelimit.Grant{NotOwner: true}})
 		return
 	}
 	reply, loans := p.issuer.Issue(now, account, limit, c)
@@ -171,174 +174,174 @@
 	p.reply(now, reply)
 }
 
-// borrow sends questions to owners of other domains. The caller holds mu.
-func (p *permits) borrow(now time.Time, loans []ratelimit.Loan) {
+// borrow sends loan requests to the owners of other domains. The caller holds mu.
+func (p *accountPermits) borrow(now time.Time, loans []ratelimit.LoanRequest) {
 	for _, loan := range loans {
-		p.mesh.Send(p.addrs[loan.From.Name], &peer.PermitAsk{Account: loan.Account, From: p.name, At: p.stamp(now), N: loan.N, Lend: true})
+		p.mesh.Send(p.addrs[loan.Lender.Name], &peer.PermitRequest{Account: loan.Account, From: p.name, SentAt: p.timestamp(now), N: loan.N, Borrow: true})
 	}
 }
 
-// reply sends answers to claims. The caller holds mu.
-func (p *permits) reply(now time.Time, replies ...ratelimit.Reply) {
+// reply sends replies to permit requests. The caller holds mu.
+func (p *accountPermits) reply(now time.Time, replies ...ratelimit.Reply) {
 	for _, r := range replies {
 		if r.To == p.name {
-			p.hear(now, r.At, r.Account, p.name, r.Issue)
+			p.handleGrant(now, r.At, r.Account, p.name, r.Grant)
 			continue
 		}
-		p.mesh.Send(p.addrs[r.To], &peer.PermitIssue{Account: r.Account, From: p.name, At: r.At, Issue: r.Issue})
+		p.mesh.Send(p.addrs[r.To], &peer.PermitGrant{Account: r.Account, From: p.name, RequestSentAt: r.At, Grant: r.Grant})
 	}
 }
 
-// hear takes in the answer of an owner. The caller holds mu.
-func (p *permits) hear(now time.Time, at int64, account, from string, issue ratelimit.Issue) {
-	answers, asks := p.holder.Hear(now, p.moment(at), account, from, issue)
-	p.wake(answers)
-	p.send(now, asks)
+// handleGrant handles an owner's reply. The caller holds mu.
+func (p *accountPermits) handleGrant(now time.Time, at int64, account, from string, grant ratelimit.Grant) {
+	results, requests := p.holder.HandleReply(now, p.timeOf(at), account, from, grant)
+	p.wake(results)
+	p.sendRequests(now, requests)
 }
 
-// stamp returns a time as messages carry it: that since the start of the process. moment is
-// its inverse.
-func (p *permits) stamp(t time.Time) int64      { return int64(t.Sub(p.began)) }
-func (p *permits) moment(stamp int64) time.Time { return p.began.Add(time.Duration(stamp)) }
+// timestamp returns a time as messages carry it, in nanoseconds since the start of the process.
+// timeOf is its inverse.
+func (p *accountPermits) timestamp(t time.Time) int64  { return int64(t.Sub(p.startedAt)) }
+func (p *accountPermits) timeOf(stamp int64) time.Time { return p.startedAt.Add(time.Duration(stamp)) }
 
-// receiveAsk answers a question of another instance.
-func (p *permits) receiveAsk(m *peer.PermitAsk) {
+// receiveRequest handles a permit or loan request of another instance.
+func (p *accountPermits) receiveRequest(m *peer.PermitRequest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	addr, ok := p.addrs[m.From]
 	if !ok {
-		// It asks others until this instance knows it.
+		// The sender requests permits elsewhere until this instance knows its address.
 		return
 	}
 	now := p.clock.Now()
-	if !m.Lend {
-		p.issue(now, m.Account, ratelimit.Claim{From: m.From, At: m.At, N: m.N})
+	if !m.Borrow {
+		p.issue(now, m.Account, ratelimit.IssueRequest{From: m.From, At: m.SentAt, N: m.N})
 		p.tick()
 		return
 	}
-	answer := &peer.PermitIssue{Account: m.Account, From: p.name, At: m.At, Lend: true, Issue: ratelimit.Issue{Foreign: true}}
+	reply := &peer.PermitGrant{Account: m.Account, From: p.name, RequestSentAt: m.SentAt, Borrow: true, Grant: ratelimit.Grant{NotOwner: true}}
 	if limit, ok := p.limitOf(m.Account); ok {
-		answer.Issue = p.issuer.Lend(now, m.Account, limit, m.N)
+		reply.Grant = p.issuer.Lend(now, m.Account, limit, m.N)
 	}
-	p.mesh.Send(addr, answer)
+	p.mesh.Send(addr, reply)
 }
 
-// receiveIssue takes in the answer of another instance.
-func (p *permits) receiveIssue(m *peer.PermitIssue) {
+// receiveGrant handles another instance's reply to a permit or loan request.
+func (p *accountPermits) receiveGrant(m *peer.PermitGrant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	if m.At > p.stamp(now) {
-		// The question was asked by the process before this one.
+	if m.RequestSentAt > p.timestamp(now) {
+		// The request was sent by a previous process of this instance.
 		return
 	}
-	if m.Lend {
-		replies, loans := p.issuer.Borrowed(now, p.moment(m.At), m.Account, m.From, m.Issue)
+	if m.Borrow {
+		replies, loans := p.issuer.HandleLoan(now, p.timeOf(m.RequestSentAt), m.Account, m.From, m.Grant)
 		p.borrow(now, loans)
 		p.reply(now, replies...)
 	} else {
-		p.hear(now, m.At, m.Account, m.From, m.Issue)
+		p.handleGrant(now, m.RequestSentAt, m.Account, m.From, m.Grant)
 	}
 	p.tick()
 }
 
-// wake ends the waits of requests. The caller holds mu.
-func (p *permits) wake(answers []ratelimit.Answer) {
-	for _, answer := range answers {
-		if wait := p.waits[answer.ID]; wait != nil {
-			delete(p.waits, answer.ID)
-			wait <- answer
+// wake delivers results to the requests that wait for them. The caller holds mu.
+func (p *accountPermits) wake(results []ratelimit.Result) {
+	for _, result := range results {
+		if wait := p.waiting[result.ID]; wait != nil {
+			delete(p.waiting, result.ID)
+			wait <- result
 		}
 	}
 }
 
-// tick looks for owners that do not answer, and for claims that wait, as long as there are
-// any. The caller holds mu.
-func (p *permits) tick() {
-	if p.ticking || !p.holder.Due() && p.issuer.Queued() == 0 {
+// tick schedules a check for unresponsive owners and queued permit requests while there are any.
+// The caller holds mu.
+func (p *accountPermits) tick() {
+	if p.ticking || !p.holder.NeedsTick() && p.issuer.Queued() == 0 {
 		return
 	}
 	p.ticking = true
-	time.AfterFunc(permitTick, p.onTick)
+	time.AfterFunc(permitTickInterval, p.onTick)
 }
 
-func (p *permits) onTick() {
+func (p *accountPermits) onTick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ticking = false
 	now := p.clock.Now()
-	answers, asks, silent := p.holder.Tick(now)
-	for _, owner := range silent {
-		p.mesh.RenewBoth(p.addrs[owner])
+	results, requests, unresponsive := p.holder.Tick(now)
+	for _, owner := range unresponsive {
+		p.mesh.ReconnectBoth(p.addrs[owner])
 	}
-	p.wake(answers)
-	p.send(now, asks)
+	p.wake(results)
+	p.sendRequests(now, requests)
 	p.reply(now, p.issuer.Tick(now)...)
 	p.tick()
 }
 
-// busiestAccounts bounds the accounts that the metrics name, whatever their number is.
-const busiestAccounts = 8
+// maxObservedAccounts bounds the accounts that the metrics name, however many accounts there are.
+const maxObservedAccounts = 8
 
-// observe tells how much is asked of the parts that this instance owns, of the accounts
-// that ask most.
-func (p *permits) observe(observe func(float64, ...string)) {
+// observeUtilization reports the utilization of the shares that this instance owns, for the
+// accounts with the highest utilization.
+func (p *accountPermits) observeUtilization(observe func(float64, ...string)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, use := range p.issuer.Busiest(p.clock.Now(), busiestAccounts) {
-		observe(use.Share, use.Account)
+	for _, use := range p.issuer.Busiest(p.clock.Now(), maxObservedAccounts) {
+		observe(use.Utilization, use.Account)
 	}
 }
 
-// unreachable takes in that no connection to an instance could be had.
-func (p *permits) unreachable(addr string) {
+// ownerUnreachable records that connecting to an instance has failed.
+func (p *accountPermits) ownerUnreachable(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	for name, known := range p.addrs {
-		if known != addr {
+	for name, peerAddr := range p.addrs {
+		if peerAddr != addr {
 			continue
 		}
-		answers, asks := p.holder.Unreachable(now, name)
-		p.wake(answers)
-		p.send(now, asks)
+		results, requests := p.holder.OwnerUnreachable(now, name)
+		p.wake(results)
+		p.sendRequests(now, requests)
 	}
 	p.tick()
 }
 
-// forget drops what is known of accounts that send nothing.
-func (p *permits) forget(now time.Time) {
+// evictIdle evicts the state of accounts that send no requests.
+func (p *accountPermits) evictIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.holder.Forget(now)
-	p.issuer.Forget(now)
+	p.holder.EvictIdle(now)
+	p.issuer.EvictIdle(now)
 }
 
-// admit takes a permit for the request if its account is limited, or returns the answer
-// to one beyond the limit. No body is read before it.
-func (g *Gateway) admit(ex *exchange) (verdict, bool) {
-	if !ex.account.Limited() {
-		return verdict{}, true
+// admit acquires a permit for the request if its account has a rate limit. It returns a refusal and
+// false if the request exceeds the limit. It runs before the body is read.
+func (g *Gateway) admit(ex *exchange) (requestResult, bool) {
+	if !ex.account.HasRateLimit() {
+		return requestResult{}, true
 	}
-	began := g.clock.Now()
-	permit, answer := g.permits.take(ex.ctx, ex.account.Name)
-	ex.permitWait = g.clock.Since(began)
-	ex.limited = answer
-	g.metrics.permits.Add(1, verdictName(answer.Verdict))
-	switch answer.Verdict {
+	startedAt := g.clock.Now()
+	permit, result := g.accountPermits.acquire(ex.ctx, ex.account.Name)
+	ex.permitWait = g.clock.Since(startedAt)
+	ex.limitResult = result
+	g.metrics.permits.Add(1, permitResultName(result.Decision))
+	switch result.Decision {
 	case ratelimit.Admit:
 		ex.permit = permit
-		return verdict{}, true
+		return requestResult{}, true
 	case ratelimit.Refuse:
-		return atDoor(ex, verdict{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: answer.RetryAfter}), false
+		return beforeBody(ex, requestResult{status: http.StatusTooManyRequests, reason: reasonOverLimit, retryAfter: result.RetryAfter}), false
 	default:
-		return atDoor(ex, notRun(reasonNoOwner, max(answer.RetryAfter, defaultRetryAfter))), false
+		return beforeBody(ex, notRunResult(reasonNoOwner, max(result.RetryAfter, defaultRetryAfter))), false
 	}
 }
 
-// verdictName is the name of a verdict in the metrics.
-func verdictName(v ratelimit.Verdict) string {
-	switch v {
+// permitResultName returns the name of a decision in the metrics.
+func permitResultName(decision ratelimit.Decision) string {
+	switch decision {
 	case ratelimit.Admit:
 		return "admitted"
 	case ratelimit.Refuse:
@@ -348,7 +351,8 @@
 	}
 }
 
-// knowsOwners tells whether the instance can find the owners of limits, if there are any.
+// knowsOwners reports whether the instance can find the owners of limits, or the configuration has
+// no limits.
 func (g *Gateway) knowsOwners(router *catalog.Router) bool {
-	return !router.Limited() || g.readiness.knowsInstances.Load()
+	return !router.HasRateLimits() || g.readiness.instancesLoaded.Load()
 }
--- a/gateway/pools.go
+++ b/gateway/pools.go
@@ -14,51 +14,54 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// shiftStepShare is the part of the bound on shifts that the shares between
-// regions use. The rest is for the draw by key, which follows shares roughly.
-const shiftStepShare = 0.6
+// shiftStepFraction is the fraction of the bound on traffic shifts that changes of the regions'
+// shares may use. The rest is reserved for the assignment of requests by key, which follows the
+// shares only roughly.
+const shiftStepFraction = 0.6
 
-// pools holds the targets of each service. It is safe for concurrent use.
+// pools holds the targets of all services. It is safe for concurrent use.
 type pools struct {
 	config Config
-	// departed returns the targets that are known to have said themselves that they leave.
-	departed func(now time.Time) availability.DepartureList
-	// limits returns the limits that targets have named.
-	limits func(now time.Time) availability.LimitList
-	// ask sends questions for permits of targets' limits, and is told the owners that do not
-	// answer.
-	ask func(asks []ratelimit.Ask, silent []string)
+	// knownDepartures returns the targets that are known to have announced that they leave.
+	knownDepartures func(now time.Time) availability.DepartureList
+	// knownLimits returns the rate limits that targets have announced.
+	knownLimits func(now time.Time) availability.RateLimitList
+	// requestPermits sends permit requests for targets' rate limits, and receives the names of
+	// owners that do not reply.
+	requestPermits func(requests []ratelimit.PermitRequest, unresponsive []string)
 
 	mu       sync.RWMutex
 	pools    map[string]*pool
 	services map[string]catalog.Service
-	// homeShares are the parts of all requests that regions have to run.
-	homeShares map[string]float64
-	members    map[string][]string
-	count      int
-	// plan is the operators' table, nil if there is none.
+	// homeShares holds, by region, the fraction of all requests that the region has to serve as the
+	// home region of accounts.
+	homeShares      map[string]float64
+	instancesByHall map[string][]string
+	instanceCount   int
+	// plan is the compiled routing table of the operators, nil if there is none.
 	plan *table.Plan
-	// owners are those of targets' limits, nil before any are known.
+	// owners are the owners of targets' rate limits, nil until they are known.
 	owners *ratelimit.Owners
-	// splits are what was last said of new versions, by service, for a service of which targets
-	// become known later.
+	// splits holds the latest traffic split of each service between versions. It is kept for
+	// services whose targets become known later.
 	splits map[string]versionSplit
 }
 
-// versionSplit is which part of a service's requests goes to targets of a new version, and until when.
+// versionSplit is the traffic split of a service between its old and new version, and the time
+// until which it is valid.
 type versionSplit struct {
 	rollout *serviceRollout
 	split   rollout.Split
 	until   time.Time
 }
 
-func newPools(config Config, departed func(time.Time) availability.DepartureList, limits func(time.Time) availability.LimitList,
-	ask func([]ratelimit.Ask, []string)) *pools {
-	return &pools{config: config, departed: departed, limits: limits, ask: ask, pools: make(map[string]*pool),
-		count: 1, splits: make(map[string]versionSplit)}
+func newPools(config Config, knownDepartures func(time.Time) availability.DepartureList, limits func(time.Time) availability.RateLimitList,
+	ask func([]ratelimit.PermitRequest, []string)) *pools {
+	return &pools{config: config, knownDepartures: knownDepartures, knownLimits: limits, requestPermits: ask, pools: make(map[string]*pool),
+		instanceCount: 1, splits: make(map[string]versionSplit)}
 }
 
-// get returns the pool of a service, or nil if it never had a target.
+// get returns the pool of a service, or nil if the service never had a target.
 func (ps *pools) get(service string) *pool {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
@@ -70,7 +73,7 @@
 	defer ps.mu.Unlock()
 	byService := make(map[string][]*catalog.Target)
 	for _, spec := range specs {
-		byService[spec.Service] = append(byService[spec.Service], ps.asPlanned(spec))
+		byService[spec.Service] = append(byService[spec.Service], ps.withTableDrains(spec))
 	}
 	for service := range byService {
 		if ps.pools[service] == nil {
@@ -84,28 +87,28 @@
 	}
 }
 
-// changeTargets takes in changed targets and the IDs of those that are gone.
-func (ps *pools) changeTargets(now time.Time, changed []*catalog.Target, gone []string, evacuated map[string]bool) {
+// changeTargets applies changed targets and the IDs of removed ones.
+func (ps *pools) changeTargets(now time.Time, changed []*catalog.Target, removed []string, evacuated map[string]bool) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	byService := make(map[string][]*catalog.Target)
 	for _, spec := range changed {
-		byService[spec.Service] = append(byService[spec.Service], ps.asPlanned(spec))
+		byService[spec.Service] = append(byService[spec.Service], ps.withTableDrains(spec))
 		if ps.pools[spec.Service] == nil {
 			ps.pools[spec.Service] = ps.newPool(spec.Service)
 		}
 	}
 	for service, p := range ps.pools {
 		p.update(func(u *upstream.Pool) []upstream.Grant {
-			return u.ChangeTargets(now, byService[service], gone, evacuated)
+			return u.ChangeTargets(now, byService[service], removed, evacuated)
 		})
 	}
 }
 
-// asPlanned returns the spec of a target with what the operators' table says of it. The caller holds
-// mu.
-func (ps *pools) asPlanned(spec *catalog.Target) *catalog.Target {
-	if !ps.drained(spec) {
+// withTableDrains returns the spec of a target, marked as drained if the operators' table drains
+// it. The caller holds mu.
+func (ps *pools) withTableDrains(spec *catalog.Target) *catalog.Target {
+	if !ps.isDrained(spec) {
 		return spec
 	}
 	drained := *spec
@@ -113,9 +116,9 @@
 	return &drained
 }
 
-// drained tells whether the operators' table drains a target, its hall or its
-// region. The caller holds mu.
-func (ps *pools) drained(spec *catalog.Target) bool {
+// isDrained reports whether the operators' table drains the target, its hall or its region. The
+// caller holds mu.
+func (ps *pools) isDrained(spec *catalog.Target) bool {
 	if ps.plan == nil {
 		return false
 	}
@@ -123,7 +126,8 @@
 		ps.plan.RegionDrained(ps.config.RegionOf[spec.Hall])
 }
 
-// setPlan takes in the operators' table. setTargets has to follow.
+// setPlan sets the operators' table. The caller must call setTargets afterwards, which applies the
+// drains.
 func (ps *pools) setPlan(plan *table.Plan) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -138,29 +142,29 @@
 
 func (ps *pools) newPool(service string) *pool {
 	u := upstream.NewPool(upstream.Config{
-		Service:     service,
-		Self:        ps.config.Name,
-		Hall:        ps.config.Hall,
-		Region:      ps.config.Region,
-		RegionOf:    ps.config.RegionOf,
-		HoldsNew:    ps.config.bringsVersionsIn(),
-		ShiftStep:   shiftStepShare * ps.config.ShiftMost,
-		ShiftWindow: shiftWindow,
+		Service:         service,
+		Self:            ps.config.Name,
+		Hall:            ps.config.Hall,
+		Region:          ps.config.Region,
+		RegionOf:        ps.config.RegionOf,
+		HoldNewVersions: ps.config.rolloutsEnabled(),
+		ShiftStep:       shiftStepFraction * ps.config.ShiftMost,
+		ShiftWindow:     shiftWindow,
 	})
-	p := &pool{upstream: u, tokens: retry.NewTokens(ps.config.RetryRatio), waits: make(map[uint64]chan upstream.Decision), ask: ps.ask, log: ps.config.Log, clock: ps.config.Clock}
+	p := &pool{upstream: u, retryBudget: retry.NewTokenBucket(ps.config.RetryRatio), waiting: make(map[uint64]chan upstream.Decision), requestPermits: ps.requestPermits, log: ps.config.Log, clock: ps.config.Clock}
 	u.SetService(ps.services[service])
-	u.SetMembers(ps.members)
+	u.SetMembers(ps.instancesByHall)
 	u.SetHomeShares(ps.homeShares)
 	if ps.plan != nil {
 		u.SetRows(ps.plan.Rows(service, ps.config.Region))
 	}
 	now := ps.config.Clock.Now()
-	u.HearDepartures(now, ps.departed(now), availability.SourcePeer)
-	u.HearLimits(now, ps.limits(now), availability.SourcePeer)
+	u.ApplyDepartures(now, ps.knownDepartures(now), availability.SourcePeer)
+	u.ApplyRateLimits(now, ps.knownLimits(now), availability.SourcePeer)
 	if ps.owners != nil {
 		u.SetLimitOwners(ps.owners)
 	}
-	p.tokens.Share(ps.config.RetrySlack, ps.count)
+	p.retryBudget.SetCapacity(ps.config.RetrySlack, ps.instanceCount)
 	if s, ok := ps.splits[service]; ok {
 		p.rollout.Store(s.rollout)
 		u.SetSplit(now, s.split, s.until)
@@ -182,109 +186,108 @@
 	}
 }
 
-// setHomeShares takes in the parts of all requests that regions have to run because they
-// are accounts' homes.
+// setHomeShares sets, by region, the fraction of all requests that the region has to serve as the
+// home region of accounts.
 func (ps *pools) setHomeShares(shares map[string]float64) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	ps.homeShares = shares
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		u.SetHomeShares(shares)
 		return nil
 	})
 }
 
-// setMembers takes in the names of the instances in each hall, and how many
-// instances there are in all.
-func (ps *pools) setMembers(members map[string][]string, count int) {
+// setInstances sets the names of the instances in each hall and the number of all instances.
+func (ps *pools) setInstances(instances map[string][]string, count int) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	ps.members, ps.count = members, count
+	ps.instancesByHall, ps.instanceCount = instances, count
 	for _, p := range ps.pools {
 		p.update(func(u *upstream.Pool) []upstream.Grant {
-			u.SetMembers(members)
-			p.tokens.Share(ps.config.RetrySlack, count)
+			u.SetMembers(instances)
+			p.retryBudget.SetCapacity(ps.config.RetrySlack, count)
 			return nil
 		})
 	}
 }
 
-// sightings returns the loads of busy targets of all services.
-func (ps *pools) sightings(now time.Time) upstream.Sightings {
+// targetReports returns the reports on busy targets of all services for gossip.
+func (ps *pools) targetReports(now time.Time) upstream.TargetReports {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	var out upstream.Sightings
+	var out upstream.TargetReports
 	for _, p := range ps.pools {
-		out = append(out, p.sightings(now)...)
+		out = append(out, p.targetReports(now)...)
 	}
 	return out
 }
 
-// hearDepartures takes in that targets said that they leave, and returns the IDs of those of
-// which it was not known.
-func (ps *pools) hearDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
+// applyDepartures records targets that have announced that they leave, and returns the IDs of those
+// for which this is new.
+func (ps *pools) applyDepartures(now time.Time, departures availability.DepartureList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	var fresh []string
+	var changed []string
 	for _, p := range ps.pools {
-		fresh = append(fresh, p.hearDepartures(now, departures, source)...)
+		changed = append(changed, p.applyDepartures(now, departures, source)...)
 	}
-	return fresh
+	return changed
 }
 
-// hearLimits takes in the limits that targets have named, and returns the IDs of those whose limits
-// changed.
-func (ps *pools) hearLimits(now time.Time, limits availability.LimitList, source availability.Source) []string {
+// applyRateLimits applies the limits that targets have announced, and returns the IDs of the
+// targets whose limits have changed.
+func (ps *pools) applyRateLimits(now time.Time, limits availability.RateLimitList, source availability.Source) []string {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	var changed []string
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
-		ids, grants := u.HearLimits(now, limits, source)
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
+		ids, grants := u.ApplyRateLimits(now, limits, source)
 		changed = append(changed, ids...)
 		return grants
 	})
 	return changed
 }
 
-// each changes the pools of all services. The caller holds mu.
-func (ps *pools) each(change func(*upstream.Pool) []upstream.Grant) {
+// updateAll changes the pools of all services. The caller holds mu.
+func (ps *pools) updateAll(change func(*upstream.Pool) []upstream.Grant) {
 	for _, p := range ps.pools {
 		p.update(change)
 	}
 }
 
-// setLimitOwners takes in who issues the permits of targets' limits.
+// setLimitOwners sets the owners of targets' rate limits.
 func (ps *pools) setLimitOwners(owners *ratelimit.Owners) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	ps.owners = owners
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		u.SetLimitOwners(owners)
 		return nil
 	})
 }
 
-// hearPermits takes in the answer of an owner to a question for permits that was asked at a time.
-func (ps *pools) hearPermits(now, askedAt time.Time, m *peer.PermitIssue) {
+// receivePermits handles an owner's reply to a permit request that was sent at askedAt.
+func (ps *pools) receivePermits(now, askedAt time.Time, m *peer.PermitGrant) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
-		return u.HearPermits(now, askedAt, m.Account, m.From, m.Issue)
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
+		return u.ReceivePermits(now, askedAt, m.Account, m.From, m.Grant)
 	})
 }
 
-// ownerUnreachable takes in that no connection to an instance could be had.
+// ownerUnreachable records that connecting to an instance has failed.
 func (ps *pools) ownerUnreachable(now time.Time, owner string) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
 		u.OwnerUnreachable(now, owner)
 		return nil
 	})
 }
 
-// setSplit takes in which part of a service's requests goes to targets of a new version, and until
-// when.
+// setSplit sets the traffic split of a service between its versions, and the time until which it is
+// valid.
 func (ps *pools) setSplit(now time.Time, r *serviceRollout, split rollout.Split, until time.Time) {
 	service := r.order().Service
 	ps.mu.Lock()
@@ -298,35 +301,36 @@
 	p.update(func(u *upstream.Pool) []upstream.Grant { return u.SetSplit(now, split, until) })
 }
 
-// versions returns what there is of a service's targets of both versions.
-func (ps *pools) versions(now time.Time, service string) upstream.Versions {
+// versionStats returns statistics on a service's targets of both versions. They are zero for an
+// unknown service.
+func (ps *pools) versionStats(now time.Time, service string) upstream.VersionStats {
 	p := ps.get(service)
 	if p == nil {
-		return upstream.Versions{}
+		return upstream.VersionStats{}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.upstream.Versions(now)
+	return p.upstream.VersionStats(now)
 }
 
-// forget drops what is known of permits that nobody asks for, and of idle targets.
-func (ps *pools) forget(now time.Time) {
+// evictIdle evicts permits that are not requested any more, and the state of idle targets.
+func (ps *pools) evictIdle(now time.Time) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	ps.each(func(u *upstream.Pool) []upstream.Grant {
-		u.Forget(now)
+	ps.updateAll(func(u *upstream.Pool) []upstream.Grant {
+		u.Expire(now)
 		return nil
 	})
 }
 
-// hear takes in the loads of targets that another instance has told of.
-func (ps *pools) hear(now time.Time, seen upstream.Sightings) {
-	if len(seen) == 0 {
+// applyTargetReports applies the target reports of another instance.
+func (ps *pools) applyTargetReports(now time.Time, reports upstream.TargetReports) {
+	if len(reports) == 0 {
 		return
 	}
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	for _, p := range ps.pools {
-		p.hear(now, seen)
+		p.applyTargetReports(now, reports)
 	}
 }
--- a/gateway/ready_test.go
+++ b/gateway/ready_test.go
@@ -11,8 +11,8 @@
 	"github.com/rainford/rainford/catalog"
 )
 
-// TestAwaitReady checks that a request waits for an instance that has just started for a
-// small part of its time, and goes on at once when the instance has what it needs.
+// TestAwaitReady checks that a request waits a small fraction of its time for an instance that has just
+// started, and continues as soon as the instance is ready.
 func TestAwaitReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := &Gateway{readiness: readiness{reached: make(chan struct{})}}
@@ -26,16 +26,16 @@
 			router, err := catalog.NewRouter(&catalog.Config{})
 			assert.NoError(t, err)
 			g.router.Store(router)
-			g.noteReady()
+			g.signalReady()
 			time.Sleep(20 * time.Millisecond)
-			g.readiness.knowsTargets.Store(true)
-			g.noteReady()
+			g.readiness.targetsLoaded.Store(true)
+			g.signalReady()
 		}()
 		g.awaitReady(t.Context(), 6400*time.Millisecond)
 		require.Equal(t, 60*time.Millisecond, time.Since(began))
 		began = time.Now()
 		g.awaitReady(t.Context(), 6400*time.Millisecond)
-		g.noteReady()
+		g.signalReady()
 		require.Zero(t, time.Since(began))
 	})
 }
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -11,16 +11,16 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// TestRejectedIsTriedAgainThere checks that a request that a target with free slots has
-// rejected goes to the same target again, which knows its object, and not to another.
-func TestRejectedIsTriedAgainThere(t *testing.T) {
+// TestRejectedRequestIsRetriedAtSameTarget checks that a request that a target with free slots has
+// rejected is retried at the same target, which has its object cached.
+func TestRejectedRequestIsRetriedAtSameTarget(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	first, second := s.server("i-1", "s", "a1"), s.server("i-2", "s", "a2")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
 	for range 10 {
-		// Requests earn the budget of repeats.
+		// Requests earn the budget for retries.
 		in.send("GET", "/x/", "")
 	}
 	var arrivals [2]atomic.Int64
@@ -40,12 +40,12 @@
 	require.ElementsMatch(t, []int64{2, 0}, []int64{arrivals[0].Load(), arrivals[1].Load()})
 }
 
-// TestRejectedIsToldToComeBackSoon checks that a request that targets with free slots
-// went on rejecting is refused at once, as not run, and told to come back while an
-// answer would still be in time.
-func TestRejectedIsToldToComeBackSoon(t *testing.T) {
+// TestRejectedRequestGetsShortRetryAfter checks that a request that targets with free slots keep
+// rejecting is refused at once as not run, with a Retry-After that is short enough for another try
+// in time.
+func TestRejectedRequestGetsShortRetryAfter(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute)
+	s.configure(1, idempotentRoute)
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
@@ -57,16 +57,16 @@
 	require.LessOrEqual(t, after, 0.05)
 }
 
-// TestExcuseIsNoPromise checks that a target's 503 without its word that the request did not
-// run is passed on for requests that may run again, and that a client whose operation may run
-// once is not told by it that it did not.
-func TestExcuseIsNoPromise(t *testing.T) {
+// TestUnmarkedRefusalMayHaveRun checks the handling of a target's 503 that does not state that the
+// request has not run. It is passed on for idempotent requests. For other requests the client
+// receives 502, since it would take a 503 as a promise that the request has not run.
+func TestUnmarkedRefusalMayHaveRun(t *testing.T) {
 	s := newSite(t)
-	s.configure(1, safeRoute, route{prefix: "/once/", service: "s", kind: "non_idempotent"})
+	s.configure(1, idempotentRoute, route{prefix: "/once/", service: "s", kind: "non_idempotent"})
 	server := s.server("i-1", "s", "a1")
 	in := s.instance("n1", "a1")
 	in.awaitStatus("/x/", 200)
-	server.SetScript(func(*http.Request) origin.Fault { return origin.Excused })
+	server.SetScript(func(*http.Request) origin.Fault { return origin.Unmarked503 })
 	runs := len(server.Runs())
 	require.Equal(t, 503, in.send("GET", "/x/", "").status)
 	require.Equal(t, 502, in.send("POST", "/once/", "pay").status)
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -1,19 +1,19 @@
 package gateway
 
-// Reload takes in the settings that may change while the instance runs. The
-// others need a restart, which the log says.
+// Reload applies the settings that may change while the instance runs, which are the seeds. It
+// logs the names of other settings that have changed and need a restart.
 func (g *Gateway) Reload(config Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.config.Seeds = config.Seeds
-	g.log.Info(logReload, "seeds", config.Seeds, "restart_needed", g.needsRestart(config))
+	g.log.Info(logReload, "seeds", config.Seeds, "restart_needed", g.restartRequired(config))
 }
 
-// ReloadFailed logs that the changed settings were refused.
+// ReloadFailed logs that changed settings were rejected.
 func (g *Gateway) ReloadFailed(err error) { g.log.Error(logReloadRefused, "error", err.Error()) }
 
-// needsRestart names the changed settings that are in force after a restart only.
-func (g *Gateway) needsRestart(config Config) []string {
+// restartRequired returns the names of the changed settings that need a restart.
+func (g *Gateway) restartRequired(config Config) []string {
 	var out []string
 	for _, pair := range []struct {
 		name    string
@@ -29,7 +29,7 @@
 		{"retry-slack", config.RetrySlack != g.config.RetrySlack},
 		{"shift-most", config.ShiftMost != g.config.ShiftMost},
 		{"limit-window", config.Limits.Window != g.config.Limits.Window},
-		{"limit-over", config.Limits.Over != g.config.Limits.Over},
+		{"limit-over", config.Limits.Overshoot != g.config.Limits.Overshoot},
 		{"limit-slack", config.Limits.Slack != g.config.Limits.Slack},
 	} {
 		if pair.changed {
--- a/gateway/restore_model_test.go
+++ b/gateway/restore_model_test.go
@@ -15,7 +15,7 @@
 	"github.com/rainford/rainford/feed"
 )
 
-// restoreCodec decodes configurations that are a number, and targets as sequencedCodec does.
+// restoreCodec decodes configurations that consist of a version only, and targets as sequencedCodec does.
 type restoreCodec struct{ sequencedCodec }
 
 func (restoreCodec) Config(_ string, raw []byte) (*catalog.Config, error) {
@@ -24,46 +24,47 @@
 	return &catalog.Config{Version: version}, err
 }
 
-// kindName stands for an object of restoredModel.
-type kindName struct {
+// objectKey identifies an object of restoreModel.
+type objectKey struct {
 	kind feed.Kind
 	name string
 }
 
-// storeState is what a store holds at a position.
+// storeState is the contents of a store at a position.
 type storeState struct {
 	at      feed.Position
-	objects map[kindName]string
+	objects map[objectKey]string
 }
 
-// storeWrite is one write.
+// storeWrite is one write to the store, or one removal.
 type storeWrite struct {
-	kindName
-	value string
-	gone  bool
+	objectKey
+	value   string
+	removed bool
 }
 
-// restoreModel is a store that may come back from a copy, with the writes of its era and all that it was.
+// restoreModel is a model of a store that can be restored from backups. It holds the writes of the current
+// era and all earlier states of it.
 type restoreModel struct {
 	storeState
 	writes []storeWrite
 	past   []storeState
-	// owed are the writes that a restore has lost, to be written again in order.
-	owed []storeWrite
+	// lostWrites are the writes that restores have lost, in the order in which to write them again.
+	lostWrites []storeWrite
 }
 
 func (s *restoreModel) write(w storeWrite) {
 	s.past = append(s.past, storeState{at: s.at, objects: maps.Clone(s.objects)})
 	s.at.Revision++
 	s.writes = append(s.writes, w)
-	if w.gone {
-		delete(s.objects, w.kindName)
+	if w.removed {
+		delete(s.objects, w.objectKey)
 	} else {
-		s.objects[w.kindName] = w.value
+		s.objects[w.objectKey] = w.value
 	}
 }
 
-// restore has the store come back from a copy that lacks the latest writes of its era.
+// restore restores the store from a backup that lacks the given number of latest writes of its era.
 func (s *restoreModel) restore(lost int) {
 	lost = min(lost, len(s.writes))
 	if lost == 0 {
@@ -71,35 +72,35 @@
 		s.writes = nil
 		return
 	}
-	// What was written again before counts as lost again only if it was.
-	s.owed = append(slices.Clone(s.writes[len(s.writes)-lost:]), s.owed...)
-	copied := s.past[len(s.past)-lost]
+	// Writes of this era that repeat lost ones and are lost again are added once more.
+	s.lostWrites = append(slices.Clone(s.writes[len(s.writes)-lost:]), s.lostWrites...)
+	backup := s.past[len(s.past)-lost]
 	s.past = nil
 	s.writes = nil
-	s.objects = maps.Clone(copied.objects)
-	s.at = feed.At(s.at.Era+1, copied.at.Revision)
+	s.objects = maps.Clone(backup.objects)
+	s.at = feed.At(s.at.Era+1, backup.at.Revision)
 }
 
-// writeAgain has the first lost write be repeated, unless its object was written since.
-func (s *restoreModel) writeAgain() {
-	if len(s.owed) == 0 {
+// rewriteNext repeats the first lost write, unless a later lost write is to the same object.
+func (s *restoreModel) rewriteNext() {
+	if len(s.lostWrites) == 0 {
 		return
 	}
-	w := s.owed[0]
-	s.owed = s.owed[1:]
-	if !slices.ContainsFunc(s.owed, func(later storeWrite) bool { return later.kindName == w.kindName }) {
+	w := s.lostWrites[0]
+	s.lostWrites = s.lostWrites[1:]
+	if !slices.ContainsFunc(s.lostWrites, func(later storeWrite) bool { return later.objectKey == w.objectKey }) {
 		s.write(w)
 	}
 }
 
-// since is what a watch from a position brings, false if the store does not have it.
+// since returns the delta that a watch from a position returns, and false if the store lacks that history.
 func (s *restoreModel) since(kind feed.Kind, from feed.Position) (feed.Delta, bool) {
-	began := s.at.Revision - int64(len(s.writes))
-	if from.Era != s.at.Era || from.Revision < began || from.IsZero() {
+	firstRevision := s.at.Revision - int64(len(s.writes))
+	if from.Era != s.at.Era || from.Revision < firstRevision || from.IsZero() {
 		return feed.Delta{}, false
 	}
 	d := feed.Delta{Kind: kind, From: from, To: s.at}
-	for _, w := range s.writes[from.Revision-began:] {
+	for _, w := range s.writes[from.Revision-firstRevision:] {
 		if w.kind == kind {
 			d.Changes = append(d.Changes, w.change())
 		}
@@ -108,48 +109,48 @@
 }
 
 func (w storeWrite) change() feed.Change {
-	return feed.Change{Object: feed.Object{Name: w.name, Value: []byte(w.value)}, Gone: w.gone}
+	return feed.Change{Object: feed.Object{Name: w.name, Value: []byte(w.value)}, Removed: w.removed}
 }
 
 func (s *restoreModel) list(kind feed.Kind) feed.Delta {
 	d := feed.Delta{Kind: kind, To: s.at, Full: true}
 	for o, value := range s.objects {
 		if o.kind == kind {
-			d.Changes = append(d.Changes, storeWrite{kindName: o, value: value}.change())
+			d.Changes = append(d.Changes, storeWrite{objectKey: o, value: value}.change())
 		}
 	}
 	return d
 }
 
-// restoredInstance is an instance with the configuration that it has had in force, the targets that it has
-// used, and those of which it has known that they leave or have gone.
+// restoredInstance is an instance with the highest version of its configuration, the targets that it has
+// used, and those of them that are known to have left or to have been removed.
 type restoredInstance struct {
 	*Gateway
-	version catalog.Version
-	known   map[string]bool
-	left    map[string]bool
+	version  catalog.Version
+	known    map[string]bool
+	departed map[string]bool
 }
 
-// read has an instance watch a kind, or list it if the store has another history.
+// read makes an instance watch a kind, or list it if the store has another history.
 func (in *restoredInstance) read(s *restoreModel, kind feed.Kind) {
-	d, ok := s.since(kind, in.replicas[kind].At())
+	d, ok := s.since(kind, in.replicas[kind].Position())
 	if !ok {
 		d = s.list(kind)
 	}
-	in.take(d, sourceStore)
+	in.applyDelta(d, sourceStore)
 }
 
-// check requires that the configuration in force does not go back, and that no target is used that is known
-// to leave or to have gone.
+// check requires that the version of the configuration never decreases, and that no target is used that was
+// known to leave or to have been removed.
 func (in *restoredInstance) check(t require.TestingT) {
 	for name := range in.known {
-		if spec, listed := in.listed.specs[name]; !listed || spec.Leaves {
-			in.left[name] = true
+		if spec, listed := in.targetList.specs[name]; !listed || spec.Leaving {
+			in.departed[name] = true
 		}
 	}
-	for _, name := range in.used() {
+	for _, name := range in.usableTargets() {
 		in.known[name] = true
-		require.False(t, in.left[name], name)
+		require.False(t, in.departed[name], name)
 	}
 
 	if router := in.router.Load(); router != nil {
@@ -158,11 +159,11 @@
 	}
 }
 
-// used returns the targets that requests may be sent to.
-func (in *restoredInstance) used() []string {
+// usableTargets returns the names of the targets that requests may be sent to.
+func (in *restoredInstance) usableTargets() []string {
 	var out []string
-	for name, spec := range in.listed.specs {
-		if !spec.Leaves {
+	for name, spec := range in.targetList.specs {
+		if !spec.Leaving {
 			out = append(out, name)
 		}
 	}
@@ -170,30 +171,30 @@
 	return out
 }
 
-// TestRestoresInAnyOrder has a store come back from copies of itself while configurations are written and
-// targets come, leave and go, and what was lost be written again, all in any order. Three instances learn
-// of it by watches, lists and each other's deltas. It checks that no instance goes back to an earlier
-// configuration, that a target which has said that it leaves is used by none that knows it, and that
-// once all has been written again, all use what the store says.
+// TestRestoresInAnyOrder restores a store from backups while configurations are written, targets start, leave
+// and are removed, and lost writes are repeated, all in random order. Three instances learn of this from
+// watches, lists and each other's deltas. The test checks that no instance returns to an earlier
+// configuration, and that no instance uses a target that it knows to be leaving. Once all lost writes have
+// been repeated, all instances use the targets that the store lists.
 func TestRestoresInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		store := &restoreModel{storeState: storeState{at: feed.At(1, 0), objects: make(map[kindName]string)}}
+		store := &restoreModel{storeState: storeState{at: feed.At(1, 0), objects: make(map[objectKey]string)}}
 		version, sequence := 0, int64(0)
 		configure := func() {
 			version++
-			store.write(storeWrite{kindName: kindName{KindConfig, "main"}, value: fmt.Sprint(version)})
+			store.write(storeWrite{objectKey: objectKey{KindConfig, "main"}, value: fmt.Sprint(version)})
 		}
 		writeTarget := func(name string, leaves bool) {
 			sequence++
 			raw, err := json.Marshal(sequencedEntry{Sequence: sequence, Leaves: leaves})
 			require.NoError(rt, err)
-			store.write(storeWrite{kindName: kindName{KindTargets, name}, value: string(raw)})
+			store.write(storeWrite{objectKey: objectKey{KindTargets, name}, value: string(raw)})
 		}
 		configure()
 		writeTarget("i0", false)
 		var instances []*restoredInstance
 		for range 3 {
-			in := &restoredInstance{Gateway: newPlain(t), known: make(map[string]bool), left: make(map[string]bool)}
+			in := &restoredInstance{Gateway: newTestGateway(t), known: make(map[string]bool), departed: make(map[string]bool)}
 			defer (&modelInstance{Gateway: in.Gateway}).closeListeners()
 			in.codec = restoreCodec{}
 			in.read(store, KindConfig)
@@ -213,33 +214,33 @@
 				writeTarget(fmt.Sprint("i", targets), false)
 				targets++
 			case "leave":
-				if _, listed := store.objects[kindName{KindTargets, name}]; listed && !left[name] {
+				if _, listed := store.objects[objectKey{KindTargets, name}]; listed && !left[name] {
 					left[name] = true
 					writeTarget(name, true)
 				}
 			case "go":
-				if _, listed := store.objects[kindName{KindTargets, name}]; listed {
+				if _, listed := store.objects[objectKey{KindTargets, name}]; listed {
 					left[name] = true
-					store.write(storeWrite{kindName: kindName{KindTargets, name}, gone: true})
+					store.write(storeWrite{objectKey: objectKey{KindTargets, name}, removed: true})
 				}
 			case "restore":
 				store.restore(rapid.IntRange(0, 12).Draw(rt, "lost"))
 			case "again":
-				store.writeAgain()
+				store.rewriteNext()
 			case "read":
 				pick("instance").read(store, pickKind())
 			case "delta":
 				from, to, kind := pick("from"), pick("to"), pickKind()
-				if from.replicas[kind].At().After(to.replicas[kind].At()) {
-					to.take(from.replicas[kind].Since(to.replicas[kind].At(), to.replicas[kind].Digest()), "other")
+				if from.replicas[kind].Position().After(to.replicas[kind].Position()) {
+					to.applyDelta(from.replicas[kind].DeltaSince(to.replicas[kind].Position(), to.replicas[kind].Digest()), "other")
 				}
 			}
 			for _, in := range instances {
 				in.check(rt)
 			}
 		}
-		for len(store.owed) > 0 {
-			store.writeAgain()
+		for len(store.lostWrites) > 0 {
+			store.rewriteNext()
 		}
 		configure()
 		want := []string(nil)
@@ -254,16 +255,16 @@
 			in.read(store, KindConfig)
 			in.read(store, KindTargets)
 			require.EqualValues(rt, version, in.router.Load().Config().Version)
-			require.Equal(rt, store.at, in.replicas[KindConfig].At())
-			in.settle()
-			require.Equal(rt, want, in.used())
+			require.Equal(rt, store.at, in.replicas[KindConfig].Position())
+			in.expireHolds()
+			require.Equal(rt, want, in.usableTargets())
 		}
 	})
 }
 
-// settle has all count that is held back.
-func (in *restoredInstance) settle() {
-	h := in.held[KindTargets]
+// expireHolds applies all changes of targets that are held.
+func (in *restoredInstance) expireHolds() {
+	h := in.heldChanges[KindTargets]
 	later := time.Now().Add(time.Hour)
-	in.applyTargets(later, h.expired(later, in.replicas[KindTargets]), provenance{source: sourceLapse})
+	in.applyTargets(later, h.expired(later, in.replicas[KindTargets]), provenance{source: sourceHoldExpired})
 }
--- a/gateway/restored_evacuations_test.go
+++ b/gateway/restored_evacuations_test.go
@@ -15,44 +15,44 @@
 	return g.evacuated[hall]
 }
 
-// TestEvacuationsOutlastARestore checks which halls are emptied after the store came back from a copy, at
-// once and once nothing is held back any more.
-func TestEvacuationsOutlastARestore(t *testing.T) {
+// TestEvacuationsSurviveRestore checks which halls are evacuated after the store was restored from a backup,
+// directly afterwards and once all holds have ended.
+func TestEvacuationsSurviveRestore(t *testing.T) {
 	t.Parallel()
 	evacuated := feed.Change{Object: feed.Object{Name: "a1", Value: []byte("{}")}}
-	takenBack := gone("a1")
+	takenBack := removalChange("a1")
 	cases := []struct {
 		name string
-		// before comes in the first era, restored is the copy as listed, and after comes then.
+		// before is received in the first era, restored is the list of the backup, and after follows it.
 		before, restored, after []feed.Change
 		now, inTheEnd           bool
 	}{
-		{name: "asked for before the copy", before: []feed.Change{evacuated}, restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
-		{name: "asked for after the copy", before: []feed.Change{evacuated}, now: true},
-		{name: "asked for after the copy, and again", before: []feed.Change{evacuated}, after: []feed.Change{evacuated}, now: true, inTheEnd: true},
-		{name: "asked for after the copy, again, and taken back", before: []feed.Change{evacuated}, after: []feed.Change{evacuated, takenBack}},
-		{name: "taken back after the copy", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, inTheEnd: true},
-		{name: "taken back after the copy, and again", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, after: []feed.Change{takenBack}},
-		{name: "asked for in the new era", restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
-		{name: "asked for after the list", after: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun before the backup", before: []feed.Change{evacuated}, restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun after the backup", before: []feed.Change{evacuated}, now: true},
+		{name: "begun after the backup, and again", before: []feed.Change{evacuated}, after: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun after the backup, again, and ended", before: []feed.Change{evacuated}, after: []feed.Change{evacuated, takenBack}},
+		{name: "ended after the backup", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, inTheEnd: true},
+		{name: "ended after the backup, and again", before: []feed.Change{evacuated, takenBack}, restored: []feed.Change{evacuated}, after: []feed.Change{takenBack}},
+		{name: "begun in the new era", restored: []feed.Change{evacuated}, now: true, inTheEnd: true},
+		{name: "begun after the list", after: []feed.Change{evacuated}, now: true, inTheEnd: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			g := newPlain(t)
+			g := newTestGateway(t)
 			at := feed.At(1, 10)
 			take := func(d feed.Delta) {
 				d.Kind = KindEvacuations
-				require.True(t, g.take(d, sourceStore))
+				require.True(t, g.applyDelta(d, sourceStore))
 				at = d.To
 			}
-			take(list(at))
+			take(listDelta(at))
 			for _, change := range c.before {
-				take(event(at, change))
+				take(watchDelta(at, change))
 			}
-			take(list(feed.At(2, 10), c.restored...))
+			take(listDelta(feed.At(2, 10), c.restored...))
 			for _, change := range c.after {
-				take(event(at, change))
+				take(watchDelta(at, change))
 			}
 			require.Equal(t, c.now, g.isEvacuated("a1"))
 			if c.now != c.inTheEnd {
--- a/gateway/restored_rollouts_test.go
+++ b/gateway/restored_rollouts_test.go
@@ -9,46 +9,46 @@
 	"github.com/rainford/rainford/internal/standin/objects"
 )
 
-// TestVerdictOutlastsARestore checks that a verdict that all act on is not taken back when the store
-// comes back from a copy that lacks it, or even the order, and that it is written again.
-func TestVerdictOutlastsARestore(t *testing.T) {
+// TestVerdictSurvivesRestore checks that a verdict that is in force is not revoked if the store is restored
+// from a backup that lacks it, or lacks even the order, and that the verdict is written again.
+func TestVerdictSurvivesRestore(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name                string
-		bad                 bool
-		verdict             string
-		copiedBeforeTheEnd  bool
-		copiedBeforeAnOrder bool
+		name              string
+		bad               bool
+		verdict           string
+		backupBeforeEnd   bool
+		backupBeforeOrder bool
 	}{
-		{name: "rolled back", bad: true, verdict: "rolled_back", copiedBeforeTheEnd: true},
-		{name: "rolled back, the order lost", bad: true, verdict: "rolled_back", copiedBeforeAnOrder: true},
-		{name: "succeeded", verdict: "succeeded", copiedBeforeTheEnd: true},
-		{name: "succeeded, the order lost", verdict: "succeeded", copiedBeforeAnOrder: true},
+		{name: "rolled back", bad: true, verdict: "rolled_back", backupBeforeEnd: true},
+		{name: "rolled back, the order lost", bad: true, verdict: "rolled_back", backupBeforeOrder: true},
+		{name: "succeeded", verdict: "succeeded", backupBeforeEnd: true},
+		{name: "succeeded, the order lost", verdict: "succeeded", backupBeforeOrder: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			v := newVersioned(t, 3)
+			v := newRolloutSite(t, 3)
 			stop := v.load()
 			defer stop()
-			// As many changes as the restored store makes again, so that an order gets another revision.
-			copied := v.store.Revision()
+			// The restored store repeats as many changes, so that the order gets another revision.
+			backup := v.store.Revision()
 			v.store.Set("other", "o", 1)
-			v.bringIn()
+			v.startRollout()
 			if c.bad {
 				for _, server := range v.new {
-					failing(server)
+					failHalf(server)
 				}
 			}
 			v.awaitState("running")
-			if c.copiedBeforeTheEnd {
-				copied = v.store.Revision()
+			if c.backupBeforeEnd {
+				backup = v.store.Revision()
 			}
 			v.awaitState(c.verdict)
 			time.Sleep(time.Second)
 			toOld, toNew := v.toOld.Load(), v.toNew.Load()
-			for _, lost := range v.store.RestoreAt(copied) {
+			for _, lost := range v.store.RestoreAt(backup) {
 				if lost.Kind != "other" {
-					v.store.WriteAgain(lost)
+					v.store.Reapply(lost)
 				}
 			}
 			v.awaitState(c.verdict)
--- a/gateway/restored_size_test.go
+++ b/gateway/restored_size_test.go
@@ -14,18 +14,18 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// restoredInstances is the number of instances of TestRestoreAtSize, which tells what it measures with -v.
+// restoredInstances is the number of instances of TestRestoreAtSize, which logs its measurements.
 var restoredInstances = flag.Int("restored-instances", 6, "instances of TestRestoreAtSize")
 
-// TestRestoreAtSize checks that a configuration which a restored store confirms comes into force at all
-// instances, and that those register again whose entries are lost, and tells how long that takes and
-// which calls it costs.
+// TestRestoreAtSize checks that after a restore of the store a new configuration comes into force at all
+// instances, and that the instances whose entries are lost register again. It logs how long this takes and
+// how many calls to the store it costs.
 func TestRestoreAtSize(t *testing.T) {
 	t.Parallel()
 	s := &restoredSite{site: newSite(t), version: 1}
 	s.servers = []*origin.Server{s.server("s1", "s", "a1"), s.server("s2", "s", "b1")}
 	s.server("o1", "other", "a1")
-	s.next()
+	s.configureNext()
 	first := s.instance("n0", "a1")
 	seed := func(c *gateway.Config) { c.Seeds = []string{first.config.PeerListen} }
 	s.instances = []*instance{first}
@@ -38,20 +38,20 @@
 	}
 	registered := func() bool { return len(s.store.Names("rainford-instances")) == *restoredInstances }
 	require.Eventually(t, registered, wait, poll)
-	copied := s.store.Revision() - int64(*restoredInstances)/2
+	backup := s.store.Revision() - int64(*restoredInstances)/2
 	for i := range 8 {
-		s.next(fmt.Sprint("before", i))
+		s.configureNext(fmt.Sprint("before", i))
 		s.record(s.servers[1], objects.Ready)
 	}
 	for _, in := range s.instances {
 		in.awaitStatus("/before7/", http.StatusOK)
 	}
 	calls, began := s.store.Calls(), time.Now()
-	for _, lost := range s.store.RestoreAt(copied) {
-		s.store.WriteAgain(lost)
+	for _, lost := range s.store.RestoreAt(backup) {
+		s.store.Reapply(lost)
 	}
 	missing := *restoredInstances - len(s.store.Names("rainford-instances"))
-	s.next("after")
+	s.configureNext("after")
 	for _, in := range s.instances {
 		in.awaitStatus("/after/", http.StatusOK)
 	}
--- a/gateway/restored_test.go
+++ b/gateway/restored_test.go
@@ -13,13 +13,13 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// restoredSite is a site of three instances that are ready, and of two services with a server or
-// two. Route /x leads to one of s.
+// restoredSite is a site of three ready instances. Service s has two servers and service other has one. Route
+// /x leads to service s.
 type restoredSite struct {
 	*site
 	instances []*instance
 	servers   []*origin.Server
-	// version is the last that was configured.
+	// version is the version of the latest configuration.
 	version int
 }
 
@@ -39,8 +39,8 @@
 	return s
 }
 
-// next writes the next configuration, with a route for each of the names.
-func (s *restoredSite) next(names ...string) {
+// configureNext writes the next configuration, with a route to service other for each of the names.
+func (s *restoredSite) configureNext(names ...string) {
 	s.version++
 	routes := []route{{prefix: "/x/", service: "s", kind: "idempotent"}}
 	for _, name := range names {
@@ -49,38 +49,38 @@
 	s.configure(s.version, routes...)
 }
 
-// restore has all instances know some more changes, and brings the store back from a copy that lacks
-// them. What the operator and the servers wrote is written again.
+// restore makes some changes, waits until all instances know them, and restores the store from a backup that
+// lacks them. The operator and the servers then repeat their lost writes.
 func (s *restoredSite) restore() {
-	copied := s.store.Revision()
+	backup := s.store.Revision()
 	for i := range 8 {
-		s.next(fmt.Sprint("before", i))
+		s.configureNext(fmt.Sprint("before", i))
 		s.record(s.servers[1], objects.Ready)
 	}
 	for _, in := range s.instances {
 		in.awaitStatus("/before7/", http.StatusOK)
 		in.awaitTargets(s.store.Revision())
 	}
-	for _, lost := range s.store.RestoreAt(copied) {
-		s.store.WriteAgain(lost)
+	for _, lost := range s.store.RestoreAt(backup) {
+		s.store.Reapply(lost)
 	}
 }
 
-// TestConfigurationConfirmedByARestoredStore checks that a configuration comes into force at every
-// instance if its revision was given out before the store was restored.
-func TestConfigurationConfirmedByARestoredStore(t *testing.T) {
+// TestConfigurationAfterRestore checks that a configuration comes into force at all instances although its
+// revision was already assigned before the store was restored.
+func TestConfigurationAfterRestore(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
-	s.next("after")
+	s.configureNext("after")
 	for _, in := range s.instances {
 		in.awaitStatus("/after/", http.StatusOK)
 		in.awaitStatus("/before7/", http.StatusNotFound)
 	}
 }
 
-// TestDepartureConfirmedByARestoredStore checks that a target gets nothing once a restored store has
-// confirmed that it leaves.
-func TestDepartureConfirmedByARestoredStore(t *testing.T) {
+// TestDepartureAfterRestore checks that a target receives no more requests once its entry in a restored store
+// says that it is leaving.
+func TestDepartureAfterRestore(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
 	leaving := s.servers[0]
@@ -96,9 +96,9 @@
 	}, wait, poll)
 }
 
-// TestRestoredStoreIsNotReadInALoop checks that a store that refuses the watches of before it was
-// restored is soon asked no more often than ever.
-func TestRestoredStoreIsNotReadInALoop(t *testing.T) {
+// TestRestoredStoreIsNotReadInLoop checks that the rate of calls to the store soon returns to normal after a
+// restore. The restored store refuses watches from positions of the previous era.
+func TestRestoredStoreIsNotReadInLoop(t *testing.T) {
 	s := newRestoredSite(t)
 	s.restore()
 	const window, mostCalls = time.Second, 30
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -16,19 +16,22 @@
 )
 
 const (
-	// rolloutTick is how often a rollout that goes on is looked at.
-	rolloutTick = 100 * time.Millisecond
-	// leaderSilence is how long nothing is heard of a leader before another instance takes over.
-	leaderSilence = 3 * rollout.BeatTime
-	// statePause is the time between two tries to write what has become of an order.
-	statePause = 400 * time.Millisecond
+	// rolloutTickInterval is the interval at which an ongoing rollout is updated.
+	rolloutTickInterval = 100 * time.Millisecond
+	// leaderTimeout is the time without a message of the leader after which another instance takes
+	// over.
+	leaderTimeout = 3 * rollout.HeartbeatInterval
+	// stateWriteInterval is the time between two attempts to write the state of an order to the
+	// store.
+	stateWriteInterval = 400 * time.Millisecond
 )
 
-// rollouts are those that the store tells of, by service. It is safe for concurrent use.
+// rollouts holds the rollouts of the orders in the store, by service. It is safe for concurrent
+// use.
 type rollouts struct {
 	mu        sync.Mutex
 	byService map[string]*serviceRollout
-	// changed has an element when an order has come.
+	// changed has an element when an order has changed.
 	changed chan struct{}
 }
 
@@ -43,7 +46,7 @@
 	return rs.byService[service]
 }
 
-// all returns all rollouts.
+// all returns the rollouts of all services.
 func (rs *rollouts) all() []*serviceRollout {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
@@ -59,60 +62,63 @@
 	mu       sync.Mutex
 	record   rollout.Record
 	follower *rollout.Follower
-	// leader is nil unless this instance leads.
+	// leader is nil unless this instance leads the rollout.
 	leader *rollout.Leader
-	// heardAt is when another leader was last heard.
-	heardAt time.Time
-	// writing says that a write is under way, and wroteAt is when the last one began.
-	writing bool
-	wroteAt time.Time
+	// leaderHeardAt is the time of the last stage received from another leader.
+	leaderHeardAt time.Time
+	// writing is true while a write of the state is in progress. writtenAt is the time at which the
+	// last write began.
+	writing   bool
+	writtenAt time.Time
 }
 
-// goesOn tells whether the store does not hold a verdict yet, or no longer.
-func (r *serviceRollout) goesOn() bool { return !r.record.State.IsVerdict() }
+// isOngoing reports whether the store holds no verdict for the order. This is also the case if the
+// store has lost the verdict. The caller holds mu.
+func (r *serviceRollout) isOngoing() bool { return !r.record.State.IsFinal() }
 
-// lost returns the verdict that all act on if the store has lost it.
-func (r *serviceRollout) lost() (rollout.State, bool) {
+// lostVerdict returns the verdict that the instances follow and the store has lost. It returns
+// false if there is none. The caller holds mu.
+func (r *serviceRollout) lostVerdict() (rollout.State, bool) {
 	verdict := r.follower.Verdict()
-	return verdict, verdict.IsVerdict() && r.goesOn()
+	return verdict, verdict.IsFinal() && r.isOngoing()
 }
 
-// applyRollout takes in an order, or what has become of it.
+// applyRollout applies a change of a rollout order or of its state.
 func (g *Gateway) applyRollout(now time.Time, c feed.Change, from provenance) {
 	known := g.rollouts.of(c.Name)
-	if c.Gone {
+	if c.Removed {
 		if known != nil {
 			known.withdraw()
 			g.log.Info(logRollout, "service", c.Name, "withdrawn", true, "source", from.source, "revision", from.revision)
 		}
-		g.rollouts.note(c.Name, known)
+		g.rollouts.put(c.Name, known)
 		return
 	}
 	record, err := g.codec.Rollout(c.Name, c.Value)
 	if err != nil {
-		g.metrics.refused.Add(1, string(KindRollouts), "entry")
+		g.metrics.refusedEntries.Add(1, string(KindRollouts), "entry")
 		g.log.Error(logRolloutRefused, "service", c.Name, "error", err.Error(), "source", from.source, "revision", from.revision)
 		return
 	}
 	switch {
 	case known != nil && known.order().ID() == record.Order.ID():
-	case known != nil && known.order().IsSame(record.Order) && g.mayBeGivenAgain(now, from):
-		known.givenAgain(record.Order)
+	case known != nil && known.order().Equivalent(record.Order) && g.mayBeReissued(now, from):
+		known.reissue(record.Order)
 	default:
 		if known != nil {
-			// The order before may be listed again by a store that has lost this one.
-			g.held[KindRollouts].relisted.Removed(now, c.Name)
+			// A store that has lost this order may list the previous one again.
+			g.heldChanges[KindRollouts].tombstones.Add(now, c.Name)
 		}
 		known = &serviceRollout{follower: rollout.NewFollower(now, g.config.Name, record.Order)}
 	}
-	known.learn(record)
+	known.setRecord(record)
 	g.log.Info(logRollout, "service", record.Service, "version", record.Version, "duration_ms", record.Duration.Milliseconds(),
 		"state", record.State, "source", from.source, "revision", from.revision)
-	g.rollouts.note(c.Name, known)
+	g.rollouts.put(c.Name, known)
 }
 
-// note keeps a service's rollout and has it looked at.
-func (rs *rollouts) note(service string, r *serviceRollout) {
+// put sets the rollout of a service and wakes rolloutLoop.
+func (rs *rollouts) put(service string, r *serviceRollout) {
 	if r == nil {
 		return
 	}
@@ -131,24 +137,25 @@
 	return r.follower.Order()
 }
 
-// isLed tells whether this instance leads the rollout.
-func (r *serviceRollout) isLed() bool {
+// isLeader reports whether this instance leads the rollout.
+func (r *serviceRollout) isLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leader != nil
 }
 
-// mayBeGivenAgain tells whether an order that comes may be one that a restored store had lost.
-func (g *Gateway) mayBeGivenAgain(now time.Time, from provenance) bool {
-	return from.restored || g.held[KindRollouts].lapse.Remaining(now) > 0
+// mayBeReissued reports whether a new order may be the reissue of one that a restored store has
+// lost.
+func (g *Gateway) mayBeReissued(now time.Time, from provenance) bool {
+	return from.restored || g.heldChanges[KindRollouts].removals.Remaining(now) > 0
 }
 
-func (r *serviceRollout) givenAgain(order rollout.Order) {
+func (r *serviceRollout) reissue(order rollout.Order) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.follower.GivenAgain(order)
+	r.follower.Reissue(order)
 	if r.leader != nil {
-		r.leader.GivenAgain(order)
+		r.leader.Reissue(order)
 	}
 }
 
@@ -160,25 +167,25 @@
 	r.record.State = rollout.RolledBack
 }
 
-func (r *serviceRollout) learn(record rollout.Record) {
+func (r *serviceRollout) setRecord(record rollout.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.record = record
-	r.follower.Learn(record.State)
-	if record.State.IsVerdict() {
+	r.follower.SetState(record.State)
+	if record.State.IsFinal() {
 		r.leader = nil
 	}
 }
 
-// rolloutLoop looks at rollouts while some go on.
+// rolloutLoop updates the ongoing rollouts periodically, and waits while there are none.
 func (g *Gateway) rolloutLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		goesOn := false
+		ongoing := false
 		for _, r := range g.rollouts.all() {
-			goesOn = g.tickRollout(ctx, r) || goesOn
+			ongoing = g.tickRollout(ctx, r) || ongoing
 		}
-		if goesOn {
-			pause.For(ctx, rolloutTick)
+		if ongoing {
+			pause.For(ctx, rolloutTickInterval)
 			continue
 		}
 		select {
@@ -188,40 +195,41 @@
 	}
 }
 
-// tickRollout has a rollout go on. It reports whether it has to be looked at again without a change.
+// tickRollout updates a rollout: its leadership, traffic split and report. It returns true if the
+// rollout needs further updates without a change of its order.
 func (g *Gateway) tickRollout(ctx context.Context, r *serviceRollout) bool {
 	now := g.clock.Now()
 	service := r.order().Service
-	versions := g.pools.versions(now, service)
+	versions := g.pools.versionStats(now, service)
 	g.lead(ctx, now, r, versions)
 	r.mu.Lock()
 	split, until := r.follower.Split(now)
-	report, leader, reports := r.follower.Report(now, versions.AtOld)
-	goesOn := r.goesOn()
+	report, leader, hasReport := r.follower.Report(now, versions.OldInFlight)
+	ongoing := r.isOngoing()
 	r.mu.Unlock()
 	g.pools.setSplit(now, r, split, until)
-	if !reports {
-		return goesOn
+	if !hasReport {
+		return ongoing
 	}
 	if leader == g.view.Self().PeerAddr {
 		g.receiveRolloutReport(&peer.RolloutReport{Report: report})
 	} else {
 		g.mesh.Send(leader, &peer.RolloutReport{Report: report})
 	}
-	return goesOn
+	return ongoing
 }
 
-// lead takes the lead of a rollout if that is this instance's part, decides on its stage, tells all
-// others, and has the store hold what has become of it.
-func (g *Gateway) lead(ctx context.Context, now time.Time, r *serviceRollout, versions upstream.Versions) {
-	leads, members := g.leads(now, r.isLed())
+// lead makes this instance the leader of a rollout if it is its turn. As the leader, it decides on
+// the stage, broadcasts it, and writes the state of the order to the store.
+func (g *Gateway) lead(ctx context.Context, now time.Time, r *serviceRollout, versions upstream.VersionStats) {
+	isLeader, members := g.leadsRollouts(now, r.isLeader())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.goesOn() || !leads || now.Sub(r.heardAt) < leaderSilence {
+	if !r.isOngoing() || !isLeader || now.Sub(r.leaderHeardAt) < leaderTimeout {
 		r.leader = nil
 		return
 	}
-	if verdict, lost := r.lost(); lost {
+	if verdict, isLost := r.lostVerdict(); isLost {
 		r.leader = nil
 		g.writeState(ctx, now, r, verdict)
 		return
@@ -230,24 +238,24 @@
 		r.leader = rollout.NewLeader(now, g.view.Self().PeerAddr, r.follower, g.config.Rollouts)
 		g.log.Info(logRolloutLeads, "service", r.record.Service, "version", r.record.Version, "stage", r.leader.Stage().Phase.String())
 	}
-	stage, tell := r.leader.Decide(now, rollout.Situation{
-		Members:  members,
-		Rate:     versions.Rate * float64(members),
-		OldSlots: versions.OldSlots,
-		NewSlots: versions.NewSlots,
-		Usage:    versions.Usage,
+	stage, changed := r.leader.Decide(now, rollout.FleetState{
+		Instances:   members,
+		Rate:        versions.SendRate * float64(members),
+		OldSlots:    versions.OldSlots,
+		NewSlots:    versions.NewSlots,
+		Utilization: versions.OldUtilization,
 	})
-	if r.follower.Hear(now, stage) {
+	if r.follower.HandleStage(now, stage) {
 		g.logStage(r, stage)
 	}
-	if tell {
+	if changed {
 		go g.broadcast(now, peer.Gossip{Stages: []rollout.Stage{stage}})
 	}
 	g.writeState(ctx, now, r, r.leader.Verdict())
 }
 
-// leads tells whether this instance leads rollouts, and how many instances there are.
-func (g *Gateway) leads(now time.Time, hasLed bool) (leads bool, members int) {
+// leadsRollouts reports whether this instance leads rollouts, and returns the number of instances.
+func (g *Gateway) leadsRollouts(now time.Time, hasLed bool) (isLeader bool, members int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.view.All(now) {
@@ -255,17 +263,17 @@
 			members++
 		}
 	}
-	return g.view.Leads(now, hasLed), members
+	return g.view.IsLeader(now, hasLed), members
 }
 
-// writeState has the store hold what has become of an order. The caller holds the rollout's mu.
+// writeState writes the state of an order to the store. The caller holds the rollout's mu.
 func (g *Gateway) writeState(ctx context.Context, now time.Time, r *serviceRollout, state rollout.State) {
-	if r.writing || r.record.State == state || now.Sub(r.wroteAt) < statePause {
+	if r.writing || r.record.State == state || now.Sub(r.writtenAt) < stateWriteInterval {
 		return
 	}
-	r.writing, r.wroteAt = true, now
+	r.writing, r.writtenAt = true, now
 	record := r.record
-	g.start(func() {
+	g.startGoroutine(func() {
 		err := g.store.SetRolloutState(ctx, record, state)
 		r.mu.Lock()
 		r.writing = false
@@ -274,7 +282,7 @@
 		case err == nil:
 			g.log.Info(logRolloutState, "service", record.Service, "version", record.Version, "state", state)
 		case errors.Is(err, ErrConflict):
-			// The watch brings what the object is now.
+			// The watch delivers the current version of the object.
 			g.log.Info(logRolloutState, "service", record.Service, "version", record.Version, "state", state, "error", err.Error())
 		default:
 			g.log.Warn(logRolloutState, "service", record.Service, "version", record.Version, "state", state, "error", err.Error())
@@ -282,45 +290,46 @@
 	})
 }
 
-// logStage logs a stage that is new here, with what the leader has decided it by. The caller holds the
-// rollout's mu.
+// logStage logs a new stage, and the leader's assessment if this instance is the leader. The caller
+// holds the rollout's mu.
 func (g *Gateway) logStage(r *serviceRollout, stage rollout.Stage) {
 	attrs := []slog.Attr{slog.String("service", r.record.Service), slog.String("version", r.record.Version),
-		slog.String("stage", stage.Phase.String()), slog.Float64("keys", stage.Keys), slog.Float64("draw", stage.Draw),
-		slog.Float64("targets", stage.Targets), slog.Float64("senders", stage.Senders), slog.String("reason", string(stage.Reason)),
+		slog.String("stage", stage.Phase.String()), slog.Float64("keys", stage.KeyShare), slog.Float64("draw", stage.RequestShare),
+		slog.Float64("targets", stage.TargetShare), slog.Float64("senders", stage.InstanceShare), slog.String("reason", string(stage.Reason)),
 		slog.Int64("age_ms", stage.Age.Milliseconds()), slog.String("leader", stage.Leader)}
 	if r.leader != nil {
-		opinion := r.leader.Opinion()
+		assessment := r.leader.Assessment()
 		sent, sentNew := r.leader.Counts()
-		attrs = append(attrs, slog.Int("sent", sent), slog.Int("sent_new", sentNew), slog.Float64("odds_failing", opinion.Failing),
-			slog.Float64("odds_slow", opinion.Slow), slog.Bool("suspect", opinion.Suspect))
+		attrs = append(attrs, slog.Int("sent", sent), slog.Int("sent_new", sentNew), slog.Float64("odds_failing", assessment.FailureLLR),
+			slog.Float64("odds_slow", assessment.SlowLLR), slog.Bool("suspect", assessment.Suspect))
 	}
 	g.log.LogAttrs(context.Background(), slog.LevelInfo, logRolloutStage, attrs...)
 }
 
-// hearStages takes in the stages that leaders tell.
-func (g *Gateway) hearStages(now time.Time, stages []rollout.Stage) {
+// receiveStages handles stages that leaders have sent.
+func (g *Gateway) receiveStages(now time.Time, stages []rollout.Stage) {
 	for _, stage := range stages {
 		for _, r := range g.rollouts.all() {
 			r.mu.Lock()
-			if r.follower.Hear(now, stage) {
+			if r.follower.HandleStage(now, stage) {
 				g.logStage(r, stage)
 			}
 			if r.follower.Stage() == stage && stage.Leader != g.view.Self().PeerAddr {
-				r.heardAt = now
+				r.leaderHeardAt = now
 			}
 			r.mu.Unlock()
 		}
 	}
 }
 
-// receiveRolloutReport takes in what an instance has seen of a rollout that this one leads.
+// receiveRolloutReport records another instance's observations for a rollout that this instance
+// leads.
 func (g *Gateway) receiveRolloutReport(m *peer.RolloutReport) {
 	now := g.clock.Now()
 	for _, r := range g.rollouts.all() {
 		r.mu.Lock()
 		if r.leader != nil {
-			r.leader.Hear(now, m.Report)
+			r.leader.HandleReport(now, m.Report)
 		}
 		r.mu.Unlock()
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -21,82 +21,84 @@
 )
 
 const (
-	// maxHeadBytes bounds the head of a request whatever the configuration
-	// allows.
-	maxHeadBytes = 64 << 10
-	// answerMargin is how much earlier than the client's deadline the answer
-	// is sent.
-	answerMargin = 10 * time.Millisecond
-	// defaultRetryAfter is told where nothing better is known.
+	// maxHeaderBytes bounds the header of a request, whatever the configuration allows.
+	maxHeaderBytes = 64 << 10
+	// responseMargin is subtracted from the client's timeout to leave time for the response to
+	// reach the client.
+	responseMargin = 10 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of a refusal for which no better estimate exists.
 	defaultRetryAfter = 300 * time.Millisecond
 )
 
-// exchange is one request of a client.
+// exchange is one request of a client, from its arrival to the response, with all attempts at
+// targets.
 type exchange struct {
 	w     http.ResponseWriter
 	r     *http.Request
 	ctx   context.Context
 	id    string
 	start time.Time
-	// deadline is when the answer has to be there.
+	// deadline is the time by which the response has to be sent.
 	deadline time.Time
 	route    *catalog.Route
 	version  catalog.Version
 	service  string
-	// account is the client account, nil for none, and homes are the regions that may
-	// serve the request, empty for any.
-	account *catalog.Account
-	homes   []string
-	// permit is the right to one request of the account, if it is limited, and
-	// permitWait how long it took to have it.
-	permit     permit
-	permitWait time.Duration
-	limited    ratelimit.Answer
-	body       []byte
-	uri        string
-	trail      []hop
-	// digest is that of the content, zero until it is needed. Trial is what the request is
-	// sent to find out about, if targets end under it: its content, or the unknown requests
-	// of its account; zero if it is sent like any other.
+	// account is the client account, nil if there is none. homeRegions are the regions that may
+	// serve the request; an empty list allows any region.
+	account     *catalog.Account
+	homeRegions []string
+	// permit is the right to one request under the account's rate limit, if it has one. permitWait
+	// is the time spent on acquiring it.
+	permit      permit
+	permitWait  time.Duration
+	limitResult ratelimit.Result
+	body        []byte
+	uri         string
+	attempts    []attemptRecord
+	// digest is the digest of the request's content. It is zero until it is needed. trial is the
+	// digest under test if the request is sent as a trial, to find out whether it crashes targets:
+	// that of the request's content, or that of its account, which stands for the account's
+	// requests that were not answered before. It is zero for other requests.
 	digest quarantine.Digest
 	trial  quarantine.Digest
-	// warden is the instance that granted the trial, and broken says that the trial was
-	// broken off.
-	warden fleet.Member
-	broken bool
-	// answered says that a target has answered the request, and heldAsAccount that it was
-	// held back for others of its account.
-	answered, heldAsAccount bool
+	// coordinator is the instance that granted the trial. interrupted is true if an attempt's
+	// connection broke before the response.
+	coordinator fleet.Member
+	interrupted bool
+	// answered is true if a target has answered the request. heldForAccount is true if the request
+	// was refused because other requests of its account crash targets.
+	answered, heldForAccount bool
 }
 
-// hop is what became of one attempt, for the log.
-type hop struct {
+// attemptRecord describes one attempt in the request's log line.
+type attemptRecord struct {
 	Target string `json:"target"`
 	Region string `json:"region"`
 	Reason string `json:"reason"`
-	// Load is the requests expected at the target, over its slots.
+	// Load is the number of requests expected at the target, divided by its slots.
 	Load    float64 `json:"load"`
 	Outcome string  `json:"outcome"`
 	Reused  bool    `json:"reused,omitempty"`
 	Error   string  `json:"error,omitempty"`
 	TookMs  int64   `json:"took_ms"`
-	// Leaves, RestMs and Limit, nil for none, are what the target said of itself.
-	Leaves bool  `json:"leaves,omitempty"`
-	RestMs int64 `json:"rest_ms,omitempty"`
-	// Limit is in requests a second.
+	// Leaving, BackoffMs and Limit are what the target reported about itself with its response.
+	Leaving   bool  `json:"leaves,omitempty"`
+	BackoffMs int64 `json:"rest_ms,omitempty"`
+	// Limit is the announced rate limit in requests per second, nil if there is none.
 	Limit *float64 `json:"limit_per_s,omitempty"`
 }
 
-// verdict is the final answer of a request that no target has answered.
-type verdict struct {
+// requestResult is the final result of a request. Without a target's response, it determines the
+// response that the instance sends to the client.
+type requestResult struct {
 	status     int
 	reason     string
 	retryAfter time.Duration
-	// close ends the client's connection after the answer.
-	close bool
+	// closeConn closes the client's connection after the response.
+	closeConn bool
 }
 
-// ServeHTTP takes a request of a client.
+// ServeHTTP implements http.Handler for the requests of clients.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -104,60 +106,61 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	v, resp := g.serve(ex)
-	g.finish(ex, v, resp)
+	result, resp := g.serve(ex)
+	g.finish(ex, result, resp)
 }
 
-// serve finds the route, reads the body and has the request run.
-func (g *Gateway) serve(ex *exchange) (verdict, *forward.Response) {
+// serve finds the route, checks the account and its rate limit, reads the body and sends the
+// request to targets.
+func (g *Gateway) serve(ex *exchange) (requestResult, *forward.Response) {
 	if g.refusing.Load() {
-		return verdict{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: defaultRetryAfter, close: true}, nil
+		return requestResult{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: defaultRetryAfter, closeConn: true}, nil
 	}
-	g.awaitReady(ex.ctx, g.clientWaits(ex.r))
+	g.awaitReady(ex.ctx, g.clientTimeout(ex.r))
 	router := g.router.Load()
 	if router == nil {
-		return verdict{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: defaultRetryAfter, close: true}, nil
+		return requestResult{status: http.StatusServiceUnavailable, reason: "no-configuration", retryAfter: defaultRetryAfter, closeConn: true}, nil
 	}
 	limits := router.Config().Limits
-	if limits.HeaderBytes > 0 && headBytes(ex.r) > limits.HeaderBytes {
-		return verdict{status: http.StatusRequestHeaderFieldsTooLarge, reason: "head-too-large", close: true}, nil
+	if limits.HeaderBytes > 0 && headerBytes(ex.r) > limits.HeaderBytes {
+		return requestResult{status: http.StatusRequestHeaderFieldsTooLarge, reason: "head-too-large", closeConn: true}, nil
 	}
 	ex.uri = requestURI(ex.r)
 	path, _, _ := strings.Cut(ex.uri, "?")
 	ex.route = router.Find(ex.r.Host, path)
 	ex.version = router.Config().Version
 	if ex.route == nil {
-		return verdict{status: http.StatusNotFound, reason: "no-route"}, nil
+		return requestResult{status: http.StatusNotFound, reason: "no-route"}, nil
 	}
 	ex.service = ex.route.ServiceFor(ex.id)
-	ex.deadline = ex.start.Add(g.timeFor(ex))
-	v, ok := g.identify(ex, router)
+	ex.deadline = ex.start.Add(g.timeLimit(ex))
+	result, ok := g.identify(ex, router)
 	if !ok {
-		return v, nil
+		return result, nil
 	}
 	if ex.r.ContentLength == 0 {
-		// A permit would lapse while the request waits.
-		v, ok = ex.awaitTurn()
+		// The permit is acquired after the wait, since it could expire during it.
+		result, ok = ex.awaitPipelineTurn()
 		if !ok {
-			return v, nil
+			return result, nil
 		}
 	}
-	v, ok = g.admit(ex)
+	result, ok = g.admit(ex)
 	if !ok {
-		return v, nil
+		return result, nil
 	}
-	v, ok = g.readBody(ex, limits)
+	result, ok = g.readBody(ex, limits)
 	if !ok {
-		return v, nil
+		return result, nil
 	}
-	v, ok = ex.awaitTurn()
+	result, ok = ex.awaitPipelineTurn()
 	if !ok {
-		return v, nil
+		return result, nil
 	}
 	return g.run(ex)
 }
 
-// requestURI returns the path and query as the client sent them.
+// requestURI returns the path and query exactly as the client sent them.
 func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -169,63 +172,64 @@
 	return u.RequestURI()
 }
 
-// timeFor returns how long a request may take: what the client waits, and no
-// longer than the route allows.
-func (g *Gateway) timeFor(ex *exchange) time.Duration {
-	limit := g.clientWaits(ex.r)
+// timeLimit returns how long a request may take: the client's timeout, bounded by that of the
+// route.
+func (g *Gateway) timeLimit(ex *exchange) time.Duration {
+	limit := g.clientTimeout(ex.r)
 	if ex.route.Timeout > 0 {
 		limit = min(limit, ex.route.Timeout)
 	}
 	return limit
 }
 
-// clientWaits returns how long the client waits for the answer, less the way back.
-func (g *Gateway) clientWaits(r *http.Request) time.Duration {
+// clientTimeout returns how long the client waits for the response, minus responseMargin. It is the
+// configured default if the request has no valid deadline header.
+func (g *Gateway) clientTimeout(r *http.Request) time.Duration {
 	ms, err := strconv.ParseInt(r.Header.Get(g.headers.Deadline), 10, 64)
 	if err != nil || ms <= 0 {
 		return g.config.DefaultDeadline
 	}
-	return time.Duration(ms)*time.Millisecond - answerMargin
+	return time.Duration(ms)*time.Millisecond - responseMargin
 }
 
-// readBody reads the whole body, so that it can be sent again.
-func (g *Gateway) readBody(ex *exchange, limits catalog.Limits) (verdict, bool) {
-	most := limits.BodyBytes
-	if most <= 0 {
-		most = defaultBodyBytes
+// readBody reads the whole body, so that the request can be sent again.
+func (g *Gateway) readBody(ex *exchange, limits catalog.Limits) (requestResult, bool) {
+	maxBytes := limits.BodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBodyBytes
 	}
-	if ex.r.ContentLength > most {
-		return verdict{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", close: true}, false
+	if ex.r.ContentLength > maxBytes {
+		return requestResult{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", closeConn: true}, false
 	}
 	if ex.r.ContentLength == 0 {
-		return verdict{}, true
+		return requestResult{}, true
 	}
 	control := http.NewResponseController(ex.w)
 	_ = control.SetReadDeadline(g.clock.System(ex.deadline))
-	body, err := readAll(http.MaxBytesReader(ex.w, ex.r.Body, most), ex.r.ContentLength)
+	body, err := readAll(http.MaxBytesReader(ex.w, ex.r.Body, maxBytes), ex.r.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
 		ex.body = body
-		return verdict{}, true
+		return requestResult{}, true
 	case errors.As(err, &tooLarge):
-		return verdict{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", close: true}, false
+		return requestResult{status: http.StatusRequestEntityTooLarge, reason: "body-too-large", closeConn: true}, false
 	case !g.clock.Now().Before(ex.deadline):
-		return verdict{status: http.StatusRequestTimeout, reason: "body-late", close: true}, false
+		return requestResult{status: http.StatusRequestTimeout, reason: "body-late", closeConn: true}, false
 	default:
-		return verdict{status: http.StatusBadRequest, reason: "body-broken", close: true}, false
+		return requestResult{status: http.StatusBadRequest, reason: "body-broken", closeConn: true}, false
 	}
 }
 
-// defaultBodyBytes bounds bodies where the configuration does not.
-const defaultBodyBytes = 64 << 20
+// defaultMaxBodyBytes bounds the bodies of requests if the configuration sets no limit.
+const defaultMaxBodyBytes = 64 << 20
 
-// firstBody bounds the memory taken for a body that has not arrived.
-const firstBody = 512 << 10
+// maxPreallocatedBody bounds the memory that is allocated for a body before its bytes have arrived.
+const maxPreallocatedBody = 512 << 10
 
 func readAll(r io.Reader, length int64) ([]byte, error) {
-	if length > 0 && length <= firstBody {
+	if length > 0 && length <= maxPreallocatedBody {
 		body := make([]byte, length)
 		_, err := io.ReadFull(r, body)
 		return body, err
@@ -233,30 +237,31 @@
 	return io.ReadAll(r)
 }
 
-// finish sends the final answer and logs what decided it.
-func (g *Gateway) finish(ex *exchange, v verdict, resp *forward.Response) {
-	status := v.status
-	_ = http.NewResponseController(ex.w).SetWriteDeadline(time.Now().Add(answerTime))
+// finish sends the final response and logs the result with its reason.
+func (g *Gateway) finish(ex *exchange, result requestResult, resp *forward.Response) {
+	status := result.status
+	_ = http.NewResponseController(ex.w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	switch {
-	case ex.ctx.Err() != nil || v.reason == reasonClientLeft:
-		status, v.reason = 0, reasonClientLeft
+	case ex.ctx.Err() != nil || result.reason == reasonClientLeft:
+		status, result.reason = 0, reasonClientLeft
 	case resp != nil:
 		status = resp.Status
-		g.relay(ex, resp)
+		g.relayResponse(ex, resp)
 	default:
-		g.refuse(ex, v)
+		g.writeRefusal(ex, result)
 	}
 	if resp == nil && hasNotRun(status) {
-		g.permits.giveBack(ex.permit)
+		g.accountPermits.release(ex.permit)
 	}
-	g.record(ex, status, v.reason)
+	g.recordRequest(ex, status, result.reason)
 	if status == 0 {
-		// No answer may look like one to the request.
+		// The connection is aborted, so that the client receives nothing that it could take for a
+		// response.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (g *Gateway) relay(ex *exchange, resp *forward.Response) {
+func (g *Gateway) relayResponse(ex *exchange, resp *forward.Response) {
 	h := ex.w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
@@ -271,32 +276,32 @@
 	}
 }
 
-func (g *Gateway) refuse(ex *exchange, v verdict) {
+func (g *Gateway) writeRefusal(ex *exchange, result requestResult) {
 	h := ex.w.Header()
 	if ex.id != "" {
 		h.Set(g.headers.RequestID, ex.id)
 	}
-	if v.retryAfter > 0 {
-		h.Set(g.headers.RetryAfter, strconv.FormatFloat(v.retryAfter.Seconds(), 'f', 2, 64))
+	if result.retryAfter > 0 {
+		h.Set(g.headers.RetryAfter, strconv.FormatFloat(result.retryAfter.Seconds(), 'f', 2, 64))
 	}
-	if v.close {
+	if result.closeConn {
 		h.Set("Connection", "close")
 	}
 	h.Set("Content-Length", "0")
-	ex.w.WriteHeader(v.status)
+	ex.w.WriteHeader(result.status)
 }
 
-// record counts and logs a request: each failure and each repeat, and a sample
-// of the rest, by the request's ID, so that all instances log the same ones.
-func (g *Gateway) record(ex *exchange, status int, reason string) {
+// recordRequest counts and logs a request. It logs each failure, each retried request, and a sample
+// of the rest. The sample is drawn by request ID, so that all instances log the same requests.
+func (g *Gateway) recordRequest(ex *exchange, status int, reason string) {
 	took := g.clock.Since(ex.start)
 	g.metrics.request(ex, status, reason, took)
-	ordinary := status/100 == 2 && len(ex.trail) == 1
-	if ordinary && !sampled(ex.id, g.config.LogSample) {
+	ordinary := status/100 == 2 && len(ex.attempts) == 1
+	if ordinary && !isSampled(ex.id, g.config.LogSample) {
 		return
 	}
 	level := slog.LevelInfo
-	if !ordinary && !callersFault(status) {
+	if !ordinary && !isCallerError(status) {
 		level = slog.LevelWarn
 	}
 	g.log.LogAttrs(context.Background(), level, logRequest, append(append(ex.limitAttrs(), ex.contentAttrs()...),
@@ -306,62 +311,63 @@
 		slog.String("service", ex.service),
 		slog.String("key", ex.r.Header.Get(g.headers.Key)),
 		slog.Int64("config", int64(ex.version)),
-		slog.Int64("news_age_ms", g.newsAge(g.clock.Now()).Milliseconds()),
+		slog.Int64("news_age_ms", g.contactAge(g.clock.Now()).Milliseconds()),
 		slog.Int("status", status),
 		slog.String("reason", reason),
 		slog.Int64("budget_ms", ex.budget().Milliseconds()),
 		slog.Int64("objective_ms", objective(ex.route).Milliseconds()),
 		slog.Int64("took_ms", took.Milliseconds()),
-		slog.Any("attempts", ex.trail))...)
+		slog.Any("attempts", ex.attempts))...)
 }
 
-// limitAttrs says how the limit of the request's account decided, if it has one.
+// limitAttrs returns log attributes on the account's rate limit, or none if the account has no
+// limit.
 func (ex *exchange) limitAttrs() []slog.Attr {
-	if !ex.account.Limited() {
+	if !ex.account.HasRateLimit() {
 		return nil
 	}
 	attrs := []slog.Attr{slog.Int64("permit_ms", ex.permitWait.Milliseconds())}
-	if ex.limited.Verdict == ratelimit.Admit {
+	if ex.limitResult.Decision == ratelimit.Admit {
 		return attrs
 	}
-	return append(attrs, slog.String("limit_owner", ex.limited.Owner),
-		slog.Float64("sent_per_s", ex.limited.Used), slog.Float64("permits_per_s", ex.limited.Got),
-		slog.Int64("retry_after_ms", ex.limited.RetryAfter.Milliseconds()))
+	return append(attrs, slog.String("limit_owner", ex.limitResult.Owner),
+		slog.Float64("sent_per_s", ex.limitResult.RequestRate), slog.Float64("permits_per_s", ex.limitResult.PermitRate),
+		slog.Int64("retry_after_ms", ex.limitResult.RetryAfter.Milliseconds()))
 }
 
-// contentAttrs says which request this is the same as, if it was broken off at a target or
-// was looked up among those that end targets: these come again under another ID.
+// contentAttrs returns the content digest for the log if an attempt was interrupted or the digest
+// was looked up in the quarantine. A client that repeats such a request uses another ID, and the
+// digest identifies the request in both lines.
 func (ex *exchange) contentAttrs() []slog.Attr {
-	broken := slices.ContainsFunc(ex.trail, func(h hop) bool { return h.Outcome == retry.Unknown.String() })
-	if !broken && !ex.heldAsAccount && ex.digest == (quarantine.Digest{}) {
+	interrupted := slices.ContainsFunc(ex.attempts, func(h attemptRecord) bool { return h.Outcome == retry.Unknown.String() })
+	if !interrupted && !ex.heldForAccount && ex.digest == (quarantine.Digest{}) {
 		return nil
 	}
-	attrs := []slog.Attr{slog.String("content", ex.digestOf().String())}
-	if ex.heldAsAccount {
+	attrs := []slog.Attr{slog.String("content", ex.contentDigest().String())}
+	if ex.heldForAccount {
 		attrs = append(attrs, slog.String("held_as", quarantine.AccountDigest(ex.account.Name).String()))
 	}
 	return attrs
 }
 
-// content is what a target is given to work on.
+// content returns the parts of the request that determine what a target executes.
 func (ex *exchange) content() quarantine.Content {
 	return quarantine.Content{Account: accountName(ex.account), Method: ex.r.Method, Host: ex.r.Host, URI: ex.uri, Body: ex.body}
 }
 
-// hasNotRun tells whether a request that this instance ended with a status has certainly
-// not run.
+// hasNotRun reports whether a request that this instance ended with a status has certainly not run.
 func hasNotRun(status int) bool {
 	return status != 0 && status != http.StatusBadGateway && status != http.StatusGatewayTimeout
 }
 
-// callersFault tells whether a status says that an account has no key or has sent too much.
-// Lines on these never take the place of those on failures: anyone can bring them about
-// by the thousand.
-func callersFault(status int) bool {
+// isCallerError reports whether a status means that the account has no valid key or exceeds its
+// rate limit. These requests are logged below the level of failures, because any client can cause
+// thousands of them and they must not displace lines on failures.
+func isCallerError(status int) bool {
 	return status == http.StatusUnauthorized || status == http.StatusTooManyRequests
 }
 
-// accountName returns the name of a client account, "" if there is none.
+// accountName returns the name of a client account, "" for nil.
 func accountName(a *catalog.Account) string {
 	if a == nil {
 		return ""
@@ -369,8 +375,8 @@
 	return a.Name
 }
 
-// budget returns the time that the request had from its start, 0 if it ended before it was
-// known.
+// budget returns the time that the request had from its start, or 0 if it ended before its deadline
+// was known.
 func (ex *exchange) budget() time.Duration {
 	if ex.deadline.IsZero() {
 		return 0
@@ -378,17 +384,16 @@
 	return ex.deadline.Sub(ex.start)
 }
 
-// objective returns the time within which answers of a route should come, 0 if it has
-// none or there is no route.
+// objective returns the latency objective of a route, or 0 if it has none or route is nil.
 func objective(route *catalog.Route) time.Duration {
 	if route == nil {
 		return 0
 	}
-	return route.Objective
+	return route.LatencyObjective
 }
 
-// outcomeOf is the class of a final status, for the metrics.
-func outcomeOf(status int) string {
+// outcomeClass returns the class of a final status for the metrics.
+func outcomeClass(status int) string {
 	switch {
 	case status == 0:
 		return "client-left"
@@ -396,7 +401,7 @@
 		return "ok"
 	case status == http.StatusServiceUnavailable:
 		return "refused"
-	case callersFault(status):
+	case isCallerError(status):
 		return "turned-away"
 	default:
 		return "failed"
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -16,64 +16,69 @@
 // StatusPath is the path of an instance's status on its admin address.
 const StatusPath = "/status"
 
-// Status is what an instance tells operators of itself.
+// Status is the state of an instance, as operators can query it.
 type Status struct {
-	Instance string          `json:"instance"`
-	Hall     string          `json:"hall"`
-	Region   string          `json:"region"`
-	Version  catalog.Version `json:"configuration"`
-	Ready    bool            `json:"ready"`
-	Leaving  bool            `json:"leaving"`
-	// Targets is the number of targets known, and Unavailable those that get nothing now.
+	Instance      string          `json:"instance"`
+	Hall          string          `json:"hall"`
+	Region        string          `json:"region"`
+	ConfigVersion catalog.Version `json:"configuration"`
+	Ready         bool            `json:"ready"`
+	Leaving       bool            `json:"leaving"`
+	// Targets is the number of all targets. Unavailable lists those that currently receive no
+	// requests.
 	Targets     int                 `json:"targets"`
 	Unavailable []UnavailableTarget `json:"unavailable"`
-	// Limited are the targets that name how much they take.
+	// Limited lists the targets that have announced a rate limit.
 	Limited []LimitedTarget `json:"limited"`
-	// Held are the requests and accounts that are not sent like others.
+	// Held lists the requests and client accounts that are suspected of crashing targets, or
+	// held for that reason.
 	Held []HeldRequest `json:"held"`
-	// Rollouts are the versions of services that are, or were, brought in by order.
+	// Rollouts lists the latest rollout order of each service, in progress or ended.
 	Rollouts []RolloutStatus `json:"rollouts,omitempty"`
 }
 
-// RolloutStatus is how a version of a service is brought in, as far as an instance knows.
+// RolloutStatus is the state of a rollout as an instance knows it.
 type RolloutStatus struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
-	// State is what the store holds, and Stage what the instance does: Share is the part of the
-	// requests that it sends to new targets, if keys are alike.
-	State rollout.State  `json:"state"`
-	Stage string         `json:"stage"`
-	Share float64        `json:"share"`
-	Why   rollout.Reason `json:"why,omitempty"`
-	// ForMs is the time since the order was first known, and OfMs the order's duration.
-	ForMs int64 `json:"for_ms"`
-	OfMs  int64 `json:"of_ms"`
-	// Leader is the peer address of the instance that decides. What follows is told by it alone:
-	// the numbers of requests that the instances have reported, those sent to new targets, and the
-	// logarithms of the odds that the version fails more often and is slower.
-	Leader  string  `json:"leader"`
-	Leads   bool    `json:"leads,omitempty"`
-	Sent    int     `json:"sent,omitempty"`
-	SentNew int     `json:"sent_new,omitempty"`
-	Failing float64 `json:"odds_failing,omitempty"`
-	Slow    float64 `json:"odds_slow,omitempty"`
+	// State is the state in the store, and Stage the phase that this instance is in. Share is
+	// the fraction of its requests that it sends to new targets, if all affinity keys have
+	// the same number of requests.
+	State  rollout.State  `json:"state"`
+	Stage  string         `json:"stage"`
+	Share  float64        `json:"share"`
+	Reason rollout.Reason `json:"why,omitempty"`
+	// ForMs is the time since this instance received the order, and DurationMs the duration
+	// of the order, both in milliseconds.
+	ForMs      int64 `json:"for_ms"`
+	DurationMs int64 `json:"of_ms"`
+	// Leader is the peer address of the instance that decides on the stages. The fields below
+	// are set by the leader only: the number of requests that the instances have reported, the
+	// number of those sent to new targets, and the log-likelihood ratios of the hypotheses
+	// that the new version fails more often and that it is slower.
+	Leader     string  `json:"leader"`
+	IsLeader   bool    `json:"leads,omitempty"`
+	Sent       int     `json:"sent,omitempty"`
+	SentNew    int     `json:"sent_new,omitempty"`
+	FailureLLR float64 `json:"odds_failing,omitempty"`
+	SlowLLR    float64 `json:"odds_slow,omitempty"`
 }
 
-// UnavailableTarget is a target that gets nothing, and why.
+// UnavailableTarget is a target that receives no requests, with the cause.
 type UnavailableTarget struct {
 	Service string              `json:"service"`
 	Target  string              `json:"target"`
 	Hall    string              `json:"hall"`
 	Cause   availability.Cause  `json:"cause"`
 	Source  availability.Source `json:"source"`
-	// ForMs is for how long that is known, and LeftMs how much longer it lasts at least, 0 if
-	// nobody can tell.
-	ForMs  int64 `json:"for_ms"`
-	LeftMs int64 `json:"left_ms,omitempty"`
+	// ForMs is the time since the cause was recorded. RemainingMs is the least time until it
+	// ends, or 0 if that is unknown. Both are in milliseconds.
+	ForMs       int64 `json:"for_ms"`
+	RemainingMs int64 `json:"left_ms,omitempty"`
 }
 
-// LimitedTarget is a target that names how many requests a second it takes from all instances
-// together. What is got and used is this instance's part.
+// LimitedTarget is a target that has announced a rate limit for all instances together, in requests
+// per second. PermitRate and UsedRate are the permits and requests per second of this instance.
 type LimitedTarget struct {
 	Service   string              `json:"service"`
 	Target    string              `json:"target"`
@@ -81,36 +86,39 @@
 	PerSecond float64             `json:"limit_per_s"`
 	Source    availability.Source `json:"source"`
 	ForMs     int64               `json:"for_ms"`
-	// Owner is the instance that issues the permits, as far as one was asked here.
-	Owner string  `json:"owner,omitempty"`
-	Got   float64 `json:"permits_per_s"`
-	Used  float64 `json:"sent_per_s"`
+	// Owner is the instance that issues the permits of the limit. It is empty if this instance
+	// has not requested any.
+	Owner      string  `json:"owner,omitempty"`
+	PermitRate float64 `json:"permits_per_s"`
+	UsedRate   float64 `json:"sent_per_s"`
 }
 
-// HeldRequest is a request, by its content, or an account that is not sent like others.
+// HeldRequest is a request, identified by its content, or a client account that is suspected of
+// crashing targets. Crashes counts the targets that have crashed under it.
 type HeldRequest struct {
-	Content string `json:"content"`
-	Ends    int    `json:"ends"`
-	Failed  int    `json:"failed_trials"`
-	// LeftMs is the time until a trial may be granted, 0 if one may now.
-	LeftMs int64 `json:"left_ms,omitempty"`
+	Content      string `json:"content"`
+	Crashes      int    `json:"ends"`
+	FailedTrials int    `json:"failed_trials"`
+	// RemainingMs is the time until the next trial, in milliseconds, or 0 if a trial may be
+	// granted now.
+	RemainingMs int64 `json:"left_ms,omitempty"`
 }
 
-// status returns the instance's status.
+// status returns the current status of the instance.
 func (g *Gateway) status() Status {
 	now := g.clock.Now()
 	s := Status{Instance: g.config.Name, Hall: g.config.Hall, Region: g.config.Region, Ready: g.isReady(), Leaving: g.leaving.Load()}
 	if router := g.router.Load(); router != nil {
-		s.Version = router.Config().Version
+		s.ConfigVersion = router.Config().Version
 	}
-	s.Targets, s.Unavailable = g.pools.unavailable(now)
-	s.Limited = g.pools.limited(now)
-	s.Held = g.holds.list(now)
-	s.Rollouts = g.rollouts.list(now)
+	s.Targets, s.Unavailable = g.pools.unavailableTargets(now)
+	s.Limited = g.pools.limitedTargets(now)
+	s.Held = g.quarantine.heldRequests(now)
+	s.Rollouts = g.rollouts.statuses(now)
 	return s
 }
 
-// serveStatus answers an operator who asks for the status.
+// serveStatus writes the status as JSON.
 func (g *Gateway) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	err := json.NewEncoder(w).Encode(g.status())
@@ -119,7 +127,8 @@
 	}
 }
 
-// adminHandler answers operators: the status on its path, the metrics on any other.
+// adminHandler returns the handler for operators. It serves the status on StatusPath and the metrics
+// on all other paths.
 func (g *Gateway) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatusPath, g.serveStatus)
@@ -127,22 +136,23 @@
 	return mux
 }
 
-// unavailable returns the number of targets of all services, and those that get nothing now.
-func (ps *pools) unavailable(now time.Time) (all int, out []UnavailableTarget) {
+// unavailableTargets returns the number of targets of all services, and the targets that currently
+// receive no requests.
+func (ps *pools) unavailableTargets(now time.Time) (all int, out []UnavailableTarget) {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	for service, p := range ps.pools {
 		p.mu.Lock()
-		for _, count := range p.upstream.Census(now) {
+		for _, count := range p.upstream.TargetCounts(now) {
 			all += count.Targets
 		}
-		for _, u := range p.upstream.Unavailable(now) {
+		for _, u := range p.upstream.UnavailableTargets(now) {
 			t := UnavailableTarget{Service: service, Target: u.ID, Hall: u.Hall, Cause: u.Cause, Source: u.Source}
 			if !u.Since.IsZero() {
 				t.ForMs = now.Sub(u.Since).Milliseconds()
 			}
 			if !u.Until.IsZero() {
-				t.LeftMs = u.Until.Sub(now).Milliseconds()
+				t.RemainingMs = u.Until.Sub(now).Milliseconds()
 			}
 			out = append(out, t)
 		}
@@ -154,16 +164,16 @@
 	return all, out
 }
 
-// limited returns the targets of all services that name how much they take.
-func (ps *pools) limited(now time.Time) []LimitedTarget {
+// limitedTargets returns the targets of all services that have announced a rate limit.
+func (ps *pools) limitedTargets(now time.Time) []LimitedTarget {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	var out []LimitedTarget
 	for service, p := range ps.pools {
 		p.mu.Lock()
-		for _, l := range p.upstream.Limited(now) {
+		for _, l := range p.upstream.LimitedTargets(now) {
 			out = append(out, LimitedTarget{Service: service, Target: l.ID, Hall: l.Hall, PerSecond: l.PerSecond, Source: l.Source,
-				ForMs: now.Sub(l.Since).Milliseconds(), Owner: l.Owner, Got: l.Got, Used: l.Used})
+				ForMs: now.Sub(l.Since).Milliseconds(), Owner: l.Owner, PermitRate: l.PermitRate, UsedRate: l.UsedRate})
 		}
 		p.mu.Unlock()
 	}
@@ -173,15 +183,15 @@
 	return out
 }
 
-// list returns the requests and accounts that are not free.
-func (h *holds) list(now time.Time) []HeldRequest {
+// heldRequests returns the requests and client accounts that are suspected or held.
+func (h *quarantineState) heldRequests(now time.Time) []HeldRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []HeldRequest
-	h.table.Suspected(now, func(d quarantine.Digest, s quarantine.Standing) {
-		held := HeldRequest{Content: d.String(), Ends: s.Ends, Failed: s.Failed}
+	h.table.ForEachSuspect(now, func(d quarantine.Digest, s quarantine.Status) {
+		held := HeldRequest{Content: d.String(), Crashes: s.Crashes, FailedTrials: s.FailedTrials}
 		if s.Verdict == quarantine.Held {
-			held.LeftMs = s.Until.Sub(now).Milliseconds()
+			held.RemainingMs = s.Until.Sub(now).Milliseconds()
 		}
 		out = append(out, held)
 	})
@@ -189,8 +199,8 @@
 	return out
 }
 
-// list returns all rollouts.
-func (rs *rollouts) list(now time.Time) []RolloutStatus {
+// statuses returns the status of each service's rollout.
+func (rs *rollouts) statuses(now time.Time) []RolloutStatus {
 	var out []RolloutStatus
 	for _, r := range rs.all() {
 		out = append(out, r.status(now))
@@ -199,17 +209,18 @@
 	return out
 }
 
+// status returns the status of the rollout.
 func (r *serviceRollout) status(now time.Time) RolloutStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	order, stage := r.follower.Order(), r.follower.Stage()
 	split, _ := r.follower.Split(now)
-	s := RolloutStatus{Service: order.Service, Version: order.Version, State: r.record.State, Stage: stage.Phase.String(), Share: split.Keys * split.Draw,
-		Why: stage.Reason, ForMs: now.Sub(r.follower.Since()).Milliseconds(), OfMs: order.Duration.Milliseconds(), Leader: stage.Leader, Leads: r.leader != nil}
+	s := RolloutStatus{Service: order.Service, Version: order.Version, State: r.record.State, Stage: stage.Phase.String(), Share: split.KeyShare * split.RequestShare,
+		Reason: stage.Reason, ForMs: now.Sub(r.follower.StartedAt()).Milliseconds(), DurationMs: order.Duration.Milliseconds(), Leader: stage.Leader, IsLeader: r.leader != nil}
 	if r.leader != nil {
-		opinion := r.leader.Opinion()
+		opinion := r.leader.Assessment()
 		s.Sent, s.SentNew = r.leader.Counts()
-		s.Failing, s.Slow = opinion.Failing, opinion.Slow
+		s.FailureLLR, s.SlowLLR = opinion.FailureLLR, opinion.SlowLLR
 	}
 	return s
 }
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -12,37 +12,39 @@
 )
 
 const (
-	// lingerShare is the part of the grace for which a stopping instance goes
-	// on taking requests of clients that have not heard of its stop.
-	lingerShare = 0.4
-	// endShare is the part of the grace that is kept for ending the process:
-	// its log is written out, on a machine that may be slow.
-	endShare = 0.07
-	// callTimeout bounds the small calls of look-ups, readiness and operators.
+	// lingerFraction is the fraction of the grace period during which a stopping instance
+	// still accepts requests, from clients that have not yet learned of the stop.
+	lingerFraction = 0.4
+	// exitFraction is the fraction of the grace period that is reserved for the exit of the
+	// process, which has to flush its log on a machine that may be slow.
+	exitFraction = 0.07
+	// callTimeout bounds the reading and writing of look-ups, readiness checks and requests
+	// of operators.
 	callTimeout = 2 * time.Second
 )
 
-// serveClients opens the HTTP servers.
+// serveClients starts the HTTP servers for clients, look-ups, readiness checks and operators.
 func (g *Gateway) serveClients() {
 	errorLog := slog.NewLogLogger(g.log.Handler(), slog.LevelDebug)
-	g.front = &http.Server{
+	g.frontServer = &http.Server{
 		Handler:           g,
-		ReadHeaderTimeout: anyHeadTimeout,
-		IdleTimeout:       anyIdleTimeout,
-		MaxHeaderBytes:    maxHeadBytes,
+		ReadHeaderTimeout: headerTimeoutMarker,
+		IdleTimeout:       idleTimeoutMarker,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          errorLog,
 	}
-	g.ahead = pipelining.NewListener(g.front, limitedListener{g.listeners.front, g}, aheadLimits)
-	g.open(g.front, g.ahead)
+	g.clientListener = pipelining.NewListener(g.frontServer, limitedListener{g.listeners.front, g}, pipeliningLimits)
+	g.startServer(g.frontServer, g.clientListener)
 	small := func(h http.Handler) *http.Server {
 		return &http.Server{Handler: h, ReadTimeout: callTimeout, WriteTimeout: callTimeout, IdleTimeout: defaultIdleTimeout, ErrorLog: errorLog}
 	}
-	g.open(small(http.HandlerFunc(g.serveLookup)), g.listeners.lookup)
-	g.open(small(http.HandlerFunc(g.serveReady)), g.listeners.ready)
-	g.open(small(g.adminHandler()), g.listeners.admin)
+	g.startServer(small(http.HandlerFunc(g.serveLookup)), g.listeners.lookup)
+	g.startServer(small(http.HandlerFunc(g.serveReady)), g.listeners.ready)
+	g.startServer(small(g.adminHandler()), g.listeners.admin)
 }
 
-func (g *Gateway) open(server *http.Server, ln net.Listener) {
+// startServer serves a listener in a new goroutine, until the server is shut down.
+func (g *Gateway) startServer(server *http.Server, ln net.Listener) {
 	go func() {
 		err := server.Serve(ln)
 		if !errors.Is(err, http.ErrServerClosed) {
@@ -51,19 +53,20 @@
 	}()
 }
 
-// stop ends the instance as planned: it tells the platform and the others that
-// it is leaving, serves on while clients hear of it, then takes no new requests
-// and waits for those in flight.
+// stop performs a planned stop. The instance first announces to the platform and to the other
+// instances that it is leaving. It continues to serve while clients learn of that. Then it accepts
+// no new requests and waits for those in flight. Requests that are still in flight at the end of
+// the grace period are cut off.
 func (g *Gateway) stop() {
 	began := time.Now()
 	g.leaving.Store(true)
 	g.log.Info(logLeaving, "grace_ms", g.config.Grace.Milliseconds(), "in_flight", g.inFlight.Load())
 	g.gossip(g.clock.Now(), true)
-	linger := time.Duration(lingerShare * float64(g.config.Grace))
+	linger := time.Duration(lingerFraction * float64(g.config.Grace))
 	time.Sleep(linger)
 	g.refusing.Store(true)
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(time.Duration((1-endShare)*float64(g.config.Grace))))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(time.Duration((1-exitFraction)*float64(g.config.Grace))))
 	defer cancel()
-	err := g.front.Shutdown(ctx)
+	err := g.frontServer.Shutdown(ctx)
 	g.log.Info(logStop, "took_ms", time.Since(began).Milliseconds(), "in_flight", g.inFlight.Load(), "cut", err != nil)
 }
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -15,193 +15,197 @@
 )
 
 const (
-	// limitsPause is the longest time for which limits that targets name are collected before
-	// all instances are told: a twentieth of the time within which all are to keep them.
-	limitsPause = 100 * time.Millisecond
-	// maxLimits bounds the limits in a message: less than 1.2 kB.
-	maxLimits = 64
+	// limitGossipDelay is the longest time for which newly announced limits are collected before
+	// they are sent to all instances. It is a twentieth of the time within which all instances have
+	// to keep them.
+	limitGossipDelay = 100 * time.Millisecond
+	// maxGossipedLimits bounds the limits in a message to less than 1.2 kB.
+	maxGossipedLimits = 64
 )
 
-// targetLimits keep how much targets take from all instances together, by their own words. It is safe
-// for concurrent use.
+// targetLimits holds the rate limits that targets announce for the requests of all instances
+// together. It is safe for concurrent use.
 type targetLimits struct {
-	// any says that a limit is known, or one that ended a moment ago.
-	any atomic.Bool
+	// nonEmpty is true if a limit is known or was withdrawn recently.
+	nonEmpty atomic.Bool
 
 	mu    sync.Mutex
-	known availability.Limits
-	// untold are the targets of which the others are to be told.
-	untold []availability.ID
+	known availability.RateLimits
+	// unsent are the targets whose limits have to be sent to the other instances.
+	unsent []availability.ID
 }
 
-// note notes that something may have changed. The caller holds mu.
-func (l *targetLimits) note() { l.any.Store(l.known.Len() > 0) }
+// updateNonEmpty recomputes nonEmpty. The caller holds mu.
+func (l *targetLimits) updateNonEmpty() { l.nonEmpty.Store(l.known.Len() > 0) }
 
-// hear takes in what a target said in an answer to a request that was sent at a time. It returns
-// what is new, and whether that is the first of which the others have to be told.
-func (l *targetLimits) hear(now, sentAt time.Time, id availability.ID, r upstream.Result) (fresh availability.LimitList, first bool) {
+// observe records what a target's response to a request sent at sentAt shows about its limit. It
+// returns the changed limit, and whether it is the first one that waits to be sent to the other
+// instances.
+func (l *targetLimits) observe(now, sentAt time.Time, id availability.ID, r upstream.Result) (changedLimits availability.RateLimitList, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.note()
+	defer l.updateNonEmpty()
 	var changed bool
 	switch {
-	case r.Word.Limited:
-		changed = l.known.Name(now, sentAt, id, r.Word.Limit)
-	case saysNoLimit(r):
-		changed = l.known.NameNone(now, sentAt, id)
+	case r.SelfReport.HasLimit:
+		changed = l.known.Observe(now, sentAt, id, r.SelfReport.RateLimit)
+	case announcesNoLimit(r):
+		changed = l.known.ObserveNone(now, sentAt, id)
 	}
 	if !changed {
 		return nil, false
 	}
-	first = len(l.untold) == 0
-	if !slices.Contains(l.untold, id) {
-		l.untold = append(l.untold, id)
+	first = len(l.unsent) == 0
+	if !slices.Contains(l.unsent, id) {
+		l.unsent = append(l.unsent, id)
 	}
-	return l.known.About(now, id), first
+	return l.known.Update(now, id), first
 }
 
-// saysNoLimit tells whether an answer shows that its target names no limit: a whole one without a
-// word of it. A value that can't be read is neither a limit nor its end.
-func saysNoLimit(r upstream.Result) bool {
-	whole := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
-	return whole && !r.Word.CantRead(availability.PartLimit)
+// announcesNoLimit reports whether a response shows that its target has no limit. This needs a
+// complete response without a limit. A malformed value neither announces nor withdraws a limit.
+func announcesNoLimit(r upstream.Result) bool {
+	complete := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
+	return complete && !r.SelfReport.IsMalformed(availability.FieldRateLimit)
 }
 
-// merge takes in what another instance has told, and returns what is new.
-func (l *targetLimits) merge(now time.Time, told availability.LimitList) availability.LimitList {
+// merge merges the limits that another instance has sent, and returns those that have changed.
+func (l *targetLimits) merge(now time.Time, limits availability.RateLimitList) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.note()
-	return l.known.Merge(now, told)
+	defer l.updateNonEmpty()
+	return l.known.Merge(now, limits)
 }
 
-// takeUntold returns what the others are to be told.
-func (l *targetLimits) takeUntold(now time.Time) availability.LimitList {
+// takeUnsent returns the limits that have to be sent to the other instances, and marks them as
+// sent.
+func (l *targetLimits) takeUnsent(now time.Time) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out availability.LimitList
-	for _, id := range l.untold {
-		out = append(out, l.known.About(now, id)...)
+	var out availability.RateLimitList
+	for _, id := range l.unsent {
+		out = append(out, l.known.Update(now, id)...)
 	}
-	l.untold = nil
+	l.unsent = nil
 	return out
 }
 
-// of returns the limit of a target in requests a second, false if it has none.
-func (l *targetLimits) of(id availability.ID) (float64, bool) {
+// get returns the limit of a target in requests per second, false if it has none.
+func (l *targetLimits) get(id availability.ID) (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit, ok := l.known.Of(id)
+	limit, ok := l.known.Get(id)
 	return limit.PerSecond, ok
 }
 
-// about returns what is known of a target's limit for others.
-func (l *targetLimits) about(now time.Time, id availability.ID) availability.LimitList {
+// update returns the record of a target's limit for other instances.
+func (l *targetLimits) update(now time.Time, id availability.ID) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.About(now, id)
+	return l.known.Update(now, id)
 }
 
-// sum returns a number by which instances see that they do not know the same.
-func (l *targetLimits) sum(now time.Time) uint32 {
-	if !l.any.Load() {
+// checksum returns a checksum by which instances detect that their limits differ.
+func (l *targetLimits) checksum(now time.Time) uint32 {
+	if !l.nonEmpty.Load() {
 		return 0
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Sum(now)
+	return l.known.Checksum(now)
 }
 
-// missing returns what to tell an instance that does not know the same.
-func (l *targetLimits) missing(now time.Time, sum uint32, salt uint64) availability.LimitList {
-	if !l.any.Load() || l.sum(now) == sum {
+// missing returns limits for an instance whose checksum differs, nil if it does not.
+func (l *targetLimits) missing(now time.Time, sum uint32, salt uint64) availability.RateLimitList {
+	if !l.nonEmpty.Load() || l.checksum(now) == sum {
 		return nil
 	}
-	return l.some(now, maxLimits, salt)
+	return l.sample(now, maxGossipedLimits, salt)
 }
 
-// all returns all limits that are told to others.
-func (l *targetLimits) all(now time.Time) availability.LimitList {
-	return l.some(now, math.MaxInt, 0)
+// all returns all limits that are gossiped.
+func (l *targetLimits) all(now time.Time) availability.RateLimitList {
+	return l.sample(now, math.MaxInt, 0)
 }
 
-// some returns at most n of the limits that are told to others, drawn by a salt.
-func (l *targetLimits) some(now time.Time, n int, salt uint64) availability.LimitList {
+// sample returns a random sample of at most n of the limits that are gossiped. The salt determines
+// the sample.
+func (l *targetLimits) sample(now time.Time, n int, salt uint64) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.known.Some(now, n, salt)
+	return l.known.Sample(now, n, salt)
 }
 
-// expire forgets what is no longer remembered, and returns the limits that ended by that.
-func (l *targetLimits) expire(now time.Time) availability.LimitList {
+// expire drops limits that are past their retention, and returns their removals.
+func (l *targetLimits) expire(now time.Time) availability.RateLimitList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	defer l.note()
-	var ended availability.LimitList
+	defer l.updateNonEmpty()
+	var removals availability.RateLimitList
 	for _, id := range l.known.Expire(now) {
-		ended = append(ended, availability.Limit{ID: id, Ended: true})
+		removals = append(removals, availability.RateLimit{ID: id, Removed: true})
 	}
-	return ended
+	return removals
 }
 
-// hearLimit takes in what a target said in an answer of how much it takes, and has all instances
-// know.
-func (g *Gateway) hearLimit(d upstream.Decision, a forward.Attempt) {
-	if !a.Target.Word.Limited && !g.targetLimits.any.Load() {
+// observeLimit records what a response shows about its target's limit, and schedules gossip if the
+// limit has changed.
+func (g *Gateway) observeLimit(d upstream.Decision, a forward.Attempt) {
+	if !a.TargetResult.SelfReport.HasLimit && !g.targetLimits.nonEmpty.Load() {
 		return
 	}
 	now := g.clock.Now()
-	fresh, first := g.targetLimits.hear(now, d.Sent.At, availability.IDOf(d.Target.ID), a.Target)
-	g.putLimits(now, fresh, availability.SourceWord)
+	changedLimits, first := g.targetLimits.observe(now, d.SendState.GrantedAt, availability.IDOf(d.Target.ID), a.TargetResult)
+	g.applyLimits(now, changedLimits, availability.SourceTarget)
 	if first {
-		time.AfterFunc(rand.N(limitsPause), g.tellLimits)
+		time.AfterFunc(rand.N(limitGossipDelay), g.gossipLimits)
 	}
 }
 
-// tellLimits tells all instances what was found out here of targets' limits.
-func (g *Gateway) tellLimits() {
+// gossipLimits sends the changed limits that this instance has observed to all instances.
+func (g *Gateway) gossipLimits() {
 	now := g.clock.Now()
-	for told := range slices.Chunk(g.targetLimits.takeUntold(now), maxLimits) {
-		g.broadcast(now, peer.Gossip{Limits: told})
+	for limits := range slices.Chunk(g.targetLimits.takeUnsent(now), maxGossipedLimits) {
+		g.broadcast(now, peer.Gossip{Limits: limits})
 	}
 }
 
-// hearLimits takes in what other instances have found out.
-func (g *Gateway) hearLimits(now time.Time, told availability.LimitList) {
-	if len(told) == 0 {
+// receiveLimits applies the limits that another instance has sent.
+func (g *Gateway) receiveLimits(now time.Time, limits availability.RateLimitList) {
+	if len(limits) == 0 {
 		return
 	}
-	g.putLimits(now, g.targetLimits.merge(now, told), availability.SourcePeer)
+	g.applyLimits(now, g.targetLimits.merge(now, limits), availability.SourcePeer)
 }
 
-// putLimits puts limits in force.
-func (g *Gateway) putLimits(now time.Time, fresh availability.LimitList, source availability.Source) {
-	if len(fresh) == 0 {
+// applyLimits applies changed limits to the pools.
+func (g *Gateway) applyLimits(now time.Time, changedLimits availability.RateLimitList, source availability.Source) {
+	if len(changedLimits) == 0 {
 		return
 	}
-	g.reportLimits(g.pools.hearLimits(now, fresh, source), source)
+	g.logLimits(g.pools.applyRateLimits(now, changedLimits, source), source)
 }
 
-// reportLimits logs targets whose limits have changed, many in one line.
-func (g *Gateway) reportLimits(changed []string, source availability.Source) {
+// logLimits logs the targets whose limits have changed. Many changes are logged in one line.
+func (g *Gateway) logLimits(changed []string, source availability.Source) {
 	limited := 0
 	for _, target := range changed {
-		perSecond, is := g.targetLimits.of(availability.IDOf(target))
-		if is {
+		perSecond, hasLimit := g.targetLimits.get(availability.IDOf(target))
+		if hasLimit {
 			limited++
 		}
-		if len(changed) <= maxBeliefLines {
-			g.log.Info(logTargetLimit, "target", target, "limited", is, "limit_per_s", perSecond, "source", source)
+		if len(changed) <= maxTargetEventLines {
+			g.log.Info(logTargetLimit, "target", target, "limited", hasLimit, "limit_per_s", perSecond, "source", source)
 		}
 	}
-	if len(changed) > maxBeliefLines {
+	if len(changed) > maxTargetEventLines {
 		g.log.Info(logTargetLimits, "changes", len(changed), "limited", limited, "source", source)
 	}
 }
 
-// expireLimits forgets limits that nobody has heard of for long.
+// expireLimits removes the limits that are past their retention.
 func (g *Gateway) expireLimits(now time.Time) {
-	if g.targetLimits.any.Load() {
-		g.putLimits(now, g.targetLimits.expire(now), availability.SourceOwn)
+	if g.targetLimits.nonEmpty.Load() {
+		g.applyLimits(now, g.targetLimits.expire(now), availability.SourceLocal)
 	}
 }
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -9,104 +9,107 @@
 )
 
 const (
-	// trialPatience is how long the warden of a request may take to answer whether it may
-	// be tried: the way to another region and back takes up to 120 ms.
-	trialPatience = 250 * time.Millisecond
-	// silentFor is how long a warden that did not answer is passed over.
-	silentFor = 2 * time.Second
+	// trialReplyTimeout is how long a coordinator may take to reply to a trial request. The round
+	// trip to another region takes up to 120 ms.
+	trialReplyTimeout = 250 * time.Millisecond
+	// unresponsiveTime is how long a coordinator that did not reply is skipped.
+	unresponsiveTime = 2 * time.Second
 )
 
-// trialAnswer is the answer of a warden.
-type trialAnswer struct {
+// trialReply is a coordinator's reply to a trial request.
+type trialReply struct {
 	granted bool
-	// wait is when to ask again.
-	wait time.Duration
+	// retryAfter is the time until the next request makes sense.
+	retryAfter time.Duration
 }
 
-// askTrial asks the warden of a suspect request, or of a flagged account, whether a request may be
-// sent now. If not, it returns when to come back. One question of each is open at a time.
-func (g *Gateway) askTrial(ex *exchange, d quarantine.Digest) (granted bool, next time.Time) {
+// acquireTrial requests a trial for a suspect request or a flagged account from its coordinator. If
+// the trial is not granted, it returns the time at which to request it again. At most one request
+// per digest is pending.
+func (g *Gateway) acquireTrial(ex *exchange, d quarantine.Digest) (granted bool, retryAt time.Time) {
 	now := g.clock.Now()
-	standing, _ := g.holds.standing(now, d)
-	warden := g.wardenOf(now, d, standing.Failed > 0)
-	ex.warden = warden
-	until := ex.deadline.Add(lateMargin)
-	if warden.Name == g.config.Name {
-		g.holds.mu.Lock()
-		defer g.holds.mu.Unlock()
-		return g.holds.warden.Ask(now, &g.holds.table, d, g.config.Name, until)
+	status, _ := g.quarantine.status(now, d)
+	coordinator := g.coordinatorFor(now, d, status.FailedTrials > 0)
+	ex.coordinator = coordinator
+	until := ex.deadline.Add(lateResponseMargin)
+	if coordinator.Name == g.config.Name {
+		g.quarantine.mu.Lock()
+		defer g.quarantine.mu.Unlock()
+		return g.quarantine.coordinator.Acquire(now, &g.quarantine.table, d, g.config.Name, until)
 	}
-	wait := make(chan trialAnswer, 1)
-	g.holds.mu.Lock()
-	if g.holds.trials[d] != nil {
-		g.holds.mu.Unlock()
+	wait := make(chan trialReply, 1)
+	g.quarantine.mu.Lock()
+	if g.quarantine.pendingTrials[d] != nil {
+		g.quarantine.mu.Unlock()
 		return false, now.Add(defaultRetryAfter)
 	}
-	g.holds.trials[d] = wait
-	news := g.holds.table.About(now, d)
-	g.holds.mu.Unlock()
-	defer g.endQuestion(d)
-	g.mesh.Send(warden.PeerAddr, &peer.TrialAsk{Digest: d, From: g.config.Name, ReplyTo: g.view.Self().PeerAddr, For: until.Sub(now), News: news})
+	g.quarantine.pendingTrials[d] = wait
+	updates := g.quarantine.table.Updates(now, d)
+	g.quarantine.mu.Unlock()
+	defer g.endTrialRequest(d)
+	g.mesh.Send(coordinator.PeerAddr, &peer.TrialRequest{Digest: d, From: g.config.Name, ReplyTo: g.view.Self().PeerAddr, Timeout: until.Sub(now), Updates: updates})
 	select {
-	case answer := <-wait:
-		return answer.granted, now.Add(answer.wait)
+	case reply := <-wait:
+		return reply.granted, now.Add(reply.retryAfter)
 	case <-ex.ctx.Done():
-	case <-time.After(trialPatience):
-		g.passOver(warden.Name)
-		g.mesh.RenewBoth(warden.PeerAddr)
+	case <-time.After(trialReplyTimeout):
+		g.markUnresponsive(coordinator.Name)
+		g.mesh.ReconnectBoth(coordinator.PeerAddr)
 	}
 	return false, now.Add(defaultRetryAfter)
 }
 
-func (g *Gateway) endQuestion(d quarantine.Digest) {
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	delete(g.holds.trials, d)
+func (g *Gateway) endTrialRequest(d quarantine.Digest) {
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	delete(g.quarantine.pendingTrials, d)
 }
 
-func (g *Gateway) passOver(name string) {
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	g.holds.silent[name] = g.clock.Now().Add(silentFor)
+func (g *Gateway) markUnresponsive(name string) {
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	g.quarantine.unresponsive[name] = g.clock.Now().Add(unresponsiveTime)
 }
 
-// wardenOf returns the instance that grants the trials of a request: one of those that the
-// store lists, this one if there are none. Those that are known to be away are passed over
-// for the first trial, which most often frees an innocent request. After a failed one they are
-// not: parts of the fleet that are cut off from each other would each send the request again,
-// and three sends are all that may follow the third end.
-func (g *Gateway) wardenOf(now time.Time, d quarantine.Digest, hasFailed bool) fleet.Member {
+// coordinatorFor returns the instance that grants the trials of a digest. It is chosen from the
+// listed instances and this one.
+//
+// For the first trial, unavailable instances are skipped, since a first trial usually frees an
+// innocent request. After a failed trial they are not skipped: otherwise each side of a network
+// partition would have its own coordinator and send the request again, while at most three sends
+// may follow the third crash.
+func (g *Gateway) coordinatorFor(now time.Time, d quarantine.Digest, hasFailed bool) fleet.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	away := make(map[string]bool)
+	unavailable := make(map[string]bool)
 	if !hasFailed {
-		away = g.away(now)
+		unavailable = g.unavailableInstances(now)
 	}
 	names := []string{g.config.Name}
 	for name := range g.registered {
-		if name != g.config.Name && !away[name] {
+		if name != g.config.Name && !unavailable[name] {
 			names = append(names, name)
 		}
 	}
-	name := quarantine.Choose(d, names)
+	name := quarantine.CoordinatorFor(d, names)
 	if name == g.config.Name {
 		return g.view.Self()
 	}
 	return g.registered[name]
 }
 
-// away returns the instances that are not alive, or did not answer as wardens of late. The
-// caller holds mu.
-func (g *Gateway) away(now time.Time) map[string]bool {
+// unavailableInstances returns the instances that are not alive or did not reply as coordinators
+// recently. The caller holds mu.
+func (g *Gateway) unavailableInstances(now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for _, s := range g.view.Others(now) {
-		if s.State == fleet.Suspect || s.State == fleet.Gone {
+		if s.State == fleet.Suspect || s.State == fleet.Stopping {
 			out[s.Name] = true
 		}
 	}
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	for name, until := range g.holds.silent {
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	for name, until := range g.quarantine.unresponsive {
 		if now.Before(until) {
 			out[name] = true
 		}
@@ -114,67 +117,67 @@
 	return out
 }
 
-// endTrial tells the warden of a trial that it has ended. One that was broken off goes on for
-// the warden until the end of its target is known, or its time is over: what another trial
-// may cost depends on it.
+// endTrial reports the end of a trial to its coordinator. It does not report an interrupted trial.
+// That trial stays open at the coordinator until the crash of its target is confirmed or its time
+// is over, since whether another trial may start depends on it.
 func (g *Gateway) endTrial(ex *exchange) {
-	if !ex.isTrial() || ex.broken {
+	if !ex.isTrial() || ex.interrupted {
 		return
 	}
-	if ex.warden.Name != g.config.Name {
-		g.mesh.Send(ex.warden.PeerAddr, &peer.TrialAsk{Digest: ex.trial, From: g.config.Name, Done: true, Answered: ex.answered})
+	if ex.coordinator.Name != g.config.Name {
+		g.mesh.Send(ex.coordinator.PeerAddr, &peer.TrialRequest{Digest: ex.trial, From: g.config.Name, Done: true, Answered: ex.answered})
 		return
 	}
-	g.trialDone(ex.trial, g.config.Name, ex.answered)
+	g.releaseTrial(ex.trial, g.config.Name, ex.answered)
 }
 
-// isTrial tells whether the request is a trial.
+// isTrial reports whether the request is sent as a trial.
 func (ex *exchange) isTrial() bool { return ex.trial != quarantine.Digest{} }
 
-// trialDone takes in, as the warden, that a trial has ended that did not end its target. An
-// account is free after some that were answered one after the other.
-func (g *Gateway) trialDone(d quarantine.Digest, from string, answered bool) {
+// releaseTrial records, at the coordinator, the end of a trial that did not crash its target. An
+// account is released after several answered trials in a row.
+func (g *Gateway) releaseTrial(d quarantine.Digest, from string, answered bool) {
 	now := g.clock.Now()
-	g.holds.mu.Lock()
-	acquitted := g.holds.warden.Done(&g.holds.table, now, d, from, answered)
-	g.holds.mu.Unlock()
-	if !acquitted {
+	g.quarantine.mu.Lock()
+	released := g.quarantine.coordinator.Release(&g.quarantine.table, now, d, from, answered)
+	g.quarantine.mu.Unlock()
+	if !released {
 		return
 	}
-	g.log.Info(logAccountFreed, "content", d.String())
-	g.tell(now, d)
-	g.keepRelease(d)
+	g.log.Info(logAccountReleased, "content", d.String())
+	g.broadcastQuarantine(now, d)
+	g.storeRelease(d)
 }
 
-// receiveTrialAsk answers another instance as the warden of a request.
-func (g *Gateway) receiveTrialAsk(m *peer.TrialAsk) {
+// receiveTrialRequest handles another instance's trial request as the coordinator.
+func (g *Gateway) receiveTrialRequest(m *peer.TrialRequest) {
 	if m.Done {
-		g.trialDone(m.Digest, m.From, m.Answered)
+		g.releaseTrial(m.Digest, m.From, m.Answered)
 		return
 	}
 	now := g.clock.Now()
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	g.holds.table.Merge(now, m.News)
-	g.holds.note()
-	granted, next := g.holds.warden.Ask(now, &g.holds.table, m.Digest, m.From, now.Add(m.For))
-	answer := &peer.TrialAnswer{Digest: m.Digest, Granted: granted}
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	g.quarantine.table.Merge(now, m.Updates)
+	g.quarantine.updateNonEmpty()
+	granted, retryAt := g.quarantine.coordinator.Acquire(now, &g.quarantine.table, m.Digest, m.From, now.Add(m.Timeout))
+	reply := &peer.TrialReply{Digest: m.Digest, Granted: granted}
 	if !granted {
-		answer.Wait = next.Sub(now)
+		reply.RetryAfter = retryAt.Sub(now)
 	}
-	g.mesh.Send(m.ReplyTo, answer)
+	g.mesh.Send(m.ReplyTo, reply)
 }
 
-// receiveTrialAnswer takes in the answer of a warden.
-func (g *Gateway) receiveTrialAnswer(m *peer.TrialAnswer) {
-	g.holds.mu.Lock()
-	defer g.holds.mu.Unlock()
-	wait := g.holds.trials[m.Digest]
+// receiveTrialReply handles a coordinator's reply.
+func (g *Gateway) receiveTrialReply(m *peer.TrialReply) {
+	g.quarantine.mu.Lock()
+	defer g.quarantine.mu.Unlock()
+	wait := g.quarantine.pendingTrials[m.Digest]
 	if wait == nil {
 		return
 	}
 	select {
-	case wait <- trialAnswer{granted: m.Granted, wait: m.Wait}:
+	case wait <- trialReply{granted: m.Granted, retryAfter: m.RetryAfter}:
 	default:
 	}
 }
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -257,12 +257,12 @@
 	if err != nil {
 		return err
 	}
-	return lookup.Store(ctx, c.Client, c.Estate.Blocks())
+	return lookup.StoreBlocks(ctx, c.Client, c.Estate.Blocks())
 }
 
 // Editor returns an editor of the configuration.
 func (c *Cluster) Editor(what string) *config.Editor {
-	return &config.Editor{Store: c.Client, Who: "demo", What: what, NewID: caller.NewKey, Now: time.Now}
+	return &config.Editor{Store: c.Client, Operator: "demo", Command: what, NewID: caller.NewKey, Now: time.Now}
 }
 
 // StartInstance starts one entry instance on free addresses.
@@ -285,7 +285,7 @@
 	settings.Secret = "demo"
 	settings.LookupTTL = time.Second
 	settings.Log = c.options.Log
-	settings.Admitted = c.Flow.Record
+	settings.OnAdmit = c.Flow.Record
 	if c.options.Change != nil {
 		c.options.Change(&settings)
 	}
--- a/internal/demo/gatewayaccounts.go
+++ b/internal/demo/gatewayaccounts.go
@@ -58,7 +58,7 @@
 	if a.Header.Get("Credential") != "" {
 		o.keysSeen++
 	}
-	if a.Ran && a.Header.Get("Tenant") == busyAccount {
+	if a.Executed && a.Header.Get("Tenant") == busyAccount {
 		o.busy = append(o.busy, a.At)
 	}
 }
@@ -75,8 +75,8 @@
 		for o.busy[end].Sub(o.busy[begin]) > bound.Window {
 			begin++
 		}
-		if n := end - begin + 1; float64(n) > bound.Of(limit) {
-			r.Broken = append(r.Broken, fmt.Sprintf("%d requests of one account ran within %v, of %.0f", n, bound.Window, bound.Of(limit)))
+		if n := end - begin + 1; float64(n) > bound.MaxRequests(limit) {
+			r.Broken = append(r.Broken, fmt.Sprintf("%d requests of one account ran within %v, of %.0f", n, bound.Window, bound.MaxRequests(limit)))
 			return
 		}
 	}
--- a/internal/demo/invariant_test.go
+++ b/internal/demo/invariant_test.go
@@ -223,7 +223,7 @@
 	for _, region := range c.Estate.Regions[:2] {
 		for _, target := range c.Targets(region) {
 			if target.Service == service {
-				target.Server.Set(func(s *backend.Settings) { s.LieHealth = true })
+				target.Server.UpdateSettings(func(s *backend.Settings) { s.AlwaysHealthy = true })
 				leaving = append(leaving, target)
 				break
 			}
@@ -244,13 +244,13 @@
 	loads.Wait()
 	generator.Wait()
 	for _, target := range leaving {
-		last := target.Server.LastNew().Sub(began)
-		require.False(t, target.Server.LastNew().IsZero(), "the target had no work at all")
+		last := target.Server.LastStart().Sub(began)
+		require.False(t, target.Server.LastStart().IsZero(), "the target had no work at all")
 		t.Logf("%s: last new request %.3f s after the drain", target.ID, last.Seconds())
 		require.Less(t, last, 5*time.Second)
 	}
 	st := generator.Stats(service)
-	require.Zero(t, st.Broken+st.Unknown+st.Truncated)
+	require.Zero(t, st.Broken+st.Unknown+st.Corrupt)
 	t.Logf("%d requests, %d ok, %d not run %v", st.Requests, st.OK, st.NotRun, st.Reasons)
 }
 
@@ -271,7 +271,7 @@
 		for j, s := range []load.Stream{
 			{Service: reads, Kind: load.Read, Rate: 30, Timeout: 5 * time.Second, Client: client},
 			{Service: reads, Kind: load.Download, Rate: 2, Bytes: 400_000, Timeout: 10 * time.Second, Client: client},
-			{Service: pays, Kind: load.Operate, Rate: 5, Bytes: 200, Timeout: 5 * time.Second, Client: client, AskAgain: 2},
+			{Service: pays, Kind: load.Operate, Rate: 5, Bytes: 200, Timeout: 5 * time.Second, Client: client, MaxRetries: 2},
 		} {
 			loads.Add(1)
 			go func() { defer loads.Done(); generator.Run(ctx, s, rand.NewPCG(2, uint64(10*i+j))) }()
@@ -305,9 +305,9 @@
 	for _, service := range []string{reads, pays} {
 		st := generator.Stats(service)
 		t.Logf("%s: %d requests, %d ok, %d not run, %d unknown, %d broken, %v", service, st.Requests, st.OK, st.NotRun, st.Unknown, st.Broken, st.Reasons)
-		require.Zero(t, st.Broken+st.Unknown+st.Truncated, "requests cut")
+		require.Zero(t, st.Broken+st.Unknown+st.Corrupt, "requests cut")
 	}
-	require.Zero(t, c.Runs.Twice())
+	require.Zero(t, c.Runs.Duplicates())
 	t.Logf("%d uploads of %s, none cut", sent, uploadTime)
 }
 
@@ -338,7 +338,7 @@
 func TestWholeAnswers(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(1)})
 	for _, target := range c.Targets("") {
-		target.Server.Set(func(s *backend.Settings) { s.DropAfter = 0.2 })
+		target.Server.UpdateSettings(func(s *backend.Settings) { s.DropAfter = 0.2 })
 	}
 	service := c.Estate.Services[2].Name
 	generator := load.NewGenerator()
@@ -358,8 +358,8 @@
 	loads.Wait()
 	generator.Wait()
 	st := generator.Stats(service)
-	t.Logf("%d requests, %d ok, %d visibly broken, %d not run, %d wrong or short yet whole", st.Requests, st.OK, st.Broken, st.NotRun, st.Truncated)
-	require.Zero(t, st.Truncated)
+	t.Logf("%d requests, %d ok, %d visibly broken, %d not run, %d wrong or short yet whole", st.Requests, st.OK, st.Broken, st.NotRun, st.Corrupt)
+	require.Zero(t, st.Corrupt)
 	require.Positive(t, st.Broken)
 	require.Positive(t, st.OK)
 }
@@ -391,16 +391,16 @@
 	}
 	time.Sleep(3 * time.Second)
 	for _, target := range c.Targets(c.Estate.Regions[0]) {
-		target.Server.Set(func(s *backend.Settings) { s.Slots /= 2 })
+		target.Server.UpdateSettings(func(s *backend.Settings) { s.Slots /= 2 })
 	}
 	loads.Wait()
 	generator.Wait()
 	for _, target := range c.Targets("") {
-		require.LessOrEqual(t, target.Server.Peak(), target.Slots, target.ID)
+		require.LessOrEqual(t, target.Server.PeakRequests(), target.Slots, target.ID)
 	}
 	st := generator.Stats(service.Name)
 	t.Logf("capacity %.0f/s, offered %.0f/s for 6 s: %d requests, %d ok, %d not run %v; refusals p50 %.1f ms p99 %.1f ms",
 		capacity, 1.5*capacity, st.Requests, st.OK, st.NotRun, st.Reasons,
-		float64(st.Refusal.ValueAtQuantile(50))/1000, float64(st.Refusal.ValueAtQuantile(99))/1000)
+		float64(st.RefusalLatency.ValueAtQuantile(50))/1000, float64(st.RefusalLatency.ValueAtQuantile(99))/1000)
 	require.Zero(t, st.Unknown)
 }
--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -63,7 +63,7 @@
 	times = times[first:]
 	worst, from := 0, 0
 	for i, t := range times {
-		for t >= times[from]+table.Window.Nanoseconds() {
+		for t >= times[from]+table.CapWindow.Nanoseconds() {
 			from++
 		}
 		worst = max(worst, i-from+1)
@@ -113,7 +113,7 @@
 		}
 	})
 	took := s.awaitVersion(change.Number)
-	lowered := time.Now().Add(table.Window)
+	lowered := time.Now().Add(table.CapWindow)
 	time.Sleep(4 * time.Second)
 	cancel()
 	wg.Wait()
@@ -139,7 +139,7 @@
 	s := newSystem(t, 2, 50)
 	g := load.NewGenerator()
 	ctx, cancel := context.WithCancel(context.Background())
-	wg := s.flow(ctx, g, load.Stream{Service: pays, Kind: load.Operate, Rate: 30, Bytes: 100, Timeout: 2 * time.Second, AskAgain: 3, Twice: 0.2})
+	wg := s.flow(ctx, g, load.Stream{Service: pays, Kind: load.Operate, Rate: 30, Bytes: 100, Timeout: 2 * time.Second, MaxRetries: 3, DuplicateFraction: 0.2})
 	for i := range 4 {
 		time.Sleep(time.Second)
 		region := regions[i%2]
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -61,7 +61,7 @@
 		client := s.caller(hall)
 		answer, err := client.Lookup(context.Background(), reads)
 		require.NoError(t, err)
-		require.Equal(t, s.halls[hall], answer.Home)
+		require.Equal(t, s.halls[hall], answer.HomeHall)
 		require.Equal(t, s.halls[hall], answer.Instances[0].Hall, "the home hall comes first")
 		require.Len(t, answer.Instances, len(s.instances))
 		checkUpload(t, client, 5<<20)
@@ -125,7 +125,7 @@
 	_, err := client.Do(context.Background(), upload(pays, caller.NewKey(), []byte("rent")))
 	var notRun *caller.NotRunError
 	require.ErrorAs(t, err, &notRun)
-	require.Equal(t, protocol.ReasonClaims, notRun.Reason)
+	require.Equal(t, protocol.ReasonClaimsUnavailable, notRun.Reason)
 	require.Positive(t, notRun.RetryAfter)
 	require.Empty(t, s.runs())
 	t.Logf("a payment is given up after %.2f s", time.Since(began).Seconds())
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -8,19 +8,21 @@
 	"github.com/rainford/rainford/internal/listen"
 )
 
+// TestAllOrNone checks that All reports each address that can't be opened, and then leaves none of
+// the others open.
 func TestAllOrNone(t *testing.T) {
-	held, err := listen.All("127.0.0.1:0")
+	open, err := listen.All("127.0.0.1:0")
 	require.NoError(t, err)
-	taken := held[0].Addr().String()
-	free, err := listen.All("127.0.0.1:0")
+	usedAddr := open[0].Addr().String()
+	closed, err := listen.All("127.0.0.1:0")
 	require.NoError(t, err)
-	addr := free[0].Addr().String()
-	require.NoError(t, free[0].Close())
-	_, err = listen.All(addr, taken, "nonsense")
-	require.ErrorContains(t, err, taken)
+	freeAddr := closed[0].Addr().String()
+	require.NoError(t, closed[0].Close())
+	_, err = listen.All(freeAddr, usedAddr, "nonsense")
+	require.ErrorContains(t, err, usedAddr)
 	require.ErrorContains(t, err, "nonsense")
-	again, err := listen.All(addr)
-	require.NoError(t, err, "nothing stayed open")
-	require.NoError(t, again[0].Close())
-	require.NoError(t, held[0].Close())
+	reopened, err := listen.All(freeAddr)
+	require.NoError(t, err, "the address is still in use after All failed")
+	require.NoError(t, reopened[0].Close())
+	require.NoError(t, open[0].Close())
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -46,12 +46,12 @@
 	Bytes   int
 	Timeout time.Duration
 	Client  *caller.Client
-	// AskAgain asks again with the same key after an unknown outcome or a
+	// MaxRetries asks again with the same key after an unknown outcome or a
 	// refusal, up to this many times, when told to come back.
-	AskAgain int
-	// Twice is the part of the operations that are sent a second time with
+	MaxRetries int
+	// DuplicateFraction is the part of the operations that are sent a second time with
 	// the same key at the same moment, as attempt 2.
-	Twice float64
+	DuplicateFraction float64
 }
 
 // maxInFlight bounds the requests of one stream that are under way. Arrivals
@@ -64,8 +64,8 @@
 	OK       int64
 	NotRun   int64
 	Unknown  int64
-	// Truncated counts answers that were short or wrong yet looked whole.
-	Truncated int64
+	// Corrupt counts answers that were short or wrong yet looked whole.
+	Corrupt int64
 	// Broken counts answers that visibly broke midway.
 	Broken  int64
 	Skipped int64
@@ -76,20 +76,20 @@
 	// Latency holds the latencies of good answers in microseconds.
 	Latency *hdrhistogram.Histogram
 	// Slowest refusal, in microseconds, counts requests given up.
-	Refusal *hdrhistogram.Histogram
+	RefusalLatency *hdrhistogram.Histogram
 }
 
 const (
-	minMicros = 1
-	maxMicros = 120_000_000
-	digits    = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 120_000_000
+	significantDigits = 3
 )
 
 func newStats() *Stats {
 	return &Stats{
-		Reasons: make(map[protocol.Reason]int64),
-		Latency: hdrhistogram.New(minMicros, maxMicros, digits),
-		Refusal: hdrhistogram.New(minMicros, maxMicros, digits),
+		Reasons:        make(map[protocol.Reason]int64),
+		Latency:        hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
+		RefusalLatency: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 	}
 }
 
@@ -110,27 +110,27 @@
 func (g *Generator) Stats(service string) *Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.of(service)
+	return g.statsOf(service)
 }
 
 // OK returns the number of good answers for a service so far.
 func (g *Generator) OK(service string) int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.of(service).OK
+	return g.statsOf(service).OK
 }
 
-func (g *Generator) of(service string) *Stats {
+func (g *Generator) statsOf(service string) *Stats {
 	if g.stats[service] == nil {
 		g.stats[service] = newStats()
 	}
 	return g.stats[service]
 }
 
-func (g *Generator) count(service string, f func(*Stats)) {
+func (g *Generator) update(service string, f func(*Stats)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	f(g.of(service))
+	f(g.statsOf(service))
 }
 
 // Run starts the stream's requests until ctx ends. Source gives the arrival
@@ -150,16 +150,16 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			g.count(s.Service, func(st *Stats) { st.Skipped++ })
+			g.update(s.Service, func(st *Stats) { st.Skipped++ })
 			continue
 		}
-		begin := next
-		twice := rnd.Float64() < s.Twice
+		start := next
+		duplicated := rnd.Float64() < s.DuplicateFraction
 		g.wg.Add(1)
 		go func() {
 			defer g.wg.Done()
 			defer func() { <-slots }()
-			g.one(s, begin, twice)
+			g.send(s, start, duplicated)
 		}()
 	}
 }
@@ -167,46 +167,46 @@
 // Wait waits for the requests under way.
 func (g *Generator) Wait() { g.wg.Wait() }
 
-// errWrong means that an answer was whole by its framing and yet not right.
-var errWrong = errors.New("load: wrong answer")
+// errInvalid means that an answer was whole by its framing and yet not right.
+var errInvalid = errors.New("load: wrong answer")
 
-// errBroken means that an answer broke midway.
-var errBroken = errors.New("load: answer broke")
+// errIncomplete means that an answer broke midway.
+var errIncomplete = errors.New("load: answer broke")
 
-// one makes one request, and asks again as the stream says.
-func (g *Generator) one(s Stream, begin time.Time, twice bool) {
+// send makes send request, and asks again as the stream says.
+func (g *Generator) send(s Stream, start time.Time, duplicated bool) {
 	req, want := g.request(s)
-	if twice {
+	if duplicated {
 		// The second copy comes from elsewhere and knows nothing of the
 		// first: for both the other's end is unknown.
 		req.EarlierUnknown = true
-		other := req
-		other.FirstAttempt = copyAttempt
+		duplicate := req
+		duplicate.FirstAttempt = duplicateAttempt
 		g.wg.Add(1)
 		go func() {
 			defer g.wg.Done()
-			_ = g.attempt(s, other, want)
+			_ = g.attempt(s, duplicate, want)
 		}()
 	}
 	var err error
-	for try := range s.AskAgain + 1 {
-		req.FirstAttempt = 10*try + 1
+	for attempt := range s.MaxRetries + 1 {
+		req.FirstAttempt = 10*attempt + 1
 		err = g.attempt(s, req, want)
-		wait, comeBack := RetryAfter(err)
-		if !comeBack || try == s.AskAgain {
+		wait, retry := RetryAfter(err)
+		if !retry || attempt == s.MaxRetries {
 			break
 		}
-		var lost *caller.UnknownError
-		req.EarlierUnknown = req.EarlierUnknown || errors.As(err, &lost)
+		var unknown *caller.UnknownError
+		req.EarlierUnknown = req.EarlierUnknown || errors.As(err, &unknown)
 		time.Sleep(wait)
 	}
-	took := time.Since(begin).Microseconds()
-	g.count(s.Service, func(st *Stats) { st.record(err, req.Key, took) })
+	latency := time.Since(start).Microseconds()
+	g.update(s.Service, func(st *Stats) { st.record(err, req.Key, latency) })
 }
 
-// copyAttempt numbers the attempt of a copy: after the first, before any that
+// duplicateAttempt numbers the attempt of a copy: after the first, before any that
 // asks again.
-const copyAttempt = 5
+const duplicateAttempt = 5
 
 // RetryAfter returns when to come back after an error, and whether to.
 func RetryAfter(err error) (time.Duration, bool) {
@@ -214,9 +214,9 @@
 	if errors.As(err, &notRun) {
 		return notRun.RetryAfter, notRun.RetryAfter > 0
 	}
-	var lost *caller.UnknownError
-	if errors.As(err, &lost) {
-		return lost.RetryAfter, lost.RetryAfter > 0
+	var unknown *caller.UnknownError
+	if errors.As(err, &unknown) {
+		return unknown.RetryAfter, unknown.RetryAfter > 0
 	}
 	return 0, false
 }
@@ -224,13 +224,13 @@
 func (st *Stats) record(err error, key string, micros int64) {
 	st.Requests++
 	var notRun *caller.NotRunError
-	var lost *caller.UnknownError
+	var unknown *caller.UnknownError
 	var done *caller.DoneError
 	if errors.As(err, &notRun) {
 		st.Reasons[notRun.Reason]++
 	}
-	if errors.As(err, &lost) {
-		st.Reasons[lost.Reason]++
+	if errors.As(err, &unknown) {
+		st.Reasons[unknown.Reason]++
 	}
 	switch {
 	case err == nil || errors.As(err, &done):
@@ -238,13 +238,13 @@
 		_ = st.Latency.RecordValue(micros)
 	case errors.As(err, &notRun):
 		st.NotRun++
-		_ = st.Refusal.RecordValue(micros)
+		_ = st.RefusalLatency.RecordValue(micros)
 		if key != "" {
 			st.NotRunKeys = append(st.NotRunKeys, key)
 		}
-	case errors.Is(err, errWrong):
-		st.Truncated++
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errInvalid):
+		st.Corrupt++
+	case errors.Is(err, errIncomplete):
 		st.Broken++
 		st.Unknown++
 	default:
@@ -297,28 +297,28 @@
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return errors.Join(errBroken, err)
+		return errors.Join(errIncomplete, err)
 	}
-	return check(s.Kind, resp.StatusCode, body, want)
+	return checkResponse(s.Kind, resp.StatusCode, body, want)
 }
 
-// check compares an answer with what it must show.
-func check(kind Kind, status int, body []byte, want string) error {
+// checkResponse compares an answer with what it must show.
+func checkResponse(kind Kind, status int, body []byte, want string) error {
 	if status != http.StatusOK {
-		return errors.Join(errWrong, errors.New("status "+strconv.Itoa(status)))
+		return errors.Join(errInvalid, errors.New("status "+strconv.Itoa(status)))
 	}
 	if kind == Download {
 		if digest(body) != want {
-			return errWrong
+			return errInvalid
 		}
 		return nil
 	}
-	var answer struct {
+	var receipt struct {
 		SHA256 string `json:"sha256"`
 	}
-	err := json.NewDecoder(bytes.NewReader(body)).Decode(&answer)
-	if err != nil || answer.SHA256 != want {
-		return errors.Join(errWrong, err)
+	err := json.NewDecoder(bytes.NewReader(body)).Decode(&receipt)
+	if err != nil || receipt.SHA256 != want {
+		return errors.Join(errInvalid, err)
 	}
 	return nil
 }
--- a/internal/sockopt/sockopt.go
+++ b/internal/sockopt/sockopt.go
@@ -1,4 +1,4 @@
-// Package sockopt does what sockets can and the standard library has no names for.
+// Package sockopt provides socket options and checks of connections that package net lacks.
 package sockopt
 
 import (
@@ -10,14 +10,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// LimitUnacked returns a net.Dialer.Control that ends connections whose bytes the other
-// side has not acknowledged for a time: it is cut off, has lost power, or the connection
-// carries nothing any more while new ones work.
-func LimitUnacked(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+// UserTimeout returns a function for net.Dialer.Control that sets TCP_USER_TIMEOUT. The kernel then
+// ends a connection whose sent bytes the peer has not acknowledged for that time. This happens when
+// the peer is partitioned from the network or has lost power, and when packets of this connection
+// are dropped while new connections work.
+func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var setErr error
 		err := raw.Control(func(fd uintptr) {
-			setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
+			setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
@@ -26,9 +27,9 @@
 	}
 }
 
-// Quiet tells whether a connection is open and nothing has arrived on it that was not read.
-// One that is not of TCP counts as quiet.
-func Quiet(conn net.Conn) bool {
+// Idle reports whether a connection is open and has no unread bytes. It consumes none. It returns
+// true for a connection that is not a *net.TCPConn.
+func Idle(conn net.Conn) bool {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return true
@@ -37,20 +38,21 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(fd uintptr) bool {
 		var buf [1]byte
 		_, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		idle = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
 
-// Closed tells whether the other side of a connection has closed or reset it. It reads nothing,
-// and may be called beside a read.
-func Closed(conn net.Conn) bool {
-	return askDescriptor(conn, func(fd int) bool {
+// PeerClosed reports whether the peer has closed or reset a connection. It consumes no bytes, and may
+// be called while another goroutine reads from the connection. It returns true if this side has
+// closed the connection, and false if the connection has no file descriptor.
+func PeerClosed(conn net.Conn) bool {
+	return checkDescriptor(conn, func(fd int) bool {
 		var buf [1]byte
 		n, _, err := unix.Recvfrom(fd, buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if err == nil && n > 0 {
@@ -61,7 +63,7 @@
 }
 
 // HungUp is Closed for a connection on which bytes are known to lie unread.
-func HungUp(conn net.Conn) bool { return askDescriptor(conn, hungUp) }
+func HungUp(conn net.Conn) bool { return checkDescriptor(conn, hungUp) }
 
 func hungUp(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
@@ -69,19 +71,19 @@
 	return err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// askDescriptor returns what ask says of the descriptor of a connection: false if there is none,
-// true if this side has closed it.
-func askDescriptor(conn net.Conn, ask func(fd int) bool) bool {
-	described, ok := conn.(syscall.Conn)
+// checkDescriptor returns the result of check for the file descriptor of a connection. It returns
+// false if the connection has none, and true if this side has closed the connection.
+func checkDescriptor(conn net.Conn, check func(fd int) bool) bool {
+	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := described.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	said := false
-	// Control does not wait for a read that is under way, as Read would.
-	err = raw.Control(func(fd uintptr) { said = ask(int(fd)) })
-	return err != nil || said
+	result := false
+	// Control does not wait for a read in progress, whereas Read would.
+	err = raw.Control(func(fd uintptr) { result = check(int(fd)) })
+	return err != nil || result
 }
--- a/locality/calibrate.go
+++ b/locality/calibrate.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// pointLife is how long a key that is not seen again counts.
-	pointLife = 30 * time.Second
-	// maxPoints bounds the keys that are counted. Of more keys chance gives each
-	// region its part closely enough.
+	// pointTTL is how long a key counts after it was last seen.
+	pointTTL = 30 * time.Second
+	// maxPoints bounds the number of keys that are counted. With more keys, random variation is
+	// small enough without calibration.
 	maxPoints = 1024
 )
 
-// Points are the hashes of the keys that were seen of late, in [0, 1). The zero value
-// is ready.
+// Points holds the hashes of the keys seen recently, as numbers in [0, 1). The zero value is empty
+// and ready to use.
 type Points struct {
-	seen map[float64]time.Time
+	lastSeen map[float64]time.Time
 }
 
-// Note counts a key's point.
-func (p *Points) Note(now time.Time, point float64) {
-	if p.seen == nil {
-		p.seen = make(map[float64]time.Time)
+// Add records that a key with the given hash was seen.
+func (p *Points) Add(now time.Time, point float64) {
+	if p.lastSeen == nil {
+		p.lastSeen = make(map[float64]time.Time)
 	}
-	if _, ok := p.seen[point]; ok || len(p.seen) < maxPoints {
-		p.seen[point] = now
+	if _, ok := p.lastSeen[point]; ok || len(p.lastSeen) < maxPoints {
+		p.lastSeen[point] = now
 	}
 }
 
-// Sorted returns the points in order and forgets those that were not seen for long.
+// Sorted returns the recorded hashes in increasing order. It drops those not seen within pointTTL.
 func (p *Points) Sorted(now time.Time) []float64 {
-	out := make([]float64, 0, len(p.seen))
-	for point, at := range p.seen {
-		if now.Sub(at) >= pointLife {
-			delete(p.seen, point)
+	out := make([]float64, 0, len(p.lastSeen))
+	for point, at := range p.lastSeen {
+		if now.Sub(at) >= pointTTL {
+			delete(p.lastSeen, point)
 			continue
 		}
 		out = append(out, point)
@@ -43,9 +43,10 @@
 	return out
 }
 
-// Calibrate returns shares of the hashes that give each region its part of the keys.
-// Few keys lie unevenly: of 32 keys a region whose share of the hashes is a half gets
-// 16, give or take 3. Draw has to be called with the same region from.
+// Calibrate returns shares of the hash space that give each region its wanted share of the keys
+// with the given hashes. It is needed because a small number of keys is distributed unevenly: of 32
+// keys a region with half of the hash space gets about 16 ± 3. Draw must be called with the same
+// region from.
 func Calibrate(from string, want []Share, points []float64) []Share {
 	if len(points) < minPoints {
 		return want
@@ -61,32 +62,33 @@
 			ordered = append(ordered, s)
 		}
 	}
-	part, begin := 0.0, 0.0
+	cumulative, begin := 0.0, 0.0
 	for i, s := range ordered {
-		part += s.Part
-		end := quantile(points, part)
+		cumulative += s.Fraction
+		end := quantile(points, cumulative)
 		if i == len(ordered)-1 {
 			end = 1
 		}
-		ordered[i].Part = end - begin
+		ordered[i].Fraction = end - begin
 		begin = end
 	}
 	sort.Slice(ordered, func(i, j int) bool { return ordered[i].Region < ordered[j].Region })
 	return ordered
 }
 
-// minPoints is the number of keys below which their distribution says nothing.
+// minPoints is the number of keys below which their distribution is not meaningful. Calibrate then
+// returns want.
 const minPoints = 8
 
-// quantile returns the hash below which a part of the points lies.
-func quantile(points []float64, part float64) float64 {
-	at := part * float64(len(points))
-	below := min(int(at), len(points)-1)
+// quantile returns the hash below which the given fraction of the points lies.
+func quantile(points []float64, fraction float64) float64 {
+	rank := fraction * float64(len(points))
+	below := min(int(rank), len(points)-1)
 	low, high := boundary(points, below), boundary(points, below+1)
-	return low + (at-float64(below))*(high-low)
+	return low + (rank-float64(below))*(high-low)
 }
 
-// boundary returns a hash that n of the points lie below.
+// boundary returns a hash that has n of the points below it.
 func boundary(points []float64, n int) float64 {
 	switch {
 	case n <= 0:
--- a/locality/locality_test.go
+++ b/locality/locality_test.go
@@ -26,14 +26,13 @@
 func sum(shares []locality.Share) float64 {
 	total := 0.0
 	for _, s := range shares {
-		total += s.Part
+		total += s.Fraction
 	}
 	return total
 }
 
-// TestSharesFollowSlots checks that shares add up, that no region without slots
-// gets any, and that no region gets more than its slots carry of an equal demand
-// at all.
+// TestSharesFollowSlots checks that shares add up to 1, that regions without slots get no share,
+// and that no region gets more requests than its slots can run if demand is equal in all regions.
 func TestSharesFollowSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := drawSlots(t)
@@ -41,7 +40,7 @@
 		for _, n := range slots {
 			total += n
 		}
-		carried := make(map[string]float64)
+		load := make(map[string]float64)
 		for _, from := range regions {
 			shares := locality.FromSlots(from, slots, len(regions))
 			if total == 0 {
@@ -51,17 +50,17 @@
 			require.InDelta(t, 1, sum(shares), 1e-9)
 			for _, s := range shares {
 				require.Positive(t, slots[s.Region])
-				carried[s.Region] += s.Part * total / float64(len(regions))
+				load[s.Region] += s.Fraction * total / float64(len(regions))
 			}
 		}
-		for region, n := range carried {
+		for region, n := range load {
 			require.LessOrEqual(t, n, slots[region]+1e-9, region)
 		}
 	})
 }
 
-// TestSharesAreContinuous checks that a small change of slots makes a small change of
-// shares: a step in what is wanted moves many objects, which are then cold.
+// TestSharesAreContinuous checks that a small change of slots results in a small change of shares.
+// A sudden change would move many objects, which are then not cached at their new targets.
 func TestSharesAreContinuous(t *testing.T) {
 	for n := 10.0; n < 40; n += 0.1 {
 		before := locality.FromSlots("a", map[string]float64{"a": n, "b": 30, "c": 30}, 3)
@@ -70,7 +69,7 @@
 	}
 }
 
-func TestRowsGoFirst(t *testing.T) {
+func TestSharesFromRows(t *testing.T) {
 	rows := []table.Row{
 		{Service: "s", From: "a", To: "a", Weight: 60},
 		{Service: "s", From: "a", To: "b", Weight: 40},
@@ -78,12 +77,12 @@
 		{Service: "s", From: "b", To: "b", Weight: 100},
 	}
 	got := locality.FromRows("s", "a", rows, map[string]float64{"a": 3, "b": 3})
-	require.Equal(t, []locality.Share{{Region: "a", Part: 0.6}, {Region: "b", Part: 0.4}}, got)
+	require.Equal(t, []locality.Share{{Region: "a", Fraction: 0.6}, {Region: "b", Fraction: 0.4}}, got)
 	require.Empty(t, locality.FromRows("s", "c", rows, map[string]float64{"a": 3}))
 }
 
 func TestDrawFollowsParts(t *testing.T) {
-	shares := []locality.Share{{Region: "a", Part: 0.25}, {Region: "b", Part: 0.25}, {Region: "c", Part: 0.5}}
+	shares := []locality.Share{{Region: "a", Fraction: 0.25}, {Region: "b", Fraction: 0.25}, {Region: "c", Fraction: 0.5}}
 	counts := map[string]int{}
 	for i := range 1000 {
 		counts[locality.Draw("b", shares, (float64(i)+0.5)/1000)]++
@@ -92,7 +91,7 @@
 	require.Equal(t, "", locality.Draw("b", nil, 0.5))
 }
 
-// moved is the part of the points whose region differs.
+// moved returns the fraction of the hash space whose region differs.
 func moved(before, after []locality.Share) float64 {
 	const points = 400
 	n := 0
@@ -105,13 +104,12 @@
 	return float64(n) / points
 }
 
-// TestMoverIsBounded checks that the shares in force change by no more than the
-// bound in any window, however what is wanted changes, as long as each region
-// keeps some slots, and that they arrive. A region may well be wanted for
-// nothing while it has slots.
-func TestMoverIsBounded(t *testing.T) {
+// TestRampIsBounded checks that shares change by no more than the bound in any window, whatever the
+// wanted shares, as long as each region keeps some slots, and that they reach the wanted shares. A
+// region with slots may have a wanted share of 0.
+func TestRampIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &locality.Mover{Step: 0.05, Window: 2 * time.Second}
+		m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 		slots := map[string]float64{}
 		change := func() {
 			for _, r := range regions {
@@ -121,7 +119,7 @@
 		now := time.Unix(0, 0)
 		change()
 		follow := func() []locality.Share {
-			got := m.Follow(now, locality.FromSlots("a", slots, len(regions)), slots)
+			got := m.Advance(now, locality.FromSlots("a", slots, len(regions)), slots)
 			return append([]locality.Share(nil), got...)
 		}
 		history := [][]locality.Share{follow()}
@@ -133,7 +131,7 @@
 			}
 			history = append(history, follow())
 			if back := len(history) - 21; back >= 0 {
-				// A part that moves shifts the boundaries of the others too.
+				// A share that changes also shifts the boundaries of other shares.
 				require.LessOrEqual(t, moved(history[back], history[len(history)-1]), 0.15)
 			}
 		}
@@ -145,25 +143,25 @@
 	})
 }
 
-// TestRestEarnsNoStep checks that a long time without a change does not make the
-// first step larger.
-func TestRestEarnsNoStep(t *testing.T) {
-	m := &locality.Mover{Step: 0.05, Window: 2 * time.Second}
+// TestIdleTimeDoesNotEnlargeStep checks that a long time without a change does not make the first
+// step larger.
+func TestIdleTimeDoesNotEnlargeStep(t *testing.T) {
+	m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
 	slots := map[string]float64{"a": 1, "b": 1}
-	before := []locality.Share{{Region: "a", Part: 1}}
+	before := []locality.Share{{Region: "a", Fraction: 1}}
 	now := time.Unix(0, 0)
-	m.Follow(now, before, slots)
-	want := []locality.Share{{Region: "a", Part: 0.5}, {Region: "b", Part: 0.5}}
+	m.Advance(now, before, slots)
+	want := []locality.Share{{Region: "a", Fraction: 0.5}, {Region: "b", Fraction: 0.5}}
 	now = now.Add(time.Minute)
-	got := append([]locality.Share(nil), m.Follow(now, want, slots)...)
+	got := append([]locality.Share(nil), m.Advance(now, want, slots)...)
 	require.Zero(t, moved(before, got))
-	got = m.Follow(now.Add(2*time.Second), want, slots)
+	got = m.Advance(now.Add(2*time.Second), want, slots)
 	require.InDelta(t, 0.05, moved(before, got), 0.005)
 }
 
-func TestMoverLeavesEmptyRegionsAtOnce(t *testing.T) {
-	m := &locality.Mover{Step: 0.05, Window: 2 * time.Second}
-	m.Follow(time.Unix(0, 0), []locality.Share{{Region: "a", Part: 0.5}, {Region: "b", Part: 0.5}}, map[string]float64{"a": 1, "b": 1})
-	got := m.Follow(time.Unix(1, 0), []locality.Share{{Region: "a", Part: 1}}, map[string]float64{"a": 1})
-	require.Equal(t, []locality.Share{{Region: "a", Part: 1}}, got)
+func TestRampLeavesEmptyRegionsAtOnce(t *testing.T) {
+	m := &locality.Ramp{Step: 0.05, Window: 2 * time.Second}
+	m.Advance(time.Unix(0, 0), []locality.Share{{Region: "a", Fraction: 0.5}, {Region: "b", Fraction: 0.5}}, map[string]float64{"a": 1, "b": 1})
+	got := m.Advance(time.Unix(1, 0), []locality.Share{{Region: "a", Fraction: 1}}, map[string]float64{"a": 1})
+	require.Equal(t, []locality.Share{{Region: "a", Fraction: 1}}, got)
 }
--- a/lookup/block.go
+++ b/lookup/block.go
@@ -14,68 +14,69 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Block is a range of client addresses with the hall they are close to.
+// Block is a range of client addresses with the hall that is close to them.
 type Block struct {
 	Prefix netip.Prefix `json:"p"`
 	Hall   string       `json:"h"`
 }
 
-// BlockShards is the number of objects that the table of blocks is split into,
-// so that a change of one block moves a small part of it.
-const BlockShards = 256
+// BlockShardCount is the number of stored objects that the table of blocks is divided into. A
+// change of a block transfers only the object that contains it.
+const BlockShardCount = 256
 
-// BlockPrefix is the prefix of the shards' object keys.
-const BlockPrefix = "blocks/"
+// BlockKeyPrefix is the prefix of the shards' object keys.
+const BlockKeyPrefix = "blocks/"
 
-// BlockShard is one object of the table of blocks.
+// BlockShard is a stored object that holds a part of the table of blocks.
 type BlockShard struct {
 	Blocks []Block `json:"blocks"`
 }
 
-// ShardOf returns the object key of the shard that holds a prefix.
-func ShardOf(p netip.Prefix) string {
+// ShardKey returns the object key of the shard that contains the block with the given prefix.
+func ShardKey(p netip.Prefix) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(p.Masked().String()))
-	return fmt.Sprintf("%s%03d", BlockPrefix, h.Sum32()%BlockShards)
+	return fmt.Sprintf("%s%03d", BlockKeyPrefix, h.Sum32()%BlockShardCount)
 }
 
-// Blocks is the table of blocks. The zero value is empty.
-type Blocks struct {
+// BlockTable is the table of address blocks. It maps addresses to halls by the longest matching
+// prefix. The zero value is empty.
+type BlockTable struct {
 	tree bart.Table[string]
 }
 
-// NewBlocks returns the table of the given blocks.
-func NewBlocks(blocks []Block) *Blocks {
-	b := &Blocks{}
+// NewBlockTable returns a table of the given blocks.
+func NewBlockTable(blocks []Block) *BlockTable {
+	b := &BlockTable{}
 	for _, block := range blocks {
 		b.tree.Insert(block.Prefix, block.Hall)
 	}
 	return b
 }
 
-// Replace returns a table in which the blocks of old are replaced by those of
-// now. The receiver is unchanged, and what both have in common is shared.
-func (b *Blocks) Replace(old, now []Block) *Blocks {
-	next := &Blocks{tree: *b.tree.Clone()}
-	for _, block := range old {
+// Replace returns a table in which newBlocks replace oldBlocks. It does not change the receiver. The
+// two tables share the memory of what they have in common.
+func (b *BlockTable) Replace(oldBlocks, newBlocks []Block) *BlockTable {
+	next := &BlockTable{tree: *b.tree.Clone()}
+	for _, block := range oldBlocks {
 		next.tree.Delete(block.Prefix)
 	}
-	for _, block := range now {
+	for _, block := range newBlocks {
 		next.tree.Insert(block.Prefix, block.Hall)
 	}
 	return next
 }
 
-// Len returns the number of blocks.
-func (b *Blocks) Len() int { return b.tree.Size() }
+// Len returns the number of blocks in the table.
+func (b *BlockTable) Len() int { return b.tree.Size() }
 
-// Hall returns the hall of the longest prefix that holds addr.
-func (b *Blocks) Hall(addr netip.Addr) (string, bool) {
+// Hall returns the hall of the longest prefix that contains addr, and whether there is one.
+func (b *BlockTable) Hall(addr netip.Addr) (string, bool) {
 	return b.tree.Lookup(addr.Unmap())
 }
 
-// ReadBlocks reads blocks from CSV with the header "block,hall". All faults
-// are returned together as table.Findings.
+// ReadBlocks reads blocks from CSV with the header "block,hall". It returns all faults together as
+// table.Findings, up to the first error of the CSV syntax.
 func ReadBlocks(r io.Reader) ([]Block, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = -1
@@ -94,23 +95,23 @@
 			break
 		}
 		line, column := reader.FieldPos(0)
-		at := table.Finding{Line: line, Column: column}
+		finding := table.Finding{Line: line, Column: column}
 		if first {
 			if strings.Join(record, ",") != "block,hall" {
-				at.Message = "want the header block,hall"
-				findings = append(findings, at)
+				finding.Message = "want the header block,hall"
+				findings = append(findings, finding)
 			}
 			continue
 		}
 		block, err := parseBlock(record)
 		if err != nil {
-			at.Message = err.Error()
-			findings = append(findings, at)
+			finding.Message = err.Error()
+			findings = append(findings, finding)
 			continue
 		}
-		if other, twice := seen[block.Prefix]; twice {
-			at.Message = fmt.Sprintf("%s stands already on line %d", block.Prefix, other)
-			findings = append(findings, at)
+		if firstLine, duplicate := seen[block.Prefix]; duplicate {
+			finding.Message = fmt.Sprintf("%s is already on line %d", block.Prefix, firstLine)
+			findings = append(findings, finding)
 			continue
 		}
 		seen[block.Prefix] = line
@@ -119,6 +120,7 @@
 	return blocks, findings.Err()
 }
 
+// parseBlock returns the block of a CSV record. It masks the host bits of the prefix.
 func parseBlock(record []string) (Block, error) {
 	if len(record) != 2 {
 		return Block{}, fmt.Errorf("%d cells, want 2", len(record))
--- a/lookup/directory.go
+++ b/lookup/directory.go
@@ -11,64 +11,68 @@
 	"github.com/rainford/rainford/member"
 )
 
-// Entry is one instance of an answer.
-type Entry struct {
+// Instance is an instance in a Response.
+type Instance struct {
 	ID     string `json:"id"`
 	Addr   string `json:"addr"`
 	Hall   string `json:"hall"`
 	Region string `json:"region"`
 }
 
-// Answer is the answer to a look-up.
-type Answer struct {
-	// TTLMillis is how long the caller may keep the answer.
-	TTLMillis int64   `json:"ttl_ms"`
-	Home      string  `json:"home"`
-	Instances []Entry `json:"instances"`
+// Response is the response to a look-up.
+type Response struct {
+	// TTLMillis is the time, in milliseconds, for which the client may use the response.
+	TTLMillis int64 `json:"ttl_ms"`
+	// HomeHall is the home hall of the client.
+	HomeHall string `json:"home"`
+	// Instances are the instances in the order in which the client should prefer them.
+	Instances []Instance `json:"instances"`
 }
 
-// maxEntries bounds an answer: a caller needs a few to fail over to.
-const maxEntries = 16
+// maxInstances is the maximum number of instances in a response. A client needs only a few to fail
+// over to.
+const maxInstances = 16
 
-// Directory answers look-ups. It is immutable and safe for concurrent use.
+// Directory returns the responses to look-ups. It is immutable and safe for concurrent use.
 type Directory struct {
-	blocks  *Blocks
-	answers map[string][][]byte
-	// fallback is the hall of callers that no block holds.
-	fallback string
+	blocks    *BlockTable
+	responses map[string][][]byte
+	// defaultHall is the home hall of clients whose address is in no block.
+	defaultHall string
 }
 
-// NewDirectory prepares the answers for the instances in view. Halls maps each
-// hall to its region. Own is the hall that callers of no block are taken to be
-// in, and must be among halls.
-func NewDirectory(blocks *Blocks, instances []member.Status, halls map[string]string, own string, ttl time.Duration) (*Directory, error) {
-	if _, ok := halls[own]; !ok {
-		panic("lookup: own hall is not among the halls")
+// NewDirectory returns a directory of the given instances, whose responses are valid for ttl. Halls
+// maps each hall to its region. Clients whose address is in no block, or in a block of a hall that is
+// not in halls, have defaultHall as their home hall. NewDirectory panics if defaultHall is not in
+// halls.
+func NewDirectory(blocks *BlockTable, instances []member.Status, halls map[string]string, defaultHall string, ttl time.Duration) (*Directory, error) {
+	if _, ok := halls[defaultHall]; !ok {
+		panic("lookup: the default hall is not among the halls")
 	}
-	d := &Directory{blocks: blocks, answers: make(map[string][][]byte), fallback: own}
+	d := &Directory{blocks: blocks, responses: make(map[string][][]byte), defaultHall: defaultHall}
 	for hall, region := range halls {
-		variants, err := prepare(instances, hall, region, ttl)
+		variants, err := encodeResponses(instances, hall, region, ttl)
 		if err != nil {
 			return nil, err
 		}
-		d.answers[hall] = variants
+		d.responses[hall] = variants
 	}
 	return d, nil
 }
 
-// Find returns the encoded Answer for a caller at addr. The result must not be
-// changed.
+// Find returns the encoded Response for a client at addr. The caller must not change it.
 func (d *Directory) Find(addr netip.Addr) []byte {
 	hall, ok := d.blocks.Hall(addr)
-	variants := d.answers[hall]
+	variants := d.responses[hall]
 	if !ok || len(variants) == 0 {
-		variants = d.answers[d.fallback]
+		variants = d.responses[d.defaultHall]
 	}
-	return variants[int(turn(addr)%uint32(len(variants)))]
+	return variants[int(addressHash(addr)%uint32(len(variants)))]
 }
 
-// turn returns a number that spreads callers over the instances of a hall.
-func turn(addr netip.Addr) uint32 {
+// addressHash returns a hash of an address (FNV-1a without the low 8 bits) that spreads the clients
+// of a hall over its instances.
+func addressHash(addr netip.Addr) uint32 {
 	raw := addr.Unmap().As16()
 	h := uint32(2166136261)
 	for _, b := range raw {
@@ -78,16 +82,16 @@
 	return h >> 8
 }
 
-// prepare returns one encoded answer for each turn of the home hall's
+// encodeResponses returns the encoded responses for a home hall, one for each rotation of the hall's
 // instances.
-func prepare(instances []member.Status, hall, region string, ttl time.Duration) ([][]byte, error) {
-	groups := group(instances, hall, region)
-	turns := max(len(groups[0]), 1)
-	out := make([][]byte, turns)
-	for i := range turns {
-		a := Answer{TTLMillis: ttl.Milliseconds(), Home: hall}
+func encodeResponses(instances []member.Status, hall, region string, ttl time.Duration) ([][]byte, error) {
+	groups := groupByDistance(instances, hall, region)
+	rotations := max(len(groups[0]), 1)
+	out := make([][]byte, rotations)
+	for i := range rotations {
+		a := Response{TTLMillis: ttl.Milliseconds(), HomeHall: hall}
 		for _, g := range groups {
-			a.Instances = appendTurned(a.Instances, g, i)
+			a.Instances = appendRotated(a.Instances, g, i)
 		}
 		raw, err := json.Marshal(a)
 		if err != nil {
@@ -98,11 +102,13 @@
 	return out, nil
 }
 
-// group returns the instances that are listed, by distance.
-func group(instances []member.Status, hall, region string) [4][]Entry {
-	var out [4][]Entry
+// groupByDistance returns the instances that a response lists, in the order of the groups: the home
+// hall, the rest of its region, other regions, and the suspected instances and those not ready. It
+// leaves out leaving instances.
+func groupByDistance(instances []member.Status, hall, region string) [4][]Instance {
+	var out [4][]Instance
 	for _, in := range instances {
-		e := Entry{ID: in.ID, Addr: in.CallerAddr, Hall: in.Hall, Region: in.Region}
+		e := Instance{ID: in.ID, Addr: in.CallerAddr, Hall: in.Hall, Region: in.Region}
 		switch {
 		case in.State == member.Leaving:
 		case in.State == member.Suspect || !in.Ready:
@@ -115,34 +121,34 @@
 			out[2] = append(out[2], e)
 		}
 	}
-	// The order of the others differs from hall to hall, so that callers of
-	// many halls do not fail over to the same instance.
+	// The order within a group depends on the home hall, so that the clients
+	// of different halls do not all fail over to the same instance.
 	for i := range out {
-		sortMixed(out[i], hall)
+		sortByHash(out[i], hall)
 	}
 	return out
 }
 
-// sortMixed sorts entries in an order of the hall's own.
-func sortMixed(entries []Entry, hall string) {
-	order := make(map[string]uint32, len(entries))
-	for _, e := range entries {
+// sortByHash sorts instances by a hash of the hall and the instance ID.
+func sortByHash(instances []Instance, hall string) {
+	hashes := make(map[string]uint32, len(instances))
+	for _, e := range instances {
 		h := fnv.New32a()
 		_, _ = h.Write([]byte(hall))
 		_, _ = h.Write([]byte(e.ID))
-		order[e.ID] = h.Sum32()
+		hashes[e.ID] = h.Sum32()
 	}
-	sort.Slice(entries, func(a, b int) bool { return order[entries[a].ID] < order[entries[b].ID] })
+	sort.Slice(instances, func(a, b int) bool { return hashes[instances[a].ID] < hashes[instances[b].ID] })
 }
 
-// appendTurned appends entries from number by on, then those before it, as far
-// as there is room in an answer.
-func appendTurned(out, entries []Entry, by int) []Entry {
-	for i := range entries {
-		if len(out) == maxEntries {
+// appendRotated appends instances to out, beginning with the one at offset modulo their number and
+// wrapping around at the end. It stops when out has maxInstances instances.
+func appendRotated(out, instances []Instance, offset int) []Instance {
+	for i := range instances {
+		if len(out) == maxInstances {
 			break
 		}
-		out = append(out, entries[(by+i)%len(entries)])
+		out = append(out, instances[(offset+i)%len(instances)])
 	}
 	return out
 }
--- a/member/view.go
+++ b/member/view.go
@@ -6,59 +6,58 @@
 	"time"
 )
 
-// Settings are the lengths of time that a view uses.
+// Settings are the time limits of a view.
 type Settings struct {
-	// SuspectAfter is the silence after which an instance is suspected.
+	// SuspectAfter is the time since an instance was last known to be alive after which it is
+	// suspected.
 	SuspectAfter time.Duration
-	// ForgetAfter is the silence after which an instance that is not listed
-	// is forgotten.
+	// ForgetAfter is the time since an instance was last known to be alive after which it is
+	// removed if it is not listed.
 	ForgetAfter time.Duration
 }
 
-// DefaultSettings are the settings of a daemon with a heartbeat of 500 ms.
+// DefaultSettings suit a heartbeat interval of 500 ms.
 var DefaultSettings = Settings{
 	SuspectAfter: 2 * time.Second,
 	ForgetAfter:  30 * time.Second,
 }
 
-// View is one instance's view of the others. It is not safe for concurrent
-// use.
+// View is one instance's view of the others. It is not safe for concurrent use.
 type View struct {
 	self     Instance
 	settings Settings
-	known    map[string]*record
+	records  map[string]*record
 }
 
 type record struct {
 	status Status
 	listed bool
-	// unreachable is set when a connection to the instance has failed since
-	// it was last heard.
+	// unreachable is set if a connection to the instance has failed since its last heartbeat.
 	unreachable bool
-	// reportedAt is when the instance or one of its hall was last heard to
-	// be alive.
-	reportedAt time.Time
+	// lastAlive is as Status.LastAlive.
+	lastAlive time.Time
 }
 
-// NewView returns the view of the instance self.
+// NewView returns an empty view of the instance self.
 func NewView(self Instance, settings Settings) *View {
-	return &View{self: self, settings: settings, known: make(map[string]*record)}
+	return &View{self: self, settings: settings, records: make(map[string]*record)}
 }
 
-// SetList takes in the platform's list. An instance that is new on it counts as
-// alive and ready until it has had time to be heard.
+// SetList updates the view from the platform's list. An instance that is new on the list counts as
+// live for SuspectAfter, the time in which its first heartbeat should arrive, and as ready until a
+// heartbeat states otherwise.
 func (v *View) SetList(now time.Time, list []Instance) {
-	for _, r := range v.known {
+	for _, r := range v.records {
 		r.listed = false
 	}
 	for _, in := range list {
 		if in.ID == v.self.ID {
 			continue
 		}
-		r := v.known[in.ID]
+		r := v.records[in.ID]
 		if r == nil {
 			r = v.record(in)
-			r.reportedAt = now
+			r.lastAlive = now
 			r.status.Ready = true
 		}
 		r.listed = true
@@ -66,8 +65,8 @@
 	}
 }
 
-// Hear takes in a heartbeat.
-func (v *View) Hear(now time.Time, hb Heartbeat) {
+// HandleHeartbeat records a heartbeat that arrived at time now.
+func (v *View) HandleHeartbeat(now time.Time, hb Heartbeat) {
 	if hb.From.ID == v.self.ID {
 		return
 	}
@@ -79,62 +78,64 @@
 	r.status.Ready = hb.Ready
 	r.status.Config = max(r.status.Config, hb.Config)
 	r.status.Loads = hb.Loads
-	r.reportedAt = now
+	r.lastAlive = now
 	r.unreachable = false
 	for _, id := range hb.Heard {
-		if other := v.known[id]; other != nil {
-			other.reportedAt = now
+		if other := v.records[id]; other != nil {
+			other.lastAlive = now
 		}
 	}
 }
 
-// Unreachable takes in that no connection to a peer address could be had. The
-// instance there is suspected until it is heard again.
-func (v *View) Unreachable(addr string) {
-	for _, r := range v.known {
+// MarkUnreachable records that a connection to a peer address has failed. The instance with this
+// address is suspected until its next heartbeat.
+func (v *View) MarkUnreachable(addr string) {
+	for _, r := range v.records {
 		if r.status.PeerAddr == addr {
 			r.unreachable = true
 		}
 	}
 }
 
+// record returns the record of an instance, which it creates if needed.
 func (v *View) record(in Instance) *record {
-	r := v.known[in.ID]
+	r := v.records[in.ID]
 	if r == nil {
 		r = &record{status: Status{Instance: in}}
-		v.known[in.ID] = r
+		v.records[in.ID] = r
 	}
 	return r
 }
 
-// Forget drops the instances that are neither listed nor heard.
+// Forget removes the instances that are not listed and have not been known to be alive for
+// ForgetAfter.
 func (v *View) Forget(now time.Time) {
-	for id, r := range v.known {
-		if !r.listed && now.Sub(r.reportedAt) > v.settings.ForgetAfter {
-			delete(v.known, id)
+	for id, r := range v.records {
+		if !r.listed && now.Sub(r.lastAlive) > v.settings.ForgetAfter {
+			delete(v.records, id)
 		}
 	}
 }
 
-// Get returns what is known of an instance.
+// Get returns the status of an instance, or false if it is not in the view.
 func (v *View) Get(now time.Time, id string) (Status, bool) {
-	r := v.known[id]
+	r := v.records[id]
 	if r == nil {
 		return Status{}, false
 	}
 	s := r.status
 	s.State = v.state(now, r)
-	s.SilentSince = r.reportedAt
+	s.LastAlive = r.lastAlive
 	return s, true
 }
 
-// All returns every instance known, with its state, in the order of IDs.
+// All returns the status of every instance in the view, sorted by ID.
 func (v *View) All(now time.Time) []Status {
-	out := make([]Status, 0, len(v.known))
-	for _, r := range v.known {
+	out := make([]Status, 0, len(v.records))
+	for _, r := range v.records {
 		s := r.status
 		s.State = v.state(now, r)
-		s.SilentSince = r.reportedAt
+		s.LastAlive = r.lastAlive
 		out = append(out, s)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
@@ -147,18 +148,18 @@
 		return Leaving
 	case r.unreachable:
 		return Suspect
-	case !r.reportedAt.IsZero() && now.Sub(r.reportedAt) <= v.settings.SuspectAfter:
+	case !r.lastAlive.IsZero() && now.Sub(r.lastAlive) <= v.settings.SuspectAfter:
 		return Live
 	default:
 		return Suspect
 	}
 }
 
-// HeardInHall returns the IDs of the instances of the own hall that were heard
-// directly and of late.
+// HeardInHall returns the sorted IDs of the reachable instances of the own hall whose own
+// heartbeats have arrived within SuspectAfter.
 func (v *View) HeardInHall(now time.Time) []string {
 	var out []string
-	for id, r := range v.known {
+	for id, r := range v.records {
 		fresh := !r.status.HeardAt.IsZero() && now.Sub(r.status.HeardAt) <= v.settings.SuspectAfter
 		if r.status.Hall == v.self.Hall && fresh && !r.unreachable {
 			out = append(out, id)
@@ -168,9 +169,9 @@
 	return out
 }
 
-// Recipients returns the instances that get the heartbeat of a round: all of
-// the own hall, and one of each other hall in turn, suspected or not. Instances
-// of one hall start their turns at different places.
+// Recipients returns the instances to which the heartbeat of a round is sent: all of the own hall,
+// and one of each other hall in turn, whatever their state. The instances of a hall start these
+// turns at different places.
 func (v *View) Recipients(now time.Time, round uint64) []Instance {
 	var out []Instance
 	halls := make(map[string][]Instance)
@@ -185,7 +186,7 @@
 		}
 		halls[s.Hall] = append(halls[s.Hall], s.Instance)
 	}
-	start := uint64(hashOf(v.self.ID))
+	start := uint64(hashID(v.self.ID))
 	for _, name := range names {
 		list := halls[name]
 		out = append(out, list[(round+start)%uint64(len(list))])
@@ -193,7 +194,7 @@
 	return out
 }
 
-func hashOf(id string) uint32 {
+func hashID(id string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return h.Sum32()
