--- a/node/fleet.go
+++ b/node/fleet.go
@@ -14,27 +14,27 @@
 	"github.com/rainford/rainford/table"
 )
 
-// drainGrace is how long a drained region may still get requests that no other
-// region takes.
-const drainGrace = 3 * time.Second
+// drainGracePeriod is the time after the drain of a region during which it still accepts
+// requests that no other region accepts.
+const drainGracePeriod = 3 * time.Second
 
-// fleet is what requests need to know of the other instances. It is made anew
-// when something has changed, and then only read.
-type fleet struct {
+// fleetSnapshot is the state of the other instances that requests need. It is rebuilt after
+// changes and is immutable.
+type fleetSnapshot struct {
 	hops map[destination][]entry.Hop
-	// open tells whether the own hall takes new work.
-	open bool
+	// hallOpen reports whether the own hall accepts new requests.
+	hallOpen bool
 }
 
-// rebuild makes the fleet and the directory anew.
-func (n *Node) rebuild(now time.Time) {
-	n.fleetOld = false
+// rebuildFleet rebuilds the fleet snapshot and the look-up directory.
+func (n *Node) rebuildFleet(now time.Time) {
+	n.fleetStale = false
 	all := n.view.All(now)
 	plan := n.plan.Load()
-	f := &fleet{hops: make(map[destination][]entry.Hop), open: plan != nil && n.hallOpen(plan, n.self.Hall, now)}
+	f := &fleetSnapshot{hops: make(map[destination][]entry.Hop), hallOpen: plan != nil && n.hallOpen(plan, n.self.Hall, now)}
 	alive := map[string]string{n.self.ID: n.self.PeerAddr}
 	for _, s := range all {
-		// One of the own hall that leaves still has slots for a while.
+		// A leaving instance of the own hall keeps slots for a while.
 		leaving := s.State == member.Leaving && s.Hall == n.self.Hall && now.Sub(s.HeardAt) < n.config.Members.SuspectAfter
 		if s.State != member.Live && !leaving {
 			continue
@@ -51,7 +51,7 @@
 			}
 			d := destination{l.Service, s.Region}
 			f.hops[d] = append(f.hops[d], entry.Hop{
-				Peer: route.Peer{ID: s.ID, Free: l.Free},
+				Peer: route.Peer{ID: s.ID, FreeSlots: l.Free},
 				Addr: s.HopAddr,
 				Hall: s.Hall,
 			})
@@ -59,51 +59,52 @@
 	}
 	n.fleet.Store(f)
 	n.claims.setInstances(alive)
-	n.setDirectory(all, plan)
+	n.updateDirectory(all, plan)
 }
 
-// hallOpen tells whether a hall takes new work: it is not drained, and its
-// region is not or has been for less than drainGrace.
+// hallOpen reports whether a hall accepts new requests. It does so if the hall is not drained
+// and its region is not drained, or has been drained for less than drainGracePeriod.
 func (n *Node) hallOpen(plan *table.Plan, hall string, now time.Time) bool {
 	region := plan.RegionOf(hall)
 	if plan.HallDrained(hall) {
 		return false
 	}
-	return !plan.RegionDrained(region) || now.Sub(n.drainedAt[region]) < drainGrace
+	return !plan.RegionDrained(region) || now.Sub(n.drainedAt[region]) < drainGracePeriod
 }
 
-// listing is what the answers to look-ups are made of.
-type listing struct {
+// directoryInput holds everything that determines the responses to look-ups.
+type directoryInput struct {
 	plan    *table.Plan
-	blocks  *lookup.Blocks
-	entries []listed
+	blocks  *lookup.BlockTable
+	entries []directoryEntry
 }
 
-// listed is one instance of a listing.
-type listed struct {
+// directoryEntry is the state of one instance in a directoryInput.
+type directoryEntry struct {
 	id    string
 	state member.State
 	ready bool
 }
 
-// same tells whether two listings give the same answers.
-func (l *listing) same(other *listing) bool {
+// equal reports whether two inputs result in the same responses.
+func (l *directoryInput) equal(other *directoryInput) bool {
 	return other != nil && l.plan == other.plan && l.blocks == other.blocks && slices.Equal(l.entries, other.entries)
 }
 
-// setDirectory prepares the answers to look-ups anew if they have changed:
-// heartbeats come often, changes of who is listed do not.
-func (n *Node) setDirectory(all []member.Status, plan *table.Plan) {
+// updateDirectory rebuilds the look-up directory if its input has changed. The comparison
+// avoids rebuilds, because heartbeats are frequent and changes of the listed instances are
+// rare.
+func (n *Node) updateDirectory(all []member.Status, plan *table.Plan) {
 	own := member.Status{Instance: n.self, State: member.Live, Ready: n.ready()}
 	if n.leaving {
 		own.State = member.Leaving
 	}
 	all = append(all, own)
-	now := &listing{plan: plan, blocks: n.blocks, entries: make([]listed, len(all))}
+	input := &directoryInput{plan: plan, blocks: n.blocks, entries: make([]directoryEntry, len(all))}
 	for i, s := range all {
-		now.entries[i] = listed{s.ID, s.State, s.Ready}
+		input.entries[i] = directoryEntry{s.ID, s.State, s.Ready}
 	}
-	if now.same(n.listing) {
+	if input.equal(n.directoryInput) {
 		return
 	}
 	halls := map[string]string{n.self.Hall: n.self.Region}
@@ -116,14 +117,14 @@
 	}
 	dir, err := lookup.NewDirectory(n.blocks, all, halls, n.self.Hall, n.config.LookupTTL)
 	if err != nil {
-		n.log.Error("directory", "error", err.Error())
+		n.log.Error("building the look-up directory failed", "error", err.Error())
 		return
 	}
-	n.listing = now
+	n.directoryInput = input
 	n.directory.Store(dir)
 }
 
-// ready tells whether the instance can serve requests.
+// ready reports whether the instance can serve requests.
 func (n *Node) ready() bool {
 	return n.plan.Load() != nil && n.targetsOK.Load()
 }
@@ -132,7 +133,7 @@
 func (n *Node) Plan() *table.Plan { return n.plan.Load() }
 
 // HallOpen implements entry.Fleet.
-func (n *Node) HallOpen() bool { return n.fleet.Load().open }
+func (n *Node) HallOpen() bool { return n.fleet.Load().hallOpen }
 
 // Candidates implements entry.Fleet.
 func (n *Node) Candidates(service string) []route.Candidate {
@@ -141,31 +142,31 @@
 	now := time.Now()
 	out := make([]route.Candidate, 0, len(rows))
 	for _, row := range rows {
-		out = append(out, route.Candidate{Row: row, State: n.stateOf(plan, row, now)})
+		out = append(out, route.Candidate{Row: row, State: n.rowState(plan, row, now)})
 	}
 	return out
 }
 
-func (n *Node) stateOf(plan *table.Plan, row table.Row, now time.Time) route.State {
+func (n *Node) rowState(plan *table.Plan, row table.Row, now time.Time) route.State {
 	if plan.RegionDrained(row.To) {
 		n.mu.Lock()
 		since := n.drainedAt[row.To]
 		n.mu.Unlock()
-		if now.Sub(since) < drainGrace {
+		if now.Sub(since) < drainGracePeriod {
 			return route.Draining
 		}
-		return route.Closed
+		return route.Unavailable
 	}
 	if row.To == n.self.Region && n.HallOpen() {
-		return route.Open
+		return route.Available
 	}
 	hops := n.fleet.Load().hops[destination{row.Service, row.To}]
 	if len(hops) == 0 {
-		return route.Closed
+		return route.Unavailable
 	}
 	for _, h := range hops {
-		if h.Free > 0 {
-			return route.Open
+		if h.FreeSlots > 0 {
+			return route.Available
 		}
 	}
 	return route.Full
@@ -179,89 +180,90 @@
 	defer n.mu.Unlock()
 	hops = make([]entry.Hop, 0, len(all))
 	for _, h := range all {
-		o := offer{h.ID, service}
+		key := instanceService{h.ID, service}
 		if avoid[h.ID] {
 			continue
 		}
-		if now.Before(n.declined[o]) {
+		if now.Before(n.declinedUntil[key]) {
 			busy = true
 			continue
 		}
-		h.Pending = n.sent[o]
+		h.SentSinceReport = n.sentSinceHeartbeat[key]
 		hops = append(hops, h)
 	}
 	return hops, busy
 }
 
-// Sent implements entry.Fleet.
-func (n *Node) Sent(instance, service string) {
+// RecordSent implements entry.Fleet.
+func (n *Node) RecordSent(instance, service string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sent[offer{instance, service}]++
+	n.sentSinceHeartbeat[instanceService{instance, service}]++
 }
 
-// Bounds on how long an instance that declined is left alone.
+// Bounds on the time for which an instance that refused a request gets no more requests.
 const (
-	minDeclined = 20 * time.Millisecond
-	maxDeclined = time.Second
+	minDeclineBackoff = 20 * time.Millisecond
+	maxDeclineBackoff = time.Second
 )
 
-// Declined implements entry.Fleet.
-func (n *Node) Declined(instance, service string, wait time.Duration) {
+// RecordDeclined implements entry.Fleet.
+func (n *Node) RecordDeclined(instance, service string, wait time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	wait = min(max(wait, minDeclined), maxDeclined)
-	n.declined[offer{instance, service}] = time.Now().Add(wait)
+	wait = min(max(wait, minDeclineBackoff), maxDeclineBackoff)
+	n.declinedUntil[instanceService{instance, service}] = time.Now().Add(wait)
 }
 
-// Answered implements entry.Fleet.
-func (n *Node) Answered(service, region string, latency time.Duration) {
+// RecordAnswered implements entry.Fleet.
+func (n *Node) RecordAnswered(service, region string, latency time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := destination{service, region}
-	if n.warmth[d] == nil {
-		n.warmth[d] = &route.Warmth{}
+	if n.latencies[d] == nil {
+		n.latencies[d] = &route.LatencyTracker{}
 	}
-	n.warmth[d].Observe(latency)
+	n.latencies[d].Observe(latency)
 }
 
-// warm tells whether a region answers about as fast as it usually does.
-func (n *Node) warm(service, region string) bool {
-	w := n.warmth[destination{service, region}]
+// isWarm reports whether the latency of a region is close to its usual latency.
+func (n *Node) isWarm(service, region string) bool {
+	w := n.latencies[destination{service, region}]
 	return w == nil || w.Warm()
 }
 
-// Take implements entry.Caps.
-func (n *Node) Take(row table.Row) (share.Admission, time.Duration) {
+// Admit implements entry.Caps.
+func (n *Node) Admit(row table.Row) (share.Admission, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	admission := n.ledger.Take(now, row)
+	admission := n.ledger.Admit(now, row)
 	if admission == share.Admitted {
-		if n.config.Admitted != nil {
-			n.config.Admitted(row.Key(), now)
+		if n.config.OnAdmit != nil {
+			n.config.OnAdmit(row.Key(), now)
 		}
 		n.log.Debug("admitted", "row", row.Key().String(), "at_ns", now.UnixNano())
 		return admission, 0
 	}
-	return admission, n.ledger.UntilUnit(now, row.Key())
+	return admission, n.ledger.TimeToUnit(now, row.Key())
 }
 
-// Order implements entry.Draw.
+// Order implements entry.Chooser.
 func (n *Node) Order(candidates []route.Candidate) []table.Row {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return route.Order(candidates, n.rand)
 }
 
-// Pick implements entry.Draw.
+// Pick implements entry.Chooser.
 func (n *Node) Pick(peers []route.Peer) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return route.Pick(peers, n.rand)
 }
 
-// Jitter returns a random time between d and 2d.
+// Jitter implements entry.Chooser. It returns a random time between d and 2d, or 0 if d is not
+// positive.
 func (n *Node) Jitter(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
@@ -272,6 +274,6 @@
 }
 
 // Observe implements entry.Observer.
-func (n *Node) Observe(service string, outcome retry.Outcome, reason protocol.Reason, took time.Duration) {
-	n.metrics.Request(service, outcome.String(), string(reason), took)
+func (n *Node) Observe(service string, outcome retry.Outcome, reason protocol.Reason, latency time.Duration) {
+	n.metrics.Request(service, outcome.String(), string(reason), latency)
 }
--- a/node/lookup_test.go
+++ b/node/lookup_test.go
@@ -21,8 +21,8 @@
 	t.Helper()
 	c := Defaults()
 	c.Name, c.Region, c.Hall, c.Platform, c.Secret = "n", "r", "h", "http://127.0.0.1:1", "s"
-	const any = "127.0.0.1:0"
-	c.CallerAddr, c.HopAddr, c.PeerAddr, c.AdminAddr = any, any, any, any
+	const anyPort = "127.0.0.1:0"
+	c.CallerAddr, c.HopAddr, c.PeerAddr, c.AdminAddr = anyPort, anyPort, anyPort, anyPort
 	n, err := New(c)
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -33,7 +33,7 @@
 	return n
 }
 
-func inForce(n *Node) {
+func publishTestTable(n *Node) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.publish(table.Compile(&table.Table{
@@ -41,40 +41,40 @@
 		Services: []table.Service{{Name: "s"}},
 		Rows:     []table.Row{{Service: "s", From: "r", To: "r", Weight: 1, Cap: table.NoCap, Shift: 100}},
 	}, 1))
-	n.blocks = lookup.NewBlocks([]lookup.Block{{Prefix: netip.MustParsePrefix("127.0.0.0/8"), Hall: "h"}})
-	n.rebuild(time.Now())
+	n.blocks = lookup.NewBlockTable([]lookup.Block{{Prefix: netip.MustParsePrefix("127.0.0.0/8"), Hall: "h"}})
+	n.rebuildFleet(time.Now())
 }
 
 func TestLookupHandler(t *testing.T) {
 	n := testNode(t)
-	ask := func(query string) *httptest.ResponseRecorder {
+	lookUp := func(query string) *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodGet, "/v1/lookup?"+query, nil)
 		r.RemoteAddr = "127.0.0.9:5000"
 		n.callerMux().ServeHTTP(w, r)
 		return w
 	}
-	w := ask("service=s")
+	w := lookUp("service=s")
 	require.Equal(t, http.StatusServiceUnavailable, w.Code, "no table yet")
 	require.NotEmpty(t, w.Header().Get("Retry-After"))
-	inForce(n)
-	require.Equal(t, http.StatusNotFound, ask("service=x").Code)
-	w = ask("service=s")
+	publishTestTable(n)
+	require.Equal(t, http.StatusNotFound, lookUp("service=x").Code)
+	w = lookUp("service=s")
 	require.Equal(t, http.StatusOK, w.Code)
-	var a lookup.Answer
+	var a lookup.Response
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &a))
-	require.Equal(t, "h", a.Home)
+	require.Equal(t, "h", a.HomeHall)
 	require.Equal(t, n.self.ID, a.Instances[0].ID)
 	n.leaving = true
 	n.mu.Lock()
-	n.rebuild(time.Now())
+	n.rebuildFleet(time.Now())
 	n.mu.Unlock()
-	a = lookup.Answer{}
-	require.NoError(t, json.Unmarshal(ask("service=s").Body.Bytes(), &a))
-	require.Empty(t, a.Instances, "a leaving instance drops out at once")
+	a = lookup.Response{}
+	require.NoError(t, json.Unmarshal(lookUp("service=s").Body.Bytes(), &a))
+	require.Empty(t, a.Instances, "a leaving instance is no longer listed")
 }
 
-func TestSettingsAreCheckedTogether(t *testing.T) {
+func TestCheckReportsAllFindings(t *testing.T) {
 	c := Defaults()
 	c.HopAddr = "localhost:1"
 	c.Heartbeat = time.Hour
@@ -89,10 +89,11 @@
 	}
 }
 
-// BenchmarkLookupHandler measures a look-up without and with the network.
+// BenchmarkLookupHandler measures a look-up by a direct call of the handler and over the
+// loopback interface.
 func BenchmarkLookupHandler(b *testing.B) {
 	n := testNode(b)
-	inForce(n)
+	publishTestTable(n)
 	mux := n.callerMux()
 	b.Run("handler", func(b *testing.B) {
 		r := httptest.NewRequest(http.MethodGet, "/v1/lookup?service=s", nil)
@@ -126,7 +127,7 @@
 	})
 }
 
-// discard is a response writer that keeps nothing.
+// discard is a response writer that discards the body.
 type discard struct{ header http.Header }
 
 func (d *discard) Header() http.Header         { return d.header }
--- a/node/node.go
+++ b/node/node.go
@@ -35,7 +35,7 @@
 	config  Config
 	self    member.Instance
 	log     *slog.Logger
-	metrics *telemetry.Entry
+	metrics *telemetry.EntryMetrics
 	store   *objectstore.Client
 	mesh    *peer.Mesh
 	hall    *entry.Hall
@@ -45,73 +45,73 @@
 	listeners listeners
 	servers   []*http.Server
 
-	// mu guards the deciding parts that follow.
+	// mu guards the fields up to fleetStale.
 	mu      sync.Mutex
 	objects *objects
-	// revision is that of the platform up to which objects are known. It holds the era.
+	// revision is the store's revision up to which objects are known. It includes the era.
 	revision int64
-	// configLost says that the platform holds an earlier configuration than was accepted.
-	configLost bool
-	view       *member.View
-	agent      *seat.Agent
-	ledger     *share.Ledger
-	warmth     map[destination]*route.Warmth
-	declined   map[offer]time.Time
-	sent       map[offer]int
-	drainedAt  map[string]time.Time
-	blocks     *lookup.Blocks
-	listing    *listing
-	leaving    bool
-	// closing is set when a stopping instance wants no more from others.
-	closing  bool
-	rand     *rand.Rand
-	round    uint64
-	fleetOld bool
+	// configLost is set while the store holds an earlier configuration than the accepted one.
+	configLost         bool
+	view               *member.View
+	agent              *seat.Agent
+	ledger             *share.Ledger
+	latencies          map[destination]*route.LatencyTracker
+	declinedUntil      map[instanceService]time.Time
+	sentSinceHeartbeat map[instanceService]int
+	drainedAt          map[string]time.Time
+	blocks             *lookup.BlockTable
+	directoryInput     *directoryInput
+	leaving            bool
+	// hopsClosed is set when a stopping instance no longer accepts requests of other instances.
+	hopsClosed bool
+	rand       *rand.Rand
+	round      uint64
+	fleetStale bool
 
-	plan      atomic.Pointer[table.Plan]
-	fleet     atomic.Pointer[fleet]
-	directory atomic.Pointer[lookup.Directory]
-	targetsOK atomic.Bool
-	kick      chan struct{}
-	killed    chan struct{}
-	killOnce  sync.Once
-	wg        sync.WaitGroup
-	cancel    context.CancelFunc
+	plan         atomic.Pointer[table.Plan]
+	fleet        atomic.Pointer[fleetSnapshot]
+	directory    atomic.Pointer[lookup.Directory]
+	targetsOK    atomic.Bool
+	heartbeatNow chan struct{}
+	killed       chan struct{}
+	killOnce     sync.Once
+	wg           sync.WaitGroup
+	cancel       context.CancelFunc
 }
 
 type listeners struct {
 	caller, hop, peer, admin net.Listener
 }
 
-// destination is a service in a region.
+// destination identifies a service in a region.
 type destination struct{ service, region string }
 
-// offer is a service at an instance.
-type offer struct{ instance, service string }
+// instanceService identifies a service at an instance.
+type instanceService struct{ instance, service string }
 
-// New opens the instance's addresses. The caller must call Run or Close.
+// New returns an instance that listens on its addresses. The caller must call Run.
 func New(config Config) (*Node, error) {
 	if err := config.Check().Err(); err != nil {
 		return nil, err
 	}
-	metrics, err := telemetry.NewEntry()
+	metrics, err := telemetry.NewEntryMetrics()
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		config:    config,
-		log:       config.Log,
-		metrics:   metrics,
-		store:     objectstore.NewClient(config.Platform, 0),
-		objects:   newObjects(),
-		warmth:    make(map[destination]*route.Warmth),
-		declined:  make(map[offer]time.Time),
-		sent:      make(map[offer]int),
-		drainedAt: make(map[string]time.Time),
-		blocks:    lookup.NewBlocks(nil),
-		rand:      newRand(),
-		kick:      make(chan struct{}, 1),
-		killed:    make(chan struct{}),
+		config:             config,
+		log:                config.Log,
+		metrics:            metrics,
+		store:              objectstore.NewClient(config.Platform, 0),
+		objects:            newObjects(),
+		latencies:          make(map[destination]*route.LatencyTracker),
+		declinedUntil:      make(map[instanceService]time.Time),
+		sentSinceHeartbeat: make(map[instanceService]int),
+		drainedAt:          make(map[string]time.Time),
+		blocks:             lookup.NewBlockTable(nil),
+		rand:               newRand(),
+		heartbeatNow:       make(chan struct{}, 1),
+		killed:             make(chan struct{}),
 	}
 	if n.log == nil {
 		n.log = slog.New(slog.DiscardHandler)
@@ -121,7 +121,7 @@
 		return nil, err
 	}
 	n.build()
-	return n, n.gauges()
+	return n, n.registerGauges()
 }
 
 func newRand() *rand.Rand {
@@ -144,7 +144,7 @@
 	return []net.Listener{l.caller, l.hop, l.peer, l.admin}
 }
 
-// build makes the parts that need the instance's final name and addresses.
+// build creates the parts that need the instance's final ID and addresses.
 func (n *Node) build() {
 	var suffix [4]byte
 	_, _ = crand.Read(suffix[:])
@@ -162,8 +162,8 @@
 	n.agent = seat.NewAgent(n.self.ID, n.self.PeerAddr, n.self.Hall, n.config.Timing)
 	n.ledger = share.NewLedger(n.self.Hall, n.self.Region, seat.Count, n.rand.Uint64())
 	n.ledger.NoLoans = n.config.Baseline.NoLoans
-	if n.config.Baseline.LoanLength > 0 {
-		n.ledger.Terms.Length = n.config.Baseline.LoanLength
+	if n.config.Baseline.LoanDuration > 0 {
+		n.ledger.Terms.Duration = n.config.Baseline.LoanDuration
 	}
 	n.hall = entry.NewHall(balance.Config{
 		Policy:      n.config.Baseline.Policy,
@@ -171,7 +171,7 @@
 		NoSlowStart: n.config.Baseline.NoSlowStart,
 	})
 	n.mesh = peer.NewMesh(n.self.ID, n.config.Secret, n, n.log)
-	n.claims = newClaimWriter(n.self.ID, n.store, n.mesh, n.config.ClaimWrites, n.log)
+	n.claims = newClaimWriter(n.self.ID, n.store, n.mesh, n.config.ClaimWriteRate, n.log)
 	n.entry = entry.New(entry.Config{
 		Instance:        n.self.ID,
 		Region:          n.self.Region,
@@ -181,15 +181,15 @@
 		Hall:            n.hall,
 		Observer:        n,
 		Log:             n.log,
-		Draw:            n,
+		Chooser:         n,
 		DefaultDeadline: n.config.DefaultDeadline,
 		MaxDeadline:     n.config.MaxDeadline,
-		Stall:           n.config.Stall,
+		StallTimeout:    n.config.StallTimeout,
 	})
-	n.fleet.Store(&fleet{})
+	n.fleet.Store(&fleetSnapshot{})
 }
 
-func (n *Node) gauges() error {
+func (n *Node) registerGauges() error {
 	gauges := []struct {
 		name, text string
 		read       func() int64
@@ -198,7 +198,7 @@
 		{"rainford.requests.in_flight", "Requests that hold or wait for a target's slot.", func() int64 { return int64(n.hall.InFlight()) }},
 		{"rainford.peer.sent", "Bytes sent to other instances.", func() int64 { s, _, _ := n.mesh.Traffic(); return s }},
 		{"rainford.peer.received", "Bytes received from other instances.", func() int64 { _, r, _ := n.mesh.Traffic(); return r }},
-		{"rainford.seats", "Seats that the instance may use.", func() int64 { return int64(n.seats()) }},
+		{"rainford.seats", "Seats that the instance may use.", func() int64 { return int64(n.seatCount()) }},
 	}
 	for _, g := range gauges {
 		err := n.metrics.Gauge(g.name, g.text, g.read)
@@ -209,16 +209,16 @@
 	return nil
 }
 
-func (n *Node) seats() int {
+func (n *Node) seatCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.agent.Held(time.Now()))
 }
 
-// Instance returns the instance's name and addresses.
+// Instance returns the ID, the location and the addresses of the instance.
 func (n *Node) Instance() member.Instance { return n.self }
 
-// Version returns the number of the accepted change in force, or 0.
+// Version returns the version of the configuration in force, or 0 if there is none.
 func (n *Node) Version() int64 {
 	if p := n.plan.Load(); p != nil {
 		return p.Version
@@ -228,12 +228,13 @@
 
 // Limits on HTTP connections.
 const (
-	headTimeout  = 5 * time.Second
-	idleTimeout  = 30 * time.Second
-	maxHeadBytes = 32 << 10
+	readHeaderTimeout = 5 * time.Second
+	idleTimeout       = 30 * time.Second
+	maxHeaderBytes    = 32 << 10
 )
 
-// Run serves until ctx ends and then stops as planned: see stop.
+// Run serves requests until ctx ends, and then stops gracefully; see stop. After a call of
+// Kill, it stops at once.
 func (n *Node) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -242,7 +243,7 @@
 	n.serve(n.listeners.admin, n.adminMux())
 	n.start(func() {
 		if err := n.mesh.Serve(n.listeners.peer); err != nil {
-			n.log.Error("peer listener", "error", err.Error())
+			n.log.Error("peer listener failed", "error", err.Error())
 		}
 	})
 	n.start(func() { n.watchLoop(work) })
@@ -259,8 +260,8 @@
 	}
 }
 
-// Kill ends the instance at once, as the death of its process would: requests
-// in flight break and nothing is given back.
+// Kill stops the instance at once, as a crash of its process would. Requests in flight are cut
+// off, and neither seats nor claims are released.
 func (n *Node) Kill() { n.killOnce.Do(func() { close(n.killed) }) }
 
 func (n *Node) start(f func()) {
@@ -274,16 +275,16 @@
 func (n *Node) serve(ln net.Listener, h http.Handler) {
 	server := &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeadBytes,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	n.servers = append(n.servers, server)
 	n.start(func() {
 		err := server.Serve(ln)
 		if !errors.Is(err, http.ErrServerClosed) {
-			n.log.Error("listener", "addr", ln.Addr().String(), "error", err.Error())
+			n.log.Error("listener failed", "addr", ln.Addr().String(), "error", err.Error())
 		}
 	})
 }
--- a/node/register.go
+++ b/node/register.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	registerEvery = 2 * time.Second
-	// removeAfter is the silence after which an instance of the own hall is
-	// taken off the platform's list.
-	removeAfter = time.Minute
-	// sweepEvery is the time between two looks for claims that have expired.
-	sweepEvery = 5 * time.Minute
+	registerInterval = 2 * time.Second
+	// removalTimeout is the time without a sign of life after which an instance of the own hall
+	// is removed from the store's list of instances.
+	removalTimeout = time.Minute
+	// sweepInterval is the least time between deletions of expired claims.
+	sweepInterval = 5 * time.Minute
 )
 
-// registerLoop keeps the instance on the platform's list, takes dead instances
-// of its hall off it, and deletes expired claims.
+// registerLoop maintains the record of the instance in the store, writes a lost configuration
+// again, removes the records of dead instances of the own hall, and deletes expired claims.
 func (n *Node) registerLoop(ctx context.Context) {
-	ticker := time.NewTicker(registerEvery)
+	ticker := time.NewTicker(registerInterval)
 	defer ticker.Stop()
-	swept := time.Now()
+	lastSweep := time.Now()
 	for {
 		n.register(ctx)
 		n.rewriteConfig(ctx)
-		n.removeDead(ctx)
-		if time.Since(swept) > sweepEvery {
-			swept = time.Now()
+		n.removeDeadInstances(ctx)
+		if time.Since(lastSweep) > sweepInterval {
+			lastSweep = time.Now()
 			n.sweepClaims(ctx)
 		}
 		select {
@@ -41,59 +41,60 @@
 	}
 }
 
-// register writes the instance's record if the platform's differs.
+// register writes the record of the instance if the store's record differs or may have been
+// lost.
 func (n *Node) register(ctx context.Context) {
 	key := InstancePrefix + n.self.ID
 	n.mu.Lock()
 	want := n.self
 	want.Leaving = n.leaving
-	have := n.objects.byKey[key]
-	lost := objectstore.IsLaterEra(n.revision, have.Version)
+	stored := n.objects.byKey[key]
+	lost := objectstore.IsLaterEra(n.revision, stored.Version)
 	n.mu.Unlock()
-	if sameInstance(have, want) && !lost {
+	if isRegistered(stored, want) && !lost {
 		return
 	}
-	version := have.Version
-	if have.Deleted {
+	version := stored.Version
+	if stored.Deleted {
 		version = 0
 	}
 	obj, err := n.store.Put(ctx, key, version, want)
 	var conflict *objectstore.ConflictError
 	switch {
 	case err == nil:
-		n.takeIn([]objectstore.Object{obj})
+		n.applyObjects([]objectstore.Object{obj})
 	case errors.As(err, &conflict):
-		n.takeIn([]objectstore.Object{conflict.Current})
+		n.applyObjects([]objectstore.Object{conflict.Current})
 	default:
-		n.log.Debug("register", "error", err.Error())
+		n.log.Debug("registration failed", "error", err.Error())
 	}
 }
 
-func sameInstance(obj objectstore.Object, want member.Instance) bool {
+func isRegistered(obj objectstore.Object, want member.Instance) bool {
 	if obj.Deleted || len(obj.Value) == 0 {
 		return false
 	}
-	var have member.Instance
-	return decodeInto(obj, &have) == nil && have == want
+	var stored member.Instance
+	return decodeInto(obj, &stored) == nil && stored == want
 }
 
-// removeDead takes instances of the own hall off the list that have been
-// silent for long. One that lives after all puts itself back.
-func (n *Node) removeDead(ctx context.Context) {
+// removeDeadInstances removes the records of instances of the own hall that have been
+// unresponsive for removalTimeout. An instance that is still alive registers again.
+func (n *Node) removeDeadInstances(ctx context.Context) {
 	now := time.Now()
 	var dead []objectstore.Object
 	n.mu.Lock()
 	for _, s := range n.view.All(now) {
-		silent := now.Sub(s.SilentSince) > removeAfter
+		unresponsive := now.Sub(s.LastAlive) > removalTimeout
 		obj, listed := n.objects.byKey[InstancePrefix+s.ID]
-		if s.Hall == n.self.Hall && silent && listed && !obj.Deleted {
+		if s.Hall == n.self.Hall && unresponsive && listed && !obj.Deleted {
 			dead = append(dead, obj)
 		}
 	}
 	n.mu.Unlock()
 	for _, obj := range dead {
 		err := n.store.Delete(ctx, obj.Key, obj.Version)
-		n.log.Info("instance removed", "key", obj.Key, "error", errText(err))
+		n.log.Info("removal of an unresponsive instance", "key", obj.Key, "error", errText(err))
 	}
 }
 
@@ -104,13 +105,13 @@
 	return err.Error()
 }
 
-// sweepClaims deletes the shards whose keys are too old to be taken. One
-// instance does it, the writer of the first shard.
+// sweepClaims deletes the shards whose retention has ended. Only one instance does so, the
+// writer of the first shard.
 func (n *Node) sweepClaims(ctx context.Context) {
 	if !n.claims.isWriter(0) {
 		return
 	}
-	for _, prefix := range claim.ExpiredSlices(time.Now(), 2*sweepEvery) {
+	for _, prefix := range claim.ExpiredSlicePrefixes(time.Now(), 2*sweepInterval) {
 		listing, err := n.store.List(ctx, prefix)
 		if err != nil {
 			return
--- a/node/sync.go
+++ b/node/watch.go
@@ -16,7 +16,7 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Prefixes of the objects that instances use, besides those of other packages.
+// Prefixes of the keys of stored objects. Other packages define further ones.
 const (
 	// InstancePrefix is followed by the instance's ID.
 	InstancePrefix = "instances/"
@@ -26,59 +26,59 @@
 	RosterPrefix = "rosters/"
 )
 
-// Target is one target in the platform's list of a hall's targets.
+// Target is an entry of a TargetList.
 type Target struct {
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Addr    string `json:"addr"`
-	// Slots is the number of requests that the target runs at a time.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int `json:"slots"`
-	// Leaving is set when the target takes no new work.
+	// Leaving is set if the target accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// TargetList is the platform's list of a hall's targets.
+// TargetList is the stored list of the targets of a hall.
 type TargetList struct {
 	Targets []Target `json:"targets"`
 }
 
 const (
-	watchWait    = 20 * time.Second
-	minWatchWait = 200 * time.Millisecond
-	maxWatchWait = 3 * time.Second
+	watchTimeout    = 20 * time.Second
+	minWatchBackoff = 200 * time.Millisecond
+	maxWatchBackoff = 3 * time.Second
 )
 
-func (n *Node) prefixes() []string {
+func (n *Node) watchedPrefixes() []string {
 	return []string{
 		config.Key,
 		TargetPrefix + n.self.Hall,
 		RosterPrefix + n.self.Hall,
 		InstancePrefix,
-		lookup.BlockPrefix,
+		lookup.BlockKeyPrefix,
 	}
 }
 
-// watchLoop keeps the objects up to date while the platform answers.
+// watchLoop keeps the objects up to date through watches on the store.
 func (n *Node) watchLoop(ctx context.Context) {
 	after := int64(0)
 	first := true
-	backoff := minWatchWait
+	backoff := minWatchBackoff
 	for ctx.Err() == nil {
-		wait := watchWait
+		wait := watchTimeout
 		if first {
 			wait = 0
 		}
-		listing, err := n.store.Watch(ctx, n.prefixes(), after, wait)
+		listing, err := n.store.Watch(ctx, n.watchedPrefixes(), after, wait)
 		n.claims.platformUp.Store(err == nil)
 		if err != nil {
-			n.log.Debug("watch", "error", err.Error())
+			n.log.Debug("watch failed", "error", err.Error())
 			pause.For(ctx, n.Jitter(backoff))
-			backoff = min(2*backoff, maxWatchWait)
+			backoff = min(2*backoff, maxWatchBackoff)
 			continue
 		}
-		backoff = minWatchWait
+		backoff = minWatchBackoff
 		if listing.Revision < after {
-			// A stale answer; the next one continues from where we are.
+			// This response is stale. The next watch continues from the same revision.
 			pause.For(ctx, backoff)
 			continue
 		}
@@ -86,36 +86,36 @@
 		n.mu.Lock()
 		n.revision = after
 		n.mu.Unlock()
-		n.takeIn(listing.Objects)
+		n.applyObjects(listing.Objects)
 		if first {
 			first = false
 			n.mu.Lock()
-			n.agent.LearnEmpty()
+			n.agent.ObserveNoRoster()
 			n.mu.Unlock()
 		}
 	}
 }
 
-// takeIn puts newer objects in force.
-func (n *Node) takeIn(objs []objectstore.Object) {
+// applyObjects applies the objects that are newer than those held.
+func (n *Node) applyObjects(objs []objectstore.Object) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var newer []objectstore.Object
 	blocksBefore := make(map[string][]lookup.Block)
 	for _, obj := range objs {
-		known := obj.Key == config.Key && n.knowsConfig(&obj)
-		if strings.HasPrefix(obj.Key, lookup.BlockPrefix) {
-			blocksBefore[obj.Key] = n.blocksOf(n.objects.byKey[obj.Key])
+		inForce := obj.Key == config.Key && n.reconcileConfig(&obj)
+		if strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix) {
+			blocksBefore[obj.Key] = n.decodeBlocks(n.objects.byKey[obj.Key])
 		}
-		if n.objects.offer(obj) && !known {
+		if n.objects.update(obj) && !inForce {
 			newer = append(newer, obj)
 		}
 	}
-	n.putInForce(newer, blocksBefore)
+	n.applyChanges(newer, blocksBefore)
 }
 
-func (n *Node) putInForce(newer []objectstore.Object, blocksBefore map[string][]lookup.Block) {
-	var old, now []lookup.Block
+func (n *Node) applyChanges(newer []objectstore.Object, blocksBefore map[string][]lookup.Block) {
+	var oldBlocks, newBlocks []lookup.Block
 	for _, obj := range newer {
 		switch {
 		case obj.Key == config.Key:
@@ -125,45 +125,45 @@
 		case obj.Key == RosterPrefix+n.self.Hall:
 			n.setRoster(obj)
 		case strings.HasPrefix(obj.Key, InstancePrefix):
-			n.fleetOld = true
-		case strings.HasPrefix(obj.Key, lookup.BlockPrefix):
-			old = append(old, blocksBefore[obj.Key]...)
-			now = append(now, n.blocksOf(obj)...)
+			n.fleetStale = true
+		case strings.HasPrefix(obj.Key, lookup.BlockKeyPrefix):
+			oldBlocks = append(oldBlocks, blocksBefore[obj.Key]...)
+			newBlocks = append(newBlocks, n.decodeBlocks(obj)...)
 		}
 	}
-	if n.fleetOld {
+	if n.fleetStale {
 		n.setInstances()
 	}
-	if len(old)+len(now) > 0 {
-		n.blocks = n.blocks.Replace(old, now)
-		n.fleetOld = true
+	if len(oldBlocks)+len(newBlocks) > 0 {
+		n.blocks = n.blocks.Replace(oldBlocks, newBlocks)
+		n.fleetStale = true
 	}
 }
 
-func (n *Node) blocksOf(obj objectstore.Object) []lookup.Block {
+func (n *Node) decodeBlocks(obj objectstore.Object) []lookup.Block {
 	if len(obj.Value) == 0 || obj.Deleted {
 		return nil
 	}
 	var shard lookup.BlockShard
 	err := json.Unmarshal(obj.Value, &shard)
 	if err != nil {
-		n.log.Error("blocks refused", "key", obj.Key, "error", err.Error())
+		n.log.Error("invalid address blocks ignored", "key", obj.Key, "error", err.Error())
 		return nil
 	}
 	return shard.Blocks
 }
 
-// setConfig is the configuration pipe: decode, check, compile, publish. A
-// document that fails a check is reported and leaves the one in force.
+// setConfig decodes, checks, compiles and publishes a version of the configuration. If a step
+// fails, it logs the error, and the version in force remains.
 func (n *Node) setConfig(obj objectstore.Object) {
 	plan, err := compile(obj)
 	if err != nil {
 		n.log.Error("configuration refused", "object_version", obj.Version, "error", err.Error())
 		return
 	}
-	if have := n.plan.Load(); have != nil && plan.Version <= have.Version {
+	if current := n.plan.Load(); current != nil && plan.Version <= current.Version {
 		n.metrics.Violation("config-reverts")
-		n.log.Error("configuration refused: would revert", "have", have.Version, "got", plan.Version)
+		n.log.Error("configuration refused: not newer than the version in force", "have", current.Version, "got", plan.Version)
 		return
 	}
 	n.publish(plan)
@@ -171,7 +171,7 @@
 
 func compile(obj objectstore.Object) (*table.Plan, error) {
 	if obj.Deleted {
-		return nil, fmt.Errorf("node: %s was deleted", obj.Key)
+		return nil, fmt.Errorf("node: configuration %s was deleted", obj.Key)
 	}
 	doc, err := config.Decode(obj.Value)
 	if err != nil {
@@ -196,15 +196,15 @@
 	n.ledger.SetPlan(plan)
 	n.plan.Store(plan)
 	n.setTargets()
-	n.rebuild(now)
+	n.rebuildFleet(now)
 	n.log.Info("configuration in force", "version", plan.Version)
-	n.announce()
+	n.triggerHeartbeat()
 }
 
-// announce has the next heartbeats sent at once.
-func (n *Node) announce() {
+// triggerHeartbeat makes heartbeatLoop send the next round of heartbeats at once.
+func (n *Node) triggerHeartbeat() {
 	select {
-	case n.kick <- struct{}{}:
+	case n.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
@@ -216,24 +216,24 @@
 	var roster seat.Roster
 	err := json.Unmarshal(obj.Value, &roster)
 	if err != nil {
-		n.log.Error("roster refused", "error", err.Error())
+		n.log.Error("invalid roster ignored", "error", err.Error())
 		return
 	}
-	n.learnRoster(&roster, obj.Version)
+	n.applyRoster(&roster, obj.Version)
 }
 
-func (n *Node) learnRoster(roster *seat.Roster, version int64) {
-	n.agent.Learn(time.Now(), roster, version)
+func (n *Node) applyRoster(roster *seat.Roster, version int64) {
+	n.agent.ObserveRoster(time.Now(), roster, version)
 	n.updateSeats(time.Now())
 }
 
 func (n *Node) setInstances() {
 	var list []member.Instance
-	for _, obj := range n.objects.below(InstancePrefix) {
+	for _, obj := range n.objects.withPrefix(InstancePrefix) {
 		var in member.Instance
 		err := json.Unmarshal(obj.Value, &in)
 		if err != nil {
-			n.log.Error("instance refused", "key", obj.Key, "error", err.Error())
+			n.log.Error("invalid instance record ignored", "key", obj.Key, "error", err.Error())
 			continue
 		}
 		list = append(list, in)
--- a/objectstore/client.go
+++ b/objectstore/client.go
@@ -22,22 +22,22 @@
 )
 
 const (
-	defaultTimeout = 3 * time.Second
-	watchSlack     = 5 * time.Second
-	maxAnswerBytes = 64 << 20
+	defaultTimeout   = 3 * time.Second
+	watchSlack       = 5 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
-// Client calls the service over HTTP. It is safe for concurrent use.
+// Client is an HTTP client of the service. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
-	eras    *eras
+	eras    *eraTracker
 }
 
 // NewClient returns a client of the service at base, such as
-// "http://127.0.0.1:7000". A call other than a watch is bounded by timeout; 0
-// stands for 3 s.
+// "http://127.0.0.1:7000". The timeout applies to each call other than a watch;
+// 0 stands for 3 s.
 func NewClient(base string, timeout time.Duration) *Client {
 	if timeout <= 0 {
 		timeout = defaultTimeout
@@ -47,13 +47,13 @@
 		MaxIdleConnsPerHost: 8,
 		IdleConnTimeout:     30 * time.Second,
 	}
-	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, eras: newEras()}
+	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, eras: newEraTracker()}
 }
 
-// Close releases idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get reads one object. It returns ErrNotFound when there is none.
+// Get reads one object. It returns ErrNotFound if there is none.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -62,10 +62,10 @@
 	if err != nil {
 		return Object{}, fmt.Errorf("get %s: %w", key, err)
 	}
-	return obj.in(era), nil
+	return obj.inEra(era), nil
 }
 
-// List reads all objects whose key starts with prefix.
+// List reads all objects whose keys begin with prefix.
 func (c *Client) List(ctx context.Context, prefix string) (Listing, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -75,19 +75,19 @@
 	if err != nil {
 		return Listing{}, fmt.Errorf("list %s: %w", prefix, err)
 	}
-	return out.in(era), nil
+	return out.inEra(era), nil
 }
 
 // Watch returns the objects below the prefixes that changed after a revision.
-// When there is none it waits for one, up to wait, and then returns an empty
-// listing. Where the service has come back from a copy since, it returns all
-// objects below the prefixes.
+// If there are none, it waits for a change, up to wait, and then returns an empty
+// listing. If the service was restored from a backup since the revision, it returns
+// all objects below the prefixes.
 func (c *Client) Watch(ctx context.Context, prefixes []string, after int64, wait time.Duration) (Listing, error) {
-	era, number := split(after)
-	latest, begun := c.eras.now()
-	if era >= latest && number > 0 {
-		out, answered, err := c.watch(ctx, prefixes, number, wait, begun)
-		if answered == era {
+	era, number := splitVersion(after)
+	latestEra, advanced := c.eras.current()
+	if era >= latestEra && number > 0 {
+		out, responseEra, err := c.watch(ctx, prefixes, number, wait, advanced)
+		if responseEra == era {
 			return out, err
 		}
 	}
@@ -95,14 +95,14 @@
 	return out, err
 }
 
-// watch returns the changes after the service's own number, and the era of the answer. It ends early, with
-// the era that is known then, if begun is closed.
-func (c *Client) watch(ctx context.Context, prefixes []string, number int64, wait time.Duration, begun <-chan struct{}) (out Listing, era int64, err error) {
+// watch returns the changes after a number that the service has assigned, and the era of the response. If
+// advanced is closed meanwhile, it fails early. With an error it returns the latest era.
+func (c *Client) watch(ctx context.Context, prefixes []string, number int64, wait time.Duration, advanced <-chan struct{}) (out Listing, era int64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
 	go func() {
 		select {
-		case <-begun:
+		case <-advanced:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -114,16 +114,16 @@
 	}
 	era, err = c.read(ctx, WatchPath+"?"+query.Encode(), &out)
 	if err != nil {
-		era, _ = c.eras.now()
+		era, _ = c.eras.current()
 		return Listing{}, era, fmt.Errorf("watch: %w", err)
 	}
-	return out.in(era), era, nil
+	return out.inEra(era), era, nil
 }
 
-// Put writes value under key if the object is at version (0: if there is
-// none), and returns the object written. Besides the package's errors it
-// returns a *ConflictError. An object that the service has lost since the
-// version, as it has come back from a copy, is made anew.
+// Put writes value under key if the object is at version, and returns the object
+// written. Version 0 means that the object must not exist. Put returns a
+// *ConflictError if the object is at another version. If the service was restored
+// from a backup since the version and has lost the object, Put creates it again.
 func (c *Client) Put(ctx context.Context, key string, version int64, value any) (Object, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -132,7 +132,7 @@
 	if len(raw) > MaxValueBytes {
 		return Object{}, fmt.Errorf("put %s: %d bytes: %w", key, len(raw), ErrTooLarge)
 	}
-	number, err := c.writable(ctx, key, version)
+	number, err := c.writeNumber(ctx, key, version)
 	if err != nil {
 		return Object{}, err
 	}
@@ -145,7 +145,7 @@
 
 // Delete removes the object if it is at version.
 func (c *Client) Delete(ctx context.Context, key string, version int64) error {
-	number, err := c.writable(ctx, key, version)
+	number, err := c.writeNumber(ctx, key, version)
 	if err != nil {
 		return err
 	}
@@ -154,13 +154,14 @@
 	return err
 }
 
-// writable returns the number that a write on a version has to name. If the service has come back from a
-// copy since the version, its own numbers may have been given out again: then the write is in conflict
-// with what the service holds now, or makes the object anew if there is none.
-func (c *Client) writable(ctx context.Context, key string, version int64) (number int64, err error) {
-	era, number := split(version)
-	latest, _ := c.eras.now()
-	if number == 0 || era >= latest {
+// writeNumber returns the number that a write has to name to be conditional on version. If the service was
+// restored from a backup since, it may have assigned the version's number again. A write would then change an
+// object that the writer has not read. Instead, writeNumber returns a *ConflictError with the present object,
+// or 0 if there is none, so that the write creates the object again.
+func (c *Client) writeNumber(ctx context.Context, key string, version int64) (number int64, err error) {
+	era, number := splitVersion(version)
+	latestEra, _ := c.eras.current()
+	if number == 0 || era >= latestEra {
 		return number, nil
 	}
 	current, err := c.Get(ctx, key)
@@ -174,7 +175,8 @@
 	}
 }
 
-// read makes a call and decodes its answer into out. It returns the era that the answer names.
+// read sends a GET request and decodes the response into out. It returns the era that the response
+// names.
 func (c *Client) read(ctx context.Context, path string, out any) (era int64, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
@@ -185,7 +187,7 @@
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	defer drainBody(resp.Body)
-	era = c.eras.note(resp.Header)
+	era = c.eras.observe(resp.Header)
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNotFound:
@@ -193,7 +195,7 @@
 	default:
 		return era, fmt.Errorf("%w: status %d", ErrUnavailable, resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(out)
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out)
 	if err != nil {
 		return era, fmt.Errorf("%w: decode: %w", ErrUnavailable, err)
 	}
@@ -203,8 +205,8 @@
 func (c *Client) write(ctx context.Context, method, key, path string, body []byte) (Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	// The reader hides its type so that net/http has no GetBody and never
-	// repeats the write by itself.
+	// The reader's type is hidden, so that net/http sets no GetBody and never
+	// retries the write.
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return Object{}, fmt.Errorf("write %s: %w", key, err)
@@ -215,11 +217,11 @@
 		return Object{}, fmt.Errorf("write %s: %w: %w", key, writeFailure(err), err)
 	}
 	defer drainBody(resp.Body)
-	return decodeWrite(key, resp, c.eras.note(resp.Header))
+	return decodeWrite(key, resp, c.eras.observe(resp.Header))
 }
 
-// writeFailure tells whether a write whose call failed can have reached the
-// service: a failed dial cannot.
+// writeFailure returns ErrUnavailable if a write that failed with err can't have reached
+// the service, since the connection was not established, and ErrUncertain otherwise.
 func writeFailure(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -236,13 +238,13 @@
 		if err != nil {
 			return Object{}, fmt.Errorf("write %s: %w: %w", key, ErrUncertain, err)
 		}
-		return obj.in(era), nil
+		return obj.inEra(era), nil
 	case http.StatusConflict:
 		err := json.NewDecoder(resp.Body).Decode(&obj)
 		if err != nil {
 			return Object{}, fmt.Errorf("write %s: %w: %w", key, ErrUnavailable, err)
 		}
-		return Object{}, &ConflictError{Key: key, Current: obj.in(era)}
+		return Object{}, &ConflictError{Key: key, Current: obj.inEra(era)}
 	case http.StatusRequestEntityTooLarge:
 		return Object{}, fmt.Errorf("write %s: %w", key, ErrTooLarge)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
--- a/objectstore/client_test.go
+++ b/objectstore/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-func newPair(t *testing.T) (*platformstore.Server, *objectstore.Client) {
+func newServerAndClient(t *testing.T) (*platformstore.Server, *objectstore.Client) {
 	t.Helper()
 	server := platformstore.NewServer(platformstore.NewStore(), platformstore.Limits{})
 	ts := httptest.NewServer(server.Handler())
@@ -28,7 +28,7 @@
 
 func TestConditionalWrites(t *testing.T) {
 	ctx := context.Background()
-	_, c := newPair(t)
+	_, c := newServerAndClient(t)
 	_, err := c.Get(ctx, "a/b")
 	require.ErrorIs(t, err, objectstore.ErrNotFound)
 	first, err := c.Put(ctx, "a/b", 0, 1)
@@ -43,14 +43,14 @@
 	require.ErrorAs(t, c.Delete(ctx, "a/b", first.Version), &conflict)
 	require.NoError(t, c.Delete(ctx, "a/b", second.Version))
 	_, err = c.Put(ctx, "a/b", 0, 3)
-	require.NoError(t, err, "a deleted object can be made anew")
+	require.NoError(t, err, "a deleted object can be created again")
 	_, err = c.Put(ctx, "a/c", 0, make([]byte, objectstore.MaxValueBytes))
 	require.ErrorIs(t, err, objectstore.ErrTooLarge)
 }
 
 func TestWatch(t *testing.T) {
 	ctx := context.Background()
-	_, c := newPair(t)
+	_, c := newServerAndClient(t)
 	obj, err := c.Put(ctx, "a/1", 0, 1)
 	require.NoError(t, err)
 	_, err = c.Put(ctx, "z/1", 0, 1)
@@ -68,11 +68,11 @@
 	require.Empty(t, list.Objects)
 }
 
-// TestWriteOutcomes checks that a write is called refused only when it had no
-// effect, and uncertain when it may have.
+// TestWriteOutcomes checks that a failed write returns ErrUnavailable only if it had no effect,
+// and ErrUncertain if it may have had one.
 func TestWriteOutcomes(t *testing.T) {
 	ctx := context.Background()
-	server, c := newPair(t)
+	server, c := newServerAndClient(t)
 	server.SetFaults(platformstore.Faults{Down: true})
 	_, err := c.Put(ctx, "k", 0, 1)
 	require.ErrorIs(t, err, objectstore.ErrUnavailable)
@@ -80,32 +80,33 @@
 	_, err = c.Put(ctx, "k", 0, 1)
 	require.ErrorIs(t, err, objectstore.ErrUncertain)
 	obj, err := c.Get(ctx, "k")
-	require.NoError(t, err, "it took effect")
+	require.NoError(t, err, "the write took effect")
 
-	short := objectstore.NewClient("http://"+deafAddr(t), 200*time.Millisecond)
-	_, err = short.Put(ctx, "k", obj.Version, 2)
-	require.ErrorIs(t, err, objectstore.ErrUncertain, "no answer in time")
-	gone := objectstore.NewClient("http://127.0.0.1:1", time.Second)
-	_, err = gone.Put(ctx, "k", 0, 1)
-	require.ErrorIs(t, err, objectstore.ErrUnavailable, "nobody listens")
-	odd := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
-	defer odd.Close()
-	_, err = objectstore.NewClient(odd.URL, time.Second).Put(ctx, "k", 0, 1)
-	require.ErrorIs(t, err, objectstore.ErrUncertain, "a status that says nothing")
+	unresponsive := objectstore.NewClient("http://"+unresponsiveAddr(t), 200*time.Millisecond)
+	_, err = unresponsive.Put(ctx, "k", obj.Version, 2)
+	require.ErrorIs(t, err, objectstore.ErrUncertain, "no response in time")
+	refusing := objectstore.NewClient("http://127.0.0.1:1", time.Second)
+	_, err = refusing.Put(ctx, "k", 0, 1)
+	require.ErrorIs(t, err, objectstore.ErrUnavailable, "connection refused")
+	badGateway := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) }))
+	defer badGateway.Close()
+	_, err = objectstore.NewClient(badGateway.URL, time.Second).Put(ctx, "k", 0, 1)
+	require.ErrorIs(t, err, objectstore.ErrUncertain, "status 502 leaves the result open")
 }
 
-// deafAddr returns an address that takes connections and never answers.
-func deafAddr(t *testing.T) string {
+// unresponsiveAddr returns an address that accepts connections and never responds.
+func unresponsiveAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
 	return ln.Addr().String()
 }
 
-// TestRestoredService checks that versions grow across a return of the service from a copy, that no write on a
-// version of before takes effect on what has that number now, that a lost object is made anew, and that a
-// watch from before, pending or not, brings all that there is.
-func TestRestoredService(t *testing.T) {
+// TestRestoreFromBackup checks that versions grow across a restore of the service from a backup. A write that
+// names a version from before the restore must not change an object that was assigned the same number again.
+// An object that the restore has lost can be created again. A watch that names a revision from before the
+// restore, whether it was pending then or begins later, returns all objects.
+func TestRestoreFromBackup(t *testing.T) {
 	ctx := context.Background()
 	store := platformstore.NewStore()
 	ts := httptest.NewServer(platformstore.NewServer(store, platformstore.Limits{}).Handler())
@@ -121,7 +122,7 @@
 		return o
 	}
 	kept := put("a/kept", 0, 1)
-	copied := store.Copy()
+	backup := store.Backup()
 	later := put("a/kept", kept.Version, 2)
 	lost := put("a/lost", 0, 3)
 	pending := make(chan objectstore.Listing, 1)
@@ -130,35 +131,36 @@
 		require.NoError(t, err)
 		pending <- listing
 	}()
-	store.Restore(copied)
-	// Another client writes as often as before the return.
+	store.Restore(backup)
+	// Another client makes as many writes as were lost, so that the service assigns the
+	// same numbers again.
 	other := objectstore.NewClient(ts.URL, 2*time.Second)
 	t.Cleanup(other.Close)
-	held, err := other.Get(ctx, "a/kept")
+	current, err := other.Get(ctx, "a/kept")
 	require.NoError(t, err)
-	require.Greater(t, held.Version, lost.Version)
+	require.Greater(t, current.Version, lost.Version)
 	for range 2 {
-		held, err = other.Put(ctx, "a/kept", held.Version, 9)
+		current, err = other.Put(ctx, "a/kept", current.Version, 9)
 		require.NoError(t, err)
 	}
 	seen, err := c.Get(ctx, "a/kept")
 	require.NoError(t, err)
-	require.Equal(t, held, seen)
+	require.Equal(t, current, seen)
 	require.True(t, objectstore.IsLaterEra(seen.Version, later.Version))
 	require.False(t, objectstore.IsLaterEra(later.Version, kept.Version))
 	var conflict *objectstore.ConflictError
 	_, err = c.Put(ctx, "a/kept", later.Version, 4)
 	require.ErrorAs(t, err, &conflict)
-	require.Equal(t, held, conflict.Current)
+	require.Equal(t, current, conflict.Current)
 	require.ErrorAs(t, c.Delete(ctx, "a/kept", later.Version), &conflict)
-	again := put("a/lost", lost.Version, 3)
-	require.Greater(t, again.Version, held.Version)
+	recreated := put("a/lost", lost.Version, 3)
+	require.Greater(t, recreated.Version, current.Version)
 	select {
 	case listing := <-pending:
-		require.Contains(t, listing.Objects, held)
+		require.Contains(t, listing.Objects, current)
 		require.Greater(t, listing.Revision, lost.Version)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the watch goes on waiting")
+		t.Fatal("the pending watch has not ended 10 s after the restore")
 	}
 	listing, err := c.Watch(ctx, []string{"a/"}, lost.Version, time.Minute)
 	require.NoError(t, err)
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -23,13 +23,13 @@
 func messages() []Message {
 	return []Message{
 		&Hello{From: "a", Secret: "s"},
-		&Heartbeat{member.Heartbeat{From: member.Instance{ID: "a"}, Seat: seat.Beat{Seq: 3, Released: []seat.SeatTerm{{Seat: 1, Term: 2}}}, Loads: []member.Load{{Service: "s", Free: 2}}, Heard: []string{"b"}}},
-		&Ask{share.Ask{Row: table.RowKey{Service: "s", From: "a", To: "b"}, Units: 3, Nonce: 9}},
+		&Heartbeat{member.Heartbeat{From: member.Instance{ID: "a"}, Seat: seat.Heartbeat{Seq: 3, Released: []seat.SeatTerm{{Seat: 1, Term: 2}}}, Loads: []member.Load{{Service: "s", Free: 2}}, Heard: []string{"b"}}},
+		&LoanRequest{share.LoanRequest{Row: table.RowKey{Service: "s", From: "a", To: "b"}, Units: 3, Nonce: 9}},
 		&Loan{share.Loan{Units: 3, For: time.Second, Nonce: 9, Version: 4}},
 		&Pull{Key: "config/table", Version: 3},
 		&Object{Key: "config/table", Version: 3, Value: []byte("{}")},
-		&Claim{Shard: claim.ShardID{Slice: "x", Number: 1}, Op: claim.Op{Key: "k", Owner: "o", Attempt: 2}},
-		&ClaimReply{Owner: "o", Reply: claim.Reply{Answer: claim.Held, Status: 200}},
+		&Claim{Shard: claim.ShardID{TimeSlice: "x", Number: 1}, Op: claim.Op{Key: "k", Owner: "o", Attempt: 2}},
+		&ClaimReply{Owner: "o", Reply: claim.Reply{Result: claim.Held, Status: 200}},
 	}
 }
 
@@ -60,9 +60,9 @@
 }
 
 type recorder struct {
-	mu   sync.Mutex
-	got  []Message
-	lost []string
+	mu          sync.Mutex
+	got         []Message
+	unreachable []string
 }
 
 func (r *recorder) Receive(_ string, m Message) {
@@ -74,13 +74,13 @@
 func (r *recorder) Unreachable(addr string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lost = append(r.lost, addr)
+	r.unreachable = append(r.unreachable, addr)
 }
 
-func (r *recorder) losses() int {
+func (r *recorder) unreachableCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.lost)
+	return len(r.unreachable)
 }
 
 func (r *recorder) count() int {
@@ -104,9 +104,10 @@
 	return m, ln.Addr().String()
 }
 
-// TestStrangersAndMalformedFrames checks that each closes its own connection
-// and nothing else.
-func TestStrangersAndMalformedFrames(t *testing.T) {
+// TestInvalidConnectionsAreClosed checks that a connection with an invalid Hello or a
+// malformed frame is closed, and that the mesh continues to receive messages of other
+// peers.
+func TestInvalidConnectionsAreClosed(t *testing.T) {
 	r := &recorder{}
 	_, addr := startMesh(t, "a", "secret", r)
 	friend, _ := startMesh(t, "b", "secret", &recorder{})
@@ -123,7 +124,7 @@
 		"large first frame":    append(binary.BigEndian.AppendUint32(nil, maxHelloBytes+1), 1),
 		"too long":             append(append([]byte(nil), hello...), long...),
 		"unknown kind":         append(append([]byte(nil), hello...), 0, 0, 0, 1, 99),
-		"no msgpack":           append(append([]byte(nil), hello...), 0, 0, 0, 2, byte(kindHeartbeat), 0xc1),
+		"not msgpack":          append(append([]byte(nil), hello...), 0, 0, 0, 2, byte(kindHeartbeat), 0xc1),
 		"text of another kind": []byte("GET / HTTP/1.1\r\n\r\n"),
 	}
 	for name, data := range cases {
@@ -156,18 +157,18 @@
 	r := &recorder{}
 	m, _ := startMesh(t, "a", "s", r)
 	m.Send("127.0.0.1:1", &Pull{Key: "k"})
-	require.Eventually(t, func() bool { return r.losses() > 0 }, 10*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return r.unreachableCount() > 0 }, 10*time.Second, 5*time.Millisecond)
 }
 
-// TestSendNeverBlocks checks that a peer that does not read loses frames and
-// holds nobody up.
+// TestSendNeverBlocks guards against a peer that does not read and thereby blocks the
+// sender. Its frames must be dropped instead.
 func TestSendNeverBlocks(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
 	m := NewMesh("a", "s", &recorder{}, slog.New(slog.DiscardHandler))
 	big := &Object{Value: make([]byte, 512<<10)}
-	for range 4 * queueFrames {
+	for range 4 * queueCapacity {
 		m.Send(ln.Addr().String(), big)
 	}
 	_, _, dropped := m.Traffic()
@@ -175,9 +176,9 @@
 	m.Close()
 }
 
-// TestRenew has the connection to a peer go silent for good, and checks that frames arrive
-// again once it is renewed.
-func TestRenew(t *testing.T) {
+// TestReconnect guards against a connection that silently drops all packets for good. After
+// Reconnect, frames must arrive over a new connection.
+func TestReconnect(t *testing.T) {
 	r := &recorder{}
 	_, addr := startMesh(t, "b", "", r)
 	network, err := relay.Start(addr)
@@ -189,7 +190,7 @@
 	network.Silence()
 	mesh.Send(network.Addr(), &Probe{ReplyTo: "a"})
 	require.Never(t, func() bool { return r.count() > 1 }, 100*time.Millisecond, time.Millisecond)
-	mesh.Renew(network.Addr())
+	mesh.Reconnect(network.Addr())
 	mesh.Send(network.Addr(), &Probe{ReplyTo: "a"})
 	require.Eventually(t, func() bool { return r.count() == 2 }, 10*time.Second, time.Millisecond)
 }
--- a/pipelining/head.go
+++ b/pipelining/head.go
@@ -5,9 +5,9 @@
 	"strconv"
 )
 
-// maxHead bounds the head of a request that is looked at, in bytes. The requests of a connection
-// with a longer one are left to the server as they come.
-const maxHead = 64 << 10
+// maxHeadBytes bounds the head of a request that is classified. If a head is longer, all
+// requests of the connection are passed to the server as they arrive.
+const maxHeadBytes = 64 << 10
 
 var endOfHead = []byte("\r\n\r\n")
 
@@ -15,16 +15,17 @@
 type framing int
 
 const (
-	// unclear requests may end anywhere: their bodies come in chunks, or their heads are such
-	// that another reader might see them otherwise.
-	unclear framing = iota
+	// ambiguous requests may end anywhere. Their bodies are chunked, or another parser
+	// might read their heads differently.
+	ambiguous framing = iota
 	// sized requests have a body of a known length, which may be 0.
 	sized
-	// plain requests have no body, and may run beside others.
+	// plain requests have no body and may run concurrently with others.
 	plain
 )
 
-// headLength returns the length of the head that text begins with, 0 if it is not whole.
+// headLength returns the length of the head at the beginning of text, or 0 if it is
+// incomplete.
 func headLength(text []byte) int {
 	at := bytes.Index(text, endOfHead)
 	if at < 0 {
@@ -33,37 +34,37 @@
 	return at + len(endOfHead)
 }
 
-// classify tells where the request of a whole head ends, and the length of its body in bytes. It
-// is strict: what a lenient reader may take for the end of a line or for another field makes the
-// request unclear.
+// classify returns the framing of the request with the given complete head, and the length
+// of its body in bytes. It is strict: if a lenient parser might see the end of a line or
+// another field somewhere, the request is ambiguous. This guards against request smuggling.
 func classify(head []byte) (framing, int64) {
 	head = head[:len(head)-len("\r\n")]
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
 	isPlain, ok := classifyRequestLine(line)
 	if !ok {
-		return unclear, 0
+		return ambiguous, 0
 	}
 	length, hosts := int64(-1), 0
 	for len(rest) > 0 {
 		line, rest, _ = bytes.Cut(rest, []byte("\r\n"))
 		name, value, found := bytes.Cut(line, []byte(":"))
 		if !found || !isToken(name) || bytes.ContainsAny(value, "\r\n") {
-			return unclear, 0
+			return ambiguous, 0
 		}
 		switch {
-		case is(name, "Content-Length"):
+		case equalFold(name, "Content-Length"):
 			n, err := strconv.ParseUint(string(bytes.TrimSpace(value)), 10, 62)
 			if err != nil || length >= 0 {
-				return unclear, 0
+				return ambiguous, 0
 			}
 			length = int64(n)
-		case is(name, "Host"):
+		case equalFold(name, "Host"):
 			hosts++
-		case is(name, "Transfer-Encoding"), is(name, "Trailer"):
-			return unclear, 0
-		case is(name, "Connection"):
-			isPlain = isPlain && is(bytes.TrimSpace(value), "keep-alive")
-		case is(name, "Upgrade"), is(name, "Expect"):
+		case equalFold(name, "Transfer-Encoding"), equalFold(name, "Trailer"):
+			return ambiguous, 0
+		case equalFold(name, "Connection"):
+			isPlain = isPlain && equalFold(bytes.TrimSpace(value), "keep-alive")
+		case equalFold(name, "Upgrade"), equalFold(name, "Expect"):
 			isPlain = false
 		}
 	}
@@ -73,8 +74,8 @@
 	return sized, max(length, 0)
 }
 
-// classifyRequestLine tells whether a request line is that of a request without a body, and
-// whether it is one of HTTP/1.1 at all.
+// classifyRequestLine reports whether a request line has a method without a body, and
+// whether it is a valid request line of HTTP/1.1.
 func classifyRequestLine(line []byte) (isPlain, ok bool) {
 	method, rest, _ := bytes.Cut(line, []byte(" "))
 	uri, protocol, _ := bytes.Cut(rest, []byte(" "))
@@ -89,9 +90,10 @@
 	return string(method) == "GET" || string(method) == "HEAD", true
 }
 
-func is(text []byte, word string) bool { return bytes.EqualFold(text, []byte(word)) }
+// equalFold reports whether text is word, ignoring case.
+func equalFold(text []byte, word string) bool { return bytes.EqualFold(text, []byte(word)) }
 
-// isToken tells whether text is a name by RFC 9110, section 5.6.2.
+// isToken reports whether text is a token according to RFC 9110, section 5.6.2.
 func isToken(text []byte) bool {
 	for _, c := range text {
 		letter := 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
@@ -104,9 +106,9 @@
 
 var closeLine = []byte("\r\nConnection: close\r\n")
 
-// announcesClose tells whether the head of an answer, with which text begins, says that the
-// connection ends with it, and returns where.
-func announcesClose(text []byte) (at int, ok bool) {
+// findConnectionClose returns the position of the header that closes the connection in the
+// response head at the beginning of text, and whether there is one.
+func findConnectionClose(text []byte) (at int, ok bool) {
 	length := headLength(text)
 	if length == 0 {
 		length = len(text)
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -10,27 +10,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model: instances that each hold a table, one caller that repeats a request under which
-// targets end, and news that take a while from instance to instance.
+// Constants of the simulation of one client that repeats a request that crashes its targets. Each
+// instance has a table, and updates between instances are delayed.
 const (
-	modelRun      = 50 * time.Millisecond
-	modelRevive   = 3 * time.Second
-	modelTargets  = 40
-	modelAttempts = 2
-	modelTime     = 60 * time.Second
+	modelServiceTime = 50 * time.Millisecond
+	modelRestartTime = 3 * time.Second
+	modelTargets     = 40
+	modelAttempts    = 2
+	modelTime        = 60 * time.Second
 )
 
-// modelCase is one setting of the model.
+// modelCase is a setting of the simulation.
 type modelCase struct {
 	instances int
-	// news is the mean time that news take, and perSecond the rate of the repeats.
-	news      time.Duration
-	perSecond float64
-	// sticky requests go to the same targets at all instances.
+	// messageDelay is the mean delay of a message between instances, and perSecond the rate of the
+	// client's requests.
+	messageDelay time.Duration
+	perSecond    float64
+	// With sticky, all instances send the request to the same targets first.
 	sticky bool
-	// silent has instances tell each other nothing, and free has suspect requests sent
-	// without a warden's leave.
-	silent, free bool
+	// With noGossip the instances exchange no updates. With noCoordinator they send suspect
+	// requests without asking the coordinator.
+	noGossip, noCoordinator bool
 }
 
 type modelEvent struct {
@@ -50,30 +51,30 @@
 	return last
 }
 
-// model plays one setting and counts the targets that end.
+// model simulates one setting and counts the targets that crash.
 type model struct {
 	modelCase
-	rnd    *rand.Rand
-	now    time.Duration
-	queue  modelQueue
-	tables []Table
-	warden Warden
-	down   map[int]time.Duration
-	digest Digest
-	ends   int
-	// lateSends are those later than four seconds after the third end.
-	thirdAt   time.Duration
-	lateSends int
-	newsBytes int
+	rnd         *rand.Rand
+	now         time.Duration
+	queue       modelQueue
+	tables      []Table
+	coordinator TrialCoordinator
+	downUntil   map[int]time.Duration
+	digest      Digest
+	crashes     int
+	// lateSends counts the sends later than 4 s after the third crash.
+	thirdCrashAt time.Duration
+	lateSends    int
+	updateBytes  int
 }
 
 func (m *model) at(delay time.Duration, do func()) {
 	heap.Push(&m.queue, modelEvent{at: m.now + delay, do: do})
 }
 
-func (m *model) play() {
+func (m *model) run() {
 	m.tables = make([]Table, m.instances)
-	m.down = make(map[int]time.Duration)
+	m.downUntil = make(map[int]time.Duration)
 	var arrive func()
 	arrive = func() {
 		m.arrive(m.rnd.IntN(m.instances), 0, 0)
@@ -89,81 +90,82 @@
 
 func (m *model) clock() time.Time { return after(m.now) }
 
-// arrive has an instance decide on an attempt. Broken is the number of attempts that ended
-// their target before.
-func (m *model) arrive(i, sent, broken int) {
-	s := m.tables[i].Standing(m.clock(), m.digest)
+// arrive lets an instance decide on the next attempt of a request. The argument crashedAttempts is
+// the number of earlier attempts during which the target crashed.
+func (m *model) arrive(i, sent, crashedAttempts int) {
+	s := m.tables[i].Status(m.clock(), m.digest)
 	switch {
-	case broken > 0 && s.Ends >= suspectEnds, s.Verdict == Held, sent >= modelAttempts:
+	case crashedAttempts > 0 && s.Crashes >= suspectCrashes, s.Verdict == Held, sent >= modelAttempts:
 		return
-	case s.Verdict == Free || m.free:
-		m.send(i, sent, broken, false)
+	case s.Verdict == Allowed || m.noCoordinator:
+		m.send(i, sent, crashedAttempts, false)
 	default:
 		m.at(m.delay(), func() {
-			granted, _ := m.warden.Ask(m.clock(), &m.tables[0], m.digest, fmt.Sprint(i), after(m.now+3*time.Second))
+			granted, _ := m.coordinator.Acquire(m.clock(), &m.tables[0], m.digest, fmt.Sprint(i), after(m.now+3*time.Second))
 			if granted {
-				m.at(m.delay(), func() { m.send(i, sent, broken, true) })
+				m.at(m.delay(), func() { m.send(i, sent, crashedAttempts, true) })
 			}
 		})
 	}
 }
 
-// delay is how long a message takes.
+// delay draws the delay of a message.
 func (m *model) delay() time.Duration {
-	return time.Duration((0.5 + m.rnd.Float64()) * float64(m.news))
+	return time.Duration((0.5 + m.rnd.Float64()) * float64(m.messageDelay))
 }
 
-// send has the first target that is there run the request, or any.
-func (m *model) send(i, sent, broken int, trial bool) {
-	target := m.pick()
+// send runs the request at the first target that is up, or at a random one if requests are not
+// sticky.
+func (m *model) send(i, sent, crashedAttempts int, trial bool) {
+	target := m.pickTarget()
 	if target < 0 {
 		return
 	}
-	if m.thirdAt > 0 && m.now > m.thirdAt+4*time.Second {
+	if m.thirdCrashAt > 0 && m.now > m.thirdCrashAt+4*time.Second {
 		m.lateSends++
 	}
-	until, there := m.down[target]
+	until, hadCrashed := m.downUntil[target]
 	generation := until
-	m.at(modelRun, func() {
-		if now, again := m.down[target]; again != there || now != generation {
-			// It has ended under another copy meanwhile.
-			m.learn(i, target, generation, trial)
+	m.at(modelServiceTime, func() {
+		if latest, hasCrashed := m.downUntil[target]; hasCrashed != hadCrashed || latest != generation {
+			// The target has crashed under another copy of the request meanwhile.
+			m.recordCrash(i, target, generation, trial)
 		} else {
-			m.ends++
-			if m.ends == 3 {
-				m.thirdAt = m.now
+			m.crashes++
+			if m.crashes == 3 {
+				m.thirdCrashAt = m.now
 			}
-			m.down[target] = m.now + modelRevive
-			m.learn(i, target, generation, trial)
+			m.downUntil[target] = m.now + modelRestartTime
+			m.recordCrash(i, target, generation, trial)
 		}
 		if !trial {
-			m.arrive(i, sent+1, broken+1)
+			m.arrive(i, sent+1, crashedAttempts+1)
 		}
 	})
 }
 
-func (m *model) pick() int {
+func (m *model) pickTarget() int {
 	first := 0
 	if !m.sticky {
 		first = m.rnd.IntN(modelTargets)
 	}
 	for k := range modelTargets {
 		target := (first + k) % modelTargets
-		if m.now >= m.down[target] {
+		if m.now >= m.downUntil[target] {
 			return target
 		}
 	}
 	return -1
 }
 
-// learn has an instance note an end and tell all others.
-func (m *model) learn(i, target int, generation time.Duration, trial bool) {
-	id := TargetOf(fmt.Sprint(target, "#", generation))
-	if !m.tables[i].Ended(m.clock(), m.digest, "", id, trial) || m.silent {
+// recordCrash records a crash at an instance and sends the change to all other instances.
+func (m *model) recordCrash(i, target int, generation time.Duration, trial bool) {
+	id := TargetIDOf(fmt.Sprint(target, "#", generation))
+	if !m.tables[i].RecordCrash(m.clock(), m.digest, "", id, trial) || m.noGossip {
 		return
 	}
-	news := m.tables[i].About(m.clock(), m.digest)
-	raw, err := news.MarshalBinary()
+	updates := m.tables[i].Updates(m.clock(), m.digest)
+	raw, err := updates.MarshalBinary()
 	if err != nil {
 		panic(err)
 	}
@@ -171,52 +173,53 @@
 		if j == i {
 			continue
 		}
-		m.newsBytes += len(raw)
-		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), news) })
+		m.updateBytes += len(raw)
+		m.at(m.delay(), func() { m.tables[j].Merge(m.clock(), updates) })
 	}
 }
 
-// TestModel plays a minute of one caller's repeats at fleets of several sizes, and checks that
-// few targets end and that nothing is sent late, where news take as long as between regions.
-// Each way is switched off in turn, for what it is worth.
-func TestModel(t *testing.T) {
-	const far = 60 * time.Millisecond
+// TestRepeatModel simulates a minute of one client that repeats a request that crashes its targets,
+// for several numbers of instances and with message delays as between regions. It checks the number
+// of crashed targets and the number of late sends. Settings without a limit are only logged: they
+// slow the messages down, or switch off one mechanism to show its effect.
+func TestRepeatModel(t *testing.T) {
+	const regionDelay = 60 * time.Millisecond
 	cases := []struct {
 		name string
 		modelCase
-		most int
+		limit int
 	}{
-		{"12 instances", modelCase{instances: 12, news: far, perSecond: 20, sticky: true}, mostEnds},
-		{"300 instances", modelCase{instances: 300, news: 2 * far, perSecond: 20, sticky: true}, mostEnds},
-		{"730 instances", modelCase{instances: 730, news: 2 * far, perSecond: 20, sticky: true}, mostEnds},
-		{"12, without an object", modelCase{instances: 12, news: far, perSecond: 20}, mostEnds + 2},
-		{"730, without an object", modelCase{instances: 730, news: 2 * far, perSecond: 20}, mostEnds + 4},
-		{"12, 200 a second", modelCase{instances: 12, news: far, perSecond: 200, sticky: true}, mostEnds + 2},
-		{"12, gossip alone", modelCase{instances: 12, news: 700 * time.Millisecond, perSecond: 20, sticky: true}, 0},
-		{"12, told nothing", modelCase{instances: 12, news: far, perSecond: 20, sticky: true, silent: true}, 0},
-		{"12, no warden", modelCase{instances: 12, news: far, perSecond: 20, sticky: true, free: true}, 0},
+		{"12 instances", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true}, maxCrashes},
+		{"300 instances", modelCase{instances: 300, messageDelay: 2 * regionDelay, perSecond: 20, sticky: true}, maxCrashes},
+		{"730 instances", modelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 20, sticky: true}, maxCrashes},
+		{"12 instances, not sticky", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20}, maxCrashes + 2},
+		{"730 instances, not sticky", modelCase{instances: 730, messageDelay: 2 * regionDelay, perSecond: 20}, maxCrashes + 4},
+		{"12 instances, 200 requests a second", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 200, sticky: true}, maxCrashes + 2},
+		{"12 instances, slow messages", modelCase{instances: 12, messageDelay: 700 * time.Millisecond, perSecond: 20, sticky: true}, 0},
+		{"12 instances, no updates", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noGossip: true}, 0},
+		{"12 instances, no coordinator", modelCase{instances: 12, messageDelay: regionDelay, perSecond: 20, sticky: true, noCoordinator: true}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			ends, worst, late, bytes := 0, 0, 0, 0
+			crashes, worst, late, bytes := 0, 0, 0, 0
 			const seeds = 10
 			for seed := range uint64(seeds) {
 				m := &model{modelCase: c.modelCase, rnd: rand.New(rand.NewPCG(seed, 9)), digest: digest("/ends/")}
-				m.play()
-				ends += m.ends
-				worst, late, bytes = max(worst, m.ends), max(late, m.lateSends), max(bytes, m.newsBytes/c.instances)
+				m.run()
+				crashes += m.crashes
+				worst, late, bytes = max(worst, m.crashes), max(late, m.lateSends), max(bytes, m.updateBytes/c.instances)
 			}
-			t.Logf("%.1f targets ended, %d at worst; %d sends late at worst; %d bytes of news an instance", float64(ends)/seeds, worst, late, bytes)
-			if c.most > 0 {
-				require.LessOrEqual(t, worst, c.most)
-				require.LessOrEqual(t, late, mostTrials)
+			t.Logf("crashed targets: %.1f on average, at most %d; at most %d late sends; %d bytes of updates per instance", float64(crashes)/seeds, worst, late, bytes)
+			if c.limit > 0 {
+				require.LessOrEqual(t, worst, c.limit)
+				require.LessOrEqual(t, late, maxFailedTrials)
 			}
 		})
 	}
 }
 
-// BenchmarkDigest measures what a request costs while anything is known of any, by the length
-// of its body.
+// BenchmarkDigest measures the cost of a digest by the length of the body. Instances compute
+// digests only while their table has records.
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{0, 4 << 10, 64 << 10} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -11,193 +11,197 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Facts are what a message tells of one request: its ends and its last answer, with their
-// ages at the time of sending.
-type Facts struct {
+// Update is the state of one digest in a message: its crashes and its last answer, with their ages
+// at the time of sending.
+type Update struct {
 	Digest Digest
-	// Account is the hash of the name of its client account.
+	// Account is the hash of the client account's name, see AccountHash.
 	Account uint32
-	Ends    []EndFact
-	// Answered is the time since it was last answered, negative if it was not.
-	Answered time.Duration
+	Crashes []CrashUpdate
+	// AnswerAge is the time since the last answer, negative if there was none.
+	AnswerAge time.Duration
 }
 
-// EndFact is an end in a message.
-type EndFact struct {
-	Target Target
+// CrashUpdate is the crash of a target in an Update.
+type CrashUpdate struct {
+	Target TargetID
 	Age    time.Duration
 	Trial  bool
 }
 
-// News are facts as a message carries them.
-type News []Facts
+// Updates are the updates of one message.
+type Updates []Update
 
-// ErrNews is returned for news that are cut short.
-var ErrNews = errors.New("quarantine: news cut short")
+// ErrTruncated is returned for encoded updates that are truncated or hold more crashes than a
+// record may have.
+var ErrTruncated = errors.New("quarantine: updates truncated or with too many crashes")
 
-// AccountHash is the form of the name of a client account in facts.
+// AccountHash returns the hash that stands for the name of a client account in records and
+// messages.
 func AccountHash(name string) uint32 { return uint32(mix.Hash(name) >> 32) }
 
-// TargetOf returns what stands for the target with an ID.
-func TargetOf(id string) Target { return Target(mix.Hash(id)) }
+// TargetIDOf returns the TargetID of the target incarnation with the given ID.
+func TargetIDOf(id string) TargetID { return TargetID(mix.Hash(id)) }
 
-// facts returns what is told of a record.
-func (r *record) facts(now time.Time, d Digest) Facts {
-	f := Facts{Digest: d, Account: r.account, Answered: -1}
-	for _, e := range r.ends {
-		f.Ends = append(f.Ends, EndFact{Target: e.target, Age: now.Sub(e.at), Trial: e.trial})
+// update returns the state of the record for a message.
+func (r *record) update(now time.Time, d Digest) Update {
+	u := Update{Digest: d, Account: r.account, AnswerAge: -1}
+	for _, c := range r.crashes {
+		u.Crashes = append(u.Crashes, CrashUpdate{Target: c.target, Age: now.Sub(c.at), Trial: c.trial})
 	}
 	if !r.answeredAt.IsZero() {
-		f.Answered = now.Sub(r.answeredAt)
+		u.AnswerAge = now.Sub(r.answeredAt)
 	}
-	return f
+	return u
 }
 
-// About returns what is known of some requests, for a message.
-func (t *Table) About(now time.Time, digests ...Digest) News {
-	var out News
+// Updates returns the states of the given digests for a message. It leaves out digests without a
+// record, and records that expire within minRemainingTTL.
+func (t *Table) Updates(now time.Time, digests ...Digest) Updates {
+	var out Updates
 	for _, d := range digests {
-		if r := t.records[d]; r != nil && now.Add(leastLeft).Before(r.until()) {
-			out = append(out, r.facts(now, d))
+		if r := t.records[d]; r != nil && now.Add(minRemainingTTL).Before(r.expiresAt()) {
+			out = append(out, r.update(now, d))
 		}
 	}
 	return out
 }
 
-// Most returns what is known of at most n suspect requests, those with the latest ends.
-func (t *Table) Most(now time.Time, n int) News {
+// LatestSuspects returns the states of at most n digests that are not Allowed, those with the
+// latest crashes.
+func (t *Table) LatestSuspects(now time.Time, n int) Updates {
 	var digests []Digest
 	for d, r := range t.records {
-		if r.suspects() {
+		if r.isSuspect() {
 			digests = append(digests, d)
 		}
 	}
 	slices.SortFunc(digests, func(a, b Digest) int {
-		return cmp.Or(t.records[b].lastEnd().Compare(t.records[a].lastEnd()), slices.Compare(a[:], b[:]))
+		return cmp.Or(t.records[b].lastCrash().Compare(t.records[a].lastCrash()), slices.Compare(a[:], b[:]))
 	})
-	return t.About(now, digests[:min(n, len(digests))]...)
+	return t.Updates(now, digests[:min(n, len(digests))]...)
 }
 
-// Sum returns a number that is the same for tables that know the same of suspect requests,
-// 0 if there are none.
-func (t *Table) Sum() uint32 {
+// Checksum returns a checksum of the suspect records, by which instances detect that their tables
+// differ. It covers digests and crashed targets, but no times. It is 0 if no record is suspect.
+func (t *Table) Checksum() uint32 {
 	sum := uint64(0)
 	for d, r := range t.records {
-		if !r.suspects() {
+		if !r.isSuspect() {
 			continue
 		}
-		one := binary.BigEndian.Uint64(d[:])
-		for _, e := range r.ends {
-			one = mix.Join(one, 0) ^ uint64(e.target)
+		hash := binary.BigEndian.Uint64(d[:])
+		for _, c := range r.crashes {
+			hash = mix.Combine(hash, 0) ^ uint64(c.target)
 		}
-		sum ^= mix.Join(one, uint64(len(r.ends)))
+		sum ^= mix.Combine(hash, uint64(len(r.crashes)))
 	}
 	return uint32(sum)
 }
 
-// Merge takes in what another instance knows. It returns the digests of which something new
-// was learned.
-func (t *Table) Merge(now time.Time, news News) []Digest {
-	var learned []Digest
-	for _, f := range news {
-		fresh := false
-		if f.Answered >= 0 && f.Answered < clearedLife && t.records[f.Digest] == nil && t.makeRoom(now, f.Account) {
-			// Its ends may come later than the news that they do not count.
-			t.put(f.Digest, newRecord(f.Digest, f.Account))
+// Merge applies the updates of another instance. It returns the digests whose crashes have changed.
+func (t *Table) Merge(now time.Time, updates Updates) []Digest {
+	var digests []Digest
+	for _, update := range updates {
+		changed := false
+		if update.AnswerAge >= 0 && update.AnswerAge < answeredTTL && t.records[update.Digest] == nil && t.makeRoom(now, update.Account) {
+			// Updates on crashes before this answer may arrive later, and must not count.
+			t.put(update.Digest, newRecord(update.Digest, update.Account))
 		}
-		if f.Answered >= 0 && t.records[f.Digest] != nil {
-			r := t.records[f.Digest]
-			t.change(r, func() { fresh = r.answer(now.Add(-f.Answered)) })
+		if update.AnswerAge >= 0 && t.records[update.Digest] != nil {
+			r := t.records[update.Digest]
+			t.modify(r, func() { changed = r.addAnswer(now.Add(-update.AnswerAge)) })
 		}
-		for _, e := range f.Ends {
-			at := now.Add(-e.Age)
-			if f.Answered >= 0 && e.Age >= f.Answered {
+		for _, c := range update.Crashes {
+			at := now.Add(-c.Age)
+			if update.AnswerAge >= 0 && c.Age >= update.AnswerAge {
 				continue
 			}
-			fresh = t.add(now, f.Digest, f.Account, end{target: e.Target, at: at, trial: e.Trial}) || fresh
+			changed = t.add(now, update.Digest, update.Account, crash{target: c.Target, at: at, trial: c.Trial}) || changed
 		}
-		if fresh {
-			learned = append(learned, f.Digest)
+		if changed {
+			digests = append(digests, update.Digest)
 		}
 	}
-	return learned
+	return digests
 }
 
-// Sizes of facts in a message, and the unit of ages there.
+// Sizes of encoded updates, and the unit of the ages in them.
 const (
-	headBytes = len(Digest{}) + 4 + 2 + 1
-	endBytes  = 8 + 2
-	wireUnit  = 100 * time.Millisecond
-	// never stands for an answer that there was not; the highest age is below it.
-	never = math.MaxUint16
-	// trialBit is the highest bit of an end's age.
+	headerBytes = len(Digest{}) + 4 + 2 + 1
+	crashBytes  = 8 + 2
+	ageUnit     = 100 * time.Millisecond
+	// noAnswer encodes that there was no answer. It is greater than all encoded ages.
+	noAnswer = math.MaxUint16
+	// trialBit is the highest bit of a crash's encoded age, set if the crash happened during a
+	// trial.
 	trialBit = 1 << 15
-	// longestEnd is the highest age of an end in a message, and longestAnswer that of
-	// an answer: what is older is long forgotten.
-	longestEnd    = trialBit - 1
-	longestAnswer = never - 1
+	// maxCrashAge is the largest encoded age of a crash, and maxAnswerAge that of an answer, in
+	// units of ageUnit. Records of older crashes and answers have expired.
+	maxCrashAge  = trialBit - 1
+	maxAnswerAge = noAnswer - 1
 )
 
-// MarshalBinary implements encoding.BinaryMarshaler, by which messages carry news.
-func (n News) MarshalBinary() ([]byte, error) {
-	raw := make([]byte, 0, len(n)*(headBytes+2*endBytes))
-	for _, f := range n {
-		raw = append(raw, f.Digest[:]...)
-		raw = binary.BigEndian.AppendUint32(raw, f.Account)
-		raw = binary.BigEndian.AppendUint16(raw, answerAge(f.Answered))
-		ends := f.Ends[:min(len(f.Ends), mostEnds)]
-		raw = append(raw, byte(len(ends)))
-		for _, e := range ends {
-			raw = binary.BigEndian.AppendUint64(raw, uint64(e.Target))
-			raw = binary.BigEndian.AppendUint16(raw, endAge(e))
+// MarshalBinary implements encoding.BinaryMarshaler. It is the encoding of updates in messages.
+func (u Updates) MarshalBinary() ([]byte, error) {
+	raw := make([]byte, 0, len(u)*(headerBytes+2*crashBytes))
+	for _, update := range u {
+		raw = append(raw, update.Digest[:]...)
+		raw = binary.BigEndian.AppendUint32(raw, update.Account)
+		raw = binary.BigEndian.AppendUint16(raw, encodeAnswerAge(update.AnswerAge))
+		crashes := update.Crashes[:min(len(update.Crashes), maxCrashes)]
+		raw = append(raw, byte(len(crashes)))
+		for _, c := range crashes {
+			raw = binary.BigEndian.AppendUint64(raw, uint64(c.Target))
+			raw = binary.BigEndian.AppendUint16(raw, encodeCrashAge(c))
 		}
 	}
 	return raw, nil
 }
 
-func answerAge(age time.Duration) uint16 {
+func encodeAnswerAge(age time.Duration) uint16 {
 	if age < 0 {
-		return never
+		return noAnswer
 	}
-	return uint16(min(age/wireUnit, longestAnswer))
+	return uint16(min(age/ageUnit, maxAnswerAge))
 }
 
-func endAge(e EndFact) uint16 {
-	age := uint16(min(max(e.Age, 0)/wireUnit, longestEnd))
-	if e.Trial {
+func encodeCrashAge(c CrashUpdate) uint16 {
+	age := uint16(min(max(c.Age, 0)/ageUnit, maxCrashAge))
+	if c.Trial {
 		age |= trialBit
 	}
 	return age
 }
 
-// UnmarshalBinary implements encoding.BinaryUnmarshaler.
-func (n *News) UnmarshalBinary(raw []byte) error {
-	*n = nil
+// UnmarshalBinary implements encoding.BinaryUnmarshaler. It returns ErrTruncated for invalid data.
+func (u *Updates) UnmarshalBinary(raw []byte) error {
+	*u = nil
 	for len(raw) > 0 {
-		if len(raw) < headBytes {
-			return ErrNews
+		if len(raw) < headerBytes {
+			return ErrTruncated
 		}
-		f := Facts{Digest: Digest(raw), Answered: -1}
-		raw = raw[len(f.Digest):]
-		f.Account = binary.BigEndian.Uint32(raw)
-		if age := binary.BigEndian.Uint16(raw[4:]); age != never {
-			f.Answered = time.Duration(age) * wireUnit
+		update := Update{Digest: Digest(raw), AnswerAge: -1}
+		raw = raw[len(update.Digest):]
+		update.Account = binary.BigEndian.Uint32(raw)
+		if age := binary.BigEndian.Uint16(raw[4:]); age != noAnswer {
+			update.AnswerAge = time.Duration(age) * ageUnit
 		}
 		count := int(raw[6])
 		raw = raw[7:]
-		if count > mostEnds || len(raw) < count*endBytes {
-			return ErrNews
+		if count > maxCrashes || len(raw) < count*crashBytes {
+			return ErrTruncated
 		}
 		for range count {
 			age := binary.BigEndian.Uint16(raw[8:])
-			f.Ends = append(f.Ends, EndFact{
-				Target: Target(binary.BigEndian.Uint64(raw)),
-				Age:    time.Duration(age&^trialBit) * wireUnit,
+			update.Crashes = append(update.Crashes, CrashUpdate{
+				Target: TargetID(binary.BigEndian.Uint64(raw)),
+				Age:    time.Duration(age&^trialBit) * ageUnit,
 				Trial:  age&trialBit != 0,
 			})
-			raw = raw[endBytes:]
+			raw = raw[crashBytes:]
 		}
-		*n = append(*n, f)
+		*u = append(*u, update)
 	}
 	return nil
 }
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -8,168 +8,176 @@
 )
 
 const (
-	// nearTimeout and farTimeout are how long the answer of an owner of the own or of
-	// another region is waited for. Between regions the way there and back takes 70 to
-	// 110 ms.
-	nearTimeout = 50 * time.Millisecond
-	farTimeout  = 150 * time.Millisecond
-	// moreTimeout is how long the next answer of an owner is waited for that said that
-	// another one follows.
-	moreTimeout = loanTime + nearTimeout
-	// maxTries bounds the owners that are asked for one request.
+	// sameRegionTimeout and crossRegionTimeout are how long a holder waits for the reply
+	// of an owner in its own region or in another one. A round trip between regions takes
+	// 70 to 110 ms.
+	sameRegionTimeout  = 50 * time.Millisecond
+	crossRegionTimeout = 150 * time.Millisecond
+	// followUpTimeout is how long a holder waits for the next reply after a grant with
+	// MoreFollows.
+	followUpTimeout = maxLoanWait + sameRegionTimeout
+	// maxTries is the largest number of owners that are tried for one request.
 	maxTries = 3
-	// silentFor is how long an owner that did not answer is passed over, and foreignFor
-	// how long one that says that it does not own the part.
-	silentFor  = time.Second
-	foreignFor = 500 * time.Millisecond
+	// timeoutSuspension is how long an owner that did not reply in time, or refused a
+	// connection, is skipped.
+	// notOwnerSuspension is how long an instance that does not own the share is skipped.
+	timeoutSuspension  = time.Second
+	notOwnerSuspension = 500 * time.Millisecond
 
-	// aheadTime is the time for which permits are asked for ahead of need, and lowShare
-	// the part of them below which more are asked for.
-	aheadTime = 250 * time.Millisecond
-	lowShare  = 0.4
-	// aheadFrom is the number of requests in a permit's life from which on permits are
-	// asked for ahead of need. Of fewer requests many would come too late for theirs.
-	aheadFrom = 3
+	// prefetchTime is the time for which permits are requested ahead of need.
+	// prefetchThreshold is the fraction of these permits below which more are requested.
+	prefetchTime      = 250 * time.Millisecond
+	prefetchThreshold = 0.4
+	// minPrefetchRequests is the number of requests within a permit's lifetime from which
+	// on permits are prefetched. At a lower rate, many prefetched permits would expire
+	// unused.
+	minPrefetchRequests = 3
 
-	// leastDenial and mostDenial bound the time for which an instance that got none
-	// refuses without asking again.
-	leastDenial = 10 * time.Millisecond
-	mostDenial  = 100 * time.Millisecond
-	// leastGot bounds the rate of permits that a forecast is made from, in 1/s.
-	leastGot = 0.5
-	// heldForgotten is when an account without requests is forgotten.
-	heldForgotten = 30 * time.Second
+	// minDenial and maxDenial bound the time for which an instance refuses requests
+	// without a new permit request after it was denied a permit.
+	minDenial = 10 * time.Millisecond
+	maxDenial = 100 * time.Millisecond
+	// minPermitRate is the lowest permit rate, in 1/s, that a forecast uses.
+	minPermitRate = 0.5
+	// accountIdleTimeout is the time without requests after which an account's state is
+	// dropped.
+	accountIdleTimeout = 30 * time.Second
 )
 
-// Verdict is the kind of an answer to a request for a permit.
-type Verdict int
+// Decision is the decision on a request of an account.
+type Decision int
 
-// The verdicts.
+// The decisions.
 const (
 	// Admit means that the request has a permit.
-	Admit Verdict = iota
-	// Wait means that an owner is asked; an Answer with the request's ID follows unless it
-	// is cancelled.
+	Admit Decision = iota
+	// Wait means that an owner has been sent a permit request. A Result with the request's
+	// ID follows unless the request is cancelled.
 	Wait
-	// Refuse means that the account is beyond its limit.
+	// Refuse means that the account is over its limit.
 	Refuse
-	// Unknown means that no owner could be asked.
-	Unknown
+	// Unavailable means that no owner could be reached.
+	Unavailable
 )
 
-// Answer ends a request for a permit.
-type Answer struct {
-	ID      uint64
-	Verdict Verdict
-	// Until is how long the permit may be used.
-	Until time.Time
-	// RetryAfter is when there is room again, after a refusal.
+// Result is the decision on a request, with its reasons.
+type Result struct {
+	ID       uint64
+	Decision Decision
+	// ExpiresAt is the time until which the permit may be used.
+	ExpiresAt time.Time
+	// RetryAfter is the time after which a retry is worthwhile, if the request was not
+	// admitted.
 	RetryAfter time.Duration
-	// Owner is the instance that was asked last, Used the rate of the account's requests
-	// here and Got that of permits, in 1/s, to explain a refusal.
-	Owner     string
-	Used, Got float64
+	// Owner is the instance to which the last permit request was sent. RequestRate is the
+	// rate of the account's requests at this instance and PermitRate that of the permits
+	// received, both in 1/s. They explain a refusal.
+	Owner                   string
+	RequestRate, PermitRate float64
 }
 
-// Ask is a question to the owner of an account's part.
-type Ask struct {
+// PermitRequest is a request for permits to the owner of an account's share.
+type PermitRequest struct {
 	Account string
 	To      Owner
 	N       int
-	// At is when it is asked. The answer is told by it.
+	// At is the time of the request. It identifies the request in the reply.
 	At time.Time
 }
 
-// Holder holds the permits of an instance. It is not safe for concurrent use.
+// Holder holds the permits of one instance. It is not safe for concurrent use.
 type Holder struct {
-	owners *Owners
-	held   map[string]*held
-	// asking is the number of accounts whose owner's answer is due.
-	asking int
-	// silences are of the owners that are passed over, by name.
-	silences map[string]silence
-	// salt tells the instances' drawn times apart.
+	owners   *Owners
+	accounts map[string]*accountState
+	// outstanding is the number of accounts with an outstanding permit request.
+	outstanding int
+	// suspended are the owners that are skipped, by name.
+	suspended map[string]suspension
+	// salt makes the jitter of waiting times differ between instances.
 	salt uint64
-	// mostDenial bounds the time for which an instance that got none refuses without asking.
-	mostDenial time.Duration
+	// maxDenial is the longest time for which this holder refuses requests after a denial.
+	maxDenial time.Duration
 }
 
-// held is what an instance knows of one account.
-type held struct {
-	permits lots
-	// life is that of the last permits.
-	life time.Duration
-	// used is the rate of requests, and got that of permits.
-	used, got rate
-	waiting   []uint64
-	// asking is set while an owner's answer is due.
-	asking  bool
-	ask     Ask
-	askedAt time.Time
-	// dueAt is when the answer should be there.
-	dueAt time.Time
-	tries int
+// accountState is the state of one account at a holder.
+type accountState struct {
+	permits batches
+	// lifetime is the lifetime of the permits received last.
+	lifetime time.Duration
+	// requestRate is the rate of requests (for hall limits, of permits used), permitRate
+	// that of permits received.
+	requestRate, permitRate rateEstimate
+	waiting                 []uint64
+	// outstanding is set while a permit request awaits its reply.
+	outstanding bool
+	request     PermitRequest
+	requestedAt time.Time
+	// deadline is the time at which the outstanding request times out.
+	deadline time.Time
+	tries    int
 
 	deniedUntil time.Time
-	// denials is the number of requests refused since the last permit.
+	// denials is the number of requests refused since permits were last received.
 	denials int
 
-	owners       []Owner
-	from         *Owners
-	foreignUntil map[string]time.Time
-	usedAt       time.Time
+	owners        []Owner
+	ownersSource  *Owners
+	notOwnerUntil map[string]time.Time
+	usedAt        time.Time
 }
 
-// NewHolder returns a holder without permits for the instance of a name.
+// NewHolder returns a holder without permits for the named instance.
 func NewHolder(name string) *Holder {
-	return &Holder{held: make(map[string]*held), silences: make(map[string]silence), salt: mix.Hash(name), mostDenial: mostDenial}
+	return &Holder{accounts: make(map[string]*accountState), suspended: make(map[string]suspension), salt: mix.Hash(name), maxDenial: maxDenial}
 }
 
-// SetOwners puts owners in force.
+// SetOwners replaces the owners.
 func (h *Holder) SetOwners(owners *Owners) { h.owners = owners }
 
-// Take asks for a permit for a request of an account, and returns what to ask owners.
-func (h *Holder) Take(now time.Time, id uint64, account string) (Answer, []Ask) {
+// Acquire acquires a permit for a request of an account. It returns the decision and the
+// permit requests to send.
+func (h *Holder) Acquire(now time.Time, id uint64, account string) (Result, []PermitRequest) {
 	a := h.account(account)
 	a.usedAt = now
-	a.used.add(now, 1)
+	a.requestRate.add(now, 1)
 	if n, until := a.permits.take(now, 1); n > 0 {
-		return Answer{ID: id, Verdict: Admit, Until: until}, h.ahead(now, account, a)
+		return Result{ID: id, Decision: Admit, ExpiresAt: until}, h.prefetch(now, account, a)
 	}
 	if now.Before(a.deniedUntil) {
 		return h.deny(now, a, id), nil
 	}
 	a.waiting = append(a.waiting, id)
-	if a.asking {
-		return Answer{ID: id, Verdict: Wait}, nil
+	if a.outstanding {
+		return Result{ID: id, Decision: Wait}, nil
 	}
 	a.tries = 0
-	answers, asks := h.next(now, account, a)
-	if len(answers) > 0 {
-		return answers[0], nil
+	results, requests := h.askNext(now, account, a)
+	if len(results) > 0 {
+		return results[0], nil
 	}
-	return Answer{ID: id, Verdict: Wait}, asks
+	return Result{ID: id, Decision: Wait}, requests
 }
 
-func (h *Holder) account(name string) *held {
-	a := h.held[name]
+func (h *Holder) account(name string) *accountState {
+	a := h.accounts[name]
 	if a == nil {
-		a = &held{}
-		h.held[name] = a
+		a = &accountState{}
+		h.accounts[name] = a
 	}
 	return a
 }
 
-// Return gives back the permit of a request that was not sent.
-func (h *Holder) Return(now time.Time, account string, until time.Time) {
-	if a := h.held[account]; a != nil && now.Before(until) {
+// Release returns the permit of a request that was not sent. The permit can be used again
+// until it expires.
+func (h *Holder) Release(now time.Time, account string, until time.Time) {
+	if a := h.accounts[account]; a != nil && now.Before(until) {
 		a.permits.add(1, until)
 	}
 }
 
-// Cancel ends the wait of a request.
+// Cancel removes a waiting request.
 func (h *Holder) Cancel(account string, id uint64) {
-	a := h.held[account]
+	a := h.accounts[account]
 	if a == nil {
 		return
 	}
@@ -181,69 +189,71 @@
 	}
 }
 
-// setAsking notes whether an owner's answer is due for an account.
-func (h *Holder) setAsking(a *held, asking bool) {
+// setOutstanding records whether an account has an outstanding permit request.
+func (h *Holder) setOutstanding(a *accountState, outstanding bool) {
 	switch {
-	case asking && !a.asking:
-		h.asking++
-	case !asking && a.asking:
-		h.asking--
+	case outstanding && !a.outstanding:
+		h.outstanding++
+	case !outstanding && a.outstanding:
+		h.outstanding--
 	}
-	a.asking = asking
+	a.outstanding = outstanding
 }
 
-// ahead returns the question for permits ahead of need, if there is to be one.
-func (h *Holder) ahead(now time.Time, account string, a *held) []Ask {
-	used := a.used.now(now)
-	if a.asking || now.Before(a.deniedUntil) || used*a.life.Seconds() < aheadFrom {
+// prefetch returns a request for permits ahead of need if the permits held run low.
+func (h *Holder) prefetch(now time.Time, account string, a *accountState) []PermitRequest {
+	rate := a.requestRate.value(now)
+	if a.outstanding || now.Before(a.deniedUntil) || rate*a.lifetime.Seconds() < minPrefetchRequests {
 		return nil
 	}
-	wanted := used * min(aheadTime, a.life/2).Seconds()
-	if float64(a.permits.count(now)) >= lowShare*wanted {
+	wanted := rate * min(prefetchTime, a.lifetime/2).Seconds()
+	if float64(a.permits.count(now)) >= prefetchThreshold*wanted {
 		return nil
 	}
 	a.tries = 0
-	_, asks := h.next(now, account, a)
-	return asks
+	_, requests := h.askNext(now, account, a)
+	return requests
 }
 
-// wanted is how many permits to ask for: for the requests that wait, and ahead of need.
-func (h *Holder) wanted(now time.Time, a *held) int {
-	used := a.used.now(now)
+// requestSize returns the number of permits to request: one for each waiting request, plus
+// those to prefetch.
+func (h *Holder) requestSize(now time.Time, a *accountState) int {
+	rate := a.requestRate.value(now)
 	n := len(a.waiting)
-	if used*a.life.Seconds() >= aheadFrom {
-		n += int(math.Ceil(used*min(aheadTime, a.life/2).Seconds())) - a.permits.count(now)
+	if rate*a.lifetime.Seconds() >= minPrefetchRequests {
+		n += int(math.Ceil(rate*min(prefetchTime, a.lifetime/2).Seconds())) - a.permits.count(now)
 	}
 	return max(n, 1)
 }
 
-// next asks the next owner, or ends the wait of all requests if there is none left.
-func (h *Holder) next(now time.Time, account string, a *held) ([]Answer, []Ask) {
-	owner, ok := h.ownerFor(now, account, a)
+// askNext sends a permit request to the next owner. If no owner is left, it ends the wait of
+// all requests.
+func (h *Holder) askNext(now time.Time, account string, a *accountState) ([]Result, []PermitRequest) {
+	owner, ok := h.nextOwner(now, account, a)
 	if !ok || a.tries >= maxTries {
-		h.setAsking(a, false)
-		return h.answerAll(a, h.explain(now, a, Answer{Verdict: Unknown, RetryAfter: silentFor})), nil
+		h.setOutstanding(a, false)
+		return h.finishAll(a, h.withRates(now, a, Result{Decision: Unavailable, RetryAfter: timeoutSuspension})), nil
 	}
 	a.tries++
-	h.setAsking(a, true)
-	a.askedAt, a.dueAt = now, now.Add(farTimeout)
-	if owner.Near {
-		a.dueAt = now.Add(nearTimeout)
+	h.setOutstanding(a, true)
+	a.requestedAt, a.deadline = now, now.Add(crossRegionTimeout)
+	if owner.SameRegion {
+		a.deadline = now.Add(sameRegionTimeout)
 	}
-	a.ask = Ask{Account: account, To: owner, N: h.wanted(now, a), At: now}
-	return nil, []Ask{a.ask}
+	a.request = PermitRequest{Account: account, To: owner, N: h.requestSize(now, a), At: now}
+	return nil, []PermitRequest{a.request}
 }
 
-// ownerFor returns the nearest owner that is not known to be of no use.
-func (h *Holder) ownerFor(now time.Time, account string, a *held) (Owner, bool) {
+// nextOwner returns the nearest owner that is not skipped after a timeout or a NotOwner reply.
+func (h *Holder) nextOwner(now time.Time, account string, a *accountState) (Owner, bool) {
 	if h.owners == nil {
 		return Owner{}, false
 	}
-	if a.from != h.owners {
-		a.from, a.owners = h.owners, h.owners.Of(account)
+	if a.ownersSource != h.owners {
+		a.ownersSource, a.owners = h.owners, h.owners.Of(account)
 	}
 	for _, owner := range a.owners {
-		if now.Before(h.silences[owner.Name].until) || now.Before(a.foreignUntil[owner.Name]) {
+		if now.Before(h.suspended[owner.Name].until) || now.Before(a.notOwnerUntil[owner.Name]) {
 			continue
 		}
 		return owner, true
@@ -251,125 +261,126 @@
 	return Owner{}, false
 }
 
-func (h *Holder) answerAll(a *held, answer Answer) []Answer {
-	out := make([]Answer, 0, len(a.waiting))
+func (h *Holder) finishAll(a *accountState, result Result) []Result {
+	out := make([]Result, 0, len(a.waiting))
 	for _, id := range a.waiting {
-		answer.ID = id
-		out = append(out, answer)
+		result.ID = id
+		out = append(out, result)
 	}
 	a.waiting = a.waiting[:0]
 	return out
 }
 
-// Hear takes in the answer of an owner to a question that was asked at a time. It returns
-// the ends of requests that waited, and what to ask next.
-func (h *Holder) Hear(now, askedAt time.Time, account, from string, issue Issue) ([]Answer, []Ask) {
-	a := h.held[account]
+// HandleReply processes an owner's reply to a permit request that was sent at
+// requestedAt. It returns the results of waiting requests and the permit requests to send next.
+func (h *Holder) HandleReply(now, requestedAt time.Time, account, from string, grant Grant) ([]Result, []PermitRequest) {
+	a := h.accounts[account]
 	if a == nil {
 		return nil, nil
 	}
-	delete(h.silences, from)
-	if until := askedAt.Add(min(issue.Life, maxLife)); issue.N > 0 && now.Before(until) {
-		a.permits.add(issue.N, until)
-		a.life = issue.Life
-		a.got.add(now, issue.N)
+	delete(h.suspended, from)
+	if until := requestedAt.Add(min(grant.Lifetime, maxLifetime)); grant.N > 0 && now.Before(until) {
+		a.permits.add(grant.N, until)
+		a.lifetime = grant.Lifetime
+		a.permitRate.add(now, grant.N)
 		a.denials = 0
 	}
-	due := a.asking && a.ask.To.Name == from && a.askedAt.Equal(askedAt)
-	if due && issue.Foreign {
-		if a.foreignUntil == nil {
-			a.foreignUntil = make(map[string]time.Time)
+	due := a.outstanding && a.request.To.Name == from && a.requestedAt.Equal(requestedAt)
+	if due && grant.NotOwner {
+		if a.notOwnerUntil == nil {
+			a.notOwnerUntil = make(map[string]time.Time)
 		}
-		a.foreignUntil[from] = now.Add(foreignFor)
-		return h.next(now, account, a)
+		a.notOwnerUntil[from] = now.Add(notOwnerSuspension)
+		return h.askNext(now, account, a)
 	}
-	answers := h.serveWaiting(now, a)
+	results := h.serveWaiting(now, a)
 	if !due {
-		return answers, nil
+		return results, nil
 	}
-	if issue.More {
-		a.ask.N -= issue.N
-		a.dueAt = now.Add(moreTimeout)
-		return answers, nil
+	if grant.MoreFollows {
+		a.request.N -= grant.N
+		a.deadline = now.Add(followUpTimeout)
+		return results, nil
 	}
-	h.setAsking(a, false)
-	if issue.N < a.ask.N {
-		a.deniedUntil = now.Add(min(max(issue.Wait, leastDenial), h.mostDenial))
+	h.setOutstanding(a, false)
+	if grant.N < a.request.N {
+		a.deniedUntil = now.Add(min(max(grant.RetryAfter, minDenial), h.maxDenial))
 	}
 	if len(a.waiting) == 0 {
-		return answers, nil
+		return results, nil
 	}
-	if issue.N < a.ask.N {
+	if grant.N < a.request.N {
 		for _, id := range a.waiting {
-			answers = append(answers, h.deny(now, a, id))
+			results = append(results, h.deny(now, a, id))
 		}
 		a.waiting = a.waiting[:0]
-		return answers, nil
+		return results, nil
 	}
 	a.tries = 0
-	more, asks := h.next(now, account, a)
-	return append(answers, more...), asks
+	more, requests := h.askNext(now, account, a)
+	return append(results, more...), requests
 }
 
-// serveWaiting gives the permits held to the requests that wait.
-func (h *Holder) serveWaiting(now time.Time, a *held) []Answer {
-	var out []Answer
+// serveWaiting gives the available permits to waiting requests.
+func (h *Holder) serveWaiting(now time.Time, a *accountState) []Result {
+	var out []Result
 	for len(a.waiting) > 0 {
 		n, until := a.permits.take(now, 1)
 		if n == 0 {
 			break
 		}
-		out = append(out, Answer{ID: a.waiting[0], Verdict: Admit, Until: until})
+		out = append(out, Result{ID: a.waiting[0], Decision: Admit, ExpiresAt: until})
 		a.waiting = a.waiting[1:]
 	}
 	return out
 }
 
-// deny refuses a request. It is told to come back when those refused before it are served,
-// at the rate at which permits come, and spread so that those refused together do not come
-// together.
-func (h *Holder) deny(now time.Time, a *held, id uint64) Answer {
+// deny refuses a request. RetryAfter is the time until the requests refused before it have
+// been served at the current permit rate, plus jitter so that requests that were refused
+// together are not retried together.
+func (h *Holder) deny(now time.Time, a *accountState, id uint64) Result {
 	a.denials++
-	wait := a.deniedUntil.Sub(now).Seconds() + float64(a.denials)/max(a.got.now(now), leastGot)
-	wait *= 1 + mix.Unit(mix.Join(id, h.salt))/2
+	wait := a.deniedUntil.Sub(now).Seconds() + float64(a.denials)/max(a.permitRate.value(now), minPermitRate)
+	wait *= 1 + mix.Unit(mix.Combine(id, h.salt))/2
 	after := min(time.Duration(wait*float64(time.Second)), maxWait)
-	return h.explain(now, a, Answer{ID: id, Verdict: Refuse, RetryAfter: max(after, leastDenial)})
+	return h.withRates(now, a, Result{ID: id, Decision: Refuse, RetryAfter: max(after, minDenial)})
 }
 
-// explain adds what decided to a refusal.
-func (h *Holder) explain(now time.Time, a *held, answer Answer) Answer {
-	answer.Owner, answer.Used, answer.Got = a.ask.To.Name, a.used.now(now), a.got.now(now)
-	return answer
+// withRates adds the owner and the rates to a result.
+func (h *Holder) withRates(now time.Time, a *accountState, result Result) Result {
+	result.Owner, result.RequestRate, result.PermitRate = a.request.To.Name, a.requestRate.value(now), a.permitRate.value(now)
+	return result
 }
 
-// Forget drops what is known of accounts without requests.
-func (h *Holder) Forget(now time.Time) {
-	for name, a := range h.held {
-		if !a.asking && now.Sub(a.usedAt) >= heldForgotten {
-			delete(h.held, name)
+// EvictIdle drops the state of accounts without recent requests, and suspensions that have
+// ended.
+func (h *Holder) EvictIdle(now time.Time) {
+	for name, a := range h.accounts {
+		if !a.outstanding && now.Sub(a.usedAt) >= accountIdleTimeout {
+			delete(h.accounts, name)
 		}
 	}
-	for name, s := range h.silences {
-		if !s.unanswered && !now.Before(s.until) {
-			delete(h.silences, name)
+	for name, s := range h.suspended {
+		if !s.timedOut && !now.Before(s.until) {
+			delete(h.suspended, name)
 		}
 	}
 }
 
-// Unreachable passes over an owner that refused a connection, and asks the next one for
-// the requests that wait for its answer.
-func (h *Holder) Unreachable(now time.Time, owner string) (answers []Answer, asks []Ask) {
-	h.silences[owner] = silence{until: now.Add(silentFor)}
-	for name, a := range h.held {
-		if !a.asking || a.ask.To.Name != owner {
+// OwnerUnreachable suspends an owner that refused a connection, and sends the permit requests
+// that it left unanswered to the next owner.
+func (h *Holder) OwnerUnreachable(now time.Time, owner string) (results []Result, requests []PermitRequest) {
+	h.suspended[owner] = suspension{until: now.Add(timeoutSuspension)}
+	for name, a := range h.accounts {
+		if !a.outstanding || a.request.To.Name != owner {
 			continue
 		}
 		if len(a.waiting) == 0 {
-			h.setAsking(a, false)
+			h.setOutstanding(a, false)
 			continue
 		}
-		ended, asked := h.next(now, name, a)
-		answers, asks = append(answers, ended...), append(asks, asked...)
+		finished, requested := h.askNext(now, name, a)
+		results, requests = append(results, finished...), append(requests, requested...)
 	}
-	return answers, asks
+	return results, requests
 }
--- a/ratelimit/holder_test.go
+++ b/ratelimit/holder_test.go
@@ -9,86 +9,86 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// twoHalls are the owners as an instance of the first hall sees them.
+// twoHalls returns the owners as seen by an instance of the first of two halls.
 func twoHalls() *ratelimit.Owners {
-	self := ratelimit.Place{Name: "n0", Hall: "a", Region: "r"}
-	places := []ratelimit.Place{{Name: "n1", Hall: "a", Region: "r"}, {Name: "n2", Hall: "b", Region: "r"}}
-	return ratelimit.NewOwners(ratelimit.ByHall, self, map[string]string{"a": "r", "b": "r"}, places)
+	self := ratelimit.Instance{Name: "n0", Hall: "a", Region: "r"}
+	instances := []ratelimit.Instance{{Name: "n1", Hall: "a", Region: "r"}, {Name: "n2", Hall: "b", Region: "r"}}
+	return ratelimit.NewOwners(ratelimit.PerHall, self, map[string]string{"a": "r", "b": "r"}, instances)
 }
 
-// TestNextOwnerIsAsked checks what is asked when an owner refuses connections, says that
-// the part is not its own, or says nothing.
-func TestNextOwnerIsAsked(t *testing.T) {
+// TestFailoverToNextOwner checks that the permit request goes to the next owner when an owner
+// refuses connections, does not own the share, or does not reply in time.
+func TestFailoverToNextOwner(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	for name, fail := range map[string]func(*ratelimit.Holder) ([]ratelimit.Answer, []ratelimit.Ask){
-		"unreachable": func(h *ratelimit.Holder) ([]ratelimit.Answer, []ratelimit.Ask) {
-			return h.Unreachable(start.Add(time.Millisecond), "n1")
+	for name, fail := range map[string]func(*ratelimit.Holder) ([]ratelimit.Result, []ratelimit.PermitRequest){
+		"unreachable": func(h *ratelimit.Holder) ([]ratelimit.Result, []ratelimit.PermitRequest) {
+			return h.OwnerUnreachable(start.Add(time.Millisecond), "n1")
 		},
-		"foreign": func(h *ratelimit.Holder) ([]ratelimit.Answer, []ratelimit.Ask) {
-			return h.Hear(start.Add(time.Millisecond), start, "ada", "n1", ratelimit.Issue{Foreign: true})
+		"not owner": func(h *ratelimit.Holder) ([]ratelimit.Result, []ratelimit.PermitRequest) {
+			return h.HandleReply(start.Add(time.Millisecond), start, "ada", "n1", ratelimit.Grant{NotOwner: true})
 		},
-		"silent": func(h *ratelimit.Holder) ([]ratelimit.Answer, []ratelimit.Ask) {
-			answers, asks, silent := h.Tick(start.Add(time.Second))
-			require.Empty(t, silent, "it may only be late")
-			return answers, asks
+		"timeout": func(h *ratelimit.Holder) ([]ratelimit.Result, []ratelimit.PermitRequest) {
+			results, requests, unresponsive := h.Tick(start.Add(time.Second))
+			require.Empty(t, unresponsive, "the reply may only be late")
+			return results, requests
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := ratelimit.NewHolder("n0")
 			h.SetOwners(twoHalls())
-			answer, asks := h.Take(start, 1, "ada")
-			require.Equal(t, ratelimit.Wait, answer.Verdict)
-			require.Equal(t, "n1", asks[0].To.Name)
-			answers, asks := fail(h)
-			require.Empty(t, answers)
-			require.Equal(t, "n2", asks[0].To.Name)
+			result, requests := h.Acquire(start, 1, "ada")
+			require.Equal(t, ratelimit.Wait, result.Decision)
+			require.Equal(t, "n1", requests[0].To.Name)
+			results, requests := fail(h)
+			require.Empty(t, results)
+			require.Equal(t, "n2", requests[0].To.Name)
 			next := start.Add(2 * time.Millisecond)
-			if name == "silent" {
+			if name == "timeout" {
 				next = next.Add(time.Second)
 			}
-			answers, asks = h.Unreachable(next, "n2")
-			require.Empty(t, asks)
-			require.Equal(t, ratelimit.Unknown, answers[0].Verdict)
-			require.Equal(t, name == "silent", h.Due())
+			results, requests = h.OwnerUnreachable(next, "n2")
+			require.Empty(t, requests)
+			require.Equal(t, ratelimit.Unavailable, results[0].Decision)
+			require.Equal(t, name == "timeout", h.NeedsTick())
 		})
 	}
 }
 
-// TestPermitsEnd checks that permits are used within their life only, and that one that is
-// given back can be used again.
-func TestPermitsEnd(t *testing.T) {
+// TestPermitsExpire checks that permits are used only within their lifetime, and that a
+// released permit can be used again.
+func TestPermitsExpire(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
 	h.SetOwners(twoHalls())
-	_, asks := h.Take(start, 1, "ada")
-	answers, _ := h.Hear(start.Add(time.Millisecond), start, "ada", asks[0].To.Name, ratelimit.Issue{N: 2, Life: time.Second})
-	require.Equal(t, ratelimit.Admit, answers[0].Verdict)
-	until := answers[0].Until
-	require.Equal(t, start.Add(time.Second), until, "from when it was asked for")
-	answer, _ := h.Take(until.Add(-time.Nanosecond), 2, "ada")
-	require.Equal(t, ratelimit.Admit, answer.Verdict)
-	h.Return(until.Add(-time.Nanosecond), "ada", until)
-	answer, _ = h.Take(until, 3, "ada")
-	require.Equal(t, ratelimit.Wait, answer.Verdict, "it has ended")
+	_, requests := h.Acquire(start, 1, "ada")
+	results, _ := h.HandleReply(start.Add(time.Millisecond), start, "ada", requests[0].To.Name, ratelimit.Grant{N: 2, Lifetime: time.Second})
+	require.Equal(t, ratelimit.Admit, results[0].Decision)
+	until := results[0].ExpiresAt
+	require.Equal(t, start.Add(time.Second), until, "counted from the request")
+	result, _ := h.Acquire(until.Add(-time.Nanosecond), 2, "ada")
+	require.Equal(t, ratelimit.Admit, result.Decision)
+	h.Release(until.Add(-time.Nanosecond), "ada", until)
+	result, _ = h.Acquire(until, 3, "ada")
+	require.Equal(t, ratelimit.Wait, result.Decision, "the permit has expired")
 }
 
-// TestStrangerOwnsNothing checks that an instance that the store does not list issues
-// nothing, and one that has just come to own a part waits.
-func TestStrangerOwnsNothing(t *testing.T) {
+// TestUnlistedInstanceOwnsNothing checks that an instance that is not listed in the store
+// issues no permits, and that a new owner waits for the handover delay.
+func TestUnlistedInstanceOwnsNothing(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	limit := ratelimit.Limit{Rate: 100, Burst: 100}
-	claim := ratelimit.Claim{From: "n0", N: 1}
+	request := ratelimit.IssueRequest{From: "n0", N: 1}
 	i := ratelimit.NewIssuer(ratelimit.DefaultBound, start, false)
-	reply, _ := i.Issue(start, "ada", limit, claim)
-	require.True(t, reply.Issue.Foreign, "before the instances are known")
+	reply, _ := i.Issue(start, "ada", limit, request)
+	require.True(t, reply.Grant.NotOwner, "no instances are known yet")
 	i.SetOwners(start, twoHalls())
-	reply, _ = i.Issue(start, "ada", limit, claim)
-	require.True(t, reply.Issue.Foreign, "n1 owns the hall's parts")
-	self := ratelimit.Place{Name: "n0", Hall: "a", Region: "r"}
-	alone := ratelimit.NewOwners(ratelimit.ByHall, self, map[string]string{"a": "r", "b": "r"}, []ratelimit.Place{self})
+	reply, _ = i.Issue(start, "ada", limit, request)
+	require.True(t, reply.Grant.NotOwner, "n1 owns the shares of the hall")
+	self := ratelimit.Instance{Name: "n0", Hall: "a", Region: "r"}
+	alone := ratelimit.NewOwners(ratelimit.PerHall, self, map[string]string{"a": "r", "b": "r"}, []ratelimit.Instance{self})
 	i.SetOwners(start, alone)
-	require.True(t, i.Lend(start.Add(time.Second), "ada", limit, 1).Foreign, "the owner before may not have heard")
+	require.True(t, i.Lend(start.Add(time.Second), "ada", limit, 1).NotOwner, "the former owner may not know of the change yet")
 	lent := i.Lend(start.Add(6*time.Second), "ada", limit, 1000)
-	require.False(t, lent.Foreign)
-	require.LessOrEqual(t, lent.N, int((limit.Burst+20)/2), "a part of the burst at most")
+	require.False(t, lent.NotOwner)
+	require.LessOrEqual(t, lent.N, int((limit.Burst+20)/2), "at most a fraction of the burst")
 }
--- a/ratelimit/issuer.go
+++ b/ratelimit/issuer.go
@@ -8,402 +8,409 @@
 )
 
 const (
-	// reserveTime is the time for which an owner keeps permits for its own domain before
-	// it lends any, at the rate at which its domain asks.
-	reserveTime = 100 * time.Millisecond
-	// lowTime is the time for which the permits of an owner have to last, at the rate at
-	// which its domain asks. With fewer it borrows: the answer from another region takes
-	// about half of that.
-	lowTime = 200 * time.Millisecond
-	// borrowTime is the time for which it borrows.
-	borrowTime = 300 * time.Millisecond
-	// borrowEvery is the shortest time between two loans of an account, and emptyFor how
-	// long a lender that had nothing to spare is passed over.
-	borrowEvery = 100 * time.Millisecond
-	emptyFor    = 300 * time.Millisecond
-	// refillTime is how long claims wait for the bucket to be filled.
-	refillTime = 50 * time.Millisecond
-	// loanTime is how long claims wait for loans: the way to another region and back.
-	loanTime = 120 * time.Millisecond
-	// maxBorrow bounds the permits that are borrowed from one lender at once.
-	maxBorrow = 1000
-	// partForgotten is when the bucket of an account that nobody asks for is dropped. It
-	// is full by then unless the account's burst takes longer to fill.
-	partForgotten = time.Minute
+	// lendReserveTime is the time for which an owner keeps permits for its own domain, at
+	// the domain's request rate, before it lends any.
+	lendReserveTime = 100 * time.Millisecond
+	// borrowThresholdTime is the time for which an owner's permits have to last at the
+	// request rate of its domain. An owner with fewer permits borrows. A reply from
+	// another region takes about half of this time.
+	borrowThresholdTime = 200 * time.Millisecond
+	// borrowHorizon is the time for which an owner borrows, at the domain's request rate.
+	borrowHorizon = 300 * time.Millisecond
+	// minBorrowInterval is the shortest time between two loans of an account.
+	// emptyLenderBackoff is how long a lender that had no spare permits is skipped.
+	minBorrowInterval  = 100 * time.Millisecond
+	emptyLenderBackoff = 300 * time.Millisecond
+	// maxRefillWait is how long requests wait for the bucket to be refilled.
+	maxRefillWait = 50 * time.Millisecond
+	// maxLoanWait is how long requests wait for loans. It covers a round trip to another
+	// region.
+	maxLoanWait = 120 * time.Millisecond
+	// maxLoan is the largest number of permits requested from one lender at once.
+	maxLoan = 1000
+	// bucketIdleTimeout is the time without requests after which an account's bucket is
+	// dropped. The bucket is full by then, unless the account's burst takes longer to fill.
+	bucketIdleTimeout = time.Minute
 )
 
-// Issue is the answer to a question for permits.
-type Issue struct {
-	// N permits are given, fewer than asked for or none if there are no more.
+// Grant is the reply to a request for permits.
+type Grant struct {
+	// N is the number of permits granted. It is less than requested if the owner has no
+	// more.
 	N int `msgpack:"n,omitempty"`
-	// Life is how long they may be used, from when they were asked for.
-	Life time.Duration `msgpack:"l,omitempty"`
-	// More says that another answer to the question follows: other domains are asked.
-	More bool `msgpack:"m,omitempty"`
-	// Wait is when the next permit is expected, if fewer were given than asked for.
-	Wait time.Duration `msgpack:"w,omitempty"`
-	// Foreign says that this instance does not own the account's part.
-	Foreign bool `msgpack:"f,omitempty"`
+	// Lifetime is how long the permits may be used, counted from when they were requested.
+	Lifetime time.Duration `msgpack:"l,omitempty"`
+	// MoreFollows means that another reply to the same request follows, because permits
+	// are being borrowed from other domains or the bucket is about to be refilled.
+	MoreFollows bool `msgpack:"m,omitempty"`
+	// RetryAfter is the time until the next permit is expected, if fewer permits were
+	// granted than requested.
+	RetryAfter time.Duration `msgpack:"w,omitempty"`
+	// NotOwner means that the replying instance does not own the account's share.
+	NotOwner bool `msgpack:"f,omitempty"`
 }
 
-// Claim is a question of an instance for permits.
-type Claim struct {
-	// From is the asker, and At its own time, which the answer brings back.
+// IssueRequest is an instance's request for permits, as the issuer receives it.
+type IssueRequest struct {
+	// From is the requesting instance. At is the time of the request on that instance's
+	// clock, and is returned in the reply.
 	From string
 	At   int64
 	N    int
 }
 
-// Reply is an answer on its way to an instance.
+// Reply is a reply to the instance that requested permits.
 type Reply struct {
 	To      string
 	At      int64
 	Account string
-	Issue   Issue
+	Grant   Grant
 }
 
-// Loan is a question of an owner to that of another domain.
-type Loan struct {
+// LoanRequest is an owner's request for permits to the owner in another domain.
+type LoanRequest struct {
 	Account string
-	// From is the lender.
-	From Owner
-	N    int
+	// Lender is the owner that the request is sent to.
+	Lender Owner
+	N      int
 }
 
-// Issuer issues the permits of the parts that an instance owns. It is not safe for
+// Issuer issues permits from the shares that an instance owns. It is not safe for
 // concurrent use.
 type Issuer struct {
 	bound     Bound
 	startedAt time.Time
-	// firstStart says that the whole system starts for the first time.
+	// firstStart is set if the process started with the first start of the whole system.
 	firstStart bool
-	tenure     tenure
-	parts      map[string]*part
-	// queued is the number of claims that wait for loans.
+	ownership  ownership
+	buckets    map[string]*bucket
+	// queued is the number of requests that wait for loans or for a refill.
 	queued int
-	// crowds says that those who ask in vain are denied the longer the more there are.
-	crowds bool
+	// scaleDenials makes denials last longer the more the demand exceeds the limit.
+	scaleDenials bool
 }
 
-// part is what an owner knows of one account.
-type part struct {
+// bucket is the token bucket of one account, with its loans and its queue.
+type bucket struct {
 	limit Limit
-	// life is that of the permits.
-	life   time.Duration
-	tokens float64
-	at     time.Time
-	usedAt time.Time
-	// borrowed are permits of other domains.
-	borrowed lots
-	// asked is the rate at which the own domain asks.
-	asked rate
+	// lifetime is the lifetime of the permits that are issued.
+	lifetime   time.Duration
+	tokens     float64
+	refilledAt time.Time
+	usedAt     time.Time
+	// borrowed are permits from other domains.
+	borrowed batches
+	// demand is the rate at which the own domain requests permits.
+	demand rateEstimate
 
 	lenders    []lender
 	owners     *Owners
 	borrowedAt time.Time
-	// queue are the claims that wait for loans, which are due until loanUntil.
-	queue []queued
-	// wanted is the sum of what they claim.
-	wanted    int
-	loanUntil time.Time
+	// queue holds the requests that wait for permits. Replies to loan requests are
+	// awaited until loanDeadline.
+	queue []queuedRequest
+	// queuedPermits is the number of permits that the queued requests still lack.
+	queuedPermits int
+	loanDeadline  time.Time
 }
 
-// queued is a claim that waits for loans.
-type queued struct {
-	Claim
-	until time.Time
+// queuedRequest is a request that waits for loans or for a refill.
+type queuedRequest struct {
+	IssueRequest
+	deadline time.Time
 }
 
-// lender is an owner of another domain.
+// lender is the owner of the account's share in another domain.
 type lender struct {
 	Owner
 	emptyUntil time.Time
-	// gave says that the last question brought permits.
-	gave bool
+	// gaveLast is set if the last request to the lender brought permits.
+	gaveLast bool
 }
 
-// gatherTime is the time from the first start of the whole system on in which parts pass
-// from one owner to the next at once: instances are listed one by one then, and what has
-// been issued is little.
-const gatherTime = 10 * time.Second
+// bootstrapTime is the time after the first start of the whole system during which shares
+// pass to a new owner without the handover delay. Instances are added to the store one by
+// one in this time, and few permits have been issued.
+const bootstrapTime = 10 * time.Second
 
-// NewIssuer returns the issuer of a process that started at a time, maybe with the whole
-// system for the first time.
+// NewIssuer returns the issuer of a process that started at startedAt. FirstStart is true
+// if the whole system starts for the first time.
 func NewIssuer(bound Bound, startedAt time.Time, firstStart bool) *Issuer {
-	return &Issuer{bound: bound, startedAt: startedAt, firstStart: firstStart, tenure: tenure{time: tenureTime}, parts: make(map[string]*part)}
+	return &Issuer{bound: bound, startedAt: startedAt, firstStart: firstStart, ownership: ownership{handoverDelay: handoverDelay}, buckets: make(map[string]*bucket)}
 }
 
-// SetOwners puts owners in force.
+// SetOwners replaces the owners as of now.
 func (i *Issuer) SetOwners(now time.Time, owners *Owners) {
-	if i.firstStart && now.Sub(i.startedAt) < gatherTime {
-		i.tenure = tenure{time: i.tenure.time}
+	if i.firstStart && now.Sub(i.startedAt) < bootstrapTime {
+		i.ownership = ownership{handoverDelay: i.ownership.handoverDelay}
 	}
-	i.tenure.set(now, owners)
+	i.ownership.set(now, owners)
 }
 
-// Issue answers a claim of an instance of the own domain on an account whose limit is
-// given. It returns the questions to owners of other domains that follow.
-func (i *Issuer) Issue(now time.Time, account string, limit Limit, c Claim) (Reply, []Loan) {
-	reply := Reply{To: c.From, At: c.At, Account: account}
-	if !i.tenure.owns(now, account) {
-		reply.Issue.Foreign = true
+// Issue handles a request from an instance of the own domain for permits of an account with
+// the given limit. It returns the reply and the loan requests to send.
+func (i *Issuer) Issue(now time.Time, account string, limit Limit, request IssueRequest) (Reply, []LoanRequest) {
+	reply := Reply{To: request.From, At: request.At, Account: account}
+	if !i.ownership.owns(now, account) {
+		reply.Grant.NotOwner = true
 		return reply, nil
 	}
-	p := i.part(now, account, limit)
-	p.asked.add(now, c.N)
-	reply.Issue = i.give(now, p, c.N)
-	loans := i.borrow(now, account, p)
-	if len(loans) > 0 {
-		p.loanUntil = now.Add(loanTime)
+	b := i.bucket(now, account, limit)
+	b.demand.add(now, request.N)
+	reply.Grant = i.grant(now, b, request.N)
+	requests := i.borrow(now, account, b)
+	if len(requests) > 0 {
+		b.loanDeadline = now.Add(maxLoanWait)
 	}
-	c.N -= reply.Issue.N
-	if until, ok := p.queueUntil(now, c.N); ok {
-		reply.Issue.More = true
-		p.queue = append(p.queue, queued{Claim: c, until: until})
-		p.wanted += c.N
+	request.N -= reply.Grant.N
+	if until, ok := b.queueDeadline(now, request.N); ok {
+		reply.Grant.MoreFollows = true
+		b.queue = append(b.queue, queuedRequest{IssueRequest: request, deadline: until})
+		b.queuedPermits += request.N
 		i.queued++
 	}
-	return reply, loans
+	return reply, requests
 }
 
-// queueUntil tells whether a claim on n permits that were not there is to wait, and until
-// when: for loans under way, or for the bucket if that has enough soon.
-func (p *part) queueUntil(now time.Time, n int) (time.Time, bool) {
+// queueDeadline reports whether a request that still lacks n permits is queued, and until
+// when. It waits for outstanding loans, or for a refill that is due soon.
+func (b *bucket) queueDeadline(now time.Time, n int) (time.Time, bool) {
 	switch {
 	case n == 0:
 		return time.Time{}, false
-	case now.Before(p.loanUntil):
-		return p.loanUntil, true
-	case p.wait(float64(p.wanted+1)) <= refillTime:
-		return now.Add(refillTime), true
+	case now.Before(b.loanDeadline):
+		return b.loanDeadline, true
+	case b.timeToTokens(float64(b.queuedPermits+1)) <= maxRefillWait:
+		return now.Add(maxRefillWait), true
 	default:
 		return time.Time{}, false
 	}
 }
 
-// give takes permits that were borrowed, since these end, then from the bucket.
-func (i *Issuer) give(now time.Time, p *part, n int) Issue {
-	issue := Issue{Life: p.life}
-	borrowed, until := p.borrowed.take(now, n)
+// grant takes up to n permits. It takes borrowed permits first, because they expire, and then
+// tokens from the bucket.
+func (i *Issuer) grant(now time.Time, b *bucket, n int) Grant {
+	grant := Grant{Lifetime: b.lifetime}
+	borrowed, until := b.borrowed.take(now, n)
 	if borrowed > 0 {
-		issue.Life = min(issue.Life, until.Sub(now))
+		grant.Lifetime = min(grant.Lifetime, until.Sub(now))
 	}
-	own := min(n-borrowed, int(p.tokens))
-	p.tokens -= float64(own)
-	issue.N = borrowed + own
+	own := min(n-borrowed, int(b.tokens))
+	b.tokens -= float64(own)
+	grant.N = borrowed + own
 	switch {
-	case issue.N >= n:
-	case i.crowds:
-		issue.Wait = p.crowdWait(now)
+	case grant.N >= n:
+	case i.scaleDenials:
+		grant.RetryAfter = b.scaledDenial(now)
 	default:
-		issue.Wait = p.wait(1)
+		grant.RetryAfter = b.timeToTokens(1)
 	}
-	return issue
+	return grant
 }
 
-// serve answers the claims that wait for loans, as far as there are permits and the loans
-// are due.
-func (i *Issuer) serve(now time.Time, account string, p *part) []Reply {
+// serveQueue answers the queued requests in order, with the permits that are available. A
+// request is answered in full, or at its deadline with what there is.
+func (i *Issuer) serveQueue(now time.Time, account string, b *bucket) []Reply {
 	var out []Reply
-	i.fill(now, p)
-	for len(p.queue) > 0 {
-		first := &p.queue[0]
-		issue := i.give(now, p, first.N)
-		first.N -= issue.N
-		p.wanted -= issue.N
-		due := first.N == 0 || !now.Before(first.until)
-		if !due && issue.N == 0 {
+	i.refill(now, b)
+	for len(b.queue) > 0 {
+		first := &b.queue[0]
+		grant := i.grant(now, b, first.N)
+		first.N -= grant.N
+		b.queuedPermits -= grant.N
+		due := first.N == 0 || !now.Before(first.deadline)
+		if !due && grant.N == 0 {
 			break
 		}
-		issue.More = !due
-		out = append(out, Reply{To: first.From, At: first.At, Account: account, Issue: issue})
+		grant.MoreFollows = !due
+		out = append(out, Reply{To: first.From, At: first.At, Account: account, Grant: grant})
 		if !due {
 			break
 		}
-		p.wanted -= first.N
-		p.queue = p.queue[1:]
+		b.queuedPermits -= first.N
+		b.queue = b.queue[1:]
 		i.queued--
 	}
 	return out
 }
 
-// Queued returns the number of claims that wait for loans.
+// Queued returns the number of requests that wait for loans or for a refill.
 func (i *Issuer) Queued() int { return i.queued }
 
-// Tick answers the claims whose loans are not coming. It is to be called while Queued is
-// not 0.
+// Tick answers queued requests that can be served or whose deadline has passed. The caller
+// calls it periodically while Queued is not 0.
 func (i *Issuer) Tick(now time.Time) []Reply {
 	var out []Reply
-	for account, p := range i.parts {
-		if len(p.queue) > 0 {
-			out = append(out, i.serve(now, account, p)...)
+	for account, b := range i.buckets {
+		if len(b.queue) > 0 {
+			out = append(out, i.serveQueue(now, account, b)...)
 		}
 	}
 	return out
 }
 
-// Lend gives at most n permits of an account to the owner of its part in another domain:
-// those that the own domain does not need.
-func (i *Issuer) Lend(now time.Time, account string, limit Limit, n int) Issue {
-	if !i.tenure.owns(now, account) {
-		return Issue{Foreign: true}
+// Lend grants up to n permits of an account to the account's owner in another domain. It
+// grants only permits that the own domain does not need.
+func (i *Issuer) Lend(now time.Time, account string, limit Limit, n int) Grant {
+	if !i.ownership.owns(now, account) {
+		return Grant{NotOwner: true}
 	}
-	p := i.part(now, account, limit)
-	spare := p.tokens - p.asked.now(now)*reserveTime.Seconds()
-	given := max(0, min(n, int(spare)))
-	p.tokens -= float64(given)
-	issue := Issue{N: given, Life: p.life}
-	if given < n {
-		issue.Wait = p.wait(1)
+	b := i.bucket(now, account, limit)
+	spare := b.tokens - b.demand.value(now)*lendReserveTime.Seconds()
+	lent := max(0, min(n, int(spare)))
+	b.tokens -= float64(lent)
+	grant := Grant{N: lent, Lifetime: b.lifetime}
+	if lent < n {
+		grant.RetryAfter = b.timeToTokens(1)
 	}
-	return issue
+	return grant
 }
 
-// wait is the time until the bucket holds k permits.
-func (p *part) wait(k float64) time.Duration {
-	if p.limit.Rate <= 0 {
+// timeToTokens returns the time until the bucket holds k tokens, at most maxWait.
+func (b *bucket) timeToTokens(k float64) time.Duration {
+	if b.limit.Rate <= 0 {
 		return maxWait
 	}
-	return min(maxWait, time.Duration(math.Max(0, k-p.tokens)/p.limit.Rate*float64(time.Second)))
+	return min(maxWait, time.Duration(math.Max(0, k-b.tokens)/b.limit.Rate*float64(time.Second)))
 }
 
-// maxWait bounds the times that are told.
+// maxWait is the upper bound of the waiting times in replies.
 const maxWait = 5 * time.Second
 
-// firstTokens is what the bucket of an account holds when the process starts or the part
-// comes to it: one request need not be refused for that, and a full bucket would hand out
-// again what the process before has just handed out.
-const firstTokens = 1
-
-// part returns the account's part with its bucket filled up to now. The bucket of an
-// account that was not asked for yet is taken to have been filled since the start, or
-// since the part may have come to this instance.
-func (i *Issuer) part(now time.Time, account string, limit Limit) *part {
-	p := i.parts[account]
-	if p == nil {
-		since := i.tenure.changedAt
+// initialTokens is the content of a new bucket, after the process has started or the share
+// has passed to this instance. With one token, a single request is not refused. A full bucket
+// would issue again what the previous process has just issued.
+const initialTokens = 1
+
+// bucket returns the account's bucket, refilled up to now. A new bucket counts as having
+// been refilled since the process started or since ownership last changed, whichever is later.
+func (i *Issuer) bucket(now time.Time, account string, limit Limit) *bucket {
+	b := i.buckets[account]
+	if b == nil {
+		since := i.ownership.changedAt
 		if since.Before(i.startedAt) {
 			since = i.startedAt
 		}
-		p = &part{at: since, tokens: firstTokens}
-		i.parts[account] = p
+		b = &bucket{refilledAt: since, tokens: initialTokens}
+		i.buckets[account] = b
 	}
-	p.usedAt = now
-	p.limit = i.bound.part(limit, i.tenure.current().Parts())
-	p.life = i.bound.Life(limit)
-	i.fill(now, p)
-	return p
+	b.usedAt = now
+	b.limit = i.bound.share(limit, i.ownership.current().Shares())
+	b.lifetime = i.bound.PermitLifetime(limit)
+	i.refill(now, b)
+	return b
 }
 
-// fill fills the bucket up to now.
-func (i *Issuer) fill(now time.Time, p *part) {
-	p.tokens = min(p.limit.Burst, p.tokens+p.limit.Rate*now.Sub(p.at).Seconds())
-	p.at = now
+// refill adds the tokens that have accrued since the last refill.
+func (i *Issuer) refill(now time.Time, b *bucket) {
+	b.tokens = min(b.limit.Burst, b.tokens+b.limit.Rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
-// Use is how much of an account's part is asked for.
-type Use struct {
+// AccountUse is the utilization of one account's share.
+type AccountUse struct {
 	Account string
-	// Share is the rate at which permits are asked for, over that of the part.
-	Share float64
+	// Utilization is the rate at which permits are requested, divided by the rate of the
+	// share.
+	Utilization float64
 }
 
-// Busiest returns the n accounts of whose parts most is asked for, the highest first.
-func (i *Issuer) Busiest(now time.Time, n int) []Use {
-	uses := make([]Use, 0, len(i.parts))
-	for account, p := range i.parts {
-		if p.limit.Rate > 0 {
-			uses = append(uses, Use{Account: account, Share: p.asked.now(now) / p.limit.Rate})
+// Busiest returns the n accounts with the highest utilization, in descending order.
+func (i *Issuer) Busiest(now time.Time, n int) []AccountUse {
+	uses := make([]AccountUse, 0, len(i.buckets))
+	for account, b := range i.buckets {
+		if b.limit.Rate > 0 {
+			uses = append(uses, AccountUse{Account: account, Utilization: b.demand.value(now) / b.limit.Rate})
 		}
 	}
-	slices.SortFunc(uses, func(a, b Use) int {
-		return cmp.Or(cmp.Compare(b.Share, a.Share), cmp.Compare(a.Account, b.Account))
+	slices.SortFunc(uses, func(a, b AccountUse) int {
+		return cmp.Or(cmp.Compare(b.Utilization, a.Utilization), cmp.Compare(a.Account, b.Account))
 	})
 	return uses[:min(n, len(uses))]
 }
 
-// Forget drops what is known of accounts that nobody has asked for of late.
-func (i *Issuer) Forget(now time.Time) {
-	for account, p := range i.parts {
-		if now.Sub(p.usedAt) >= partForgotten && len(p.queue) == 0 {
-			delete(i.parts, account)
+// EvictIdle drops the buckets of accounts without recent requests.
+func (i *Issuer) EvictIdle(now time.Time) {
+	for account, b := range i.buckets {
+		if now.Sub(b.usedAt) >= bucketIdleTimeout && len(b.queue) == 0 {
+			delete(i.buckets, account)
 		}
 	}
 }
 
-// borrow returns the questions to owners of other domains, if the part is asked for at a
-// higher rate than its permits last.
-func (i *Issuer) borrow(now time.Time, account string, p *part) []Loan {
-	asked := p.asked.now(now)
-	held := p.tokens + p.limit.Rate*now.Sub(p.at).Seconds() + float64(p.borrowed.count(now))
-	if held >= max(1, asked*lowTime.Seconds()) || asked < 1 || now.Sub(p.borrowedAt) < borrowEvery {
+// borrow returns the loan requests to send if the available permits do not last for
+// borrowThresholdTime at the rate of demand.
+func (i *Issuer) borrow(now time.Time, account string, b *bucket) []LoanRequest {
+	demand := b.demand.value(now)
+	available := b.tokens + b.limit.Rate*now.Sub(b.refilledAt).Seconds() + float64(b.borrowed.count(now))
+	if available >= max(1, demand*borrowThresholdTime.Seconds()) || demand < 1 || now.Sub(b.borrowedAt) < minBorrowInterval {
 		return nil
 	}
-	missing := max(p.wanted, int(math.Ceil(asked*borrowTime.Seconds()-held)))
-	lenders := i.lendersOf(now, account, p)
+	missing := max(b.queuedPermits, int(math.Ceil(demand*borrowHorizon.Seconds()-available)))
+	lenders := i.availableLenders(now, account, b)
 	if missing <= 0 || len(lenders) == 0 {
 		return nil
 	}
-	p.borrowedAt = now
+	b.borrowedAt = now
 	lenders = lenders[:min(len(lenders), missing)]
-	each := min(maxBorrow, (missing+len(lenders)-1)/len(lenders))
-	out := make([]Loan, 0, len(lenders))
+	each := min(maxLoan, (missing+len(lenders)-1)/len(lenders))
+	out := make([]LoanRequest, 0, len(lenders))
 	for _, l := range lenders {
-		out = append(out, Loan{Account: account, From: l.Owner, N: each})
+		out = append(out, LoanRequest{Account: account, Lender: l.Owner, N: each})
 	}
 	return out
 }
 
-// lendersOf returns the owners that may have permits to spare: those that gave some the
-// last time first.
-func (i *Issuer) lendersOf(now time.Time, account string, p *part) []*lender {
-	if current := i.tenure.current(); p.owners != current {
-		p.owners = current
-		p.lenders = p.lenders[:0]
+// availableLenders returns the lenders that may have permits to spare. Those that lent permits
+// the last time come first.
+func (i *Issuer) availableLenders(now time.Time, account string, b *bucket) []*lender {
+	if current := i.ownership.current(); b.owners != current {
+		b.owners = current
+		b.lenders = b.lenders[:0]
 		for _, owner := range current.lenders(account) {
-			p.lenders = append(p.lenders, lender{Owner: owner})
+			b.lenders = append(b.lenders, lender{Owner: owner})
 		}
 	}
-	var gave, others []*lender
-	for k := range p.lenders {
-		l := &p.lenders[k]
+	var gaveLast, others []*lender
+	for k := range b.lenders {
+		l := &b.lenders[k]
 		switch {
 		case now.Before(l.emptyUntil):
-		case l.gave:
-			gave = append(gave, l)
+		case l.gaveLast:
+			gaveLast = append(gaveLast, l)
 		default:
 			others = append(others, l)
 		}
 	}
-	return append(gave, others...)
+	return append(gaveLast, others...)
 }
 
-// Borrowed takes in what a lender gave. AskedAt is when it was asked.
-// It returns the answers to claims that waited, and the questions to lenders that follow.
-func (i *Issuer) Borrowed(now, askedAt time.Time, account, from string, issue Issue) ([]Reply, []Loan) {
-	p := i.parts[account]
-	if p == nil {
+// HandleLoan processes a lender's reply to a loan request that was sent at
+// requestedAt. It returns the replies to queued requests and the loan requests to send next.
+func (i *Issuer) HandleLoan(now, requestedAt time.Time, account, from string, grant Grant) ([]Reply, []LoanRequest) {
+	b := i.buckets[account]
+	if b == nil {
 		return nil, nil
 	}
-	until := askedAt.Add(min(issue.Life, p.life))
-	if issue.N > 0 && now.Before(until) {
-		p.borrowed.add(issue.N, until)
+	until := requestedAt.Add(min(grant.Lifetime, b.lifetime))
+	if grant.N > 0 && now.Before(until) {
+		b.borrowed.add(grant.N, until)
 	}
-	for k := range p.lenders {
-		l := &p.lenders[k]
+	for k := range b.lenders {
+		l := &b.lenders[k]
 		if l.Name != from {
 			continue
 		}
-		l.gave = issue.N > 0
-		if !l.gave {
-			l.emptyUntil = now.Add(emptyFor)
+		l.gaveLast = grant.N > 0
+		if !l.gaveLast {
+			l.emptyUntil = now.Add(emptyLenderBackoff)
 		}
 	}
-	replies := i.serve(now, account, p)
-	if p.wanted == 0 || issue.N > 0 {
+	replies := i.serveQueue(now, account, b)
+	if b.queuedPermits == 0 || grant.N > 0 {
 		return replies, nil
 	}
-	// The lender had nothing to spare: the next one may have.
-	p.borrowedAt = time.Time{}
-	return replies, i.borrow(now, account, p)
+	// This lender had no spare permits. Another lender may have some.
+	b.borrowedAt = time.Time{}
+	return replies, i.borrow(now, account, b)
 }
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -7,93 +7,94 @@
 	"github.com/rainford/rainford/internal/mix"
 )
 
-// Division says which instances form a domain.
-type Division string
+// Scope defines which instances form a domain.
+type Scope string
 
-// The divisions.
+// The scopes.
 const (
-	// ByInstance gives each instance an equal part of each limit, of which it lends nothing.
-	ByInstance Division = "instance"
-	// ByHall and ByRegion make the instances of a hall or a region a domain.
-	ByHall   Division = "hall"
-	ByRegion Division = "region"
-	// Whole makes all instances one domain.
-	Whole Division = "whole"
+	// PerInstance makes each instance a domain of its own. Its permits are not lent.
+	PerInstance Scope = "instance"
+	// PerHall and PerRegion make the instances of a hall or of a region a domain.
+	PerHall   Scope = "hall"
+	PerRegion Scope = "region"
+	// Global makes all instances one domain.
+	Global Scope = "whole"
 )
 
-// Place is where an instance runs.
-type Place struct {
+// Instance is the name and location of an instance.
+type Instance struct {
 	Name, Hall, Region string
 }
 
-// domain returns the name of the domain that a place belongs to.
-func (d Division) domain(p Place) string {
+// domain returns the name of the domain of an instance.
+func (d Scope) domain(p Instance) string {
 	switch d {
-	case ByInstance:
+	case PerInstance:
 		return p.Name
-	case ByHall:
+	case PerHall:
 		return p.Hall
-	case ByRegion:
+	case PerRegion:
 		return p.Region
 	default:
 		return ""
 	}
 }
 
-// Owners knows the owner of each account's part in each domain. It is immutable.
+// Owners maps each account to the owners of its shares. It is immutable.
 type Owners struct {
-	self  Place
-	parts int
-	// domains begin with the own one, then come those of the own region. There is only the
-	// own one where nothing is lent.
+	self   Instance
+	shares int
+	// domains starts with the own domain, followed by those of the own region. It contains
+	// only the own domain if permits are not lent.
 	domains []domain
-	// near are the instances of the own region.
-	near map[string]bool
-	// placed is set for the owners of placed limits, and all else but self and parts is not.
-	placed *placement
+	// sameRegion is true for the instances of the own region.
+	sameRegion map[string]bool
+	// hall is set for the owners of hall limits. All other fields but self and shares are
+	// unset in this case.
+	hall *hallOwners
 }
 
-// domain is a set of instances that share the parts of one cut of the limits.
+// domain is a set of instances that use the same share of each limit.
 type domain struct {
-	name  string
-	names []string
-	near  bool
+	name       string
+	instances  []string
+	sameRegion bool
 }
 
-// lends tells whether owners of different domains lend each other permits.
-func (d Division) lends() bool { return d != ByInstance }
+// lends reports whether owners of different domains lend each other permits.
+func (d Scope) lends() bool { return d != PerInstance }
 
-// NewOwners returns the owners among the places of the instances that the store lists.
-// RegionOf maps each hall to its region: the number of parts follows from it, so that all
-// instances agree on it whatever they know of each other.
-func NewOwners(division Division, self Place, regionOf map[string]string, places []Place) *Owners {
+// NewOwners returns the owners among the instances that the store lists. RegionOf maps each
+// hall to its region. Except for PerInstance, the number of shares follows from regionOf, so
+// that all instances agree on it even if their lists of instances differ.
+func NewOwners(scope Scope, self Instance, regionOf map[string]string, instances []Instance) *Owners {
 	byName := make(map[string]*domain)
-	own, near := division.domain(self), make(map[string]bool)
-	for _, p := range places {
-		near[p.Name] = p.Region == self.Region
-		name := division.domain(p)
-		if name != own && !division.lends() {
+	own, sameRegion := scope.domain(self), make(map[string]bool)
+	for _, p := range instances {
+		sameRegion[p.Name] = p.Region == self.Region
+		name := scope.domain(p)
+		if name != own && !scope.lends() {
 			continue
 		}
 		d := byName[name]
 		if d == nil {
-			d = &domain{name: name, near: p.Region == self.Region}
+			d = &domain{name: name, sameRegion: p.Region == self.Region}
 			byName[name] = d
 		}
-		d.names = append(d.names, p.Name)
+		d.instances = append(d.instances, p.Name)
 	}
-	o := &Owners{self: self, parts: division.parts(regionOf, len(places)), near: near}
+	o := &Owners{self: self, shares: scope.shares(regionOf, len(instances)), sameRegion: sameRegion}
 	for _, d := range byName {
-		sort.Strings(d.names)
+		sort.Strings(d.instances)
 		o.domains = append(o.domains, *d)
 	}
-	// The others come in an order of the instance's own, so that borrowers do not all
-	// begin with the same lender.
+	// The order of the other domains differs between instances, so that borrowers do not all
+	// start with the same lender.
 	rank := func(d domain) (int, uint64) {
 		switch {
 		case d.name == own:
 			return 0, 0
-		case d.near:
+		case d.sameRegion:
 			return 1, mix.Pair(self.Name, d.name)
 		default:
 			return 2, mix.Pair(self.Name, d.name)
@@ -107,14 +108,14 @@
 	return o
 }
 
-// parts returns the number of parts that each limit is cut into.
-func (d Division) parts(regionOf map[string]string, instances int) int {
+// shares returns the number of shares that each limit is divided into.
+func (d Scope) shares(regionOf map[string]string, instances int) int {
 	switch d {
-	case ByInstance:
+	case PerInstance:
 		return max(instances, 1)
-	case ByHall:
+	case PerHall:
 		return max(len(regionOf), 1)
-	case ByRegion:
+	case PerRegion:
 		regions := make(map[string]bool)
 		for _, region := range regionOf {
 			regions[region] = true
@@ -125,119 +126,120 @@
 	}
 }
 
-// Parts returns the number of parts that each limit is cut into.
-func (o *Owners) Parts() int { return o.parts }
+// Shares returns the number of shares that each limit is divided into.
+func (o *Owners) Shares() int { return o.shares }
 
-// Owner is an instance that owns a part of an account.
+// Owner is an instance that owns a share of an account's limit.
 type Owner struct {
 	Name string
-	// Near owners are of the own region.
-	Near bool
+	// SameRegion is set if the owner is in the own region.
+	SameRegion bool
 }
 
-// Of returns the owners of an account's parts: that of the own domain first, then those
-// of the own region.
+// Of returns the owners of an account's shares. The owner in the own domain comes first,
+// followed by those of the other domains of the own region. For a hall limit, it returns the
+// owner and its successors.
 func (o *Owners) Of(account string) []Owner {
-	if o.placed != nil {
-		return o.placed.of(account)
+	if o.hall != nil {
+		return o.hall.owners(account)
 	}
 	out := make([]Owner, 0, len(o.domains))
 	for _, d := range o.domains {
-		name := ownerAmong(account, d.names)
-		out = append(out, Owner{Name: name, Near: o.near[name]})
+		name := ownerAmong(account, d.instances)
+		out = append(out, Owner{Name: name, SameRegion: o.sameRegion[name]})
 	}
 	return out
 }
 
-// lenders returns the owners of the other parts of an account.
+// lenders returns the owners of an account's shares in other domains.
 func (o *Owners) lenders(account string) []Owner {
-	if o.placed != nil {
+	if o.hall != nil {
 		return nil
 	}
 	return o.Of(account)[1:]
 }
 
-// owns tells whether this instance owns the account's part in its domain.
+// owns reports whether this instance owns the account's share in its domain.
 func (o *Owners) owns(account string) bool {
-	if o.placed != nil {
-		return o.placed.owns(account)
+	if o.hall != nil {
+		return o.hall.owns(account)
 	}
 	if len(o.domains) == 0 {
 		return false
 	}
-	return ownerAmong(account, o.domains[0].names) == o.self.Name
+	return ownerAmong(account, o.domains[0].instances) == o.self.Name
 }
 
-// ownerAmong returns the owner of an account's part among the instances of a domain: the
-// one with the highest hash with it, so that one that joins or goes changes the owners of
-// its own accounts only.
+// ownerAmong returns the owner of an account's share among the instances of a domain. It is
+// the instance with the highest hash together with the account, so that an instance that
+// joins or leaves changes the owners of its own accounts only.
 func ownerAmong(account string, names []string) string {
 	owner := ""
-	highest := uint64(0)
+	maxHash := uint64(0)
 	for _, name := range names {
-		if h := mix.Pair(account, name); owner == "" || h > highest {
-			owner, highest = name, h
+		if h := mix.Pair(account, name); owner == "" || h > maxHash {
+			owner, maxHash = name, h
 		}
 	}
 	return owner
 }
 
-// tenureTime is how long after a change of the instances a new owner leaves the part to
-// the last one, which may not have heard of the change yet: changes are in force at all
-// instances that reach the store or each other within three seconds.
-const tenureTime = 5 * time.Second
+// handoverDelay is how long after a change of the instances a new owner does not issue
+// permits, because the former owner may not know of the change yet. A change takes effect
+// within three seconds at all instances that can reach the store or each other.
+const handoverDelay = 5 * time.Second
 
-// tenure tells which parts an instance may issue from.
-type tenure struct {
-	// time is how long a new owner leaves a part to the last one.
-	time time.Duration
-	// held are the owners in force and those that were a moment ago.
-	held []heldOwners
-	// changedAt is when owners were last put in force that this instance had not from
-	// its start on.
+// ownership determines from which shares an instance may issue permits.
+type ownership struct {
+	// handoverDelay is how long a new owner waits before it issues permits.
+	handoverDelay time.Duration
+	// recent holds the owners in force and those replaced within handoverDelay.
+	recent []ownersPeriod
+	// changedAt is when the owners last changed. It is zero if this instance has had the
+	// same owners since its start.
 	changedAt time.Time
 }
 
-type heldOwners struct {
+type ownersPeriod struct {
 	owners *Owners
-	// until is when they were replaced, zero for those in force.
-	until time.Time
+	// replacedAt is when the owners were replaced. It is zero for the owners in force.
+	replacedAt time.Time
 }
 
-// set puts owners in force.
-func (t *tenure) set(now time.Time, owners *Owners) {
-	if n := len(t.held); n > 0 {
-		t.held[n-1].until = now
+// set replaces the owners as of now.
+func (t *ownership) set(now time.Time, owners *Owners) {
+	if n := len(t.recent); n > 0 {
+		t.recent[n-1].replacedAt = now
 		t.changedAt = now
 	}
-	t.held = append(t.held, heldOwners{owners: owners})
-	t.forget(now)
+	t.recent = append(t.recent, ownersPeriod{owners: owners})
+	t.dropOld(now)
 }
 
-func (t *tenure) forget(now time.Time) {
-	ended := 0
-	for ended < len(t.held)-1 && now.Sub(t.held[ended].until) >= t.time {
-		ended++
+func (t *ownership) dropOld(now time.Time) {
+	expired := 0
+	for expired < len(t.recent)-1 && now.Sub(t.recent[expired].replacedAt) >= t.handoverDelay {
+		expired++
 	}
-	t.held = append(t.held[:0], t.held[ended:]...)
+	t.recent = append(t.recent[:0], t.recent[expired:]...)
 }
 
-// current returns the owners in force, nil before any are known.
-func (t *tenure) current() *Owners {
-	if len(t.held) == 0 {
+// current returns the owners in force, or nil before the first call of set.
+func (t *ownership) current() *Owners {
+	if len(t.recent) == 0 {
 		return nil
 	}
-	return t.held[len(t.held)-1].owners
+	return t.recent[len(t.recent)-1].owners
 }
 
-// owns tells whether the instance owns the account's part and has for t.time, as far
-// back as it knows.
-func (t *tenure) owns(now time.Time, account string) bool {
-	t.forget(now)
-	for _, h := range t.held {
+// owns reports whether the instance owns the account's share and has owned it for
+// handoverDelay, as far back as its record of owners reaches.
+func (t *ownership) owns(now time.Time, account string) bool {
+	t.dropOld(now)
+	for _, h := range t.recent {
 		if !h.owners.owns(account) {
 			return false
 		}
 	}
-	return len(t.held) > 0
+	return len(t.recent) > 0
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,7 +8,7 @@
 	"github.com/rainford/rainford/retry"
 )
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	cases := []struct {
 		name string
 		e    retry.Evidence
@@ -17,33 +17,33 @@
 		{"no connection", retry.Evidence{}, retry.NotRun},
 		{"connected, no answer", retry.Evidence{Connected: true}, retry.Unknown},
 		{"answered", retry.Evidence{Connected: true, Answered: true}, retry.Ran},
-		{"refused", retry.Evidence{Connected: true, Answered: true, Refusal: true}, retry.NotRun},
+		{"refused", retry.Evidence{Connected: true, Answered: true, Refused: true}, retry.NotRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			require.Equal(t, c.want, retry.Judge(c.e))
-			require.Equal(t, c.want, retry.Parse(c.want.String()))
+			require.Equal(t, c.want, retry.Classify(c.e))
+			require.Equal(t, c.want, retry.ParseOutcome(c.want.String()))
 		})
 	}
 }
 
-func TestMay(t *testing.T) {
+func TestAllowed(t *testing.T) {
 	for _, retriable := range []bool{true, false} {
-		require.True(t, retry.May(retry.NotRun, retriable))
-		require.Equal(t, retriable, retry.May(retry.Unknown, retriable))
-		require.False(t, retry.May(retry.Ran, retriable))
+		require.True(t, retry.Allowed(retry.NotRun, retriable))
+		require.Equal(t, retriable, retry.Allowed(retry.Unknown, retriable))
+		require.False(t, retry.Allowed(retry.Ran, retriable))
 	}
 }
 
-// TestBudgetBoundsRetries checks that retries stay a tenth of the successes,
-// the start aside.
+// TestBudgetBoundsRetries checks that retries amount to a tenth of the successes, apart from the
+// initial credit.
 func TestBudgetBoundsRetries(t *testing.T) {
 	var b retry.Budget
-	start := 0
+	initial := 0
 	for b.Spend() {
-		start++
+		initial++
 	}
-	require.Equal(t, 10, start)
+	require.Equal(t, 10, initial)
 	retries := 0
 	for range 1000 {
 		b.Success()
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -14,52 +14,54 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-var drawn = flag.Int("drawn", 4, "number of rollouts of each kind that the model draws")
+var runs = flag.Int("drawn", 4, "number of rollouts of each kind that the model draws")
 
-var told = flag.Bool("told", false, "each rollout that did not go as it should is told")
+var logWrong = flag.Bool("told", false, "log each rollout with a wrong result")
 
-// fault is what is wrong with a version.
+// fault describes what is wrong with the new version.
 type fault struct {
-	// failing and slow are the parts of the answers that fail and that take times as long.
-	failing, slow, times float64
-	// from is when it begins, as a part of the duration, and route the only one that it strikes,
-	// -1 for all.
-	from  float64
-	route int
-	// underLoad is the load of a target, over that of an old one before the order, from which on
-	// the fault shows, 0 for any.
-	underLoad float64
+	// failureRate and slowRate are the fractions of the responses that fail and that take
+	// slowFactor times as long.
+	failureRate, slowRate, slowFactor float64
+	// startFraction is when the fault begins, as a fraction of the order's duration. route is the
+	// only route with the fault, or -1 for all routes.
+	startFraction float64
+	route         int
+	// minLoad is the load of a target above which the fault shows, relative to the mean load of an
+	// old target before the order. It is 0 if the fault does not depend on the load.
+	minLoad float64
 }
 
-// world is a fleet with one service in which a rollout goes on.
-type world struct {
-	rnd *rand.Rand
-	// sickness is whether a target of a version is sick.
-	sickness  map[[2]int]bool
-	instances int
-	rate      float64
-	keys      int
-	targets   int
-	duration  time.Duration
-	// newFrom is when the new targets are there.
-	newFrom time.Duration
-	fault   fault
-	// oldFailing is the part of the old version's answers that fail, and sick the part of the
-	// targets of both versions at which 0.4 fail.
-	oldFailing, sick float64
-	// lead is killed at a time, if that is not 0, and lost are messages.
-	killLeader time.Duration
-	lost       float64
-
-	now       time.Time
-	start     time.Time
-	followers []*rollout.Follower
-	leader    *rollout.Leader
-	leaderAt  int
-	atOld     []int
-	events    events
-	known     map[[3]int]bool
-	loads     map[int][]time.Time
+// simulation is a discrete-event simulation of a rollout of one service.
+type simulation struct {
+	rng *rand.Rand
+	// faultyTargets records whether a target, given by version and number, is faulty.
+	faultyTargets map[[2]int]bool
+	instances     int
+	rate          float64
+	keys          int
+	targets       int
+	duration      time.Duration
+	// newTargetsAt is the time from the order until the new targets are in service.
+	newTargetsAt time.Duration
+	fault        fault
+	// oldFailureRate is the failure rate of both versions. faultyShare is the fraction of the
+	// targets of both versions that are faulty, which means that 40 % of their responses fail.
+	oldFailureRate, faultyShare float64
+	// killLeader is the time from the order at which the leader is lost, or 0 if it is not.
+	// messageLoss is the fraction of the messages that are lost.
+	killLeader  time.Duration
+	messageLoss float64
+
+	now         time.Time
+	start       time.Time
+	followers   []*rollout.Follower
+	leader      *rollout.Leader
+	leaderAt    int
+	inFlightOld []int
+	events      events
+	warm        map[[3]int]bool
+	loads       map[int][]time.Time
 
 	sent, sentNew, bad int
 	badAt              time.Time
@@ -69,7 +71,7 @@
 	reason             rollout.Reason
 }
 
-// event is something that happens at a time.
+// event is an action at a simulated time.
 type event struct {
 	at time.Time
 	do func()
@@ -88,7 +90,8 @@
 	return last
 }
 
-func (w *world) after(d time.Duration, do func()) { heap.Push(&w.events, event{w.now.Add(d), do}) }
+// after schedules an action.
+func (s *simulation) after(d time.Duration, do func()) { heap.Push(&s.events, event{s.now.Add(d), do}) }
 
 const (
 	routes   = 3
@@ -97,309 +100,318 @@
 	linkTime = 40 * time.Millisecond
 )
 
-func (w *world) run() {
-	w.now = time.Unix(1_000_000, 0)
-	w.start = w.now
-	order := rollout.Order{Service: "s", Version: "v2", Duration: w.duration, Made: int64(w.rnd.Int32())}
-	w.atOld = make([]int, w.instances)
-	w.known, w.loads = make(map[[3]int]bool), make(map[int][]time.Time)
-	for key := range w.keys {
+// run simulates the rollout from the order to 3 s after its duration.
+func (s *simulation) run() {
+	s.now = time.Unix(1_000_000, 0)
+	s.start = s.now
+	order := rollout.Order{Service: "s", Version: "v2", Duration: s.duration, Generation: int64(s.rng.Int32())}
+	s.inFlightOld = make([]int, s.instances)
+	s.warm, s.loads = make(map[[3]int]bool), make(map[int][]time.Time)
+	for key := range s.keys {
 		for route := range routes {
-			w.known[[3]int{0, w.target(key*routes+route, w.targets), key*routes + route}] = true
+			s.warm[[3]int{0, s.target(key*routes+route, s.targets), key*routes + route}] = true
 		}
 	}
-	for i := range w.instances {
-		w.followers = append(w.followers, rollout.NewFollower(w.now, fmt.Sprint("n", i), order))
+	for i := range s.instances {
+		s.followers = append(s.followers, rollout.NewFollower(s.now, fmt.Sprint("n", i), order))
 	}
-	w.lead(0)
-	w.after(0, w.arrive)
-	w.after(0, w.tick)
-	if w.killLeader > 0 {
-		w.after(w.killLeader, func() {
-			w.leader = nil
-			w.after(2500*time.Millisecond, func() { w.lead(1) })
+	s.startLeader(0)
+	s.after(0, s.arrive)
+	s.after(0, s.tick)
+	if s.killLeader > 0 {
+		s.after(s.killLeader, func() {
+			s.leader = nil
+			s.after(2500*time.Millisecond, func() { s.startLeader(1) })
 		})
 	}
-	end := w.start.Add(w.duration + 3*time.Second)
-	for len(w.events) > 0 {
-		next := heap.Pop(&w.events).(event)
+	end := s.start.Add(s.duration + 3*time.Second)
+	for len(s.events) > 0 {
+		next := heap.Pop(&s.events).(event)
 		if next.at.After(end) {
 			return
 		}
-		w.now = next.at
+		s.now = next.at
 		next.do()
 	}
 }
 
-func (w *world) lead(at int) {
-	w.leaderAt = at
-	w.leader = rollout.NewLeader(w.now, fmt.Sprint("leader", at), w.followers[at], rollout.DefaultBound)
+// startLeader makes an instance the leader.
+func (s *simulation) startLeader(at int) {
+	s.leaderAt = at
+	s.leader = rollout.NewLeader(s.now, fmt.Sprint("leader", at), s.followers[at], rollout.DefaultExposureBound)
 }
 
-// tick has the leader decide and the instances report.
-func (w *world) tick() {
-	w.after(100*time.Millisecond, w.tick)
-	if w.leader != nil {
-		situation := rollout.Situation{Members: w.instances, Rate: w.rate, OldSlots: float64(w.targets), Usage: 0.4}
-		if w.now.Sub(w.start) >= w.newFrom {
-			situation.NewSlots = float64(w.targets)
+// tick lets the leader decide and the instances report.
+func (s *simulation) tick() {
+	s.after(100*time.Millisecond, s.tick)
+	if s.leader != nil {
+		state := rollout.FleetState{Instances: s.instances, Rate: s.rate, OldSlots: float64(s.targets), Utilization: 0.4}
+		if s.now.Sub(s.start) >= s.newTargetsAt {
+			state.NewSlots = float64(s.targets)
 		}
-		stage, tell := w.leader.Decide(w.now, situation)
-		if tell {
-			for _, f := range w.followers {
-				w.deliver(func() { f.Hear(w.now, stage) })
+		stage, announce := s.leader.Decide(s.now, state)
+		if announce {
+			for _, f := range s.followers {
+				s.deliver(func() { f.HandleStage(s.now, stage) })
 			}
 		}
-		if verdict := w.leader.Verdict(); verdict.IsVerdict() && w.verdict == "" {
-			w.verdict, w.verdictAt, w.reason = verdict, w.now.Sub(w.start), stage.Reason
-			for _, f := range w.followers {
-				w.deliver(func() { f.Learn(verdict) })
+		if verdict := s.leader.Verdict(); verdict.IsFinal() && s.verdict == "" {
+			s.verdict, s.verdictAt, s.reason = verdict, s.now.Sub(s.start), stage.Reason
+			for _, f := range s.followers {
+				s.deliver(func() { f.SetState(verdict) })
 			}
 		}
 	}
-	for i, f := range w.followers {
-		report, _, ok := f.Report(w.now, w.atOld[i])
+	for i, f := range s.followers {
+		report, _, ok := f.Report(s.now, s.inFlightOld[i])
 		if ok {
-			w.deliver(func() {
-				if w.leader != nil {
-					w.leader.Hear(w.now, report)
+			s.deliver(func() {
+				if s.leader != nil {
+					s.leader.HandleReport(s.now, report)
 				}
 			})
 		}
 	}
 }
 
-func (w *world) deliver(do func()) {
-	if w.rnd.Float64() >= w.lost {
-		w.after(linkTime+time.Duration(w.rnd.Int64N(int64(200*time.Millisecond))), do)
+// deliver schedules the arrival of a message unless it is lost.
+func (s *simulation) deliver(do func()) {
+	if s.rng.Float64() >= s.messageLoss {
+		s.after(linkTime+time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), do)
 	}
 }
 
-// target returns the target of a key among so many.
-func (w *world) target(key, among int) int {
+// target returns the target for a key among the given number of targets.
+func (s *simulation) target(key, among int) int {
 	return int((uint64(key)*0x9e3779b97f4a7c15 + 12345) >> 33 % uint64(among))
 }
 
-// arrive has one request come, and the next one after a drawn time.
-func (w *world) arrive() {
-	w.after(time.Duration(w.rnd.ExpFloat64()/w.rate*float64(time.Second)), w.arrive)
-	in := w.rnd.IntN(w.instances)
-	route := [10]int{0, 0, 0, 0, 0, 0, 0, 1, 1, 2}[w.rnd.IntN(10)]
-	// Some keys are asked for more often than others.
-	key := int(float64(w.keys)*math.Pow(w.rnd.Float64(), 1.5))*routes + route
-	f := w.followers[in]
-	split, _ := f.Split(w.now)
+// arrive simulates the arrival of a request, and schedules the next one after an exponentially
+// distributed time.
+func (s *simulation) arrive() {
+	s.after(time.Duration(s.rng.ExpFloat64()/s.rate*float64(time.Second)), s.arrive)
+	in := s.rng.IntN(s.instances)
+	route := [10]int{0, 0, 0, 0, 0, 0, 0, 1, 1, 2}[s.rng.IntN(10)]
+	// Some keys get more requests than others.
+	key := int(float64(s.keys)*math.Pow(s.rng.Float64(), 1.5))*routes + route
+	f := s.followers[in]
+	split, _ := f.Split(s.now)
 	point := float64(uint32(key*2654435761)) / (1 << 32)
-	toNew := split.ToNew(point, w.rnd.Float64()) && w.now.Sub(w.start) >= w.newFrom
-	w.sent++
-	f.Sent(toNew)
+	toNew := split.ToNew(point, s.rng.Float64()) && s.now.Sub(s.start) >= s.newTargetsAt
+	s.sent++
+	f.RecordSent(toNew)
 	if !toNew {
-		w.atOld[in]++
+		s.inFlightOld[in]++
 	}
-	version, among := 0, w.targets
+	version, among := 0, s.targets
 	if toNew {
-		version, among = 1, max(2, int(split.Targets*float64(w.targets)))
+		version, among = 1, max(2, int(split.TargetShare*float64(s.targets)))
 	}
-	target := w.target(key, among)
-	o, took := w.work(version, target, key, route)
+	target := s.target(key, among)
+	o, took := s.serve(version, target, key, route)
 	if toNew {
-		w.sentNew++
-		if !w.badAt.IsZero() && w.now.Sub(w.badAt) > 5*time.Second {
-			w.lateNew++
+		s.sentNew++
+		if !s.badAt.IsZero() && s.now.Sub(s.badAt) > 5*time.Second {
+			s.lateNew++
 		}
 	}
-	w.after(took, func() {
+	s.after(took, func() {
 		if !toNew {
-			w.atOld[in]--
-			f.EndedOld(o)
+			s.inFlightOld[in]--
+			f.RecordOld(o)
 			return
 		}
-		f.EndedNew(o)
+		f.RecordNew(o)
 	})
 }
 
-// work returns what becomes of a request.
-func (w *world) work(version, target, key, route int) (rollout.Observation, time.Duration) {
+// serve returns the result of a request and its latency.
+func (s *simulation) serve(version, target, key, route int) (rollout.Observation, time.Duration) {
 	at := [3]int{version, target, key}
 	took := warmTime
-	if !w.known[at] {
+	if !s.warm[at] {
 		took = coldTime
-		w.known[at] = true
+		s.warm[at] = true
 	}
-	took = time.Duration(float64(took) * (0.7 + 0.6*w.rnd.Float64()))
-	failing, isBad := w.oldFailing, false
-	if w.isSick(version, target) {
-		failing = 0.4
+	took = time.Duration(float64(took) * (0.7 + 0.6*s.rng.Float64()))
+	failureRate, isBad := s.oldFailureRate, false
+	if s.isFaultyTarget(version, target) {
+		failureRate = 0.4
 	}
-	if version == 1 && w.isFaulty(target, route) {
-		if w.rnd.Float64() < w.fault.slow {
-			took, isBad = time.Duration(float64(took)*w.fault.times), true
+	if version == 1 && s.versionFaulty(target, route) {
+		if s.rng.Float64() < s.fault.slowRate {
+			took, isBad = time.Duration(float64(took)*s.fault.slowFactor), true
 		}
-		if w.rnd.Float64() < w.fault.failing {
-			failing, isBad = 1, true
+		if s.rng.Float64() < s.fault.failureRate {
+			failureRate, isBad = 1, true
 		}
 	}
 	o := rollout.Observation{Route: uint16(route), Key: uint32(key), Target: uint32(1000*version + target)}
 	switch {
 	case took > 2*time.Second:
 		took, o.Outcome = 2*time.Second, rollout.Unanswered
-	case w.rnd.Float64() < failing:
+	case s.rng.Float64() < failureRate:
 		o.Outcome = rollout.Failed
 	}
-	o.Took = rollout.TimeOf(took)
+	o.Latency = rollout.BucketOf(took)
 	if isBad {
-		w.bad++
-		if w.bad == 50 {
-			w.badAt = w.now.Add(took)
+		s.bad++
+		if s.bad == 50 {
+			s.badAt = s.now.Add(took)
 		}
 	}
 	return o, took
 }
 
-func (w *world) isSick(version, target int) bool {
+// isFaultyTarget reports whether a target fails often whatever its version.
+func (s *simulation) isFaultyTarget(version, target int) bool {
 	at := [2]int{version, target}
-	sick, drawn := w.sickness[at]
+	faulty, drawn := s.faultyTargets[at]
 	if !drawn {
-		sick = w.rnd.Float64() < w.sick
-		w.sickness[at] = sick
+		faulty = s.rng.Float64() < s.faultyShare
+		s.faultyTargets[at] = faulty
 	}
-	return sick
+	return faulty
 }
 
-// isFaulty tells whether the new version's fault shows on a route at a target now.
-func (w *world) isFaulty(target, route int) bool {
-	recent := w.loads[target][:0]
-	for _, at := range w.loads[target] {
-		if w.now.Sub(at) < time.Second {
+// versionFaulty reports whether the fault of the new version shows on a route of a target now.
+func (s *simulation) versionFaulty(target, route int) bool {
+	recent := s.loads[target][:0]
+	for _, at := range s.loads[target] {
+		if s.now.Sub(at) < time.Second {
 			recent = append(recent, at)
 		}
 	}
-	w.loads[target] = append(recent, w.now)
-	usual := w.rate / float64(w.targets)
-	return float64(w.now.Sub(w.start)) >= w.fault.from*float64(w.duration) &&
-		(w.fault.route < 0 || w.fault.route == route) && float64(len(recent)+1) > w.fault.underLoad*usual
+	s.loads[target] = append(recent, s.now)
+	averageLoad := s.rate / float64(s.targets)
+	return float64(s.now.Sub(s.start)) >= s.fault.startFraction*float64(s.duration) &&
+		(s.fault.route < 0 || s.fault.route == route) && float64(len(recent)+1) > s.fault.minLoad*averageLoad
 }
 
-// exceeds tells whether more requests have gone to a bad version than are allowed.
-func (w *world) exceeds() bool { return float64(w.sentNew) > 0.1*float64(w.sent)+50 }
+// exceeds reports whether a bad version has got more requests than DefaultExposureBound allows.
+func (s *simulation) exceeds() bool { return float64(s.sentNew) > 0.1*float64(s.sent)+50 }
 
-func (w *world) String() string {
-	return fmt.Sprintf("%s at %v (%s); %d of %d to the new version, %d bad, %d late; fault %+v", w.verdict, w.verdictAt.Round(100*time.Millisecond), w.reason, w.sentNew, w.sent, w.bad, w.lateNew, w.fault)
+func (s *simulation) String() string {
+	return fmt.Sprintf("%s at %v (%s); %d of %d requests to the new version, %d bad, %d late; fault %+v", s.verdict, s.verdictAt.Round(100*time.Millisecond), s.reason, s.sentNew, s.sent, s.bad, s.lateNew, s.fault)
 }
 
-// newWorld draws a fleet of some size.
-func newWorld(seed uint64, instances int, rate float64) *world {
+// newSimulation returns a simulation whose further parameters are drawn from the seed.
+func newSimulation(seed uint64, instances int, rate float64) *simulation {
 	rnd := rand.New(rand.NewPCG(seed, 77))
-	return &world{
-		rnd:        rnd,
-		sickness:   make(map[[2]int]bool),
-		instances:  instances,
-		rate:       rate,
-		keys:       40 + rnd.IntN(200),
-		targets:    max(6, int(rate/5)),
-		duration:   time.Duration(10+rnd.IntN(10)) * time.Second,
-		newFrom:    time.Duration(rnd.Int64N(int64(2 * time.Second))),
-		fault:      fault{route: -1},
-		oldFailing: 0.004,
+	return &simulation{
+		rng:            rnd,
+		faultyTargets:  make(map[[2]int]bool),
+		instances:      instances,
+		rate:           rate,
+		keys:           40 + rnd.IntN(200),
+		targets:        max(6, int(rate/5)),
+		duration:       time.Duration(10+rnd.IntN(10)) * time.Second,
+		newTargetsAt:   time.Duration(rnd.Int64N(int64(2 * time.Second))),
+		fault:          fault{route: -1},
+		oldFailureRate: 0.004,
 	}
 }
 
-// sizes are those of fleets: instances, and requests a second.
+// sizes are the simulated numbers of instances and rates of requests in 1/s.
 var sizes = []struct {
 	instances int
 	rate      float64
 }{{4, 5}, {4, 300}, {12, 400}, {88, 1300}, {730, 5}, {730, 3000}}
 
-// smallRate is the number of requests a second below which there is too little to judge most versions by: of
-// these rollouts only the exposure is promised.
+// smallRate is the request rate in 1/s below which most versions can't be assessed. Rollouts at
+// lower rates are only checked against the exposure bound and for late requests.
 const smallRate = 100
 
-// mostWrong is the number of so many rollouts of which one may go wrong, and mostWrongBeside that beside troubles
-// that look like a bad version, or take the time to judge it.
+// One in runsPerError rollouts may have the wrong verdict. With faulty targets or a lost leader,
+// which look like a bad version or shorten the time for its assessment, one in
+// runsPerErrorWithTrouble and one more may.
 const (
-	mostWrong       = 50
-	mostWrongBeside = 5
+	runsPerError            = 50
+	runsPerErrorWithTrouble = 5
 )
 
-// TestGoodVersions draws rollouts of good versions beside other troubles, and counts those that are
-// rolled back.
+// TestGoodVersions simulates rollouts of good versions under various disturbances and bounds the
+// number of those that do not succeed.
 func TestGoodVersions(t *testing.T) {
 	for _, size := range sizes {
 		for _, c := range []struct {
 			name    string
-			trouble func(w *world)
+			trouble func(s *simulation)
 			most    int
 		}{
-			{"none", func(*world) {}, *drawn / mostWrong},
-			{"messages lost", func(w *world) { w.lost = 0.1 }, *drawn / mostWrong},
-			{"old one fails", func(w *world) { w.oldFailing = 0.1 + 0.2*w.rnd.Float64() }, *drawn / mostWrong},
-			{"sick targets", func(w *world) { w.sick = 0.15 }, 1 + *drawn/mostWrongBeside},
-			{"leader is lost", func(w *world) { w.killLeader = time.Duration(w.rnd.Int64N(int64(w.duration / 2))) }, 1 + *drawn/mostWrongBeside},
+			{"none", func(*simulation) {}, *runs / runsPerError},
+			{"message loss", func(s *simulation) { s.messageLoss = 0.1 }, *runs / runsPerError},
+			{"old version fails", func(s *simulation) { s.oldFailureRate = 0.1 + 0.2*s.rng.Float64() }, *runs / runsPerError},
+			{"faulty targets", func(s *simulation) { s.faultyShare = 0.15 }, 1 + *runs/runsPerErrorWithTrouble},
+			{"leader lost", func(s *simulation) { s.killLeader = time.Duration(s.rng.Int64N(int64(s.duration / 2))) }, 1 + *runs/runsPerErrorWithTrouble},
 		} {
 			t.Run(fmt.Sprintf("instances=%d,rate=%g,%s", size.instances, size.rate, c.name), func(t *testing.T) {
 				outcomes := make(map[string]int)
 				succeeded := 0
-				for seed := range uint64(*drawn) {
-					w := newWorld(seed, size.instances, size.rate)
-					c.trouble(w)
-					w.run()
-					outcomes[string(w.verdict)+" "+string(w.reason)]++
-					if w.verdict == rollout.Succeeded {
+				for seed := range uint64(*runs) {
+					s := newSimulation(seed, size.instances, size.rate)
+					c.trouble(s)
+					s.run()
+					outcomes[string(s.verdict)+" "+string(s.reason)]++
+					if s.verdict == rollout.Succeeded {
 						succeeded++
-					} else if *told {
-						t.Logf("seed %d: %v", seed, w)
+					} else if *logWrong {
+						t.Logf("seed %d: %v", seed, s)
 					}
 				}
 				t.Log(t.Name(), outcomes)
 				if size.rate >= smallRate {
-					require.LessOrEqual(t, *drawn-succeeded, c.most)
+					require.LessOrEqual(t, *runs-succeeded, c.most)
 				}
 			})
 		}
 	}
 }
 
-// TestBadVersions draws rollouts of bad versions, and counts those that are let through and those
-// that get more requests than is promised.
+// TestBadVersions simulates rollouts of bad versions. It bounds the number of those that are not
+// rolled back, and of those in which the version gets more requests than the exposure bound allows.
+// No rolled back version may get requests later than 5 s after its 50th bad response.
 func TestBadVersions(t *testing.T) {
-	failing := func(w *world) { w.fault.failing = 0.2 + 0.5*w.rnd.Float64() }
-	slow := func(w *world) { w.fault.slow, w.fault.times = 0.3+0.7*w.rnd.Float64(), 3+5*w.rnd.Float64() }
-	later := func(w *world) { w.fault.from = 0.5 * w.rnd.Float64() }
-	underLoad := func(w *world) { w.fault.underLoad = 0.2 + 0.6*w.rnd.Float64() }
-	onARoute := func(w *world) { w.fault.route = w.rnd.IntN(routes) }
+	failing := func(s *simulation) { s.fault.failureRate = 0.2 + 0.5*s.rng.Float64() }
+	slow := func(s *simulation) {
+		s.fault.slowRate, s.fault.slowFactor = 0.3+0.7*s.rng.Float64(), 3+5*s.rng.Float64()
+	}
+	later := func(s *simulation) { s.fault.startFraction = 0.5 * s.rng.Float64() }
+	underLoad := func(s *simulation) { s.fault.minLoad = 0.2 + 0.6*s.rng.Float64() }
+	onOneRoute := func(s *simulation) { s.fault.route = s.rng.IntN(routes) }
 	for _, size := range sizes {
 		for _, c := range []struct {
 			name   string
-			faults []func(w *world)
+			faults []func(s *simulation)
 		}{
-			{"fails", []func(w *world){failing}},
-			{"slow", []func(w *world){slow}},
-			{"fails later", []func(w *world){failing, later}},
-			{"slow later", []func(w *world){slow, later}},
-			{"fails on a route", []func(w *world){failing, onARoute}},
-			{"fails under load", []func(w *world){failing, underLoad}},
-			{"slow under load", []func(w *world){slow, underLoad}},
+			{"fails", []func(s *simulation){failing}},
+			{"slow", []func(s *simulation){slow}},
+			{"fails later", []func(s *simulation){failing, later}},
+			{"slow later", []func(s *simulation){slow, later}},
+			{"fails on one route", []func(s *simulation){failing, onOneRoute}},
+			{"fails under load", []func(s *simulation){failing, underLoad}},
+			{"slow under load", []func(s *simulation){slow, underLoad}},
 		} {
 			t.Run(fmt.Sprintf("instances=%d,rate=%g,%s", size.instances, size.rate, c.name), func(t *testing.T) {
-				through, exceeded, late := 0, 0, 0
-				for seed := range uint64(*drawn) {
-					w := newWorld(seed, size.instances, size.rate)
+				undetected, exceeded, late := 0, 0, 0
+				for seed := range uint64(*runs) {
+					s := newSimulation(seed, size.instances, size.rate)
 					for _, fault := range c.faults {
-						fault(w)
+						fault(s)
 					}
-					w.run()
-					count(&through, w.verdict != rollout.RolledBack)
-					count(&exceeded, w.exceeds())
-					count(&late, w.lateNew > 0 && w.verdict == rollout.RolledBack)
-					if *told && (w.verdict != rollout.RolledBack || w.exceeds() || w.lateNew > 0) {
-						t.Logf("seed %d: %v", seed, w)
+					s.run()
+					count(&undetected, s.verdict != rollout.RolledBack)
+					count(&exceeded, s.exceeds())
+					count(&late, s.lateNew > 0 && s.verdict == rollout.RolledBack)
+					if *logWrong && (s.verdict != rollout.RolledBack || s.exceeds() || s.lateNew > 0) {
+						t.Logf("seed %d: %v", seed, s)
 					}
 				}
-				t.Logf("%s: let through %d, exceeded %d, late %d", t.Name(), through, exceeded, late)
-				require.LessOrEqual(t, exceeded, *drawn/mostWrong)
+				t.Logf("%s: %d bad versions not rolled back, %d exceeded the exposure bound, %d got late requests", t.Name(), undetected, exceeded, late)
+				require.LessOrEqual(t, exceeded, *runs/runsPerError)
 				require.Zero(t, late)
 				if size.rate >= smallRate {
-					require.LessOrEqual(t, through, *drawn/mostWrong)
+					require.LessOrEqual(t, undetected, *runs/runsPerError)
 				}
 			})
 		}
--- a/rollout/rate.go
+++ b/rollout/rate.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// rateSamples and rateTime are the number of counts that a rate is taken from and the time
-	// between two of them, and leastSamples the number below which there is none.
-	rateSamples  = 6
-	rateTime     = 500 * time.Millisecond
-	leastSamples = 3
+	// rateSamples is the number of samples from which a rate is computed, rateInterval the time
+	// between two samples. No rate is computed from fewer than minRateSamples samples.
+	rateSamples    = 6
+	rateInterval   = 500 * time.Millisecond
+	minRateSamples = 3
 )
 
-// rate is how fast a count has risen of late.
-type rate struct {
+// rateEstimator estimates the rate of a counter from its latest samples.
+type rateEstimator struct {
 	at     [rateSamples]time.Time
 	counts [rateSamples]int
 	n      int
 }
 
-// note takes in a count, if it is time for one.
-func (r *rate) note(now time.Time, count int) {
-	if r.n > 0 && now.Sub(r.at[r.n-1]) < rateTime {
+// add takes a sample of the counter if rateInterval has passed since the last one.
+func (r *rateEstimator) add(now time.Time, count int) {
+	if r.n > 0 && now.Sub(r.at[r.n-1]) < rateInterval {
 		return
 	}
 	if r.n == rateSamples {
@@ -31,9 +31,9 @@
 	r.n++
 }
 
-// perSecond returns the rate, false if too little is known.
-func (r *rate) perSecond() (float64, bool) {
-	if r.n < leastSamples || r.counts[r.n-1] == 0 {
+// perSecond returns the rate in 1/s, or false if there are too few samples.
+func (r *rateEstimator) perSecond() (float64, bool) {
+	if r.n < minRateSamples || r.counts[r.n-1] == 0 {
 		return 0, false
 	}
 	elapsed := r.at[r.n-1].Sub(r.at[0])
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -9,107 +9,109 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Outcome is what became of a request at a target, as far as it tells of the target's version.
+// Outcome is the result of a request at a target, as far as it is evidence about the target's
+// version.
 type Outcome uint8
 
-// The outcomes. What tells nothing of the version, such as a rejection by a full target, is not
-// observed.
+// Outcomes of a request. Results that are no evidence about the version, such as a rejection by a
+// full target, are not observed.
 const (
-	// Answered requests got an answer that is no failure of the target.
+	// Answered requests got a response that does not indicate a failure of the target.
 	Answered Outcome = iota
-	// Failed ones got an answer that says that the target has failed.
+	// Failed requests got a response that indicates a failure of the target.
 	Failed
-	// Unanswered ones got no answer in time, or one that broke off.
+	// Unanswered requests got no response in time, or an incomplete one.
 	Unanswered
 )
 
-// Observation is a request that was sent to a new target, once it has ended.
+// Observation is the result of a request that was sent to a new target.
 type Observation struct {
-	// Route, Key and Target are hashes of what they name.
-	Route  uint16
-	Key    uint32
-	Target uint32
-	Took   Time
-	// Outcome is what became of it. Cold says that the target had just started.
+	// Route, Key and Target are hashes of the respective names.
+	Route   uint16
+	Key     uint32
+	Target  uint32
+	Latency LatencyBucket
 	Outcome Outcome
-	Cold    bool
+	// Cold reports whether the target had just started.
+	Cold bool
 }
 
-// Time is the time of an answer, by the logarithm: four steps double it.
-type Time uint8
+// LatencyBucket is a latency on a logarithmic scale.
+type LatencyBucket uint8
 
-// timeSteps is the number of steps in which a Time doubles, and maxTime the longest.
+// bucketsPerDoubling is the number of buckets per factor of two. maxBucket is the bucket of the
+// longest latencies.
 const (
-	timeSteps = 4
-	maxTime   = 79
+	bucketsPerDoubling = 4
+	maxBucket          = 79
 )
 
-// TimeOf returns the step of a time.
-func TimeOf(took time.Duration) Time {
+// BucketOf returns the bucket of a latency. Latencies below 1 ms are in the first bucket.
+func BucketOf(took time.Duration) LatencyBucket {
 	ms := max(1, float64(took)/float64(time.Millisecond))
-	return Time(min(maxTime, timeSteps*math.Log2(ms)))
+	return LatencyBucket(min(maxBucket, bucketsPerDoubling*math.Log2(ms)))
 }
 
-// Duration returns the time in the middle of the step.
-func (t Time) Duration() time.Duration {
-	return time.Duration(math.Exp2((float64(t)+0.5)/timeSteps) * float64(time.Millisecond))
+// Duration returns the latency in the middle of the bucket.
+func (t LatencyBucket) Duration() time.Duration {
+	return time.Duration(math.Exp2((float64(t)+0.5)/bucketsPerDoubling) * float64(time.Millisecond))
 }
 
-// times returns the step of the time that is so many times as long.
-func (t Time) times(x float64) Time {
-	return Time(min(maxTime, float64(t)+timeSteps*math.Log2(x)))
+// scale returns the bucket of a multiple of the latency.
+func (t LatencyBucket) scale(factor float64) LatencyBucket {
+	return LatencyBucket(min(maxBucket, float64(t)+bucketsPerDoubling*math.Log2(factor)))
 }
 
-// Times counts answers by the step of their times.
-type Times map[Time]uint32
+// LatencyHistogram counts responses by their latency.
+type LatencyHistogram map[LatencyBucket]uint32
 
-// Tally counts the requests of a route that were sent to old targets and have ended.
+// Tally counts the completed requests of a route at old targets.
 type Tally struct {
 	Route            uint16
 	Answered, Failed uint32
-	// Times are those of the ones answered.
-	Times Times
+	// Latencies are those of the answered requests.
+	Latencies LatencyHistogram
 }
 
 // add adds the requests of another tally.
 func (t *Tally) add(other Tally) {
 	t.Answered += other.Answered
 	t.Failed += other.Failed
-	if t.Times == nil {
-		t.Times = make(Times, len(other.Times))
+	if t.Latencies == nil {
+		t.Latencies = make(LatencyHistogram, len(other.Latencies))
 	}
-	for step, n := range other.Times {
-		t.Times[step] += n
+	for step, n := range other.Latencies {
+		t.Latencies[step] += n
 	}
 }
 
-// Report is what an instance tells the leader: what has happened since its last report, but for
-// Sent and SentNew.
+// Report is an instance's report to the leader. It covers the time since the instance's previous
+// report, except for Sent and SentNew.
 type Report struct {
 	Order ID     `msgpack:"o"`
 	From  string `msgpack:"f"`
 	// Stage is the number of the stage that the instance follows.
 	Stage uint32 `msgpack:"n"`
-	// Sent is the number of requests sent to targets of the service since the instance knows of
-	// the order, and SentNew that of those sent to new ones.
+	// Sent is the number of requests that the instance has sent to targets of the service since it
+	// has known the order, SentNew the number of those that were sent to new targets.
 	Sent    uint32       `msgpack:"s"`
 	SentNew uint32       `msgpack:"w"`
 	Old     Tallies      `msgpack:"t,omitempty"`
 	New     Observations `msgpack:"b,omitempty"`
-	// AtOld is the number of the instance's requests that are at old targets.
-	AtOld int `msgpack:"a,omitempty"`
+	// InFlightOld is the number of the instance's requests in flight at old targets.
+	InFlightOld int `msgpack:"a,omitempty"`
 }
 
-// Observations are observations as a message carries them.
+// Observations are observations with their encoding in messages.
 type Observations []Observation
 
-// Tallies are tallies as a message carries them.
+// Tallies are tallies with their encoding in messages.
 type Tallies []Tally
 
-// errReport is returned for reports that are cut short.
-var errReport = errors.New("rollout: report cut short")
+// errTruncated is returned for truncated reports.
+var errTruncated = errors.New("rollout: report truncated")
 
-// observationBytes is the length of an observation in a message.
+// observationBytes is the length of an encoded observation.
 const observationBytes = 12
 
 const (
@@ -128,7 +130,7 @@
 		if one.Cold {
 			flags |= coldBit
 		}
-		raw = append(raw, byte(one.Took), flags)
+		raw = append(raw, byte(one.Latency), flags)
 	}
 	return enc.EncodeBytes(raw)
 }
@@ -140,7 +142,7 @@
 		return err
 	}
 	if len(raw)%observationBytes != 0 {
-		return errReport
+		return errTruncated
 	}
 	*o = make(Observations, 0, len(raw)/observationBytes)
 	for ; len(raw) > 0; raw = raw[observationBytes:] {
@@ -148,7 +150,7 @@
 			Route:   binary.BigEndian.Uint16(raw),
 			Key:     binary.BigEndian.Uint32(raw[2:]),
 			Target:  binary.BigEndian.Uint32(raw[6:]),
-			Took:    min(Time(raw[10]), maxTime),
+			Latency: min(LatencyBucket(raw[10]), maxBucket),
 			Outcome: Outcome(raw[11] & outcomeMask),
 			Cold:    raw[11]&coldBit != 0,
 		})
@@ -163,8 +165,8 @@
 		raw = binary.BigEndian.AppendUint16(raw, one.Route)
 		raw = binary.AppendUvarint(raw, uint64(one.Answered))
 		raw = binary.AppendUvarint(raw, uint64(one.Failed))
-		raw = binary.AppendUvarint(raw, uint64(len(one.Times)))
-		for step, n := range one.Times {
+		raw = binary.AppendUvarint(raw, uint64(len(one.Latencies)))
+		for step, n := range one.Latencies {
 			raw = append(raw, byte(step))
 			raw = binary.AppendUvarint(raw, uint64(n))
 		}
@@ -179,33 +181,34 @@
 		return err
 	}
 	r := reader{raw: raw}
-	for len(r.raw) > 0 && !r.short {
-		one := Tally{Route: r.uint16(), Answered: r.number(), Failed: r.number()}
-		steps := r.number()
-		for range min(steps, maxTime+1) {
-			if one.Times == nil {
-				one.Times = make(Times)
+	for len(r.raw) > 0 && !r.truncated {
+		one := Tally{Route: r.uint16(), Answered: r.uvarint(), Failed: r.uvarint()}
+		steps := r.uvarint()
+		for range min(steps, maxBucket+1) {
+			if one.Latencies == nil {
+				one.Latencies = make(LatencyHistogram)
 			}
-			step := min(Time(r.byte()), maxTime)
-			one.Times[step] += r.number()
+			step := min(LatencyBucket(r.byte()), maxBucket)
+			one.Latencies[step] += r.uvarint()
 		}
 		*t = append(*t, one)
 	}
-	if r.short {
-		return errReport
+	if r.truncated {
+		return errTruncated
 	}
 	return nil
 }
 
-// reader reads numbers from bytes, and notes if there are too few.
+// reader decodes numbers from bytes. Its field truncated is set if there are too few bytes or a
+// number is too large.
 type reader struct {
-	raw   []byte
-	short bool
+	raw       []byte
+	truncated bool
 }
 
 func (r *reader) byte() byte {
 	if len(r.raw) == 0 {
-		r.short = true
+		r.truncated = true
 		return 0
 	}
 	b := r.raw[0]
@@ -215,10 +218,10 @@
 
 func (r *reader) uint16() uint16 { return uint16(r.byte())<<8 | uint16(r.byte()) }
 
-func (r *reader) number() uint32 {
+func (r *reader) uvarint() uint32 {
 	n, length := binary.Uvarint(r.raw)
 	if length <= 0 || n > math.MaxUint32 {
-		r.short, r.raw = true, nil
+		r.truncated, r.raw = true, nil
 		return 0
 	}
 	r.raw = r.raw[length:]
