--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -15,11 +15,12 @@
 type account struct {
 	name        string
 	rate, burst float64
-	// hot accounts send more than they may.
+	// hot accounts send more requests than their rate limit admits.
 	hot bool
 }
 
-// accounts are all accounts. Clients are dealt over them.
+// accounts lists the account of each group of clients. Clients are assigned to its entries in
+// turn.
 var accounts = []account{
 	{name: "hot", rate: 6, burst: 4, hot: true},
 	{name: "large", rate: 300, burst: 60},
@@ -27,26 +28,30 @@
 	{name: "free"},
 }
 
-// accountOf returns the account of the client of a number.
+// accountOf returns the account of the client with the given index.
 func accountOf(client int) account { return accounts[client%len(accounts)] }
 
-// The bound on limits, as the programs have it by default.
+// The bound that a rate limit is checked by, equal to the program's defaults: in a window of
+// limitWindow, an account may exceed its rate and burst by the fraction limitOver and by
+// limitSlack requests.
 const (
 	limitWindow = 5 * time.Second
 	limitOver   = 0.1
 	limitSlack  = 20
 )
 
-// keyTime is how long a new key is in the configuration before clients use it and the one
-// before is taken away.
+// keyTime is the time from adding a new key to the configuration until the previous key is
+// removed. It exceeds the time within which a configuration applies, so that every connected
+// instance accepts the new key by then.
 const keyTime = configApply + 500*time.Millisecond
 
-// keyring holds the keys of the accounts over the run. It is safe for concurrent use.
+// keyring holds the API keys of the accounts over the run. It is safe for concurrent use.
 type keyring struct {
 	mu sync.Mutex
-	// inForce are the keys that the configuration lists, the one that clients use first.
+	// inForce holds the keys that the configuration lists for each account. Clients use the
+	// first.
 	inForce map[string][]string
-	// since and until are when a key came into the configuration and went out of it.
+	// since and until hold when each key was added to the configuration and removed from it.
 	since, until map[string]time.Time
 	next         int
 }
@@ -61,7 +66,7 @@
 	return k
 }
 
-// add gives an account another key.
+// add adds a new key to an account.
 func (k *keyring) add(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -71,7 +76,7 @@
 	k.since[key] = time.Now()
 }
 
-// take takes the oldest key of an account away, if it has another one.
+// take removes the oldest key of an account if the account has another one.
 func (k *keyring) take(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -83,15 +88,15 @@
 	k.until[keys[0]] = time.Now()
 }
 
-// use returns the key that clients of an account use.
+// use returns the key that the clients of an account send.
 func (k *keyring) use(name string) string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.inForce[name][0]
 }
 
-// due tells whether instances have to know a key, and whether they have to have
-// forgotten it.
+// due reports whether every connected instance must accept a key at the given time, and
+// whether every connected instance must reject it.
 func (k *keyring) due(key string, at time.Time) (known, forgotten bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -99,7 +104,7 @@
 	return !taken && at.Sub(k.since[key]) > configApply, taken && at.Sub(until) > configApply
 }
 
-// tenants returns the accounts as the configuration lists them.
+// tenants returns the accounts in the form of the configuration.
 func (k *keyring) tenants() map[string]objects.Tenant {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -110,8 +115,8 @@
 	return out
 }
 
-// changeKeys replaces the key of an account: another one is added, and the one before
-// taken away when all instances know the new one.
+// changeKeys rotates the key of an account. It adds a new key at once and removes the previous
+// one after keyTime.
 func (r *runner) changeKeys(f Fault) {
 	name := accounts[f.Which%len(accounts)].name
 	s := r.site
@@ -123,8 +128,8 @@
 	})
 }
 
-// judgeAccount checks the name that a server is told, that the key stays away from it, and
-// that keys that were taken away are out of force. The caller holds mu.
+// judgeAccount checks that a server receives the account's name but not the key, and that no
+// request runs with a key that was removed more than configApply ago. The caller holds mu.
 func (o *oracle) judgeAccount(a *attempt, v origin.Arrival) {
 	o.checks["KEY"]++
 	if v.Header.Get("Credential") != "" {
@@ -137,11 +142,11 @@
 		return
 	}
 	if _, forgotten := o.keys.due(a.key, a.at); v.Executed && forgotten {
-		o.violated("KEY", "%s from %s ran with a key that had been taken away", a.id, a.instance)
+		o.violated("KEY", "%s from %s ran with a key that had been removed", a.id, a.instance)
 	}
 }
 
-// names are the values of the header that names an account to servers.
+// names returns the expected values of the header that names the account to a server.
 func (a *attempt) names() []string {
 	if a.account == "" {
 		return nil
@@ -149,7 +154,9 @@
 	return []string{a.account}
 }
 
-// mayBeUnauthorized tells whether an instance may not know the key of an attempt.
+// mayBeUnauthorized reports whether status is 401 and the instance is permitted not to accept
+// the key of the attempt: the key is not yet, or no longer, required to be accepted, or the
+// instance was not connected.
 func (o *oracle) mayBeUnauthorized(a *attempt, status int) bool {
 	if status != http.StatusUnauthorized {
 		return false
@@ -158,8 +165,8 @@
 	return !known || !a.connected
 }
 
-// limits checks the limits of the whole run: in any window, the requests of an account
-// that ran at any server. The caller does not hold mu.
+// limits checks the rate limits over the whole run: the number of an account's requests that
+// ran at any server within each window. The caller does not hold mu.
 func (o *oracle) limits() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -184,7 +191,7 @@
 				start++
 			}
 			if end-start+1 > most {
-				o.violated("LIMIT", "account %s had %d requests run in %s, of %d", a.name, end-start+1, limitWindow, most)
+				o.violated("LIMIT", "account %s had %d requests executed in %s, at most %d permitted", a.name, end-start+1, limitWindow, most)
 				break
 			}
 		}
--- a/internal/soak/attempt.go
+++ b/internal/soak/attempt.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// attempt is one client attempt.
+// attempt is one request that a client or a probe sent.
 type attempt struct {
 	id, method, uri string
 	digest          [sha256.Size]byte
@@ -16,11 +16,11 @@
 	at              time.Time
 	connected       bool
 	probe           int
-	// account and key are those of the client, empty for none.
+	// account and key are those of the client, both empty for a probe.
 	account, key string
 	hot          bool
 
-	// connAt is when the connection was opened over which it was sent.
+	// connAt is when the connection that carried the attempt was opened.
 	connAt         time.Time
 	leftAt, doneAt time.Time
 	result         result
@@ -34,7 +34,8 @@
 	err    error
 }
 
-// arrival is an arrival of a request at a server.
+// arrival is an arrival of a request at a server. The field ran reports whether the server
+// executed it.
 type arrival struct {
 	server string
 	hall   string
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -20,19 +20,18 @@
 	clientTimeout = 3 * time.Second
 	lookupTimeout = time.Second
 	lookupLife    = time.Second
-	// thinkTime is the longest pause of a client between two requests.
+	// thinkTime bounds the pause of a client between two requests.
 	thinkTime    = 60 * time.Millisecond
 	probeEvery   = 200 * time.Millisecond
 	leaveOneIn   = 25
 	objectsCount = 12
 )
 
-// client is one client: it looks up, keeps connections, and sends one request at
+// client resolves the addresses of instances, keeps connections open, and sends one request at
 // a time.
 type client struct {
-	site  *site
-	place place
-	// account is the client's own.
+	site    *site
+	place   place
 	account account
 	rnd     *rand.Rand
 	http    *http.Client
@@ -47,7 +46,7 @@
 	return c
 }
 
-// dial opens a connection and notes when.
+// dial opens a connection and records the time.
 func (c *client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -62,7 +61,8 @@
 	at time.Time
 }
 
-// noteConn notes on an attempt when its connection was opened.
+// noteConn returns a context that records the time at which the attempt's connection was
+// opened.
 func (c *client) noteConn(ctx context.Context, a *attempt) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if opened, ok := info.Conn.(openedConn); ok {
@@ -79,7 +79,8 @@
 	}
 }
 
-// lookup asks up to three instances where to go.
+// lookup refreshes the client's addresses if they have expired. It queries up to three
+// instances.
 func (c *client) lookup(ctx context.Context) {
 	if time.Now().Before(c.until) && len(c.addrs) > 0 {
 		return
@@ -131,7 +132,7 @@
 	return good[c.rnd.IntN(len(good))]
 }
 
-// request sends one request, and once more if the answer allows it.
+// request sends one request, and retries it once if the answer permits it.
 func (c *client) request(ctx context.Context) {
 	kind := c.rnd.IntN(10)
 	path, method, size := "/read/", http.MethodGet, 0
@@ -160,8 +161,7 @@
 	}
 }
 
-// attempt sends one client attempt. It reports whether the client may repeat, and
-// when.
+// attempt sends one attempt. It reports whether the client may retry, and after what time.
 func (c *client) attempt(ctx context.Context, addr, method, uri string, body []byte, deadline time.Time) (bool, time.Duration) {
 	a := c.site.oracle.begin(c.site.instanceAt(addr), method, uri, body)
 	a.account, a.key, a.hot = c.account.name, c.site.keys.use(c.account.name), c.account.hot
@@ -201,7 +201,7 @@
 	return err == nil && (promise || (a.repeatable() && resp.StatusCode >= 500)), after
 }
 
-// instanceAt returns the instance behind an address that clients were told.
+// instanceAt returns the instance that advertises an address, or nil.
 func (s *site) instanceAt(addr string) *instance {
 	for _, in := range s.instances {
 		if in.front.addr() == addr {
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// probe asks each instance for the routes of the versions, which shows what is in
-// force there.
+// probe requests from each instance, every probeEvery, the route of the newest configuration
+// version that must be in force. The answer shows whether the instance applies that version.
 func (s *site) probe(ctx context.Context, group *sync.WaitGroup) {
 	defer group.Done()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTimeout}
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -13,32 +13,34 @@
 )
 
 const (
-	// endingMark is in the path of requests that end each server that runs them.
+	// endingMark is in the path of a request that crashes each server that runs it.
 	endingMark = "/ending/"
-	// endingEvery is the time between two such requests of their caller, and endingPause
-	// that between its bursts, which are as long.
+	// endingEvery is the interval at which the sender repeats such a request. A sender of
+	// bursts alternates between sending and pausing, each for endingPause.
 	endingEvery = 50 * time.Millisecond
 	endingPause = 1500 * time.Millisecond
-	// endedFor is how long a server that has ended is away.
+	// endedFor is the time from the crash of a server until its entry is removed and another
+	// server replaces it.
 	endedFor = 3 * time.Second
-	// surelyKnown is the number of servers that end under a request before instances are
-	// held to what they could know, and lateSends how often it may be sent by those that
-	// are in touch, later than they could know it.
+	// surelyKnown is the number of servers that may crash under a request before connected
+	// instances must stop sending it. lateSends is the number of later arrivals from connected
+	// instances that the check permits, counted from the contact time after that crash.
 	surelyKnown = 3
 	lateSends   = 3
 )
 
-// serverCrashes are the servers that ended under one request.
+// serverCrashes records the servers that crashed under one request.
 type serverCrashes struct {
 	at []time.Time
-	// late are the arrivals that count against lateSends.
+	// late is the number of arrivals that count against lateSends.
 	late int
 }
 
 func crashesServer(uri string) bool { return strings.Contains(uri, endingMark) }
 
-// sendCrashing sends a request that ends each server that runs it again and again, to any
-// instance: a read, an operation with one body, or bursts of a read.
+// sendCrashing repeatedly sends a request that crashes each server that runs it, each time to
+// a random instance. The variant selects a read, a non-idempotent operation with one body, or
+// a read in bursts.
 func (r *runner) sendCrashing(f Fault) {
 	s := r.site
 	caller := newClient(s, places[f.Which%len(places)], accounts[len(accounts)-1], uint64(f.Which))
@@ -62,7 +64,7 @@
 	})
 }
 
-// attemptCrashing sends one of these requests.
+// attemptCrashing sends one request that crashes its server.
 func (c *client) attemptCrashing(in *instance, method, uri string, body []byte) {
 	a := c.site.oracle.begin(in, method, uri, body)
 	a.account, a.key, a.hot = c.account.name, c.site.keys.use(c.account.name), true
@@ -87,7 +89,8 @@
 	c.site.oracle.finish(a, result{status: resp.StatusCode, header: resp.Header})
 }
 
-// crashUnder ends a server that has run such a request, and has another one take its place.
+// crashUnder stops a server that ran such a request, and starts another server in its place
+// after endedFor.
 func (s *site) crashUnder(srv *server) {
 	if !s.markGone(srv) {
 		return
@@ -100,7 +103,7 @@
 	})
 }
 
-// noteCrash notes the end of a server under a request.
+// noteCrash records that a server crashed under a request.
 func (o *oracle) noteCrash(uri string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -112,8 +115,8 @@
 	e.at = append(e.at, time.Now())
 }
 
-// judgeCrashing checks that a request under which several servers have ended is no longer sent
-// by instances that could know it. The caller holds mu.
+// judgeCrashing checks that connected instances stop sending a request once surelyKnown
+// servers have crashed under it. The caller holds mu.
 func (o *oracle) judgeCrashing(a *attempt, v origin.Arrival) {
 	e := o.endings[a.uri]
 	if e == nil || len(e.at) < surelyKnown {
@@ -125,12 +128,12 @@
 	}
 	e.late++
 	if e.late == lateSends+1 {
-		o.violated("BUDGET", "%s was sent to servers %d times, %.2f s after the third had ended under it; %d ended in all",
+		o.violated("BUDGET", "%s was sent to servers %d times, %.2f s after the third server had crashed under it; %d crashed in all",
 			a.uri, e.late, v.At.Sub(e.at[surelyKnown-1]).Seconds(), len(e.at))
 	}
 }
 
-// endedInAll returns how many servers ended under each such request.
+// endedInAll returns the number of servers that crashed under each such request.
 func (o *oracle) endedInAll() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -8,7 +8,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// foreignEntries are what another writer may leave where servers' entries are.
+// foreignEntries are values that another program may write under the key of a server's entry.
+// They are malformed, or name an unknown state or hall.
 var foreignEntries = []any{
 	"bytes that say nothing",
 	nil,
@@ -18,8 +19,9 @@
 	map[string]any{"service": "pay", "address": "127.0.0.1:1", "zone": "elsewhere", "version": "v1", "slots": 3, "state": "ready", "warmupRemaining": "0ms", "sequence": 1},
 }
 
-// writeForeign has another writer make an entry of its own, and write over that of a server,
-// which is to get nothing from then on, as if it left.
+// writeForeign adds a foreign entry to the store and, in half of the variants, overwrites the
+// entry of a server with it. Instances must then treat the server as leaving and stop sending
+// requests to it.
 func (r *runner) writeForeign(f Fault) {
 	s := r.site
 	entry := foreignEntries[f.How%len(foreignEntries)]
@@ -42,8 +44,8 @@
 	})
 }
 
-// startAgain ends a server and starts it again under its ID, at another address, unless its version was
-// rejected meanwhile.
+// startAgain stops a server and starts it again under the same ID at another address, unless
+// its version was rejected meanwhile.
 func (r *runner) startAgain(f Fault) {
 	s := r.site
 	srv := s.pick(f.Which)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -10,10 +10,10 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// lost is how long before its end a fault on the store may still delay news.
+// storeSettle is how long the effects of a store fault may last after the fault has ended.
 const storeSettle = 500 * time.Millisecond
 
-// inject brings a fault about and ends it after its time.
+// inject starts a fault and schedules its end.
 func (r *runner) inject(f Fault) {
 	s := r.site
 	in := s.instances[f.Which%len(s.instances)]
@@ -80,7 +80,7 @@
 	}
 }
 
-// term stops an instance as planned.
+// term stops an instance gracefully, unless it is already stopping.
 func (r *runner) term(in *instance) {
 	o := r.site.oracle
 	o.mu.Lock()
@@ -148,7 +148,7 @@
 	})
 }
 
-// pick returns a server that is there, or nil.
+// pick returns one of the present servers, or nil if there is none.
 func (s *site) pick(which int) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,8 +205,8 @@
 	}
 }
 
-// crash takes a server away, silently or with resets; another one comes in its
-// place.
+// crash makes a server unreachable, either by stalling its connections or by closing them.
+// Another server replaces it when the fault ends.
 func (r *runner) crash(srv *server, f Fault) {
 	if !r.site.markGone(srv) {
 		return
@@ -222,8 +222,8 @@
 	})
 }
 
-// misbehave has a server do something wrong with one in four requests, or one
-// thing with one in ten.
+// misbehave injects faults into a server's answers: in half of the variants a random fault
+// into one of four requests, otherwise one fixed fault into one of ten.
 func (r *runner) misbehave(srv *server, f Fault) {
 	rnd := rand.New(rand.NewPCG(uint64(f.How), 3))
 	only := origin.Fault(1 + f.How/2%int(origin.Failed))
@@ -240,8 +240,9 @@
 	r.later(f.For, func() { srv.SetScript(nil) })
 }
 
-// drain has a server leave: it says so, serves on, and ends. Some leave without a
-// word: their entry goes.
+// drain has a server leave. The server continues to serve until it stops. In two thirds of the
+// variants its entry states that it is draining; otherwise the entry is removed without
+// notice.
 func (r *runner) drain(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
@@ -262,8 +263,8 @@
 	})
 }
 
-// reuse gives the address of a server that has gone to one of another service. The
-// entry of the one that has gone is removed at once, or only afterwards.
+// reuse gives the address of a stopped server to a server of the other service. The entry of
+// the stopped server is removed at once or only afterwards.
 func (r *runner) reuse(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -11,47 +11,54 @@
 )
 
 const (
-	// limitHeader is by which a server names how many requests a second it takes.
+	// limitHeader is the header in which a server announces the number of requests per second
+	// that it accepts.
 	limitHeader = "Server-Limit"
-	// limitSpan is the span in which requests are counted, from contact after a server first
-	// named its limit on, and limitGrace is for what an instance has on its way when it is told.
+	// limitSpan is the window in which requests are counted. The first window begins once the
+	// contact time has passed since the server announced its limit. limitGrace allows for the
+	// requests that an instance has in flight when it learns of the limit.
 	limitSpan  = 4 * time.Second
 	limitGrace = 500 * time.Millisecond
-	// namedOver and namedSlack are how much more than the limit may come in a window.
+	// namedOver and namedSlack bound the requests in a window: namedOver times the limit, plus
+	// namedSlack.
 	namedOver  = 1.5
 	namedSlack = 5
-	// limitLasts is the least time for which a server names a limit.
+	// limitLasts is the shortest time for which a server announces a limit.
 	limitLasts = 9 * time.Second
-	// lowerWithin is within how long a lower limit is to be kept.
+	// lowerWithin is the time within which instances must comply with a lowered limit.
 	lowerWithin = 2 * time.Second
 )
 
-// limitScripts are what servers name one after the other, less than the two or so a second that they
-// get otherwise: each value for a part of the time, or,
-// where there are many, one with each answer.
+// limitScripts are sequences of limits, in requests per second. Most are below the roughly two
+// requests per second that a server receives otherwise. A server announces each value for an
+// equal part of the time or, if the sequence has at least manyValues values, another value
+// with each answer.
 var limitScripts = [][]float64{{0.5}, {0.1}, {0.25}, {1}, {4, 0.2}, {0.5, 0.45, 0.55, 0.5, 0.48, 0.52, 0.5, 0.47}, {0.2, 4}}
 
-// manyValues is the number of values of a script from which on each answer names another one.
+// manyValues is the length of a sequence from which each answer announces another value.
 const manyValues = 8
 
-// limited is a server that names a limit, with what came from instances that it had told.
+// limited records a server that announces a limit, and the arrivals from instances that have
+// passed the limit on.
 type limited struct {
 	mu      sync.Mutex
 	from    time.Time
 	until   time.Time
 	script  []float64
 	answers int
-	// namedAt is when the server last named it: another word may have taken its place.
+	// namedAt is when the server last announced the limit. The server's extra headers may have
+	// been replaced since.
 	namedAt time.Time
 
-	// toldBy is when an instance first passed on the limit.
+	// toldBy holds, for each instance, when it first passed on an answer with the limit.
 	toldBy map[string]notice
 	came   []time.Time
-	// reported says that the rule was broken: it is told once.
+	// reported is set once a violation is recorded, so that each server's violation is
+	// recorded only once.
 	reported bool
 }
 
-// now returns what the server names at a time, false if nothing.
+// now returns the limit to announce at a time, and false if the server announces none.
 func (l *limited) now(at time.Time) (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,14 +74,16 @@
 	return l.script[int(part*float64(len(l.script)))], true
 }
 
-// active tells whether the server still names a limit at a time at which a request arrives.
+// active reports whether the server announced its limit within the second before at.
 func (l *limited) active(at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return at.Sub(l.namedAt) < time.Second
 }
 
-// highest returns the highest limit that the server named in a window that ends at a time.
+// highest returns the highest limit that applies to the window that ends at the given time. A
+// value counts unless its time ended more than lowerWithin before the window begins. Values
+// not yet announced count too.
 func (l *limited) highest(at time.Time) float64 {
 	highest := 0.0
 	for i, value := range l.script {
@@ -89,7 +98,8 @@
 	return highest
 }
 
-// announceLimits has one server, those of a hall, or all of a service name limits for a while.
+// announceLimits has servers announce limits for the time of the fault: one server, the
+// servers of its service in its hall, or all servers of its service.
 func (r *runner) announceLimits(srv *server, f Fault) {
 	script := limitScripts[f.How%len(limitScripts)]
 	from := time.Now()
@@ -121,7 +131,7 @@
 	})
 }
 
-// noteLimit notes that an instance has passed on an answer in which its server names a limit. The
+// noteLimit records that an instance has passed on an answer with the limit of its server. The
 // caller holds mu.
 func (o *oracle) noteLimit(a *attempt, r result) {
 	server, signed := strings.CutPrefix(r.header.Get("Server-Signature"), "sig.")
@@ -135,9 +145,9 @@
 	}
 }
 
-// judgeLimit checks that what the instances send together that a server has told its limit stays
-// within it. A restart, freeze or cut of an instance since excuses that instance. The caller holds
-// mu.
+// judgeLimit checks that the requests from all instances that know a server's limit stay
+// within it together. Requests of an instance that was restarted, paused or disturbed since it
+// learned of the limit do not count. The caller holds mu.
 func (o *oracle) judgeLimit(a *attempt, v origin.Arrival) {
 	l := o.signals.limits[v.Server.ID]
 	if l == nil || !v.At.Before(l.until) || !l.active(v.At) {
@@ -152,13 +162,13 @@
 	}
 	l.came = append(l.came, v.At)
 	if v.At.Sub(l.from) < contact+limitSpan {
-		// The window has to begin after contact.
+		// The window must begin after the contact time.
 		return
 	}
 	o.checks["NAMED LIMIT"]++
 	allowed := namedOver*limitSpan.Seconds()*l.highest(v.At) + namedSlack
 	if float64(len(l.came)) > allowed && !l.reported {
 		l.reported = true
-		o.violated("NAMED LIMIT", "%s got %d requests in %v from instances that it had told, %.0f allowed, %.1f s after it named its limit", v.Server.ID, len(l.came), limitSpan, allowed, v.At.Sub(l.from).Seconds())
+		o.violated("NAMED LIMIT", "%s got %d requests in %v from instances that knew its limit, %.0f allowed, %.1f s after it announced the limit", v.Server.ID, len(l.came), limitSpan, allowed, v.At.Sub(l.from).Seconds())
 	}
 }
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -10,7 +10,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// limitPlay is a server that names a limit, and instances that may pass it on.
+// limitPlay is an oracle with one server that announces a limit, and instances that may pass
+// it on.
 type limitPlay struct {
 	o      *oracle
 	server *origin.Server
@@ -23,14 +24,15 @@
 	return p
 }
 
-// tell has an instance pass on an answer that names the limit.
+// tell has an instance pass on an answer with the limit.
 func (p *limitPlay) tell(name string) {
 	a := p.o.begin(&instance{name: name}, "GET", "/read/1", nil)
 	p.o.arrived(origin.Arrival{Server: p.server, At: p.from, Executed: true, Run: origin.Run{ID: a.id, Method: "GET", URI: "/read/1"}})
 	p.o.finish(a, result{status: 200, header: http.Header{"Server-Signature": {"sig.i-1"}, limitHeader: {"1"}}, body: " to " + a.id})
 }
 
-// send has n requests of an instance reach the server at a time after its first word.
+// send has n requests of an instance reach the server at the given time after its first
+// announcement.
 func (p *limitPlay) send(name string, n int, after time.Duration) {
 	for range n {
 		a := p.o.begin(&instance{name: name}, "GET", "/read/1", nil)
@@ -38,8 +40,9 @@
 	}
 }
 
-// TestLimitIsJudged checks that what several instances send together is held against them once a
-// server has told each of them, counted from contact on, and that nothing else is.
+// TestLimitIsJudged checks that the oracle counts the requests of several instances together
+// once each has passed on the server's limit and the contact time has passed, and that it
+// counts no other requests.
 func TestLimitIsJudged(t *testing.T) {
 	const late = contact + 2*limitSpan
 	allowed := int(namedOver*limitSpan.Seconds()) + namedSlack
@@ -48,16 +51,16 @@
 		play   func(p *limitPlay)
 		broken int
 	}{
-		{"too many together", func(p *limitPlay) { p.send("n1", allowed, late); p.send("n2", 1, late) }, 1},
+		{"one more than allowed together", func(p *limitPlay) { p.send("n1", allowed, late); p.send("n2", 1, late) }, 1},
 		{"as many as allowed", func(p *limitPlay) { p.send("n1", allowed-1, late); p.send("n2", 1, late) }, 0},
-		{"in two windows", func(p *limitPlay) { p.send("n1", allowed, late); p.send("n2", allowed, late+limitSpan) }, 0},
-		{"before contact", func(p *limitPlay) { p.send("n1", 5*allowed, contact) }, 0},
-		{"from one that was not told", func(p *limitPlay) { p.send("n3", 5*allowed, late) }, 0},
-		{"from one that was cut off since", func(p *limitPlay) {
+		{"as many as allowed in each of two windows", func(p *limitPlay) { p.send("n1", allowed, late); p.send("n2", allowed, late+limitSpan) }, 0},
+		{"before the contact time has passed", func(p *limitPlay) { p.send("n1", 5*allowed, contact) }, 0},
+		{"from an instance that does not know the limit", func(p *limitPlay) { p.send("n3", 5*allowed, late) }, 0},
+		{"from an instance that was disturbed since", func(p *limitPlay) {
 			p.o.quietSince["n1"] = time.Now().Add(time.Minute)
 			p.send("n1", 5*allowed, late)
 		}, 0},
-		{"from one that was restarted since", func(p *limitPlay) { p.o.runs["n1"] = 1; p.send("n1", 5*allowed, late) }, 0},
+		{"from an instance that was restarted since", func(p *limitPlay) { p.o.runs["n1"] = 1; p.send("n1", 5*allowed, late) }, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newLimitPlay(1)
@@ -69,12 +72,11 @@
 	}
 }
 
-// TestHighestLimitCounts checks which of the limits that a server names one after the other counts
-// in a window.
+// TestHighestLimitCounts checks which of a sequence of limits applies to a window.
 func TestHighestLimitCounts(t *testing.T) {
 	from := time.Now()
 	l := &limited{from: from, until: from.Add(20 * time.Second), script: []float64{20, 4}}
 	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second)))
-	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second+limitSpan)), "a lower one is kept soon, not at once")
+	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second+limitSpan)), "a lowered limit applies after lowerWithin, not at once")
 	require.Equal(t, 4.0, l.highest(from.Add(10*time.Second+limitSpan+lowerWithin+time.Millisecond)))
 }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -11,14 +11,14 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// Violation is a broken promise.
+// Violation is one failed check.
 type Violation struct {
 	Rule   string        `json:"rule"`
 	At     time.Duration `json:"at_ns"`
 	Detail string        `json:"detail"`
 }
 
-// oracle judges the run by what clients and servers see.
+// oracle checks the run by what clients and servers observe.
 type oracle struct {
 	keys       *keyring
 	mu         sync.Mutex
@@ -28,28 +28,29 @@
 	violations []Violation
 	checks     map[string]int
 
-	// quietSince is since when an instance is without disturbance.
+	// quietSince holds, for each instance, when its last disturbance ended or will end.
 	quietSince map[string]time.Time
 	stopping   map[string]time.Time
 	runs       map[string]int
 	versionAt  map[int]time.Time
 	newest     int
-	// seen is the highest version seen in force at a process of an instance.
+	// seen holds the highest configuration version seen in force at the current process of
+	// each instance.
 	seen      map[string]int
 	draining  map[string]time.Time
 	evacuated map[string]time.Time
 	coldSends map[string][]time.Time
 	servers   map[string]*server
-	// silencedAt is when the connections of clients to an instance were last silenced.
+	// silencedAt holds when the client connections of each instance were last silenced.
 	silencedAt map[string]time.Time
-	// endings are the servers that ended under a request, by its path.
+	// endings holds the crashes under each request, by the request's URI.
 	endings map[string]*serverCrashes
 	signals serverSignals
 	// versions are the rollouts of the run.
 	versions []*versionCheck
-	// restoredAt is when the store last came back from a copy.
+	// restoredAt is when the store was last restored from a copy.
 	restoredAt time.Time
-	// frozenAt is until when an instance last stood still.
+	// frozenAt holds when the last pause of each instance ended or will end.
 	frozenAt map[string]time.Time
 }
 
@@ -63,12 +64,12 @@
 	}
 }
 
-// violated notes a violated promise. The caller holds mu.
+// violated records a violation of a rule. The caller holds mu.
 func (o *oracle) violated(rule, format string, args ...any) {
 	o.violations = append(o.violations, Violation{Rule: rule, At: time.Since(o.start), Detail: fmt.Sprintf(format, args...)})
 }
 
-// disturbed notes that an instance is disturbed until a time.
+// disturbed records that an instance is disturbed until the given time.
 func (o *oracle) disturbed(name string, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// frozen notes that an instance stands still until a time.
+// frozen records that an instance is paused until the given time.
 func (o *oracle) frozen(name string, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -86,8 +87,8 @@
 	}
 }
 
-// killed notes that an instance is killed. If it was stopping as planned, it no
-// longer is.
+// killed records that an instance is killed. A planned stop in progress no longer counts as
+// one.
 func (o *oracle) killed(name string, until time.Time) {
 	o.disturbed(name, until)
 	o.mu.Lock()
@@ -101,7 +102,8 @@
 	o.versionAt[version], o.newest = at, version
 }
 
-// due returns the newest version that has to be in force everywhere.
+// due returns the newest configuration version that must be in force at every connected
+// instance.
 func (o *oracle) due(now time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,13 +123,13 @@
 	s.SetObserver(o.arrived)
 }
 
-// connected tells whether an instance was without disturbance for long enough. The
-// caller holds mu.
+// connected reports whether an instance has been undisturbed for at least the contact time.
+// The caller holds mu.
 func (o *oracle) connected(name string, at time.Time) bool {
 	return at.Sub(o.quietSince[name]) >= contact
 }
 
-// begin notes a client attempt before it is sent.
+// begin records an attempt before it is sent.
 func (o *oracle) begin(in *instance, method, uri string, body []byte) *attempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -142,23 +144,23 @@
 	return a
 }
 
-// silenced notes that the connections of clients to an instance carry nothing any more.
+// silenced records that the open client connections of an instance no longer carry data.
 func (o *oracle) silenced(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.silencedAt[name] = time.Now()
 }
 
-// sentOver notes when the connection of an attempt was opened.
+// sentOver records when the connection of an attempt was opened.
 func (o *oracle) sentOver(a *attempt, opened time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a.connAt = opened
 }
 
-// carries tells whether an attempt was sent over a connection that can have carried it. A
-// client that did not use one for long finds out late that it was silenced. The caller holds
-// mu.
+// carries reports whether the connection of an attempt can have carried it. A client that
+// reuses an idle connection does not notice at once that the connection was silenced. The
+// caller holds mu.
 func (o *oracle) carries(a *attempt) bool {
 	return a.connAt.IsZero() || a.connAt.After(o.silencedAt[a.instance])
 }
@@ -169,7 +171,7 @@
 	a.leftAt = time.Now()
 }
 
-// arrived judges a request that reaches a server.
+// arrived checks a request that reaches a server.
 func (o *oracle) arrived(v origin.Arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -180,7 +182,7 @@
 		return
 	}
 	if v.Executed && (v.Method != a.method || v.URI != a.uri || sha256.Sum256(v.Body) != a.digest) {
-		o.violated("UNASKED", "%s was changed on the way: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
+		o.violated("UNASKED", "%s was changed in transit: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
 	}
 	a.arrivals = append(a.arrivals, arrival{server: v.Server.ID, hall: v.Server.Zone, at: v.At, ran: v.Executed})
 	o.judgePlace(a, v)
@@ -192,7 +194,8 @@
 	o.judgeExposure(a, v)
 }
 
-// judgePlace checks service, home region and at most once. The caller holds mu.
+// judgePlace checks the service, the home region and at-most-once execution. The caller holds
+// mu.
 func (o *oracle) judgePlace(a *attempt, v origin.Arrival) {
 	o.checks["ROUTE"]++
 	if v.Server.Service != a.service() {
@@ -221,14 +224,14 @@
 	}
 }
 
-// judgeTimes checks draining, evacuation and clients that have left. The caller
-// holds mu.
+// judgeTimes checks the time bounds for draining servers, evacuated halls and requests that
+// their client canceled. The caller holds mu.
 func (o *oracle) judgeTimes(a *attempt, v origin.Arrival) {
 	touched := o.connected(a.instance, v.At)
 	if at, ok := o.draining[v.Server.ID]; ok && touched {
 		o.checks["DRAIN"]++
 		if v.At.Sub(at) > drainTimeout {
-			o.violated("DRAIN", "%s from %s reached %s %.2f s after it began to leave", a.id, a.instance, v.Server.ID, v.At.Sub(at).Seconds())
+			o.violated("DRAIN", "%s from %s reached %s %.2f s after it began to drain", a.id, a.instance, v.Server.ID, v.At.Sub(at).Seconds())
 		}
 	}
 	if at, ok := o.evacuated[v.Server.Zone]; ok && touched {
@@ -245,7 +248,8 @@
 	}
 }
 
-// judgeCold checks what a cold server gets in any second. The caller holds mu.
+// judgeCold checks the number of requests that a server in slow start receives within any
+// second. The caller holds mu.
 func (o *oracle) judgeCold(v origin.Arrival) {
 	s := o.servers[v.Server.ID]
 	if s == nil || s.coldUntil.IsZero() || v.At.After(s.coldUntil) {
@@ -268,7 +272,7 @@
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-// finish judges the end of an attempt as its client sees it.
+// finish checks the result of an attempt that its client received.
 func (o *oracle) finish(a *attempt, r result) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -286,7 +290,8 @@
 	o.judgeEnd(a, r, ran)
 }
 
-// judgeAnswer checks what an answer claims. The caller holds mu.
+// judgeAnswer checks that an answer belongs to its request and agrees with what servers
+// executed. The caller holds mu.
 func (o *oracle) judgeAnswer(a *attempt, r result, ran int) {
 	if r.err != nil {
 		return
@@ -305,8 +310,8 @@
 	}
 }
 
-// judgeConfig checks that a version that is due is in force, and that none goes
-// back. The caller holds mu.
+// judgeConfig checks that an instance applies each configuration version in time and does not
+// revert to an earlier one. The caller holds mu.
 func (o *oracle) judgeConfig(a *attempt, r result) {
 	if a.probe == 0 || r.err != nil || a.run != o.runs[a.instance] {
 		return
@@ -322,11 +327,12 @@
 		o.violated("CONFIG", "%s does not have version %d, %.2f s after it was written", a.instance, a.probe, a.at.Sub(o.versionAt[a.probe]).Seconds())
 	}
 	if a.probe <= o.seen[a.instance] && a.probe > o.newest-20 {
-		o.violated("CONFIG", "%s went back behind version %d", a.instance, a.probe)
+		o.violated("CONFIG", "%s reverted to a version before %d", a.instance, a.probe)
 	}
 }
 
-// judgeEnd checks time-outs and planned stops. The caller holds mu.
+// judgeEnd checks the time-out of a request, and that a planned stop cuts no request. The
+// caller holds mu.
 func (o *oracle) judgeEnd(a *attempt, r result, ran int) {
 	took := a.doneAt.Sub(a.at)
 	if a.connected && o.connected(a.instance, a.doneAt) && a.leftAt.IsZero() && o.carries(a) {
@@ -345,13 +351,13 @@
 	}
 }
 
-// ended notes the end of a process.
+// ended records that a process of an instance has exited, and checks the exit.
 func (o *oracle) ended(name string, expected bool, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checks["ENDS"]++
 	if !expected {
-		o.violated("ENDS", "a process of %s ended by itself: %v", name, err)
+		o.violated("ENDS", "a process of %s exited unexpectedly: %v", name, err)
 	}
 	if at, ok := o.stopping[name]; ok {
 		if err != nil {
@@ -366,9 +372,10 @@
 	o.seen[name] = 0
 }
 
-// budget checks the repeats of the whole run: in any window, the arrivals of a
-// service beyond the first of each request stay within a fifth of the requests of
-// the largest window beside it, plus the slack.
+// budget checks the retry budget over the whole run. For each service and window, arrivals
+// beyond the first of each request may number at most a fifth of the requests sent in the
+// largest of three windows, plus a slack. The three are that window, the one before it and the
+// one shifted back by half a window.
 func (o *oracle) budget() {
 	const window, ratio, slack = 10 * time.Second, 0.2, 64
 	o.mu.Lock()
@@ -406,8 +413,9 @@
 	return n
 }
 
-// served returns how many attempts of clients that were sent after a time were
-// served, of how many.
+// served returns the number of client attempts sent since a time that were answered with 200,
+// and the number of those that count. Probes, requests of hot accounts, and canceled and
+// unfinished attempts do not count.
 func (o *oracle) served(after time.Time) (served, all int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// FaultKind is a kind of fault.
+// FaultKind is a kind of fault. Its value is printed in reports.
 type FaultKind string
 
-// The kinds.
+// The kinds of faults.
 const (
 	InstanceTerm     FaultKind = "instance-term"
 	InstanceKill     FaultKind = "instance-kill"
@@ -49,17 +49,20 @@
 	StoreRestored    FaultKind = "store-restored"
 )
 
-// laterKinds came after seeds were kept. They are drawn by themselves, so that the other
-// faults of a seed stay as they are.
+// laterKinds are drawn from a random source of their own. A kind that is added to
+// kindsOfFaults would change the plan of every recorded seed.
 var laterKinds = []FaultKind{KeyChange, LinkSilence, ServerSilence}
 
-// entryKinds came later still, and are drawn by themselves too.
+// entryKinds are faults on the entries of servers. They are drawn from a random source of
+// their own, as laterKinds are.
 var entryKinds = []FaultKind{ForeignEntry, SameID}
 
-// wordKinds came after these, and are drawn by themselves too. ServerLimits came last.
+// wordKinds are signals that servers send in headers. They are drawn from a random source of
+// their own, as laterKinds are. ServerLimits has yet another source.
 var wordKinds = []FaultKind{ServerLeaves, ServerBackoff, ServerBackoff, ServerBadHeaders}
 
-// kindsOfFaults are all kinds, with how often they come.
+// kindsOfFaults lists the kinds that are drawn from the first random source, with their
+// relative frequencies.
 var kindsOfFaults = []struct {
 	kind   FaultKind
 	weight int
@@ -76,22 +79,23 @@
 	At   time.Duration
 	For  time.Duration
 	Kind FaultKind
-	// Which picks the instance, server or hall, modulo their number, and How
-	// the variant.
+	// Which selects the instance, server or hall, modulo their number. How selects the
+	// variant.
 	Which, How int
 }
 
-// String returns the fault in a line.
+// String returns the fault in one line, with its start, kind, Which, How and duration.
 func (f Fault) String() string {
 	return fmt.Sprintf("%.1fs %s(%d,%d) for %.1fs", f.At.Seconds(), f.Kind, f.Which, f.How, f.For.Seconds())
 }
 
-// gaps are how far apart faults come, from seed to seed: dense ones overlap, rare
-// ones leave instances undisturbed, so that the rules with a time bound count.
+// gaps are the base intervals between faults, one of which the seed selects. At short
+// intervals faults overlap. Long intervals leave instances undisturbed for long enough for the
+// checks with a time bound to apply.
 var gaps = []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 3500 * time.Millisecond}
 
-// Plan returns the faults of a seed, in the order of time. They come in series and
-// overlap, and end some time before the run does.
+// Plan returns the faults of a seed in order of their start. The faults may overlap. The last
+// starts before six tenths of the duration have passed.
 func Plan(seed uint64, duration time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	total := 0
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -8,21 +8,21 @@
 	"github.com/rainford/rainford/internal/loopback"
 )
 
-// Mode is what a proxy does to the bytes that pass.
+// Mode is how a proxy treats the bytes that it forwards.
 type Mode int
 
-// The modes.
+// The modes of a proxy.
 const (
-	// Pass passes bytes on at once.
+	// Pass forwards bytes at once.
 	Pass Mode = iota
-	// Delay holds each piece for a while.
+	// Delay forwards each piece after delayTime.
 	Delay
-	// Trickle passes few bytes at a time.
+	// Trickle forwards at most trickleSize bytes at a time, trickleTime apart.
 	Trickle
-	// Stall passes nothing in either direction until the mode changes.
+	// Stall forwards nothing in either direction until the mode changes.
 	Stall
-	// StallUp passes nothing from the side that connects, DeafDown nothing to
-	// it.
+	// StallUp forwards nothing from the client to the target, and StallDown nothing from the
+	// target to the client, until the mode changes.
 	StallUp
 	StallDown
 )
@@ -35,14 +35,14 @@
 	proxyBuffer = 16 << 10
 )
 
-// proxy stands before one address.
+// proxy forwards TCP connections to one target address.
 type proxy struct {
 	listener net.Listener
 	mu       sync.Mutex
 	target   string
 	mode     Mode
 	conns    map[net.Conn]bool
-	// silenced are connections that pass nothing any more.
+	// silenced holds the connections whose received bytes are discarded.
 	silenced map[net.Conn]bool
 }
 
@@ -70,8 +70,8 @@
 	return p.mode
 }
 
-// silence has the connections that are open pass nothing any more, without a sign of it.
-// New ones work.
+// silence makes the open connections discard all further bytes without being closed. New
+// connections work.
 func (p *proxy) silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,7 +86,7 @@
 	return p.silenced[c]
 }
 
-// reset breaks all connections.
+// reset closes all connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +148,7 @@
 	<-done
 }
 
-// copy passes bytes from src to dst by the mode of the moment.
+// copy forwards bytes from src to dst according to the mode.
 func (p *proxy) copy(dst, src net.Conn, deaf Mode, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, proxyBuffer)
@@ -178,7 +178,8 @@
 	}
 }
 
-// next waits as the mode asks and returns how many of the bytes left may pass.
+// next waits as the mode requires and returns how many of the left bytes may be forwarded. The
+// mode deaf blocks this direction.
 func (p *proxy) next(left int, deaf Mode) int {
 	for {
 		switch mode := p.current(); mode {
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// oldestCopy bounds the age of the copy from which the store comes back.
+	// oldestCopy bounds the age of the copy from which the store is restored.
 	oldestCopy = 10 * time.Second
-	// verdictTime is within how long of a restore the instances are to have written again which
-	// verdicts they know.
+	// verdictTime is the time after a restore within which the instances must have rewritten
+	// the rollout verdicts that they know.
 	verdictTime = 5 * time.Second
-	// writeAgainTime is within which the operator and the servers write again what was lost.
+	// writeAgainTime is the time over which the operator and the servers rewrite the lost
+	// data.
 	writeAgainTime = 2 * time.Second
 )
 
-// restoreStore has the store be away for a time, answering with failures or not at all, and come back from
-// a copy that was made some time before. What was lost is written again in order, spread over a time.
+// restoreStore makes the store unavailable, with errors or without answers, and then restores
+// it from an earlier copy. The lost writes are repeated in order, spread over writeAgainTime.
 func (r *runner) restoreStore(f Fault) {
 	s := r.site
 	back := time.Now().Add(f.For)
@@ -36,15 +37,16 @@
 	})
 }
 
-// restored notes that the store has come back from a copy.
+// restored records that the store was restored from a copy.
 func (o *oracle) restored() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.restoredAt = time.Now()
 }
 
-// allKilled notes that all instances end at once. Verdicts that a restored store has lost, and that were
-// perhaps not written again yet, are known to nobody then.
+// allKilled records that all instances are killed at once. If the store was restored less than
+// verdictTime ago, a verdict that it lost may not have been rewritten yet, and may then be
+// lost for good.
 func (o *oracle) allKilled() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/soak/rollouts.go
+++ b/internal/soak/rollouts.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// rolloutLasts is the time that an order gives, and newPerHall the number of servers of the new
-	// version in each hall.
+	// rolloutLasts is the duration of a rollout, and newPerHall the number of servers of the
+	// new version in each hall.
 	rolloutLasts = 9 * time.Second
 	newPerHall   = 2
-	// exposedShare and exposedSlack are how many of a service's requests a bad version may get, and
-	// rollbackWithin how long after its fiftieth bad answer it may still get any.
+	// exposedShare and exposedSlack bound the requests of a service that a bad version may
+	// receive: a share of all, plus a number. rollbackWithin is how long a bad version may
+	// still receive requests after it has given as many bad answers as badAnswers states.
 	exposedShare   = 0.1
 	exposedSlack   = 50
 	badAnswers     = 50
 	rollbackWithin = 5 * time.Second
-	// verdictLooks is how often the order is looked at.
+	// verdictLooks is the interval at which the status of the rollout is read.
 	verdictLooks = 50 * time.Millisecond
 )
 
-// quality is what is wrong with a version.
+// quality is the defect of a version, if any.
 type quality int
 
-// The qualities.
+// The qualities of a version.
 const (
 	soundVersion quality = iota
 	failingVersion
@@ -39,29 +40,29 @@
 	qualities
 )
 
-// versionCheck judges the rollout of one version.
+// versionCheck checks the rollout of one version.
 type versionCheck struct {
 	service, version string
 	quality          quality
 	from, until      time.Time
-	// all are the requests that reached the service in the time of the order, and atNew those that
-	// instances in touch sent to the version.
+	// all counts the requests that reached the service during the rollout, and atNew those
+	// that connected instances sent to the new version, if it is bad.
 	all, atNew int
-	// answeredBadly is the number of the version's bad answers, and fiftiethAt when the fiftieth
-	// came.
+	// answeredBadly counts the bad answers of the version. fiftiethAt is when the answer
+	// numbered badAnswers was given.
 	answeredBadly int
 	fiftiethAt    time.Time
 	late          bool
 	verdict       string
-	// forgotten says that all instances ended soon after the store had lost what it held of the
-	// order: nobody may know of the verdict, or of the version's bad answers.
+	// forgotten is set if all instances were killed soon after the store lost the state of the
+	// rollout. The verdict and the bad answers of the version may then be lost.
 	forgotten bool
 }
 
 func (c *versionCheck) isBad() bool { return c.quality != soundVersion }
 
-// rollout has the operator order a version of a service, starts its servers, and does what the platform does
-// at its end.
+// rollout orders a new version of a service, starts its servers, and performs the platform's
+// part once the rollout has ended.
 func (r *runner) rollout(f Fault) {
 	s := r.site
 	service := services[f.Which%len(services)]
@@ -87,7 +88,7 @@
 	r.awaitVerdict(check)
 }
 
-// degrade gives a server of a version what is wrong with it.
+// degrade injects the defect of the version into one of its servers.
 func (r *runner) degrade(srv *server, check *versionCheck) {
 	var n atomic.Int64
 	fails := func(req *http.Request) bool {
@@ -118,8 +119,8 @@
 	})
 }
 
-// awaitVerdict waits for the end of a rollout. A success stops the old servers at once, a rollback drains the
-// new ones, as does an order that was not ended in its time.
+// awaitVerdict waits for the end of a rollout. After a success it stops the old servers at
+// once. After a rollback, or if the rollout has not ended in time, it drains the new servers.
 func (r *runner) awaitVerdict(check *versionCheck) {
 	s := r.site
 	state := s.rolloutState(check.service)
@@ -154,7 +155,7 @@
 	r.later(verdictLooks, func() { r.awaitVerdict(check) })
 }
 
-// leave drains a server for which none comes.
+// leave drains a server without a replacement.
 func (r *runner) leave(srv *server) {
 	r.site.record(srv, objects.Draining)
 	r.later(drainTimeout+2*time.Second, func() {
@@ -163,7 +164,8 @@
 	})
 }
 
-// rolloutState returns what the store holds of the order for a service.
+// rolloutState returns the state of a service's rollout that the store holds, or the empty
+// string if there is none.
 func (s *site) rolloutState(service string) string {
 	var status objects.RolloutStatus
 	raw := s.store.Status("rollouts", service)
@@ -183,7 +185,7 @@
 	}
 }
 
-// noteVerdict notes the verdict of a rollout.
+// noteVerdict records the verdict of a rollout.
 func (o *oracle) noteVerdict(check *versionCheck, verdict string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -193,8 +195,9 @@
 	}
 }
 
-// judgeExposure counts a request that reaches a server while a version of its service is brought in. The caller
-// holds mu.
+// judgeExposure counts a request that reaches a server of a service with a rollout, and checks
+// that a bad version receives none later than rollbackWithin after its fiftieth bad answer.
+// The caller holds mu.
 func (o *oracle) judgeExposure(a *attempt, v origin.Arrival) {
 	srv := o.servers[v.Server.ID]
 	for _, check := range o.versions {
@@ -218,7 +221,7 @@
 	}
 }
 
-// judgeVersion judges a rollout whose time is over. What the store holds then must be what it held first.
+// judgeVersion checks a rollout after its end. The store must still hold the first verdict.
 func (o *oracle) judgeVersion(check *versionCheck, state string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -227,7 +230,7 @@
 	}
 	o.checks["VERDICT"]++
 	if check.verdict != "" && check.verdict != "running" && state != check.verdict {
-		o.violated("VERDICT", "the rollout of %s of %s was %s and is %s", check.version, check.service, check.verdict, state)
+		o.violated("VERDICT", "the verdict of the rollout of %s of %s changed from %q to %q", check.version, check.service, check.verdict, state)
 	}
 	if check.isBad() && float64(check.atNew) > exposedShare*float64(check.all)+exposedSlack {
 		o.violated("EXPOSURE", "%s of %s (quality %d) got %d of %d requests", check.version, check.service, check.quality, check.atNew, check.all)
--- a/internal/soak/rollouts_test.go
+++ b/internal/soak/rollouts_test.go
@@ -9,8 +9,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// exposed is an oracle with a rollout whose version is of a quality, and a function that has a request of an
-// instance reach a server of the version or of the one before.
+// exposed returns an oracle with a rollout of a version of the given quality, and a function
+// that has a request of an instance reach a server of the new version or of the old one.
 func exposed(q quality) (o *oracle, check *versionCheck, arrive func(at time.Time, isNew bool)) {
 	o = newOracle(newKeyring())
 	start := time.Now()
@@ -27,8 +27,9 @@
 	}
 }
 
-// TestExposureIsJudged checks that a bad version that gets more than its part is told, and one that gets no more,
-// or is sound, is not.
+// TestExposureIsJudged checks that the oracle reports a bad version that receives more than
+// its permitted share of requests, and reports neither one within its share nor a sound
+// version.
 func TestExposureIsJudged(t *testing.T) {
 	for _, c := range []struct {
 		quality quality
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestLateExposureIsJudged checks that requests to a version long after its fiftieth bad answer are told, from
-// instances in touch.
+// TestLateExposureIsJudged checks that the oracle reports a request that a connected instance
+// sends to a version long after its fiftieth bad answer.
 func TestLateExposureIsJudged(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		for _, touched := range []bool{false, true} {
@@ -67,7 +68,7 @@
 	}
 }
 
-// TestVerdictIsJudged checks that a verdict that changes is told.
+// TestVerdictIsJudged checks that the oracle reports a verdict that changes.
 func TestVerdictIsJudged(t *testing.T) {
 	o, check, _ := exposed(soundVersion)
 	o.noteVerdict(check, "succeeded")
@@ -78,8 +79,8 @@
 	require.Equal(t, "VERDICT", o.violations[0].Rule)
 }
 
-// TestForgottenVerdict checks that a verdict may change if all instances ended soon after the store had lost
-// it, and not otherwise.
+// TestForgottenVerdict checks that a verdict may change if all instances were killed soon
+// after the store had lost it, and not otherwise.
 func TestForgottenVerdict(t *testing.T) {
 	for _, c := range []struct {
 		restored time.Duration
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Options are the choices of a run.
+// Options are the parameters of a run.
 type Options struct {
 	Seed     uint64
 	Duration time.Duration
 	// Program is the path of rainfordd.
 	Program string
-	// Instances and Clients are how many there are.
+	// Instances and Clients are the numbers of gateway processes and of clients.
 	Instances, Clients int
-	// Keep is the folder for the logs, empty for one that is removed.
+	// Keep is the folder for the logs. If it is empty, the logs are removed after the run.
 	Keep     string
 	Progress io.Writer
 }
@@ -35,16 +35,16 @@
 	PeakMemory int64          `json:"peak_memory_bytes"`
 	PeakFiles  int            `json:"peak_files"`
 	Processes  int            `json:"processes"`
-	// Ended is how many servers ended under each request that ends them.
+	// Ended holds the number of servers that crashed under each request that crashes servers.
 	Ended  map[string]int `json:"ended"`
 	Broken []Violation    `json:"broken"`
 }
 
 const (
 	settleTime = 1500 * time.Millisecond
-	// recoverTime is given to the system after the last fault.
+	// recoverTime is the time that the system has to recover after the last fault.
 	recoverTime = 5 * time.Second
-	// recoverPart has to be served from then on.
+	// recoverPart is the fraction of requests that must be served after recoverTime.
 	recoverPart = 0.9
 	mostMemory  = 160 << 20
 	mostFiles   = 1000
@@ -57,7 +57,7 @@
 	report  Report
 }
 
-// later calls f after a while; the run waits for it.
+// later calls f after the given time. The run waits for the call to return.
 func (r *runner) later(after time.Duration, f func()) {
 	r.wg.Add(1)
 	time.AfterFunc(after, func() {
@@ -66,7 +66,8 @@
 	})
 }
 
-// Run plays the plan of a seed and reports.
+// Run executes the plan of a seed and returns the report. It returns an error if the site
+// cannot be started.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	dir := options.Keep
 	if dir == "" {
@@ -126,7 +127,7 @@
 	}
 }
 
-// measure looks at the memory and descriptors of the processes.
+// measure updates the peaks of the processes' resident memory and open descriptors.
 func (r *runner) measure() {
 	for _, in := range r.site.instances {
 		memory, files := in.memory()
@@ -162,7 +163,7 @@
 	}
 	o.checks["GROWTH"]++
 	if r.report.PeakMemory > mostMemory || r.report.PeakFiles > mostFiles {
-		o.violated("GROWTH", "%d bytes, %d descriptors", r.report.PeakMemory, r.report.PeakFiles)
+		o.violated("GROWTH", "peak of %d bytes of memory and %d open descriptors", r.report.PeakMemory, r.report.PeakFiles)
 	}
 }
 
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// propagationTime is within how long all instances in touch are to know what a server has told
-	// one of them.
+	// propagationTime is the time within which all connected instances must learn that a
+	// server is leaving, counted from when one of them passed the header on.
 	propagationTime = time.Second
-	// backoffGrace is for requests that are on their way when a server asks for rest, and
-	// mostInRest the number of those that may come later.
+	// backoffGrace allows for the requests in flight when a server asks an instance to back
+	// off. maxDuringBackoff is the number of requests that may arrive later during the
+	// back-off.
 	backoffGrace     = 500 * time.Millisecond
 	maxDuringBackoff = 2
 )
 
-// leavingHeader is by which a server says that it leaves.
+// leavingHeader is the header by which a server announces that it is leaving.
 const leavingHeader = "Server-Leaving"
 
-// retryAfters are what servers that turn requests away ask for.
+// retryAfters are the values of Retry-After that servers send when they reject requests.
 var retryAfters = []time.Duration{time.Second, 2 * time.Second, 1500 * time.Millisecond, 3 * time.Second}
 
-// malformedHeaders are header lines that say nothing that a server may say.
+// malformedHeaders are header lines whose signals are malformed or not permitted.
 var malformedHeaders = []string{
 	"Server-Leaving: soon\r\n",
 	"Server-Leaving: \r\n",
@@ -35,26 +36,27 @@
 	"Retry-After: Fri, 31 Dec 2999 23:59:59 GMT\r\n",
 }
 
-// serverSignals are what servers have said of themselves to instances.
+// serverSignals holds the signals that servers have sent to instances in headers.
 type serverSignals struct {
-	// passedOn is when an instance passed on the first answer of a server that says that it
-	// leaves, by server and instance, with the run of the instance.
+	// passedOn holds, by server and instance, when the instance first passed on an answer in
+	// which the server announced that it is leaving.
 	passedOn map[string]map[string]notice
-	// backoffs are those that servers have asked instances for, by server and instance.
+	// backoffs holds the back-offs that servers have requested, by server and instance.
 	backoffs map[string]map[string][]*backoffRequest
-	// limits are of the servers that have named one.
+	// limits holds the servers that have announced a rate limit, by server.
 	limits map[string]*limited
 }
 
-// notice is a word to one run of an instance.
+// notice is a signal that one process of an instance received or passed on.
 type notice struct {
 	at  time.Time
 	run int
-	// connected says that the instance was in touch at the time.
+	// connected reports whether the instance was connected at the time.
 	connected bool
 }
 
-// backoffRequest is a rest that was asked of an instance, with the requests that came all the same.
+// backoffRequest is a back-off requested from an instance, with the requests that arrived
+// during it.
 type backoffRequest struct {
 	notice
 	until    time.Time
@@ -65,15 +67,16 @@
 	return serverSignals{passedOn: make(map[string]map[string]notice), backoffs: make(map[string]map[string][]*backoffRequest), limits: make(map[string]*limited)}
 }
 
-// forget forgets what a server has said: another one has its ID.
+// forget removes the signals of a server, because a new incarnation uses its ID.
 func (w *serverSignals) forget(server string) {
 	delete(w.passedOn, server)
 	delete(w.backoffs, server)
 	delete(w.limits, server)
 }
 
-// announceLeaving has a server leave by its own word alone, its entry saying that it serves, beside a
-// store that is silent or not. It serves on, and ends.
+// announceLeaving has a server leave by its header alone, while its entry still states that it
+// is ready. In half of the variants the store does not answer meanwhile. The server continues
+// to serve until it stops.
 func (r *runner) announceLeaving(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
@@ -85,7 +88,7 @@
 		r.storeFault(Fault{Kind: StoreDown, How: 1, For: f.For}, time.Now().Add(f.For))
 	}
 	if f.How%3 == 0 {
-		// Its entry changes, and says again that it serves.
+		// The entry changes, but still states that the server is ready.
 		r.later(f.For/2, func() { s.record(srv, objects.Ready) })
 	}
 	r.later(drainTimeout+2*time.Second, func() {
@@ -94,8 +97,8 @@
 	})
 }
 
-// requestBackoff has one server, those of a hall, or all of a service turn away everything for a
-// while, and ask for rest.
+// requestBackoff has servers reject all requests for the time of the fault with a Retry-After
+// header: one server, the servers of its service in its hall, or all servers of its service.
 func (r *runner) requestBackoff(srv *server, f Fault) {
 	asks := retryAfters[f.How%len(retryAfters)]
 	until := time.Now().Add(f.For)
@@ -120,7 +123,7 @@
 	}
 }
 
-// sendMalformedHeaders has a server say things of itself that it may not, or that mean nothing.
+// sendMalformedHeaders has a server add invalid signals to its answers.
 func (r *runner) sendMalformedHeaders(srv *server, f Fault) {
 	if !r.site.isPresent(srv) {
 		return
@@ -134,7 +137,7 @@
 	})
 }
 
-// present returns the servers that are present.
+// present returns the servers that have not left or crashed.
 func (s *site) present() []*server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,8 +156,8 @@
 	return !srv.gone
 }
 
-// noteLeaving notes that an instance has passed on an answer in which its server says that it
-// leaves. The caller holds mu.
+// noteLeaving records that an instance has passed on an answer in which its server announces
+// that it is leaving. The caller holds mu.
 func (o *oracle) noteLeaving(a *attempt, r result) {
 	server, signed := strings.CutPrefix(r.header.Get("Server-Signature"), "sig.")
 	if r.err != nil || !signed || r.header.Get(leavingHeader) != "1" || a.run != o.runs[a.instance] {
@@ -171,7 +174,8 @@
 	}
 }
 
-// judgeSignals checks an arrival by what its server has said of itself. The caller holds mu.
+// judgeSignals checks an arrival by the signals of its server, and records the back-off that
+// the server requests with it. The caller holds mu.
 func (o *oracle) judgeSignals(a *attempt, v origin.Arrival) {
 	o.judgeDeparture(a, v)
 	o.judgeLimit(a, v)
@@ -187,8 +191,10 @@
 	by[a.instance] = append(by[a.instance], &backoffRequest{notice: notice{at: v.At, run: a.run}, until: v.At.Add(v.RetryAfter)})
 }
 
-// judgeDeparture checks that a server that has said that it leaves gets nothing from who has
-// passed that on, in touch or not, and nothing from others in touch once they can know it.
+// judgeDeparture checks which requests reach a server that has announced that it is leaving.
+// An instance that has passed the announcement on, connected or not, may have sent them at
+// most drainTimeout later, and any other connected instance at most propagationTime later. The
+// caller holds mu.
 func (o *oracle) judgeDeparture(a *attempt, v origin.Arrival) {
 	for instance, word := range o.signals.passedOn[v.Server.ID] {
 		own := instance == a.instance && word.run == a.run && !o.frozenAt[instance].After(word.at)
@@ -197,18 +203,19 @@
 		case own:
 			o.checks["WORD"]++
 			if a.at.Sub(word.at) > drainTimeout {
-				o.violated("DRAIN", "%s from %s reached %s, sent %.2f s after %s had passed on that it leaves", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
+				o.violated("DRAIN", "%s from %s reached %s, sent %.2f s after %s had passed on that it is leaving", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
 			}
 		case instance != a.instance && both:
 			o.checks["NEWS"]++
 			if a.at.Sub(word.at) > propagationTime {
-				o.violated("NEWS", "%s from %s reached %s, sent %.2f s after %s had passed on that it leaves", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
+				o.violated("NEWS", "%s from %s reached %s, sent %.2f s after %s had passed on that it is leaving", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
 			}
 		}
 	}
 }
 
-// judgeBackoffs checks that a server that has asked an instance for rest gets it.
+// judgeBackoffs checks that an instance honors the back-off that a server requested from it.
+// The caller holds mu.
 func (o *oracle) judgeBackoffs(a *attempt, v origin.Arrival) {
 	for _, rest := range o.signals.backoffs[v.Server.ID][a.instance] {
 		since := v.At.Sub(rest.at)
@@ -218,7 +225,7 @@
 		o.checks["REST"]++
 		rest.arrivals++
 		if rest.arrivals == maxDuringBackoff+1 {
-			o.violated("BUDGET", "%s got %d requests from %s within a rest of %.1f s, %s %.2f s after it asked for it", v.Server.ID, rest.arrivals, a.instance,
+			o.violated("BUDGET", "%s got %d requests from %s within a back-off of %.1f s, %s arrived %.2f s after the back-off was requested", v.Server.ID, rest.arrivals, a.instance,
 				rest.until.Sub(rest.at).Seconds(), a.id, since.Seconds())
 		}
 	}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -19,7 +19,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// The bounds of the run, after the users' pages.
+// The bounds and settings of the run. Bounds on the gateway's behavior come from the user
+// documentation.
 const (
 	contact      = 4 * time.Second
 	configApply  = 2500 * time.Millisecond
@@ -35,12 +36,12 @@
 	serverWork   = 15 * time.Millisecond
 )
 
-// place is one hall of the site.
+// place is one hall of the site with its region.
 type place struct{ hall, region string }
 
 var places = []place{{"a1", "a"}, {"a2", "a"}, {"b1", "b"}, {"b2", "b"}}
 
-// services are the names of the services; each has servers in each hall.
+// services are the names of the services. Each has servers in each hall.
 var services = []string{"read", "pay"}
 
 func hallsSetting() string {
@@ -51,7 +52,7 @@
 	return strings.Join(out, ",")
 }
 
-// site is the whole run: store, servers and instances.
+// site holds the store, the servers and the instances of a run.
 type site struct {
 	program string
 	dir     string
@@ -65,17 +66,18 @@
 	instances []*instance
 	nextID    int
 	version   int
-	// versions are those that the services' servers run, and newest is the number of the last one that was
-	// ordered.
+	// versions holds the version that the servers of each service run, if a rollout has
+	// succeeded. newest counts the versions that have been ordered.
 	versions map[string]string
 	newest   int
-	// rejected are the versions that were not brought in: the platform stops their servers.
+	// rejected holds the versions whose rollout did not succeed. The platform stops their
+	// servers.
 	rejected map[string]bool
-	// rolling says that a version is being brought in.
+	// rolling is set while a rollout is in progress.
 	rolling atomic.Bool
 }
 
-// nextVersion returns a version that there was not yet.
+// nextVersion returns a version that has not been used before.
 func (s *site) nextVersion() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +85,7 @@
 	return fmt.Sprintf("v%d", s.newest+1)
 }
 
-// versionOf returns the version that a service's servers run.
+// versionOf returns the version that the servers of a service run.
 func (s *site) versionOf(service string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +95,7 @@
 	return "v1"
 }
 
-// reject notes that a version was not brought in.
+// reject records that the rollout of a version did not succeed.
 func (s *site) reject(version string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,22 +120,22 @@
 	s.versions[service] = version
 }
 
-// server is one incarnation with its proxy.
+// server is one incarnation of a server with its proxy.
 type server struct {
 	*origin.Server
 	proxy *proxy
 	place place
-	// born is when it started.
+	// born is when the server started.
 	born time.Time
-	// coldUntil is when it stops being cold, zero if it never was.
+	// coldUntil is when the slow start of the server ends, or zero if the server started warm.
 	coldUntil time.Time
 	gone      bool
 	version   string
-	// written counts the writes of its entry.
+	// written counts the writes of the server's entry. It is the entry's sequence number.
 	written atomic.Int64
 }
 
-// instance is one instance over all of its processes.
+// instance is one gateway instance over all of its processes.
 type instance struct {
 	site               *site
 	name               string
@@ -148,7 +150,7 @@
 	log     *os.File
 	runs    int
 	stopped bool
-	// expected is set while the process is meant to end.
+	// expected is set while the process is meant to exit.
 	expected bool
 	ended    chan struct{}
 }
@@ -184,7 +186,7 @@
 	return s, nil
 }
 
-// close ends everything that the run has started.
+// close stops all instances, servers and the store of the run.
 func (s *site) close() {
 	for _, in := range s.instances {
 		in.end()
@@ -205,7 +207,7 @@
 	return s.serve(o, p, cold, s.versionOf(service))
 }
 
-// addVersion adds a server of a version.
+// addVersion adds a warm server of the given version.
 func (s *site) addVersion(service, version string, p place) (*server, error) {
 	o, err := s.newServer(service, p)
 	if err != nil {
@@ -222,7 +224,7 @@
 	return origin.Start(id, service, p.hall, serverSlots)
 }
 
-// serve puts a proxy before a server and lists it.
+// serve starts a proxy for a server and writes the server's entry.
 func (s *site) serve(o *origin.Server, p place, cold bool, version string) (*server, error) {
 	o.SetServiceTime(serverWork)
 	px, err := newProxy(o.Addr())
@@ -245,15 +247,15 @@
 	return srv, nil
 }
 
-// record writes the server's entry in the store.
+// record writes the entry of a server to the store.
 func (s *site) record(srv *server, state string) {
 	cold := max(0, time.Until(srv.coldUntil))
 	s.store.SetServer(srv.ID, objects.Server{Service: srv.Service, Address: srv.proxy.addr(), Zone: srv.place.hall, Slots: srv.Slots,
 		State: state, WarmupRemaining: fmt.Sprintf("%dms", cold.Milliseconds()), Sequence: int(srv.written.Add(1)), Version: srv.version, StartUnixMilli: srv.born.UnixMilli()})
 }
 
-// configure writes the next configuration: the fixed routes, and one route for
-// each version so far, which shows what is in force at an instance.
+// configure writes the next configuration. It holds the fixed routes, and one route for each
+// of the latest versions, by which a probe sees whether an instance applies the version.
 func (s *site) configure() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -321,8 +323,8 @@
 		"-canary-share", fmt.Sprint(exposedShare), "-canary-slack", fmt.Sprint(exposedSlack)}
 }
 
-// start starts a process of the instance. It is started again when it ends,
-// until the run does.
+// start starts a process of the instance. Whenever the process exits before the end of the
+// run, another one is started.
 func (in *instance) start() error {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -357,7 +359,8 @@
 	_ = in.start()
 }
 
-// signal sends a signal to the process. Ends says that it makes the process end.
+// signal sends a signal to the process. The argument ends states that the signal makes the
+// process exit.
 func (in *instance) signal(sig syscall.Signal, ends bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -370,7 +373,7 @@
 	_ = in.cmd.Process.Signal(sig)
 }
 
-// end ends the instance for good.
+// end stops the instance and its proxies. The instance does not restart.
 func (in *instance) end() {
 	in.mu.Lock()
 	in.stopped = true
@@ -387,8 +390,8 @@
 	_ = in.log.Close()
 }
 
-// memory returns the resident memory in bytes and the open descriptors of the
-// process, or zeros.
+// memory returns the resident memory in bytes and the number of open descriptors of the
+// process. Both are zero if they cannot be read.
 func (in *instance) memory() (resident int64, descriptors int) {
 	in.mu.Lock()
 	cmd := in.cmd
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -20,8 +20,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// touchSources looks at every source file of the module, so that a kept result of
-// this test is not used after a change of the program.
+// touchSources reads the state of each source file of the module, so that go test does not
+// reuse a cached result after a change of the program.
 func touchSources(t *testing.T) {
 	err := filepath.WalkDir(filepath.Join("..", ".."), func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".go" {
@@ -42,7 +42,7 @@
 	return program
 }
 
-// TestShortSoak plays one seed.
+// TestShortSoak runs one seed.
 func TestShortSoak(t *testing.T) {
 	report, err := Run(context.Background(), Options{Seed: 3, Duration: 10 * time.Second, Program: build(t),
 		Instances: 5, Clients: 10, Progress: io.Discard})
@@ -51,10 +51,11 @@
 	require.Greater(t, report.Requests, 200)
 }
 
-// kept plays the seeds that failed once again, which takes minutes.
+// kept selects the run of the recorded seeds, which takes minutes.
 var kept = flag.Bool("kept", false, "play the seeds of testdata/seeds.txt")
 
-// TestKeptSeeds plays every seed that ever failed.
+// TestKeptSeeds runs each recorded seed, all of which have failed before. Without the flag
+// kept it only parses the list.
 func TestKeptSeeds(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "seeds.txt"))
 	require.NoError(t, err)
@@ -88,11 +89,11 @@
 			require.Less(t, f.At, time.Minute)
 		}
 	}
-	require.Len(t, kinds, len(kindsOfFaults)+len(laterKinds)+len(entryKinds)+3+3+1, "every kind comes")
+	require.Len(t, kinds, len(kindsOfFaults)+len(laterKinds)+len(entryKinds)+3+3+1, "each kind of fault is drawn")
 }
 
-// TestProxyModes checks that bytes pass unchanged in each mode that lets them, and
-// that what was held passes once the mode changes.
+// TestProxyModes checks that each mode that forwards bytes leaves them unchanged, and that
+// bytes held by a mode are forwarded once the mode changes.
 func TestProxyModes(t *testing.T) {
 	server, err := origin.Start("i-1", "read", "a1", 3)
 	require.NoError(t, err)
@@ -130,7 +131,8 @@
 	require.Error(t, send())
 }
 
-// TestOracleDetectsEachViolation feeds the oracle with what a broken system would show.
+// TestOracleDetectsEachViolation checks that the oracle reports each rule's violation, given
+// the observations that a faulty system would cause.
 func TestOracleDetectsEachViolation(t *testing.T) {
 	in := &instance{name: "n1"}
 	ok := func(id string) result {
@@ -229,7 +231,7 @@
 			}
 			o.budget()
 		},
-		"DRAIN by word": func(o *oracle) {
+		"DRAIN by header": func(o *oracle) {
 			a := o.begin(in, "GET", "/read/1", nil)
 			arrive(o, a, nil)
 			o.finish(a, leaving(a.id))
@@ -246,7 +248,7 @@
 			next.at = a.doneAt.Add(propagationTime + time.Millisecond)
 			arrive(o, next, nil)
 		},
-		"BUDGET by rest": func(o *oracle) {
+		"BUDGET by back-off": func(o *oracle) {
 			asked := time.Now()
 			arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.Executed, v.RetryAfter = false, time.Minute })
 			for i := range maxDuringBackoff + 1 {
@@ -257,7 +259,7 @@
 			a := o.begin(in, "GET", "/read/1", nil)
 			arrive(o, a, func(v *origin.Arrival) { v.Header = http.Header{"Credential": {"k"}} })
 		},
-		"KEY taken": func(o *oracle) {
+		"KEY removed": func(o *oracle) {
 			a := o.begin(in, "GET", "/read/1", nil)
 			a.key = "taken"
 			o.keys.until["taken"] = time.Now().Add(-configApply - time.Second)
@@ -302,8 +304,8 @@
 	}
 }
 
-// TestExcusedSignals checks what the oracle does not hold against an instance: requests sent soon
-// after a word, and those of one that was restarted, stood still, or was cut off since.
+// TestExcusedSignals checks that the oracle does not report requests sent soon after a signal,
+// nor those of an instance that was restarted, paused or disturbed since.
 func TestExcusedSignals(t *testing.T) {
 	in := &instance{name: "n1"}
 	server := &origin.Server{ID: "i-1", Service: "read", Zone: "a1"}
@@ -336,9 +338,9 @@
 	}
 }
 
-// TestTimeoutOverSilencedConnection checks that a request that a client sent over a connection
-// that was silenced before is not held against the instance, which never got it, and that one
-// over a connection of its own is.
+// TestTimeoutOverSilencedConnection checks that the oracle does not report the time-out of a
+// request that a client sent over a connection silenced before, because the instance never
+// received it, and does report one over a connection opened later.
 func TestTimeoutOverSilencedConnection(t *testing.T) {
 	for _, c := range []struct {
 		opened time.Duration
