--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -32,18 +32,18 @@
 func accountOf(client int) account { return accounts[client%len(accounts)] }
 
 // The bound that a rate limit is checked by, equal to the program's defaults: in a window of
-// limitWindow, an account may exceed its rate and burst by the fraction limitOver and by
+// limitWindow, an account may exceed its rate and burst by the fraction limitTolerance and by
 // limitSlack requests.
 const (
-	limitWindow = 5 * time.Second
-	limitOver   = 0.1
-	limitSlack  = 20
+	limitWindow    = 5 * time.Second
+	limitTolerance = 0.1
+	limitSlack     = 20
 )
 
-// keyTime is the time from adding a new key to the configuration until the previous key is
+// keyOverlap is the time from adding a new key to the configuration until the previous key is
 // removed. It exceeds the time within which a configuration applies, so that every connected
 // instance accepts the new key by then.
-const keyTime = configApply + 500*time.Millisecond
+const keyOverlap = configApply + 500*time.Millisecond
 
 // keyring holds the API keys of the accounts over the run. It is safe for concurrent use.
 type keyring struct {
@@ -122,7 +122,7 @@
 	s := r.site
 	s.keys.add(name)
 	s.configure()
-	r.later(keyTime, func() {
+	r.later(keyOverlap, func() {
 		s.keys.take(name)
 		s.configure()
 	})
@@ -184,7 +184,7 @@
 		}
 		times := ran[a.name]
 		sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
-		most := int((a.rate*limitWindow.Seconds()+a.burst)*(1+limitOver) + limitSlack)
+		most := int((a.rate*limitWindow.Seconds()+a.burst)*(1+limitTolerance) + limitSlack)
 		for end, start := 0, 0; end < len(times); end++ {
 			o.checks["LIMIT"]++
 			for times[end].Sub(times[start]) > limitWindow {
--- a/internal/soak/attempt.go
+++ b/internal/soak/attempt.go
@@ -43,7 +43,7 @@
 	ran    bool
 }
 
-func (a *attempt) repeatable() bool {
+func (a *attempt) retryable() bool {
 	return strings.HasPrefix(a.uri, "/read/") || strings.HasPrefix(a.uri, "/home/") || a.probe > 0
 }
 
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -52,11 +52,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return openedConn{Conn: conn, at: time.Now()}, nil
+	return timedConn{Conn: conn, at: time.Now()}, nil
 }
 
-// openedConn is a connection with the time at which it was opened.
-type openedConn struct {
+// timedConn is a connection with the time at which it was opened.
+type timedConn struct {
 	net.Conn
 	at time.Time
 }
@@ -65,7 +65,7 @@
 // opened.
 func (c *client) noteConn(ctx context.Context, a *attempt) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if opened, ok := info.Conn.(openedConn); ok {
+		if opened, ok := info.Conn.(timedConn); ok {
 			c.site.oracle.sentOver(a, opened.at)
 		}
 	}})
@@ -87,7 +87,7 @@
 	}
 	for range 3 {
 		in := c.site.instances[c.rnd.IntN(len(c.site.instances))]
-		addrs, err := c.ask(ctx, in)
+		addrs, err := c.resolve(ctx, in)
 		if err == nil && len(addrs) > 0 {
 			c.addrs, c.until = addrs, time.Now().Add(lookupLife)
 			clear(c.bad)
@@ -96,7 +96,7 @@
 	}
 }
 
-func (c *client) ask(ctx context.Context, in *instance) ([]string, error) {
+func (c *client) resolve(ctx context.Context, in *instance) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s/resolve?name=soak.example&region=%s&zone=%s", in.lookup, c.place.region, c.place.hall)
@@ -190,7 +190,7 @@
 	if err != nil {
 		c.bad[addr] = true
 		c.site.oracle.finish(a, result{err: err})
-		return a.repeatable(), 0
+		return a.retryable(), 0
 	}
 	raw, err := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
@@ -198,7 +198,7 @@
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	after := time.Duration(seconds * float64(time.Second))
 	promise := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
-	return err == nil && (promise || (a.repeatable() && resp.StatusCode >= 500)), after
+	return err == nil && (promise || (a.retryable() && resp.StatusCode >= 500)), after
 }
 
 // instanceAt returns the instance that advertises an address, or nil.
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// endingMark is in the path of a request that crashes each server that runs it.
-	endingMark = "/ending/"
-	// endingEvery is the interval at which the sender repeats such a request. A sender of
+	// crashMark is in the path of a request that crashes each server that runs it.
+	crashMark = "/ending/"
+	// crashInterval is the interval at which the sender repeats such a request. A sender of
 	// bursts alternates between sending and pausing, each for endingPause.
-	endingEvery = 50 * time.Millisecond
-	endingPause = 1500 * time.Millisecond
-	// endedFor is the time from the crash of a server until its entry is removed and another
+	crashInterval = 50 * time.Millisecond
+	burstTime     = 1500 * time.Millisecond
+	// replaceAfter is the time from the crash of a server until its entry is removed and another
 	// server replaces it.
-	endedFor = 3 * time.Second
-	// surelyKnown is the number of servers that may crash under a request before connected
+	replaceAfter = 3 * time.Second
+	// crashesBeforeStop is the number of servers that may crash under a request before connected
 	// instances must stop sending it. lateSends is the number of later arrivals from connected
 	// instances that the check permits, counted from the contact time after that crash.
-	surelyKnown = 3
-	lateSends   = 3
+	crashesBeforeStop = 3
+	maxLateArrivals   = 3
 )
 
 // serverCrashes records the servers that crashed under one request.
@@ -36,7 +36,7 @@
 	late int
 }
 
-func crashesServer(uri string) bool { return strings.Contains(uri, endingMark) }
+func crashesServer(uri string) bool { return strings.Contains(uri, crashMark) }
 
 // sendCrashing repeatedly sends a request that crashes each server that runs it, each time to
 // a random instance. The variant selects a read, a non-idempotent operation with one body, or
@@ -44,22 +44,22 @@
 func (r *runner) sendCrashing(f Fault) {
 	s := r.site
 	caller := newClient(s, places[f.Which%len(places)], accounts[len(accounts)-1], uint64(f.Which))
-	method, uri, body := http.MethodGet, "/read"+endingMark+strconv.Itoa(f.How), []byte(nil)
+	method, uri, body := http.MethodGet, "/read"+crashMark+strconv.Itoa(f.How), []byte(nil)
 	if f.How%3 == 1 {
-		method, uri, body = http.MethodPost, "/pay"+endingMark+strconv.Itoa(f.How), []byte("the same")
+		method, uri, body = http.MethodPost, "/pay"+crashMark+strconv.Itoa(f.How), []byte("the same")
 	}
 	bursts := f.How%3 == 2
 	end := time.Now().Add(f.For)
 	rnd := rand.New(rand.NewPCG(uint64(f.How), 5))
 	r.wg.Go(func() {
 		for time.Now().Before(end) {
-			if bursts && time.Now().UnixMilli()/endingPause.Milliseconds()%2 == 1 {
-				time.Sleep(endingEvery)
+			if bursts && time.Now().UnixMilli()/burstTime.Milliseconds()%2 == 1 {
+				time.Sleep(crashInterval)
 				continue
 			}
 			in := s.instances[rnd.IntN(len(s.instances))]
 			r.wg.Go(func() { caller.attemptCrashing(in, method, uri, body) })
-			time.Sleep(endingEvery)
+			time.Sleep(crashInterval)
 		}
 	})
 }
@@ -97,7 +97,7 @@
 	}
 	srv.proxy.close()
 	srv.Close()
-	time.AfterFunc(endedFor, func() {
+	time.AfterFunc(replaceAfter, func() {
 		s.store.Remove("servers", srv.ID)
 		_, _ = s.addServer(srv.Service, srv.place, true)
 	})
@@ -107,10 +107,10 @@
 func (o *oracle) noteCrash(uri string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	e := o.endings[uri]
+	e := o.crashes[uri]
 	if e == nil {
 		e = &serverCrashes{}
-		o.endings[uri] = e
+		o.crashes[uri] = e
 	}
 	e.at = append(e.at, time.Now())
 }
@@ -118,27 +118,27 @@
 // judgeCrashing checks that connected instances stop sending a request once surelyKnown
 // servers have crashed under it. The caller holds mu.
 func (o *oracle) judgeCrashing(a *attempt, v origin.Arrival) {
-	e := o.endings[a.uri]
-	if e == nil || len(e.at) < surelyKnown {
+	e := o.crashes[a.uri]
+	if e == nil || len(e.at) < crashesBeforeStop {
 		return
 	}
 	o.checks["ENDING"]++
-	if v.At.Sub(e.at[surelyKnown-1]) <= contact || !o.connected(a.instance, v.At) {
+	if v.At.Sub(e.at[crashesBeforeStop-1]) <= contact || !o.connected(a.instance, v.At) {
 		return
 	}
 	e.late++
-	if e.late == lateSends+1 {
+	if e.late == maxLateArrivals+1 {
 		o.violated("BUDGET", "%s was sent to servers %d times, %.2f s after the third server had crashed under it; %d crashed in all",
-			a.uri, e.late, v.At.Sub(e.at[surelyKnown-1]).Seconds(), len(e.at))
+			a.uri, e.late, v.At.Sub(e.at[crashesBeforeStop-1]).Seconds(), len(e.at))
 	}
 }
 
-// endedInAll returns the number of servers that crashed under each such request.
-func (o *oracle) endedInAll() map[string]int {
+// crashCounts returns the number of servers that crashed under each such request.
+func (o *oracle) crashCounts() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	out := make(map[string]int)
-	for uri, e := range o.endings {
+	for uri, e := range o.crashes {
 		out[uri] = len(e.at)
 	}
 	return out
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -44,9 +44,9 @@
 	})
 }
 
-// startAgain stops a server and starts it again under the same ID at another address, unless
+// restartServer stops a server and starts it again under the same ID at another address, unless
 // its version was rejected meanwhile.
-func (r *runner) startAgain(f Fault) {
+func (r *runner) restartServer(f Fault) {
 	s := r.site
 	srv := s.pick(f.Which)
 	if srv == nil || !s.markGone(srv) {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -64,7 +64,7 @@
 	case ForeignEntry:
 		r.writeForeign(f)
 	case SameID:
-		r.startAgain(f)
+		r.restartServer(f)
 	case CrashingRequests:
 		r.sendCrashing(f)
 	case Rollout:
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -19,14 +19,14 @@
 	// requests that an instance has in flight when it learns of the limit.
 	limitSpan  = 4 * time.Second
 	limitGrace = 500 * time.Millisecond
-	// namedOver and namedSlack bound the requests in a window: namedOver times the limit, plus
+	// announcedFactor and namedSlack bound the requests in a window: announcedFactor times the limit, plus
 	// namedSlack.
-	namedOver  = 1.5
-	namedSlack = 5
-	// limitLasts is the shortest time for which a server announces a limit.
-	limitLasts = 9 * time.Second
-	// lowerWithin is the time within which instances must comply with a lowered limit.
-	lowerWithin = 2 * time.Second
+	announcedFactor = 1.5
+	announcedSlack  = 5
+	// minLimitTime is the shortest time for which a server announces a limit.
+	minLimitTime = 9 * time.Second
+	// lowerLimitTime is the time within which instances must comply with a lowered limit.
+	lowerLimitTime = 2 * time.Second
 )
 
 // limitScripts are sequences of limits, in requests per second. Most are below the roughly two
@@ -46,13 +46,13 @@
 	until   time.Time
 	script  []float64
 	answers int
-	// namedAt is when the server last announced the limit. The server's extra headers may have
+	// announcedAt is when the server last announced the limit. The server's extra headers may have
 	// been replaced since.
-	namedAt time.Time
+	announcedAt time.Time
 
 	// toldBy holds, for each instance, when it first passed on an answer with the limit.
-	toldBy map[string]notice
-	came   []time.Time
+	toldBy   map[string]notice
+	arrivals []time.Time
 	// reported is set once a violation is recorded, so that each server's violation is
 	// recorded only once.
 	reported bool
@@ -66,7 +66,7 @@
 		return 0, false
 	}
 	l.answers++
-	l.namedAt = at
+	l.announcedAt = at
 	if len(l.script) >= manyValues {
 		return l.script[l.answers%len(l.script)], true
 	}
@@ -78,7 +78,7 @@
 func (l *limited) active(at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return at.Sub(l.namedAt) < time.Second
+	return at.Sub(l.announcedAt) < time.Second
 }
 
 // highest returns the highest limit that applies to the window that ends at the given time. A
@@ -91,7 +91,7 @@
 		if len(l.script) < manyValues {
 			ends = l.from.Add(l.until.Sub(l.from) * time.Duration(i+1) / time.Duration(len(l.script)))
 		}
-		if ends.Add(lowerWithin).After(at.Add(-limitSpan)) {
+		if ends.Add(lowerLimitTime).After(at.Add(-limitSpan)) {
 			highest = max(highest, value)
 		}
 	}
@@ -157,18 +157,18 @@
 	if !told || word.run != a.run || v.At.Sub(word.at) <= limitGrace || !o.quietSince[a.instance].Before(word.at) {
 		return
 	}
-	for len(l.came) > 0 && v.At.Sub(l.came[0]) >= limitSpan {
-		l.came = l.came[1:]
+	for len(l.arrivals) > 0 && v.At.Sub(l.arrivals[0]) >= limitSpan {
+		l.arrivals = l.arrivals[1:]
 	}
-	l.came = append(l.came, v.At)
+	l.arrivals = append(l.arrivals, v.At)
 	if v.At.Sub(l.from) < contact+limitSpan {
 		// The window must begin after the contact time.
 		return
 	}
 	o.checks["NAMED LIMIT"]++
-	allowed := namedOver*limitSpan.Seconds()*l.highest(v.At) + namedSlack
-	if float64(len(l.came)) > allowed && !l.reported {
+	allowed := announcedFactor*limitSpan.Seconds()*l.highest(v.At) + announcedSlack
+	if float64(len(l.arrivals)) > allowed && !l.reported {
 		l.reported = true
-		o.violated("NAMED LIMIT", "%s got %d requests in %v from instances that knew its limit, %.0f allowed, %.1f s after it announced the limit", v.Server.ID, len(l.came), limitSpan, allowed, v.At.Sub(l.from).Seconds())
+		o.violated("NAMED LIMIT", "%s got %d requests in %v from instances that knew its limit, %.0f allowed, %.1f s after it announced the limit", v.Server.ID, len(l.arrivals), limitSpan, allowed, v.At.Sub(l.from).Seconds())
 	}
 }
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -20,7 +20,7 @@
 
 func newLimitPlay(script ...float64) *limitPlay {
 	p := &limitPlay{o: newOracle(newKeyring()), server: &origin.Server{ID: "i-1", Service: "read", Zone: "a1"}, from: time.Now()}
-	p.o.signals.limits["i-1"] = &limited{from: p.from, until: p.from.Add(time.Minute), script: script, namedAt: p.from.Add(contact + 2*limitSpan), toldBy: make(map[string]notice)}
+	p.o.signals.limits["i-1"] = &limited{from: p.from, until: p.from.Add(time.Minute), script: script, announcedAt: p.from.Add(contact + 2*limitSpan), toldBy: make(map[string]notice)}
 	return p
 }
 
@@ -45,7 +45,7 @@
 // counts no other requests.
 func TestLimitIsJudged(t *testing.T) {
 	const late = contact + 2*limitSpan
-	allowed := int(namedOver*limitSpan.Seconds()) + namedSlack
+	allowed := int(announcedFactor*limitSpan.Seconds()) + announcedSlack
 	for _, c := range []struct {
 		name   string
 		play   func(p *limitPlay)
@@ -78,5 +78,5 @@
 	l := &limited{from: from, until: from.Add(20 * time.Second), script: []float64{20, 4}}
 	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second)))
 	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second+limitSpan)), "a lowered limit applies after lowerWithin, not at once")
-	require.Equal(t, 4.0, l.highest(from.Add(10*time.Second+limitSpan+lowerWithin+time.Millisecond)))
+	require.Equal(t, 4.0, l.highest(from.Add(10*time.Second+limitSpan+lowerLimitTime+time.Millisecond)))
 }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -43,8 +43,8 @@
 	servers   map[string]*server
 	// silencedAt holds when the client connections of each instance were last silenced.
 	silencedAt map[string]time.Time
-	// endings holds the crashes under each request, by the request's URI.
-	endings map[string]*serverCrashes
+	// crashes holds the crashes under each request, by the request's URI.
+	crashes map[string]*serverCrashes
 	signals serverSignals
 	// versions are the rollouts of the run.
 	versions []*versionCheck
@@ -59,7 +59,7 @@
 		keys: keys, start: time.Now(), attempts: make(map[string]*attempt), checks: make(map[string]int),
 		quietSince: make(map[string]time.Time), stopping: make(map[string]time.Time), runs: make(map[string]int),
 		versionAt: make(map[int]time.Time), seen: make(map[string]int), draining: make(map[string]time.Time),
-		evacuated: make(map[string]time.Time), coldSends: make(map[string][]time.Time), servers: make(map[string]*server), endings: make(map[string]*serverCrashes), silencedAt: make(map[string]time.Time),
+		evacuated: make(map[string]time.Time), coldSends: make(map[string][]time.Time), servers: make(map[string]*server), crashes: make(map[string]*serverCrashes), silencedAt: make(map[string]time.Time),
 		signals: newWords(), frozenAt: make(map[string]time.Time),
 	}
 }
@@ -158,10 +158,10 @@
 	a.connAt = opened
 }
 
-// carries reports whether the connection of an attempt can have carried it. A client that
+// canCarry reports whether the connection of an attempt can have carried it. A client that
 // reuses an idle connection does not notice at once that the connection was silenced. The
 // caller holds mu.
-func (o *oracle) carries(a *attempt) bool {
+func (o *oracle) canCarry(a *attempt) bool {
 	return a.connAt.IsZero() || a.connAt.After(o.silencedAt[a.instance])
 }
 
@@ -185,18 +185,18 @@
 		o.violated("UNASKED", "%s was changed in transit: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
 	}
 	a.arrivals = append(a.arrivals, arrival{server: v.Server.ID, hall: v.Server.Zone, at: v.At, ran: v.Executed})
-	o.judgePlace(a, v)
+	o.judgeRouting(a, v)
 	o.judgeAccount(a, v)
 	o.judgeTimes(a, v)
-	o.judgeCold(v)
+	o.judgeSlowStart(v)
 	o.judgeCrashing(a, v)
 	o.judgeSignals(a, v)
 	o.judgeExposure(a, v)
 }
 
-// judgePlace checks the service, the home region and at-most-once execution. The caller holds
+// judgeRouting checks the service, the home region and at-most-once execution. The caller holds
 // mu.
-func (o *oracle) judgePlace(a *attempt, v origin.Arrival) {
+func (o *oracle) judgeRouting(a *attempt, v origin.Arrival) {
 	o.checks["ROUTE"]++
 	if v.Server.Service != a.service() {
 		o.violated("ROUTE", "%s %s was run by service %s", a.id, a.uri, v.Server.Service)
@@ -213,13 +213,13 @@
 		}
 	}
 	o.checks["TWICE"]++
-	if !a.repeatable() && ran > 1 {
+	if !a.retryable() && ran > 1 {
 		o.violated("TWICE", "%s %s ran %d times", a.id, a.uri, ran)
 	}
 	if len(servers) > 2 {
 		o.violated("BUDGET", "%s ran at %d servers", a.id, len(servers))
 	}
-	if v.Executed && refusal(a.result.status) && !a.repeatable() {
+	if v.Executed && refusal(a.result.status) && !a.retryable() {
 		o.violated("REFUSED", "%s was answered %d and then ran", a.id, a.result.status)
 	}
 }
@@ -248,9 +248,9 @@
 	}
 }
 
-// judgeCold checks the number of requests that a server in slow start receives within any
+// judgeSlowStart checks the number of requests that a server in slow start receives within any
 // second. The caller holds mu.
-func (o *oracle) judgeCold(v origin.Arrival) {
+func (o *oracle) judgeSlowStart(v origin.Arrival) {
 	s := o.servers[v.Server.ID]
 	if s == nil || s.coldUntil.IsZero() || v.At.After(s.coldUntil) {
 		return
@@ -302,7 +302,7 @@
 		o.violated("MIXED", "%s got a success without a signature", a.id)
 	case r.status == http.StatusOK && !strings.HasSuffix(r.body, " to "+a.id):
 		o.violated("MIXED", "%s got the body %.40q", a.id, r.body)
-	case refusal(r.status) && ran > 0 && !a.repeatable():
+	case refusal(r.status) && ran > 0 && !a.retryable():
 		o.violated("REFUSED", "%s was answered %d and had run", a.id, r.status)
 	case o.mayBeUnauthorized(a, r.status):
 	case r.status/100 == 4 && !refusal(r.status) && a.probe == 0 && r.header.Get("Server-Signature") == "":
@@ -335,7 +335,7 @@
 // caller holds mu.
 func (o *oracle) judgeEnd(a *attempt, r result, ran int) {
 	took := a.doneAt.Sub(a.at)
-	if a.connected && o.connected(a.instance, a.doneAt) && a.leftAt.IsZero() && o.carries(a) {
+	if a.connected && o.connected(a.instance, a.doneAt) && a.leftAt.IsZero() && o.canCarry(a) {
 		o.checks["TIMEOUT"]++
 		if took > routeTimeout+500*time.Millisecond {
 			o.violated("TIMEOUT", "%s %s took %.2f s at %s", a.id, a.uri, took.Seconds(), a.instance)
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -57,9 +57,9 @@
 // their own, as laterKinds are.
 var entryKinds = []FaultKind{ForeignEntry, SameID}
 
-// wordKinds are signals that servers send in headers. They are drawn from a random source of
+// signalKinds are signals that servers send in headers. They are drawn from a random source of
 // their own, as laterKinds are. ServerLimits has yet another source.
-var wordKinds = []FaultKind{ServerLeaves, ServerBackoff, ServerBackoff, ServerBadHeaders}
+var signalKinds = []FaultKind{ServerLeaves, ServerBackoff, ServerBackoff, ServerBadHeaders}
 
 // kindsOfFaults lists the kinds that are drawn from the first random source, with their
 // relative frequencies.
@@ -131,17 +131,17 @@
 	}
 	words := rand.New(rand.NewPCG(seed, 8))
 	for at := 1100 * time.Millisecond; at < last; at += 2*gap + time.Duration(words.Int64N(int64(3*gap))) {
-		out = append(out, Fault{At: at, For: time.Duration(1000+words.IntN(4000)) * time.Millisecond, Kind: wordKinds[words.IntN(len(wordKinds))],
+		out = append(out, Fault{At: at, For: time.Duration(1000+words.IntN(4000)) * time.Millisecond, Kind: signalKinds[words.IntN(len(signalKinds))],
 			Which: words.IntN(1 << 16), How: words.IntN(1 << 16)})
 	}
 	limits := rand.New(rand.NewPCG(seed, 10))
-	for at := 1300 * time.Millisecond; at < last-limitLasts; at += 3*gap + time.Duration(limits.Int64N(int64(4*gap))) {
-		length := limitLasts + time.Duration(limits.Int64N(int64(last-limitLasts-at)))
+	for at := 1300 * time.Millisecond; at < last-minLimitTime; at += 3*gap + time.Duration(limits.Int64N(int64(4*gap))) {
+		length := minLimitTime + time.Duration(limits.Int64N(int64(last-minLimitTime-at)))
 		out = append(out, Fault{At: at, For: length, Kind: ServerLimits, Which: limits.IntN(1 << 16), How: limits.IntN(1 << 16)})
 	}
 	rollouts := rand.New(rand.NewPCG(seed, 12))
-	for at := 1500 * time.Millisecond; at < last-rolloutLasts/2; at += rolloutLasts + time.Duration(rollouts.Int64N(int64(rolloutLasts))) {
-		out = append(out, Fault{At: at, For: rolloutLasts, Kind: Rollout, Which: rollouts.IntN(1 << 16), How: rollouts.IntN(1 << 16)})
+	for at := 1500 * time.Millisecond; at < last-rolloutTime/2; at += rolloutTime + time.Duration(rollouts.Int64N(int64(rolloutTime))) {
+		out = append(out, Fault{At: at, For: rolloutTime, Kind: Rollout, Which: rollouts.IntN(1 << 16), How: rollouts.IntN(1 << 16)})
 	}
 	restores := rand.New(rand.NewPCG(seed, 14))
 	if restores.IntN(2) == 0 {
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// oldestCopy bounds the age of the copy from which the store is restored.
-	oldestCopy = 10 * time.Second
+	// maxCopyAge bounds the age of the copy from which the store is restored.
+	maxCopyAge = 10 * time.Second
 	// verdictTime is the time after a restore within which the instances must have rewritten
 	// the rollout verdicts that they know.
 	verdictTime = 5 * time.Second
-	// writeAgainTime is the time over which the operator and the servers rewrite the lost
+	// rewriteTime is the time over which the operator and the servers rewrite the lost
 	// data.
-	writeAgainTime = 2 * time.Second
+	rewriteTime = 2 * time.Second
 )
 
 // restoreStore makes the store unavailable, with errors or without answers, and then restores
@@ -23,16 +23,16 @@
 	s := r.site
 	back := time.Now().Add(f.For)
 	for _, in := range s.instances {
-		s.oracle.disturbed(in.name, back.Add(writeAgainTime+storeSettle))
+		s.oracle.disturbed(in.name, back.Add(rewriteTime+storeSettle))
 	}
-	age := time.Duration(f.Which) * oldestCopy / (1 << 16)
+	age := time.Duration(f.Which) * maxCopyAge / (1 << 16)
 	s.store.SetFaults(objects.Faults{Down: f.How%2 == 0, Silent: f.How%2 == 1})
 	r.later(f.For, func() {
 		lost := s.store.RestoreAge(f.For + age)
 		s.oracle.restored()
 		s.store.SetFaults(objects.Faults{})
 		for i, w := range lost {
-			r.later(time.Duration(i)*writeAgainTime/time.Duration(len(lost)), func() { s.store.Reapply(w) })
+			r.later(time.Duration(i)*rewriteTime/time.Duration(len(lost)), func() { s.store.Reapply(w) })
 		}
 	})
 }
--- a/internal/soak/rollouts.go
+++ b/internal/soak/rollouts.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// rolloutLasts is the duration of a rollout, and newPerHall the number of servers of the
+	// rolloutTime is the duration of a rollout, and newPerHall the number of servers of the
 	// new version in each hall.
-	rolloutLasts = 9 * time.Second
-	newPerHall   = 2
+	rolloutTime = 9 * time.Second
+	newPerHall  = 2
 	// exposedShare and exposedSlack bound the requests of a service that a bad version may
 	// receive: a share of all, plus a number. rollbackWithin is how long a bad version may
 	// still receive requests after it has given as many bad answers as badAnswers states.
@@ -23,8 +23,8 @@
 	exposedSlack   = 50
 	badAnswers     = 50
 	rollbackWithin = 5 * time.Second
-	// verdictLooks is the interval at which the status of the rollout is read.
-	verdictLooks = 50 * time.Millisecond
+	// verdictPoll is the interval at which the status of the rollout is read.
+	verdictPoll = 50 * time.Millisecond
 )
 
 // quality is the defect of a version, if any.
@@ -48,12 +48,12 @@
 	// all counts the requests that reached the service during the rollout, and atNew those
 	// that connected instances sent to the new version, if it is bad.
 	all, atNew int
-	// answeredBadly counts the bad answers of the version. fiftiethAt is when the answer
+	// badAnswers counts the bad answers of the version. fiftiethAt is when the answer
 	// numbered badAnswers was given.
-	answeredBadly int
-	fiftiethAt    time.Time
-	late          bool
-	verdict       string
+	badAnswers int
+	fiftiethAt time.Time
+	late       bool
+	verdict    string
 	// forgotten is set if all instances were killed soon after the store lost the state of the
 	// rollout. The verdict and the bad answers of the version may then be lost.
 	forgotten bool
@@ -69,13 +69,13 @@
 	if !s.rolling.CompareAndSwap(false, true) {
 		return
 	}
-	check := &versionCheck{service: service, version: s.nextVersion(), quality: quality(f.How % int(qualities)), from: time.Now(), until: time.Now().Add(rolloutLasts)}
+	check := &versionCheck{service: service, version: s.nextVersion(), quality: quality(f.How % int(qualities)), from: time.Now(), until: time.Now().Add(rolloutTime)}
 	o := s.oracle
 	o.mu.Lock()
 	o.versions = append(o.versions, check)
 	o.mu.Unlock()
 	s.store.Remove("rollouts", service)
-	s.store.Set("rollouts", service, objects.Rollout{Service: service, TargetVersion: check.version, Duration: rolloutLasts.String()})
+	s.store.Set("rollouts", service, objects.Rollout{Service: service, TargetVersion: check.version, Duration: rolloutTime.String()})
 	for _, p := range places {
 		for range newPerHall {
 			srv, err := s.addVersion(service, check.version, p)
@@ -96,7 +96,7 @@
 		case failingVersion:
 			return true
 		case failingLater:
-			return time.Since(check.from) > rolloutLasts/3
+			return time.Since(check.from) > rolloutTime/3
 		case failingOnARoute:
 			return strings.HasPrefix(req.RequestURI, "/up/") || strings.HasPrefix(req.RequestURI, "/home/")
 		default:
@@ -152,7 +152,7 @@
 		})
 		return
 	}
-	r.later(verdictLooks, func() { r.awaitVerdict(check) })
+	r.later(verdictPoll, func() { r.awaitVerdict(check) })
 }
 
 // leave drains a server without a replacement.
@@ -179,8 +179,8 @@
 func (o *oracle) badAnswer(check *versionCheck) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	check.answeredBadly++
-	if check.answeredBadly == badAnswers {
+	check.badAnswers++
+	if check.badAnswers == badAnswers {
 		check.fiftiethAt = time.Now()
 	}
 }
--- a/internal/soak/rollouts_test.go
+++ b/internal/soak/rollouts_test.go
@@ -14,7 +14,7 @@
 func exposed(q quality) (o *oracle, check *versionCheck, arrive func(at time.Time, isNew bool)) {
 	o = newOracle(newKeyring())
 	start := time.Now()
-	check = &versionCheck{service: "read", version: "v2", quality: q, from: start, until: start.Add(rolloutLasts)}
+	check = &versionCheck{service: "read", version: "v2", quality: q, from: start, until: start.Add(rolloutTime)}
 	o.versions = append(o.versions, check)
 	for id, version := range map[string]string{"old": "v1", "new": "v2"} {
 		o.servers[id] = &server{Server: &origin.Server{ID: id, Service: "read", Zone: "a1"}, version: version}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -44,10 +44,10 @@
 	settleTime = 1500 * time.Millisecond
 	// recoverTime is the time that the system has to recover after the last fault.
 	recoverTime = 5 * time.Second
-	// recoverPart is the fraction of requests that must be served after recoverTime.
-	recoverPart = 0.9
-	mostMemory  = 160 << 20
-	mostFiles   = 1000
+	// recoverShare is the fraction of requests that must be served after recoverTime.
+	recoverShare = 0.9
+	maxMemory    = 160 << 20
+	maxFiles     = 1000
 )
 
 type runner struct {
@@ -107,7 +107,7 @@
 	clients.Add(1)
 	go r.site.probe(loadCtx, &clients)
 	r.sleep(ctx, settleTime)
-	r.faults(ctx)
+	r.injectAll(ctx)
 	r.wg.Wait()
 	quiet := time.Now().Add(recoverTime)
 	r.sleep(ctx, max(time.Until(quiet.Add(3*time.Second)), r.options.Duration-time.Since(began)))
@@ -136,7 +136,7 @@
 	}
 }
 
-func (r *runner) faults(ctx context.Context) {
+func (r *runner) injectAll(ctx context.Context) {
 	began := time.Now()
 	for _, f := range Plan(r.options.Seed, r.options.Duration) {
 		r.sleep(ctx, time.Until(began.Add(f.At)))
@@ -158,11 +158,11 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checks["RECOVER"]++
-	if r.report.AfterEnd < recoverPart {
+	if r.report.AfterEnd < recoverShare {
 		o.violated("RECOVER", "%d of %d requests served after the last fault", served, all)
 	}
 	o.checks["GROWTH"]++
-	if r.report.PeakMemory > mostMemory || r.report.PeakFiles > mostFiles {
+	if r.report.PeakMemory > maxMemory || r.report.PeakFiles > maxFiles {
 		o.violated("GROWTH", "peak of %d bytes of memory and %d open descriptors", r.report.PeakMemory, r.report.PeakFiles)
 	}
 }
@@ -170,7 +170,7 @@
 func (r *runner) finish(began time.Time) {
 	o := r.site.oracle
 	r.report.Served, r.report.Requests = o.served(time.Time{})
-	r.report.Ended = o.endedInAll()
+	r.report.Ended = o.crashCounts()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r.report.Seconds = time.Since(began).Seconds()
