--- a/cmd/rainfordd/gateway.go
+++ b/cmd/rainfordd/gateway.go
@@ -21,13 +21,14 @@
 	"github.com/rainford/rainford/table"
 )
 
-// gatewayCommand is the first argument that starts a gateway.
+// gatewayCommand is the first argument of a call that runs a gateway.
 const gatewayCommand = "gateway"
 
-// defaultLogRate bounds the lines a second on requests.
+// defaultLogRate is the default limit on log lines for requests, in lines per second.
 const defaultLogRate = 100
 
-// gatewaySettings are the settings of a gateway that are not the library's.
+// gatewaySettings holds the configuration of package gateway and the settings that only this
+// program uses.
 type gatewaySettings struct {
 	gateway.Config
 	store    string
@@ -39,7 +40,9 @@
 	file     string
 }
 
-// runGateway runs an instance on machines with a platform store.
+// runGateway runs a gateway until a signal stops it, and returns the exit code. SIGHUP reloads
+// the settings. The log is written by a queue, so that a blocked standard output does not
+// block requests.
 func runGateway(args []string, stdout, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -64,20 +67,20 @@
 	s.Clock = clock.Real()
 	g, err := gateway.New(s.Config, platform.NewStore(s.store), platform.Codec{}, platform.Headers())
 	if err != nil {
-		s.Log.Error("start", "error", err.Error())
+		s.Log.Error("start failed", "error", err.Error())
 		return exitFailure
 	}
 	go reloadOnSignal(hup, args, g)
 	err = g.Run(ctx)
 	if err != nil {
-		s.Log.Error("stop", "error", err.Error())
+		s.Log.Error("run failed", "error", err.Error())
 		return exitFailure
 	}
 	return exitOK
 }
 
-// reloadOnSignal reads the settings again whenever the signal comes. Settings that are
-// wrong change nothing.
+// reloadOnSignal reads the settings again on each signal from hup and applies them to g. Invalid
+// settings are logged and change nothing.
 func reloadOnSignal(hup <-chan os.Signal, args []string, g *gateway.Gateway) {
 	for range hup {
 		s, err := readGatewaySettings(args, io.Discard)
@@ -89,8 +92,8 @@
 	}
 }
 
-// readGatewaySettings reads flags, RAINFORD_… variables and the settings file, and checks
-// all of them together.
+// readGatewaySettings reads the flags, the environment variables with the prefix RAINFORD_ and
+// the settings file. It checks all settings and returns all findings together as one error.
 func readGatewaySettings(args []string, stderr io.Writer) (*gatewaySettings, error) {
 	s := &gatewaySettings{Config: gateway.Defaults()}
 	fs := flag.NewFlagSet("rainfordd gateway", flag.ContinueOnError)
@@ -137,8 +140,8 @@
 	return s, findings.Err()
 }
 
-// complete derives the settings that consist of several values and returns what
-// is wrong with any.
+// complete derives the settings that are given as lists, checks all settings and returns the
+// findings.
 func (s *gatewaySettings) complete() table.Findings {
 	var findings table.Findings
 	s.RegionOf = make(map[string]string)
@@ -158,8 +161,9 @@
 	return append(findings, s.Check()...)
 }
 
-// peerAddrs returns the peer addresses of other instances, which have the own
-// peer port on their own IP.
+// peerAddrs returns the peer addresses of the instances at the IP addresses seeds. All of them
+// listen on the port of peerListen, the own peer address, which is left out of the result. A
+// port in a seed is ignored. Without a port in peerListen the result is empty.
 func peerAddrs(seeds []string, peerListen string) []string {
 	_, port, ok := cutLast(peerListen, ':')
 	if !ok {
@@ -178,6 +182,7 @@
 	return out
 }
 
+// cutLast splits text around the last sep. If there is none, it returns text, "" and false.
 func cutLast(text string, sep byte) (before, after string, ok bool) {
 	i := strings.LastIndexByte(text, sep)
 	if i < 0 {
--- a/cmd/rainfordd/main.go
+++ b/cmd/rainfordd/main.go
@@ -1,5 +1,14 @@
-// Command rainfordd is one entry instance. With "gateway" as the first argument
-// it runs on machines whose platform is a store of objects.
+// Command rainfordd runs one instance of the traffic steering system. It has two modes,
+// which differ in the platform, the external service that stores the configuration and the
+// list of instances:
+//
+//   - By default, it runs an entry instance, package node, on a platform with one service for
+//     objects of any key.
+//   - With "gateway" as the first argument, it runs a gateway, package gateway, on a platform
+//     whose store lists objects by kind.
+//
+// The program logs to standard error in the first mode and to standard output in the second.
+// It stops on SIGTERM and SIGINT.
 package main
 
 import (
@@ -35,6 +44,7 @@
 	os.Exit(run(args, os.Stderr))
 }
 
+// run runs an entry instance until a signal stops it, and returns the exit code.
 func run(args []string, stderr io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -48,19 +58,19 @@
 	}
 	n, err := node.New(*config)
 	if err != nil {
-		config.Log.Error("start", "error", err.Error())
+		config.Log.Error("start failed", "error", err.Error())
 		return exitFailure
 	}
 	err = n.Run(ctx)
 	if err != nil {
-		config.Log.Error("stop", "error", err.Error())
+		config.Log.Error("run failed", "error", err.Error())
 		return exitFailure
 	}
 	return exitOK
 }
 
-// readSettings reads flags and RAINFORD_… variables and checks all of them
-// together.
+// readSettings reads the flags and the environment variables with the prefix RAINFORD_. It
+// checks all settings and returns all findings together as one error.
 func readSettings(args []string, stderr io.Writer) (*node.Config, error) {
 	c := node.Defaults()
 	fs := flag.NewFlagSet("rainfordd", flag.ContinueOnError)
@@ -100,6 +110,7 @@
 	return &c, findings.Err()
 }
 
+// splitList splits text at commas. It trims white space and drops empty parts.
 func splitList(text string) []string {
 	var out []string
 	for _, part := range strings.Split(text, ",") {
@@ -110,6 +121,7 @@
 	return out
 }
 
+// newLog returns a logger that writes lines of JSON to w, from the given level on.
 func newLog(level string, w io.Writer) (*slog.Logger, error) {
 	var l slog.Level
 	err := l.UnmarshalText([]byte(level))
