--- a/cmd/rainfordsoak/main.go
+++ b/cmd/rainfordsoak/main.go
@@ -1,6 +1,6 @@
-// Command rainfordsoak runs the gateway program as several processes under faults
-// and checks the promises of the users' pages. It prints one JSON report a seed
-// and exits with 1 if any promise was broken.
+// Command rainfordsoak runs the gateway program as several processes, injects faults, and
+// checks the guarantees that the documentation gives to users. It prints one report in JSON
+// for each seed and exits with 1 if a guarantee was violated.
 package main
 
 import (
@@ -31,6 +31,8 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
+// run runs the soak test once for each seed and returns the exit code. An interrupt ends the
+// current run, and no further one begins.
 func run(args []string, stdout, stderr io.Writer) int {
 	fs := flag.NewFlagSet("rainfordsoak", flag.ContinueOnError)
 	fs.SetOutput(stderr)
@@ -47,7 +49,7 @@
 		return exitOK
 	}
 	if err != nil || fs.NArg() > 0 {
-		fmt.Fprintln(stderr, "rainfordsoak: bad arguments:", err, fs.Args())
+		fmt.Fprintln(stderr, "rainfordsoak: invalid arguments:", err, fs.Args())
 		return exitUsage
 	}
 	var progress io.Writer = stderr
