--- a/cmd/rainfordload/main.go
+++ b/cmd/rainfordload/main.go
@@ -1,5 +1,6 @@
-// Command rainfordload runs measured experiments of a whole estate on loopback
-// and prints one table, or JSON.
+// Command rainfordload measures the system under load. It runs experiments with all instances
+// and targets of one or more estates on the loopback interface, and prints the results as a
+// table or as JSON. An estate is a set of regions, halls and services of given sizes.
 package main
 
 import (
@@ -38,6 +39,8 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
+// settings holds the flags. An experiment is run for each combination of the estates,
+// scenarios, policies, loads and loan lengths.
 type settings struct {
 	estates     []demo.Estate
 	scenarios   []experiment.Scenario
@@ -48,11 +51,12 @@
 	slow        float64
 	seed        uint64
 	json        bool
-	// idle lists sizes as REGIONSxINSTANCES of a hall; with it nothing else
-	// is run.
+	// idle lists the sizes for measurements without load, each as the number of regions and
+	// the number of instances of a hall. If there are any, no experiments with load are run.
 	idle []experiment.IdleSize
 }
 
+// run runs the experiments and returns the exit code. Progress goes to standard error.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	s, err := parse(args, stderr)
 	if errors.Is(err, flag.ErrHelp) {
@@ -83,7 +87,8 @@
 	return exitOK
 }
 
-// runIdle measures what control costs at the sizes asked for.
+// runIdle measures the cost of the control traffic between instances without any requests, at
+// each size of s.idle. It prints a table and returns the exit code.
 func runIdle(ctx context.Context, s *settings, stdout, stderr io.Writer) int {
 	tw := tabwriter.NewWriter(stdout, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "halls\tinstances\tcore % each\theap kB each\tsent B/s each\treceived B/s each\treads/s\twrites/s\tin force s\treads/s after outage\t")
@@ -103,7 +108,7 @@
 	return exitOK
 }
 
-// matrix returns every combination of the settings.
+// matrix returns the options of one experiment for each combination of the settings.
 func (s *settings) matrix() []experiment.Options {
 	var out []experiment.Options
 	for _, estate := range s.estates {
@@ -123,11 +128,14 @@
 	return out
 }
 
+// clone returns a copy of e with its own list of services, so that an experiment can change it.
 func clone(e demo.Estate) demo.Estate {
 	e.Services = append([]demo.ServiceSize(nil), e.Services...)
 	return e
 }
 
+// parse reads the flags and the environment variables with the prefix RAINFORDLOAD_. It returns
+// all errors in their values together.
 func parse(args []string, stderr io.Writer) (*settings, error) {
 	s := &settings{}
 	fs := flag.NewFlagSet("rainfordload", flag.ContinueOnError)
@@ -181,19 +189,21 @@
 	return s, errors.Join(errs...)
 }
 
+// forEachItem calls f for each part of a list that is separated by commas.
 func forEachItem(list string, f func(string)) {
 	for _, v := range strings.Split(list, ",") {
 		f(strings.TrimSpace(v))
 	}
 }
 
+// checkKnown returns an error if v is not one of all.
 func checkKnown[T comparable](v T, all []T) error {
 	for _, have := range all {
 		if have == v {
 			return nil
 		}
 	}
-	return fmt.Errorf("no %v: want one of %v", v, all)
+	return fmt.Errorf("unknown value %v: want one of %v", v, all)
 }
 
 // formatReasons prints counts as "a:1 b:2", or "-" for none.
@@ -209,6 +219,7 @@
 	return strings.Join(parts, " ")
 }
 
+// printResults writes the results to w, as JSON or as a table with a row for each service.
 func printResults(w io.Writer, asJSON bool, results []*experiment.Result) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(results)
