--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin runs the stand-ins of the platform and of targets as
-// processes, for tests and for trying the system out by hand.
+// Command standin runs a simulated platform or a simulated target as a process, for tests and
+// for manual trials of the system. The platform is the external service that stores the
+// configuration, and a target is a server that runs requests.
 package main
 
 import (
@@ -38,6 +39,7 @@
 	}
 }
 
+// platformCommand returns the command that runs the platform's object service.
 func platformCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("platform", flag.ExitOnError)
 	listen := fs.String("listen", "127.0.0.1:7000", "address of the service")
@@ -57,6 +59,7 @@
 	}
 }
 
+// targetCommand returns the command that runs a target.
 func targetCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("target", flag.ExitOnError)
 	id := fs.String("id", "target", "name of the target")
@@ -79,8 +82,8 @@
 	}
 }
 
-// serve serves the service and its control interface until ctx ends. It prints
-// the addresses taken as one line of JSON.
+// serve serves the service and its control interface until ctx ends or one of the two servers
+// fails. It prints the addresses that it listens on as one line of JSON.
 func serve(ctx context.Context, service, control endpoint) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// endpoint is a handler with its address.
+// endpoint is a handler and the address that it is served at, as HOST:PORT.
 type endpoint struct {
 	addr    string
 	handler http.Handler
