--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -76,8 +76,8 @@
 	k.since[key] = time.Now()
 }
 
-// take removes the oldest key of an account if the account has another one.
-func (k *keyring) take(name string) {
+// remove removes the oldest key of an account if the account has another one.
+func (k *keyring) remove(name string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	keys := k.inForce[name]
@@ -95,9 +95,9 @@
 	return k.inForce[name][0]
 }
 
-// due reports whether every connected instance must accept a key at the given time, and
+// required reports whether every connected instance must accept a key at the given time, and
 // whether every connected instance must reject it.
-func (k *keyring) due(key string, at time.Time) (known, forgotten bool) {
+func (k *keyring) required(key string, at time.Time) (known, forgotten bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	until, taken := k.until[key]
@@ -123,7 +123,7 @@
 	s.keys.add(name)
 	s.configure()
 	r.later(keyOverlap, func() {
-		s.keys.take(name)
+		s.keys.remove(name)
 		s.configure()
 	})
 }
@@ -135,19 +135,19 @@
 	if v.Header.Get("Credential") != "" {
 		o.violated("KEY", "%s reached %s with its key", a.id, v.Server.ID)
 	}
-	if got := v.Header.Values("Tenant"); v.Executed && fmt.Sprint(got) != fmt.Sprint(a.names()) {
+	if got := v.Header.Values("Tenant"); v.Executed && fmt.Sprint(got) != fmt.Sprint(a.tenantHeader()) {
 		o.violated("UNASKED", "%s of account %q ran as %q", a.id, a.account, got)
 	}
 	if a.key == "" || !a.connected {
 		return
 	}
-	if _, forgotten := o.keys.due(a.key, a.at); v.Executed && forgotten {
+	if _, forgotten := o.keys.required(a.key, a.at); v.Executed && forgotten {
 		o.violated("KEY", "%s from %s ran with a key that had been removed", a.id, a.instance)
 	}
 }
 
-// names returns the expected values of the header that names the account to a server.
-func (a *attempt) names() []string {
+// tenantHeader returns the expected values of the header that tenantHeader the account to a server.
+func (a *attempt) tenantHeader() []string {
 	if a.account == "" {
 		return nil
 	}
@@ -161,7 +161,7 @@
 	if status != http.StatusUnauthorized {
 		return false
 	}
-	known, _ := o.keys.due(a.key, a.at)
+	known, _ := o.keys.required(a.key, a.at)
 	return !known || !a.connected
 }
 
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -37,11 +37,11 @@
 	http    *http.Client
 	addrs   []string
 	until   time.Time
-	bad     map[string]bool
+	failed  map[string]bool
 }
 
 func newClient(s *site, p place, owner account, seed uint64) *client {
-	c := &client{site: s, place: p, account: owner, rnd: rand.New(rand.NewPCG(seed, 7)), bad: make(map[string]bool)}
+	c := &client{site: s, place: p, account: owner, rnd: rand.New(rand.NewPCG(seed, 7)), failed: make(map[string]bool)}
 	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true, DialContext: c.dial}}
 	return c
 }
@@ -66,7 +66,7 @@
 func (c *client) noteConn(ctx context.Context, a *attempt) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		if opened, ok := info.Conn.(timedConn); ok {
-			c.site.oracle.sentOver(a, opened.at)
+			c.site.oracle.noteConnection(a, opened.at)
 		}
 	}})
 }
@@ -90,7 +90,7 @@
 		addrs, err := c.resolve(ctx, in)
 		if err == nil && len(addrs) > 0 {
 			c.addrs, c.until = addrs, time.Now().Add(lookupLife)
-			clear(c.bad)
+			clear(c.failed)
 			return
 		}
 	}
@@ -119,7 +119,7 @@
 func (c *client) pick() string {
 	var good []string
 	for _, addr := range c.addrs {
-		if !c.bad[addr] {
+		if !c.failed[addr] {
 			good = append(good, addr)
 		}
 	}
@@ -188,7 +188,7 @@
 	req.Header.Set("Timeout-Ms", strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	resp, err := c.http.Do(req)
 	if err != nil {
-		c.bad[addr] = true
+		c.failed[addr] = true
 		c.site.oracle.finish(a, result{err: err})
 		return a.retryable(), 0
 	}
@@ -218,7 +218,7 @@
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTimeout}
 	for ctx.Err() == nil {
 		for _, in := range s.instances {
-			version := s.oracle.due(time.Now())
+			version := s.oracle.requiredVersion(time.Now())
 			group.Add(1)
 			go func() {
 				defer group.Done()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -20,13 +20,13 @@
 	end := time.Now().Add(f.For)
 	switch f.Kind {
 	case InstanceTerm:
-		r.term(in)
+		r.stopInstance(in)
 	case InstanceKill:
 		s.oracle.killed(in.name, end)
 		in.signal(syscall.SIGKILL, true)
 	case InstancePause:
 		s.oracle.disturbed(in.name, end)
-		s.oracle.frozen(in.name, end)
+		s.oracle.paused(in.name, end)
 		in.signal(syscall.SIGSTOP, false)
 		r.later(f.For, func() { in.signal(syscall.SIGCONT, false) })
 	case InstanceReload:
@@ -39,7 +39,7 @@
 		}
 	case FrontLink, PeerLink, StoreLink, LinkReset:
 		r.link(f, in, end)
-	case StoreDown, StoreSlow, StoreLoses, StoreForgets:
+	case StoreDown, StoreSlow, StoreLosesReplies, StoreCompacts:
 		r.storeFault(f, end)
 	case StoreRestored:
 		r.restoreStore(f)
@@ -63,7 +63,7 @@
 		}
 	case ForeignEntry:
 		r.writeForeign(f)
-	case SameID:
+	case ServerRestart:
 		r.restartServer(f)
 	case CrashingRequests:
 		r.sendCrashing(f)
@@ -80,8 +80,8 @@
 	}
 }
 
-// term stops an instance gracefully, unless it is already stopping.
-func (r *runner) term(in *instance) {
+// stopInstance stops an instance gracefully, unless it is already stopping.
+func (r *runner) stopInstance(in *instance) {
 	o := r.site.oracle
 	o.mu.Lock()
 	_, already := o.stopping[in.name]
@@ -117,7 +117,7 @@
 		s.store.SetFaults(objects.Faults{Down: f.How%2 == 0, Silent: f.How%2 == 1})
 	case StoreSlow:
 		s.store.SetFaults(objects.Faults{Delay: 250 * time.Millisecond})
-	case StoreLoses:
+	case StoreLosesReplies:
 		s.store.SetFaults(objects.Faults{LoseReplies: true})
 	default:
 		s.store.CompactHistory()
@@ -186,13 +186,13 @@
 		r.later(f.For, func() { srv.SetServiceTime(serverWork) })
 	case ServerFaults:
 		r.misbehave(srv, f)
-	case ServerForgets:
+	case ServerResets:
 		srv.ResetConnections()
 	case ServerDrain:
 		r.drain(srv, f)
-	case ServerReuse:
-		r.reuse(srv, f)
-	case ServerLeaves:
+	case AddressReuse:
+		r.reuseAddress(srv, f)
+	case ServerLeaving:
 		r.announceLeaving(srv, f)
 	case ServerLimits:
 		r.announceLimits(srv, f)
@@ -263,9 +263,9 @@
 	})
 }
 
-// reuse gives the address of a stopped server to a server of the other service. The entry of
+// reuseAddress gives the address of a stopped server to a server of the other service. The entry of
 // the stopped server is removed at once or only afterwards.
-func (r *runner) reuse(srv *server, f Fault) {
+func (r *runner) reuseAddress(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
 		return
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -154,7 +154,7 @@
 		return
 	}
 	word, told := l.toldBy[a.instance]
-	if !told || word.run != a.run || v.At.Sub(word.at) <= limitGrace || !o.quietSince[a.instance].Before(word.at) {
+	if !told || word.run != a.run || v.At.Sub(word.at) <= limitGrace || !o.undisturbedSince[a.instance].Before(word.at) {
 		return
 	}
 	for len(l.arrivals) > 0 && v.At.Sub(l.arrivals[0]) >= limitSpan {
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -57,7 +57,7 @@
 		{"before the contact time has passed", func(p *limitPlay) { p.send("n1", 5*allowed, contact) }, 0},
 		{"from an instance that does not know the limit", func(p *limitPlay) { p.send("n3", 5*allowed, late) }, 0},
 		{"from an instance that was disturbed since", func(p *limitPlay) {
-			p.o.quietSince["n1"] = time.Now().Add(time.Minute)
+			p.o.undisturbedSince["n1"] = time.Now().Add(time.Minute)
 			p.send("n1", 5*allowed, late)
 		}, 0},
 		{"from an instance that was restarted since", func(p *limitPlay) { p.o.runs["n1"] = 1; p.send("n1", 5*allowed, late) }, 0},
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -28,12 +28,12 @@
 	violations []Violation
 	checks     map[string]int
 
-	// quietSince holds, for each instance, when its last disturbance ended or will end.
-	quietSince map[string]time.Time
-	stopping   map[string]time.Time
-	runs       map[string]int
-	versionAt  map[int]time.Time
-	newest     int
+	// undisturbedSince holds, for each instance, when its last disturbance ended or will end.
+	undisturbedSince map[string]time.Time
+	stopping         map[string]time.Time
+	runs             map[string]int
+	versionAt        map[int]time.Time
+	newest           int
 	// seen holds the highest configuration version seen in force at the current process of
 	// each instance.
 	seen      map[string]int
@@ -50,17 +50,17 @@
 	versions []*versionCheck
 	// restoredAt is when the store was last restored from a copy.
 	restoredAt time.Time
-	// frozenAt holds when the last pause of each instance ended or will end.
-	frozenAt map[string]time.Time
+	// pausedUntil holds when the last pause of each instance ended or will end.
+	pausedUntil map[string]time.Time
 }
 
 func newOracle(keys *keyring) *oracle {
 	return &oracle{
 		keys: keys, start: time.Now(), attempts: make(map[string]*attempt), checks: make(map[string]int),
-		quietSince: make(map[string]time.Time), stopping: make(map[string]time.Time), runs: make(map[string]int),
+		undisturbedSince: make(map[string]time.Time), stopping: make(map[string]time.Time), runs: make(map[string]int),
 		versionAt: make(map[int]time.Time), seen: make(map[string]int), draining: make(map[string]time.Time),
 		evacuated: make(map[string]time.Time), coldSends: make(map[string][]time.Time), servers: make(map[string]*server), crashes: make(map[string]*serverCrashes), silencedAt: make(map[string]time.Time),
-		signals: newWords(), frozenAt: make(map[string]time.Time),
+		signals: newWords(), pausedUntil: make(map[string]time.Time),
 	}
 }
 
@@ -73,17 +73,17 @@
 func (o *oracle) disturbed(name string, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if until.After(o.quietSince[name]) {
-		o.quietSince[name] = until
+	if until.After(o.undisturbedSince[name]) {
+		o.undisturbedSince[name] = until
 	}
 }
 
-// frozen records that an instance is paused until the given time.
-func (o *oracle) frozen(name string, until time.Time) {
+// paused records that an instance is paused until the given time.
+func (o *oracle) paused(name string, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if until.After(o.frozenAt[name]) {
-		o.frozenAt[name] = until
+	if until.After(o.pausedUntil[name]) {
+		o.pausedUntil[name] = until
 	}
 }
 
@@ -102,9 +102,9 @@
 	o.versionAt[version], o.newest = at, version
 }
 
-// due returns the newest configuration version that must be in force at every connected
+// requiredVersion returns the newest configuration version that must be in force at every connected
 // instance.
-func (o *oracle) due(now time.Time) int {
+func (o *oracle) requiredVersion(now time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for v := o.newest; v > 1; v-- {
@@ -126,7 +126,7 @@
 // connected reports whether an instance has been undisturbed for at least the contact time.
 // The caller holds mu.
 func (o *oracle) connected(name string, at time.Time) bool {
-	return at.Sub(o.quietSince[name]) >= contact
+	return at.Sub(o.undisturbedSince[name]) >= contact
 }
 
 // begin records an attempt before it is sent.
@@ -151,8 +151,8 @@
 	o.silencedAt[name] = time.Now()
 }
 
-// sentOver records when the connection of an attempt was opened.
-func (o *oracle) sentOver(a *attempt, opened time.Time) {
+// noteConnection records when the connection of an attempt was opened.
+func (o *oracle) noteConnection(a *attempt, opened time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a.connAt = opened
@@ -219,7 +219,7 @@
 	if len(servers) > 2 {
 		o.violated("BUDGET", "%s ran at %d servers", a.id, len(servers))
 	}
-	if v.Executed && refusal(a.result.status) && !a.retryable() {
+	if v.Executed && isRejection(a.result.status) && !a.retryable() {
 		o.violated("REFUSED", "%s was answered %d and then ran", a.id, a.result.status)
 	}
 }
@@ -267,7 +267,7 @@
 	}
 }
 
-func refusal(status int) bool {
+func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
@@ -287,7 +287,7 @@
 	o.noteLeaving(a, r)
 	o.noteLimit(a, r)
 	o.judgeConfig(a, r)
-	o.judgeEnd(a, r, ran)
+	o.judgeCompletion(a, r, ran)
 }
 
 // judgeAnswer checks that an answer belongs to its request and agrees with what servers
@@ -302,10 +302,10 @@
 		o.violated("MIXED", "%s got a success without a signature", a.id)
 	case r.status == http.StatusOK && !strings.HasSuffix(r.body, " to "+a.id):
 		o.violated("MIXED", "%s got the body %.40q", a.id, r.body)
-	case refusal(r.status) && ran > 0 && !a.retryable():
+	case isRejection(r.status) && ran > 0 && !a.retryable():
 		o.violated("REFUSED", "%s was answered %d and had run", a.id, r.status)
 	case o.mayBeUnauthorized(a, r.status):
-	case r.status/100 == 4 && !refusal(r.status) && a.probe == 0 && r.header.Get("Server-Signature") == "":
+	case r.status/100 == 4 && !isRejection(r.status) && a.probe == 0 && r.header.Get("Server-Signature") == "":
 		o.violated("DENIED", "%s %s got %d from %s", a.id, a.uri, r.status, a.instance)
 	}
 }
@@ -331,9 +331,9 @@
 	}
 }
 
-// judgeEnd checks the time-out of a request, and that a planned stop cuts no request. The
+// judgeCompletion checks the time-out of a request, and that a planned stop cuts no request. The
 // caller holds mu.
-func (o *oracle) judgeEnd(a *attempt, r result, ran int) {
+func (o *oracle) judgeCompletion(a *attempt, r result, ran int) {
 	took := a.doneAt.Sub(a.at)
 	if a.connected && o.connected(a.instance, a.doneAt) && a.leftAt.IsZero() && o.canCarry(a) {
 		o.checks["TIMEOUT"]++
@@ -346,7 +346,7 @@
 		return
 	}
 	o.checks["LOST"]++
-	if at.Sub(o.quietSince[a.instance]) >= contact && a.at.Sub(at) < 3*time.Second && took < routeTimeout {
+	if at.Sub(o.undisturbedSince[a.instance]) >= contact && a.at.Sub(at) < 3*time.Second && took < routeTimeout {
 		o.violated("LOST", "%s %s was cut by the planned stop of %s: %v", a.id, a.uri, a.instance, r.err)
 	}
 }
@@ -393,8 +393,8 @@
 		}
 		for _, end := range again {
 			o.checks["BUDGET"]++
-			repeats := within(again, end.Add(-window), end)
-			most := max(within(sent, end.Add(-window), end), within(sent, end.Add(-2*window), end.Add(-window)), within(sent, end.Add(-3*window/2), end.Add(-window/2)))
+			repeats := countWithin(again, end.Add(-window), end)
+			most := max(countWithin(sent, end.Add(-window), end), countWithin(sent, end.Add(-2*window), end.Add(-window)), countWithin(sent, end.Add(-3*window/2), end.Add(-window/2)))
 			if float64(repeats) > ratio*float64(most)+slack {
 				o.violated("BUDGET", "service %s got %d repeats for %d requests", service, repeats, most)
 				break
@@ -403,7 +403,7 @@
 	}
 }
 
-func within(times []time.Time, from, to time.Time) int {
+func countWithin(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, t := range times {
 		if t.After(from) && !t.After(to) {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -12,65 +12,65 @@
 
 // The kinds of faults.
 const (
-	InstanceTerm     FaultKind = "instance-term"
-	InstanceKill     FaultKind = "instance-kill"
-	InstancePause    FaultKind = "instance-pause"
-	InstanceReload   FaultKind = "instance-reload"
-	KillAll          FaultKind = "kill-all"
-	FrontLink        FaultKind = "front-link"
-	PeerLink         FaultKind = "peer-link"
-	StoreLink        FaultKind = "store-link"
-	LinkReset        FaultKind = "link-reset"
-	StoreDown        FaultKind = "store-down"
-	StoreSlow        FaultKind = "store-slow"
-	StoreLoses       FaultKind = "store-loses-replies"
-	StoreForgets     FaultKind = "store-forgets"
-	ServerCrash      FaultKind = "server-crash"
-	ServerSlow       FaultKind = "server-slow"
-	ServerFaults     FaultKind = "server-faults"
-	ServerDrain      FaultKind = "server-drain"
-	ServerReuse      FaultKind = "server-address-reused"
-	ServerForgets    FaultKind = "server-forgets-connections"
-	NewServer        FaultKind = "new-server"
-	Evacuation       FaultKind = "evacuation"
-	ConfigChange     FaultKind = "config-change"
-	ConfigStorm      FaultKind = "config-storm"
-	KeyChange        FaultKind = "key-change"
-	LinkSilence      FaultKind = "link-silence"
-	ServerSilence    FaultKind = "server-silence"
-	CrashingRequests FaultKind = "ending-requests"
-	ForeignEntry     FaultKind = "foreign-entry"
-	SameID           FaultKind = "server-starts-under-its-id"
-	ServerLeaves     FaultKind = "server-leaves-by-word"
-	ServerBackoff    FaultKind = "server-asks-for-rest"
-	ServerBadHeaders FaultKind = "server-says-wrong-words"
-	ServerLimits     FaultKind = "server-names-limit"
-	Rollout          FaultKind = "rollout"
-	StoreRestored    FaultKind = "store-restored"
+	InstanceTerm      FaultKind = "instance-term"
+	InstanceKill      FaultKind = "instance-kill"
+	InstancePause     FaultKind = "instance-pause"
+	InstanceReload    FaultKind = "instance-reload"
+	KillAll           FaultKind = "kill-all"
+	FrontLink         FaultKind = "front-link"
+	PeerLink          FaultKind = "peer-link"
+	StoreLink         FaultKind = "store-link"
+	LinkReset         FaultKind = "link-reset"
+	StoreDown         FaultKind = "store-down"
+	StoreSlow         FaultKind = "store-slow"
+	StoreLosesReplies FaultKind = "store-loses-replies"
+	StoreCompacts     FaultKind = "store-forgets"
+	ServerCrash       FaultKind = "server-crash"
+	ServerSlow        FaultKind = "server-slow"
+	ServerFaults      FaultKind = "server-faults"
+	ServerDrain       FaultKind = "server-drain"
+	AddressReuse      FaultKind = "server-address-reused"
+	ServerResets      FaultKind = "server-forgets-connections"
+	NewServer         FaultKind = "new-server"
+	Evacuation        FaultKind = "evacuation"
+	ConfigChange      FaultKind = "config-change"
+	ConfigStorm       FaultKind = "config-storm"
+	KeyChange         FaultKind = "key-change"
+	LinkSilence       FaultKind = "link-silence"
+	ServerSilence     FaultKind = "server-silence"
+	CrashingRequests  FaultKind = "ending-requests"
+	ForeignEntry      FaultKind = "foreign-entry"
+	ServerRestart     FaultKind = "server-starts-under-its-id"
+	ServerLeaving     FaultKind = "server-leaves-by-word"
+	ServerBackoff     FaultKind = "server-asks-for-rest"
+	ServerBadHeaders  FaultKind = "server-says-wrong-words"
+	ServerLimits      FaultKind = "server-names-limit"
+	Rollout           FaultKind = "rollout"
+	StoreRestored     FaultKind = "store-restored"
 )
 
-// laterKinds are drawn from a random source of their own. A kind that is added to
+// silenceKinds are drawn from a random source of their own. A kind that is added to
 // kindsOfFaults would change the plan of every recorded seed.
-var laterKinds = []FaultKind{KeyChange, LinkSilence, ServerSilence}
+var silenceKinds = []FaultKind{KeyChange, LinkSilence, ServerSilence}
 
 // entryKinds are faults on the entries of servers. They are drawn from a random source of
 // their own, as laterKinds are.
-var entryKinds = []FaultKind{ForeignEntry, SameID}
+var entryKinds = []FaultKind{ForeignEntry, ServerRestart}
 
 // signalKinds are signals that servers send in headers. They are drawn from a random source of
 // their own, as laterKinds are. ServerLimits has yet another source.
-var signalKinds = []FaultKind{ServerLeaves, ServerBackoff, ServerBackoff, ServerBadHeaders}
+var signalKinds = []FaultKind{ServerLeaving, ServerBackoff, ServerBackoff, ServerBadHeaders}
 
-// kindsOfFaults lists the kinds that are drawn from the first random source, with their
+// baseKinds lists the kinds that are drawn from the first random source, with their
 // relative frequencies.
-var kindsOfFaults = []struct {
+var baseKinds = []struct {
 	kind   FaultKind
 	weight int
 }{
 	{InstanceTerm, 4}, {InstanceKill, 3}, {InstancePause, 3}, {InstanceReload, 2}, {KillAll, 1},
 	{FrontLink, 3}, {PeerLink, 3}, {StoreLink, 4}, {LinkReset, 3},
-	{StoreDown, 2}, {StoreSlow, 2}, {StoreLoses, 1}, {StoreForgets, 2},
-	{ServerCrash, 3}, {ServerSlow, 2}, {ServerFaults, 5}, {ServerDrain, 4}, {ServerReuse, 3}, {ServerForgets, 3}, {NewServer, 3},
+	{StoreDown, 2}, {StoreSlow, 2}, {StoreLosesReplies, 1}, {StoreCompacts, 2},
+	{ServerCrash, 3}, {ServerSlow, 2}, {ServerFaults, 5}, {ServerDrain, 4}, {AddressReuse, 3}, {ServerResets, 3}, {NewServer, 3},
 	{Evacuation, 3}, {ConfigChange, 5}, {ConfigStorm, 2},
 }
 
@@ -99,7 +99,7 @@
 func Plan(seed uint64, duration time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	total := 0
-	for _, k := range kindsOfFaults {
+	for _, k := range baseKinds {
 		total += k.weight
 	}
 	var out []Fault
@@ -108,7 +108,7 @@
 	for at := 500 * time.Millisecond; at < last; at += gap/4 + time.Duration(rnd.Int64N(int64(gap))) {
 		f := Fault{At: at, For: time.Duration(300+rnd.IntN(3500)) * time.Millisecond, Which: rnd.IntN(1 << 16), How: rnd.IntN(1 << 16)}
 		point := rnd.IntN(total)
-		for _, k := range kindsOfFaults {
+		for _, k := range baseKinds {
 			point -= k.weight
 			if point < 0 {
 				f.Kind = k.kind
@@ -119,7 +119,7 @@
 	}
 	again := rand.New(rand.NewPCG(seed, 2))
 	for at := 700 * time.Millisecond; at < last; at += gap + time.Duration(again.Int64N(int64(3*gap))) {
-		out = append(out, Fault{At: at, Kind: laterKinds[again.IntN(len(laterKinds))], Which: again.IntN(1 << 16), How: again.IntN(1 << 16)})
+		out = append(out, Fault{At: at, Kind: silenceKinds[again.IntN(len(silenceKinds))], Which: again.IntN(1 << 16), How: again.IntN(1 << 16)})
 	}
 	ending := rand.New(rand.NewPCG(seed, 4))
 	at := 700*time.Millisecond + time.Duration(ending.Int64N(int64(duration/10)))
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -54,6 +54,6 @@
 		return
 	}
 	for _, check := range o.versions {
-		check.forgotten = true
+		check.stateLost = true
 	}
 }
--- a/internal/soak/rollouts.go
+++ b/internal/soak/rollouts.go
@@ -52,11 +52,11 @@
 	// numbered badAnswers was given.
 	badAnswers int
 	fiftiethAt time.Time
-	late       bool
+	reported   bool
 	verdict    string
-	// forgotten is set if all instances were killed soon after the store lost the state of the
+	// stateLost is set if all instances were killed soon after the store lost the state of the
 	// rollout. The verdict and the bad answers of the version may then be lost.
-	forgotten bool
+	stateLost bool
 }
 
 func (c *versionCheck) isBad() bool { return c.quality != soundVersion }
@@ -144,7 +144,7 @@
 				s.store.Remove("servers", srv.ID)
 				continue
 			}
-			r.leave(srv)
+			r.drainOnly(srv)
 		}
 		r.later(time.Until(check.until)+rollbackWithin, func() {
 			s.oracle.judgeVersion(check, s.rolloutState(check.service))
@@ -155,8 +155,8 @@
 	r.later(verdictPoll, func() { r.awaitVerdict(check) })
 }
 
-// leave drains a server without a replacement.
-func (r *runner) leave(srv *server) {
+// drainOnly drains a server without a replacement.
+func (r *runner) drainOnly(srv *server) {
 	r.site.record(srv, objects.Draining)
 	r.later(drainTimeout+2*time.Second, func() {
 		r.site.store.Remove("servers", srv.ID)
@@ -207,15 +207,15 @@
 		if v.At.Before(check.until) {
 			check.all++
 		}
-		if srv.version != check.version || !check.isBad() || check.forgotten || !o.connected(a.instance, v.At) {
+		if srv.version != check.version || !check.isBad() || check.stateLost || !o.connected(a.instance, v.At) {
 			continue
 		}
 		o.checks["EXPOSURE"]++
 		if v.At.Before(check.until) {
 			check.atNew++
 		}
-		if !check.fiftiethAt.IsZero() && v.At.Sub(check.fiftiethAt) > rollbackWithin && !check.late {
-			check.late = true
+		if !check.fiftiethAt.IsZero() && v.At.Sub(check.fiftiethAt) > rollbackWithin && !check.reported {
+			check.reported = true
 			o.violated("EXPOSURE", "%s of %s got a request from %s %.2f s after its fiftieth bad answer", check.version, check.service, a.instance, v.At.Sub(check.fiftiethAt).Seconds())
 		}
 	}
@@ -225,7 +225,7 @@
 func (o *oracle) judgeVersion(check *versionCheck, state string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if check.forgotten {
+	if check.stateLost {
 		return
 	}
 	o.checks["VERDICT"]++
--- a/internal/soak/rollouts_test.go
+++ b/internal/soak/rollouts_test.go
@@ -79,9 +79,9 @@
 	require.Equal(t, "VERDICT", o.violations[0].Rule)
 }
 
-// TestForgottenVerdict checks that a verdict may change if all instances were killed soon
+// TestLostVerdict checks that a verdict may change if all instances were killed soon
 // after the store had lost it, and not otherwise.
-func TestForgottenVerdict(t *testing.T) {
+func TestLostVerdict(t *testing.T) {
 	for _, c := range []struct {
 		restored time.Duration
 		killed   bool
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -197,8 +197,8 @@
 // caller holds mu.
 func (o *oracle) judgeDeparture(a *attempt, v origin.Arrival) {
 	for instance, word := range o.signals.passedOn[v.Server.ID] {
-		own := instance == a.instance && word.run == a.run && !o.frozenAt[instance].After(word.at)
-		both := word.connected && o.quietSince[instance].Before(word.at) && o.connected(a.instance, v.At)
+		own := instance == a.instance && word.run == a.run && !o.pausedUntil[instance].After(word.at)
+		both := word.connected && o.undisturbedSince[instance].Before(word.at) && o.connected(a.instance, v.At)
 		switch {
 		case own:
 			o.checks["WORD"]++
@@ -219,7 +219,7 @@
 func (o *oracle) judgeBackoffs(a *attempt, v origin.Arrival) {
 	for _, rest := range o.signals.backoffs[v.Server.ID][a.instance] {
 		since := v.At.Sub(rest.at)
-		if since <= backoffGrace || !v.At.Before(rest.until) || rest.run != a.run || !o.quietSince[a.instance].Before(rest.at) {
+		if since <= backoffGrace || !v.At.Before(rest.until) || rest.run != a.run || !o.undisturbedSince[a.instance].Before(rest.at) {
 			continue
 		}
 		o.checks["REST"]++
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -89,7 +89,7 @@
 			require.Less(t, f.At, time.Minute)
 		}
 	}
-	require.Len(t, kinds, len(kindsOfFaults)+len(laterKinds)+len(entryKinds)+3+3+1, "each kind of fault is drawn")
+	require.Len(t, kinds, len(baseKinds)+len(silenceKinds)+len(entryKinds)+3+3+1, "each kind of fault is drawn")
 }
 
 // TestProxyModes checks that each mode that forwards bytes leaves them unchanged, and that
@@ -235,7 +235,7 @@
 			a := o.begin(in, "GET", "/read/1", nil)
 			arrive(o, a, nil)
 			o.finish(a, leaving(a.id))
-			o.quietSince["n1"] = time.Now().Add(time.Minute)
+			o.undisturbedSince["n1"] = time.Now().Add(time.Minute)
 			next := o.begin(in, "GET", "/read/1", nil)
 			next.at = a.doneAt.Add(drainTimeout + time.Millisecond)
 			arrive(o, next, nil)
@@ -292,7 +292,7 @@
 	for rule, bring := range cases {
 		t.Run("rule "+rule, func(t *testing.T) {
 			o := newOracle(newKeyring())
-			o.quietSince["n1"] = time.Now().Add(-time.Minute)
+			o.undisturbedSince["n1"] = time.Now().Add(-time.Minute)
 			bring(o)
 			if rule == "" {
 				require.Empty(t, o.violations)
@@ -313,8 +313,8 @@
 		"soon":      func(_ *oracle, _ time.Time, late *attempt) { late.at = time.Now() },
 		"restarted": func(o *oracle, _ time.Time, late *attempt) { o.runs["n1"], late.run = 1, 1 },
 		"frozen": func(o *oracle, asked time.Time, _ *attempt) {
-			o.frozenAt["n1"] = asked.Add(time.Second)
-			o.quietSince["n1"] = asked.Add(time.Second)
+			o.pausedUntil["n1"] = asked.Add(time.Second)
+			o.undisturbedSince["n1"] = asked.Add(time.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -353,7 +353,7 @@
 		a := o.begin(in, http.MethodGet, "/read/1", nil)
 		require.True(t, a.connected)
 		a.at = time.Now().Add(-routeTimeout - time.Second)
-		o.sentOver(a, silenced.Add(c.opened))
+		o.noteConnection(a, silenced.Add(c.opened))
 		o.finish(a, result{err: context.DeadlineExceeded})
 		require.Len(t, o.violations, c.broken)
 	}
