--- a/cmd/rainford/common.go
+++ b/cmd/rainford/common.go
@@ -64,11 +64,11 @@
 
 // editor returns an editor of the configuration. The audit trail records the operator and
 // what, the command that makes the change. Without an operator it returns a usage error.
-func (c *commonFlags) editor(client objectstore.Service, what string) (*config.Editor, error) {
+func (c *commonFlags) editor(client objectstore.Service, command string) (*config.Editor, error) {
 	if c.operator == "" {
 		return nil, usagef("the operator's name is missing: the audit trail needs -who or RAINFORD_WHO")
 	}
-	return &config.Editor{Store: client, Operator: c.operator, Command: what, NewID: newID, Now: time.Now}, nil
+	return &config.Editor{Store: client, Operator: c.operator, Command: command, NewID: newID, Now: time.Now}, nil
 }
 
 // newID returns a random identifier of a change.
--- a/cmd/rainford/configuration.go
+++ b/cmd/rainford/configuration.go
@@ -18,11 +18,11 @@
 
 // editTable makes one change of the configuration by f and prints it. The audit trail
 // records what, the command that makes the change.
-func (a *app) editTable(ctx context.Context, c *commonFlags, what string, f func(*table.Table) error) error {
+func (a *app) editTable(ctx context.Context, c *commonFlags, command string, f func(*table.Table) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	client := c.client()
-	editor, err := c.editor(client, what)
+	editor, err := c.editor(client, command)
 	if err != nil {
 		return err
 	}
@@ -162,12 +162,12 @@
 	fs := newFlags("rainford seats release")
 	c := &commonFlags{}
 	c.register(fs)
-	sure := fs.Bool("instances-are-dead", false, "confirm that every former instance of the hall has ended")
+	confirmed := fs.Bool("instances-are-dead", false, "confirm that every former instance of the hall has ended")
 	release := a.command("release", "rainford seats release -instances-are-dead HALL", "free all seats of a hall whose former instances have all ended", fs, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
 			return usagef("seats release takes one hall")
 		}
-		if !*sure {
+		if !*confirmed {
 			return usagef("an instance that still runs would exceed its caps: make sure that all former instances have ended, then add -instances-are-dead")
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
--- a/cmd/rainford/explain.go
+++ b/cmd/rainford/explain.go
@@ -105,8 +105,8 @@
 func (a *app) explainCommand() *ffcli.Command {
 	fs := flag.NewFlagSet("rainford explain", flag.ContinueOnError)
 	asJSON := fs.Bool("json", false, "print one JSON object")
-	whole := fs.Bool("summary", false, "tell of all requests: where and when they were late or refused")
-	every := fs.Duration("every", 2*time.Second, "span of time of a row of the summary")
+	showSummary := fs.Bool("summary", false, "tell of all requests: where and when they were late or refused")
+	interval := fs.Duration("every", 2*time.Second, "span of time of a row of the summary")
 	return &ffcli.Command{
 		Name:       "explain",
 		ShortUsage: "rainford explain [-json] REQUEST-ID FILE… | -summary [-every 2s] FILE…",
@@ -114,8 +114,8 @@
 		LongHelp:   "FILE is a log, plain or gzip, or - for standard input.",
 		FlagSet:    fs,
 		Exec: func(_ context.Context, args []string) error {
-			if *whole {
-				return a.summarize(args, *every)
+			if *showSummary {
+				return a.summarize(args, *interval)
 			}
 			if len(args) < 2 {
 				return usagef("explain takes a request ID and at least one file")
@@ -135,11 +135,11 @@
 
 // summarize prints the summary of all requests in the files. A row of the summary covers
 // the time every.
-func (a *app) summarize(files []string, every time.Duration) error {
-	if len(files) == 0 || every <= 0 {
+func (a *app) summarize(files []string, interval time.Duration) error {
+	if len(files) == 0 || interval <= 0 {
 		return usagef("explain -summary takes at least one file and needs -every above 0")
 	}
-	s := summary{interval: every}
+	s := summary{interval: interval}
 	for _, name := range files {
 		r, err := a.openLog(name)
 		if err != nil {
--- a/cmd/rainford/hold.go
+++ b/cmd/rainford/hold.go
@@ -75,19 +75,19 @@
 	}
 	byDigest := make(map[quarantine.Digest]*heldRequest)
 	for _, o := range listing.Objects {
-		kept, err := quarantine.ParseStoredRecord(o.Key, o.Value)
+		record, err := quarantine.ParseStoredRecord(o.Key, o.Value)
 		if err != nil {
 			return nil, err
 		}
-		if kept.Expired(time.Now()) {
+		if record.Expired(time.Now()) {
 			continue
 		}
-		h := byDigest[kept.Digest]
+		h := byDigest[record.Digest]
 		if h == nil {
-			h = &heldRequest{Content: kept.Digest.String(), Digest: hex.EncodeToString(kept.Digest[:])}
-			byDigest[kept.Digest] = h
+			h = &heldRequest{Content: record.Digest.String(), Digest: hex.EncodeToString(record.Digest[:])}
+			byDigest[record.Digest] = h
 		}
-		h.merge(kept)
+		h.merge(record)
 	}
 	var all []heldRequest
 	for _, h := range byDigest {
@@ -101,15 +101,15 @@
 }
 
 // merge applies one stored record of the request, which is a release or a list of crashes.
-func (h *heldRequest) merge(kept quarantine.StoredRecord) {
-	if kept.Released > 0 {
-		if at := kept.LastEvent(); at.After(h.Released) {
-			h.Released, h.By = at, kept.ReleasedBy
+func (h *heldRequest) merge(record quarantine.StoredRecord) {
+	if record.Released > 0 {
+		if at := record.LastEvent(); at.After(h.Released) {
+			h.Released, h.By = at, record.ReleasedBy
 		}
 		return
 	}
-	h.Ends = max(h.Ends, len(kept.Crashes))
-	if last := kept.LastEvent(); last.After(h.Last) {
+	h.Ends = max(h.Ends, len(record.Crashes))
+	if last := record.LastEvent(); last.After(h.Last) {
 		h.Last = last
 	}
 }
@@ -150,8 +150,8 @@
 	if err != nil {
 		return err
 	}
-	kept := quarantine.StoredRecord{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), ReleasedBy: c.operator}
-	_, err = client.Put(ctx, kept.Key(), 0, kept)
+	record := quarantine.StoredRecord{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), ReleasedBy: c.operator}
+	_, err = client.Put(ctx, record.Key(), 0, record)
 	if err != nil {
 		return err
 	}
--- a/cmd/rainford/hold_test.go
+++ b/cmd/rainford/hold_test.go
@@ -31,11 +31,11 @@
 	require.Empty(t, hold(exitOK, "list", "-platform", at))
 	store := platform.NewObjects(addr)
 	for _, uri := range []string{"/a/", "/b/"} {
-		kept := quarantine.StoredRecord{Digest: quarantine.Content{URI: uri}.Digest()}
+		record := quarantine.StoredRecord{Digest: quarantine.Content{URI: uri}.Digest()}
 		for i := range 3 {
-			kept.Crashes = append(kept.Crashes, quarantine.StoredCrash{Target: quarantine.TargetID(i), At: time.Now().UnixMilli(), Trial: i == 2})
+			record.Crashes = append(record.Crashes, quarantine.StoredCrash{Target: quarantine.TargetID(i), At: time.Now().UnixMilli(), Trial: i == 2})
 		}
-		_, err := store.Put(t.Context(), kept.Key(), 0, kept)
+		_, err := store.Put(t.Context(), record.Key(), 0, record)
 		require.NoError(t, err)
 	}
 	content := quarantine.Content{URI: "/a/"}.Digest().String()
--- a/cmd/rainford/rollout.go
+++ b/cmd/rainford/rollout.go
@@ -52,12 +52,12 @@
 // startRollout stores the rollout order o. It replaces an earlier order for the service if that
 // rollout has ended, and returns an error if it is still in progress.
 func (a *app) startRollout(ctx context.Context, store *platform.Store, o rollout.Order) error {
-	held, found, err := findRollout(ctx, store, o.Service)
+	current, found, err := findRollout(ctx, store, o.Service)
 	if err != nil {
 		return err
 	}
-	if found && !held.State.IsFinal() {
-		return fmt.Errorf("the rollout of version %s of %s is still in progress: wait for its end, or run rainford rollout abort %s first", held.Version, o.Service, o.Service)
+	if found && !current.State.IsFinal() {
+		return fmt.Errorf("the rollout of version %s of %s is still in progress: wait for its end, or run rainford rollout abort %s first", current.Version, o.Service, o.Service)
 	}
 	if found {
 		if err := store.Remove(ctx, gateway.KindRollouts, o.Service); err != nil {
@@ -114,19 +114,19 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		defer cancel()
-		held, found, err := findRollout(ctx, store, args[0])
+		current, found, err := findRollout(ctx, store, args[0])
 		switch {
 		case err != nil:
 			return err
 		case !found:
 			return fmt.Errorf("there is no rollout order for service %s", args[0])
-		case held.State.IsFinal():
-			return fmt.Errorf("the rollout of version %s of %s has ended: %s", held.Version, held.Service, stateName(held.State))
+		case current.State.IsFinal():
+			return fmt.Errorf("the rollout of version %s of %s has ended: %s", current.Version, current.Service, stateName(current.State))
 		}
 		if err := store.Remove(ctx, gateway.KindRollouts, args[0]); err != nil {
 			return err
 		}
-		fmt.Fprintf(a.stdout, "version %s of %s is not brought in any more\n", held.Version, held.Service)
+		fmt.Fprintf(a.stdout, "version %s of %s is not brought in any more\n", current.Version, current.Service)
 		return nil
 	})
 }
--- a/cmd/rainfordload/main.go
+++ b/cmd/rainfordload/main.go
@@ -198,8 +198,8 @@
 
 // checkKnown returns an error if v is not one of all.
 func checkKnown[T comparable](v T, all []T) error {
-	for _, have := range all {
-		if have == v {
+	for _, candidate := range all {
+		if candidate == v {
 			return nil
 		}
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -87,18 +87,18 @@
 func serve(ctx context.Context, service, control endpoint) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	taken := make([]string, 0, 2)
+	addrs := make([]string, 0, 2)
 	for _, e := range []endpoint{service, control} {
 		ln, err := net.Listen("tcp", e.addr)
 		if err != nil {
 			return fmt.Errorf("standin: %w", err)
 		}
-		taken = append(taken, ln.Addr().String())
+		addrs = append(addrs, ln.Addr().String())
 		server := &http.Server{Handler: e.handler, ReadHeaderTimeout: 5 * time.Second}
 		go func() { cancel(server.Serve(ln)) }()
 		defer func() { _ = server.Close() }()
 	}
-	fmt.Printf("{\"service\":%q,\"control\":%q}\n", taken[0], taken[1])
+	fmt.Printf("{\"service\":%q,\"control\":%q}\n", addrs[0], addrs[1])
 	<-ctx.Done()
 	if cause := context.Cause(ctx); !errors.Is(cause, context.Canceled) {
 		return cause
