--- a/cmd/rainford/common.go
+++ b/cmd/rainford/common.go
@@ -34,6 +34,7 @@
 
 func newFlags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
+// register adds the flags of subcommands that connect to the platform.
 func (c *commonFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&c.platform, "platform", "http://127.0.0.1:7000", "base URL of the platform's service, or objects://IP:PORT")
 	fs.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long to try")
@@ -62,8 +63,8 @@
 	return objectstore.NewClient(c.platform, 0)
 }
 
-// editor returns an editor of the configuration. The audit trail records the operator and
-// what, the command that makes the change. Without an operator it returns a usage error.
+// editor returns an editor of the configuration. The audit trail records the operator and the
+// command that makes the change. Without an operator, editor returns a usage error.
 func (c *commonFlags) editor(client objectstore.Service, command string) (*config.Editor, error) {
 	if c.operator == "" {
 		return nil, usagef("the operator's name is missing: the audit trail needs -who or RAINFORD_WHO")
--- a/cmd/rainford/configuration.go
+++ b/cmd/rainford/configuration.go
@@ -17,7 +17,7 @@
 )
 
 // editTable makes one change of the configuration by f and prints it. The audit trail
-// records what, the command that makes the change.
+// records the command that makes the change.
 func (a *app) editTable(ctx context.Context, c *commonFlags, command string, f func(*table.Table) error) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/cmd/rainford/explain.go
+++ b/cmd/rainford/explain.go
@@ -23,7 +23,7 @@
 // for possible reasons of its result.
 const explainWindow = 15 * time.Second
 
-// maxLine is the maximum length of a log line, in bytes.
+// maxLine is the maximum length of a log line, in bytes. Reading fails at a longer line.
 const maxLine = 4 << 20
 
 // logLine is one line of an instance's log. Only the fields that explain and its summary
@@ -134,7 +134,7 @@
 }
 
 // summarize prints the summary of all requests in the files. A row of the summary covers
-// the time every.
+// the given interval.
 func (a *app) summarize(files []string, interval time.Duration) error {
 	if len(files) == 0 || interval <= 0 {
 		return usagef("explain -summary takes at least one file and needs -every above 0")
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// readExplanation reads the logs and selects the lines on the request and
-// the preceding changes of state of the instances that handled it.
+// readExplanation reads all log files into memory. It then selects the lines on the request
+// and the lines on preceding changes of state that may have caused its result.
 func (a *app) readExplanation(id string, files []string) (*explanation, error) {
 	s := &explanation{RequestID: id}
 	var lines []logLine
--- a/cmd/rainford/rollout.go
+++ b/cmd/rainford/rollout.go
@@ -132,7 +132,7 @@
 }
 
 // objects returns a client of a platform whose store lists objects by kind. Rollouts need such
-// a platform, because only there the targets announce their versions.
+// a platform, because only its objects state the versions of the targets.
 func (c *commonFlags) objects() (*platform.Store, error) {
 	addr, ok := strings.CutPrefix(c.platform, objectsScheme)
 	if !ok {
