--- a/cmd/rainfordload/main.go
+++ b/cmd/rainfordload/main.go
@@ -39,8 +39,9 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// settings holds the flags. An experiment is run for each combination of the estates,
-// scenarios, policies, loads and loan lengths.
+// settings holds the values of the flags. An experiment is run for each combination of the
+// estates, scenarios, policies, loads and loan lengths. A load is a fraction of the capacity,
+// and slow is a factor of the service times.
 type settings struct {
 	estates     []demo.Estate
 	scenarios   []experiment.Scenario
