--- a/internal/demo/gateway.go
+++ b/internal/demo/gateway.go
@@ -240,18 +240,18 @@
 	say("%d targets ended under a request that ends each that runs it, sent %d times", report.Ended, crashSends)
 	pause.For(ctx, part)
 	busy := e.busiest()
-	tired, told, leaving := busy[0], busy[1], busy[2]
-	report.Rested = e.requestBackOff(ctx, tired)
-	say("%s asked for rest and got %d requests in %v", tired.ID, report.Rested, refusalTime)
-	err = e.leaveByNotice(ctx, told)
+	overloaded, announcing, leaving := busy[0], busy[1], busy[2]
+	report.Rested = e.requestBackOff(ctx, overloaded)
+	say("%s asked for rest and got %d requests in %v", overloaded.ID, report.Rested, refusalTime)
+	err = e.leaveByNotice(ctx, announcing)
 	if err != nil {
 		return err
 	}
-	say("%s says in its answers that it leaves", told.ID)
+	say("%s says in its answers that it leaves", announcing.ID)
 	pause.For(ctx, part)
 	e.record(leaving, objects.Draining)
 	say("%s leaves", leaving.ID)
-	e.observer.forbid(func(t *origin.Server) bool { return t == leaving || t == told }, time.Now().Add(propagationTime))
+	e.observer.forbid(func(t *origin.Server) bool { return t == leaving || t == announcing }, time.Now().Add(propagationTime))
 	pause.For(ctx, part)
 	began = time.Now()
 	e.instances[0].stop()
