--- a/internal/experiment/doc.go
+++ b/internal/experiment/doc.go
@@ -1,4 +1,5 @@
-// Package experiment provides measured runs of a whole estate on loopback: a
-// load, a fault in the middle, and a policy or one of the simpler ones that it
-// is compared with, all behind the same interface.
+// Package experiment measures a complete deployment (an estate of package demo) on
+// the loopback interface. A run sends a load, injects the fault of a scenario after
+// a third of its duration, and uses either the policies of the daemon or a simpler
+// baseline, such as round robin, for comparison.
 package experiment
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -19,7 +19,7 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Scenario is what happens in the middle third of a run.
+// Scenario names the fault or change that takes place in the middle third of a run.
 type Scenario string
 
 // The scenarios.
@@ -29,68 +29,73 @@
 	Drain        Scenario = "drain"
 	ColdTargets  Scenario = "cold"
 	PlatformDown Scenario = "platform-down"
-	// CapBound has every hall of one region lean on one capped row, with all
-	// the demand at one instance of each hall.
+	// CapBound makes every hall of one region send its requests to one row of the
+	// routing table with a low cap. The demand of each hall arrives at one of its
+	// instances.
 	CapBound Scenario = "cap-bound"
 )
 
 // Scenarios lists all scenarios.
 var Scenarios = []Scenario{Steady, RegionLost, Drain, ColdTargets, PlatformDown, CapBound}
 
-// Policy is a set of choices that is compared with others.
+// Policy names the policies for the choice of a target, for slow start and for caps
+// that a run uses.
 type Policy string
 
 // The policies.
 const (
-	// Full is what the daemon does.
+	// Full uses the policies of the daemon.
 	Full Policy = "full"
-	// RoundRobin picks targets in turn.
+	// RoundRobin chooses the targets in turn.
 	RoundRobin Policy = "round-robin"
-	// LeastInFlight picks the target with the fewest requests in flight.
+	// LeastInFlight chooses the target with the fewest requests in flight.
 	LeastInFlight Policy = "least-in-flight"
-	// NoSlowStart gives new targets their whole share at once.
+	// NoSlowStart sends new targets their full share of the requests immediately.
 	NoSlowStart Policy = "no-slow-start"
-	// NoLoans leaves units where the seats put them.
+	// NoLoans disables loans: each instance can use only the units of a cap that its
+	// seats (partitions of a hall's units) assign to it.
 	NoLoans Policy = "no-loans"
 )
 
 // Policies lists all policies.
 var Policies = []Policy{Full, RoundRobin, LeastInFlight, NoSlowStart, NoLoans}
 
-// Options are the choices of a run.
+// Options configures Run.
 type Options struct {
 	Estate   demo.Estate
 	Scenario Scenario
 	Policy   Policy
-	// Load is the offered load as a part of the targets' capacity.
+	// Load is the offered load as a fraction of the targets' capacity.
 	Load     float64
 	Duration time.Duration
-	// ServiceTimeFactor multiplies the service times, so that the capacity of an estate
-	// fits one machine.
+	// ServiceTimeFactor multiplies the service times, so that one machine can
+	// serve the capacity of an estate.
 	ServiceTimeFactor float64
 	Seed              uint64
-	// LoanDuration overrides the length of loans; 0 leaves it.
+	// LoanDuration overrides the duration of loans; 0 keeps the default.
 	LoanDuration time.Duration
 }
 
-// Result is what a run measured.
+// Result holds the measurements of a run.
 type Result struct {
 	Options  string          `json:"options"`
 	Services []ServiceResult `json:"services"`
-	// DrainSeconds is the time to the last new request after a drain or a
-	// loss, and RecoverSeconds the time after the event until the rate of
-	// good answers was back at nine tenths of what it was before, or of what
-	// the rest can carry; -1 if it was not.
+	// DrainSeconds is the time from a drain until the targets of the drained region
+	// started their last request. RecoverSeconds is the time from the event until
+	// the rate of successful responses returned to 90 % of the rate before the
+	// event, or -1 if it didn't.
 	DrainSeconds   float64 `json:"drain_seconds"`
 	RecoverSeconds float64 `json:"recover_seconds"`
-	// CapUse is the part of the cap that was carried, for CapBound.
+	// CapUse is the admitted rate as a fraction of the cap, in scenario CapBound.
 	CapUse float64 `json:"cap_use"`
-	// OverSlots counts targets that were offered more than their slots.
+	// OverSlots counts the targets that received more concurrent requests than
+	// their slots.
 	OverSlots int `json:"over_slots"`
-	RunTwice  int `json:"run_twice"`
+	// RunTwice counts the operations that ran more than once.
+	RunTwice int `json:"run_twice"`
 }
 
-// ServiceResult is what a run measured for one service.
+// ServiceResult holds the measurements of a run for one service.
 type ServiceResult struct {
 	Service  string  `json:"service"`
 	Requests int64   `json:"requests"`
@@ -101,15 +106,16 @@
 	P50Ms    float64 `json:"p50_ms"`
 	P99Ms    float64 `json:"p99_ms"`
 	P999Ms   float64 `json:"p999_ms"`
-	// Used is the part of the capacity that gave good answers.
+	// Used is the rate of successful responses as a fraction of the capacity.
 	Used float64 `json:"used"`
-	// Reasons counts what was not answered, by reason.
+	// Reasons counts the requests that failed, by reason.
 	Reasons map[protocol.Reason]int64 `json:"reasons"`
-	// RefusalP99Ms is how long the slowest refusals took.
+	// RefusalP99Ms is the 99th percentile of the time until a refusal.
 	RefusalP99Ms float64 `json:"refusal_p99_ms"`
 }
 
-// Run runs one experiment.
+// Run runs one experiment. It returns an error if the estate doesn't start or an edit
+// of the routing table fails.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	for i := range o.Estate.Services {
 		o.Estate.Services[i].Time = time.Duration(float64(o.Estate.Services[i].Time) * o.ServiceTimeFactor)
@@ -129,6 +135,7 @@
 	return r.run(ctx)
 }
 
+// baseline returns the settings of an instance that implement the policy of a run.
 func baseline(o Options) node.Baseline {
 	b := node.Baseline{LoanDuration: o.LoanDuration}
 	switch o.Policy {
@@ -151,10 +158,12 @@
 	clients   []*caller.Client
 	result    Result
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// rate holds the total number of successful responses at each rateStep.
 	rate []int64
 }
 
+// rateStep is the interval between two samples of the number of successful responses.
 const rateStep = 250 * time.Millisecond
 
 func (r *run) run(ctx context.Context) (*Result, error) {
@@ -188,19 +197,23 @@
 	return &r.result, nil
 }
 
-// capRow is the row that CapBound leans on.
+// capRow returns the row that receives the requests in scenario CapBound.
 func (r *run) capRow() table.RowKey {
 	regions := r.cluster.Estate.Regions
 	return table.RowKey{Service: r.cluster.Estate.Services[0].Name, From: regions[0], To: regions[1]}
 }
 
 const (
+	// boundCap and boundWeight are the cap, in requests per second, and the weight of
+	// the row that limits the load in scenario CapBound.
 	boundCap    = 60
 	boundWeight = 10_000
-	shiftCap    = 400
+	// shiftCap is the cap of all other rows between different regions. It is high
+	// enough not to limit the load.
+	shiftCap = 400
 )
 
-// prepare sets the caps so that they are not what binds, but for CapBound.
+// prepare edits the routing table so that caps limit the load in scenario CapBound only.
 func (r *run) prepare(ctx context.Context) error {
 	change, err := r.cluster.Editor("prepare").Edit(ctx, func(t *table.Table) error {
 		for i := range t.Rows {
@@ -256,12 +269,13 @@
 	return out
 }
 
-// capacity returns the requests a second that a service's targets carry.
+// capacity returns the number of requests per second that a service's targets can run.
 func capacity(s demo.ServiceSize) float64 {
 	return float64(s.Targets*s.Slots) / s.Time.Seconds()
 }
 
-// event brings about what the scenario names, and returns how to end it.
+// event starts the fault or change of the scenario. It returns a function that ends it,
+// which does nothing for events that can't be undone.
 func (r *run) event(ctx context.Context) (restore func(), err error) {
 	region := r.cluster.Estate.Regions[2]
 	restore = func() {}
@@ -287,7 +301,7 @@
 	return restore, err
 }
 
-// killRegion kills a region's instances and cuts its targets off.
+// killRegion kills the instances of a region, so that its targets receive no more requests.
 func (r *run) killRegion(region string) {
 	for _, in := range r.cluster.Instances() {
 		if in.Node.Instance().Region == region {
@@ -306,7 +320,7 @@
 	}
 }
 
-// sample records the number of good answers at each step.
+// sample records the total number of successful responses at each rateStep until ctx ends.
 func (r *run) sample(ctx context.Context) {
 	ticker := time.NewTicker(rateStep)
 	defer ticker.Stop()
@@ -326,8 +340,8 @@
 	}
 }
 
-// recovery returns the time after the event until one second's good answers
-// are back at nine tenths of those before it.
+// recovery returns the time in seconds from the event until the successful responses of
+// one second reach 90 % of the rate before the event. It returns -1 if they don't.
 func (r *run) recovery() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/experiment/idle.go
+++ b/internal/experiment/idle.go
@@ -13,42 +13,48 @@
 	"github.com/rainford/rainford/table"
 )
 
-// IdleResult is what control costs while no request is served.
+// IdleResult holds the cost of the control traffic while no requests are served.
 type IdleResult struct {
 	Halls     int `json:"halls"`
 	Instances int `json:"instances"`
-	// CorePercent is the processor time of one instance in percent of a
-	// core, the platform stand-in's part included.
+	// CorePercent is the processor time per instance in percent of a core. It
+	// includes the processor time of the platform stand-in and of the targets, which
+	// run in the same process.
 	CorePercent float64 `json:"core_percent"`
-	// HeapKB is the live heap of one instance.
+	// HeapKB is the live heap per instance, in KiB.
 	HeapKB float64 `json:"heap_kb"`
-	// SentBytes and ReceivedBytes are a second's bytes between instances, for
-	// one instance.
+	// SentBytes and ReceivedBytes are the bytes per second that one instance
+	// exchanges with other instances, on average.
 	SentBytes     float64 `json:"sent_bytes"`
 	ReceivedBytes float64 `json:"received_bytes"`
-	// Reads and Writes are the platform's calls a second, for all.
+	// Reads and Writes are the calls to the platform per second, from all instances
+	// together.
 	Reads  float64 `json:"reads"`
 	Writes float64 `json:"writes"`
-	// OutageReads are the most reads in any second after an outage of the
-	// platform has ended.
+	// OutageReads is the largest number of reads in one second after an outage of the
+	// platform.
 	OutageReads float64 `json:"outage_reads"`
-	// InForceSeconds is the longest of some changes, until in force at all.
+	// InForceSeconds is the longest time until a change of the routing table was in
+	// force at every instance.
 	InForceSeconds float64 `json:"in_force_seconds"`
 }
 
-// IdleSize is the size of an idle run.
+// IdleSize is the size of the estate of an idle run.
 type IdleSize struct {
 	Regions int
+	// PerHall is the number of instances in each hall.
 	PerHall int
 }
 
 const (
-	idleSettle  = 12 * time.Second
+	// idleSettle is the time between the start of the estate and the measurement.
+	idleSettle = 12 * time.Second
+	// idleChanges is the number of changes of the routing table that are timed.
 	idleChanges = 5
 )
 
-// Idle runs an estate without requests for a time and measures what control
-// costs.
+// Idle runs an estate without requests and measures the cost of its control traffic over
+// the given length of time.
 func Idle(ctx context.Context, size IdleSize, length time.Duration) (*IdleResult, error) {
 	estate := demo.EstateDesk()
 	estate.PerHall = size.PerHall
@@ -74,12 +80,14 @@
 }
 
 const (
-	outage       = 8 * time.Second
+	// outage is the duration of the platform's outage.
+	outage = 8 * time.Second
+	// outageWindow is the number of seconds after the outage that are measured.
 	outageWindow = 8
 )
 
-// readsAfterOutage takes the platform away for a time and returns the most
-// reads in any second after it is back.
+// readsAfterOutage makes the platform unreachable for the duration of an outage. It
+// returns the largest number of reads in one second afterwards.
 func readsAfterOutage(cluster *demo.Cluster) float64 {
 	cluster.SetFaults(platformstore.Faults{Down: true})
 	time.Sleep(outage)
@@ -94,6 +102,8 @@
 	return float64(most)
 }
 
+// measureIdle sets the processor time, the bytes between instances and the calls to the
+// platform in result, measured over length.
 func measureIdle(cluster *demo.Cluster, length time.Duration, result *IdleResult) {
 	n := float64(result.Instances)
 	sent, received, calls := 0.0, 0.0, counts(cluster)
@@ -119,6 +129,7 @@
 	result.Writes = float64(after.Writes-calls.Writes) / seconds
 }
 
+// counts returns the calls to the platform over the links of all halls.
 func counts(cluster *demo.Cluster) platformstore.Counts {
 	var sum platformstore.Counts
 	for _, link := range cluster.Links {
@@ -129,6 +140,8 @@
 	return sum
 }
 
+// maxInForce makes idleChanges changes of the routing table and returns the longest time,
+// in seconds, until one was in force at every instance.
 func maxInForce(ctx context.Context, cluster *demo.Cluster) (float64, error) {
 	worst := 0.0
 	for i := range idleChanges {
@@ -149,13 +162,14 @@
 	return worst, nil
 }
 
-// cpuSeconds returns the processor time of this process so far.
+// cpuSeconds returns the processor time that this process has used.
 func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 }
 
+// liveHeap returns the size of the heap in bytes after a garbage collection.
 func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
