--- a/deploy/contract_test.go
+++ b/deploy/contract_test.go
@@ -11,18 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// contractPage lists what neighbours say, a row each.
+// contractPage is the page that lists the interface with neighbouring systems. Each row of its
+// tables is one item that a neighbour sends or writes.
 const contractPage = "../docs/design/CONTRACT.md"
 
-// contractColumns is the number of columns of its tables.
+// contractColumns is the number of columns of the tables of contractPage.
 const contractColumns = 6
 
-// contractRow is a row of the page.
+// contractRow is a row of contractPage: the item, the code that reads it, and the names of the
+// tests that cover it.
 type contractRow struct {
 	said, readBy, shownBy string
 }
 
-// contractRows returns the rows of all tables of the page.
+// contractRows returns the rows of all tables of contractPage.
 func contractRows(t *testing.T) []contractRow {
 	raw, err := os.ReadFile(contractPage)
 	require.NoError(t, err)
@@ -43,7 +45,7 @@
 
 var testFunction = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz)\w+)\(`)
 
-// testNames returns the names of all tests of the repository.
+// testNames returns the names of all tests and fuzz tests in the repository.
 func testNames(t *testing.T) map[string]bool {
 	out := make(map[string]bool)
 	err := filepath.WalkDir("..", func(path string, _ fs.DirEntry, err error) error {
@@ -60,20 +62,20 @@
 	return out
 }
 
-// TestContract checks that each thing that a neighbour says has a reader, with the tests that
-// show it, or the reason why nobody reads it.
+// TestContract checks that each item of contractPage names the code that reads it and existing
+// tests that cover it, or gives the reason why no code reads it.
 func TestContract(t *testing.T) {
 	rows, names := contractRows(t), testNames(t)
 	require.Greater(t, len(rows), 30)
 	for _, row := range rows {
-		require.NotEmpty(t, row.readBy, "%s: who reads it?", row.said)
+		require.NotEmpty(t, row.readBy, "%s: no reader is named", row.said)
 		if strings.HasPrefix(row.readBy, "nobody") {
-			require.Contains(t, row.readBy, ": ", "%s: why does nobody read it?", row.said)
+			require.Contains(t, row.readBy, ": ", "%s: no reason is given why it has no reader", row.said)
 		} else {
-			require.NotEmpty(t, row.shownBy, "%s: what shows it?", row.said)
+			require.NotEmpty(t, row.shownBy, "%s: no test is named", row.said)
 		}
 		for _, name := range strings.FieldsFunc(row.shownBy, func(r rune) bool { return r == ',' || r == ' ' }) {
-			require.True(t, names[name], "%s: there is no test %s", row.said, name)
+			require.True(t, names[name], "%s: test %s doesn't exist", row.said, name)
 		}
 	}
 }
--- a/deploy/days_test.go
+++ b/deploy/days_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// day is a day of our own, in the form of the users' pages.
+// day is a simulated day of operation, read from a file in days. Its fields have the format that
+// the users define for their own days.
 type day struct {
 	Name    string   `toml:"name"`
 	Slot    string   `toml:"slot"`
@@ -19,13 +20,14 @@
 	Faults  []event  `toml:"faults"`
 }
 
+// closing is the disruption at the end of a day.
 type closing struct {
 	Kind  string  `toml:"kind"`
 	DownS float64 `toml:"down_s"`
 	How   string  `toml:"how"`
 }
 
-// event is planned work or a disruption.
+// event is a planned operation or a disruption. At, ForS and GapS are in seconds.
 type event struct {
 	At      float64 `toml:"at"`
 	Kind    string  `toml:"kind"`
@@ -43,17 +45,19 @@
 	Class   string  `toml:"class"`
 }
 
-// dayLength is the number of seconds in which the events of a day begin.
+// dayLength is the period at the beginning of a day, in seconds, in which its events start.
 const dayLength = 30
 
-// usersDays are days that the users wrote, word for word. They name a site's kinds of requests.
+// usersDays lists the days that are verbatim copies from the users. They contain the names of the
+// request classes of one site.
 var usersDays = map[string]bool{"deadly": true}
 
-// minDays is the number of days that are kept at least.
+// minDays is the smallest number of files that days must contain.
 const minDays = 12
 
-// TestDays checks the form of the days: every field is one that days have; and of those of our
-// own, that two lines say what each is and guards, and that no site's names are in it.
+// TestDays checks that the files of the days have known fields only and valid events. Days that
+// are not copies from the users must also begin with two comment lines, which describe the day and
+// the failure that it guards against, and must not contain names of a site.
 func TestDays(t *testing.T) {
 	files, err := filepath.Glob("days/*.toml")
 	require.NoError(t, err)
@@ -78,7 +82,8 @@
 	}
 }
 
-// checkOwn checks what holds for days of our own: that they say what they are, and fit any site.
+// checkOwn checks a day that is not a copy from the users: it must begin with its two comment lines
+// and refer to places only by placeholders, so that it applies to any site.
 func (d day) checkOwn(t *testing.T, text string) {
 	lines := strings.SplitN(text, "\n", 3)
 	require.True(t, strings.HasPrefix(lines[0], "# "))
@@ -86,11 +91,12 @@
 	require.Contains(t, []string{"quiet", "trouble", "scale"}, d.Slot)
 	for _, e := range append(d.Plan, d.Faults...) {
 		for _, place := range []string{e.Zone, e.ToZone, e.Region, e.Service, e.Class} {
-			require.True(t, place == "" || strings.HasPrefix(place, "@"), "%s %s: names of a site", e.Kind, place)
+			require.True(t, place == "" || strings.HasPrefix(place, "@"), "event %s: %s is the name of a site, not a placeholder", e.Kind, place)
 		}
 	}
 }
 
+// check checks that an event has a kind, starts within dayLength and has a valid share.
 func (e event) check(t *testing.T) {
 	require.NotEmpty(t, e.Kind)
 	require.Positive(t, e.At)
