--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -21,15 +21,15 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Options are the choices of a cluster.
+// Options configures a Cluster.
 type Options struct {
 	Estate Estate
 	Log    *slog.Logger
-	// Change adjusts the settings of each instance, if set.
+	// Change, if not nil, adjusts the settings of each instance before it starts.
 	Change func(*node.Config)
-	// ChangeTarget adjusts the settings of each target, if set.
+	// ChangeTarget, if not nil, adjusts the settings of each target before it starts.
 	ChangeTarget func(*backend.Settings)
-	// Limits are the platform's rates.
+	// Limits are the rate limits of the platform stand-in.
 	Limits platformstore.Limits
 }
 
@@ -41,7 +41,9 @@
 	Client     *objectstore.Client
 	Runs       *backend.Runs
 	Admissions *AdmissionLog
-	// Links are the halls' ways to the platform, by hall. Each can be cut.
+	// Links holds one server of the platform's store for each hall, by hall. The
+	// instances of a hall reach the platform only through it, so faults of a link
+	// partition that hall from the platform.
 	Links map[string]*platformstore.Server
 
 	options   Options
@@ -52,26 +54,27 @@
 	closers   []func()
 }
 
-// Instance is one running entry instance.
+// Instance is a running instance.
 type Instance struct {
 	*node.Node
 	stop context.CancelFunc
 	done chan error
 }
 
-// Stop stops the instance as planned and waits for its end.
+// Stop shuts the instance down gracefully and returns the error of its run.
 func (i *Instance) Stop() error {
 	i.stop()
 	return <-i.done
 }
 
-// Kill ends the instance at once.
+// Kill ends the instance without a graceful shutdown, as a crash does, and waits
+// until its run has returned.
 func (i *Instance) Kill() {
 	i.Node.Kill()
 	<-i.done
 }
 
-// Target is one running target.
+// Target is a running target and its place in the estate.
 type Target struct {
 	node.Target
 	Hall   string
@@ -79,8 +82,8 @@
 	Server *backend.Server
 }
 
-// Start starts an estate: platform, targets and instances, with the estate's
-// table in force.
+// Start starts the platform stand-in, the targets and the instances of an estate,
+// and returns when every instance is ready and applies the estate's routing table.
 func Start(ctx context.Context, options Options) (*Cluster, error) {
 	c := &Cluster{
 		Estate:     options.Estate,
@@ -151,8 +154,8 @@
 	return ln.Addr().String(), nil
 }
 
-// startTargets spreads each service's targets over the halls and lists them in
-// the platform.
+// startTargets starts the targets of each service, distributed over the halls in
+// turn, and writes the target lists to the platform.
 func (c *Cluster) startTargets(ctx context.Context) error {
 	halls := c.Estate.AllHalls()
 	for _, s := range c.Estate.Services {
@@ -219,8 +222,8 @@
 	return err
 }
 
-// RenewTargets replaces a region's targets, in the platform's list, by new ones
-// at the same addresses.
+// RenewTargets gives the targets of a region new IDs in the platform's lists, at
+// the same addresses, so that instances treat them as new targets.
 func (c *Cluster) RenewTargets(ctx context.Context, region string) error {
 	for _, t := range c.Targets(region) {
 		t.ID += "-new"
@@ -234,7 +237,7 @@
 	return nil
 }
 
-// Targets returns the targets of a region, or of all for "".
+// Targets returns the targets of a region, or those of all regions if region is "".
 func (c *Cluster) Targets(region string) []*Target {
 	var out []*Target
 	for _, hall := range c.Estate.AllHalls() {
@@ -247,7 +250,7 @@
 	return out
 }
 
-// seed writes the table and the blocks.
+// seed writes the routing table and the halls' address blocks to the platform.
 func (c *Cluster) seed(ctx context.Context) error {
 	want := c.Estate.Table()
 	_, err := c.Editor("demo start").Edit(ctx, func(t *table.Table) error {
@@ -260,12 +263,14 @@
 	return lookup.StoreBlocks(ctx, c.Client, c.Estate.Blocks())
 }
 
-// Editor returns an editor of the configuration.
+// Editor returns an editor of the routing table that records what as the command
+// of its changes.
 func (c *Cluster) Editor(what string) *config.Editor {
 	return &config.Editor{Store: c.Client, Operator: "demo", Command: what, NewID: caller.NewKey, Now: time.Now}
 }
 
-// StartInstance starts one entry instance on free addresses.
+// StartInstance starts an instance on free loopback ports. It doesn't wait until
+// the instance is ready.
 func (c *Cluster) StartInstance(region, hall, name string) (*Instance, error) {
 	const any = "127.0.0.1:0"
 	return c.StartInstanceAt(name, member.Instance{
@@ -273,8 +278,8 @@
 	})
 }
 
-// StartInstanceAt starts one entry instance on given addresses, such as those of
-// one that has ended.
+// StartInstanceAt starts an instance on given addresses, such as those of an
+// instance that has ended. It doesn't wait until the instance is ready.
 func (c *Cluster) StartInstanceAt(name string, at member.Instance) (*Instance, error) {
 	hall := at.Hall
 	settings := node.Defaults()
@@ -302,7 +307,8 @@
 	return in, nil
 }
 
-// SetFaults sets the faults of the platform as all halls see it.
+// SetFaults sets the faults of the platform on the links of all halls and on the
+// server that the cluster itself uses.
 func (c *Cluster) SetFaults(f platformstore.Faults) {
 	c.Platform.SetFaults(f)
 	for _, link := range c.Links {
@@ -310,7 +316,8 @@
 	}
 }
 
-// Remove takes an instance off the cluster's list, before it is ended.
+// Remove removes an instance from the cluster's list, so that the Await methods
+// don't wait for it. It doesn't end the instance.
 func (c *Cluster) Remove(old *Instance) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -322,15 +329,16 @@
 	}
 }
 
-// Instances returns the instances started and not removed.
+// Instances returns the instances that have been started and not removed.
 func (c *Cluster) Instances() []*Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*Instance(nil), c.instances...)
 }
 
-// Replace starts a new instance beside an old one and then stops the old one
-// as planned. It returns how long the stop took.
+// Replace starts a new instance in the hall of an old one, waits until all
+// instances are ready, and shuts the old one down gracefully. It returns the
+// duration of the shutdown.
 func (c *Cluster) Replace(ctx context.Context, old *Instance) (time.Duration, error) {
 	self := old.Node.Instance()
 	_, err := c.StartInstance(self.Region, self.Hall, "replacement")
@@ -347,10 +355,12 @@
 	return time.Since(began), err
 }
 
+// pollEvery is the interval at which the Await methods check their condition.
 const pollEvery = 20 * time.Millisecond
 
-// AwaitReady waits until every instance is ready, holds seats and has heard
-// every other one.
+// AwaitReady waits until every instance is ready, holds seats (partitions of the
+// hall's capacity) and has received the state of every other instance. It returns
+// an error if ctx ends first.
 func (c *Cluster) AwaitReady(ctx context.Context) error {
 	return c.await(ctx, func() bool {
 		all := c.Instances()
@@ -364,7 +374,7 @@
 	})
 }
 
-// livePeers returns the number of live instances that one has livePeers.
+// livePeers returns the number of live peers whose state an instance has received.
 func livePeers(st node.Status) int {
 	n := 0
 	for _, p := range st.Peers {
@@ -375,7 +385,8 @@
 	return n
 }
 
-// AwaitVersion waits until every instance has a version in force.
+// AwaitVersion waits until every instance applies a version of the routing table
+// that is at least number. It returns an error if ctx ends first.
 func (c *Cluster) AwaitVersion(ctx context.Context, number int64) error {
 	return c.await(ctx, func() bool {
 		for _, in := range c.Instances() {
@@ -400,13 +411,14 @@
 	return nil
 }
 
-// Caller returns a client that calls from a hall's block of addresses.
+// Caller returns a client whose local address is in the address block of a hall,
+// given by its index in AllHalls.
 func (c *Cluster) Caller(hall int) (*caller.Client, error) {
 	return c.CallerOf(hall, 0)
 }
 
-// CallerOf returns a client that makes at most a number of attempts; 0 leaves
-// the client's default.
+// CallerOf returns a client as Caller does that makes at most the given number of
+// attempts for a request, or the client's default for 0.
 func (c *Cluster) CallerOf(hall, attempts int) (*caller.Client, error) {
 	var bootstrap []string
 	for _, in := range c.Instances() {
@@ -419,7 +431,8 @@
 	})
 }
 
-// Close stops everything at once: instances first, without a planned stop.
+// Close ends all instances without a graceful shutdown, and then the targets and
+// the platform stand-in.
 func (c *Cluster) Close() {
 	for _, in := range c.Instances() {
 		in.Kill()
--- a/internal/demo/drain_test.go
+++ b/internal/demo/drain_test.go
@@ -13,9 +13,9 @@
 	"github.com/rainford/rainford/table"
 )
 
-// TestDrainRegion drains a region whose load the others' caps can't take at
-// once: the region serves what nobody else takes for a few seconds and then gets
-// nothing, and no request is cut.
+// TestDrainRegion drains a region whose load exceeds what the caps of the other regions
+// admit at first. The region must keep serving the excess while the other regions ramp up,
+// receive no requests after a few seconds, and no request may be cut off.
 func TestDrainRegion(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(1)})
 	service := c.Estate.Services[0].Name
@@ -48,6 +48,6 @@
 	st := generator.Stats(service)
 	t.Logf("last new request %.2f s after the drain; %d requests, %d ok, %d not run %v", last.Seconds(), st.Requests, st.OK, st.NotRun, st.Reasons)
 	require.Less(t, last, 5*time.Second)
-	require.Greater(t, last, time.Second, "the region should have served on while the others ramp")
+	require.Greater(t, last, time.Second, "the region should have kept serving while the others ramped up")
 	require.Zero(t, st.Unknown+st.Broken+st.Corrupt)
 }
--- a/internal/demo/estate.go
+++ b/internal/demo/estate.go
@@ -9,28 +9,33 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Estate is the size of one operator's system.
+// Estate describes the deployment of one operator: its regions and services and
+// their sizes.
 type Estate struct {
 	Name     string
 	Regions  []string
 	Services []ServiceSize
-	// PerHall is the number of entry instances of each hall.
+	// PerHall is the number of instances in each hall.
 	PerHall int
 }
 
-// ServiceSize is the size of a service.
+// ServiceSize describes a service and its targets.
 type ServiceSize struct {
-	Name    string
-	Once    bool
+	Name string
+	// Once marks a service whose requests must run at most once.
+	Once bool
+	// Targets is the number of targets in the whole estate, and Slots the number
+	// of requests that each of them runs concurrently.
 	Targets int
 	Slots   int
-	Time    time.Duration
+	// Time is the duration of one request on a target.
+	Time time.Duration
 }
 
-// HallsPerRegion is the number of halls of each region of the estates.
+// HallsPerRegion is the number of halls in each region.
 const HallsPerRegion = 2
 
-// EstateDesk returns the sizes of EstateDesk.
+// EstateDesk returns the estate of the operator EstateDesk.
 func EstateDesk() Estate {
 	return Estate{
 		Name:    "estatedesk",
@@ -44,7 +49,7 @@
 	}
 }
 
-// PampaSerrano returns the sizes of Pampa Serrano.
+// PampaSerrano returns the estate of the operator Pampa Serrano.
 func PampaSerrano() Estate {
 	return Estate{
 		Name:    "pampa",
@@ -58,14 +63,14 @@
 	}
 }
 
-// ByName returns an estate.
+// ByName returns the estate of the given name, or an error if there is none.
 func ByName(name string) (Estate, error) {
 	for _, e := range []Estate{EstateDesk(), PampaSerrano()} {
 		if e.Name == name {
 			return e, nil
 		}
 	}
-	return Estate{}, fmt.Errorf("demo: no estate %q: want estatedesk or pampa", name)
+	return Estate{}, fmt.Errorf("demo: unknown estate %q: want estatedesk or pampa", name)
 }
 
 // Halls returns the halls of a region.
@@ -77,7 +82,9 @@
 	return out
 }
 
-// Settings of the demo's rows.
+// Settings of the routing table that the demo starts with. Weights and caps
+// (requests per second) hold for a row; remoteShift and reservePercent are
+// percentages.
 const (
 	localWeight    = 90
 	remoteWeight   = 5
@@ -87,7 +94,8 @@
 	reservePercent = 20
 )
 
-// Table returns the table that the demo starts with.
+// Table returns the routing table that the demo starts with: one row for each
+// service and pair of regions, with caps on the rows between different regions.
 func (e Estate) Table() *table.Table {
 	t := &table.Table{}
 	for _, r := range e.Regions {
@@ -115,10 +123,12 @@
 	return row
 }
 
-// firstBlock is the second number of the first hall's block of 127.0.0.0/8.
+// firstBlock is the second octet of the first hall's address block, which is a /16
+// of 127.0.0.0/8.
 const firstBlock = 16
 
-// Blocks returns one block of loopback addresses for each hall.
+// Blocks returns one /16 block of loopback addresses for each hall. Clients with an
+// address in a block belong to its hall.
 func (e Estate) Blocks() []lookup.Block {
 	var out []lookup.Block
 	for i, hall := range e.AllHalls() {
@@ -128,7 +138,7 @@
 	return out
 }
 
-// AllHalls returns the halls of all regions.
+// AllHalls returns the halls of all regions, in the order of the regions.
 func (e Estate) AllHalls() []string {
 	var out []string
 	for _, r := range e.Regions {
--- a/internal/demo/fault_test.go
+++ b/internal/demo/fault_test.go
@@ -23,7 +23,7 @@
 	longSeed = flag.Uint64("seed", 1, "seed of the long randomised runs")
 )
 
-// small returns an estate of few targets and one or more instances a hall.
+// small returns an estate with few, fast targets and perHall instances in each hall.
 func small(perHall int) Estate {
 	e := EstateDesk()
 	e.PerHall = perHall
@@ -44,7 +44,7 @@
 	return c
 }
 
-// callers returns one client for each hall.
+// callers returns one client for each hall, with the client's default number of attempts.
 func (c *Cluster) callers(t *testing.T) []*caller.Client { return c.callersOf(t, 0) }
 
 func (c *Cluster) callersOf(t *testing.T, attempts int) []*caller.Client {
@@ -59,7 +59,7 @@
 	return out
 }
 
-// faultInjector brings about random faults until ctx ends.
+// faultInjector injects random faults into the platform, the targets and the instances.
 type faultInjector struct {
 	cluster *Cluster
 	rnd     *rand.Rand
@@ -109,7 +109,7 @@
 	}
 }
 
-// kill ends an instance in the middle of its work and starts another.
+// kill kills a random instance under load and starts another one at its addresses.
 func (f *faultInjector) kill(t *testing.T) {
 	all := f.cluster.Instances()
 	victim := all[f.rnd.IntN(len(all))]
@@ -121,8 +121,8 @@
 	require.NoError(t, err)
 }
 
-// testAtMostOnce sends operations through faults and checks that none ran twice, and
-// that none ran that was said not to have run.
+// testAtMostOnce sends operations while faults are injected. It checks that no operation
+// ran twice, and that none ran that was reported as not run to its client.
 func testAtMostOnce(t *testing.T, seed uint64, length time.Duration) {
 	cluster := startCluster(t, Options{Estate: small(1), Change: func(c *node.Config) { c.DefaultDeadline = 2 * time.Second }})
 	generator := load.NewGenerator()
@@ -150,7 +150,7 @@
 	}
 	require.Zero(t, cluster.Runs.Duplicates(), "operations that ran twice")
 	for _, key := range st.NotRunKeys {
-		require.Zero(t, cluster.Runs.Count(key), "operation %s was said not to have run", key)
+		require.Zero(t, cluster.Runs.Count(key), "operation %s ran although it was reported as not run", key)
 	}
 	require.Zero(t, st.Corrupt)
 	require.Positive(t, st.OK)
--- a/internal/demo/flow.go
+++ b/internal/demo/flow.go
@@ -8,31 +8,32 @@
 	"github.com/rainford/rainford/table"
 )
 
-// AdmissionLog records when requests were admitted to rows, over all instances.
+// AdmissionLog records the times at which the instances of an estate admitted
+// requests to the rows of the routing table. It may be used concurrently.
 type AdmissionLog struct {
 	mu    sync.Mutex
 	times map[table.RowKey][]time.Time
 }
 
-// NewAdmissionLog returns an empty record.
+// NewAdmissionLog returns an empty log.
 func NewAdmissionLog() *AdmissionLog { return &AdmissionLog{times: make(map[table.RowKey][]time.Time)} }
 
-// Record adds one request.
+// Record adds a request that was admitted to a row.
 func (f *AdmissionLog) Record(row table.RowKey, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.times[row] = append(f.times[row], at)
 }
 
-// Count returns the number of requests admitted to a row.
+// Count returns the number of requests that were admitted to a row.
 func (f *AdmissionLog) Count(row table.RowKey) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.times[row])
 }
 
-// MaxPerWindow returns the most requests admitted to a row within any sliding
-// window, of those admitted at or after a time.
+// MaxPerWindow returns the largest number of requests that were admitted to a row
+// in any sliding window of table.CapWindow. Requests before since don't count.
 func (f *AdmissionLog) MaxPerWindow(row table.RowKey, since time.Time) int {
 	f.mu.Lock()
 	times := append([]time.Time(nil), f.times[row]...)
--- a/internal/demo/gateway.go
+++ b/internal/demo/gateway.go
@@ -18,17 +18,19 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// GatewayOptions are the choices of a run of gateways.
+// GatewayOptions configures RunGateways.
 type GatewayOptions struct {
-	// Duration is how long requests are sent, and Rate how many a second.
+	// Duration is the time for which requests are sent, and Rate their number per
+	// second.
 	Duration time.Duration
 	Rate     float64
-	// Progress gets a line for each step, io.Discard for none.
+	// Progress receives a line for each step. It must not be nil; io.Discard drops
+	// the lines.
 	Progress io.Writer
 }
 
-// The estate of the gateways: two regions of two halls, each hall with an instance and
-// a few targets of each service.
+// gatewayHalls maps each hall of the gateways' estate to its region: two regions with
+// two halls each. Each hall has one instance and a few targets of each service.
 var gatewayHalls = map[string]string{"accra-a": "accra", "accra-b": "accra", "kumasi-a": "kumasi", "kumasi-b": "kumasi"}
 
 const (
@@ -36,12 +38,12 @@
 	targetsPerHall = 2
 	targetSlots    = 6
 	targetWork     = 15 * time.Millisecond
-	// propagationTime is how long a change may take to be in force, by the promise that a
-	// leaving target gets no new work after a few seconds.
+	// propagationTime is the time after which every instance must apply a change. Targets
+	// that leave must not receive new requests after a few seconds.
 	propagationTime = time.Second
 )
 
-// gatewayEstate is a running estate of gateways.
+// gatewayEstate is a running estate of instances that run package gateway.
 type gatewayEstate struct {
 	options   GatewayOptions
 	store     *objects.Store
@@ -60,11 +62,21 @@
 	done   chan struct{}
 }
 
-// RunGateways starts an estate of gateways with stand-ins of the store and of targets
-// in this process, sends requests while a configuration changes, a hall is emptied, a
-// target leaves and an instance stops, keys are taken away, a request ends each target that
-// runs it, targets say themselves that they leave or want rest, and an account sends three
-// times what it may, and reports what held.
+// RunGateways starts an estate of instances in this process, with stand-ins of the
+// store and of the targets, and sends requests while faults and changes occur. The
+// steps are:
+//
+//   - a new configuration is written;
+//   - a client account's key is revoked;
+//   - a hall is evacuated and returns to service;
+//   - a request crashes each target that runs it;
+//   - a target refuses requests with a back-off time, and one announces its departure
+//     in its responses;
+//   - a target leaves by its entry in the store;
+//   - an instance shuts down gracefully.
+//
+// One client account sends three times its rate limit throughout. The report lists
+// the invariants that were violated.
 func RunGateways(ctx context.Context, options GatewayOptions) (*GatewayReport, error) {
 	e := &gatewayEstate{options: options, store: objects.New(), observer: newObserver()}
 	defer e.close()
@@ -114,8 +126,9 @@
 	return e.await(ctx, estateKey, "/read/1/", http.StatusOK)
 }
 
-// configure writes a configuration. Version n has a route /read/n/ that earlier ones
-// lack. WithTaken tells whether the key that is taken away is still there.
+// configure writes a configuration to the store. Version n has a route /read/n/ that
+// earlier versions lack, so that a request shows whether an instance applies it.
+// withTaken includes revokedKey among the keys of its client account.
 func (e *gatewayEstate) configure(version int, withTaken bool) {
 	route := func(prefix, service, kind string) objects.Route {
 		return objects.Route{Host: gatewayHost, PathPrefix: prefix, RouteType: kind, Timeout: "2s", TargetLatency: "200ms",
@@ -146,6 +159,7 @@
 	return nil
 }
 
+// record writes the entry of a target to the store.
 func (e *gatewayEstate) record(t *origin.Server, state string) {
 	e.store.SetServer(t.ID, objects.Server{Service: t.Service, Address: t.Addr(), Zone: t.Zone, Slots: t.Slots, State: state,
 		WarmupRemaining: "0ms", Sequence: 1})
@@ -179,10 +193,11 @@
 	return nil
 }
 
-// errNotInForce says that a change was not in force in time.
-var errNotInForce = errors.New("a change was not in force in time")
+// errNotInForce reports that an instance didn't apply a change before the timeout.
+var errNotInForce = errors.New("change not in force before the timeout")
 
-// await waits until every instance answers a request with a key for a path with a status.
+// await waits until every instance answers a request for path that carries key with
+// the given status. It returns an error if an instance doesn't within 10 s.
 func (e *gatewayEstate) await(ctx context.Context, key, path string, status int) error {
 	const longest = 10 * time.Second
 	end := time.Now().Add(longest)
@@ -201,7 +216,7 @@
 	return nil
 }
 
-// steps makes the changes of the run, each after a part of its length.
+// steps makes the changes of the run, with a tenth of the run's duration between them.
 func (e *gatewayEstate) steps(ctx context.Context, report *GatewayReport) error {
 	const parts = 10
 	part := e.options.Duration / parts
@@ -223,34 +238,34 @@
 		return err
 	}
 	report.KeyGone = time.Since(began)
-	say("a key that was taken away opens nothing after %v", report.KeyGone.Round(time.Millisecond))
+	say("revoked key rejected by all instances after %v", report.KeyGone.Round(time.Millisecond))
 	pause.For(ctx, part)
 	e.store.Evacuate("kumasi-a")
-	say("kumasi-a is to be emptied")
+	say("hall kumasi-a is evacuated")
 	e.observer.forbid(func(t *origin.Server) bool { return t.Zone == "kumasi-a" }, time.Now().Add(propagationTime))
 	pause.For(ctx, part)
 	e.observer.allow()
 	e.store.CancelEvacuation("kumasi-a")
-	say("kumasi-a is back")
+	say("hall kumasi-a returns to service")
 	pause.For(ctx, part)
 	report.Ended, err = e.sendCrashing(ctx)
 	if err != nil {
 		return err
 	}
-	say("%d targets ended under a request that ends each that runs it, sent %d times", report.Ended, crashSends)
+	say("%d targets crashed under a request that crashes each target that runs it, sent %d times", report.Ended, crashSends)
 	pause.For(ctx, part)
 	busy := e.busiest()
 	overloaded, announcing, leaving := busy[0], busy[1], busy[2]
 	report.Rested = e.requestBackOff(ctx, overloaded)
-	say("%s asked for rest and got %d requests in %v", overloaded.ID, report.Rested, refusalTime)
+	say("%s requested a back-off and refused %d requests in %v", overloaded.ID, report.Rested, refusalTime)
 	err = e.leaveByNotice(ctx, announcing)
 	if err != nil {
 		return err
 	}
-	say("%s says in its answers that it leaves", announcing.ID)
+	say("%s announces its departure in its responses", announcing.ID)
 	pause.For(ctx, part)
 	e.record(leaving, objects.Draining)
-	say("%s leaves", leaving.ID)
+	say("%s leaves by its entry in the store", leaving.ID)
 	e.observer.forbid(func(t *origin.Server) bool { return t == leaving || t == announcing }, time.Now().Add(propagationTime))
 	pause.For(ctx, part)
 	began = time.Now()
--- a/internal/demo/gateway_test.go
+++ b/internal/demo/gateway_test.go
@@ -9,8 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRunGateways runs the gateways' demo and checks that every invariant held and
-// that most requests were served.
+// TestRunGateways runs the demo of the gateways and checks that no invariant was
+// violated, that more than half of the requests were served, and that each fault
+// had an effect.
 func TestRunGateways(t *testing.T) {
 	report, err := RunGateways(context.Background(), GatewayOptions{Duration: 9 * time.Second, Rate: 100, Progress: io.Discard})
 	require.NoError(t, err)
--- a/internal/demo/gatewayaccounts.go
+++ b/internal/demo/gatewayaccounts.go
@@ -10,8 +10,8 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// The client accounts of the estate of gateways: one without a limit, whose first key is
-// taken away on the way, and one that sends three times what it may.
+// The client accounts of the gateways' estate: one without a rate limit, whose first key
+// is revoked during the run, and one that sends three times its rate limit.
 const (
 	estateAccount = "estate"
 	estateKey     = "estate-key-2"
@@ -19,20 +19,21 @@
 	busyAccount   = "busy"
 	busyKey       = "busy-key-1"
 
-	// busyEvery is one in how many requests is the busy account's, and busyShare the part
-	// of the rate of these that it may send.
+	// One in busyEvery requests belongs to the busy account. Its rate limit is the
+	// fraction busyShare of the rate at which it sends.
 	busyEvery = 3
 	busyShare = 1.0 / 3
 )
 
-// busyLimit is the limit of the busy account.
+// busyLimit returns the rate limit of the busy account. Its burst is one second's
+// requests.
 func (o *GatewayOptions) busyLimit() ratelimit.Limit {
 	rate := o.Rate / busyEvery * busyShare
 	return ratelimit.Limit{Rate: rate, Burst: rate}
 }
 
-// tenants returns the accounts as the configuration lists them, with or without the key
-// that is taken away.
+// tenants returns the client accounts in the form of the configuration. withTaken
+// includes revokedKey.
 func (e *gatewayEstate) tenants(withTaken bool) map[string]objects.Tenant {
 	keys := []string{estateKey}
 	if withTaken {
@@ -45,7 +46,7 @@
 	}
 }
 
-// keyOf returns the key of the request of a number.
+// keyOf returns the key that request number n carries.
 func keyOf(n int) string {
 	if n%busyEvery == 0 {
 		return busyKey
@@ -53,7 +54,8 @@
 	return estateKey
 }
 
-// recordAccount notes what a target learns of an account. The caller holds mu.
+// recordAccount records whether a request reached a target with its client's key, and
+// the runs of the busy account. The caller holds mu.
 func (o *observer) recordAccount(a origin.Arrival) {
 	if a.Header.Get("Credential") != "" {
 		o.keysSeen++
@@ -63,8 +65,9 @@
 	}
 }
 
-// reportAccounts judges what reached the targets by the accounts' keys and limits. The
-// caller holds mu.
+// reportAccounts adds violations to the report: requests that reached targets with
+// their client's key, and a busy account that exceeded its rate limit or was never
+// served. The caller holds mu.
 func (o *observer) reportAccounts(r *GatewayReport, limit ratelimit.Limit) {
 	if o.keysSeen > 0 {
 		r.Broken = append(r.Broken, fmt.Sprintf("%d requests reached targets with their key", o.keysSeen))
--- a/internal/demo/gatewayending.go
+++ b/internal/demo/gatewayending.go
@@ -15,17 +15,20 @@
 )
 
 const (
-	// crashPath is that of a request that ends each target that runs it.
+	// crashPath is the path of the request that crashes each target that runs it.
 	crashPath = "/read/1/ends-targets"
-	// crashSends is how often it is sent, and endingEvery the time between.
+	// crashSends is the number of times that the request is sent, and crashInterval
+	// the time between two of them.
 	crashSends    = 40
 	crashInterval = 20 * time.Millisecond
-	// maxCrashes is the largest number of targets that may end under it.
+	// maxCrashes is the largest number of targets that the request may crash before
+	// the instances have quarantined it.
 	maxCrashes = 6
 )
 
-// sendCrashing sends a request that ends each target that runs it to the instances in turn, and
-// returns how many targets ended. Others take their place afterwards.
+// sendCrashing sends a request that crashes each target that runs it to the instances in
+// turn, and returns the number of targets that crashed. It starts a new target in place of
+// each of them.
 func (e *gatewayEstate) sendCrashing(ctx context.Context) (int, error) {
 	var mu sync.Mutex
 	var ended []*origin.Server
--- a/internal/demo/gatewayload.go
+++ b/internal/demo/gatewayload.go
@@ -14,21 +14,24 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// observer notes what reaches the targets.
+// observer records the requests that reach the targets.
 type observer struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// runs counts the runs of each request, by its ID.
 	runs map[string]int
-	// forbidden names targets that are to get nothing from since on.
+	// forbidden reports whether a target must not receive requests after since, and
+	// forbiddenArrivals counts the requests that it received nevertheless.
 	forbidden         func(*origin.Server) bool
 	since             time.Time
 	forbiddenArrivals int
-	byHall            map[string]int
-	byTarget          map[*origin.Server]int
-	// keysSeen counts the requests that came with their key, and busy are the runs of the
-	// account with a limit.
+	// byHall and byTarget count the requests that arrived, including refused ones.
+	byHall   map[string]int
+	byTarget map[*origin.Server]int
+	// keysSeen counts the requests that carried their client's key, and busy holds the
+	// arrival times of the executed requests of the client account with a rate limit.
 	keysSeen int
 	busy     []time.Time
-	// rested counts the requests that targets turned away as they rest.
+	// rested counts the requests that targets refused with a back-off time.
 	rested int
 }
 
@@ -36,6 +39,7 @@
 	return &observer{runs: make(map[string]int), byHall: make(map[string]int), byTarget: make(map[*origin.Server]int)}
 }
 
+// arrived records the arrival of a request at a target.
 func (o *observer) arrived(a origin.Arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -53,28 +57,34 @@
 	}
 }
 
+// forbid makes every arrival after since at one of the targets count as a violation.
 func (o *observer) forbid(targets func(*origin.Server) bool, since time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.forbidden, o.since = targets, since
 }
 
+// allow ends the effect of forbid.
 func (o *observer) allow() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.forbidden = nil
 }
 
-// clientResponse is what a client got.
+// clientResponse is the outcome of a request as its client observed it. Its status is
+// 0 if the client got no response.
 type clientResponse struct {
-	id            string
+	id string
+	// nonIdempotent marks a request that must run at most once.
 	nonIdempotent bool
 	status        int
-	complete      bool
-	took          time.Duration
+	// complete means that the body arrived to its end and belongs to this request.
+	complete bool
+	took     time.Duration
 }
 
-// sendTo sends one request of a client to an instance.
+// sendTo sends a request to the instance at addr. id identifies the request in the
+// responses and at the targets.
 func sendTo(ctx context.Context, addr, key, id, method, path string, body []byte) clientResponse {
 	began := time.Now()
 	a := clientResponse{id: id}
@@ -99,8 +109,8 @@
 	return a
 }
 
-// gatewayLoad sends requests to the instances in turn, those of stopping ones
-// included until they are gone.
+// gatewayLoad sends requests to all instances in turn, including instances that shut
+// down or have ended, and records the responses.
 type gatewayLoad struct {
 	estate  *gatewayEstate
 	options GatewayOptions
@@ -134,8 +144,8 @@
 	}()
 }
 
-// request sends the request of a number. Each fifth must run at most once, and each
-// twentieth has a large body.
+// request sends request number n. Each fifth request must run at most once, and each
+// twentieth is an upload with a large body.
 func (l *gatewayLoad) request(n int) {
 	defer l.group.Done()
 	const onceEvery, uploadEvery, uploadBytes = 5, 20, 60_000
--- a/internal/demo/gatewayreport.go
+++ b/internal/demo/gatewayreport.go
@@ -11,40 +11,43 @@
 	"github.com/rainford/rainford/ratelimit"
 )
 
-// GatewayReport is the result of a run of gateways.
+// GatewayReport is the result of RunGateways.
 type GatewayReport struct {
-	// Requests were sent; of these some were served, refused without having run,
-	// or ended otherwise. Unreached ones found no instance at their address.
+	// Requests is the number of requests that were sent. Served counts complete
+	// responses with status 200, Refused those with status 503, and Failed those with
+	// any other status.
 	Requests int `json:"requests"`
 	Served   int `json:"served"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
-	// TurnedAway were beyond their account's limit.
+	// TurnedAway counts the requests that exceeded the rate limit of their client
+	// account (status 429), and Unreached those without a response, such as requests
+	// to an instance that has ended.
 	TurnedAway int `json:"turned_away"`
 	Unreached  int `json:"unreached"`
-	// P50 and P99 are of served requests.
+	// P50 and P99 are latency percentiles of the served requests.
 	P50 time.Duration `json:"p50_ns"`
 	P99 time.Duration `json:"p99_ns"`
-	// InForce is the time until the new configuration was in force at every
-	// instance, and Stop the length of the planned stop.
+	// InForce is the time until every instance applied the new configuration, and
+	// Stop the duration of the graceful shutdown.
 	InForce time.Duration `json:"in_force_ns"`
 	Stop    time.Duration `json:"stop_ns"`
-	// KeyGone is the time until a key that was taken away opened nothing at any instance.
+	// KeyGone is the time until every instance rejected the revoked key.
 	KeyGone time.Duration `json:"key_gone_ns"`
-	// Ended is the number of targets that ended under a request that ends each that runs
-	// it.
+	// Ended is the number of targets that crashed under the request that crashes each
+	// target that runs it.
 	Ended int `json:"ended"`
-	// Rested is the number of requests that a target turned away that asked for rest.
+	// Rested is the number of requests that a target refused with a back-off time.
 	Rested int `json:"rested"`
-	// ByHall counts the arrivals at the targets of each hall.
+	// ByHall counts the requests that reached the targets of each hall.
 	ByHall map[string]int `json:"by_hall"`
-	// Broken lists the invariants that did not hold.
+	// Broken lists the invariants that were violated.
 	Broken []string `json:"broken"`
 
 	answers []clientResponse
 }
 
-// report takes in what clients got.
+// report adds the responses that the clients got to the report.
 func (l *gatewayLoad) report(r *GatewayReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,7 +78,8 @@
 	}
 }
 
-// report takes in what reached the targets and judges the answers by it.
+// report adds the arrivals at the targets to the report, and the violations that follow
+// from them and from the clients' responses.
 func (o *observer) report(r *GatewayReport, limit ratelimit.Limit) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/demo/gatewaywords.go
+++ b/internal/demo/gatewaywords.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// refusalTime is how long a target turns away all it gets, and asksFor the rest that it asks
-	// for each time.
+	// refusalTime is the time for which a target refuses all requests, and backOff the
+	// Retry-After that it sends with each refusal.
 	refusalTime = 1500 * time.Millisecond
 	backOff     = 500 * time.Millisecond
-	// maxDuringBackOff is the number of requests that may reach a target from an instance in a rest
-	// that it asked for, after the one that it turned away.
+	// maxDuringBackOff is the number of requests from one instance that may reach a target
+	// during the back-off time that it requested, after the one that it refused.
 	maxDuringBackOff = 2
 )
 
-// busiest returns the targets, those that have had the most requests so far first. Requests of one
-// route have an object each, so that some targets get next to none.
+// busiest returns the targets by descending number of received requests. The requests of a
+// route use only a few objects, so that some targets receive almost no requests.
 func (e *gatewayEstate) busiest() []*origin.Server {
 	e.observer.mu.Lock()
 	defer e.observer.mu.Unlock()
@@ -34,8 +34,9 @@
 	return out
 }
 
-// leaveByNotice has a target say in its answers that it leaves, its entry in the store saying that it
-// serves, and forbids what reaches it once all can know.
+// leaveByNotice makes a target announce its departure in its responses while its entry in the
+// store still says that it serves. Requests that reach it later than propagationTime after the
+// first such response count as violations.
 func (e *gatewayEstate) leaveByNotice(ctx context.Context, t *origin.Server) error {
 	var once sync.Once
 	heard := make(chan struct{})
@@ -53,14 +54,15 @@
 	return nil
 }
 
-// noticeTimeout is how long a target may get nothing before it can't tell anybody that it leaves.
+// noticeTimeout is the longest time that a target waits for a request whose response can
+// announce its departure.
 const noticeTimeout = 10 * time.Second
 
-// errNoRequest says that a target got no request to say something to.
-var errNoRequest = errors.New("a target got no request")
+// errNoRequest reports that a target received no request within noticeTimeout.
+var errNoRequest = errors.New("target received no request")
 
-// requestBackOff has a target turn away all it gets for a while and ask for requestBackOff, and returns how many
-// requests it turned away.
+// requestBackOff makes a target refuse all requests with a Retry-After for refusalTime, and
+// returns the number of requests that it refused.
 func (e *gatewayEstate) requestBackOff(ctx context.Context, t *origin.Server) int {
 	before := e.observer.turnedAway()
 	t.SetRetryAfter(time.Now().Add(refusalTime), backOff)
@@ -68,21 +70,22 @@
 	return e.observer.turnedAway() - before
 }
 
-// maxTurnedAway is the number of requests that a target may turn away in tiredFor if its rests
-// are kept.
+// maxTurnedAway returns the largest number of requests that a target refuses in refusalTime if
+// the instances respect its back-off times.
 func (e *gatewayEstate) maxTurnedAway() int {
 	rests := int(refusalTime/backOff) + 1
 	return rests * len(e.instances) * (1 + maxDuringBackOff)
 }
 
-// turnedAway returns the number of requests that targets turned away as they rest.
+// turnedAway returns the number of requests that targets refused with a back-off time.
 func (o *observer) turnedAway() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.rested
 }
 
-// reportBackOff judges what reached targets that had spoken of themselves.
+// reportBackOff adds a violation to the report if the instances didn't respect the back-off
+// times of a target.
 func (e *gatewayEstate) reportBackOff(r *GatewayReport) {
 	if most := e.maxTurnedAway(); r.Rested > most {
 		r.Broken = append(r.Broken, fmt.Sprintf("a target that asked for rest got %d requests, %d at most", r.Rested, most))
--- a/internal/demo/invariant_test.go
+++ b/internal/demo/invariant_test.go
@@ -25,7 +25,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// versionWatch follows the versions in force and finds one that falls.
+// versionWatch polls the versions that the instances apply and detects a version that
+// decreases.
 type versionWatch struct {
 	cluster *Cluster
 	stop    chan struct{}
@@ -56,12 +57,14 @@
 	}
 }
 
+// end stops the polling and reports whether a version decreased.
 func (w *versionWatch) end() bool {
 	close(w.stop)
 	<-w.done
 	return w.fell
 }
 
+// setWeight changes the weight of the first row and returns the new version.
 func (c *Cluster) setWeight(t *testing.T, n int) int64 {
 	t.Helper()
 	change, err := c.Editor("weight").Edit(context.Background(), func(tab *table.Table) error {
@@ -72,6 +75,7 @@
 	return change.Number
 }
 
+// requireInForce checks that a version comes into force at every instance within a minute.
 func (c *Cluster) requireInForce(t *testing.T, what string, number int64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -81,16 +85,16 @@
 	t.Logf("%s: in force everywhere after %.3f s", what, time.Since(began).Seconds())
 }
 
-// TestConfigurationThroughFaults brings about each failure that the fourth
-// invariant names and checks that an accepted change comes in force everywhere
-// and that no instance ever goes back.
+// TestConfigurationThroughFaults injects the platform's failures (partitioned halls, stale
+// reads, lost replies, an outage) and checks that each accepted change comes into force at
+// every instance and that no instance ever returns to an older version.
 func TestConfigurationThroughFaults(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(2)})
 	w := watchVersions(c)
 	c.requireInForce(t, "no fault", c.setWeight(t, 11))
 
 	c.Links["accra-1"].SetFaults(platformstore.Faults{Down: true})
-	c.requireInForce(t, "hall cut from the platform only", c.setWeight(t, 12))
+	c.requireInForce(t, "one hall partitioned from the platform", c.setWeight(t, 12))
 	c.SetFaults(platformstore.Faults{})
 
 	c.SetFaults(platformstore.Faults{StaleReads: true})
@@ -99,7 +103,7 @@
 		return nil
 	})
 	var conflict *config.ConflictError
-	require.ErrorAs(t, err, &conflict, "an edit of a cell as it was before the last change")
+	require.ErrorAs(t, err, &conflict, "an edit of a cell that is based on its value before the last change")
 	change, err := c.Editor("stale").Edit(context.Background(), func(tab *table.Table) error {
 		tab.Rows[1].Weight = 13
 		return nil
@@ -114,7 +118,7 @@
 		c.Links[hall].SetFaults(platformstore.Faults{Down: true})
 	}
 	number := c.setWeight(t, 15)
-	c.requireInForce(t, "all halls but one cut from the platform", number)
+	c.requireInForce(t, "all halls but one partitioned from the platform", number)
 	c.SetFaults(platformstore.Faults{Down: true})
 
 	self := c.Instances()[0].Node.Instance()
@@ -127,11 +131,11 @@
 
 	c.SetFaults(platformstore.Faults{})
 	c.requireInForce(t, "after the outage", c.setWeight(t, 16))
-	require.False(t, w.end(), "a version fell")
+	require.False(t, w.end(), "an instance returned to an older version")
 }
 
-// TestNotReadyWithoutTable checks that an instance that finds neither the
-// platform nor peers says so, and refuses at once.
+// TestNotReadyWithoutTable checks that an instance that reaches neither the platform nor
+// peers reports itself as not ready and refuses requests immediately.
 func TestNotReadyWithoutTable(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(1)})
 	c.Links["accra-1"].SetFaults(platformstore.Faults{Down: true})
@@ -149,7 +153,7 @@
 	require.NotEmpty(t, resp.Header.Get("Retry-After"))
 }
 
-// slowBody trickles its data.
+// slowBody returns at most chunk bytes from each Read, after a pause.
 type slowBody struct {
 	*bytes.Reader
 	chunk int
@@ -163,7 +167,8 @@
 
 func (b *slowBody) Close() error { return nil }
 
-// slowUpload sends data over about a time and returns the answer's digest.
+// slowUpload sends data over about the given duration and checks the digest in the
+// response. It retries when the request was refused with a Retry-After.
 func slowUpload(client *caller.Client, service string, data []byte, over time.Duration) error {
 	const chunks = 100
 	req := caller.Request{Service: service, Method: http.MethodPost, Path: "/scan", Length: int64(len(data))}
@@ -195,9 +200,10 @@
 	return nil
 }
 
-// TestLeavingTarget drains one target by the table and has another leave by
-// the platform's list, each with a long upload in flight and a health endpoint
-// that lies.
+// TestLeavingTarget drains one target in the routing table and marks another as leaving in
+// the platform's target list, both with long uploads in flight. The health endpoints of
+// both keep reporting success. Neither target may receive new requests after 5 s, and no
+// upload may be cut off.
 func TestLeavingTarget(t *testing.T) {
 	estate := small(1)
 	estate.Services[0].Targets = 12
@@ -254,14 +260,15 @@
 	t.Logf("%d requests, %d ok, %d not run %v", st.Requests, st.OK, st.NotRun, st.Reasons)
 }
 
-// uploadTime is longer than an instance lingers, so that a stop meets uploads.
+// uploadTime is longer than the time for which a stopping instance keeps accepting requests,
+// so that uploads are in flight when it shuts down.
 const uploadTime = 8 * time.Second
 
-// TestRollingRestart replaces every instance under load, with uploads of
-// several seconds in flight and callers on stale look-ups.
+// TestRollingRestart replaces every instance under load, while uploads of several seconds
+// are in flight and clients use outdated lookup results. No request may be cut off.
 func TestRollingRestart(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(1)})
-	// One attempt only: a second one would hide that the first was cut.
+	// A second attempt would hide that the first one was cut off.
 	clients := c.callersOf(t, 1)
 	reads, pays := c.Estate.Services[0].Name, c.Estate.Services[1].Name
 	generator := load.NewGenerator()
@@ -284,7 +291,7 @@
 		uploads.Add(1)
 		go func() {
 			defer uploads.Done()
-			// Staggered, so that some are always far from their end.
+			// The uploads are staggered, so that some of them always have far to go.
 			time.Sleep(time.Duration(i) * 500 * time.Millisecond)
 			for ctx.Err() == nil {
 				err := slowUpload(clients[i%len(clients)], reads, backend.Blob(200_000), uploadTime)
@@ -311,7 +318,7 @@
 	t.Logf("%d uploads of %s, none cut", sent, uploadTime)
 }
 
-// replaceAll replaces the instances one after the other, three at a time.
+// replaceAll replaces all instances, three at a time.
 func (c *Cluster) replaceAll(t *testing.T) {
 	all := c.Instances()
 	for from := 0; from < len(all); from += 3 {
@@ -333,8 +340,8 @@
 	}
 }
 
-// TestWholeAnswers has targets break answers midway and callers go away, and
-// checks every answer that looks whole against its digest.
+// TestWholeAnswers makes targets break off responses and clients cancel requests, and
+// checks the digest of every response that appears complete.
 func TestWholeAnswers(t *testing.T) {
 	c := startCluster(t, Options{Estate: small(1)})
 	for _, target := range c.Targets("") {
@@ -364,14 +371,14 @@
 	require.Positive(t, st.OK)
 }
 
-// patientTimeout is a deadline that no request reaches, also where the test gets
-// little of the processor: an attempt whose deadline passes ends unknown, which says
-// nothing of slots.
+// patientTimeout is a timeout that no request reaches, even on a machine under load. An
+// attempt that times out has an unknown outcome, which would not indicate a target that
+// exceeds its slots.
 const patientTimeout = 20 * time.Second
 
-// TestNoTargetOverSlots sends one and a half times what the targets carry, then
-// halves what one region's targets truly carry, and checks what each target was
-// offered at a time.
+// TestNoTargetOverSlots offers 1.5 times the capacity of the targets and then halves the
+// actual capacity of one region's targets. No target may ever receive more concurrent
+// requests than its slots.
 func TestNoTargetOverSlots(t *testing.T) {
 	estate := small(2)
 	estate.Services = estate.Services[:1]
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -10,17 +10,17 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Report is the result of a demo.
+// Report is the result of Run.
 type Report struct {
 	Rows     []RowReport     `json:"rows"`
 	Services []ServiceReport `json:"services"`
 	Drain    DrainReport     `json:"drain"`
 	Config   ConfigReport    `json:"config"`
-	// Broken lists the invariants that did not hold.
+	// Broken lists the invariants that were violated.
 	Broken []string `json:"broken"`
 }
 
-// RowReport is the flow on one row.
+// RowReport describes the requests that were admitted to one row of the routing table.
 type RowReport struct {
 	Service string `json:"service"`
 	From    string `json:"from"`
@@ -28,15 +28,18 @@
 	Weight  int    `json:"weight"`
 	// Cap is -1 for a row without a cap.
 	Cap int `json:"cap"`
-	// Share is the part of (service, from) that the row carried, in percent.
-	Share       float64 `json:"share"`
-	Carried     int     `json:"carried"`
-	WorstWindow int     `json:"worst_window"`
-	// limit is the highest cap that was in force.
+	// Share is the percentage of the requests for Service from From that were
+	// admitted to this row.
+	Share float64 `json:"share"`
+	// Carried is the number of requests that were admitted to the row, and
+	// WorstWindow the largest number in any sliding window of table.CapWindow.
+	Carried     int `json:"carried"`
+	WorstWindow int `json:"worst_window"`
+	// limit is the cap that WorstWindow must not exceed.
 	limit int
 }
 
-// ServiceReport is what became of a service's requests.
+// ServiceReport counts the requests for one service by outcome.
 type ServiceReport struct {
 	Service   string  `json:"service"`
 	Requests  int64   `json:"requests"`
@@ -47,32 +50,36 @@
 	P99Ms     float64 `json:"p99_ms"`
 	RunTwice  int     `json:"run_twice"`
 	Truncated int64   `json:"truncated"`
-	// Skipped counts arrivals that the generator had no room for.
+	// Skipped counts the requests that the load generator didn't send because too many
+	// were in flight.
 	Skipped int64 `json:"skipped"`
 }
 
-// DrainReport is the drain of a region.
+// DrainReport describes the drain of a region: the time until its targets started their
+// last request, and the number of requests that were cut off.
 type DrainReport struct {
 	Region           string  `json:"region"`
 	SecondsToLastNew float64 `json:"seconds_to_last_new"`
 	CutRequests      int64   `json:"cut_requests"`
 }
 
-// ConfigReport is how changes came in force.
+// ConfigReport gives the number of changes to the routing table and the longest time
+// until one of them was in force at every instance.
 type ConfigReport struct {
 	Changes               int     `json:"changes"`
 	WorstSecondsToInForce float64 `json:"worst_seconds_to_in_force"`
 }
 
 const (
-	// maxDrainSeconds is the time after which a drained region must get no
-	// new work.
+	// maxDrainSeconds is the time after which the targets of a drained region must
+	// receive no new requests.
 	maxDrainSeconds = 10
-	// maxInForceSeconds is the time within which a change must be in force.
+	// maxInForceSeconds is the time within which a change must be in force at every
+	// instance.
 	maxInForceSeconds = 14
 )
 
-// check lists the invariants that the report shows to be broken.
+// check sets Broken to the invariants that the figures of the report violate.
 func (r *Report) check() {
 	r.Broken = []string{}
 	add := func(format string, args ...any) { r.Broken = append(r.Broken, fmt.Sprintf(format, args...)) }
@@ -128,7 +135,7 @@
 	return nil
 }
 
-// serviceReport sums up one service.
+// serviceReport converts the statistics of the load generator for one service.
 func serviceReport(name string, st *load.Stats, runTwice int) ServiceReport {
 	const micros = 1000
 	return ServiceReport{
@@ -145,8 +152,9 @@
 	}
 }
 
-// rowReports sums up the rows. Since bounds the windows to those after the
-// caps named were in force.
+// rowReports returns a report for each row of t. For a row in caps, windows after the
+// lowered cap came into force are compared with that cap, and all windows with the cap
+// before.
 func rowReports(t *table.Table, flow *AdmissionLog, caps map[table.RowKey]loweredCap) []RowReport {
 	sums := make(map[[2]string]int)
 	for _, row := range t.Rows {
@@ -167,7 +175,7 @@
 		if span, ok := caps[row.Key()]; ok {
 			r.limit = span.before
 			if flow.MaxPerWindow(row.Key(), span.lowered) > row.Cap {
-				// Over the lowered cap: report against that one.
+				// The lowered cap was exceeded: report the windows after the change.
 				r.limit = row.Cap
 				r.WorstWindow = flow.MaxPerWindow(row.Key(), span.lowered)
 			}
@@ -180,8 +188,8 @@
 	return out
 }
 
-// loweredCap is a cap that was lowered: the cap before, and one window after the
-// lower one was in force everywhere.
+// loweredCap describes a cap that was lowered during the run: the cap before the
+// change, and the time one window after the lower cap came into force at every instance.
 type loweredCap struct {
 	before  int
 	lowered time.Time
--- a/internal/demo/restored_test.go
+++ b/internal/demo/restored_test.go
@@ -11,9 +11,10 @@
 	"github.com/rainford/rainford/table"
 )
 
-// TestConfigurationOutlastsARestoredPlatform checks that a change of the table that was accepted stays in force
-// when the platform comes back from a copy that lacks it, is written again, and that a later one comes into
-// force at every instance though its version was given out before.
+// TestConfigurationOutlastsARestoredPlatform restores the platform from a backup that lacks
+// accepted changes of the routing table. The accepted table must stay in force and be
+// written to the platform again. A later change must come into force at every instance
+// although its version had already been assigned before the restore.
 func TestConfigurationOutlastsARestoredPlatform(t *testing.T) {
 	cluster := startCluster(t, Options{Estate: small(1)})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -15,21 +15,22 @@
 	"github.com/rainford/rainford/table"
 )
 
-// RunOptions are the choices of a demo.
+// RunOptions configures Run.
 type RunOptions struct {
 	Estate   Estate
 	Duration time.Duration
-	// Rate is the number of requests a second of the whole estate.
+	// Rate is the nominal number of requests per second of the whole estate.
 	Rate float64
 	Seed uint64
-	// Progress gets a line for each step.
+	// Progress receives a line for each step. It must not be nil.
 	Progress io.Writer
 }
 
+// startTimeout bounds the start of the estate.
 const startTimeout = 30 * time.Second
 
-// Run starts an estate, sends a mixed load, raises a weight, lowers a cap and
-// drains a region on the way, and reports.
+// Run starts an estate and sends a mixed load. During the load it raises a weight,
+// lowers a cap and drains a region. The report lists the invariants that were violated.
 func Run(ctx context.Context, options RunOptions) (*Report, error) {
 	d := &demo{options: options, caps: make(map[table.RowKey]loweredCap), generator: load.NewGenerator()}
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout)
@@ -44,6 +45,7 @@
 	return d.run(ctx)
 }
 
+// demo is the state of a run.
 type demo struct {
 	options   RunOptions
 	cluster   *Cluster
@@ -78,7 +80,7 @@
 	return d.finish(ctx)
 }
 
-// startLoad starts one stream for each service and hall.
+// startLoad starts the streams of the mix with one client in each hall.
 func (d *demo) startLoad(ctx context.Context) error {
 	halls := d.cluster.Estate.AllHalls()
 	services := d.cluster.Estate.Services
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// Sizes and times of the demo's requests.
+// Sizes of the requests and responses in bytes, and client timeouts.
 const (
 	uploadBytes   = 256 << 10
 	downloadBytes = 512 << 10
@@ -107,8 +109,8 @@
 	longTimeout   = 10 * time.Second
 )
 
-// streams returns the mix of an estate: look-ups of the first service, with
-// some large answers, operations of the second, uploads to the third.
+// streams returns the streams of one client: reads and a few downloads from the first
+// service, operations that must run at most once on the second, and uploads to the third.
 func streams(services []ServiceSize, rate float64) []load.Stream {
 	return []load.Stream{
 		{Service: services[0].Name, Kind: load.Read, Rate: 2 * rate, Timeout: readTimeout},
@@ -118,8 +120,8 @@
 	}
 }
 
-// steps changes the table while the load goes on, at a quarter, a half and
-// three quarters of the time.
+// steps changes the routing table under load, after a quarter, a half and three quarters
+// of the run's duration.
 func (d *demo) steps(ctx context.Context) error {
 	regions := d.cluster.Estate.Regions
 	service := d.cluster.Estate.Services[0].Name
@@ -154,8 +156,8 @@
 	}
 }
 
-// change makes one change and measures the time until it is in force at every
-// instance.
+// change edits the routing table and records the time until the new version is in force
+// at every instance.
 func (d *demo) change(ctx context.Context, what string, edit func(*table.Table)) error {
 	accepted, err := d.cluster.Editor(what).Edit(ctx, func(t *table.Table) error {
 		edit(t)
@@ -178,6 +180,7 @@
 	return nil
 }
 
+// drain drains a region and records when its targets started their last request.
 func (d *demo) drain(ctx context.Context, region string) error {
 	d.report.Drain.Region = region
 	began := time.Now()
@@ -217,7 +220,8 @@
 	return &d.report, nil
 }
 
-// checkNotRun finds operations that were said not to have run and did.
+// checkNotRun adds a violation to the report for each operation that ran although its
+// client was told that it had not run.
 func (d *demo) checkNotRun() {
 	for _, s := range d.cluster.Estate.Services {
 		for _, key := range d.generator.Stats(s.Name).NotRunKeys {
