--- a/cmd/rainford/explain.go
+++ b/cmd/rainford/explain.go
@@ -23,7 +23,7 @@
 // for possible reasons of its result.
 const explainWindow = 15 * time.Second
 
-// maxLine is the maximum length of a log line, in bytes. Reading fails at a longer line.
+// maxLine is the maximum length of a log line, in bytes. Reading a log stops at a longer line.
 const maxLine = 4 << 20
 
 // logLine is one line of an instance's log. Only the fields that explain and its summary
