--- a/internal/soak/accounts.go
+++ b/internal/soak/accounts.go
@@ -116,7 +116,7 @@
 }
 
 // changeKeys rotates the key of an account. It adds a new key at once and removes the previous
-// one after keyTime.
+// one after keyOverlap.
 func (r *runner) changeKeys(f Fault) {
 	name := accounts[f.Which%len(accounts)].name
 	s := r.site
@@ -146,7 +146,8 @@
 	}
 }
 
-// tenantHeader returns the expected values of the header that tenantHeader the account to a server.
+// tenantHeader returns the expected values of the header that names the account to a
+// server.
 func (a *attempt) tenantHeader() []string {
 	if a.account == "" {
 		return nil
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -40,8 +40,8 @@
 	failed  map[string]bool
 }
 
-func newClient(s *site, p place, owner account, seed uint64) *client {
-	c := &client{site: s, place: p, account: owner, rnd: rand.New(rand.NewPCG(seed, 7)), failed: make(map[string]bool)}
+func newClient(s *site, p place, acct account, seed uint64) *client {
+	c := &client{site: s, place: p, account: acct, rnd: rand.New(rand.NewPCG(seed, 7)), failed: make(map[string]bool)}
 	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true, DialContext: c.dial}}
 	return c
 }
@@ -153,8 +153,8 @@
 		if addr == "" {
 			return
 		}
-		again, after := c.attempt(ctx, addr, method, uri, body, deadline)
-		if !again || time.Until(deadline) < 2*after || ctx.Err() != nil {
+		retry, after := c.attempt(ctx, addr, method, uri, body, deadline)
+		if !retry || time.Until(deadline) < 2*after || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(after)
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -16,15 +16,16 @@
 	// crashMark is in the path of a request that crashes each server that runs it.
 	crashMark = "/ending/"
 	// crashInterval is the interval at which the sender repeats such a request. A sender of
-	// bursts alternates between sending and pausing, each for endingPause.
+	// bursts alternates between sending and pausing, each for burstTime.
 	crashInterval = 50 * time.Millisecond
 	burstTime     = 1500 * time.Millisecond
-	// replaceAfter is the time from the crash of a server until its entry is removed and another
-	// server replaces it.
+	// replaceAfter is the time from the crash of a server until its entry is removed and
+	// another server replaces it.
 	replaceAfter = 3 * time.Second
-	// crashesBeforeStop is the number of servers that may crash under a request before connected
-	// instances must stop sending it. lateSends is the number of later arrivals from connected
-	// instances that the check permits, counted from the contact time after that crash.
+	// crashesBeforeStop is the number of servers that may crash under a request before
+	// connected instances must stop sending it. maxLateArrivals is the number of later
+	// arrivals from connected instances that the check permits, counted from the contact time
+	// after that crash.
 	crashesBeforeStop = 3
 	maxLateArrivals   = 3
 )
@@ -32,7 +33,7 @@
 // serverCrashes records the servers that crashed under one request.
 type serverCrashes struct {
 	at []time.Time
-	// late is the number of arrivals that count against lateSends.
+	// late is the number of arrivals that count against maxLateArrivals.
 	late int
 }
 
@@ -90,7 +91,7 @@
 }
 
 // crashUnder stops a server that ran such a request, and starts another server in its place
-// after endedFor.
+// after replaceAfter.
 func (s *site) crashUnder(srv *server) {
 	if !s.markGone(srv) {
 		return
@@ -115,7 +116,7 @@
 	e.at = append(e.at, time.Now())
 }
 
-// judgeCrashing checks that connected instances stop sending a request once surelyKnown
+// judgeCrashing checks that connected instances stop sending a request once crashesBeforeStop
 // servers have crashed under it. The caller holds mu.
 func (o *oracle) judgeCrashing(a *attempt, v origin.Arrival) {
 	e := o.crashes[a.uri]
--- a/internal/soak/entries.go
+++ b/internal/soak/entries.go
@@ -44,8 +44,8 @@
 	})
 }
 
-// restartServer stops a server and starts it again under the same ID at another address, unless
-// its version was rejected meanwhile.
+// restartServer stops a server and starts it again under the same ID at another address,
+// unless its version was rejected meanwhile.
 func (r *runner) restartServer(f Fault) {
 	s := r.site
 	srv := s.pick(f.Which)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -152,16 +152,16 @@
 func (s *site) pick(which int) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var there []*server
+	var present []*server
 	for _, srv := range s.servers {
 		if !srv.gone {
-			there = append(there, srv)
+			present = append(present, srv)
 		}
 	}
-	if len(there) == 0 {
+	if len(present) == 0 {
 		return nil
 	}
-	return there[which%len(there)]
+	return present[which%len(present)]
 }
 
 func (s *site) markGone(srv *server) bool {
@@ -263,8 +263,8 @@
 	})
 }
 
-// reuseAddress gives the address of a stopped server to a server of the other service. The entry of
-// the stopped server is removed at once or only afterwards.
+// reuseAddress gives the address of a stopped server to a server of the other service. The
+// entry of the stopped server is removed at once or only afterwards.
 func (r *runner) reuseAddress(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -19,8 +19,8 @@
 	// requests that an instance has in flight when it learns of the limit.
 	limitSpan  = 4 * time.Second
 	limitGrace = 500 * time.Millisecond
-	// announcedFactor and namedSlack bound the requests in a window: announcedFactor times the limit, plus
-	// namedSlack.
+	// announcedFactor and announcedSlack bound the requests in a window: announcedFactor times
+	// the limit, plus announcedSlack.
 	announcedFactor = 1.5
 	announcedSlack  = 5
 	// minLimitTime is the shortest time for which a server announces a limit.
@@ -46,8 +46,8 @@
 	until   time.Time
 	script  []float64
 	answers int
-	// announcedAt is when the server last announced the limit. The server's extra headers may have
-	// been replaced since.
+	// announcedAt is when the server last announced the limit. The server's extra headers may
+	// have been replaced since.
 	announcedAt time.Time
 
 	// toldBy holds, for each instance, when it first passed on an answer with the limit.
@@ -82,7 +82,7 @@
 }
 
 // highest returns the highest limit that applies to the window that ends at the given time. A
-// value counts unless its time ended more than lowerWithin before the window begins. Values
+// value counts unless its time ended more than lowerLimitTime before the window begins. Values
 // not yet announced count too.
 func (l *limited) highest(at time.Time) float64 {
 	highest := 0.0
@@ -153,8 +153,8 @@
 	if l == nil || !v.At.Before(l.until) || !l.active(v.At) {
 		return
 	}
-	word, told := l.toldBy[a.instance]
-	if !told || word.run != a.run || v.At.Sub(word.at) <= limitGrace || !o.undisturbedSince[a.instance].Before(word.at) {
+	seen, known := l.toldBy[a.instance]
+	if !known || seen.run != a.run || v.At.Sub(seen.at) <= limitGrace || !o.undisturbedSince[a.instance].Before(seen.at) {
 		return
 	}
 	for len(l.arrivals) > 0 && v.At.Sub(l.arrivals[0]) >= limitSpan {
--- a/internal/soak/limits_test.go
+++ b/internal/soak/limits_test.go
@@ -77,6 +77,6 @@
 	from := time.Now()
 	l := &limited{from: from, until: from.Add(20 * time.Second), script: []float64{20, 4}}
 	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second)))
-	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second+limitSpan)), "a lowered limit applies after lowerWithin, not at once")
+	require.Equal(t, 20.0, l.highest(from.Add(10*time.Second+limitSpan)), "a lowered limit applies after lowerLimitTime, not at once")
 	require.Equal(t, 4.0, l.highest(from.Add(10*time.Second+limitSpan+lowerLimitTime+time.Millisecond)))
 }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -102,8 +102,8 @@
 	o.versionAt[version], o.newest = at, version
 }
 
-// requiredVersion returns the newest configuration version that must be in force at every connected
-// instance.
+// requiredVersion returns the newest configuration version that must be in force at every
+// connected instance.
 func (o *oracle) requiredVersion(now time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -194,8 +194,8 @@
 	o.judgeExposure(a, v)
 }
 
-// judgeRouting checks the service, the home region and at-most-once execution. The caller holds
-// mu.
+// judgeRouting checks the service, the home region and at-most-once execution. The caller
+// holds mu.
 func (o *oracle) judgeRouting(a *attempt, v origin.Arrival) {
 	o.checks["ROUTE"]++
 	if v.Server.Service != a.service() {
@@ -331,8 +331,8 @@
 	}
 }
 
-// judgeCompletion checks the time-out of a request, and that a planned stop cuts no request. The
-// caller holds mu.
+// judgeCompletion checks the time-out of a request, and that a planned stop cuts no request.
+// The caller holds mu.
 func (o *oracle) judgeCompletion(a *attempt, r result, ran int) {
 	took := a.doneAt.Sub(a.at)
 	if a.connected && o.connected(a.instance, a.doneAt) && a.leftAt.IsZero() && o.canCarry(a) {
@@ -381,19 +381,19 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, service := range services {
-		var sent, again []time.Time
+		var sent, repeated []time.Time
 		for _, a := range o.attempts {
 			if a.service() != service {
 				continue
 			}
 			sent = append(sent, a.at)
 			for _, arrival := range a.arrivals[min(1, len(a.arrivals)):] {
-				again = append(again, arrival.at)
+				repeated = append(repeated, arrival.at)
 			}
 		}
-		for _, end := range again {
+		for _, end := range repeated {
 			o.checks["BUDGET"]++
-			repeats := countWithin(again, end.Add(-window), end)
+			repeats := countWithin(repeated, end.Add(-window), end)
 			most := max(countWithin(sent, end.Add(-window), end), countWithin(sent, end.Add(-2*window), end.Add(-window)), countWithin(sent, end.Add(-3*window/2), end.Add(-window/2)))
 			if float64(repeats) > ratio*float64(most)+slack {
 				o.violated("BUDGET", "service %s got %d repeats for %d requests", service, repeats, most)
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -49,20 +49,20 @@
 	StoreRestored     FaultKind = "store-restored"
 )
 
-// silenceKinds are drawn from a random source of their own. A kind that is added to
-// kindsOfFaults would change the plan of every recorded seed.
+// silenceKinds are drawn from a random source of their own. A kind that is added to baseKinds
+// would change the plan of every recorded seed.
 var silenceKinds = []FaultKind{KeyChange, LinkSilence, ServerSilence}
 
 // entryKinds are faults on the entries of servers. They are drawn from a random source of
-// their own, as laterKinds are.
+// their own, as silenceKinds are.
 var entryKinds = []FaultKind{ForeignEntry, ServerRestart}
 
 // signalKinds are signals that servers send in headers. They are drawn from a random source of
-// their own, as laterKinds are. ServerLimits has yet another source.
+// their own, as silenceKinds are. ServerLimits has yet another source.
 var signalKinds = []FaultKind{ServerLeaving, ServerBackoff, ServerBackoff, ServerBadHeaders}
 
-// baseKinds lists the kinds that are drawn from the first random source, with their
-// relative frequencies.
+// baseKinds lists the kinds that are drawn from the first random source, with their relative
+// frequencies.
 var baseKinds = []struct {
 	kind   FaultKind
 	weight int
@@ -117,22 +117,22 @@
 		}
 		out = append(out, f)
 	}
-	again := rand.New(rand.NewPCG(seed, 2))
-	for at := 700 * time.Millisecond; at < last; at += gap + time.Duration(again.Int64N(int64(3*gap))) {
-		out = append(out, Fault{At: at, Kind: silenceKinds[again.IntN(len(silenceKinds))], Which: again.IntN(1 << 16), How: again.IntN(1 << 16)})
+	silences := rand.New(rand.NewPCG(seed, 2))
+	for at := 700 * time.Millisecond; at < last; at += gap + time.Duration(silences.Int64N(int64(3*gap))) {
+		out = append(out, Fault{At: at, Kind: silenceKinds[silences.IntN(len(silenceKinds))], Which: silences.IntN(1 << 16), How: silences.IntN(1 << 16)})
 	}
-	ending := rand.New(rand.NewPCG(seed, 4))
-	at := 700*time.Millisecond + time.Duration(ending.Int64N(int64(duration/10)))
-	out = append(out, Fault{At: at, For: last - at, Kind: CrashingRequests, Which: ending.IntN(1 << 16), How: ending.IntN(1 << 16)})
+	crashes := rand.New(rand.NewPCG(seed, 4))
+	at := 700*time.Millisecond + time.Duration(crashes.Int64N(int64(duration/10)))
+	out = append(out, Fault{At: at, For: last - at, Kind: CrashingRequests, Which: crashes.IntN(1 << 16), How: crashes.IntN(1 << 16)})
 	entries := rand.New(rand.NewPCG(seed, 6))
 	for at := 900 * time.Millisecond; at < last; at += 2*gap + time.Duration(entries.Int64N(int64(3*gap))) {
 		out = append(out, Fault{At: at, For: time.Duration(300+entries.IntN(2000)) * time.Millisecond, Kind: entryKinds[entries.IntN(len(entryKinds))],
 			Which: entries.IntN(1 << 16), How: entries.IntN(1 << 16)})
 	}
-	words := rand.New(rand.NewPCG(seed, 8))
-	for at := 1100 * time.Millisecond; at < last; at += 2*gap + time.Duration(words.Int64N(int64(3*gap))) {
-		out = append(out, Fault{At: at, For: time.Duration(1000+words.IntN(4000)) * time.Millisecond, Kind: signalKinds[words.IntN(len(signalKinds))],
-			Which: words.IntN(1 << 16), How: words.IntN(1 << 16)})
+	signals := rand.New(rand.NewPCG(seed, 8))
+	for at := 1100 * time.Millisecond; at < last; at += 2*gap + time.Duration(signals.Int64N(int64(3*gap))) {
+		out = append(out, Fault{At: at, For: time.Duration(1000+signals.IntN(4000)) * time.Millisecond, Kind: signalKinds[signals.IntN(len(signalKinds))],
+			Which: signals.IntN(1 << 16), How: signals.IntN(1 << 16)})
 	}
 	limits := rand.New(rand.NewPCG(seed, 10))
 	for at := 1300 * time.Millisecond; at < last-minLimitTime; at += 3*gap + time.Duration(limits.Int64N(int64(4*gap))) {
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -12,13 +12,12 @@
 	// verdictTime is the time after a restore within which the instances must have rewritten
 	// the rollout verdicts that they know.
 	verdictTime = 5 * time.Second
-	// rewriteTime is the time over which the operator and the servers rewrite the lost
-	// data.
+	// rewriteTime is the time over which the operator and the servers rewrite the lost data.
 	rewriteTime = 2 * time.Second
 )
 
 // restoreStore makes the store unavailable, with errors or without answers, and then restores
-// it from an earlier copy. The lost writes are repeated in order, spread over writeAgainTime.
+// it from an earlier copy. The lost writes are repeated in order, spread over rewriteTime.
 func (r *runner) restoreStore(f Fault) {
 	s := r.site
 	back := time.Now().Add(f.For)
--- a/internal/soak/rollouts.go
+++ b/internal/soak/rollouts.go
@@ -18,7 +18,7 @@
 	newPerHall  = 2
 	// exposedShare and exposedSlack bound the requests of a service that a bad version may
 	// receive: a share of all, plus a number. rollbackWithin is how long a bad version may
-	// still receive requests after it has given as many bad answers as badAnswers states.
+	// still receive requests after its fiftieth bad answer. badAnswers is that number.
 	exposedShare   = 0.1
 	exposedSlack   = 50
 	badAnswers     = 50
@@ -48,8 +48,8 @@
 	// all counts the requests that reached the service during the rollout, and atNew those
 	// that connected instances sent to the new version, if it is bad.
 	all, atNew int
-	// badAnswers counts the bad answers of the version. fiftiethAt is when the answer
-	// numbered badAnswers was given.
+	// badAnswers counts the bad answers of the version. fiftiethAt is when the fiftieth, by
+	// the constant badAnswers, was given.
 	badAnswers int
 	fiftiethAt time.Time
 	reported   bool
--- a/internal/soak/rollouts_test.go
+++ b/internal/soak/rollouts_test.go
@@ -79,8 +79,8 @@
 	require.Equal(t, "VERDICT", o.violations[0].Rule)
 }
 
-// TestLostVerdict checks that a verdict may change if all instances were killed soon
-// after the store had lost it, and not otherwise.
+// TestLostVerdict checks that a verdict may change if all instances were killed soon after the
+// store had lost it, and not otherwise.
 func TestLostVerdict(t *testing.T) {
 	for _, c := range []struct {
 		restored time.Duration
--- a/internal/soak/signals.go
+++ b/internal/soak/signals.go
@@ -100,7 +100,7 @@
 // requestBackoff has servers reject all requests for the time of the fault with a Retry-After
 // header: one server, the servers of its service in its hall, or all servers of its service.
 func (r *runner) requestBackoff(srv *server, f Fault) {
-	asks := retryAfters[f.How%len(retryAfters)]
+	delay := retryAfters[f.How%len(retryAfters)]
 	until := time.Now().Add(f.For)
 	for _, other := range r.site.present() {
 		sameHall := other.Zone == srv.Zone
@@ -119,7 +119,7 @@
 				continue
 			}
 		}
-		other.SetRetryAfter(until, asks)
+		other.SetRetryAfter(until, delay)
 	}
 }
 
@@ -196,19 +196,19 @@
 // most drainTimeout later, and any other connected instance at most propagationTime later. The
 // caller holds mu.
 func (o *oracle) judgeDeparture(a *attempt, v origin.Arrival) {
-	for instance, word := range o.signals.passedOn[v.Server.ID] {
-		own := instance == a.instance && word.run == a.run && !o.pausedUntil[instance].After(word.at)
-		both := word.connected && o.undisturbedSince[instance].Before(word.at) && o.connected(a.instance, v.At)
+	for instance, seen := range o.signals.passedOn[v.Server.ID] {
+		self := instance == a.instance && seen.run == a.run && !o.pausedUntil[instance].After(seen.at)
+		other := seen.connected && o.undisturbedSince[instance].Before(seen.at) && o.connected(a.instance, v.At)
 		switch {
-		case own:
+		case self:
 			o.checks["WORD"]++
-			if a.at.Sub(word.at) > drainTimeout {
-				o.violated("DRAIN", "%s from %s reached %s, sent %.2f s after %s had passed on that it is leaving", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
+			if a.at.Sub(seen.at) > drainTimeout {
+				o.violated("DRAIN", "%s from %s reached %s, sent %.2f s after %s had passed on that it is leaving", a.id, a.instance, v.Server.ID, a.at.Sub(seen.at).Seconds(), instance)
 			}
-		case instance != a.instance && both:
+		case instance != a.instance && other:
 			o.checks["NEWS"]++
-			if a.at.Sub(word.at) > propagationTime {
-				o.violated("NEWS", "%s from %s reached %s, sent %.2f s after %s had passed on that it is leaving", a.id, a.instance, v.Server.ID, a.at.Sub(word.at).Seconds(), instance)
+			if a.at.Sub(seen.at) > propagationTime {
+				o.violated("NEWS", "%s from %s reached %s, sent %.2f s after %s had passed on that it is leaving", a.id, a.instance, v.Server.ID, a.at.Sub(seen.at).Seconds(), instance)
 			}
 		}
 	}
@@ -217,16 +217,16 @@
 // judgeBackoffs checks that an instance honors the back-off that a server requested from it.
 // The caller holds mu.
 func (o *oracle) judgeBackoffs(a *attempt, v origin.Arrival) {
-	for _, rest := range o.signals.backoffs[v.Server.ID][a.instance] {
-		since := v.At.Sub(rest.at)
-		if since <= backoffGrace || !v.At.Before(rest.until) || rest.run != a.run || !o.undisturbedSince[a.instance].Before(rest.at) {
+	for _, backoff := range o.signals.backoffs[v.Server.ID][a.instance] {
+		since := v.At.Sub(backoff.at)
+		if since <= backoffGrace || !v.At.Before(backoff.until) || backoff.run != a.run || !o.undisturbedSince[a.instance].Before(backoff.at) {
 			continue
 		}
 		o.checks["REST"]++
-		rest.arrivals++
-		if rest.arrivals == maxDuringBackoff+1 {
-			o.violated("BUDGET", "%s got %d requests from %s within a back-off of %.1f s, %s arrived %.2f s after the back-off was requested", v.Server.ID, rest.arrivals, a.instance,
-				rest.until.Sub(rest.at).Seconds(), a.id, since.Seconds())
+		backoff.arrivals++
+		if backoff.arrivals == maxDuringBackoff+1 {
+			o.violated("BUDGET", "%s got %d requests from %s within a back-off of %.1f s, %s arrived %.2f s after the back-off was requested", v.Server.ID, backoff.arrivals, a.instance,
+				backoff.until.Sub(backoff.at).Seconds(), a.id, since.Seconds())
 		}
 	}
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -312,7 +312,7 @@
 	for name, excuse := range map[string]func(o *oracle, asked time.Time, late *attempt){
 		"soon":      func(_ *oracle, _ time.Time, late *attempt) { late.at = time.Now() },
 		"restarted": func(o *oracle, _ time.Time, late *attempt) { o.runs["n1"], late.run = 1, 1 },
-		"frozen": func(o *oracle, asked time.Time, _ *attempt) {
+		"paused": func(o *oracle, asked time.Time, _ *attempt) {
 			o.pausedUntil["n1"] = asked.Add(time.Second)
 			o.undisturbedSince["n1"] = asked.Add(time.Second)
 		},
