--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay provides a stand-in of a network between two sides: it passes bytes on to
-// one address, and can silence the connections that are open. It is for tests.
+// Package relay provides a TCP proxy for tests. It forwards connections to one address and can simulate
+// a network that drops packets: Silence makes the open connections discard all bytes without closing.
 package relay
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rainford/rainford/internal/loopback"
 )
 
-// Relay passes connections on to one address. It is safe for concurrent use.
+// Relay is a TCP proxy to one address. It is safe for concurrent use.
 type Relay struct {
 	listener net.Listener
 	target   string
@@ -20,14 +20,15 @@
 	conns []*pair
 }
 
-// pair is a connection and what it is passed on to.
+// pair is an accepted connection (near) and the connection to the target address (far).
 type pair struct {
 	near, far net.Conn
 	mu        sync.Mutex
 	silent    bool
 }
 
-// Start returns a relay to an address, on a port of its own on the loopback address of the process.
+// Start returns a relay that forwards to the address target. It listens on a free port of the process's
+// loopback address.
 func Start(target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", loopback.Host()+":0")
 	if err != nil {
@@ -38,11 +39,11 @@
 	return r, nil
 }
 
-// Addr is IP:PORT.
+// Addr returns the address on which the relay listens, as IP:PORT.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Silence has the connections that are open pass nothing any more, without a reset or an
-// end. New ones work.
+// Silence makes the open connections discard all further bytes. They are neither reset nor closed.
+// Connections that are accepted later are forwarded as usual.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,14 +54,14 @@
 	}
 }
 
-// Accepted returns the number of connections accepted.
+// Accepted returns the number of connections that the relay has forwarded since its start.
 func (r *Relay) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.conns)
 }
 
-// Close ends the relay and its connections.
+// Close stops listening and closes all connections.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -101,8 +102,8 @@
 	return p.silent
 }
 
-// copy passes bytes on until the end of the connection, which passes too unless it is
-// silent.
+// copy forwards bytes in one direction until from is closed. It forwards the end of the stream too, unless
+// the pair is silent: then it reads and discards.
 func (p *pair) copy(to, from net.Conn) {
 	buf := make([]byte, 16<<10)
 	for {
