--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -49,13 +49,13 @@
 	id   string
 	runs *Runs
 
-	mu       sync.Mutex
-	settings Settings
-	served   int
-	inFlight int
-	offered  int
-	peak     int
-	lastNew  time.Time
+	mu          sync.Mutex
+	settings    Settings
+	served      int
+	inFlight    int
+	outstanding int
+	peak        int
+	lastStart   time.Time
 }
 
 // NewServer returns the target called id. Runs may be shared.
@@ -81,7 +81,7 @@
 func (s *Server) LastStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastNew
+	return s.lastStart
 }
 
 // PeakRequests returns the most requests that were sent to the target at a time,
@@ -130,8 +130,8 @@
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	now := s.current()
-	if now.Draining && !now.AlwaysHealthy {
+	settings := s.currentSettings()
+	if settings.Draining && !settings.AlwaysHealthy {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
@@ -144,54 +144,54 @@
 	writeJSON(w, map[string]int{"in_flight": s.inFlight, "slots": s.settings.Slots})
 }
 
-func (s *Server) current() Settings {
+func (s *Server) currentSettings() Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.settings
 }
 
-func (s *Server) offer(by int) {
+func (s *Server) addOutstanding(by int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.offered += by
-	s.peak = max(s.peak, s.offered)
+	s.outstanding += by
+	s.peak = max(s.peak, s.outstanding)
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.offer(1)
-	defer s.offer(-1)
-	now := s.current()
-	if now.Draining {
+	s.addOutstanding(1)
+	defer s.addOutstanding(-1)
+	settings := s.currentSettings()
+	if settings.Draining {
 		w.Header().Set(protocol.HeaderDraining, protocol.FlagSet)
 		refuse(w, "draining")
 		return
 	}
-	if chance(now.Refuse) {
+	if chance(settings.Refuse) {
 		refuse(w, "refused")
 		return
 	}
-	if !s.take(r, now.Shed) {
+	if !s.acquireSlot(r, settings.Shed) {
 		refuse(w, "no slot is free")
 		return
 	}
-	defer s.free()
-	if chance(now.DropBefore) {
+	defer s.releaseSlot()
+	if chance(settings.DropBefore) {
 		panic(http.ErrAbortHandler)
 	}
-	s.run(w, r, now)
+	s.run(w, r, settings)
 }
 
-// slotPoll is how often work that waits looks for a free slot.
-const slotPoll = time.Millisecond
+// slotPollInterval is how often work that waits looks for a free slot.
+const slotPollInterval = time.Millisecond
 
-// take takes a slot, waiting for one if the target does not shed.
-func (s *Server) take(r *http.Request, shed bool) bool {
-	for !s.tryTake() {
+// acquireSlot takes a slot, waiting for one if the target does not shed.
+func (s *Server) acquireSlot(r *http.Request, shed bool) bool {
+	for !s.tryAcquireSlot() {
 		if shed {
 			return false
 		}
 		select {
-		case <-time.After(slotPoll):
+		case <-time.After(slotPollInterval):
 		case <-r.Context().Done():
 			return false
 		}
@@ -199,18 +199,18 @@
 	return true
 }
 
-func (s *Server) tryTake() bool {
+func (s *Server) tryAcquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.inFlight >= s.settings.Slots {
 		return false
 	}
 	s.inFlight++
-	s.lastNew = time.Now()
+	s.lastStart = time.Now()
 	return true
 }
 
-func (s *Server) free() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
@@ -218,7 +218,7 @@
 
 // run does the work. It counts the run before it works, since a caller that
 // goes away in the middle can't undo it.
-func (s *Server) run(w http.ResponseWriter, r *http.Request, now Settings) {
+func (s *Server) run(w http.ResponseWriter, r *http.Request, settings Settings) {
 	sum := sha256.New()
 	n, err := io.Copy(sum, r.Body)
 	if err != nil {
@@ -226,41 +226,41 @@
 	}
 	s.runs.add(r.Header.Get(protocol.HeaderIdempotencyKey))
 	select {
-	case <-time.After(s.serviceTime(now)):
+	case <-time.After(s.serviceTime(settings)):
 	case <-r.Context().Done():
 		return
 	}
-	if chance(now.DropDuring) {
+	if chance(settings.DropDuring) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Target", s.id)
 	if text := r.URL.Path; len(text) > len("/blob/") && text[:len("/blob/")] == "/blob/" {
-		s.blob(w, text[len("/blob/"):], now)
+		s.serveBlob(w, text[len("/blob/"):], settings)
 		return
 	}
 	body := fmt.Sprintf(`{"target":%q,"id":%q,"bytes":%d,"sha256":%q}`, s.id, r.Header.Get(protocol.HeaderRequestID), n, hex.EncodeToString(sum.Sum(nil)))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if chance(now.DropAfter) {
+	if chance(settings.DropAfter) {
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, body)
 }
 
-func (s *Server) serviceTime(now Settings) time.Duration {
+func (s *Server) serviceTime(settings Settings) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served++
-	if s.served <= now.ColdRuns {
+	if s.served <= settings.ColdRuns {
 		// Warmth grows with the work done.
-		left := float64(now.ColdRuns-s.served) / float64(now.ColdRuns)
-		return time.Duration(float64(now.ServiceTime) * (1 + (now.ColdFactor-1)*left))
+		remaining := float64(settings.ColdRuns-s.served) / float64(settings.ColdRuns)
+		return time.Duration(float64(settings.ServiceTime) * (1 + (settings.ColdFactor-1)*remaining))
 	}
-	return now.ServiceTime
+	return settings.ServiceTime
 }
 
-const blobChunk = 32 << 10
+const blobChunkBytes = 32 << 10
 
 // Blob returns the bytes of an answer of size bytes, for comparing.
 func Blob(size int) []byte {
@@ -272,18 +272,18 @@
 	return out
 }
 
-// blob answers without a length, in chunks.
-func (s *Server) blob(w http.ResponseWriter, text string, now Settings) {
+// serveBlob answers without a length, in chunks.
+func (s *Server) serveBlob(w http.ResponseWriter, text string, settings Settings) {
 	size, err := strconv.Atoi(text)
 	if err != nil || size < 0 || size > 64<<20 {
 		http.Error(w, "bad size", http.StatusBadRequest)
 		return
 	}
-	drop := chance(now.DropAfter)
+	drop := chance(settings.DropAfter)
 	data := Blob(size)
 	control := http.NewResponseController(w)
-	for off := 0; off < size; off += blobChunk {
-		_, err := w.Write(data[off:min(off+blobChunk, size)])
+	for off := 0; off < size; off += blobChunkBytes {
+		_, err := w.Write(data[off:min(off+blobChunkBytes, size)])
 		if err != nil {
 			return
 		}
--- a/internal/standin/objects/restore.go
+++ b/internal/standin/objects/restore.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// firstEra is the era of a new store.
-	firstEra = 1
-	// undoKept is how far back a copy may lie from which the store is restored.
-	undoKept = time.Minute
+	// initialEra is the era of a new store.
+	initialEra = 1
+	// undoRetention is how far back a copy may lie from which the store is restored.
+	undoRetention = time.Minute
 )
 
 // objectKey stands for an object.
@@ -20,8 +20,8 @@
 	before *Object
 	// revision is that of the write.
 	revision int64
-	// outside says that the operator or a server wrote, and not the system.
-	outside bool
+	// external says that the operator or a server wrote, and not the system.
+	external bool
 }
 
 // LostWrite is the last that the operator or a server wrote of an object, and that a restored store
@@ -31,20 +31,20 @@
 	object     *Object
 }
 
-// noteUndo keeps what a write of the current revision is about to replace. The caller holds mu.
-func (s *Store) noteUndo(kind, name string) {
+// recordUndo keeps what a write of the current revision is about to replace. The caller holds mu.
+func (s *Store) recordUndo(kind, name string) {
 	now := time.Now()
-	for len(s.undo) > 0 && now.Sub(s.undo[0].at) > undoKept {
+	for len(s.undo) > 0 && now.Sub(s.undo[0].at) > undoRetention {
 		s.undo = s.undo[1:]
 	}
 	s.undo = append(s.undo, undoEntry{objectKey: objectKey{kind, name}, at: now, before: s.kinds[kind][name], revision: s.revision})
 }
 
-// markOutside notes that the last write was the operator's or a server's. The caller holds mu.
-func (s *Store) markOutside() {
+// markExternal notes that the last write was the operator's or a server's. The caller holds mu.
+func (s *Store) markExternal() {
 	last := &s.undo[len(s.undo)-1]
-	last.outside = true
-	s.rewritten[last.objectKey] = true
+	last.external = true
+	s.writtenSinceRestore[last.objectKey] = true
 }
 
 // Revision returns the revision of the last change.
@@ -81,25 +81,25 @@
 	for len(s.undo) > 0 && lost(s.undo[len(s.undo)-1]) {
 		e := s.undo[len(s.undo)-1]
 		s.undo = s.undo[:len(s.undo)-1]
-		if e.outside && !seen[e.objectKey] {
+		if e.external && !seen[e.objectKey] {
 			seen[e.objectKey] = true
 			out = append([]LostWrite{{Kind: e.kind, Name: e.name, object: s.kinds[e.kind][e.name]}}, out...)
 		}
-		s.put(e.kind, e.name, e.before)
+		s.setObject(e.kind, e.name, e.before)
 		s.revision = e.revision - 1
 	}
 	for len(s.history) > 0 && s.history[len(s.history)-1].revision > s.revision {
 		s.history = s.history[:len(s.history)-1]
 	}
-	s.forgotten = min(s.forgotten, s.revision)
+	s.compactedRevision = min(s.compactedRevision, s.revision)
 	s.era.Add(1)
-	clear(s.rewritten)
-	s.wake()
+	clear(s.writtenSinceRestore)
+	s.wakeWatches()
 	return out
 }
 
-// put has an object be there as it is, or not be there if it is nil. The caller holds mu.
-func (s *Store) put(kind, name string, o *Object) {
+// setObject has an object be there as it is, or not be there if it is nil. The caller holds mu.
+func (s *Store) setObject(kind, name string, o *Object) {
 	if o == nil {
 		delete(s.kinds[kind], name)
 		return
@@ -114,7 +114,7 @@
 // the store was restored.
 func (s *Store) Reapply(w LostWrite) {
 	s.mu.Lock()
-	written := s.rewritten[objectKey{w.Kind, w.Name}]
+	written := s.writtenSinceRestore[objectKey{w.Kind, w.Name}]
 	s.mu.Unlock()
 	if written {
 		return
--- a/internal/standin/objects/server.go
+++ b/internal/standin/objects/server.go
@@ -17,13 +17,13 @@
 
 const maxBody = 1 << 20
 
-type listAnswer struct {
+type listResponse struct {
 	Items []Object `json:"items"`
 	More  bool     `json:"more"`
 	At    int64    `json:"at"`
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Events []Event `json:"events"`
 	At     int64   `json:"at"`
 }
@@ -47,13 +47,13 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	kind, name, sub, ok := split(r.URL.Path)
+	kind, name, sub, ok := splitPath(r.URL.Path)
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	if faults.LoseReplies && r.Method != http.MethodGet {
-		s.write(discard{header: http.Header{}}, r, kind, name, sub)
+		s.write(discardWriter{header: http.Header{}}, r, kind, name, sub)
 		panic(http.ErrAbortHandler)
 	}
 	if r.Method != http.MethodGet {
@@ -63,12 +63,12 @@
 	s.read(w, r, kind, name)
 }
 
-// discard is an answer that nobody gets.
-type discard struct{ header http.Header }
+// discardWriter is an answer that nobody gets.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) WriteHeader(int)             {}
 
 // eraWriter tells the era in each answer, as it is when the answer is made.
 type eraWriter struct {
@@ -89,8 +89,8 @@
 
 func setEra(w http.ResponseWriter, era int64) { w.Header().Set(headerEra, strconv.FormatInt(era, 10)) }
 
-// split takes a path /objects/KIND[/NAME[/status]] apart.
-func split(path string) (kind, name, sub string, ok bool) {
+// splitPath takes a path /objects/KIND[/NAME[/status]] apart.
+func splitPath(path string) (kind, name, sub string, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/objects/")
 	if !ok || rest == "" {
 		return "", "", "", false
@@ -122,13 +122,13 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, o)
+	writeJSON(w, http.StatusOK, o)
 }
 
 func (s *Store) list(w http.ResponseWriter, kind, after string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	page := listAnswer{Items: []Object{}, At: s.revision}
+	page := listResponse{Items: []Object{}, At: s.revision}
 	for _, name := range s.names(kind) {
 		if name <= after {
 			continue
@@ -139,7 +139,7 @@
 		}
 		page.Items = append(page.Items, *s.kinds[kind][name])
 	}
-	answer(w, http.StatusOK, page)
+	writeJSON(w, http.StatusOK, page)
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, kind string) {
@@ -161,14 +161,14 @@
 			return
 		}
 		if len(events) > 0 {
-			answer(w, http.StatusOK, watchAnswer{Events: events, At: at.revision})
+			writeJSON(w, http.StatusOK, watchResponse{Events: events, At: at.revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
 			setEra(w, at.era)
-			answer(w, http.StatusOK, watchAnswer{Events: []Event{}, At: at.revision})
+			writeJSON(w, http.StatusOK, watchResponse{Events: []Event{}, At: at.revision})
 			return
 		case <-r.Context().Done():
 			return
@@ -192,8 +192,8 @@
 		s.create(w, kind, body)
 		return
 	}
-	held := s.kinds[kind][name]
-	if held == nil {
+	current := s.kinds[kind][name]
+	if current == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -201,60 +201,60 @@
 	if text := r.URL.Query().Get("revision"); text != "" {
 		expected, _ = strconv.ParseInt(text, 10, 64)
 	}
-	if expected != 0 && expected != held.Metadata.Revision {
-		answer(w, http.StatusConflict, held)
+	if expected != 0 && expected != current.Metadata.Revision {
+		writeJSON(w, http.StatusConflict, current)
 		return
 	}
 	switch {
 	case r.Method == http.MethodDelete:
-		s.remove(w, kind, *held)
+		s.remove(w, kind, *current)
 	case sub == "status":
-		next := *held
+		next := *current
 		next.Status = body.Status
-		s.replace(w, kind, held, next)
+		s.replace(w, kind, current, next)
 	default:
-		next := *held
+		next := *current
 		next.Spec, next.Metadata.Finalizers = body.Spec, body.Metadata.Finalizers
-		s.replace(w, kind, held, next)
+		s.replace(w, kind, current, next)
 	}
 }
 
 func (s *Store) create(w http.ResponseWriter, kind string, body Object) {
-	if held := s.kinds[kind][body.Metadata.Name]; held != nil {
-		answer(w, http.StatusConflict, held)
+	if current := s.kinds[kind][body.Metadata.Name]; current != nil {
+		writeJSON(w, http.StatusConflict, current)
 		return
 	}
 	o := Object{Metadata: Metadata{Name: body.Metadata.Name, Finalizers: body.Metadata.Finalizers}, Spec: body.Spec}
-	answer(w, http.StatusCreated, s.commit(kind, o))
+	writeJSON(w, http.StatusCreated, s.commit(kind, o))
 }
 
 // replace writes next unless it is what is held.
-func (s *Store) replace(w http.ResponseWriter, kind string, held *Object, next Object) {
-	same := bytes.Equal(held.Spec, next.Spec) && bytes.Equal(held.Status, next.Status) &&
-		slices.Equal(held.Metadata.Finalizers, next.Metadata.Finalizers)
+func (s *Store) replace(w http.ResponseWriter, kind string, current *Object, next Object) {
+	same := bytes.Equal(current.Spec, next.Spec) && bytes.Equal(current.Status, next.Status) &&
+		slices.Equal(current.Metadata.Finalizers, next.Metadata.Finalizers)
 	if same {
-		answer(w, http.StatusOK, held)
+		writeJSON(w, http.StatusOK, current)
 		return
 	}
 	if next.Metadata.Deleting && len(next.Metadata.Finalizers) == 0 {
 		s.erase(kind, next)
-		answer(w, http.StatusOK, next)
+		writeJSON(w, http.StatusOK, next)
 		return
 	}
-	answer(w, http.StatusOK, s.commit(kind, next))
+	writeJSON(w, http.StatusOK, s.commit(kind, next))
 }
 
-func (s *Store) remove(w http.ResponseWriter, kind string, held Object) {
-	if len(held.Metadata.Finalizers) > 0 {
-		held.Metadata.Deleting = true
-		answer(w, http.StatusOK, s.commit(kind, held))
+func (s *Store) remove(w http.ResponseWriter, kind string, current Object) {
+	if len(current.Metadata.Finalizers) > 0 {
+		current.Metadata.Deleting = true
+		writeJSON(w, http.StatusOK, s.commit(kind, current))
 		return
 	}
-	s.erase(kind, held)
-	answer(w, http.StatusOK, held)
+	s.erase(kind, current)
+	writeJSON(w, http.StatusOK, current)
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -53,23 +53,23 @@
 	revision int64
 	kinds    map[string]map[string]*Object
 	history  []Event
-	// forgotten is the revision up to which the history is gone.
-	forgotten int64
+	// compactedRevision is the revision up to which the history is gone.
+	compactedRevision int64
 	// era is told in all answers. It rises when the store is restored from a copy.
 	era atomic.Int64
 	// undo holds what the latest writes replaced, the latest last, and rewritten the objects that the
 	// operator and servers have written since the store was last restored.
-	undo      []undoEntry
-	rewritten map[objectKey]bool
-	changed   chan struct{}
-	faults    Faults
-	calls     int
+	undo                []undoEntry
+	writtenSinceRestore map[objectKey]bool
+	changed             chan struct{}
+	faults              Faults
+	calls               int
 }
 
 // New returns an empty store.
 func New() *Store {
-	s := &Store{kinds: make(map[string]map[string]*Object), rewritten: make(map[objectKey]bool), changed: make(chan struct{})}
-	s.era.Store(firstEra)
+	s := &Store{kinds: make(map[string]map[string]*Object), writtenSinceRestore: make(map[objectKey]bool), changed: make(chan struct{})}
+	s.era.Store(initialEra)
 	return s
 }
 
@@ -91,8 +91,8 @@
 func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.forgotten = nil, s.revision
-	s.wake()
+	s.history, s.compactedRevision = nil, s.revision
+	s.wakeWatches()
 }
 
 // Set writes an object as the operator or a server does and returns the revision.
@@ -110,7 +110,7 @@
 	next := *o
 	next.Spec = raw
 	s.commit(kind, next)
-	s.markOutside()
+	s.markExternal()
 	return s.revision
 }
 
@@ -136,7 +136,7 @@
 	next := *s.kinds[kind][name]
 	next.Status = raw
 	s.commit(kind, next)
-	s.markOutside()
+	s.markExternal()
 }
 
 // Remove removes an object whatever its finalizers.
@@ -144,10 +144,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// One that a restore has lost is not to be written again.
-	s.rewritten[objectKey{kind, name}] = true
+	s.writtenSinceRestore[objectKey{kind, name}] = true
 	if o := s.kinds[kind][name]; o != nil {
 		s.erase(kind, *o)
-		s.markOutside()
+		s.markExternal()
 	}
 }
 
@@ -177,32 +177,32 @@
 	if s.kinds[kind] == nil {
 		s.kinds[kind] = make(map[string]*Object)
 	}
-	s.noteUndo(kind, o.Metadata.Name)
+	s.recordUndo(kind, o.Metadata.Name)
 	s.kinds[kind][o.Metadata.Name] = &o
 	s.history = append(s.history, Event{Object: o, kind: kind, revision: s.revision})
-	s.wake()
+	s.wakeWatches()
 	return o
 }
 
 func (s *Store) erase(kind string, o Object) {
 	s.revision++
-	s.noteUndo(kind, o.Metadata.Name)
+	s.recordUndo(kind, o.Metadata.Name)
 	delete(s.kinds[kind], o.Metadata.Name)
 	s.history = append(s.history, Event{Object: o, Deleted: true, kind: kind, revision: s.revision})
-	s.wake()
+	s.wakeWatches()
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// moment is where the store's counters are.
-type moment struct{ era, revision int64 }
+// position is where the store's counters are.
+type position struct{ era, revision int64 }
 
 // events returns the changes of a kind after a revision, where the store is, whether it has that
 // revision and the history after it, and a channel that is closed with the next change.
-func (s *Store) events(kind string, after int64) (events []Event, at moment, known bool, changed chan struct{}) {
+func (s *Store) events(kind string, after int64) (events []Event, at position, known bool, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.history {
@@ -210,5 +210,5 @@
 			events = append(events, e)
 		}
 	}
-	return events, moment{s.era.Load(), s.revision}, s.forgotten <= after && after <= s.revision, s.changed
+	return events, position{s.era.Load(), s.revision}, s.compactedRevision <= after && after <= s.revision, s.changed
 }
--- a/internal/standin/origin/server.go
+++ b/internal/standin/origin/server.go
@@ -86,20 +86,20 @@
 	script   func(*http.Request) Fault
 	runs     []Run
 	observe  func(Arrival)
-	// ends tells which requests end the server, and ended is told of the first.
-	ends  func(*http.Request) bool
-	ended func(Run)
+	// crashes tells which requests end the server, and ended is told of the first.
+	crashes func(*http.Request) bool
+	onCrash func(Run)
 	// shedStatus is the status line's end of answers to requests that are turned away.
 	shedStatus string
-	// restUntil is until when everything is turned away, and asks the rest asked for.
-	restUntil time.Time
-	asks      time.Duration
-	// says returns more header lines of the answer to a request.
-	says     func(*http.Request) string
-	once     sync.Once
-	conns    map[net.Conn]bool
-	accepted int
-	canceled int
+	// refuseUntil is until when everything is turned away, and asks the rest asked for.
+	refuseUntil time.Time
+	retryAfter  time.Duration
+	// extraHeaders returns more header lines of the answer to a request.
+	extraHeaders func(*http.Request) string
+	crashOnce    sync.Once
+	conns        map[net.Conn]bool
+	accepted     int
+	canceled     int
 }
 
 // Start returns a server on a port of its own on the loopback address of the process.
@@ -125,10 +125,10 @@
 
 // SetCrash sets which requests end the server when it runs them, and what is told of the
 // first of them before the server ends.
-func (s *Server) SetCrash(ends func(*http.Request) bool, ended func(Run)) {
+func (s *Server) SetCrash(crashes func(*http.Request) bool, onCrash func(Run)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ends, s.ended = ends, ended
+	s.crashes, s.onCrash = crashes, onCrash
 }
 
 // SetShedStatus sets the status, such as "429 Too Many Requests", of answers to requests that
@@ -139,7 +139,7 @@
 	s.shedStatus = status
 }
 
-func (s *Server) statusOfShed() string {
+func (s *Server) currentShedStatus() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shedStatus
@@ -147,39 +147,39 @@
 
 // SetRetryAfter has the server turn away everything until a time, and ask for a rest of some length
 // each time.
-func (s *Server) SetRetryAfter(until time.Time, asks time.Duration) {
+func (s *Server) SetRetryAfter(until time.Time, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.restUntil, s.asks = until, asks
+	s.refuseUntil, s.retryAfter = until, retryAfter
 }
 
-// rest returns the rest that the server asks for now, 0 for none.
-func (s *Server) rest() time.Duration {
+// currentRetryAfter returns the rest that the server asks for now, 0 for none.
+func (s *Server) currentRetryAfter() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !time.Now().Before(s.restUntil) {
+	if !time.Now().Before(s.refuseUntil) {
 		return 0
 	}
-	return s.asks
+	return s.retryAfter
 }
 
 // SetExtraHeaders sets what returns more header lines of the answer to a request, whatever the answer
 // is. Each line ends with "\r\n".
-func (s *Server) SetExtraHeaders(says func(*http.Request) string) {
+func (s *Server) SetExtraHeaders(extraHeaders func(*http.Request) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.says = says
+	s.extraHeaders = extraHeaders
 }
 
-// lines returns the header lines that every answer to a request has.
-func (s *Server) lines(req *http.Request) string {
+// extraHeaderLines returns the header lines that every answer to a request has.
+func (s *Server) extraHeaderLines(req *http.Request) string {
 	s.mu.Lock()
-	says := s.says
+	extraHeaders := s.extraHeaders
 	s.mu.Unlock()
-	if says == nil {
+	if extraHeaders == nil {
 		return ""
 	}
-	return says(req)
+	return extraHeaders(req)
 }
 
 // SetObserver sets what is told of each request that arrives, before it is
@@ -197,7 +197,7 @@
 	s.ServiceTime = work
 }
 
-func (s *Server) arrived(req *http.Request, a Arrival) {
+func (s *Server) notifyArrival(req *http.Request, a Arrival) {
 	s.mu.Lock()
 	observe := s.observe
 	s.mu.Unlock()
@@ -235,7 +235,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
@@ -245,7 +245,7 @@
 	s.ResetConnections()
 }
 
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -276,7 +276,7 @@
 	br := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(br)
-		if err != nil || !s.one(c, req) {
+		if err != nil || !s.serveRequest(c, req) {
 			return
 		}
 	}
@@ -286,7 +286,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.ends != nil && s.ends(req):
+	case s.crashes != nil && s.crashes(req):
 		return Crash
 	case s.script == nil:
 		return None
@@ -295,26 +295,26 @@
 	}
 }
 
-// one serves one request. It reports whether the connection goes on.
-func (s *Server) one(c net.Conn, req *http.Request) bool {
+// serveRequest serves one request. It reports whether the connection goes on.
+func (s *Server) serveRequest(c net.Conn, req *http.Request) bool {
 	id := req.Header.Get("Request-Id")
-	lines := s.lines(req)
+	lines := s.extraHeaderLines(req)
 	if expected := req.Header.Get("Expected-Instance"); expected != "" && expected != s.ID {
 		_, _ = io.Copy(io.Discard, req.Body)
-		return send(c, "421 Misdirected Request", "Instance-Id: "+s.ID+"\r\n"+lines, "") == nil
+		return writeResponse(c, "421 Misdirected Request", "Instance-Id: "+s.ID+"\r\n"+lines, "") == nil
 	}
-	fault, asks := s.fault(req), s.rest()
-	if asks > 0 {
+	fault, retryAfter := s.fault(req), s.currentRetryAfter()
+	if retryAfter > 0 {
 		fault = Shed
-		lines += fmt.Sprintf("Retry-After: %g\r\n", asks.Seconds())
+		lines += fmt.Sprintf("Retry-After: %g\r\n", retryAfter.Seconds())
 	}
 	switch fault {
 	case Shed:
 		_, _ = io.Copy(io.Discard, req.Body)
-		s.arrived(req, Arrival{RetryAfter: asks})
-		return send(c, s.statusOfShed(), "Not-Executed: 1\r\nRequest-Id: "+id+"\r\n"+lines, "") == nil
+		s.notifyArrival(req, Arrival{RetryAfter: retryAfter})
+		return writeResponse(c, s.currentShedStatus(), "Not-Executed: 1\r\nRequest-Id: "+id+"\r\n"+lines, "") == nil
 	case EarlyRefusal:
-		_ = send(c, "413 Request Entity Too Large", s.headers(id)+lines, "no")
+		_ = writeResponse(c, "413 Request Entity Too Large", s.headers(id)+lines, "no")
 		time.Sleep(50 * time.Millisecond)
 		_, err := io.Copy(io.Discard, req.Body)
 		return err == nil
@@ -323,7 +323,7 @@
 		_, _ = c.Write([]byte("@@ not http @@\r\n\r\n"))
 		return false
 	case Foreign:
-		_ = send(c, "200 OK", s.headers("other")+lines, "other's")
+		_ = writeResponse(c, "200 OK", s.headers("other")+lines, "other's")
 		lines = ""
 	default:
 	}
@@ -331,14 +331,14 @@
 	if err != nil {
 		return false
 	}
-	s.arrived(req, Arrival{Run: Run{Body: body}, Executed: true})
+	s.notifyArrival(req, Arrival{Run: Run{Body: body}, Executed: true})
 	r := Run{ID: id, Method: req.Method, URI: req.RequestURI, Body: body}
 	s.run(r)
 	if fault == Crash {
-		s.end(r)
+		s.crash(r)
 		return false
 	}
-	return s.answer(c, fault, id, lines)
+	return s.respond(c, fault, id, lines)
 }
 
 func (s *Server) run(r Run) {
@@ -349,14 +349,14 @@
 	time.Sleep(work)
 }
 
-// end ends the server under a request.
-func (s *Server) end(r Run) {
+// crash ends the server under a request.
+func (s *Server) crash(r Run) {
 	s.mu.Lock()
-	ended := s.ended
+	onCrash := s.onCrash
 	s.mu.Unlock()
-	s.once.Do(func() {
-		if ended != nil {
-			ended(r)
+	s.crashOnce.Do(func() {
+		if onCrash != nil {
+			onCrash(r)
 		}
 	})
 	s.Close()
@@ -366,21 +366,21 @@
 	return fmt.Sprintf("Request-Id: %s\r\nServer-Signature: sig.%s\r\nServer-Load: 1,0,%d\r\n", id, s.ID, s.Slots)
 }
 
-// answer sends the answer to a request that was run.
-func (s *Server) answer(c net.Conn, fault Fault, id, lines string) bool {
+// respond sends the answer to a request that was run.
+func (s *Server) respond(c net.Conn, fault Fault, id, lines string) bool {
 	text := "answer of " + s.ID + " to " + id
 	headers := s.headers(id) + lines
 	switch fault {
 	case LostResponse:
 		return false
 	case Silent:
-		s.untilClosed(c)
+		s.awaitClose(c)
 		return false
 	case Cut, Stalled:
 		head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n", headers, len(text))
 		_, _ = c.Write([]byte(head + text[:len(text)/2]))
 		if fault == Stalled {
-			s.untilClosed(c)
+			s.awaitClose(c)
 		}
 		return false
 	case Unframed, UnframedReset:
@@ -388,28 +388,28 @@
 		_, _ = c.Write([]byte(head + text))
 		if fault == UnframedReset {
 			time.Sleep(20 * time.Millisecond)
-			reset(c)
+			resetConn(c)
 		}
 		return false
 	case Surplus:
 		var buf bytes.Buffer
-		_ = send(&buf, "200 OK", headers, text)
-		_ = send(&buf, "200 OK", headers, "again")
+		_ = writeResponse(&buf, "200 OK", headers, text)
+		_ = writeResponse(&buf, "200 OK", headers, "again")
 		_, err := c.Write(buf.Bytes())
 		return err == nil
 	case Unsigned:
-		return send(c, "200 OK", "Request-Id: "+id+"\r\n"+lines, text) == nil
+		return writeResponse(c, "200 OK", "Request-Id: "+id+"\r\n"+lines, text) == nil
 	case Unmarked503:
-		return send(c, "503 Service Unavailable", headers, "sorry") == nil
+		return writeResponse(c, "503 Service Unavailable", headers, "sorry") == nil
 	case Failed:
-		return send(c, "500 Internal Server Error", headers, "failed") == nil
+		return writeResponse(c, "500 Internal Server Error", headers, "failed") == nil
 	default:
-		return send(c, "200 OK", headers, text) == nil
+		return writeResponse(c, "200 OK", headers, text) == nil
 	}
 }
 
-// untilClosed waits for the end of the connection.
-func (s *Server) untilClosed(c net.Conn) {
+// awaitClose waits for the end of the connection.
+func (s *Server) awaitClose(c net.Conn) {
 	var buf [1]byte
 	_, _ = c.Read(buf[:])
 	s.mu.Lock()
@@ -417,7 +417,7 @@
 	s.canceled++
 }
 
-func send(w io.Writer, status, headers, body string) error {
+func writeResponse(w io.Writer, status, headers, body string) error {
 	_, err := fmt.Fprintf(w, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	return err
 }
--- a/internal/standin/platformstore/faults.go
+++ b/internal/standin/platformstore/faults.go
@@ -37,14 +37,14 @@
 	Limited   int64 `json:"limited"`
 }
 
-// meter counts the calls of the running second against a limit.
-type meter struct {
+// rateLimiter counts the calls of the running second against a limit.
+type rateLimiter struct {
 	mu     sync.Mutex
 	second int64
 	used   int
 }
 
-func (m *meter) allow(now time.Time, limit int) bool {
+func (m *rateLimiter) allow(now time.Time, limit int) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := now.Unix(); s != m.second {
--- a/internal/standin/platformstore/server.go
+++ b/internal/standin/platformstore/server.go
@@ -54,11 +54,11 @@
 // Handler returns the service's interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+objectstore.ObjectsPath+"{key...}", s.reading(s.get))
-	mux.HandleFunc("GET "+objectstore.ListPath, s.reading(s.list))
-	mux.HandleFunc("GET "+objectstore.WatchPath, s.reading(s.watch))
-	mux.HandleFunc("PUT "+objectstore.ObjectsPath+"{key...}", s.writing(s.put))
-	mux.HandleFunc("DELETE "+objectstore.ObjectsPath+"{key...}", s.writing(s.delete))
+	mux.HandleFunc("GET "+objectstore.ObjectsPath+"{key...}", s.readHandler(s.get))
+	mux.HandleFunc("GET "+objectstore.ListPath, s.readHandler(s.list))
+	mux.HandleFunc("GET "+objectstore.WatchPath, s.readHandler(s.watch))
+	mux.HandleFunc("PUT "+objectstore.ObjectsPath+"{key...}", s.writeHandler(s.put))
+	mux.HandleFunc("DELETE "+objectstore.ObjectsPath+"{key...}", s.writeHandler(s.delete))
 	return mux
 }
 
@@ -82,25 +82,25 @@
 	return mux
 }
 
-func (s *Server) reading(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) readHandler(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.count(func(c *Counts) { c.Reads++ })
+		s.updateCounts(func(c *Counts) { c.Reads++ })
 		if s.admit(w, r, &s.store.reads, s.limits.Reads) {
 			next(w, r)
 		}
 	}
 }
 
-func (s *Server) writing(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) writeHandler(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.count(func(c *Counts) { c.Writes++ })
+		s.updateCounts(func(c *Counts) { c.Writes++ })
 		if s.admit(w, r, &s.store.writes, s.limits.Writes) {
 			next(w, r)
 		}
 	}
 }
 
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, m *meter, limit int) bool {
+func (s *Server) admit(w http.ResponseWriter, r *http.Request, m *rateLimiter, limit int) bool {
 	w.Header().Set(objectstore.EraHeader, strconv.FormatInt(s.store.Era(), 10))
 	f := s.currentFaults()
 	if f.Delay > 0 {
@@ -115,7 +115,7 @@
 		return false
 	}
 	if !m.allow(time.Now(), limit) {
-		s.count(func(c *Counts) { c.Limited++ })
+		s.updateCounts(func(c *Counts) { c.Limited++ })
 		http.Error(w, "too many calls", http.StatusTooManyRequests)
 		return false
 	}
@@ -128,7 +128,7 @@
 	return s.faults
 }
 
-func (s *Server) count(f func(*Counts)) {
+func (s *Server) updateCounts(f func(*Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.counts)
@@ -148,7 +148,7 @@
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
-	s.count(func(c *Counts) { c.Watches++ })
+	s.updateCounts(func(c *Counts) { c.Watches++ })
 	query := r.URL.Query()
 	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
 	if err != nil {
@@ -201,7 +201,7 @@
 		return
 	}
 	obj, ok := s.store.Put(r.PathValue("key"), req.Version, req.Value)
-	s.answerWrite(w, obj, ok)
+	s.respondToWrite(w, obj, ok)
 }
 
 func (s *Server) delete(w http.ResponseWriter, r *http.Request) {
@@ -211,22 +211,22 @@
 		return
 	}
 	obj, ok := s.store.Delete(r.PathValue("key"), version)
-	s.answerWrite(w, obj, ok)
+	s.respondToWrite(w, obj, ok)
 }
 
-func (s *Server) answerWrite(w http.ResponseWriter, obj objectstore.Object, ok bool) {
-	if s.takeLostReply() {
+func (s *Server) respondToWrite(w http.ResponseWriter, obj objectstore.Object, ok bool) {
+	if s.consumeLostReply() {
 		panic(http.ErrAbortHandler)
 	}
 	if !ok {
-		s.count(func(c *Counts) { c.Conflicts++ })
+		s.updateCounts(func(c *Counts) { c.Conflicts++ })
 		writeJSON(w, http.StatusConflict, obj)
 		return
 	}
 	writeJSON(w, http.StatusOK, obj)
 }
 
-func (s *Server) takeLostReply() bool {
+func (s *Server) consumeLostReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseReplies == 0 {
--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -19,8 +19,8 @@
 	changed  chan struct{}
 	// era counts the returns from copies, from 1 on.
 	era    int64
-	reads  meter
-	writes meter
+	reads  rateLimiter
+	writes rateLimiter
 }
 
 // NewStore returns an empty store.
@@ -53,7 +53,7 @@
 	defer s.mu.Unlock()
 	s.revision, s.objects, s.previous = c.revision, maps.Clone(c.objects), maps.Clone(c.previous)
 	s.era++
-	s.wake()
+	s.wakeWatches()
 }
 
 // Era returns how often the store has come back from a copy, and one more.
@@ -145,7 +145,7 @@
 	s.revision++
 	next.Version = s.revision
 	s.objects[next.Key] = next
-	s.wake()
+	s.wakeWatches()
 	return next, true
 }
 
@@ -153,10 +153,10 @@
 func (s *Store) WakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wake()
+	s.wakeWatches()
 }
 
-func (s *Store) wake() {
+func (s *Store) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
