--- a/internal/standin/objects/restore.go
+++ b/internal/standin/objects/restore.go
@@ -3,35 +3,35 @@
 import "time"
 
 const (
-	// initialEra is the era of a new store.
 	initialEra = 1
-	// undoRetention is how far back a copy may lie from which the store is restored.
+	// undoRetention is the maximum age of a backup from which the store can be restored.
 	undoRetention = time.Minute
 )
 
-// objectKey stands for an object.
+// objectKey identifies an object.
 type objectKey struct{ kind, name string }
 
-// undoEntry is what a write replaced.
+// undoEntry records the state of an object before a write.
 type undoEntry struct {
 	objectKey
 	at time.Time
-	// before is nil if there was no object.
+	// before is nil if the object did not exist.
 	before *Object
-	// revision is that of the write.
+	// revision is the store's revision after the write.
 	revision int64
-	// external says that the operator or a server wrote, and not the system.
+	// external is true for a write by the operator or a target, and false for one by the tested system.
 	external bool
 }
 
-// LostWrite is the last that the operator or a server wrote of an object, and that a restored store
-// does not hold.
+// LostWrite is the last write of an object by the operator or a target, where a restore of the store has
+// undone it.
 type LostWrite struct {
 	Kind, Name string
 	object     *Object
 }
 
-// recordUndo keeps what a write of the current revision is about to replace. The caller holds mu.
+// recordUndo records the current state of an object that the write of the current revision is about to
+// replace. It discards records older than undoRetention. The caller holds mu.
 func (s *Store) recordUndo(kind, name string) {
 	now := time.Now()
 	for len(s.undo) > 0 && now.Sub(s.undo[0].at) > undoRetention {
@@ -40,7 +40,7 @@
 	s.undo = append(s.undo, undoEntry{objectKey: objectKey{kind, name}, at: now, before: s.kinds[kind][name], revision: s.revision})
 }
 
-// markExternal notes that the last write was the operator's or a server's. The caller holds mu.
+// markExternal marks the last write as one by the operator or a target. The caller holds mu.
 func (s *Store) markExternal() {
 	last := &s.undo[len(s.undo)-1]
 	last.external = true
@@ -54,19 +54,19 @@
 	return s.revision
 }
 
-// Era returns the era that answers tell.
+// Era returns the store's era, which each restore from a backup increments.
 func (s *Store) Era() int64 { return s.era.Load() }
 
-// RestoreAt takes the store back to what it was at a revision, as one that comes back from a copy.
-// Its revisions go on from there, in a new era. It returns what the operator and the servers wrote
-// since, the earliest first; WriteAgain writes it.
+// RestoreAt restores the state that the store had at a revision, as from a backup. Revisions continue from
+// that one, in a new era. RestoreAt returns the undone writes of the operator and of targets, the earliest
+// first. Reapply repeats such a write.
 func (s *Store) RestoreAt(revision int64) []LostWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.restore(func(e undoEntry) bool { return e.revision > revision })
 }
 
-// RestoreAge is like RestoreAt, for a copy of an age.
+// RestoreAge is like RestoreAt, for a backup of the given age.
 func (s *Store) RestoreAge(age time.Duration) []LostWrite {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,7 @@
 	return s.restore(func(e undoEntry) bool { return e.at.After(made) })
 }
 
-// restore undoes the latest writes for which lost says so. The caller holds mu.
+// restore undoes the latest writes, back to the first for which lost returns false. The caller holds mu.
 func (s *Store) restore(lost func(undoEntry) bool) []LostWrite {
 	var out []LostWrite
 	seen := make(map[objectKey]bool)
@@ -98,7 +98,7 @@
 	return out
 }
 
-// setObject has an object be there as it is, or not be there if it is nil. The caller holds mu.
+// setObject stores o without a new revision, or removes the object if o is nil. The caller holds mu.
 func (s *Store) setObject(kind, name string, o *Object) {
 	if o == nil {
 		delete(s.kinds[kind], name)
@@ -110,8 +110,8 @@
 	s.kinds[kind][name] = o
 }
 
-// Reapply has the operator or a server write what was lost, unless they have written the object since
-// the store was restored.
+// Reapply repeats a lost write of the operator or a target, unless the object has been written or removed
+// externally since the restore.
 func (s *Store) Reapply(w LostWrite) {
 	s.mu.Lock()
 	written := s.writtenSinceRestore[objectKey{w.Kind, w.Name}]
--- a/internal/standin/objects/restore_test.go
+++ b/internal/standin/objects/restore_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// call makes a call and returns its status, its era and its body.
-func call(t *testing.T, base, method, path, body string) (status int, era string, answer string) {
+// call sends a request and returns the status, the era and the body of the response.
+func call(t *testing.T, base, method, path, body string) (status int, era string, response string) {
 	req, err := http.NewRequestWithContext(t.Context(), method, base+path, strings.NewReader(body))
 	require.NoError(t, err)
 	resp, err := http.DefaultClient.Do(req)
@@ -23,9 +23,8 @@
 	return resp.StatusCode, resp.Header.Get(headerEra), string(raw)
 }
 
-// TestRestore checks that a restored store holds what its copy did, goes on from the copy's
-// revision in a new era, does not know later revisions, and tells what was lost that the operator
-// and servers had written.
+// TestRestore checks that a restored store has the contents and the revision of the backup in a new era,
+// answers 410 to watches from later revisions, and returns the lost writes of the operator and of targets.
 func TestRestore(t *testing.T) {
 	s := New()
 	server := httptest.NewServer(s)
@@ -67,8 +66,8 @@
 	require.Contains(t, body, `"spec":3`)
 }
 
-// TestRemoveBeforeReapply checks that an object that a restore has lost stays away if it is removed
-// before its writer has written it again.
+// TestRemoveBeforeReapply checks that Reapply does not create an object that was lost in a restore and then
+// removed.
 func TestRemoveBeforeReapply(t *testing.T) {
 	s := New()
 	s.Set("servers", "i-1", "ready")
--- a/internal/standin/objects/server.go
+++ b/internal/standin/objects/server.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// pageSize is the number of items in a page of a list.
+// pageSize is the maximum number of items in a page of a list.
 const pageSize = 50
 
 const maxBody = 1 << 20
@@ -39,7 +39,7 @@
 	time.Sleep(faults.Delay)
 	switch {
 	case faults.Silent:
-		// The end of a connection shows only once the body has been read.
+		// The request's context ends with the connection only after the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		return
@@ -63,20 +63,21 @@
 	s.read(w, r, kind, name)
 }
 
-// discardWriter is an answer that nobody gets.
+// discardWriter is an http.ResponseWriter that discards the response.
 type discardWriter struct{ header http.Header }
 
 func (d discardWriter) Header() http.Header         { return d.header }
 func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 func (d discardWriter) WriteHeader(int)             {}
 
-// eraWriter tells the era in each answer, as it is when the answer is made.
+// eraWriter sets the header Store-Era of each response, to the era at the time of WriteHeader
+// unless the handler has set it already.
 type eraWriter struct {
 	http.ResponseWriter
 	store *Store
 }
 
-// headerEra holds the era.
+// headerEra is the response header that carries the store's era.
 const headerEra = "Store-Era"
 
 // WriteHeader implements http.ResponseWriter. The caller may hold the store's mu.
@@ -89,7 +90,7 @@
 
 func setEra(w http.ResponseWriter, era int64) { w.Header().Set(headerEra, strconv.FormatInt(era, 10)) }
 
-// splitPath takes a path /objects/KIND[/NAME[/status]] apart.
+// splitPath splits a path /objects/KIND[/NAME[/status]].
 func splitPath(path string) (kind, name, sub string, ok bool) {
 	rest, ok := strings.CutPrefix(path, "/objects/")
 	if !ok || rest == "" {
@@ -176,7 +177,8 @@
 	}
 }
 
-// write takes a POST, PUT or DELETE.
+// write serves a POST, PUT or DELETE request. A PUT or DELETE with a revision other than 0 fails with 409 if
+// the object is at another revision.
 func (s *Store) write(w http.ResponseWriter, r *http.Request, kind, name, sub string) {
 	var body Object
 	if r.Method != http.MethodDelete {
@@ -228,7 +230,8 @@
 	writeJSON(w, http.StatusCreated, s.commit(kind, o))
 }
 
-// replace writes next unless it is what is held.
+// replace stores next, unless it equals the current object. It removes an object that is marked as deleting
+// and has no finalizers left.
 func (s *Store) replace(w http.ResponseWriter, kind string, current *Object, next Object) {
 	same := bytes.Equal(current.Spec, next.Spec) && bytes.Equal(current.Status, next.Status) &&
 		slices.Equal(current.Metadata.Finalizers, next.Metadata.Finalizers)
--- a/internal/standin/objects/spec.go
+++ b/internal/standin/objects/spec.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// The specs of the kinds that operators and servers write, in the words of the users'
-// pages.
+// The types in this file are the specs of objects that the operator and the targets write, in the
+// platform's own vocabulary.
 
 // Kinds and names of objects.
 const (
@@ -13,17 +13,17 @@
 	KindEvacuations = "evacuations"
 )
 
-// Configuration is the spec of the configuration.
+// Configuration is the spec of the object with the routes, services, limits and tenants.
 type Configuration struct {
 	Version  string             `json:"version"`
 	Routes   map[string]Route   `json:"routes"`
 	Services map[string]Service `json:"services"`
 	Limits   Limits             `json:"limits"`
-	// Tenants are nil where the configuration has none.
+	// Tenants is nil if the configuration has no tenants.
 	Tenants map[string]Tenant `json:"tenants"`
 }
 
-// Tenant is one tenant of a configuration.
+// Tenant is the configuration of a client account.
 type Tenant struct {
 	APIKeys        []string `json:"apiKeys"`
 	Priority       int      `json:"priority"`
@@ -32,7 +32,8 @@
 	AllowedRegions []string `json:"allowedRegions"`
 }
 
-// Route is one route of a configuration. Times are texts such as "2s".
+// Route maps requests by host and path prefix to a service. Durations have the form of time.ParseDuration,
+// such as "2s".
 type Route struct {
 	Host           string   `json:"host"`
 	PathPrefix     string   `json:"pathPrefix"`
@@ -47,7 +48,8 @@
 	AllowAnonymous bool     `json:"allowAnonymous,omitempty"`
 }
 
-// Service is one service of a configuration.
+// Service configures the targets of a service. Warmup is the duration of the slow start, with at most
+// WarmupPerS requests per second.
 type Service struct {
 	HealthCheckPath string  `json:"healthCheckPath"`
 	MaxConnections  int     `json:"maxConnections"`
@@ -55,7 +57,7 @@
 	WarmupPerS      float64 `json:"warmupPerS"`
 }
 
-// Limits bound what clients may send.
+// Limits bounds the sizes and the time-outs of clients' requests. Zero values are omitted.
 type Limits struct {
 	MaxHeaderBytes int    `json:"maxHeaderBytes,omitempty"`
 	MaxBodyBytes   int    `json:"maxBodyBytes,omitempty"`
@@ -63,7 +65,7 @@
 	IdleTimeout    string `json:"idleTimeout,omitempty"`
 }
 
-// Server is a server's entry.
+// Server is the spec of a target's object.
 type Server struct {
 	Service         string `json:"service"`
 	Address         string `json:"address"`
@@ -73,41 +75,41 @@
 	State           string `json:"state"`
 	WarmupRemaining string `json:"warmupRemaining"`
 	Sequence        int    `json:"sequence"`
-	// StartUnixMilli is the Unix millisecond of the server's start, 0 where it is not told.
+	// StartUnixMilli is the time of the target's start in Unix milliseconds, or 0 if it is not given.
 	StartUnixMilli int64 `json:"born,omitempty"`
 }
 
-// The states of a server.
+// The states of a target.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 )
 
-// FormatVersion is how a version is written.
+// FormatVersion returns the name of a version, such as "r3".
 func FormatVersion(version int) string { return fmt.Sprintf("r%d", version) }
 
-// Configure writes a configuration.
+// Configure writes the configuration and returns the revision.
 func (s *Store) Configure(c Configuration) int64 { return s.Set(KindConfig, ConfigName, c) }
 
-// SetServer writes a server's entry.
+// SetServer writes the object of a target and returns the revision.
 func (s *Store) SetServer(id string, server Server) int64 { return s.Set(KindServers, id, server) }
 
-// Evacuate asks for a zone to be emptied.
+// Evacuate requests the evacuation of a hall and returns the revision.
 func (s *Store) Evacuate(zone string) int64 {
 	return s.Set(KindEvacuations, zone, struct{}{})
 }
 
-// CancelEvacuation takes an emptied zone back.
+// CancelEvacuation ends the evacuation of a hall.
 func (s *Store) CancelEvacuation(zone string) { s.Remove(KindEvacuations, zone) }
 
-// Rollout is the order to bring in a version of a service.
+// Rollout is the spec of a rollout order: the version of a service to roll out, and over what time.
 type Rollout struct {
 	Service       string `json:"service"`
 	TargetVersion string `json:"targetVersion"`
 	Duration      string `json:"duration"`
 }
 
-// RolloutStatus is what the system says of such an order.
+// RolloutStatus is the status that the system writes for a rollout order.
 type RolloutStatus struct {
 	State         string `json:"state"`
 	TargetVersion string `json:"targetVersion"`
--- a/internal/standin/objects/store.go
+++ b/internal/standin/objects/store.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Metadata is the part of an object that the store keeps.
+// Metadata is the part of an object that the store maintains, except for Name and Finalizers, which the
+// writer sets. CreatedRevision is the revision of the object's first write.
 type Metadata struct {
 	Name            string   `json:"name"`
 	Revision        int64    `json:"revision"`
@@ -17,14 +18,14 @@
 	Deleting        bool     `json:"deleting"`
 }
 
-// Object is one object.
+// Object is an object of the store.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 	Status   json.RawMessage `json:"status"`
 }
 
-// Event is a change of an object.
+// Event is a change of an object. Deleted is true for its removal.
 type Event struct {
 	Object  Object `json:"object"`
 	Deleted bool   `json:"gone"`
@@ -33,32 +34,32 @@
 	revision int64
 }
 
-// Faults are what is wrong with the store. The zero value is a sound store.
+// Faults are the simulated failures of the store. The zero value has none.
 type Faults struct {
-	// Down answers every call with 503.
+	// Down answers every request with status 503.
 	Down bool
-	// Silent gives no answer at all.
+	// Silent leaves every request without a response until its connection ends.
 	Silent bool
-	// Delay is added to every call.
+	// Delay is added to the response time of every request.
 	Delay time.Duration
-	// LoseReplies does writes and gives no answer to them.
+	// LoseReplies executes writes and then closes the connection without a response.
 	LoseReplies bool
-	// Refuse turns away callers from these IP addresses.
+	// Refuse holds the IP addresses of clients whose requests get status 503.
 	Refuse map[string]bool
 }
 
-// Store is the store. It is safe for concurrent use.
+// Store is an in-memory object store and the http.Handler of its interface. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	kinds    map[string]map[string]*Object
 	history  []Event
-	// compactedRevision is the revision up to which the history is gone.
+	// compactedRevision is the revision up to which the history has been discarded.
 	compactedRevision int64
-	// era is told in all answers. It rises when the store is restored from a copy.
+	// era is sent with all responses. Each restore from a backup increments it.
 	era atomic.Int64
-	// undo holds what the latest writes replaced, the latest last, and rewritten the objects that the
-	// operator and servers have written since the store was last restored.
+	// undo is the undo log of the writes of the last undoRetention, in their order. writtenSinceRestore
+	// holds the objects that the operator or targets have written or removed since the last restore.
 	undo                []undoEntry
 	writtenSinceRestore map[objectKey]bool
 	changed             chan struct{}
@@ -73,21 +74,21 @@
 	return s
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the simulated faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Calls returns the number of calls taken.
+// Calls returns the number of HTTP requests received, including those that failed.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// CompactHistory drops the history: watches from before now get 410.
+// CompactHistory discards the history of changes. Watches from an earlier revision get status 410.
 func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +96,8 @@
 	s.wakeWatches()
 }
 
-// Set writes an object as the operator or a server does and returns the revision.
+// Set writes an object's spec on behalf of the operator or a target, whatever the object's revision, and
+// returns the new revision. It panics if spec can't be marshaled to JSON.
 func (s *Store) Set(kind, name string, spec any) int64 {
 	raw, err := json.Marshal(spec)
 	if err != nil {
@@ -114,7 +116,7 @@
 	return s.revision
 }
 
-// Status returns the status of an object, nil if there is none.
+// Status returns the status of an object, or nil if it has none or does not exist.
 func (s *Store) Status(kind, name string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +127,7 @@
 	return o.Status
 }
 
-// SetStatus replaces the status of an object that is there.
+// SetStatus replaces the status of an object, which must exist.
 func (s *Store) SetStatus(kind, name string, status any) {
 	raw, err := json.Marshal(status)
 	if err != nil {
@@ -139,11 +141,11 @@
 	s.markExternal()
 }
 
-// Remove removes an object whatever its finalizers.
+// Remove removes an object on behalf of the operator or a target, even if it has finalizers.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// One that a restore has lost is not to be written again.
+	// Reapply must not create the object again if a restore has lost it.
 	s.writtenSinceRestore[objectKey{kind, name}] = true
 	if o := s.kinds[kind][name]; o != nil {
 		s.erase(kind, *o)
@@ -151,7 +153,7 @@
 	}
 }
 
-// Names returns the names of a kind's objects, in order.
+// Names returns the names of a kind's objects in ascending order.
 func (s *Store) Names(kind string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +169,7 @@
 	return out
 }
 
-// commit stores o as the next revision. The caller holds mu.
+// commit stores o with the next revision and returns it. The caller holds mu.
 func (s *Store) commit(kind string, o Object) Object {
 	s.revision++
 	o.Metadata.Revision = s.revision
@@ -197,11 +199,11 @@
 	s.changed = make(chan struct{})
 }
 
-// position is where the store's counters are.
+// position is the store's era and revision at one time.
 type position struct{ era, revision int64 }
 
-// events returns the changes of a kind after a revision, where the store is, whether it has that
-// revision and the history after it, and a channel that is closed with the next change.
+// events returns the changes of a kind after a revision, the store's current position, whether the history
+// covers all changes after that revision, and a channel that is closed at the next change.
 func (s *Store) events(kind string, after int64) (events []Event, at position, known bool, changed chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
