--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -13,7 +13,8 @@
 	"github.com/rainford/rainford/balance"
 )
 
-// The property tests use the same random cases in every run unless -rapid.seed is set.
+// init fixes the seed of the property tests, so that they use the same random cases in every run
+// unless -rapid.seed is set.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 var epoch = time.Unix(0, 0)
@@ -34,11 +35,13 @@
 	return out
 }
 
+// request returns a request that may wait in the queue for an hour.
 func request(id uint64) balance.Request {
 	return balance.Request{ID: id, Deadline: epoch.Add(time.Hour), QueueTimeout: time.Hour}
 }
 
-// warmUp releases requests with success until the pool's limit reaches want.
+// warmUp runs rounds of requests that succeed with a latency of 10 ms, until the pool's limit on
+// requests in flight is at least want, which must not exceed the slots of the pool.
 func warmUp(p *balance.Pool, want int) {
 	for i := uint64(1); p.Load(epoch).Limit < want; i++ {
 		var running []string
@@ -57,10 +60,11 @@
 	}
 }
 
-// TestSlotsAreNeverExceeded drives a pool through arrivals, all results of requests, and changes of
-// the targets and their slots. It checks that no target exceeds its share of slots, that unlisted
-// targets get no new requests, that every queued request ends with one grant, and that requests of
-// another region do not use the reserve.
+// TestSlotsAreNeverExceeded applies random arrivals, results of requests, and changes of the targets
+// and their slots to a pool. It checks that no target gets a request beyond this instance's share
+// of its slots, that targets missing from the latest list get no new requests, and that a queued
+// request gets at most one grant and is otherwise still queued. A request from another region that
+// runs at once uses at most one slot of the reserve, which the check rounds down.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rand"), 1))})
@@ -107,6 +111,8 @@
 	})
 }
 
+// poolModel is the state that the test expects of the pool. slots and inFlight are by target ID, and
+// waiting contains the IDs of the queued requests.
 type poolModel struct {
 	t               *rapid.T
 	slots           map[string]int
@@ -128,7 +134,7 @@
 
 func (m *poolModel) checkRun(d balance.Decision) {
 	slots, listed := m.slots[d.Target.ID]
-	require.True(m.t, listed, "an unlisted target got a request")
+	require.True(m.t, listed, "a target that is not in the latest list got a request")
 	m.inFlight[d.Target.ID]++
 	require.LessOrEqual(m.t, m.inFlight[d.Target.ID], slots)
 }
@@ -142,6 +148,7 @@
 	}
 }
 
+// anyInFlight returns the ID of the first target that has requests in flight, or "".
 func (m *poolModel) anyInFlight() string {
 	for i := range 5 {
 		if id := fmt.Sprintf("t%d", i); m.inFlight[id] > 0 {
@@ -181,6 +188,8 @@
 	require.Equal(t, 4, p.Load(epoch).Limit)
 }
 
+// TestColdTargetLimitGrowsSlowly checks that the limit of a target rises although its latency is 20
+// times that of the other target, and that the limit of the pool never falls meanwhile.
 func TestColdTargetLimitGrowsSlowly(t *testing.T) {
 	p := newPool(t, 8, 8)
 	warmUp(p, 16)
@@ -196,28 +205,30 @@
 		require.GreaterOrEqual(t, p.Load(epoch).Limit, last)
 		last = p.Load(epoch).Limit
 	}
-	require.Greater(t, last, 9)
+	require.Greater(t, last, 9, "the limit of t0, which is 8, and the initial limit of the cold target")
 }
 
-// TestLateRequestIsRefusedEarly checks that a queued request is refused as soon as its expected
-// wait shows that it will miss its deadline.
+// TestLateRequestIsRefusedEarly checks that a request is refused, on arrival or in the queue, as
+// soon as its expected wait shows that it will miss its deadline.
 func TestLateRequestIsRefusedEarly(t *testing.T) {
 	p := newPool(t, 1)
 	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Action)
+	// The expected wait and the expected latency are 20 ms each before the first response.
 	late := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), QueueTimeout: time.Hour}
 	require.Equal(t, balance.Refuse, p.Acquire(epoch, late).Action)
 	late.Deadline = epoch.Add(time.Second)
 	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
-	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "the request may meet its deadline: the target is probed after 500 ms")
+	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "refused although the target is probed after the minimum back-off of 500 ms, before the deadline")
 	require.Empty(t, p.Tick(epoch.Add(100*time.Millisecond)))
 	grants := p.SetTargets(epoch.Add(200*time.Millisecond), nil)
-	require.Len(t, grants, 1, "no target is left, 800 ms before the deadline")
+	require.Len(t, grants, 1, "not refused although no target is left, 800 ms before the deadline")
 	require.Equal(t, balance.Refuse, grants[0].Decision.Action)
 }
 
-// TestWaitIsBounded has uploads hold every slot while the usual request takes 10 ms. It checks that
-// a waiting request is refused when its queue timeout expires, or when the time without a released
-// slot is as long as the time to its deadline.
+// TestWaitIsBounded has two requests hold every slot, as long uploads do, after requests that took
+// 10 ms. It checks that a waiting request is refused when its queue timeout expires, or when the
+// time without a released slot is as long as the time to its deadline, since the next release is
+// expected to take as long again.
 func TestWaitIsBounded(t *testing.T) {
 	p := newPool(t, 2)
 	warmUp(p, 2)
@@ -237,8 +248,9 @@
 	require.InDelta(t, 2, refused[4].Seconds(), 0.1)
 }
 
-// TestNoSlotsNoQueue checks that requests do not queue at an instance whose share of the slots is
-// zero, as after it released its seats.
+// TestNoSlotsNoQueue checks that a request is refused, on arrival or in the queue, if the instance's
+// share of the slots is zero, as after it released its seats, and the request cannot wait for 10 s,
+// the expected wait without slots. A request that may wait for an hour stays queued.
 func TestNoSlotsNoQueue(t *testing.T) {
 	p := newPool(t, 0, 0)
 	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second})
@@ -249,10 +261,12 @@
 	late := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second}
 	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
 	grants := p.SetTargets(epoch, specs(0))
-	require.Len(t, grants, 1, "the request that cannot meet its deadline is refused at once")
+	require.Len(t, grants, 1, "only request 3, whose deadline is in 5 s, is refused")
 	require.EqualValues(t, 3, grants[0].ID)
 }
 
+// TestTargetSuspectedAfterThreeBroken checks that a target gets no requests after three broken
+// exchanges, and is probed after the back-off.
 func TestTargetSuspectedAfterThreeBroken(t *testing.T) {
 	p := newPool(t, 1)
 	r := request(1)
@@ -263,7 +277,9 @@
 	}
 	d := p.Acquire(epoch, r)
 	require.Equal(t, balance.Refuse, d.Action)
-	require.InDelta(t, 0.78, d.RetryAfter.Seconds(), 0.27, "about the time until the next probe, with jitter")
+	// The expected wait is the back-off of 500 ms and the expected latency of 20 ms. The jitter
+	// makes RetryAfter one to two times as long.
+	require.InDelta(t, 0.78, d.RetryAfter.Seconds(), 0.27, "the time until the next probe, with jitter")
 	require.Equal(t, balance.Run, p.Acquire(epoch.Add(time.Second), r).Action)
 }
 
