--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -188,9 +188,9 @@
 	require.Equal(t, 4, p.Load(epoch).Limit)
 }
 
-// TestColdTargetLimitGrowsSlowly checks that the limit of a target rises although its latency is 20
+// TestColdTargetLimitGrows checks that the limit of a target rises although its latency is 20
 // times that of the other target, and that the limit of the pool never falls meanwhile.
-func TestColdTargetLimitGrowsSlowly(t *testing.T) {
+func TestColdTargetLimitGrows(t *testing.T) {
 	p := newPool(t, 8, 8)
 	warmUp(p, 16)
 	p.SetTargets(epoch, []balance.Spec{{ID: "t0", Addr: "t0", Slots: 8}, {ID: "cold", Addr: "cold", Slots: 8}})
@@ -248,10 +248,10 @@
 	require.InDelta(t, 2, refused[4].Seconds(), 0.1)
 }
 
-// TestNoSlotsNoQueue checks that a request is refused, on arrival or in the queue, if the instance's
+// TestShortWaitRefusedWithoutSlots checks that a request is refused, on arrival or in the queue, if the instance's
 // share of the slots is zero, as after it released its seats, and the request cannot wait for 10 s,
 // the expected wait without slots. A request that may wait for an hour stays queued.
-func TestNoSlotsNoQueue(t *testing.T) {
+func TestShortWaitRefusedWithoutSlots(t *testing.T) {
 	p := newPool(t, 0, 0)
 	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second})
 	require.Equal(t, balance.Refuse, d.Action)
