--- a/internal/standin/origin/doc.go
+++ b/internal/standin/origin/doc.go
@@ -1,7 +1,11 @@
-// Package origin provides a stand-in of the servers on the users' new machines:
-// it runs requests, refuses those meant for another incarnation, tells its load,
-// and has the faults of the real ones: answers that are surplus, late, cut,
-// without a length or no answers at all, answers before the body is in, silence,
-// and connections that are forgotten. It remembers what it ran. It is for tests
-// and demonstrations.
+// Package origin provides a stand-in for a target, with the platform's own HTTP headers, for tests and
+// demonstrations.
+//
+// A Server is one incarnation of a target, that is, one run of its process. It answers 421 to a request whose
+// header Expected-Instance names another incarnation. Responses to executed requests carry the server's
+// signature (Server-Signature) and load (Server-Load). A refusal with the header Not-Executed states that the
+// request was not run.
+//
+// A Fault makes the server misbehave for one request, as real targets do: with surplus, delayed, truncated or
+// malformed responses, without a response, or with a crash. The server records the requests that it has run.
 package origin
--- a/internal/standin/origin/server.go
+++ b/internal/standin/origin/server.go
@@ -13,72 +13,73 @@
 	"github.com/rainford/rainford/internal/loopback"
 )
 
-// Fault is what a server does wrong with one request.
+// Fault selects how a server misbehaves for one request.
 type Fault int
 
 // The faults.
 const (
-	// None runs the request and answers.
+	// None runs the request and responds with status 200.
 	None Fault = iota
-	// Shed answers that the request was not run.
+	// Shed refuses the request with Not-Executed and the status of SetShedStatus.
 	Shed
-	// Surplus runs the request and sends a second answer to it behind the
-	// first.
+	// Surplus runs the request and sends a second response directly after the first.
 	Surplus
-	// Foreign sends an answer to another request first. What the server says of itself is
-	// in that one alone.
+	// Foreign sends a response with another request's ID first. Only that response has the additional
+	// header lines of SetExtraHeaders.
 	Foreign
-	// Unframed answers without a length and ends the connection.
+	// Unframed responds without a length and closes the connection at the end of the body.
 	Unframed
-	// UnframedReset does so and resets the connection midway.
+	// UnframedReset responds without a length and resets the connection 20 ms later.
 	UnframedReset
-	// Cut ends the connection in the middle of the answer.
+	// Cut closes the connection in the middle of the response's body.
 	Cut
-	// Garbage sends bytes that are no answer.
+	// Garbage does not run the request, sends bytes that are not HTTP, and closes the connection.
 	Garbage
-	// LostResponse runs the request and ends the connection without an answer.
+	// LostResponse runs the request and closes the connection without a response.
 	LostResponse
-	// Silent runs the request and says nothing.
+	// Silent runs the request and sends nothing until the connection is closed.
 	Silent
-	// EarlyRefusal refuses the request before its body is in, and reads on later.
+	// EarlyRefusal responds with status 413 before it reads the request's body, and reads the body 50 ms
+	// later. It does not run the request.
 	EarlyRefusal
-	// Unsigned answers with success and no signature.
+	// Unsigned runs the request and responds with status 200 but no Server-Signature.
 	Unsigned
-	// Failed runs the request and answers 500.
+	// Failed runs the request and responds with status 500.
 	Failed
-	// Crash runs the request and ends the server with all that it has, as a crash does.
+	// Crash runs the request, then closes the listener and resets all connections, as when the process
+	// crashes.
 	Crash
-	// Stalled sends the head and half of the answer, and then nothing more.
+	// Stalled sends the head and half of the response's body, and then nothing until the connection is
+	// closed.
 	Stalled
-	// Unmarked503 runs the request and answers 503 all the same, without a word that it did
-	// not run.
+	// Unmarked503 runs the request and responds with status 503, without the header Not-Executed.
 	Unmarked503
 )
 
-// Run is a request that was run.
+// Run records a request that a server has run.
 type Run struct {
 	ID, Method, URI string
 	Body            []byte
 }
 
-// Arrival is a request that has reached a server.
+// Arrival records a request that has reached a server and was run or refused with Not-Executed.
 type Arrival struct {
 	Server *Server
 	At     time.Time
 	Run
 	Header http.Header
-	// Executed is false if the server turned the request away, and Asks the rest that it then
-	// asked for, 0 for none.
+	// Executed is false if the server refused the request. RetryAfter is the back-off that the refusal
+	// requested, or 0 for none.
 	Executed   bool
 	RetryAfter time.Duration
 }
 
-// Server is one incarnation. It is safe for concurrent use.
+// Server is one incarnation of a target. It is safe for concurrent use.
 type Server struct {
-	// ID is the incarnation's, and Zone the place that it records.
+	// ID identifies the incarnation. Zone is its hall, as its object in the platform's store names it.
 	ID, Service, Zone string
 	Slots             int
-	// ServiceTime is how long a run takes.
+	// ServiceTime is the duration of a run.
 	ServiceTime time.Duration
 
 	listener net.Listener
@@ -86,15 +87,16 @@
 	script   func(*http.Request) Fault
 	runs     []Run
 	observe  func(Arrival)
-	// crashes tells which requests end the server, and ended is told of the first.
+	// crashes returns whether a request crashes the server. onCrash is called with the first that does.
 	crashes func(*http.Request) bool
 	onCrash func(Run)
-	// shedStatus is the status line's end of answers to requests that are turned away.
+	// shedStatus is the status code and reason phrase of refusals.
 	shedStatus string
-	// refuseUntil is until when everything is turned away, and asks the rest asked for.
+	// refuseUntil is the time until which all requests are refused, with retryAfter as the requested
+	// back-off.
 	refuseUntil time.Time
 	retryAfter  time.Duration
-	// extraHeaders returns more header lines of the answer to a request.
+	// extraHeaders returns additional header lines for the response to a request.
 	extraHeaders func(*http.Request) string
 	crashOnce    sync.Once
 	conns        map[net.Conn]bool
@@ -102,7 +104,8 @@
 	canceled     int
 }
 
-// Start returns a server on a port of its own on the loopback address of the process.
+// Start returns a server that listens on a free port of the process's loopback address. Its service time is
+// 0 until SetServiceTime.
 func Start(id, service, zone string, slots int) (*Server, error) {
 	ln, err := net.Listen("tcp", loopback.Host()+":0")
 	if err != nil {
@@ -113,26 +116,25 @@
 	return s, nil
 }
 
-// Addr is IP:PORT.
+// Addr returns the server's address as IP:PORT.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetScript sets what decides on the fault of each request.
+// SetScript sets the function that selects the fault of each request.
 func (s *Server) SetScript(script func(*http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// SetCrash sets which requests end the server when it runs them, and what is told of the
-// first of them before the server ends.
+// SetCrash sets the function that selects requests that crash the server, and one that is called with the
+// first such request before the server closes.
 func (s *Server) SetCrash(crashes func(*http.Request) bool, onCrash func(Run)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashes, s.onCrash = crashes, onCrash
 }
 
-// SetShedStatus sets the status, such as "429 Too Many Requests", of answers to requests that
-// are turned away.
+// SetShedStatus sets the status of refusals, such as "429 Too Many Requests". The default is 503.
 func (s *Server) SetShedStatus(status string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,15 +147,15 @@
 	return s.shedStatus
 }
 
-// SetRetryAfter has the server turn away everything until a time, and ask for a rest of some length
-// each time.
+// SetRetryAfter makes the server refuse all requests until a time, each with the given back-off in the header
+// Retry-After.
 func (s *Server) SetRetryAfter(until time.Time, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuseUntil, s.retryAfter = until, retryAfter
 }
 
-// currentRetryAfter returns the rest that the server asks for now, 0 for none.
+// currentRetryAfter returns the back-off that the server requests now, or 0 if it accepts requests.
 func (s *Server) currentRetryAfter() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,15 +165,15 @@
 	return s.retryAfter
 }
 
-// SetExtraHeaders sets what returns more header lines of the answer to a request, whatever the answer
-// is. Each line ends with "\r\n".
+// SetExtraHeaders sets the function that returns additional header lines for the response to a request,
+// whatever its status. Each line must end with "\r\n".
 func (s *Server) SetExtraHeaders(extraHeaders func(*http.Request) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.extraHeaders = extraHeaders
 }
 
-// extraHeaderLines returns the header lines that every answer to a request has.
+// extraHeaderLines returns the additional header lines for the response to a request.
 func (s *Server) extraHeaderLines(req *http.Request) string {
 	s.mu.Lock()
 	extraHeaders := s.extraHeaders
@@ -182,15 +184,14 @@
 	return extraHeaders(req)
 }
 
-// SetObserver sets what is told of each request that arrives, before it is
-// answered.
+// SetObserver sets the function that is called with each Arrival, before the response is sent.
 func (s *Server) SetObserver(observe func(Arrival)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observe = observe
 }
 
-// SetServiceTime sets how long a run takes.
+// SetServiceTime sets the duration of a run.
 func (s *Server) SetServiceTime(work time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +210,7 @@
 	observe(a)
 }
 
-// Runs returns the requests run so far.
+// Runs returns a copy of the list of the requests run so far.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,14 +224,14 @@
 	return s.accepted
 }
 
-// Canceled returns the number of runs whose connection ended first.
+// Canceled returns the number of Silent and Stalled responses whose connection has ended.
 func (s *Server) Canceled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.canceled
 }
 
-// ResetConnections resets all connections.
+// ResetConnections resets all open connections. The server goes on accepting new ones.
 func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,7 +240,7 @@
 	}
 }
 
-// Close ends the server.
+// Close stops listening and resets all connections.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.ResetConnections()
@@ -295,7 +296,7 @@
 	}
 }
 
-// serveRequest serves one request. It reports whether the connection goes on.
+// serveRequest serves one request. It returns whether the connection stays open for the next.
 func (s *Server) serveRequest(c net.Conn, req *http.Request) bool {
 	id := req.Header.Get("Request-Id")
 	lines := s.extraHeaderLines(req)
@@ -349,7 +350,7 @@
 	time.Sleep(work)
 }
 
-// crash ends the server under a request.
+// crash closes the server because of a request, as a crash of the process does.
 func (s *Server) crash(r Run) {
 	s.mu.Lock()
 	onCrash := s.onCrash
@@ -366,7 +367,7 @@
 	return fmt.Sprintf("Request-Id: %s\r\nServer-Signature: sig.%s\r\nServer-Load: 1,0,%d\r\n", id, s.ID, s.Slots)
 }
 
-// respond sends the answer to a request that was run.
+// respond sends the response to a request that was run. It returns whether the connection stays open.
 func (s *Server) respond(c net.Conn, fault Fault, id, lines string) bool {
 	text := "answer of " + s.ID + " to " + id
 	headers := s.headers(id) + lines
@@ -408,7 +409,7 @@
 	}
 }
 
-// awaitClose waits for the end of the connection.
+// awaitClose waits until the connection ends and counts the run as canceled.
 func (s *Server) awaitClose(c net.Conn) {
 	var buf [1]byte
 	_, _ = c.Read(buf[:])
