--- a/internal/standin/platformstore/faults.go
+++ b/internal/standin/platformstore/faults.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Faults are the failures that the stand-in shows. The zero value shows none.
+// Faults are the simulated failures of the store. The zero value has none.
 type Faults struct {
-	// Down refuses every call before it has an effect.
+	// Down answers every request with status 503 before it has an effect.
 	Down bool `json:"down"`
-	// Delay holds every call back before it has an effect.
+	// Delay delays every request before it has an effect.
 	Delay time.Duration `json:"delay"`
-	// LoseReplies lets the next n writes take effect and breaks the
-	// connection in place of an answer.
+	// LoseReplies is the number of next writes that take effect, but whose
+	// connection is closed without a response.
 	LoseReplies int `json:"lose_replies"`
-	// StaleReads answers a get with the value before the last write, and a
-	// watch with such values besides the new ones.
+	// StaleReads makes a get return the object as it was before its last
+	// write, and a watch return such objects beside the new ones.
 	StaleReads bool `json:"stale_reads"`
 }
 
-// Limits are the calls that the service takes in a second; 0 is no limit.
+// Limits are the numbers of requests that the store accepts per second. 0 means no limit.
 type Limits struct {
 	Writes int
 	Reads  int
 }
 
-// DefaultLimits are the rates of the platform that the users run.
+// DefaultLimits are the rate limits of the platform that the users run.
 var DefaultLimits = Limits{Writes: 100, Reads: 2000}
 
-// Counts are the calls taken and refused since the start.
+// Counts are the numbers of requests received since the start. Reads includes Watches. Limited counts the
+// requests refused by a rate limit, and Conflicts the writes with an outdated version.
 type Counts struct {
 	Reads     int64 `json:"reads"`
 	Watches   int64 `json:"watches"`
@@ -37,7 +38,7 @@
 	Limited   int64 `json:"limited"`
 }
 
-// rateLimiter counts the calls of the running second against a limit.
+// rateLimiter limits the requests in each second of the clock (a fixed window).
 type rateLimiter struct {
 	mu     sync.Mutex
 	second int64
--- a/internal/standin/platformstore/server.go
+++ b/internal/standin/platformstore/server.go
@@ -12,7 +12,7 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// Paths of the control interface.
+// Paths of the control interface, which sets faults and returns counts.
 const (
 	FaultsPath = "/control/faults"
 	CountsPath = "/control/counts"
@@ -20,8 +20,9 @@
 
 const maxWait = time.Minute
 
-// Server answers the platform's HTTP interface from a Store. Servers of one
-// store share its limits; each has its own faults and counts.
+// Server serves the platform's HTTP interface for a Store. Servers of the same
+// Store share the requests counted against its rate limits. Each server has its
+// own faults and counts.
 type Server struct {
 	store  *Store
 	limits Limits
@@ -31,12 +32,12 @@
 	counts Counts
 }
 
-// NewServer returns a server of store with the given limits.
+// NewServer returns a server of store with the given rate limits.
 func NewServer(store *Store, limits Limits) *Server {
 	return &Server{store: store, limits: limits}
 }
 
-// SetFaults replaces the faults in force. Waiting watches see them at once.
+// SetFaults replaces the faults. Waiting watches apply them at once.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
@@ -44,14 +45,14 @@
 	s.store.WakeWatches()
 }
 
-// Counts returns the calls so far.
+// Counts returns the counts of requests since the start.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Handler returns the service's interface.
+// Handler returns the handler of the store's interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+objectstore.ObjectsPath+"{key...}", s.readHandler(s.get))
@@ -62,8 +63,8 @@
 	return mux
 }
 
-// ControlHandler returns the interface that sets faults and reads counts. It
-// belongs on an address of its own.
+// ControlHandler returns the handler of the control interface. It is meant to
+// be served on a separate address.
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+FaultsPath, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/platformstore/store.go
+++ b/internal/standin/platformstore/store.go
@@ -10,20 +10,21 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// Store is the stand-in's state. The zero value is not ready: use NewStore.
+// Store holds the objects. NewStore creates one; the zero value can't be used.
+// Store is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	objects  map[string]objectstore.Object
 	previous map[string]objectstore.Object
 	changed  chan struct{}
-	// era counts the returns from copies, from 1 on.
+	// era starts at 1 and is incremented by each restore from a backup.
 	era    int64
 	reads  rateLimiter
 	writes rateLimiter
 }
 
-// NewStore returns an empty store.
+// NewStore returns an empty store in era 1.
 func NewStore() *Store {
 	return &Store{
 		objects:  make(map[string]objectstore.Object),
@@ -33,21 +34,21 @@
 	}
 }
 
-// Backup is what a store held at a time.
+// Backup holds the contents and the revision of a store at one time.
 type Backup struct {
 	revision          int64
 	objects, previous map[string]objectstore.Object
 }
 
-// Backup returns what the store holds now.
+// Backup returns a backup of the store's current contents.
 func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Backup{revision: s.revision, objects: maps.Clone(s.objects), previous: maps.Clone(s.previous)}
 }
 
-// Restore has the store come back from a copy: what was written since is gone, and the revisions since are
-// given out again, in a new era.
+// Restore restores the store from a backup. Later writes are lost, and their revisions are assigned again to
+// other writes, in a new era.
 func (s *Store) Restore(c Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,15 +57,15 @@
 	s.wakeWatches()
 }
 
-// Era returns how often the store has come back from a copy, and one more.
+// Era returns the store's era: one more than the number of restores from a backup.
 func (s *Store) Era() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// Get returns the object under key, and whether there is one. With stale set
-// it returns the object as it was before its last write.
+// Get returns the object under key and whether it exists. If stale is set, Get
+// returns the object as it was before its last write, provided that there was one.
 func (s *Store) Get(key string, stale bool) (objectstore.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,7 @@
 	return obj, ok && !obj.Deleted
 }
 
-// List returns the objects below prefix in the order of their keys.
+// List returns the objects whose keys have the prefix, in the order of their keys.
 func (s *Store) List(prefix string) objectstore.Listing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,8 +90,9 @@
 	return out
 }
 
-// Changes returns the objects below the prefixes that were written after a
-// revision, and a channel that is closed at the next write of any object.
+// Changes returns the objects whose keys have one of the prefixes and that were
+// written or deleted after a revision. The channel is closed at the next write
+// of any object.
 func (s *Store) Changes(prefixes []string, after int64) (objectstore.Listing, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,8 +106,8 @@
 	return out, s.changed
 }
 
-// Previous returns what the objects below the prefixes were before their last
-// write.
+// Previous returns the state before the last write of each object whose key has
+// one of the prefixes.
 func (s *Store) Previous(prefixes []string) []objectstore.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -118,13 +120,14 @@
 	return out
 }
 
-// Put writes value if the object is at version. When it is not, the current
-// object and false are returned.
+// Put writes value if the object is at version, where 0 means that it does not
+// exist. Otherwise Put returns the current object and false.
 func (s *Store) Put(key string, version int64, value json.RawMessage) (objectstore.Object, bool) {
 	return s.write(objectstore.Object{Key: key, Version: version, Value: value})
 }
 
-// Delete removes the object if it is at version.
+// Delete removes the object if it is at version. Otherwise Delete returns the
+// current object and false.
 func (s *Store) Delete(key string, version int64) (objectstore.Object, bool) {
 	return s.write(objectstore.Object{Key: key, Version: version, Deleted: true})
 }
@@ -149,7 +152,7 @@
 	return next, true
 }
 
-// WakeWatches ends every waiting watch's wait, as a write does.
+// WakeWatches makes all waiting watches check for changes and faults again, as a write does.
 func (s *Store) WakeWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
