--- a/internal/standin/backend/runs.go
+++ b/internal/standin/backend/runs.go
@@ -2,14 +2,15 @@
 
 import "sync"
 
-// Runs counts the runs of operations by key. Several targets may share one.
+// Runs counts the requests run, in total and by idempotency key. Several targets may share one Runs. It is
+// safe for concurrent use.
 type Runs struct {
 	mu    sync.Mutex
 	byKey map[string]int
 	total int
 }
 
-// NewRuns returns an empty count.
+// NewRuns returns a Runs whose counts are zero.
 func NewRuns() *Runs { return &Runs{byKey: make(map[string]int)} }
 
 func (r *Runs) add(key string) {
@@ -21,14 +22,14 @@
 	}
 }
 
-// Count returns how often the operation called key ran.
+// Count returns the number of requests run under an idempotency key.
 func (r *Runs) Count(key string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byKey[key]
 }
 
-// Duplicates returns the number of operations that ran more than once.
+// Duplicates returns the number of idempotency keys under which more than one request ran.
 func (r *Runs) Duplicates() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,13 +42,13 @@
 	return n
 }
 
-// Summary is the count as the control interface gives it.
+// Summary holds the counts in the form that the control interface returns.
 type Summary struct {
 	Total int            `json:"total"`
 	Keys  map[string]int `json:"keys"`
 }
 
-// Summary returns a copy of the count.
+// Summary returns a copy of the counts.
 func (r *Runs) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -15,36 +15,39 @@
 	"github.com/rainford/rainford/protocol"
 )
 
-// Settings are what a target does. The faults are chances between 0 and 1.
+// Settings determine the behavior of a target. Those of type float64, except ColdFactor, are probabilities of
+// a fault per request, between 0 and 1.
 type Settings struct {
 	Slots       int           `json:"slots"`
 	ServiceTime time.Duration `json:"service_time"`
-	// ColdRuns is the number of requests after the start that a cold target
-	// takes ColdFactor times as long for.
+	// ColdRuns is the number of requests until a cold target is warm. The
+	// service time falls linearly over these requests from about ColdFactor
+	// times ServiceTime to ServiceTime.
 	ColdRuns   int     `json:"cold_runs"`
 	ColdFactor float64 `json:"cold_factor"`
-	// Shed refuses work beyond the slots; without it such work queues up.
+	// Shed refuses requests when no slot is free. Without Shed, they wait.
 	Shed bool `json:"shed"`
-	// Draining refuses all new work.
+	// Draining refuses all new requests and says so in a header.
 	Draining bool `json:"draining"`
-	// AlwaysHealthy says "ok" while draining or faulty.
+	// AlwaysHealthy makes health checks succeed while the target is draining.
 	AlwaysHealthy bool `json:"lie_health"`
-	// DropBefore breaks the connection before the work, DropDuring after it
-	// and before an answer, DropAfter in the middle of the answer.
+	// DropBefore closes the connection before the request is run, DropDuring
+	// after the run and before the response, and DropAfter in the middle of the
+	// response.
 	DropBefore float64 `json:"drop_before"`
 	DropDuring float64 `json:"drop_during"`
 	DropAfter  float64 `json:"drop_after"`
-	// Refuse refuses work explicitly.
+	// Refuse refuses the request with a header that states that it was not run.
 	Refuse float64 `json:"refuse"`
 }
 
-// Paths of the control interface.
+// Paths of the control interface, which changes settings and returns the counts of runs.
 const (
 	SettingsPath = "/control/settings"
 	RunsPath     = "/control/runs"
 )
 
-// Server is one target.
+// Server is the stand-in for one target. It is safe for concurrent use.
 type Server struct {
 	id   string
 	runs *Runs
@@ -58,48 +61,48 @@
 	lastStart   time.Time
 }
 
-// NewServer returns the target called id. Runs may be shared.
+// NewServer returns a target with the given name, which counts its runs in runs. Targets may share runs.
 func NewServer(id string, settings Settings, runs *Runs) *Server {
 	return &Server{id: id, runs: runs, settings: settings}
 }
 
-// UpdateSettings changes the settings.
+// UpdateSettings calls change with the settings, which it may modify.
 func (s *Server) UpdateSettings(change func(*Settings)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.settings)
 }
 
-// ResetWarmup makes the target cold again.
+// ResetWarmup makes the target cold, as after a start.
 func (s *Server) ResetWarmup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served = 0
 }
 
-// LastStart returns when the target last took new work.
+// LastStart returns the time at which a request last acquired a slot.
 func (s *Server) LastStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastStart
 }
 
-// PeakRequests returns the most requests that were sent to the target at a time,
-// refused and waiting ones included.
+// PeakRequests returns the largest number of requests that were at the target
+// concurrently, including refused and waiting ones.
 func (s *Server) PeakRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak
 }
 
-// InFlight returns the requests in flight.
+// InFlight returns the number of slots in use.
 func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
 }
 
-// Handler returns the target's interface.
+// Handler returns the handler of the target's interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", s.health)
@@ -108,8 +111,7 @@
 	return mux
 }
 
-// ControlHandler returns the interface that changes settings and tells what
-// ran.
+// ControlHandler returns the handler of the control interface.
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+SettingsPath, func(w http.ResponseWriter, r *http.Request) {
@@ -181,10 +183,11 @@
 	s.run(w, r, settings)
 }
 
-// slotPollInterval is how often work that waits looks for a free slot.
+// slotPollInterval is the interval at which waiting requests check for a free slot.
 const slotPollInterval = time.Millisecond
 
-// acquireSlot takes a slot, waiting for one if the target does not shed.
+// acquireSlot acquires a slot. Unless shed is set, it waits for one until the request is canceled. It returns
+// whether it has a slot.
 func (s *Server) acquireSlot(r *http.Request, shed bool) bool {
 	for !s.tryAcquireSlot() {
 		if shed {
@@ -216,8 +219,8 @@
 	s.inFlight--
 }
 
-// run does the work. It counts the run before it works, since a caller that
-// goes away in the middle can't undo it.
+// run executes the request. It counts the run before the service time begins,
+// since a client that disconnects later can't undo it.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, settings Settings) {
 	sum := sha256.New()
 	n, err := io.Copy(sum, r.Body)
@@ -253,7 +256,7 @@
 	defer s.mu.Unlock()
 	s.served++
 	if s.served <= settings.ColdRuns {
-		// Warmth grows with the work done.
+		// The extra time decreases linearly with the number of requests served.
 		remaining := float64(settings.ColdRuns-s.served) / float64(settings.ColdRuns)
 		return time.Duration(float64(settings.ServiceTime) * (1 + (settings.ColdFactor-1)*remaining))
 	}
@@ -262,7 +265,7 @@
 
 const blobChunkBytes = 32 << 10
 
-// Blob returns the bytes of an answer of size bytes, for comparing.
+// Blob returns the body of a large response of size bytes, for comparison.
 func Blob(size int) []byte {
 	out := make([]byte, size)
 	src := rand.New(rand.NewPCG(uint64(size), 1))
@@ -272,7 +275,7 @@
 	return out
 }
 
-// serveBlob answers without a length, in chunks.
+// serveBlob sends a body of the given size in chunks, without a Content-Length.
 func (s *Server) serveBlob(w http.ResponseWriter, text string, settings Settings) {
 	size, err := strconv.Atoi(text)
 	if err != nil || size < 0 || size > 64<<20 {
