--- a/lookup/block.go
+++ b/lookup/block.go
@@ -14,14 +14,14 @@
 	"github.com/rainford/rainford/table"
 )
 
-// Block is a range of client addresses with the hall that is close to them.
+// Block assigns a hall, the home hall of its clients, to a range of client addresses.
 type Block struct {
 	Prefix netip.Prefix `json:"p"`
 	Hall   string       `json:"h"`
 }
 
-// BlockShardCount is the number of stored objects that the table of blocks is divided into. A
-// change of a block transfers only the object that contains it.
+// BlockShardCount is the number of stored objects that the table of blocks is divided into. If
+// a block changes, instances receive only the object that contains it.
 const BlockShardCount = 256
 
 // BlockKeyPrefix is the prefix of the shards' object keys.
@@ -32,7 +32,8 @@
 	Blocks []Block `json:"blocks"`
 }
 
-// ShardKey returns the object key of the shard that contains the block with the given prefix.
+// ShardKey returns the object key of the shard that contains the block with the given prefix,
+// which is one of "blocks/000" to "blocks/255".
 func ShardKey(p netip.Prefix) string {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(p.Masked().String()))
@@ -45,7 +46,8 @@
 	tree bart.Table[string]
 }
 
-// NewBlockTable returns a table of the given blocks.
+// NewBlockTable returns a table of the given blocks. Of several blocks with one prefix the last one
+// counts.
 func NewBlockTable(blocks []Block) *BlockTable {
 	b := &BlockTable{}
 	for _, block := range blocks {
@@ -54,8 +56,8 @@
 	return b
 }
 
-// Replace returns a table in which newBlocks replace oldBlocks. It does not change the receiver. The
-// two tables share the memory of what they have in common.
+// Replace returns a table in which newBlocks replace oldBlocks. It changes a copy
+// of the receiver's tree and leaves the receiver as it is.
 func (b *BlockTable) Replace(oldBlocks, newBlocks []Block) *BlockTable {
 	next := &BlockTable{tree: *b.tree.Clone()}
 	for _, block := range oldBlocks {
@@ -71,12 +73,15 @@
 func (b *BlockTable) Len() int { return b.tree.Size() }
 
 // Hall returns the hall of the longest prefix that contains addr, and whether there is one.
+// It looks up an IPv4-mapped IPv6 address as the IPv4 address.
 func (b *BlockTable) Hall(addr netip.Addr) (string, bool) {
 	return b.tree.Lookup(addr.Unmap())
 }
 
-// ReadBlocks reads blocks from CSV with the header "block,hall". It returns all faults together as
-// table.Findings, up to the first error of the CSV syntax.
+// ReadBlocks reads blocks from CSV with the header "block,hall". Lines that begin
+// with # are comments. The error is a table.Findings with all faults, up to and including the first
+// error of the CSV syntax. Blocks without faults are returned also if there is an error. A block with
+// the prefix of an earlier one is a fault.
 func ReadBlocks(r io.Reader) ([]Block, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = -1
@@ -120,7 +125,8 @@
 	return blocks, findings.Err()
 }
 
-// parseBlock returns the block of a CSV record. It masks the host bits of the prefix.
+// parseBlock returns the block of a CSV record. It sets the host bits of the
+// prefix to zero.
 func parseBlock(record []string) (Block, error) {
 	if len(record) != 2 {
 		return Block{}, fmt.Errorf("%d cells, want 2", len(record))
