--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -8,36 +8,43 @@
 )
 
 const (
-	// stageTTL is the time for which a stage holds after its last announcement. A leader repeats
-	// the announcement every HeartbeatInterval.
+	// stageTTL is the time from the last announcement of a stage to its expiry. An instance then
+	// returns to the old targets. A leader repeats the announcement every HeartbeatInterval.
 	stageTTL = 2500 * time.Millisecond
 	// reportInterval is the time between two reports of an instance. fastReportInterval replaces it
-	// in the moving phases, in which new targets get more than a few requests.
+	// in the phases Moving and Moved, in which new targets get more than a few requests.
 	reportInterval     = 500 * time.Millisecond
 	fastReportInterval = 200 * time.Millisecond
-	// maxObservations limits the observations in a report, and the reported ones that are kept for
-	// the next leader.
+	// maxObservations limits the observations at new targets: RecordNew drops further ones while so
+	// many are pending, and so many reported ones are kept for the next leader. After a change of
+	// the leader both kinds are pending, so that a report may hold twice as many.
 	maxObservations = 64
 )
 
 // Follower tracks the rollout of a service at one instance. It is not safe for concurrent use.
 type Follower struct {
 	self string
-	// samplePoint places the instance in [0, 1). It takes part in the canary stages if samplePoint
-	// is below the InstanceShare of the stage.
+	// samplePoint is a pseudo-random number in [0, 1) that is fixed by the instance and the order.
+	// The instance takes part in the canary stages if samplePoint is below the InstanceShare of the
+	// stage.
 	samplePoint float64
 
 	order     Order
 	startedAt time.Time
-	verdict   State
+	// verdict is the last state from the store up to the first final one. Only a final state is a
+	// verdict.
+	verdict State
 	// withdrawn reports whether the order has been removed from the store.
 	withdrawn bool
 
-	stage   Stage
+	stage Stage
+	// heardAt is the time of the last announcement of stage.
 	heardAt time.Time
 
+	// sent counts the requests since the order was seen, and sentNew those of them to new targets.
 	sent, sentNew uint32
-	// pendingOld and pendingNew are not yet reported. reportedOld and reportedNew have been sent to
+	// pendingOld and pendingNew hold the outcomes at old targets, by route, and at new targets that
+	// are not yet reported. reportedOld and reportedNew have been sent to
 	// the current leader and are sent again to the next one.
 	pendingOld, reportedOld map[uint16]*Tally
 	pendingNew, reportedNew Observations
@@ -48,7 +55,7 @@
 	movedReported uint32
 }
 
-// NewFollower returns the follower of an order that the instance self has first seen at time now.
+// NewFollower returns the follower of an order that the instance self first saw at time now.
 func NewFollower(now time.Time, self string, order Order) *Follower {
 	return &Follower{
 		self:        self,
@@ -61,10 +68,10 @@
 	}
 }
 
-// Order returns the order.
+// Order returns the order that the follower tracks, as of the last Reissue.
 func (f *Follower) Order() Order { return f.order }
 
-// Stage returns the stage that was adopted last.
+// Stage returns the stage that HandleStage adopted last, or the zero Stage if there is none.
 func (f *Follower) Stage() Stage { return f.stage }
 
 // Verdict returns the verdict that is recorded in the store, or Running if there is none.
@@ -79,8 +86,8 @@
 // instance knows.
 func (f *Follower) StartedAt() time.Time { return f.startedAt }
 
-// SetState records the state that the store holds for the order. States after the first verdict are
-// ignored.
+// SetState records the state that the store holds for the order. It has no effect
+// once that state is final.
 func (f *Follower) SetState(state State) {
 	if f.verdict.IsFinal() {
 		return
@@ -88,18 +95,19 @@
 	f.verdict = state
 }
 
-// Reissue replaces the order by an equivalent one of another generation, which the store holds
-// after it has lost the order. The progress of the rollout is kept.
+// Reissue replaces the order by one with the same content and another generation, which was
+// written to the store after the store had lost the order. The progress of the rollout is kept.
 func (f *Follower) Reissue(order Order) {
 	f.order, f.stage.Order = order, order.ID()
 	f.withdrawn = false
 }
 
-// Withdraw records that the order has been removed from the store. Without a verdict its version
-// gets no more requests.
+// Withdraw records that the order has been removed from the store. Unless the rollout
+// has succeeded, this instance then sends no more requests to the new targets.
 func (f *Follower) Withdraw() { f.withdrawn = true }
 
-// HandleStage processes a stage that a leader has announced. It reports whether the number or the
+// HandleStage adopts a stage that a leader has announced, unless it belongs to another order or does
+// not supersede the current stage. It reports whether the number or the
 // phase of the current stage has changed.
 func (f *Follower) HandleStage(now time.Time, s Stage) bool {
 	if s.Order != f.order.ID() {
@@ -121,7 +129,8 @@
 }
 
 // requeueReported marks everything that was sent to the previous leader as pending again. The next
-// leader needs it even if it is the same instance, since a leader starts without observations.
+// leader needs this even if the same instance leads again, since a leader starts without
+// observations.
 func (f *Follower) requeueReported() {
 	f.dirty = true
 	for route, t := range f.reportedOld {
@@ -132,7 +141,8 @@
 }
 
 // Split returns the traffic split of this instance at time now, and the time until which it holds
-// if no further announcement arrives. That time is zero if the split is permanent.
+// if no further announcement arrives. That time is zero if the split does not expire: after
+// the verdict, a rollback or a withdrawal, and while there is no announced stage that has not expired.
 func (f *Follower) Split(now time.Time) (Split, time.Time) {
 	split := Split{Version: f.order.Version}
 	switch {
@@ -154,7 +164,7 @@
 	return split, until
 }
 
-// RecordSent counts a request that was sent to a target.
+// RecordSent counts a request that was sent to a target of the service, a new one if toNew is set.
 func (f *Follower) RecordSent(toNew bool) {
 	f.sent++
 	f.dirty = true
@@ -163,8 +173,8 @@
 	}
 }
 
-// RecordOld records the outcome of a request at an old target. Outcomes that are no evidence about
-// the version must not be passed.
+// RecordOld records the outcome of a request at an old target. The caller leaves out outcomes that
+// show nothing about the version of the target, such as a disconnection of the client.
 func (f *Follower) RecordOld(o Observation) {
 	f.dirty = true
 	tally := &Tally{Route: o.Route}
@@ -187,7 +197,7 @@
 }
 
 // RecordNew records the outcome of a request at a new target, unless maxObservations are pending.
-// Outcomes that are no evidence about the version must not be passed.
+// The caller leaves out outcomes that show nothing about the version of the target, as for RecordOld.
 func (f *Follower) RecordNew(o Observation) {
 	f.dirty = true
 	if len(f.pendingNew) < maxObservations {
@@ -196,12 +206,13 @@
 }
 
 // Report returns the report that is due at time now and the peer address of the leader, or false if
-// none is due. InFlightOld is the number of requests of this instance in flight at old targets.
-func (f *Follower) Report(now time.Time, atOld int) (Report, string, bool) {
-	if !f.shouldReport(now, atOld) {
+// none is due. It marks the contents of the report as reported. The argument inFlightOld is the number
+// of requests of this instance in flight at old targets.
+func (f *Follower) Report(now time.Time, inFlightOld int) (Report, string, bool) {
+	if !f.shouldReport(now, inFlightOld) {
 		return Report{}, "", false
 	}
-	r := Report{Order: f.order.ID(), From: f.self, Stage: f.stage.Number, Sent: f.sent, SentNew: f.sentNew, InFlightOld: atOld, New: f.pendingNew}
+	r := Report{Order: f.order.ID(), From: f.self, Stage: f.stage.Number, Sent: f.sent, SentNew: f.sentNew, InFlightOld: inFlightOld, New: f.pendingNew}
 	for _, t := range f.pendingOld {
 		r.Old = append(r.Old, *t)
 	}
@@ -213,20 +224,22 @@
 	f.reportedNew = f.reportedNew[max(0, len(f.reportedNew)-maxObservations):]
 	f.pendingOld, f.pendingNew = make(map[uint16]*Tally), nil
 	f.reportedAt, f.dirty = now, false
-	if f.stage.Phase == Moved && atOld == 0 {
+	if f.stage.Phase == Moved && inFlightOld == 0 {
 		f.movedReported = f.stage.Number
 	}
 	return r, f.stage.Leader, true
 }
 
-// shouldReport reports whether a report is due. Instances that take part in the canary stages
-// report at fixed intervals as long as there is something to report. Each instance also reports
-// once when none of its requests is at an old target any more.
-func (f *Follower) shouldReport(now time.Time, atOld int) bool {
+// shouldReport reports whether a report is due. An instance whose samplePoint is below
+// the InstanceShare of the stage reports while there is something to report, at most once in
+// reportInterval, or in fastReportInterval in the phases Moving and Moved. In the phase Moved, each
+// instance also reports once for each stage number that none of its requests is at an old target any
+// more.
+func (f *Follower) shouldReport(now time.Time, inFlightOld int) bool {
 	if f.stage.Leader == "" || f.Verdict().IsFinal() {
 		return false
 	}
-	if f.stage.Phase == Moved && atOld == 0 && f.movedReported != f.stage.Number {
+	if f.stage.Phase == Moved && inFlightOld == 0 && f.movedReported != f.stage.Number {
 		return true
 	}
 	interval := reportInterval
