--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -248,9 +248,9 @@
 	require.InDelta(t, 2, refused[4].Seconds(), 0.1)
 }
 
-// TestShortWaitRefusedWithoutSlots checks that a request is refused, on arrival or in the queue, if the instance's
-// share of the slots is zero, as after it released its seats, and the request cannot wait for 10 s,
-// the expected wait without slots. A request that may wait for an hour stays queued.
+// TestShortWaitRefusedWithoutSlots checks that a request is refused, on arrival or in the queue, if
+// the instance's share of the slots is zero, as after it released its seats, and the request cannot
+// wait for 10 s, the expected wait without slots. A request that may wait for an hour stays queued.
 func TestShortWaitRefusedWithoutSlots(t *testing.T) {
 	p := newPool(t, 0, 0)
 	d := p.Acquire(epoch, balance.Request{ID: 1, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second})
