--- a/forward/self_report_test.go
+++ b/forward/self_report_test.go
@@ -15,11 +15,13 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestSelfReportInResponse checks which responses count for what a target reports about
-// itself. The complete head of a response to the request is sufficient. Responses to other
-// requests, of other incarnations or of unknown origin do not count.
+// TestSelfReportInResponse checks from which responses the self-report of a target is taken. The
+// complete head of a response to the request is sufficient. Responses to other requests and
+// successes without a signature do not count. Responses of a server that replaced the target are
+// the subject of TestSelfReportOfReplacedTarget.
 func TestSelfReportInResponse(t *testing.T) {
 	leaves := availability.SelfReport{Leaving: true}
+	// All servers send Retry-After. Of these responses only the rejection makes it a back-off.
 	rests := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
 	for _, c := range []struct {
 		name  string
@@ -30,7 +32,7 @@
 		{"server error", origin.Failed, leaves},
 		{"rejection", origin.Shed, rests},
 		{"surplus response", origin.Surplus, leaves},
-		{"response before the body is read", origin.EarlyRefusal, leaves},
+		{"response before the request body is read", origin.EarlyRefusal, leaves},
 		{"no content length", origin.Unframed, leaves},
 		{"reset in the body", origin.UnframedReset, leaves},
 		{"truncated body", origin.Cut, leaves},
@@ -55,6 +57,7 @@
 	s, client := startTarget(t, origin.None)
 	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	r := newRequest(s)
+	// The server is i-1.
 	r.Target, r.TargetName = "i-0", "i-0"
 	a := client.Do(context.Background(), r)
 	require.Equal(t, upstream.Replaced, a.TargetResult.Outcome)
@@ -62,8 +65,8 @@
 }
 
 // TestSelfReportAfterClientDisconnect checks that the self-report in a response head counts
-// although the client disconnects before the rest of the response arrives. The test repeats
-// the request with a later disconnect until the head arrives before it.
+// even if the client disconnects before the rest of the response arrives. The test repeats the
+// request with later disconnects until the head arrives before the disconnect.
 func TestSelfReportAfterClientDisconnect(t *testing.T) {
 	s, client := startTarget(t, origin.Stalled)
 	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
