--- a/internal/demo/gatewayending.go
+++ b/internal/demo/gatewaycrash.go
@@ -31,12 +31,12 @@
 // each of them.
 func (e *gatewayEstate) sendCrashing(ctx context.Context) (int, error) {
 	var mu sync.Mutex
-	var ended []*origin.Server
+	var crashed []*origin.Server
 	for _, t := range e.targets {
 		t.SetCrash(func(r *http.Request) bool { return strings.HasPrefix(r.RequestURI, crashPath) }, func(origin.Run) {
 			mu.Lock()
 			defer mu.Unlock()
-			ended = append(ended, t)
+			crashed = append(crashed, t)
 		})
 	}
 	for i := range crashSends {
@@ -46,13 +46,13 @@
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	e.targets = slices.DeleteFunc(e.targets, func(t *origin.Server) bool { return slices.Contains(ended, t) })
-	for _, t := range ended {
+	e.targets = slices.DeleteFunc(e.targets, func(t *origin.Server) bool { return slices.Contains(crashed, t) })
+	for _, t := range crashed {
 		e.store.Remove(objects.KindServers, t.ID)
 		err := e.startTarget(t.ID+"-again", t.Service, t.Zone)
 		if err != nil {
-			return len(ended), err
+			return len(crashed), err
 		}
 	}
-	return len(ended), nil
+	return len(crashed), nil
 }
--- a/internal/demo/gatewaywords.go
+++ b/internal/demo/gatewaynotices.go
@@ -39,13 +39,13 @@
 // first such response count as violations.
 func (e *gatewayEstate) leaveByNotice(ctx context.Context, t *origin.Server) error {
 	var once sync.Once
-	heard := make(chan struct{})
+	announced := make(chan struct{})
 	t.SetExtraHeaders(func(*http.Request) string {
-		once.Do(func() { close(heard) })
+		once.Do(func() { close(announced) })
 		return "Server-Leaving: 1\r\n"
 	})
 	select {
-	case <-heard:
+	case <-announced:
 	case <-time.After(noticeTimeout):
 		return fmt.Errorf("%s: %w", t.ID, errNoRequest)
 	case <-ctx.Done():
@@ -73,8 +73,8 @@
 // maxTurnedAway returns the largest number of requests that a target refuses in refusalTime if
 // the instances respect its back-off times.
 func (e *gatewayEstate) maxTurnedAway() int {
-	rests := int(refusalTime/backOff) + 1
-	return rests * len(e.instances) * (1 + maxDuringBackOff)
+	periods := int(refusalTime/backOff) + 1
+	return periods * len(e.instances) * (1 + maxDuringBackOff)
 }
 
 // turnedAway returns the number of requests that targets refused with a back-off time.
