--- a/internal/e2e/fault_test.go
+++ b/internal/e2e/fault_test.go
@@ -20,7 +20,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// startLoad sends a stream from each hall until ctx ends.
+// startLoad sends a stream from a client in each hall until ctx ends. The returned group is done
+// when all streams have ended.
 func (s *system) startLoad(ctx context.Context, g *load.Generator, stream load.Stream) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	for i := range s.halls {
@@ -34,8 +35,8 @@
 	return &wg
 }
 
-// admissions returns the times at which the processes admitted requests to a
-// row, as their logs tell. The processes must have ended.
+// admissions returns the times, in Unix nanoseconds and sorted, at which the processes
+// admitted requests to a row, read from their logs. The processes must have ended.
 func admissions(t *testing.T, processes []*process, row string) []int64 {
 	var out []int64
 	for _, p := range processes {
@@ -57,7 +58,8 @@
 	return out
 }
 
-// worstWindow returns the most of the times, from since on, in any window.
+// worstWindow returns the largest number of times in any sliding window of
+// table.CapWindow. Times before since don't count.
 func worstWindow(times []int64, since time.Time) int {
 	first := sort.Search(len(times), func(i int) bool { return times[i] >= since.UnixNano() })
 	times = times[first:]
@@ -71,9 +73,9 @@
 	return worst
 }
 
-// TestCapWithProcesses stops and continues, kills and replaces instances, and
-// takes the platform away, while callers ask for far more than the cap, and
-// then lowers the cap.
+// TestCapWithProcesses checks that a row's cap holds in every window while the offered load
+// is far higher. It suspends and resumes an instance, kills and replaces another, injects an
+// outage of the platform, and then lowers the cap.
 func TestCapWithProcesses(t *testing.T) {
 	const limit, lower = 24, 9
 	s := newSystemAt(t, 2, limit, "debug")
@@ -128,13 +130,14 @@
 		t.Logf("%s: %d admitted, worst window %d of %d, after lowering %d of %d", row, len(times), worst, limit, after, lower)
 		require.LessOrEqual(t, worst, limit)
 		require.LessOrEqual(t, after, lower)
-		require.Greater(t, worst, limit/2, "the cap was never near")
+		require.Greater(t, worst, limit/2, "the load never came near the cap")
 	}
 	t.Logf("lower cap in force everywhere after %.3f s", took.Seconds())
 }
 
-// TestAtMostOnceWithProcesses kills instances in the middle of operations whose
-// callers ask again.
+// TestAtMostOnceWithProcesses kills instances while they forward operations, which the
+// clients then retry. No operation may run twice, and none may run that was reported as
+// not run.
 func TestAtMostOnceWithProcesses(t *testing.T) {
 	s := newSystem(t, 2, 50)
 	g := load.NewGenerator()
@@ -163,14 +166,14 @@
 	t.Logf("%d operations, %d ok, %d not run, %d unknown, %v; 4 instances killed; %d ran, %d twice", st.Requests, st.OK, st.NotRun, st.Unknown, st.Reasons, len(runs), twice)
 	require.Zero(t, twice)
 	for _, key := range st.NotRunKeys {
-		require.Zero(t, runs[key], "operation %s was said not to have run", key)
+		require.Zero(t, runs[key], "operation %s ran although it was reported as not run", key)
 	}
 	require.Positive(t, st.OK)
 }
 
-// TestHallCutOff takes the platform away and freezes every instance but those
-// of one hall, and checks that its callers are still served by its targets, and
-// that all is well afterwards.
+// TestHallCutOff injects an outage of the platform and suspends every instance outside one
+// hall. The targets of that hall must keep serving its clients, and requests must succeed
+// after the outage.
 func TestHallCutOff(t *testing.T) {
 	s := newSystem(t, 1, 50)
 	client := s.caller(0)
@@ -192,7 +195,7 @@
 			_ = resp.Body.Close()
 		}
 	}
-	t.Logf("cut off: %d of 40 requests served", served)
+	t.Logf("isolated hall: %d of 40 requests served", served)
 	require.Greater(t, served, 20)
 	for _, p := range s.instances {
 		require.NoError(t, p.Process.Signal(syscall.SIGCONT))
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -23,12 +23,12 @@
 	"github.com/rainford/rainford/protocol"
 )
 
-// blockOf returns a block of loopback addresses for a hall.
+// blockOf returns the block of loopback addresses of the hall with index n.
 func blockOf(n int, hall string) lookup.Block {
 	return lookup.Block{Prefix: netip.PrefixFrom(netip.AddrFrom4([4]byte{127, byte(40 + n), 0, 0}), 16), Hall: hall}
 }
 
-// caller returns a client whose address lies in a hall's block.
+// caller returns a client whose local address is in the block of a hall.
 func (s *system) caller(hall int) *caller.Client {
 	var bootstrap []string
 	for _, in := range s.listed() {
@@ -55,6 +55,8 @@
 	return req
 }
 
+// TestWholePath sends requests from a client in each hall through all processes. It checks
+// the result of the lookup, and uploads, downloads and operations that run at most once.
 func TestWholePath(t *testing.T) {
 	s := newSystem(t, 1, 50)
 	for hall := range s.halls {
@@ -95,7 +97,8 @@
 	require.Equal(t, digest(backend.Blob(size)), digest(body))
 }
 
-// checkOnce runs an operation and asks again with its key.
+// checkOnce runs an operation and retries it with the same key. The retry must report that
+// the operation has succeeded, and the operation must have run once.
 func checkOnce(t *testing.T, s *system, client *caller.Client) {
 	t.Helper()
 	req := upload(pays, caller.NewKey(), []byte("rent"))
@@ -116,6 +119,9 @@
 
 func errorsAs[T error](err error, target *T) bool { return errors.As(err, target) }
 
+// TestPlatformDown checks that reads are served during an outage of the platform, that an
+// operation that must run at most once is refused with a retry time and doesn't run, that
+// operations succeed after the outage, and that all instances then stop gracefully.
 func TestPlatformDown(t *testing.T) {
 	s := newSystem(t, 1, 50)
 	client := s.caller(0)
@@ -128,7 +134,7 @@
 	require.Equal(t, protocol.ReasonClaimsUnavailable, notRun.Reason)
 	require.Positive(t, notRun.RetryAfter)
 	require.Empty(t, s.runs())
-	t.Logf("a payment is given up after %.2f s", time.Since(began).Seconds())
+	t.Logf("operation refused after %.2f s", time.Since(began).Seconds())
 	s.faults(platformstore.Faults{})
 	checkOnce(t, s, client)
 	for name, p := range s.instances {
--- a/internal/e2e/signal_test.go
+++ b/internal/e2e/signal_test.go
@@ -12,13 +12,13 @@
 	"github.com/rainford/rainford/internal/loopback"
 )
 
-// TestSignalWhileSettingsAreRead checks that a gateway that is told to read its settings again, and then to
-// stop, before it has read them stops as planned.
+// TestSignalWhileSettingsAreRead sends SIGHUP and SIGTERM to a gateway that is still reading its settings file.
+// The gateway must stop gracefully with exit code 0.
 func TestSignalWhileSettingsAreRead(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
 	p := start(t, "rainfordd", "gateway", "-node-file", path)
-	// Opening waits for the gateway to open the other end.
+	// Opening the named pipe blocks until the gateway opens it for reading.
 	settings, err := os.OpenFile(path, os.O_WRONLY, 0)
 	require.NoError(t, err)
 	require.NoError(t, p.Process.Signal(syscall.SIGHUP))
@@ -26,7 +26,7 @@
 	for _, name := range []string{"listen", "lookup-listen", "ready-listen", "peer-listen", "admin-listen"} {
 		addr, err := loopback.FreeAddr()
 		require.NoError(t, err)
-		// A gateway that has ended reads nothing: its exit code tells.
+		// A write fails if the gateway has ended. The exit code shows whether that was correct.
 		_, _ = fmt.Fprintln(settings, name, addr)
 	}
 	_, _ = fmt.Fprintln(settings, "name n1\nhall a1\nregion a\nhalls a1=a\nstore 127.0.0.1:1")
--- a/internal/e2e/system_test.go
+++ b/internal/e2e/system_test.go
@@ -30,16 +30,16 @@
 	"github.com/rainford/rainford/table"
 )
 
-// programs is the folder of the programs built for the tests.
+// programs is the directory of the programs that TestMain builds.
 var programs string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
-// touchSources looks at every source file of the module. The go command keeps
-// results of tests by what they look at, and would else not see that the
-// programs have changed.
+// touchSources calls os.Stat for every Go source file of the module. The go command caches
+// test results by the files that a test accesses. Without these calls it would not notice
+// changes of the programs under test.
 func touchSources() error {
 	return filepath.WalkDir(filepath.Join("..", ".."), func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".go" {
@@ -67,15 +67,18 @@
 	return m.Run()
 }
 
-// process is one program under test.
+// process is a running program under test.
 type process struct {
 	*exec.Cmd
+	// service and control are the addresses of a stand-in.
 	service string
 	control string
 	log     *bytes.Buffer
 	ended   chan struct{}
 }
 
+// start starts a program and kills it at the end of the test. If the test has failed, the log
+// of an instance is printed.
 func start(t *testing.T, name string, args ...string) *process {
 	t.Helper()
 	p := &process{Cmd: exec.Command(filepath.Join(programs, name), args...), log: &bytes.Buffer{}, ended: make(chan struct{})}
@@ -102,6 +105,7 @@
 	return p
 }
 
+// readAddrs reads the addresses that a stand-in prints at its start.
 func (p *process) readAddrs(t *testing.T, out io.Reader) {
 	line, err := bufio.NewReader(out).ReadBytes('\n')
 	require.NoError(t, err, p.log.String())
@@ -110,8 +114,8 @@
 	p.service, p.control = addrs.Service, addrs.Control
 }
 
-// terminate stops the process as planned and returns its exit code and how long
-// it took.
+// terminate sends SIGTERM and returns the exit code of the process and the time until it
+// ended.
 func (p *process) terminate(t *testing.T) (int, time.Duration) {
 	t.Helper()
 	began := time.Now()
@@ -119,12 +123,12 @@
 	select {
 	case <-p.ended:
 	case <-time.After(time.Minute):
-		t.Fatal("no planned stop within a minute")
+		t.Fatal("process did not end within a minute of SIGTERM")
 	}
 	return p.ProcessState.ExitCode(), time.Since(began)
 }
 
-// system is two regions with two halls each, as processes.
+// system is a deployment of separate processes: two regions with two halls each.
 type system struct {
 	t         *testing.T
 	platform  *process
@@ -143,12 +147,15 @@
 
 func hallsOf(region string) []string { return []string{region + "-1", region + "-2"} }
 
-// services of the tests: reads may be retried, pays may not.
+// The services of the tests. Requests for reads may be retried; those for pays must run at
+// most once.
 const (
 	reads = "reads"
 	pays  = "pays"
 )
 
+// testTable returns the routing table of the tests. limit is the cap of the rows between
+// different regions.
 func testTable(limit int) *table.Table {
 	t := &table.Table{Services: []table.Service{{Name: reads, Reserve: 20}, {Name: pays, NonIdempotent: true, Reserve: 20}}}
 	for _, r := range regions {
@@ -166,10 +173,13 @@
 	return t
 }
 
+// newSystem starts a system whose instances log warnings and errors.
 func newSystem(t *testing.T, perHall int, limit int) *system {
 	return newSystemAt(t, perHall, limit, "warn")
 }
 
+// newSystemAt starts a system with perHall instances in each hall, the given cap between
+// regions, and a log level, and waits until all instances are ready.
 func newSystemAt(t *testing.T, perHall int, limit int, logLevel string) *system {
 	require.NoError(t, touchSources())
 	s := &system{t: t, logLevel: logLevel, targets: make(map[string][]*process), lists: make(map[string]*node.TargetList), instances: make(map[string]*process), perHall: perHall}
@@ -211,6 +221,7 @@
 	s.lists[hall].Targets = append(s.lists[hall].Targets, node.Target{ID: id, Service: service, Addr: p.service, Slots: 8})
 }
 
+// publish writes the target list of a hall to the platform.
 func (s *system) publish(hall string) {
 	key := node.TargetPrefix + hall
 	obj, _ := s.client.Get(context.Background(), key)
@@ -240,7 +251,8 @@
 	return p
 }
 
-// listed returns the instances on the platform's list.
+// listed returns the instances in the platform's list, by ID. It is empty if the platform
+// doesn't respond.
 func (s *system) listed() map[string]member.Instance {
 	out := make(map[string]member.Instance)
 	listing, err := s.client.List(context.Background(), node.InstancePrefix)
@@ -255,7 +267,8 @@
 	return out
 }
 
-// status asks an instance for its status; ok is false when it does not answer.
+// status returns the status of the instance with an admin address. ok is false if the
+// instance doesn't respond.
 func status(addr string) (st node.Status, ok bool) {
 	client := http.Client{Timeout: time.Second}
 	resp, err := client.Get("http://" + addr + node.StatusPath)
@@ -266,6 +279,8 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
+// await waits until done returns true and returns the time that this took. The test fails
+// after 90 s.
 func (s *system) await(what string, done func() bool) time.Duration {
 	s.t.Helper()
 	began := time.Now()
@@ -278,7 +293,8 @@
 	return time.Since(began)
 }
 
-// awaitReady waits until every instance runs, hears the others and holds seats.
+// awaitReady waits until every instance is ready, receives the state of all others and
+// holds seats (partitions of its hall's capacity).
 func (s *system) awaitReady() {
 	s.t.Helper()
 	s.await("all instances ready", func() bool {
@@ -293,7 +309,8 @@
 	})
 }
 
-// awaitVersion waits until every instance that answers has a version in force.
+// awaitVersion waits until every instance that responds applies a version of the routing
+// table that is at least number, and returns the time that this took.
 func (s *system) awaitVersion(number int64) time.Duration {
 	s.t.Helper()
 	return s.await("version in force", func() bool {
@@ -306,7 +323,7 @@
 	})
 }
 
-// seesPeers tells whether an instance sees at least count others alive and ready.
+// seesPeers reports whether an instance has received the state of at least count live peers.
 func seesPeers(st node.Status, count int) bool {
 	alive := 0
 	for _, p := range st.Peers {
@@ -333,7 +350,7 @@
 	require.Less(t, resp.StatusCode, 300)
 }
 
-// runs returns how often each operation ran, over all targets.
+// runs returns the number of runs of each operation on all targets together, by its key.
 func (s *system) runs() map[string]int {
 	out := make(map[string]int)
 	for _, hall := range s.halls {
