--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -31,6 +31,7 @@
 		{time.Second, false, Suspect, 0},
 		{2 * time.Second, true, Held, 2*time.Second + firstTrialBackoff},
 		{2*time.Second + firstTrialBackoff, true, Held, 2*time.Second + firstTrialBackoff + secondTrialBackoff},
+		// After maxFailedTrials failed trials the request is held until its record expires.
 		{100 * time.Second, true, Held, 100*time.Second + suspectTTL},
 	}
 	for i, step := range steps {
@@ -57,14 +58,15 @@
 	var table Table
 	d := digest("/ends/")
 	for i := range 3 {
-		table.RecordCrash(begin, d, "", TargetID(i), i == 2)
+		trial := i == 2
+		table.RecordCrash(begin, d, "", TargetID(i), trial)
 	}
 	require.Equal(t, Held, table.Status(after(firstTrialBackoff-1), d).Verdict)
 	require.Equal(t, Suspect, table.Status(after(firstTrialBackoff), d).Verdict)
 }
 
-// TestAnswerClearsCrashes checks that an answer clears the crashes before it and no later ones, and
-// that crashes before it do not count if an update on them arrives late.
+// TestAnswerClearsCrashes checks that an answer clears the crashes that precede it, also those
+// reported after it, and no later ones.
 func TestAnswerClearsCrashes(t *testing.T) {
 	var table Table
 	d := digest("/hot/")
@@ -94,7 +96,8 @@
 }
 
 // TestTableIsBounded checks that an account that has filled its share of the table loses its own
-// records, those with the fewest crashes first, and none of another account.
+// records, those with the fewest crashes first, and none of another account. The records
+// of an account that is alone in the table are bounded by maxRecords.
 func TestTableIsBounded(t *testing.T) {
 	var table Table
 	other, twoCrashes := digest("/other/"), digest("/kept/")
@@ -104,17 +107,18 @@
 	for i := range 3 * maxRecords {
 		table.RecordCrash(after(time.Duration(i)*time.Millisecond), digest(fmt.Sprint("/flood/", i)), "ada", 3, false)
 	}
-	require.LessOrEqual(t, table.Len(), maxRecordsPerAccount+1)
+	require.LessOrEqual(t, table.Len(), maxRecordsPerAccount+1, "records of ada and one of bob")
 	require.Equal(t, 1, table.Status(after(time.Second), other).Crashes)
 	require.Equal(t, 2, table.Status(after(time.Second), twoCrashes).Crashes)
-	var anonymousOnly Table
+	var withoutAccounts Table
 	for i := range 2 * maxRecords {
-		anonymousOnly.RecordCrash(after(time.Duration(i)*time.Millisecond), digest(fmt.Sprint("/flood/", i)), "", 3, false)
+		withoutAccounts.RecordCrash(after(time.Duration(i)*time.Millisecond), digest(fmt.Sprint("/flood/", i)), "", 3, false)
 	}
-	require.LessOrEqual(t, anonymousOnly.Len(), maxRecords)
+	require.LessOrEqual(t, withoutAccounts.Len(), maxRecords)
 }
 
-// event is a crash or an answer that an instance observes.
+// event is a crash or an answer that an instance observes. The digest is an index into the digests of
+// the test. Target and trial are not used for answers.
 type event struct {
 	digest   int
 	target   int
@@ -124,7 +128,8 @@
 }
 
 // TestMergeInAnyOrder lets instances observe events and exchange updates in any order, late and
-// more than once. It checks that all tables end up equal to a reference that knows all events.
+// more than once. It checks that all tables end up with the crash counts of a reference that knows all
+// events, and with equal checksums, and that the first two tables have the same number of suspects.
 func TestMergeInAnyOrder(t *testing.T) {
 	digests := []Digest{digest("/a/"), digest("/b/"), digest("/c/")}
 	rapid.Check(t, func(t *rapid.T) {
@@ -142,7 +147,7 @@
 			}
 			return e
 		}), 1, 20).Draw(t, "facts")
-		// Answers count only for digests of which a crash is known.
+		// Each table starts with one crash of each digest, of a target that crashes in no other event.
 		for d := range digests {
 			events = append(events, event{digest: d, target: 9, at: -ageUnit})
 		}
@@ -181,7 +186,7 @@
 	})
 }
 
-// updatesOf returns the updates that carry one event.
+// updatesOf returns an event as an update with the event's age at time now.
 func updatesOf(now time.Time, digests []Digest, e event) Updates {
 	age := now.Sub(after(e.at))
 	if e.answered {
@@ -199,17 +204,18 @@
 	to.Merge(now, updates)
 }
 
-// referenceCrashes returns the number of targets that crashed after the last answer.
-func referenceCrashes(events []event, digest int) int {
+// referenceCrashes returns the number of targets that crashed after the last answer to
+// the digest with the given index.
+func referenceCrashes(events []event, digestIndex int) int {
 	answered := -time.Hour
 	for _, e := range events {
-		if e.digest == digest && e.answered {
+		if e.digest == digestIndex && e.answered {
 			answered = max(answered, e.at)
 		}
 	}
 	targets := make(map[int]bool)
 	for _, e := range events {
-		if e.digest == digest && !e.answered && e.at > answered {
+		if e.digest == digestIndex && !e.answered && e.at > answered {
 			targets[e.target] = true
 		}
 	}
@@ -217,7 +223,8 @@
 }
 
 // TestTrialCoordinator checks that trials of a digest are granted one at a time, and that the next
-// one is granted after the release, failure or expiry of the previous one.
+// one is granted after the release or expiry of the previous one, and is refused after a failure as long as
+// the back-off lasts.
 func TestTrialCoordinator(t *testing.T) {
 	var table Table
 	var coordinator TrialCoordinator
@@ -226,25 +233,25 @@
 	table.RecordCrash(begin, d, "", 2, false)
 	granted, _ := coordinator.Acquire(begin, &table, d, "n1", after(3*time.Second))
 	require.True(t, granted)
-	granted, next := coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
+	granted, retryAt := coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
 	require.False(t, granted)
-	require.Equal(t, after(leaseRetryDelay), next)
+	require.Equal(t, after(leaseRetryDelay), retryAt)
 	coordinator.Release(&table, begin, d, "n2", false)
 	granted, _ = coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
-	require.False(t, granted, "released by an instance that does not hold the lease")
+	require.False(t, granted, "granted after a release by an instance that does not hold the lease")
 	coordinator.Release(&table, begin, d, "n1", false)
 	granted, _ = coordinator.Acquire(begin, &table, d, "n2", after(3*time.Second))
 	require.True(t, granted)
 	granted, _ = coordinator.Acquire(after(3*time.Second), &table, d, "n3", after(6*time.Second))
-	require.True(t, granted, "the lease has expired")
+	require.True(t, granted, "refused although the lease has expired")
 	table.RecordCrash(after(4*time.Second), d, "", 3, true)
-	granted, next = coordinator.Acquire(after(5*time.Second), &table, d, "n1", after(8*time.Second))
+	granted, retryAt = coordinator.Acquire(after(5*time.Second), &table, d, "n1", after(8*time.Second))
 	require.False(t, granted)
-	require.Equal(t, after(4*time.Second+firstTrialBackoff), next)
+	require.Equal(t, after(4*time.Second+firstTrialBackoff), retryAt)
 }
 
-// TestCoordinatorFor checks that digests are distributed over the instances as coordinators,
-// independently of the order of the instances.
+// TestCoordinatorFor checks that each instance coordinates a fair part of the digests, more than 60 of
+// 300 with three instances, and that the order of the instances does not matter.
 func TestCoordinatorFor(t *testing.T) {
 	require.Empty(t, CoordinatorFor(digest("/a/"), nil))
 	counts := make(map[string]int)
@@ -259,8 +266,8 @@
 	}
 }
 
-// FuzzUpdates decodes arbitrary bytes as updates and checks that encoding them again returns the
-// same bytes.
+// FuzzUpdates decodes arbitrary bytes as updates. It checks that updates that decode are encoded to the
+// same bytes again, and that merging them adds at most one record for each.
 func FuzzUpdates(f *testing.F) {
 	var table Table
 	for i := range 4 {
@@ -289,7 +296,7 @@
 }
 
 // TestFullTableMemory checks that a full table with the maximal number of crashes in each record
-// takes less than 1 MB.
+// takes less than 1 MiB.
 func TestFullTableMemory(t *testing.T) {
 	heapBytes := func() uint64 {
 		runtime.GC()
