--- a/share/share_test.go
+++ b/share/share_test.go
@@ -34,15 +34,15 @@
 	})
 }
 
-// TestSplitSpread checks that any contiguous half of the seats gets about half of a few
-// units.
+// TestSplitSpread checks, for totals of 2 to 16 and all offsets, that the first half of 64
+// holders gets half of the total, give or take 2 units.
 func TestSplitSpread(t *testing.T) {
-	const seats = 64
+	const holders = 64
 	for total := 2; total <= 16; total++ {
-		for offset := range seats {
+		for offset := range holders {
 			half := 0
-			for i := range seats / 2 {
-				half += share.Split(total, seats, i, offset)
+			for i := range holders / 2 {
+				half += share.Split(total, holders, i, offset)
 			}
 			require.InDelta(t, float64(total)/2, half, 2, "total %d offset %d", total, offset)
 		}
@@ -83,11 +83,15 @@
 	rnd      *rand.Rand
 	lender   share.Limiter
 	borrower share.Limiter
+	// requests tracks the loan requests of the borrower.
 	requests *share.Borrower
-	wire     []delivery
-	uses     []time.Time
+	// wire holds the messages in transit.
+	wire []delivery
+	// uses are the times of all uses by both sides, on the lender's clock.
+	uses []time.Time
 }
 
+// delivery is a message in transit: do handles it at the receiver, from time at on.
 type delivery struct {
 	at time.Time
 	do func()
@@ -95,10 +99,12 @@
 
 const (
 	pairUnits = 10
-	// borrowerAhead is the difference between the two clocks.
+	// borrowerAhead is how far the borrower's clock is ahead of the lender's.
 	borrowerAhead = 1000 * time.Hour
 )
 
+// send sends a message once or twice. Each copy is lost with a probability of 1/10. It arrives after less
+// than 300 ms, or, with a probability of 1/20, after less than 6 s.
 func (p *loanPair) send(do func()) {
 	for range 1 + p.rnd.IntN(2) {
 		if p.rnd.IntN(10) == 0 {
@@ -112,6 +118,9 @@
 	}
 }
 
+// step advances the clock by 10 ms, delivers the messages that are due, lets both sides use units, and
+// lets the borrower send a loan request with the given nonce if it may. The lender keeps 2 idle units, and
+// its lease lasts longer than any loan.
 func (p *loanPair) step(nonce uint64) {
 	p.now = p.now.Add(10 * time.Millisecond)
 	var pending []delivery
@@ -148,8 +157,10 @@
 }
 
 // TestLoansCreateNoUnits checks that lender and borrower together never use more than
-// the lender's units in any window. Breaking any of the three loan rules in the
-// package documentation makes it fail.
+// the lender's units in any window. It fails if one of three loan rules of the
+// package documentation is broken: if the lender lends units that it has used within the last window,
+// if the loan starts for the borrower only on receipt, or if the borrower uses the units until the loan
+// ends.
 func TestLoansCreateNoUnits(t *testing.T) {
 	lentAny := false
 	for seed := range uint64(40) {
@@ -170,8 +181,9 @@
 	require.True(t, lentAny)
 }
 
-// TestUnitsEndWithLease checks that units expire with the lease without any prior call,
-// as in a process that was paused and first handles a request.
+// TestUnitsEndWithLease checks that an instance neither admits requests nor lends units once
+// the lease of its seats has expired, also if the ledger was not called between the expiry and the
+// request, as in a process that was paused.
 func TestUnitsEndWithLease(t *testing.T) {
 	plan := table.Compile(&table.Table{
 		Regions: []table.Region{{Name: "r", Halls: []string{"h"}}, {Name: "q", Halls: []string{"z"}}},
@@ -190,22 +202,23 @@
 }
 
 // TestTinyCap checks loans with a cap of one unit, which belongs to one of two instances,
-// while all demand is at the other.
+// while all demand is at the other: the latter uses more than half of the 20 uses that are possible in
+// 2000 steps of 10 ms.
 func TestTinyCap(t *testing.T) {
 	plan := table.Compile(&table.Table{
 		Regions: []table.Region{{Name: "r", Halls: []string{"h"}}, {Name: "q", Halls: []string{"z"}}},
 		Rows:    []table.Row{{Service: "s", From: "r", To: "q", Weight: 1, Cap: 1, Shift: 10, Ramp: time.Second}},
 	}, 1)
 	row := plan.Table.Rows[0]
-	var holders []*share.Ledger
+	var ledgers []*share.Ledger
 	now := time.Unix(0, 0)
 	for i := range 2 {
 		l := share.NewLedger("h", "r", 2, uint64(100*i))
 		l.SetPlan(plan)
 		l.SetSeats([]int{i}, now.Add(time.Hour))
-		holders = append(holders, l)
+		ledgers = append(ledgers, l)
 	}
-	lender, borrower := holders[0], holders[1]
+	lender, borrower := ledgers[0], ledgers[1]
 	if lender.States(now)[0].Units == 0 {
 		lender, borrower = borrower, lender
 	}
@@ -225,6 +238,9 @@
 	require.Greater(t, used, 10)
 }
 
+// TestRampRisesInSteps checks that the allowed units of a fully used ramp rise by one step in each
+// period, that a cold destination, for which Observe gets false, delays the rise, and that at least one
+// unit is allowed.
 func TestRampRisesInSteps(t *testing.T) {
 	const total = 100
 	r := &share.Ramp{Step: 25, Period: time.Second}
@@ -235,12 +251,12 @@
 		now = now.Add(time.Second)
 		r.Observe(now, want, total, true)
 	}
-	cold := &share.Ramp{Step: 25, Period: time.Second}
+	toCold := &share.Ramp{Step: 25, Period: time.Second}
 	for range 5 {
-		cold.Observe(now, cold.Allowed(now, total), total, false)
+		toCold.Observe(now, toCold.Allowed(now, total), total, false)
 		now = now.Add(time.Second)
 	}
-	require.Equal(t, 25, cold.Allowed(now, total), "a cold destination delays the next rise but does not lower the level")
+	require.Equal(t, 25, toCold.Allowed(now, total), "a cold destination delays the next rise but does not lower the level")
 	require.Equal(t, 1, (&share.Ramp{Step: 10, Period: time.Second}).Allowed(now, 1), "a row with one unit can be used")
 }
 
