--- a/upstream/target_report_test.go
+++ b/upstream/target_report_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestPeersLearnOfBusyTarget checks that a request goes to its key's second target after another
-// instance reported that the first one is overloaded. It goes to the first one again after a report
-// that the overload is over, or without reports for a while.
+// instance reported that the first one is busy. It goes to the first one again after a report that
+// this one is no longer busy, or without reports for a while. Received reports are passed on until
+// they are too old, and a report that is not newer than the last one is ignored.
 func TestPeersLearnOfBusyTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
@@ -24,6 +25,7 @@
 		return d
 	}
 	first := target(here, start).Target.ID
+	// Each of the two requests is released with one of the load reports below.
 	for range 2 {
 		require.Equal(t, first, there.Acquire(start, request("k")).Target.ID)
 	}
@@ -41,21 +43,22 @@
 	require.Equal(t, upstream.ReasonLoad, target(here, now).Reason)
 	require.Len(t, here.TargetReports(now), 1, "received reports are passed on")
 	require.Empty(t, here.TargetReports(start.Add(2*time.Second)), "old reports are not passed on")
-	require.Equal(t, first, target(here, start.Add(4*time.Second)).Target.ID)
+	require.Equal(t, first, target(here, start.Add(4*time.Second)).Target.ID, "the report has expired")
 
+	// From here on the time is before the expiry of the first report.
 	now = start.Add(200 * time.Millisecond)
 	answer(now, 1, 0)
 	after := there.TargetReports(now)
-	require.Len(t, after, 1, "the end of the overload is reported too")
+	require.Len(t, after, 1, "a target that is no longer busy is reported too")
 	here.ApplyTargetReports(now, after)
 	here.ApplyTargetReports(now, reports)
-	require.Equal(t, first, target(here, now).Target.ID, "older reports are ignored")
+	require.Equal(t, first, target(here, now).Target.ID, "reports that are not newer are ignored")
 }
 
-// TestPeersLearnOfDownTarget checks that a request goes to its key's second target for a moment
-// after another instance reported the first one as down. The report is ignored if the first target
-// has recently responded to this instance, and it is not sent if the other instance reaches hardly
-// any target.
+// TestPeersLearnOfDownTarget checks that a request goes to its key's second target after another
+// instance reported the first one as down, and to the first one again after downPause. The report
+// is ignored if the first target has recently responded to this instance, and it is not sent if no
+// target responds to the other instance.
 func TestPeersLearnOfDownTarget(t *testing.T) {
 	there, here := newPool(), newPool()
 	for _, p := range []*upstream.Pool{there, here} {
@@ -67,7 +70,7 @@
 		return d.Target.ID
 	}
 	first := end(there, start, "k", upstream.Unreachable)
-	require.Empty(t, there.TargetReports(start), "no target responds to that instance")
+	require.Empty(t, there.TargetReports(start), "a target is reported as down although no target responds to the instance")
 	for _, key := range []string{"l", "m", "n"} {
 		end(there, start, key, upstream.Answered)
 	}
@@ -83,8 +86,9 @@
 	require.Equal(t, first, end(here, now.Add(time.Second), "k", upstream.Abandoned), "the target has responded recently")
 }
 
-// TestTargetReportsEncoding checks that reports are encoded in six bytes each, that they are
-// decoded with the expected rounding, and that truncated reports are refused.
+// TestTargetReportsEncoding checks that reports are encoded in at most six bytes each after a header
+// of two, that a load and an age out of range are clamped and other values are decoded unchanged,
+// and that truncated reports are refused.
 func TestTargetReportsEncoding(t *testing.T) {
 	reports := upstream.TargetReports{
 		{Target: 1 << 31, PerSlot: 1.5, Age: 730 * time.Millisecond},
@@ -99,6 +103,7 @@
 	require.Equal(t, reports[0], got[0])
 	require.Equal(t, upstream.TargetReport{Target: 7, PerSlot: 254.0 / 32, Age: 2550 * time.Millisecond}, got[1])
 	require.Equal(t, reports[2], got[2])
+	// A report has six bytes.
 	truncated, err := msgpack.Marshal([]byte("12345"))
 	require.NoError(t, err)
 	require.ErrorIs(t, msgpack.Unmarshal(truncated, &got), upstream.ErrTruncatedTargetReports)
