--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -95,10 +95,10 @@
 	require.Equal(t, 1, table.Status(begin, d).Crashes)
 }
 
-// TestTableIsBounded checks that an account that has filled its share of the table loses its own
+// TestRecordLimits checks that an account that has filled its share of the table loses its own
 // records, those with the fewest crashes first, and none of another account. The records
 // of an account that is alone in the table are bounded by maxRecords.
-func TestTableIsBounded(t *testing.T) {
+func TestRecordLimits(t *testing.T) {
 	var table Table
 	other, twoCrashes := digest("/other/"), digest("/kept/")
 	table.RecordCrash(begin, other, "bob", 1, false)
@@ -120,11 +120,11 @@
 // event is a crash or an answer that an instance observes. The digest is an index into the digests of
 // the test. Target and trial are not used for answers.
 type event struct {
-	digest   int
-	target   int
-	at       time.Duration
-	trial    bool
-	answered bool
+	digestIndex int
+	target      int
+	at          time.Duration
+	trial       bool
+	answered    bool
 }
 
 // TestMergeInAnyOrder lets instances observe events and exchange updates in any order, late and
@@ -135,11 +135,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) event {
 			e := event{
-				digest:   rapid.IntRange(0, len(digests)-1).Draw(t, "digest"),
-				target:   rapid.IntRange(0, 4).Draw(t, "target"),
-				at:       time.Duration(rapid.IntRange(0, 50).Draw(t, "at")) * ageUnit,
-				trial:    rapid.Bool().Draw(t, "trial"),
-				answered: rapid.IntRange(0, 4).Draw(t, "kind") == 0,
+				digestIndex: rapid.IntRange(0, len(digests)-1).Draw(t, "digest"),
+				target:      rapid.IntRange(0, 4).Draw(t, "target"),
+				at:          time.Duration(rapid.IntRange(0, 50).Draw(t, "at")) * ageUnit,
+				trial:       rapid.Bool().Draw(t, "trial"),
+				answered:    rapid.IntRange(0, 4).Draw(t, "kind") == 0,
 			}
 			if !e.answered {
 				// A target crashes only once.
@@ -149,7 +149,7 @@
 		}), 1, 20).Draw(t, "facts")
 		// Each table starts with one crash of each digest, of a target that crashes in no other event.
 		for d := range digests {
-			events = append(events, event{digest: d, target: 9, at: -ageUnit})
+			events = append(events, event{digestIndex: d, target: 9, at: -ageUnit})
 		}
 		now := after(100 * ageUnit)
 		tables := make([]Table, 3)
@@ -190,9 +190,9 @@
 func updatesOf(now time.Time, digests []Digest, e event) Updates {
 	age := now.Sub(after(e.at))
 	if e.answered {
-		return Updates{{Digest: digests[e.digest], AnswerAge: age}}
+		return Updates{{Digest: digests[e.digestIndex], AnswerAge: age}}
 	}
-	return Updates{{Digest: digests[e.digest], AnswerAge: -1, Crashes: []CrashUpdate{{Target: TargetID(e.target), Age: age, Trial: e.trial}}}}
+	return Updates{{Digest: digests[e.digestIndex], AnswerAge: -1, Crashes: []CrashUpdate{{Target: TargetID(e.target), Age: age, Trial: e.trial}}}}
 }
 
 // sendAll merges the encoded state of one table into another one.
@@ -209,13 +209,13 @@
 func referenceCrashes(events []event, digestIndex int) int {
 	answered := -time.Hour
 	for _, e := range events {
-		if e.digest == digestIndex && e.answered {
+		if e.digestIndex == digestIndex && e.answered {
 			answered = max(answered, e.at)
 		}
 	}
 	targets := make(map[int]bool)
 	for _, e := range events {
-		if e.digest == digestIndex && !e.answered && e.at > answered {
+		if e.digestIndex == digestIndex && !e.answered && e.at > answered {
 			targets[e.target] = true
 		}
 	}
