--- a/share/share_test.go
+++ b/share/share_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestLimiterAgainstNaive compares the limiter with a count over all past uses.
-func TestLimiterAgainstNaive(t *testing.T) {
+// TestLimiterAgainstCount compares the limiter with a count over all past uses.
+func TestLimiterAgainstCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limiter := &share.Limiter{}
 		now := time.Unix(0, 0)
@@ -85,16 +85,16 @@
 	borrower share.Limiter
 	// requests tracks the loan requests of the borrower.
 	requests *share.Borrower
-	// wire holds the messages in transit.
-	wire []delivery
+	// inTransit holds the messages in transit.
+	inTransit []delivery
 	// uses are the times of all uses by both sides, on the lender's clock.
 	uses []time.Time
 }
 
 // delivery is a message in transit: do handles it at the receiver, from time at on.
 type delivery struct {
-	at time.Time
-	do func()
+	at      time.Time
+	deliver func()
 }
 
 const (
@@ -114,7 +114,7 @@
 		if p.rnd.IntN(20) == 0 {
 			delay = time.Duration(p.rnd.IntN(6000)) * time.Millisecond
 		}
-		p.wire = append(p.wire, delivery{p.now.Add(delay), do})
+		p.inTransit = append(p.inTransit, delivery{p.now.Add(delay), do})
 	}
 }
 
@@ -124,16 +124,16 @@
 func (p *loanPair) step(nonce uint64) {
 	p.now = p.now.Add(10 * time.Millisecond)
 	var pending []delivery
-	wire := p.wire
-	p.wire = nil
+	wire := p.inTransit
+	p.inTransit = nil
 	for _, d := range wire {
 		if d.at.After(p.now) {
 			pending = append(pending, d)
 			continue
 		}
-		d.do()
+		d.deliver()
 	}
-	p.wire = append(p.wire, pending...)
+	p.inTransit = append(p.inTransit, pending...)
 	borrowerNow := p.now.Add(borrowerAhead)
 	for range p.rnd.IntN(2) {
 		if p.lender.Allow(p.now) {
@@ -201,10 +201,10 @@
 	require.False(t, lent)
 }
 
-// TestTinyCap checks loans with a cap of one unit, which belongs to one of two instances,
+// TestBorrowOnlyUnit checks loans with a cap of one unit, which belongs to one of two instances,
 // while all demand is at the other: the latter uses more than half of the 20 uses that are possible in
 // 2000 steps of 10 ms.
-func TestTinyCap(t *testing.T) {
+func TestBorrowOnlyUnit(t *testing.T) {
 	plan := table.Compile(&table.Table{
 		Regions: []table.Region{{Name: "r", Halls: []string{"h"}}, {Name: "q", Halls: []string{"z"}}},
 		Rows:    []table.Row{{Service: "s", From: "r", To: "q", Weight: 1, Cap: 1, Shift: 10, Ramp: time.Second}},
