--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -49,22 +49,22 @@
 	pendingOld, reportedOld map[uint16]*Tally
 	pendingNew, reportedNew Observations
 	reportedAt              time.Time
-	// dirty reports whether there is anything to report. movedReported is the number of the stage
+	// hasUnreported reports whether there is anything to report. movedReported is the number of the stage
 	// for which the instance has reported that none of its requests is at an old target.
-	dirty         bool
-	movedReported uint32
+	hasUnreported      bool
+	movedReportedStage uint32
 }
 
 // NewFollower returns the follower of an order that the instance self first saw at time now.
 func NewFollower(now time.Time, self string, order Order) *Follower {
 	return &Follower{
-		self:        self,
-		samplePoint: mix.Unit(mix.Combine(mix.Hash(self), uint64(order.ID()))),
-		order:       order,
-		startedAt:   now,
-		pendingOld:  make(map[uint16]*Tally),
-		reportedOld: make(map[uint16]*Tally),
-		dirty:       true,
+		self:          self,
+		samplePoint:   mix.Unit(mix.Combine(mix.Hash(self), uint64(order.ID()))),
+		order:         order,
+		startedAt:     now,
+		pendingOld:    make(map[uint16]*Tally),
+		reportedOld:   make(map[uint16]*Tally),
+		hasUnreported: true,
 	}
 }
 
@@ -124,7 +124,7 @@
 		f.requeueReported()
 	}
 	f.stage, f.heardAt = s, now
-	f.dirty = f.dirty || changed
+	f.hasUnreported = f.hasUnreported || changed
 	return changed
 }
 
@@ -132,7 +132,7 @@
 // leader needs this even if the same instance leads again, since a leader starts without
 // observations.
 func (f *Follower) requeueReported() {
-	f.dirty = true
+	f.hasUnreported = true
 	for route, t := range f.reportedOld {
 		addTally(f.pendingOld, route, t)
 	}
@@ -167,7 +167,7 @@
 // RecordSent counts a request that was sent to a target of the service, a new one if toNew is set.
 func (f *Follower) RecordSent(toNew bool) {
 	f.sent++
-	f.dirty = true
+	f.hasUnreported = true
 	if toNew {
 		f.sentNew++
 	}
@@ -176,7 +176,7 @@
 // RecordOld records the outcome of a request at an old target. The caller leaves out outcomes that
 // show nothing about the version of the target, such as a disconnection of the client.
 func (f *Follower) RecordOld(o Observation) {
-	f.dirty = true
+	f.hasUnreported = true
 	tally := &Tally{Route: o.Route}
 	if o.Outcome == Answered {
 		tally.Answered, tally.Latencies = 1, LatencyHistogram{o.Latency: 1}
@@ -199,7 +199,7 @@
 // RecordNew records the outcome of a request at a new target, unless maxObservations are pending.
 // The caller leaves out outcomes that show nothing about the version of the target, as for RecordOld.
 func (f *Follower) RecordNew(o Observation) {
-	f.dirty = true
+	f.hasUnreported = true
 	if len(f.pendingNew) < maxObservations {
 		f.pendingNew = append(f.pendingNew, o)
 	}
@@ -223,9 +223,9 @@
 	f.reportedNew = append(f.reportedNew, f.pendingNew...)
 	f.reportedNew = f.reportedNew[max(0, len(f.reportedNew)-maxObservations):]
 	f.pendingOld, f.pendingNew = make(map[uint16]*Tally), nil
-	f.reportedAt, f.dirty = now, false
+	f.reportedAt, f.hasUnreported = now, false
 	if f.stage.Phase == Moved && inFlightOld == 0 {
-		f.movedReported = f.stage.Number
+		f.movedReportedStage = f.stage.Number
 	}
 	return r, f.stage.Leader, true
 }
@@ -239,12 +239,12 @@
 	if f.stage.Leader == "" || f.Verdict().IsFinal() {
 		return false
 	}
-	if f.stage.Phase == Moved && inFlightOld == 0 && f.movedReported != f.stage.Number {
+	if f.stage.Phase == Moved && inFlightOld == 0 && f.movedReportedStage != f.stage.Number {
 		return true
 	}
 	interval := reportInterval
 	if f.stage.Phase == Moving || f.stage.Phase == Moved {
 		interval = fastReportInterval
 	}
-	return f.samplePoint < f.stage.InstanceShare && f.dirty && now.Sub(f.reportedAt) >= interval
+	return f.samplePoint < f.stage.InstanceShare && f.hasUnreported && now.Sub(f.reportedAt) >= interval
 }
