--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -68,8 +68,8 @@
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := balance.NewPool(balance.Config{Rand: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "rand"), 1))})
-		floor := rapid.IntRange(0, 100).Draw(t, "floor")
-		p.SetReserve(floor)
+		reservePercent := rapid.IntRange(0, 100).Draw(t, "floor")
+		p.SetReserve(reservePercent)
 		m := &poolModel{t: t, slots: map[string]int{}, inFlight: map[string]int{}, fromOtherRegion: map[string]int{}, waiting: map[uint64]bool{}}
 		now := epoch
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -95,7 +95,7 @@
 				before := p.Load(now)
 				d := p.Acquire(now, r)
 				if d.Action == balance.Run && r.FromOtherRegion {
-					require.Less(t, before.InFlight, before.Limit-before.Limit*floor/100+1)
+					require.Less(t, before.InFlight, before.Limit-before.Limit*reservePercent/100+1)
 				}
 				m.checkDecision(r.ID, d)
 			default:
@@ -214,10 +214,10 @@
 	p := newPool(t, 1)
 	require.Equal(t, balance.Run, p.Acquire(epoch, request(1)).Action)
 	// The expected wait and the expected latency are 20 ms each before the first response.
-	late := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), QueueTimeout: time.Hour}
-	require.Equal(t, balance.Refuse, p.Acquire(epoch, late).Action)
-	late.Deadline = epoch.Add(time.Second)
-	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
+	r := balance.Request{ID: 2, Deadline: epoch.Add(30 * time.Millisecond), QueueTimeout: time.Hour}
+	require.Equal(t, balance.Refuse, p.Acquire(epoch, r).Action)
+	r.Deadline = epoch.Add(time.Second)
+	require.Equal(t, balance.Wait, p.Acquire(epoch, r).Action)
 	require.Empty(t, p.Release(epoch, "t0", balance.Unreachable, 0), "refused although the target is probed after the minimum back-off of 500 ms, before the deadline")
 	require.Empty(t, p.Tick(epoch.Add(100*time.Millisecond)))
 	grants := p.SetTargets(epoch.Add(200*time.Millisecond), nil)
@@ -258,8 +258,8 @@
 	p = newPool(t, 1)
 	p.Acquire(epoch, request(1))
 	require.Equal(t, balance.Wait, p.Acquire(epoch, request(2)).Action)
-	late := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second}
-	require.Equal(t, balance.Wait, p.Acquire(epoch, late).Action)
+	r := balance.Request{ID: 3, Deadline: epoch.Add(5 * time.Second), QueueTimeout: 5 * time.Second}
+	require.Equal(t, balance.Wait, p.Acquire(epoch, r).Action)
 	grants := p.SetTargets(epoch, specs(0))
 	require.Len(t, grants, 1, "only request 3, whose deadline is in 5 s, is refused")
 	require.EqualValues(t, 3, grants[0].ID)
