--- a/forward/self_report_test.go
+++ b/forward/self_report_test.go
@@ -20,23 +20,23 @@
 // successes without a signature do not count. Responses of a server that replaced the target are
 // the subject of TestSelfReportOfReplacedTarget.
 func TestSelfReportInResponse(t *testing.T) {
-	leaves := availability.SelfReport{Leaving: true}
+	leaving := availability.SelfReport{Leaving: true}
 	// All servers send Retry-After. Of these responses only the rejection makes it a back-off.
-	rests := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
+	leavingWithBackoff := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
 	for _, c := range []struct {
 		name  string
 		fault origin.Fault
 		want  availability.SelfReport
 	}{
-		{"success", origin.None, leaves},
-		{"server error", origin.Failed, leaves},
-		{"rejection", origin.Shed, rests},
-		{"surplus response", origin.Surplus, leaves},
-		{"response before the request body is read", origin.EarlyRefusal, leaves},
-		{"no content length", origin.Unframed, leaves},
-		{"reset in the body", origin.UnframedReset, leaves},
-		{"truncated body", origin.Cut, leaves},
-		{"body never completed", origin.Stalled, leaves},
+		{"success", origin.None, leaving},
+		{"server error", origin.Failed, leaving},
+		{"rejection", origin.Shed, leavingWithBackoff},
+		{"surplus response", origin.Surplus, leaving},
+		{"response before the request body is read", origin.EarlyRefusal, leaving},
+		{"no content length", origin.Unframed, leaving},
+		{"reset in the body", origin.UnframedReset, leaving},
+		{"truncated body", origin.Cut, leaving},
+		{"body never completed", origin.Stalled, leaving},
 		{"response to another request", origin.Foreign, availability.SelfReport{}},
 		{"success without a signature", origin.Unsigned, availability.SelfReport{}},
 		{"garbage", origin.Garbage, availability.SelfReport{}},
@@ -70,9 +70,9 @@
 func TestSelfReportAfterClientDisconnect(t *testing.T) {
 	s, client := startTarget(t, origin.Stalled)
 	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
-	for stay := 20 * time.Millisecond; stay < 10*time.Second; stay *= 2 {
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(stay, leave)
+	for disconnectAfter := 20 * time.Millisecond; disconnectAfter < 10*time.Second; disconnectAfter *= 2 {
+		ctx, disconnect := context.WithCancel(context.Background())
+		time.AfterFunc(disconnectAfter, disconnect)
 		r := newRequest(s)
 		r.Deadline = time.Now().Add(time.Minute)
 		a := client.Do(ctx, r)
@@ -89,16 +89,16 @@
 func TestWithheldRequest(t *testing.T) {
 	s, client := startTarget(t, origin.None)
 	r := newRequest(s)
-	accepted := 0
+	maySendCalls := 0
 	r.MaySend = func() bool {
-		accepted++
+		maySendCalls++
 		return false
 	}
 	a := client.Do(context.Background(), r)
 	require.ErrorIs(t, a.Err, forward.ErrWithheld)
 	require.Equal(t, retry.NotRun, a.Outcome)
 	require.False(t, a.Sent)
-	require.Equal(t, 1, accepted)
+	require.Equal(t, 1, maySendCalls)
 	require.Empty(t, s.Runs())
 	next := client.Do(context.Background(), newRequest(s))
 	require.Equal(t, retry.Ran, next.Outcome)
