--- a/upstream/target_report_test.go
+++ b/upstream/target_report_test.go
@@ -19,40 +19,40 @@
 	for _, p := range []*upstream.Pool{there, here} {
 		p.SetTargets(start, specsInEachHall(6), nil)
 	}
-	target := func(p *upstream.Pool, now time.Time) upstream.Decision {
+	tryRequest := func(p *upstream.Pool, now time.Time) upstream.Decision {
 		d := p.Acquire(now, request("k"))
 		p.Release(now, d.Target.ID, upstream.Result{Outcome: upstream.Abandoned})
 		return d
 	}
-	first := target(here, start).Target.ID
+	first := tryRequest(here, start).Target.ID
 	// Each of the two requests is released with one of the load reports below.
 	for range 2 {
 		require.Equal(t, first, there.Acquire(start, request("k")).Target.ID)
 	}
-	answer := func(now time.Time, running, waiting int) {
+	releaseWithLoad := func(now time.Time, running, waiting int) {
 		there.Release(now, first, upstream.Result{LoadReport: &upstream.LoadReport{Running: running, Waiting: waiting, Slots: 3}, Latency: time.Second})
 	}
 	require.Empty(t, there.TargetReports(start))
 
-	answer(start, 3, 4)
+	releaseWithLoad(start, 3, 4)
 	reports := there.TargetReports(start)
 	require.Len(t, reports, 1)
 	here.ApplyTargetReports(start.Add(50*time.Millisecond), reports)
 	now := start.Add(100 * time.Millisecond)
-	require.NotEqual(t, first, target(here, now).Target.ID)
-	require.Equal(t, upstream.ReasonLoad, target(here, now).Reason)
+	require.NotEqual(t, first, tryRequest(here, now).Target.ID)
+	require.Equal(t, upstream.ReasonLoad, tryRequest(here, now).Reason)
 	require.Len(t, here.TargetReports(now), 1, "received reports are passed on")
 	require.Empty(t, here.TargetReports(start.Add(2*time.Second)), "old reports are not passed on")
-	require.Equal(t, first, target(here, start.Add(4*time.Second)).Target.ID, "the report has expired")
+	require.Equal(t, first, tryRequest(here, start.Add(4*time.Second)).Target.ID, "the report has expired")
 
 	// From here on the time is before the expiry of the first report.
 	now = start.Add(200 * time.Millisecond)
-	answer(now, 1, 0)
+	releaseWithLoad(now, 1, 0)
 	after := there.TargetReports(now)
 	require.Len(t, after, 1, "a target that is no longer busy is reported too")
 	here.ApplyTargetReports(now, after)
 	here.ApplyTargetReports(now, reports)
-	require.Equal(t, first, target(here, now).Target.ID, "reports that are not newer are ignored")
+	require.Equal(t, first, tryRequest(here, now).Target.ID, "reports that are not newer are ignored")
 }
 
 // TestPeersLearnOfDownTarget checks that a request goes to its key's second target after another
@@ -64,26 +64,26 @@
 	for _, p := range []*upstream.Pool{there, here} {
 		p.SetTargets(start, specsInEachHall(6), nil)
 	}
-	end := func(p *upstream.Pool, now time.Time, key string, outcome upstream.Outcome) string {
+	runRequest := func(p *upstream.Pool, now time.Time, key string, outcome upstream.Outcome) string {
 		d := p.Acquire(now, request(key))
 		p.Release(now, d.Target.ID, upstream.Result{Outcome: outcome, Latency: time.Second})
 		return d.Target.ID
 	}
-	first := end(there, start, "k", upstream.Unreachable)
+	first := runRequest(there, start, "k", upstream.Unreachable)
 	require.Empty(t, there.TargetReports(start), "a target is reported as down although no target responds to the instance")
 	for _, key := range []string{"l", "m", "n"} {
-		end(there, start, key, upstream.Answered)
+		runRequest(there, start, key, upstream.Answered)
 	}
 	reports := there.TargetReports(start)
 	require.Len(t, reports, 1)
 
-	require.Equal(t, first, end(here, start, "k", upstream.Abandoned))
+	require.Equal(t, first, runRequest(here, start, "k", upstream.Abandoned))
 	here.ApplyTargetReports(start, reports)
-	require.NotEqual(t, first, end(here, start.Add(time.Second), "k", upstream.Abandoned))
+	require.NotEqual(t, first, runRequest(here, start.Add(time.Second), "k", upstream.Abandoned))
 	now := start.Add(2 * time.Second)
-	require.Equal(t, first, end(here, now, "k", upstream.Answered))
+	require.Equal(t, first, runRequest(here, now, "k", upstream.Answered))
 	here.ApplyTargetReports(now.Add(time.Second), reports)
-	require.Equal(t, first, end(here, now.Add(time.Second), "k", upstream.Abandoned), "the target has responded recently")
+	require.Equal(t, first, runRequest(here, now.Add(time.Second), "k", upstream.Abandoned), "the target has responded recently")
 }
 
 // TestTargetReportsEncoding checks that reports are encoded in at most six bytes each after a header
