--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -27,7 +27,7 @@
 	ColdFactor float64 `json:"cold_factor"`
 	// Shed refuses requests when no slot is free. Without Shed, they wait.
 	Shed bool `json:"shed"`
-	// Draining refuses all new requests and says so in a header.
+	// Draining refuses all new requests and announces it in a header.
 	Draining bool `json:"draining"`
 	// AlwaysHealthy makes health checks succeed while the target is draining.
 	AlwaysHealthy bool `json:"lie_health"`
