--- a/share/share_test.go
+++ b/share/share_test.go
@@ -105,7 +105,7 @@
 
 // send sends a message once or twice. Each copy is lost with a probability of 1/10. It arrives after less
 // than 300 ms, or, with a probability of 1/20, after less than 6 s.
-func (p *loanPair) send(do func()) {
+func (p *loanPair) send(deliver func()) {
 	for range 1 + p.rnd.IntN(2) {
 		if p.rnd.IntN(10) == 0 {
 			continue
@@ -114,7 +114,7 @@
 		if p.rnd.IntN(20) == 0 {
 			delay = time.Duration(p.rnd.IntN(6000)) * time.Millisecond
 		}
-		p.inTransit = append(p.inTransit, delivery{p.now.Add(delay), do})
+		p.inTransit = append(p.inTransit, delivery{p.now.Add(delay), deliver})
 	}
 }
 
@@ -124,9 +124,9 @@
 func (p *loanPair) step(nonce uint64) {
 	p.now = p.now.Add(10 * time.Millisecond)
 	var pending []delivery
-	wire := p.inTransit
+	messages := p.inTransit
 	p.inTransit = nil
-	for _, d := range wire {
+	for _, d := range messages {
 		if d.at.After(p.now) {
 			pending = append(pending, d)
 			continue
