--- a/share/share_test.go
+++ b/share/share_test.go
@@ -85,13 +85,13 @@
 	borrower share.Limiter
 	// requests tracks the loan requests of the borrower.
 	requests *share.Borrower
-	// inTransit holds the messages in transit.
+	// inTransit holds the messages that have not arrived yet.
 	inTransit []delivery
 	// uses are the times of all uses by both sides, on the lender's clock.
 	uses []time.Time
 }
 
-// delivery is a message in transit: do handles it at the receiver, from time at on.
+// delivery is a message in transit. It arrives at time at, when deliver handles it at the receiver.
 type delivery struct {
 	at      time.Time
 	deliver func()
@@ -103,8 +103,8 @@
 	borrowerAhead = 1000 * time.Hour
 )
 
-// send sends a message once or twice. Each copy is lost with a probability of 1/10. It arrives after less
-// than 300 ms, or, with a probability of 1/20, after less than 6 s.
+// send sends a message once or twice. Each copy is lost with a probability of 1/10. It arrives
+// after less than 300 ms, or, with a probability of 1/20, after less than 6 s.
 func (p *loanPair) send(deliver func()) {
 	for range 1 + p.rnd.IntN(2) {
 		if p.rnd.IntN(10) == 0 {
@@ -118,9 +118,9 @@
 	}
 }
 
-// step advances the clock by 10 ms, delivers the messages that are due, lets both sides use units, and
-// lets the borrower send a loan request with the given nonce if it may. The lender keeps 2 idle units, and
-// its lease lasts longer than any loan.
+// step advances the clock by 10 ms, delivers the messages that are due, lets both sides use units,
+// and lets the borrower send a loan request with the given nonce if it may. The lender keeps 2 idle
+// units, and its lease lasts longer than any loan.
 func (p *loanPair) step(nonce uint64) {
 	p.now = p.now.Add(10 * time.Millisecond)
 	var pending []delivery
@@ -156,11 +156,10 @@
 	}
 }
 
-// TestLoansCreateNoUnits checks that lender and borrower together never use more than
-// the lender's units in any window. It fails if one of three loan rules of the
-// package documentation is broken: if the lender lends units that it has used within the last window,
-// if the loan starts for the borrower only on receipt, or if the borrower uses the units until the loan
-// ends.
+// TestLoansCreateNoUnits checks that lender and borrower together never use more than the lender's
+// units in any window. It fails if one of three loan rules of the package documentation is broken:
+// if the lender lends units that it has used within the last window, if the loan starts for the
+// borrower only on receipt, or if the borrower uses the units until the loan ends.
 func TestLoansCreateNoUnits(t *testing.T) {
 	lentAny := false
 	for seed := range uint64(40) {
@@ -202,8 +201,8 @@
 }
 
 // TestBorrowOnlyUnit checks loans with a cap of one unit, which belongs to one of two instances,
-// while all demand is at the other: the latter uses more than half of the 20 uses that are possible in
-// 2000 steps of 10 ms.
+// while all demand is at the other: the latter uses more than half of the 20 uses that are possible
+// in 2000 steps of 10 ms.
 func TestBorrowOnlyUnit(t *testing.T) {
 	plan := table.Compile(&table.Table{
 		Regions: []table.Region{{Name: "r", Halls: []string{"h"}}, {Name: "q", Halls: []string{"z"}}},
@@ -239,8 +238,8 @@
 }
 
 // TestRampRisesInSteps checks that the allowed units of a fully used ramp rise by one step in each
-// period, that a cold destination, for which Observe gets false, delays the rise, and that at least one
-// unit is allowed.
+// period, that a cold destination, for which Observe gets false, delays the rise, and that at least
+// one unit is allowed.
 func TestRampRisesInSteps(t *testing.T) {
 	const total = 100
 	r := &share.Ramp{Step: 25, Period: time.Second}
