--- a/rollout/follower.go
+++ b/rollout/follower.go
@@ -44,13 +44,14 @@
 	// sent counts the requests since the order was seen, and sentNew those of them to new targets.
 	sent, sentNew uint32
 	// pendingOld and pendingNew hold the outcomes at old targets, by route, and at new targets that
-	// are not yet reported. reportedOld and reportedNew have been sent to
-	// the current leader and are sent again to the next one.
+	// are not yet reported. reportedOld and reportedNew have been sent to the current leader and
+	// are sent again to the next one.
 	pendingOld, reportedOld map[uint16]*Tally
 	pendingNew, reportedNew Observations
 	reportedAt              time.Time
-	// hasUnreported reports whether there is anything to report. movedReported is the number of the stage
-	// for which the instance has reported that none of its requests is at an old target.
+	// hasUnreported reports whether there is anything to report. movedReportedStage is the number
+	// of the stage for which the instance has reported that none of its requests is at an old
+	// target.
 	hasUnreported      bool
 	movedReportedStage uint32
 }
@@ -106,9 +107,9 @@
 // has succeeded, this instance then sends no more requests to the new targets.
 func (f *Follower) Withdraw() { f.withdrawn = true }
 
-// HandleStage adopts a stage that a leader has announced, unless it belongs to another order or does
-// not supersede the current stage. It reports whether the number or the
-// phase of the current stage has changed.
+// HandleStage adopts a stage that a leader has announced, unless it belongs to another order or
+// does not supersede the current stage. It reports whether the number or the phase of the current
+// stage has changed.
 func (f *Follower) HandleStage(now time.Time, s Stage) bool {
 	if s.Order != f.order.ID() {
 		return false
@@ -141,8 +142,8 @@
 }
 
 // Split returns the traffic split of this instance at time now, and the time until which it holds
-// if no further announcement arrives. That time is zero if the split does not expire: after
-// the verdict, a rollback or a withdrawal, and while there is no announced stage that has not expired.
+// if no further announcement arrives. That time is zero if the split does not expire: after the
+// verdict, a rollback or a withdrawal, and while there is no announced stage that has not expired.
 func (f *Follower) Split(now time.Time) (Split, time.Time) {
 	split := Split{Version: f.order.Version}
 	switch {
@@ -197,7 +198,8 @@
 }
 
 // RecordNew records the outcome of a request at a new target, unless maxObservations are pending.
-// The caller leaves out outcomes that show nothing about the version of the target, as for RecordOld.
+// The caller leaves out outcomes that show nothing about the version of the target, as for
+// RecordOld.
 func (f *Follower) RecordNew(o Observation) {
 	f.hasUnreported = true
 	if len(f.pendingNew) < maxObservations {
@@ -206,8 +208,8 @@
 }
 
 // Report returns the report that is due at time now and the peer address of the leader, or false if
-// none is due. It marks the contents of the report as reported. The argument inFlightOld is the number
-// of requests of this instance in flight at old targets.
+// none is due. It marks the contents of the report as reported. The argument inFlightOld is the
+// number of requests of this instance in flight at old targets.
 func (f *Follower) Report(now time.Time, inFlightOld int) (Report, string, bool) {
 	if !f.shouldReport(now, inFlightOld) {
 		return Report{}, "", false
@@ -230,11 +232,11 @@
 	return r, f.stage.Leader, true
 }
 
-// shouldReport reports whether a report is due. An instance whose samplePoint is below
-// the InstanceShare of the stage reports while there is something to report, at most once in
+// shouldReport reports whether a report is due. An instance whose samplePoint is below the
+// InstanceShare of the stage reports while there is something to report, at most once in
 // reportInterval, or in fastReportInterval in the phases Moving and Moved. In the phase Moved, each
-// instance also reports once for each stage number that none of its requests is at an old target any
-// more.
+// instance also reports once for each stage number that none of its requests is at an old target
+// any more.
 func (f *Follower) shouldReport(now time.Time, inFlightOld int) bool {
 	if f.stage.Leader == "" || f.Verdict().IsFinal() {
 		return false
