--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -117,8 +117,8 @@
 	require.LessOrEqual(t, withoutAccounts.Len(), maxRecords)
 }
 
-// event is a crash or an answer that an instance observes. The digest is an index into the digests of
-// the test. Target and trial are not used for answers.
+// event is a crash or an answer that an instance observes. The digest is an index into the digests
+// of the test. Target and trial are not used for answers.
 type event struct {
 	digestIndex int
 	target      int
@@ -128,8 +128,9 @@
 }
 
 // TestMergeInAnyOrder lets instances observe events and exchange updates in any order, late and
-// more than once. It checks that all tables end up with the crash counts of a reference that knows all
-// events, and with equal checksums, and that the first two tables have the same number of suspects.
+// more than once. It checks that all tables end up with the crash counts of a reference that knows
+// all events, and with equal checksums, and that the first two tables have the same number of
+// suspects.
 func TestMergeInAnyOrder(t *testing.T) {
 	digests := []Digest{digest("/a/"), digest("/b/"), digest("/c/")}
 	rapid.Check(t, func(t *rapid.T) {
@@ -223,8 +224,8 @@
 }
 
 // TestTrialCoordinator checks that trials of a digest are granted one at a time, and that the next
-// one is granted after the release or expiry of the previous one, and is refused after a failure as long as
-// the back-off lasts.
+// one is granted after the release or expiry of the previous one, and is refused after a failure as
+// long as the back-off lasts.
 func TestTrialCoordinator(t *testing.T) {
 	var table Table
 	var coordinator TrialCoordinator
@@ -250,8 +251,8 @@
 	require.Equal(t, after(4*time.Second+firstTrialBackoff), retryAt)
 }
 
-// TestCoordinatorFor checks that each instance coordinates a fair part of the digests, more than 60 of
-// 300 with three instances, and that the order of the instances does not matter.
+// TestCoordinatorFor checks that each instance coordinates a fair part of the digests, more than 60
+// of 300 with three instances, and that the order of the instances does not matter.
 func TestCoordinatorFor(t *testing.T) {
 	require.Empty(t, CoordinatorFor(digest("/a/"), nil))
 	counts := make(map[string]int)
@@ -266,8 +267,8 @@
 	}
 }
 
-// FuzzUpdates decodes arbitrary bytes as updates. It checks that updates that decode are encoded to the
-// same bytes again, and that merging them adds at most one record for each.
+// FuzzUpdates decodes arbitrary bytes as updates. It checks that updates that decode are encoded to
+// the same bytes again, and that merging them adds at most one record for each.
 func FuzzUpdates(f *testing.F) {
 	var table Table
 	for i := range 4 {
