--- a/lookup/block.go
+++ b/lookup/block.go
@@ -78,10 +78,10 @@
 	return b.tree.Lookup(addr.Unmap())
 }
 
-// ReadBlocks reads blocks from CSV with the header "block,hall". Lines that begin
-// with # are comments. The error is a table.Findings with all faults, up to and including the first
-// error of the CSV syntax. Blocks without faults are returned also if there is an error. A block with
-// the prefix of an earlier one is a fault.
+// ReadBlocks reads blocks from CSV with the header "block,hall". Lines that begin with # are
+// comments. The error is a table.Findings with all faults, up to and including the first error of
+// the CSV syntax. Blocks without faults are returned also if there is an error. A block with the
+// prefix of an earlier one is a fault.
 func ReadBlocks(r io.Reader) ([]Block, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = -1
