--- a/quarantine/accounts.go
+++ b/quarantine/accounts.go
@@ -114,13 +114,13 @@
 	// have not been answered since. requests holds the number of these requests.
 	crashes  map[uint32]map[TargetID]crash
 	requests map[uint32]int
-	// crashed is the number of all crashed targets, and crashedIn the number of those that crashed
-	// in an interval.
+	// crashed is the number of all targets that crashed within flagWindow, and crashedIn the number
+	// of those that crashed in an interval.
 	crashed   int
 	crashedIn map[int64]int
 	// flagged holds the accounts that are flagged already.
 	flagged []uint32
-	// clearedAt holds the time before which crashes do not count for an account.
+	// clearedAt holds the time up to which crashes do not count for an account.
 	clearedAt map[uint32]time.Time
 }
 
@@ -193,8 +193,8 @@
 // intervalOf returns the index of the interval that contains the time.
 func intervalOf(at time.Time) int64 { return at.UnixNano() / int64(flagInterval) }
 
-// countIntervals returns the number of countIntervals in which the account has a sufficient fraction of the
-// crashed targets.
+// countIntervals returns the number of intervals in which the account has a sufficient fraction of
+// the crashed targets.
 func (ev *evidence) countIntervals(account uint32) int {
 	attributed := make(map[int64]int)
 	for _, c := range ev.crashes[account] {
--- a/quarantine/correlator.go
+++ b/quarantine/correlator.go
@@ -106,7 +106,8 @@
 	return p != nil && !p.crashed
 }
 
-// Len returns the number of targets at which requests were interrupted within correlationWindow.
+// Len returns the number of targets at which requests were interrupted and that have not been
+// removed since, by Expire or otherwise.
 func (c *CrashCorrelator) Len() int { return len(c.pending) }
 
 // Expire removes targets whose correlationWindow has passed.
