--- a/rollout/rate.go
+++ b/rollout/rate.go
@@ -31,7 +31,7 @@
 	r.n++
 }
 
-// perSecond returns the rate in 1/s, or false if there are too few samples.
+// perSecond returns the rate in 1/s, or false if there are too few samples or the last one is 0.
 func (r *rateEstimator) perSecond() (float64, bool) {
 	if r.n < minRateSamples || r.counts[r.n-1] == 0 {
 		return 0, false
--- a/rollout/report.go
+++ b/rollout/report.go
@@ -24,7 +24,8 @@
 	Unanswered
 )
 
-// Observation is the result of a request that was sent to a new target.
+// Observation is the result of a request that was sent to a target. Reports contain those of new
+// targets.
 type Observation struct {
 	// Route, Key and Target are hashes of the respective names.
 	Route   uint16
@@ -86,7 +87,8 @@
 }
 
 // Report is an instance's report to the leader. It covers the time since the instance's previous
-// report, except for Sent and SentNew.
+// report, except for Sent, SentNew and InFlightOld. After a change of the leader, Old and New also
+// contain what was kept of the reports to the previous leader.
 type Report struct {
 	Order ID     `msgpack:"o"`
 	From  string `msgpack:"f"`
--- a/rollout/stats.go
+++ b/rollout/stats.go
@@ -117,7 +117,8 @@
 	minBadTargetShare = 0.6
 )
 
-// aggregate sums the good and bad observations of all targets but the outliers.
+// aggregate sums the good and bad observations of all targets but the outliers. If the bad ones
+// come from too few targets or keys, no target is left out, and at most maxBadOfFew bad ones count.
 func (r *routeStats) aggregate(badKeys keySet, countsOf func(*targetStats) (good, bad int)) counts {
 	var targets []counts
 	badTargets := 0
