--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// ShouldWatch reports whether the own process should watch the store. It should if it is among the
-// first members of its region, by name, that are alive and can reach the store. Instances with
+// ShouldWatch reports whether the own process should watch the store. It should if fewer than
+// Settings.Watchers members of its region that are alive and can reach the store precede it by
+// name, whether or not it can reach the store itself. Instances with
 // different views may choose more watchers than needed, but never none, since an instance that sees
 // no watcher before it in the order chooses itself.
 func (v *View) ShouldWatch(now time.Time) bool {
