--- a/feed/replica.go
+++ b/feed/replica.go
@@ -163,7 +163,8 @@
 	return r.applyChanges(Delta{Changes: append(all, d.Changes...)})
 }
 
-// appendHistory adds a delta to the history, unless the replica was empty before. An empty
+// appendHistory adds a delta to the history, unless the replica was at the zero
+// position before. An empty
 // delta only extends the last delta of the history. An empty exact delta extends only an
 // exact one: objects may have been created and removed within it, so that the extended
 // delta must be exact.
@@ -187,8 +188,8 @@
 func objectDigest(name string, value []byte) uint64 { return mix.Pair(name, string(value)) }
 
 // DeltaSince returns a delta that leads from the position from to that of the replica.
-// Digest is the digest of the objects at from, 0 if it is not known. The delta is empty and
-// exact if the objects are the same. Otherwise it joins the deltas of the history after
+// Digest is the digest of the objects at from, 0 if it is not known. The delta is empty if
+// from is the replica's position, and empty and exact if only the digest is the same. Otherwise it joins the deltas of the history after
 // from, or is a full delta if the history does not reach back that far.
 func (r *Replica) DeltaSince(from Position, digest uint64) Delta {
 	start := r.historyIndex(from)
