--- a/gateway/account.go
+++ b/gateway/account.go
@@ -20,8 +20,9 @@
 const noCommonHomeRetryAfter = 3 * time.Second
 
 // identify finds the client account of a request and the regions that may serve it. It returns a
-// refusal and false if the request has no valid key or no region may serve it. It uses only the
-// header, so that no body is read for a request that is refused.
+// refusal and false if no region may serve the request, or if it has no valid key although the
+// configuration requires one and the route is not anonymous. It uses only the header, so that no
+// body is read for a request that is refused.
 func (g *Gateway) identify(ex *exchange, router *catalog.Router) (requestResult, bool) {
 	key, hasKey := g.keyOf(ex.r)
 	if hasKey {
@@ -42,8 +43,8 @@
 	return requestResult{}, true
 }
 
-// keyOf returns the API key of a request. A request with several keys counts as one without a key,
-// since different programs could otherwise choose different ones.
+// keyOf returns the API key of a request. A request with an empty key or with several keys counts as
+// one without a key. Several keys are not accepted, since different programs could otherwise choose different ones.
 func (g *Gateway) keyOf(r *http.Request) (catalog.Key, bool) {
 	keys := r.Header[g.headers.Credential]
 	if len(keys) != 1 || keys[0] == "" {
@@ -53,8 +54,8 @@
 }
 
 // recheckKey checks whether the key of a request is still valid after the request has waited for
-// its body or for a target. If the key was revoked meanwhile, the request is refused before it is
-// sent.
+// its body or for a target. If the key does not belong to the same account any longer, the
+// request is refused instead of sent. A request without an account is not checked.
 func (g *Gateway) recheckKey(ex *exchange) (requestResult, bool) {
 	router := g.router.Load()
 	if ex.account == nil || router.Config().Version == ex.version {
--- a/gateway/answered_requests.go
+++ b/gateway/answered_requests.go
@@ -18,7 +18,7 @@
 	// 4 µs, and requests with longer bodies are seldom repeated.
 	maxRememberedBody = 4 << 10
 	// maxSentAnswers bounds the answered requests of an account that are sent to other instances in
-	// one message: 8 kB. In a fleet of more than directMembers instances, the message goes to those
+	// one message: 8 kB. In a fleet of more than maxDirectRecipients instances, the message goes to those
 	// of the own hall only, because clients of a hall use any instance of that hall.
 	maxSentAnswers = 1024
 	// answersSendInterval is the shortest time between two messages with the answered requests of
@@ -121,8 +121,9 @@
 	return now || older
 }
 
-// takeUnsent returns the digests of an account's answered requests, or nil if they were sent within
-// answersSendInterval.
+// takeUnsent returns the digests of an account's answered requests, or nil if the last call
+// that returned them, or found none, was within answersSendInterval. At most maxSentAnswers are
+// returned.
 func (a *answeredRequests) takeUnsent(now time.Time, account uint32) []uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/gateway/apply.go
+++ b/gateway/apply.go
@@ -35,7 +35,7 @@
 }
 
 // applyDelta applies a delta to the replica of its kind, applies the resulting changes to the
-// instance and pushes them to others. Source is sourceStore or the peer address of the instance
+// instance and, unless they are the first of their kind, pushes them to others. Source is sourceStore or the peer address of the instance
 // that sent the delta. The result is false if the replica does not reach the end of the delta,
 // because the delta leaves a gap or the kind is not replicated here.
 func (g *Gateway) applyDelta(d feed.Delta, source string) bool {
@@ -216,7 +216,8 @@
 			err = g.checkInstance(c.Name, m)
 		}
 		if err != nil {
-			// A foreign writer has overwritten the entry, so the instance is no longer listed.
+			// A foreign writer has overwritten the entry, so the instance no longer counts as
+			// registered. It stays in the view of the fleet.
 			delete(g.registered, c.Name)
 			g.onInstanceRemoved(c.Name)
 			g.metrics.refusedEntries.Add(1, string(KindInstances), "entry")
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,12 +14,14 @@
 )
 
 const (
-	// shortRetryAfter is the Retry-After if a target with free slots has rejected the request. That
-	// target may well accept the next request, and a response is then still in time. Clients'
+	// shortRetryAfter is the Retry-After if a target with free slots has rejected the request, or a
+	// target that restricts its requests. In the first case that target may well accept the next
+	// request, in the second another target may, and a response is then still in time. Clients'
 	// timers hardly resolve shorter times.
 	shortRetryAfter = 20 * time.Millisecond
-	// maxUnsentAttempts bounds the attempts at unreachable targets, in addition to the attempts
-	// that the route allows.
+	// maxUnsentAttempts is the number of attempts without sending after which a request may still
+	// be tried again. They do not count as attempts that the route allows. The next attempt
+	// without sending ends the request.
 	maxUnsentAttempts = 3
 	// queueTimeoutDivisor divides a route's latency objective to get its queue timeout. A client
 	// that is refused after an eighth of the objective receives the refusal within a quarter of it,
@@ -101,7 +103,7 @@
 			return result, nil
 		}
 		if a.TargetResult.Outcome == upstream.Rejected && decision.SendState.Load < 1 && !a.TargetResult.SelfReport.Restricts() {
-			// The request goes to the same target again: it was not full, and it probably has the
+			// The request may go to the same target again: it was not full, and it probably has the
 			// object cached.
 			backoff = shortRetryAfter
 			continue
@@ -154,7 +156,7 @@
 	return defaultRetryAfter
 }
 
-// maxAttempts returns the number of targets that the request may be sent to.
+// maxAttempts returns how often the request may be sent, to the same target or to different ones.
 func (ex *exchange) maxAttempts() int {
 	if ex.isTrial() {
 		return 1
@@ -261,7 +263,8 @@
 	ex.attempts = append(ex.attempts, h)
 }
 
-// isSampled reports whether an ordinary request is logged. One request in n is, chosen by its ID.
+// isSampled reports whether an ordinary request is logged. About one request in the
+// given number is, chosen by its ID, and none if the number is 0.
 func isSampled(id string, one int) bool {
 	return one > 0 && mix.Pair(id, "log")%uint64(one) == 0
 }
--- a/gateway/client.go
+++ b/gateway/client.go
@@ -15,8 +15,8 @@
 // connections have been answered. Each such request takes about 30 kB in addition to its response.
 var pipeliningLimits = pipelining.Limits{PerConn: 16, Total: 512, HeldBytes: 8 << 20}
 
-// awaitPipelineTurn waits for the preceding requests of the client's connection, unless all of them
-// are idempotent. It returns false if the client has disconnected meanwhile.
+// awaitPipelineTurn waits for the preceding requests of the client's connection, unless this
+// request and all of them are idempotent. It returns false if the client has disconnected meanwhile.
 //
 // The HTTP server detects a disconnect a moment after it has read the request. That is too late for
 // a request that lay unread until its client disconnected: without the explicit check it would be
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// Check returns all faults of the settings, or nil if there are none.
+// Check returns the faults that it finds in the settings, or nil if there are none. It does not
+// check DefaultDeadline.
 func (c *Config) Check() table.Findings {
 	var findings table.Findings
 	add := func(field, message string) {
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -98,7 +98,9 @@
 }
 
 // handleDeltaRequest sends the changes that another instance has requested. If this instance has
-// no objects of the kind yet, the request is kept until it has some.
+// no objects of the kind yet, the request is kept until it has some, or dropped if
+// maxPendingDeltaRequests are kept already. A request from a position that the replica is not past
+// is not answered.
 func (g *Gateway) handleDeltaRequest(m *peer.DeltaRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/departures.go
+++ b/gateway/departures.go
@@ -47,7 +47,7 @@
 }
 
 // add records a departure that a target has announced to this instance. Fresh reports whether it
-// was unknown, and first whether it is the only one to broadcast so far.
+// was unknown, and first whether it is the only one that waits to be broadcast.
 func (d *departures) add(now time.Time, target string) (fresh, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -39,7 +39,8 @@
 	// orders among these objects.
 	kinds    []feed.Kind
 	rollouts *rollouts
-	// departures holds the targets that have announced in a response that they leave.
+	// departures holds the targets that have announced in a response, to this instance or another
+	// one, that they leave.
 	departures departures
 	// targetLimits holds the rate limits that targets announce. Each limit holds for the requests
 	// of all instances together. targetLimitOwner issues the permits of the limits that this
@@ -111,8 +112,8 @@
 	front, lookup, ready, peer, admin net.Listener
 }
 
-// New creates an instance and opens its listeners. It returns an error if the settings are invalid
-// or an address is not available. The caller must call Run.
+// New creates an instance and opens its listeners. It returns an error if the settings are invalid,
+// an address is not available or the metrics cannot be created. The caller must call Run.
 func New(config Config, store Store, codec Codec, headers forward.Headers) (*Gateway, error) {
 	if err := config.Check().Err(); err != nil {
 		return nil, err
--- a/gateway/held_changes.go
+++ b/gateway/held_changes.go
@@ -86,8 +86,8 @@
 	return h.tombstones.Hold(now, c.Name)
 }
 
-// expired returns the changes whose hold has ended: the removal of objects that the replica still
-// lacks, and the reappearance of objects that it still has.
+// expired returns the changes whose hold has ended: the removals that were not cancelled
+// meanwhile, and the reappearance of objects that it still has.
 func (h *heldChanges) expired(now time.Time, replica *feed.Replica) []feed.Change {
 	var out []feed.Change
 	for _, name := range h.removals.Expired(now) {
