--- a/availability/departures.go
+++ b/availability/departures.go
@@ -40,8 +40,9 @@
 }
 
 // Departures is a replicated set of the targets that announced that they are leaving. Sets that
-// have merged the same departures are equal, independently of order and repetition. The zero value
-// is an empty set. A Departures is not safe for concurrent use.
+// have merged the same departures are equal, independently of order and repetition, as long as there
+// are at most maxDepartures. The zero value is an empty set. A Departures is not safe for concurrent
+// use.
 type Departures struct {
 	firstHeard map[ID]time.Time
 }
--- a/availability/rate_limits.go
+++ b/availability/rate_limits.go
@@ -65,8 +65,8 @@
 
 // RateLimits is a replicated set of the rate limits that targets have announced, including
 // tombstones of removed limits. Sets that have merged the same limits are equal, independently of
-// order and repetition. The zero value is an empty set. A RateLimits is not safe for concurrent
-// use.
+// order and repetition, as long as there are at most maxLimits: a full set ignores the limits of
+// further targets. The zero value is an empty set. A RateLimits is not safe for concurrent use.
 type RateLimits struct {
 	entries map[ID]*rateLimitEntry
 }
@@ -74,7 +74,8 @@
 type rateLimitEntry struct {
 	RateLimit
 	// createdAt is the time at which the version was assigned. confirmedAt is the time at which
-	// this instance last heard about the same limit from the target.
+	// this instance last heard about the same limit from the target, and createdAt if it has not
+	// heard of it since.
 	createdAt, confirmedAt time.Time
 }
 
@@ -233,8 +234,8 @@
 	removedOnWire = -1
 )
 
-// ErrMalformedRateLimits is returned for encoded limits that are truncated or are not finite
-// numbers of requests.
+// ErrMalformedRateLimits is returned for encoded limits that are truncated or are not finite,
+// non-negative numbers of requests. The value that marks a removed limit is valid.
 var ErrMalformedRateLimits = errors.New("availability: rate limits truncated or not finite, non-negative numbers")
 
 // wireValue returns the number that encodes the limit in a message.
--- a/availability/state.go
+++ b/availability/state.go
@@ -103,7 +103,8 @@
 	persistent bool
 	until      time.Time
 
-	// conditions is nil if there are no conditions. This saves memory, since nearly all of the
+	// conditions is nil as long as no condition has been set, and after the last persistent one is
+	// cleared if there was never a timed one. This saves memory, since nearly all of the
 	// thousands of targets of a large fleet have none.
 	conditions *conditions
 }
@@ -203,13 +204,14 @@
 	s.recompute()
 }
 
-// Suspect excludes the target until the given time because it did not answer.
+// Suspect excludes the target until the given time because it did not answer. It does not shorten
+// an earlier suspicion.
 func (s *State) Suspect(now, until time.Time) {
 	s.mutable().suspicion.extend(now, SourceLocal, until)
 	s.recompute()
 }
 
-// Pause excludes the target until the given time.
+// Pause excludes the target until the given time. It does not shorten an earlier pause.
 func (s *State) Pause(now, until time.Time, source Source) {
 	s.mutable().pause.extend(now, source, until)
 	s.recompute()
@@ -223,8 +225,8 @@
 // Verdict(now).OK().
 func (s *State) Available(now time.Time) bool { return !s.persistent && !now.Before(s.until) }
 
-// Verdict returns whether the target may be sent a request now. If not, it returns the cause that
-// lasts longest.
+// Verdict returns whether the target may be sent a request now. If not, it returns the first
+// persistent cause in the order of the causes, or if there is none the timed cause that ends last.
 func (s *State) Verdict(now time.Time) Verdict {
 	if s.persistent {
 		return s.persistentVerdict()
