--- a/retry/outcome.go
+++ b/retry/outcome.go
@@ -10,7 +10,7 @@
 	// NotRun means that the request did not run and will not run: it was never written to a target,
 	// or the target refused it before running it.
 	NotRun
-	// Ran means that the target answered.
+	// Ran means that the target answered and did not refuse the request.
 	Ran
 )
 
@@ -45,7 +45,8 @@
 	Connected bool
 	// Answered means that the head of an answer was received.
 	Answered bool
-	// Refused means that the answer states that the request was not run.
+	// Refused means that the answer states that the request was not run. It counts only if
+	// Answered is set.
 	Refused bool
 }
 
--- a/retry/token_bucket.go
+++ b/retry/token_bucket.go
@@ -5,7 +5,7 @@
 // of the requests in the window plus a fixed slack.
 //
 // Each request earns a fraction of a token, and each retry takes one token. A bucket starts empty,
-// and its capacity is the instance's share of the slack. The buckets at the beginning of a window
+// and its capacity is at most the instance's share of the slack. The buckets at the beginning of a window
 // thus hold at most the slack, and in the window the instances spend at most the slack plus the
 // tokens that the window's requests earn. Stopping and restarting instances does not add tokens.
 //
@@ -24,14 +24,14 @@
 	slackFraction = 0.85
 )
 
-// NewTokenBucket returns an empty bucket for a budget of ratio times the requests. Its capacity is
-// 0 until SetCapacity is called.
+// NewTokenBucket returns an empty bucket for a budget of ratio times the requests. Each request
+// earns ratioFraction of ratio. The capacity is 0 until SetCapacity is called.
 func NewTokenBucket(ratio float64) *TokenBucket {
 	return &TokenBucket{tokensPerRequest: ratioFraction * ratio}
 }
 
-// SetCapacity sets the capacity to the share of slack that one of the given number of instances
-// has.
+// SetCapacity sets the capacity to slackFraction of the share of slack that one of the given number
+// of instances has. Tokens beyond the capacity are lost.
 func (t *TokenBucket) SetCapacity(slack float64, instances int) {
 	t.capacity = slackFraction * slack / float64(max(instances, 1))
 	t.tokens = min(t.tokens, t.capacity)
