--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -19,12 +19,12 @@
 // those issued within one permit lifetime before it. This bound holds through network
 // partitions, pauses and crashes of processes, and delayed messages. An instance that
 // cannot reach an owner gets no permits. The buckets of an instance that has just started
-// are empty.
+// hold at most one token each.
 //
 // Hall limits apply to something in one hall, such as the rate that a target accepts. They
 // are not divided: one instance of the hall owns the whole limit. If it becomes
-// unavailable, ownership passes to the next instance by hash as soon as the permits of the
-// former owner have expired. Hall limits are not lent.
+// unavailable, ownership passes to the next instance by hash after a delay, by the end of
+// which the permits of the former owner have expired. Hall limits are not lent.
 //
 // The package is pure: time and random numbers are passed in as arguments, and messages
 // are returned to the caller.
--- a/ratelimit/hall_limit.go
+++ b/ratelimit/hall_limit.go
@@ -164,7 +164,7 @@
 }
 
 // Request returns a permit request for a limit. It returns none if the holder has a permit, a
-// permit request is outstanding, or the last one was denied a moment ago.
+// permit request is outstanding, the last one was denied a moment ago, or all owners are skipped.
 func (h *Holder) Request(now time.Time, name string) []PermitRequest {
 	a := h.account(name)
 	a.usedAt = now
--- a/ratelimit/holder.go
+++ b/ratelimit/holder.go
@@ -56,7 +56,8 @@
 	Wait
 	// Refuse means that the account is over its limit.
 	Refuse
-	// Unavailable means that no owner could be reached.
+	// Unavailable means that no owner is left to ask: those asked did not reply, could not be
+	// reached, or do not own the share.
 	Unavailable
 )
 
@@ -216,7 +217,7 @@
 }
 
 // requestSize returns the number of permits to request: one for each waiting request, plus
-// those to prefetch.
+// those to prefetch, less those held, but at least one.
 func (h *Holder) requestSize(now time.Time, a *accountState) int {
 	rate := a.requestRate.value(now)
 	n := len(a.waiting)
@@ -226,8 +227,8 @@
 	return max(n, 1)
 }
 
-// askNext sends a permit request to the next owner. If no owner is left, it ends the wait of
-// all requests.
+// askNext returns a permit request to the next owner. If no owner is left or maxTries have been
+// asked, it ends the wait of all requests.
 func (h *Holder) askNext(now time.Time, account string, a *accountState) ([]Result, []PermitRequest) {
 	owner, ok := h.nextOwner(now, account, a)
 	if !ok || a.tries >= maxTries {
@@ -244,7 +245,8 @@
 	return nil, []PermitRequest{a.request}
 }
 
-// nextOwner returns the nearest owner that is not skipped after a timeout or a NotOwner reply.
+// nextOwner returns the nearest owner that is not skipped after a timeout, a refused connection
+// or a NotOwner reply.
 func (h *Holder) nextOwner(now time.Time, account string, a *accountState) (Owner, bool) {
 	if h.owners == nil {
 		return Owner{}, false
--- a/ratelimit/issuer.go
+++ b/ratelimit/issuer.go
@@ -17,7 +17,8 @@
 	borrowThresholdTime = 200 * time.Millisecond
 	// borrowHorizon is the time for which an owner borrows, at the domain's request rate.
 	borrowHorizon = 300 * time.Millisecond
-	// minBorrowInterval is the shortest time between two loans of an account.
+	// minBorrowInterval is the shortest time between two loans of an account, unless a lender
+	// replied that it has no spare permits while requests are queued.
 	// emptyLenderBackoff is how long a lender that had no spare permits is skipped.
 	minBorrowInterval  = 100 * time.Millisecond
 	emptyLenderBackoff = 300 * time.Millisecond
@@ -208,8 +209,9 @@
 	return grant
 }
 
-// serveQueue answers the queued requests in order, with the permits that are available. A
-// request is answered in full, or at its deadline with what there is.
+// serveQueue answers the queued requests in order, with the permits that are available. If they
+// are too few for the first request, it gets them with MoreFollows set and stays queued until it
+// has all its permits or its deadline passes.
 func (i *Issuer) serveQueue(now time.Time, account string, b *bucket) []Reply {
 	var out []Reply
 	i.refill(now, b)
@@ -277,8 +279,8 @@
 // maxWait is the upper bound of the waiting times in replies.
 const maxWait = 5 * time.Second
 
-// initialTokens is the content of a new bucket, after the process has started or the share
-// has passed to this instance. With one token, a single request is not refused. A full bucket
+// initialTokens is the content of a new bucket at the time when the process started or the
+// owners were last replaced. It is bounded by the burst of the share. With one token, a single request is not refused. A full bucket
 // would issue again what the previous process has just issued.
 const initialTokens = 1
 
--- a/ratelimit/owners.go
+++ b/ratelimit/owners.go
@@ -44,8 +44,9 @@
 type Owners struct {
 	self   Instance
 	shares int
-	// domains starts with the own domain, followed by those of the own region. It contains
-	// only the own domain if permits are not lent.
+	// domains starts with the own domain if any of its instances is listed, followed by the
+	// other domains of the own region and then those of other regions. It contains at most
+	// the own domain if permits are not lent.
 	domains []domain
 	// sameRegion is true for the instances of the own region.
 	sameRegion map[string]bool
@@ -137,8 +138,8 @@
 }
 
 // Of returns the owners of an account's shares. The owner in the own domain comes first,
-// followed by those of the other domains of the own region. For a hall limit, it returns the
-// owner and its successors.
+// followed by those of the other domains of the own region and then of other regions. For a
+// hall limit, it returns the owner and its successors, at most maxCandidates in all.
 func (o *Owners) Of(account string) []Owner {
 	if o.hall != nil {
 		return o.hall.owners(account)
@@ -195,8 +196,8 @@
 	handoverDelay time.Duration
 	// recent holds the owners in force and those replaced within handoverDelay.
 	recent []ownersPeriod
-	// changedAt is when the owners last changed. It is zero if this instance has had the
-	// same owners since its start.
+	// changedAt is when the owners were last replaced. It is zero if they have not been
+	// replaced since the start, or only within bootstrapTime of the first start.
 	changedAt time.Time
 }
 
--- a/ratelimit/suspension.go
+++ b/ratelimit/suspension.go
@@ -12,8 +12,9 @@
 	timedOut bool
 }
 
-// Tick suspends owners whose reply is overdue, and returns requests to other owners. The caller
-// calls it frequently while NeedsTick returns true. Unresponsive are owners from which no reply
+// Tick suspends owners whose reply is overdue, and returns permit requests to other owners for the
+// accounts with waiting requests. The caller calls it frequently while NeedsTick returns true.
+// Unresponsive are owners that were suspended because of an overdue reply and from which no reply
 // has arrived by the end of their suspension. A reply that was only late has arrived by then, so
 // the connection to such an owner may be broken without an error.
 func (h *Holder) Tick(now time.Time) (results []Result, requests []PermitRequest, unresponsive []string) {
