--- a/member/view.go
+++ b/member/view.go
@@ -43,8 +43,8 @@
 	return &View{self: self, settings: settings, records: make(map[string]*record)}
 }
 
-// SetList updates the view from the platform's list. An instance that is new on the list counts as
-// live for SuspectAfter, the time in which its first heartbeat should arrive, and as ready until a
+// SetList updates the view from the platform's list. A listed instance that is new to the view counts
+// as live for SuspectAfter, the time in which its first heartbeat should arrive, and as ready until a
 // heartbeat states otherwise.
 func (v *View) SetList(now time.Time, list []Instance) {
 	for _, r := range v.records {
@@ -88,7 +88,7 @@
 }
 
 // MarkUnreachable records that a connection to a peer address has failed. The instance with this
-// address is suspected until its next heartbeat.
+// address is suspected until its next heartbeat, unless it is leaving.
 func (v *View) MarkUnreachable(addr string) {
 	for _, r := range v.records {
 		if r.status.PeerAddr == addr {
