--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// Traffic returns the numbers of bytes sent, bytes received and frames dropped.
+// Traffic returns the numbers of bytes sent, bytes received and frames dropped. The Hello of
+// a received connection is not counted.
 func (m *Mesh) Traffic() (sent, received, dropped int64) {
 	return m.sentBytes.Load(), m.receivedBytes.Load(), m.dropped.Load()
 }
@@ -164,7 +165,8 @@
 	return n, err
 }
 
-// Send queues a message for the peer at addr. It drops the message if the queue is full.
+// Send queues a message for the peer at addr. It drops the message if the queue is full
+// or the mesh is closed.
 func (m *Mesh) Send(addr string, msg Message) {
 	frame, err := Encode(msg)
 	if err != nil {
@@ -201,9 +203,9 @@
 	return l
 }
 
-// Reconnect closes the connection to a peer that has not replied. The connection may
-// silently drop all packets without any sign of it on this side. The next frame opens a new
-// one.
+// Reconnect is called for a peer that has not replied. The connection to it may silently
+// drop all packets without any sign of it on this side. The next frame closes the connection
+// and opens a new one.
 func (m *Mesh) Reconnect(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -212,7 +214,7 @@
 	}
 }
 
-// ReconnectBoth closes the connection to a peer that has not replied, and asks the peer to
+// ReconnectBoth replaces the connection to a peer that has not replied, and asks the peer to
 // open a new one too. The peer's replies may go over a connection that silently drops all
 // packets, which only this side can detect. Gossip about the peer is no evidence that its
 // connection works, since other instances relay the peer's heartbeats.
