--- a/forward/client.go
+++ b/forward/client.go
@@ -22,8 +22,8 @@
 	// read. A larger one is written concurrently: a target that responds early may stop
 	// reading and block the write.
 	maxInlineBody = 8 << 10
-	// maxSkippedResponses bounds the number of responses to other requests that are
-	// skipped.
+	// maxSkippedResponses bounds the number of responses that are read for a request.
+	// Interim responses (1xx) and responses to other requests are skipped.
 	maxSkippedResponses = 8
 	// bufferedReadTimeout is the time to read a response that had arrived when the deadline
 	// passed. Its bytes are already in the receive buffer of the kernel.
@@ -303,7 +303,7 @@
 }
 
 // matches reports whether a response belongs to the request. A response that says that the
-// request was not run may lack the request ID.
+// request was not run may lack the request ID, unless the request has none itself.
 func (c *Client) matches(resp *http.Response, r *Request) bool {
 	id := resp.Header.Get(c.headers.RequestID)
 	if id == "" {
--- a/forward/message.go
+++ b/forward/message.go
@@ -81,8 +81,8 @@
 type Attempt struct {
 	// Outcome is whether the request was run.
 	Outcome retry.Outcome
-	// Response is the complete response, or nil if the target has not run the request or
-	// its response did not arrive.
+	// Response is the complete response, or nil if the target has not run the request, or if
+	// its response did not arrive completely or is not valid.
 	Response *Response
 	// TargetResult is the result with regard to the target.
 	TargetResult upstream.Result
@@ -90,7 +90,8 @@
 	Sent bool
 	// Reused is set if the connection was open before the request was made.
 	Reused bool
-	// Err is why there is no response.
+	// Err is why there is no response. It is nil if a response says that the request was
+	// not run.
 	Err error
 }
 
