--- a/pipelining/close.go
+++ b/pipelining/close.go
@@ -37,7 +37,8 @@
 
 // Close implements net.Conn. The server closes a connection after the last response, when
 // it has been idle for too long, or when a request ends without a response. Responses to
-// other requests that were read before are still written.
+// other requests that were read before are still written, except those behind a request that
+// ends without a response.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -71,7 +71,7 @@
 	serving bool
 	// readErr is why nothing more can be read, or nil.
 	readErr error
-	// draining is set once a response closes the connection. No further requests are run
+	// draining is set once a response closes the connection or a request ends without one. No further requests are run
 	// then.
 	draining bool
 	// closing is set if the connection is to be closed when the response queue is empty.
@@ -164,7 +164,8 @@
 // isPast reports whether t is a deadline that ends reads immediately.
 func isPast(t time.Time) bool { return !t.IsZero() && !t.After(pastDeadline) }
 
-// readMore waits until more bytes arrive or a response is finished. The caller holds mu.
+// readMore waits until more bytes arrive or a response is finished. If maxReadAhead bytes
+// are read ahead, it calls pollHangUp instead. The caller holds mu.
 func (c *conn) readMore() error {
 	if len(c.readAhead) >= maxReadAhead {
 		return c.pollHangUp()
@@ -181,7 +182,7 @@
 	return err
 }
 
-// pollHangUp waits for hangUpPollInterval without reading, and checks whether the client
+// pollHangUp waits for at most hangUpPollInterval without reading, and checks whether the client
 // has disconnected. The caller holds mu.
 func (c *conn) pollHangUp() error {
 	c.mu.Unlock()
--- a/pipelining/listener.go
+++ b/pipelining/listener.go
@@ -171,10 +171,11 @@
 	})
 }
 
-// AwaitStart waits until the request of a Handler may run. That is immediately if this
-// request and all earlier ones on the connection are idempotent, and otherwise when the
-// earlier ones have been answered. It must be called after the request's body is read. It
-// returns an error if the client has disconnected.
+// AwaitStart waits until the request of a Handler may run. That is when each
+// earlier request on the connection has been answered or, if this request is idempotent and
+// plain, is known by its own call of AwaitStart to be idempotent and is plain too. It must be
+// called after the request's body is read. It returns an error if the context of the request
+// ends while it waits.
 func AwaitStart(r *http.Request, idempotent bool) error {
 	c, ok := serverConnOf(r.Context())
 	if !ok {
--- a/pipelining/queue.go
+++ b/pipelining/queue.go
@@ -97,9 +97,8 @@
 	return len(q.entries) == 0 || q.entries[len(q.entries)-1] == e
 }
 
-// mayRun reports whether the request of an entry may run. It may run concurrently with the
-// earlier requests if all of them are idempotent, and otherwise once they have been
-// answered.
+// mayRun reports whether the request of an entry may run. It may once each earlier request
+// has been answered or may run concurrently with it, see entry.concurrent.
 func (q *responseQueue) mayRun(e *entry) bool {
 	for _, ahead := range q.entries {
 		if ahead == e {
--- a/pipelining/virtual_conn.go
+++ b/pipelining/virtual_conn.go
@@ -36,8 +36,9 @@
 	return &virtualConn{conn: c, entry: newEntry(), head: bytes.Clone(head), expired: make(chan struct{})}
 }
 
-// Read implements net.Conn. After the request it blocks until the client has disconnected
-// or the response is written, as it would for a client that sends nothing.
+// Read implements net.Conn. After the request it returns io.EOF if the response is written.
+// Otherwise it blocks until the request is aborted, as when the client has disconnected, or
+// the read deadline has passed.
 func (v *virtualConn) Read(p []byte) (int, error) {
 	v.mu.Lock()
 	n := copy(p, v.head)
