--- a/balance/doc.go
+++ b/balance/doc.go
@@ -8,7 +8,8 @@
 // Each target has a limit on its requests in flight, which is at most this instance's share of its
 // slots. The limit starts at one, as in the slow start of TCP, and doubles with every round of
 // responses while the target is warm, that is, while its latency stays near the lowest of the pool.
-// The limit of a cold target rises by one per round. A target that stays at its limit gets one more
+// The limit of a cold target, or of one that has refused a request since its last reset, rises by
+// one per round. A target that stays at its limit gets one more
 // request every growInterval. If the target refuses a request, the limit is halved, at most once
 // per cooldown. A target that cannot be reached is suspected and gets no requests for a back-off
 // that doubles with each failure. A target's report that it is leaving, or that it wants a
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -84,7 +84,8 @@
 	inFlight    int
 	queue       []queued
 	meanLatency time.Duration
-	// lastRelease is when a slot was last released. releaseInterval is the mean time between two
+	// lastRelease is when a slot was last released, or when the queue last became non-empty if that
+	// is later. releaseInterval is the mean time between two
 	// releases while requests wait.
 	lastRelease     time.Time
 	releaseInterval time.Duration
@@ -154,7 +155,8 @@
 }
 
 // ApplySelfReport applies what a target reported about itself. The target list, whether older or
-// newer, does not revoke the report unless it lists the target with another address.
+// newer, does not revoke the report unless it lists the target with another address, or leaves it
+// out and the target is removed after its last request.
 func (p *Pool) ApplySelfReport(now time.Time, id string, report availability.SelfReport) {
 	if t := p.targets[id]; t != nil {
 		t.applySelfReport(now, report)
@@ -238,8 +240,8 @@
 	return false
 }
 
-// Tick refuses queued requests that would miss their deadline, and grants slots to others if
-// targets have become available again.
+// Tick refuses queued requests whose queue timeout has expired or that would miss their deadline,
+// and grants free slots to others.
 func (p *Pool) Tick(now time.Time) []Grant {
 	p.growFull(now)
 	return p.dispatch(now)
@@ -337,8 +339,8 @@
 	return t.latency <= warmFactor*best+warmSlack
 }
 
-// refuse returns a refusal. The retry delay is between one and two times the expected wait, at
-// random, so that requests refused together are not retried together.
+// refuse returns a refusal. The retry delay is between one and two times the expected wait, which
+// is first limited to the range from minRetryAfter to maxRetryAfter. It is random, so that requests refused together are not retried together.
 func (p *Pool) refuse(wait time.Duration) Decision {
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	jitter := time.Duration(p.config.Rand.Int64N(int64(wait)))
@@ -347,13 +349,13 @@
 
 // Load is the load of a pool as sent to other instances.
 type Load struct {
-	// Limit is the number of requests that may be in flight at all targets.
+	// Limit is the number of requests that may be in flight at all usable targets.
 	Limit    int
 	InFlight int
 	// Free is the number of requests that could run immediately.
 	Free   int
 	Queued int
-	// Slots is this instance's share of the slots of all targets.
+	// Slots is this instance's share of the slots of all usable targets.
 	Slots int
 }
 
--- a/balance/target.go
+++ b/balance/target.go
@@ -67,11 +67,13 @@
 	state    availability.State
 	inFlight int
 	limit    int
-	// slowStart is true until the limit is halved, and again after a reset.
+	// slowStart is true until a request is refused or broken, and again after a reset.
 	slowStart  bool
 	successes  int
 	lastHalved time.Time
-	// fullSince is when the target reached its limit, zero if it is below its limit.
+	// fullSince is the start of the current growInterval. It is set when growFull first finds the
+	// target at its limit, and again by each increase there and by each refusal. growFull sets it to
+	// zero if the target is below its limit, cannot be used, or has all of its slots.
 	fullSince time.Time
 	latency   time.Duration
 	backoff   time.Duration
--- a/balance/wait.go
+++ b/balance/wait.go
@@ -28,7 +28,7 @@
 }
 
 // untilRetry returns the time until the first target that currently gets no requests may be tried
-// again.
+// again, plus the expected latency. It is at most maxRetryAfter.
 func (p *Pool) untilRetry(now time.Time) time.Duration {
 	wait := maxRetryAfter
 	for _, t := range p.targets {
