--- a/affinity/rank.go
+++ b/affinity/rank.go
@@ -59,8 +59,8 @@
 }
 
 // Ranking returns the best target of the preferred group, or of all groups if the preferred one has
-// none, followed by the best target of the other groups. If there is only one group, the group's
-// second best target follows.
+// none, followed by the best target of the other groups. If no other group has a target, the
+// second best target of the same group follows.
 func (r *Ranker) Ranking(preferred int) Ranking {
 	first := preferred
 	if preferred < 0 || preferred >= r.groups || r.best[preferred][0].index < 0 {
