--- a/upstream/cache_model.go
+++ b/upstream/cache_model.go
@@ -28,7 +28,7 @@
 type SendState struct {
 	// NewVersion means that the target runs the version that is being rolled out.
 	NewVersion bool
-	// KeyKnown means that this instance has sent the key to the target before.
+	// KeyKnown means that this instance has sent the key to the target within keyTTL.
 	KeyKnown bool
 	// FirstChoice means that the target was the first one in the ranking of the key.
 	FirstChoice bool
--- a/upstream/choose.go
+++ b/upstream/choose.go
@@ -108,7 +108,7 @@
 const maxIsolatedPermits = 3
 
 // chooseIsolated selects the target of a request that may crash it. It takes the target with the
-// fewest requests, since these would be lost with it.
+// lowest load relative to its slots, since the target's requests would be lost with it.
 func (p *Pool) chooseIsolated(now time.Time, r *Request, region string) candidate {
 	usable := func(t *target) bool { return !r.wasTried(t.spec.ID) && t.usable(now) }
 	targets := p.targetsOf(r, region)
@@ -132,7 +132,8 @@
 }
 
 // cheapest selects the target with the lowest cost among the targets of a ranking that are usable
-// and not full. If it selects none, the reason is ReasonLimited if the request should wait for a
+// and not full. If all usable targets of the ranking are full and the request is not sticky, it
+// selects the least loaded target of the region. If it selects none, the reason is ReasonLimited if the request should wait for a
 // permit, ReasonFull if all usable targets are full, and ReasonNoTarget if no target is usable.
 func (p *Pool) cheapest(now time.Time, r *Request, region string, ranking affinity.Ranking) candidate {
 	best := candidate{reason: ReasonNoTarget}
@@ -217,8 +218,9 @@
 	return max(0, t.load(now)+1-slots) / slots
 }
 
-// leastLoaded selects the target with the lowest load per slot among all usable targets of a
-// region. It is used if the first targets of the ranking are full.
+// leastLoaded selects the target with the lowest load per slot among the usable targets of a region
+// that are not full. It is used for isolated requests, and for requests that are not sticky if the
+// first targets of the ranking are full.
 func (p *Pool) leastLoaded(now time.Time, r *Request, region string) candidate {
 	var best *target
 	bestLoad := 0.0
--- a/upstream/next_available.go
+++ b/upstream/next_available.go
@@ -63,10 +63,10 @@
 	return b
 }
 
-// If all targets are in a requested back-off, the callers of refused requests are told to retry
-// when the first back-off ends, plus a random time that keeps them from retrying all at once. The
-// random time is a fraction of the remaining back-off, and a smaller one for the most urgent
-// requests.
+// If the first target to become usable is in a requested back-off, the callers of refused requests
+// are told to retry when that back-off ends, plus the usual retry delay and a random time that
+// keeps them from retrying all at once. The random time is at most a fraction of the remaining
+// back-off, and a smaller one for the most urgent requests.
 const (
 	backoffSpread       = 1.0
 	urgentBackoffSpread = 0.5
--- a/upstream/plan.go
+++ b/upstream/plan.go
@@ -78,7 +78,7 @@
 }
 
 // compute determines the wanted shares of the keys from the operators' routing rows, or from the
-// slots if there are no rows.
+// slots if no row applies.
 func (p *Pool) compute(pl *plan, r *Request) {
 	pl.slots = p.regionSlots(r)
 	pl.keyShares = locality.FromRows(p.config.Service, p.config.Region, p.rows, pl.slots)
--- a/upstream/rate_limit.go
+++ b/upstream/rate_limit.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// ReceivePermits applies the reply of an owner to a permit request made at askedAt, and returns the
+// ReceivePermits applies the reply of an owner to a permit request made at requestedAt, and returns the
 // grants and refusals that follow.
 func (p *Pool) ReceivePermits(now, requestedAt time.Time, name, from string, grant ratelimit.Grant) []Grant {
 	_, requests := p.permits.HandleReply(now, requestedAt, name, from, grant)
@@ -280,7 +280,7 @@
 }
 
 // refuse returns the refusal of a request that has no target. If rate limits keep the request from
-// its targets, the reason is ReasonLimited, and the retry delay follows from the forecast.
+// its targets, the reason is ReasonLimited, and the retry delay is at least that of the forecast.
 func (p *Pool) refuse(now time.Time, r *Request, reason Reason) Decision {
 	d := Decision{Action: Refuse, Reason: reason, RetryAfter: p.retryAfter(r.ID)}
 	if reason != ReasonNoTarget && reason != ReasonLimited || len(p.rateLimits) == 0 || !p.blockedByLimit(now, r) {
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -21,7 +21,7 @@
 	// Regions lists the regions that may run the request. It is empty for any region.
 	Regions []string
 	// Isolated marks requests that are suspected of crashing the target that runs them. They go to
-	// the target with the fewest requests.
+	// the target with the lowest load relative to its slots.
 	Isolated bool
 	// Priority is the rank of the request in the queue, 0 being the most urgent.
 	Priority int
--- a/upstream/target.go
+++ b/upstream/target.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// hasKey reports whether the target has probably seen the key within keyTTL.
+// hasKey reports whether this instance is known to have sent the key to the target within keyTTL.
 func (t *target) hasKey(now time.Time, key string) bool {
 	at, ok := t.stats.knownKeys[key]
 	return ok && now.Sub(at) < keyTTL
--- a/upstream/target_report.go
+++ b/upstream/target_report.go
@@ -73,7 +73,7 @@
 	return enc.EncodeBytes(raw)
 }
 
-// clampToByte rounds a value and clamps it to the range from 0 to most.
+// clampToByte rounds a value and clamps it to the range from 0 to limit.
 func clampToByte(v, limit float64) byte { return byte(min(max(math.Round(v), 0), limit)) }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
@@ -158,8 +158,8 @@
 	}
 }
 
-// applyPeerLoad applies a load reported by another instance. It is ignored while all targets of the
-// region are busy. Requests moved away from one target would then wait at another one too, which in
+// applyPeerLoad applies a load reported by another instance. It is ignored while the mean utilization
+// of the region is at least busyThreshold. Requests moved away from one target would then wait at another one too, which in
 // addition does not have their object.
 func (p *Pool) applyPeerLoad(now time.Time, t *target, at time.Time, perSlot float64) {
 	if t.region.utilization.at(now) < busyThreshold {
--- a/upstream/unavailable.go
+++ b/upstream/unavailable.go
@@ -14,7 +14,8 @@
 	availability.Verdict
 }
 
-// UnavailableTargets returns the targets that get no requests now, ordered by ID.
+// UnavailableTargets returns the targets that get no requests now, ordered by ID. It does not
+// consider rate limits.
 func (p *Pool) UnavailableTargets(now time.Time) []UnavailableTarget {
 	var out []UnavailableTarget
 	for _, t := range p.byID {
--- a/upstream/versions.go
+++ b/upstream/versions.go
@@ -245,9 +245,10 @@
 	return oldCohort
 }
 
-// mayChangeCohort reports whether a request without a usable target in its cohort may go to the
-// other one. It may go to the old cohort if that has targets in service, but to the new cohort only
-// if the old one has none.
+// mayChangeCohort reports whether a request for which no target of its cohort was found may go to
+// the other one. It may go to the old cohort, but if all requests go to the new one, only with
+// ReasonNoTarget. It may go to the new cohort only with ReasonNoTarget and if the old cohort has no
+// targets in service.
 func (p *Pool) mayChangeCohort(r *Request, reason Reason) bool {
 	switch {
 	case p.split.Version == "":
@@ -282,7 +283,8 @@
 	// OldSlots and NewSlots are the slots of the targets in service.
 	OldSlots, NewSlots float64
 	// OldInFlight is the number of requests of this instance at old targets. OldUtilization is the
-	// mean load per slot of the old targets according to recent reports.
+	// mean load per slot of the regions, weighted by their old slots. The recent reports from which
+	// it is computed are those of the targets of both cohorts.
 	OldInFlight    int
 	OldUtilization float64
 	// SendRate is the number of requests per second that this instance sends.
