--- a/share/ledger.go
+++ b/share/ledger.go
@@ -39,8 +39,8 @@
 	demand    demand
 }
 
-// limiterWindow exceeds the window of the caps by the largest error of a clock's
-// rate. Otherwise, windows would end early on a clock that runs fast.
+// limiterWindow exceeds the window of the caps by 0.1 percent, to allow for the error
+// of a clock's rate. Otherwise, windows would end early on a clock that runs fast.
 const limiterWindow = table.CapWindow + table.CapWindow/1000
 
 // NewLedger returns the ledger of an instance in a hall, without units. Nonce
@@ -167,7 +167,7 @@
 	// Admitted means that the request may be sent. It uses a unit, unless the row
 	// has no cap.
 	Admitted Admission = iota
-	// NoUnits means that all units held are in use.
+	// NoUnits means that all units held are in use, or that none are held.
 	NoUnits
 	// RampLimited means that units are free, but that the ramp does not allow
 	// their use yet.
@@ -209,7 +209,8 @@
 
 // LoanRequests returns the loan requests to send now for the rows that ran out of
 // units since the last call. There are count requests for each row, to be sent to
-// one lender each.
+// one lender each, but none for a row whose last requests are more recent than
+// LoanTerms.RequestInterval.
 func (l *Ledger) LoanRequests(now time.Time, count int) []LoanRequest {
 	if l.NoLoans {
 		return nil
@@ -253,7 +254,7 @@
 }
 
 // Lend handles a loan request of another instance. It returns false if there is
-// nothing to lend.
+// nothing to lend, or if lending is disabled or has been stopped.
 func (l *Ledger) Lend(now time.Time, request LoanRequest) (Loan, bool) {
 	l.expireLease(now)
 	entry := l.rows[request.Row]
@@ -319,8 +320,9 @@
 	return out
 }
 
-// TimeToUnit returns the time until one of the row's own units is free, at most one
-// window.
+// TimeToUnit returns the time from now until the oldest recorded use of the row's own
+// units is one window of the caps old, at least 0. It returns one window if no use is
+// recorded or the row is unknown, even if units are free.
 func (l *Ledger) TimeToUnit(now time.Time, row table.RowKey) time.Duration {
 	entry := l.rows[row]
 	if entry == nil {
--- a/share/loan.go
+++ b/share/loan.go
@@ -28,7 +28,7 @@
 
 // LoanTerms are the settings of borrowing and lending.
 type LoanTerms struct {
-	// Duration is the duration of a loan.
+	// Duration is the longest duration of a loan.
 	Duration time.Duration
 	// RequestInterval is the shortest time between loan requests for one row.
 	RequestInterval time.Duration
@@ -87,8 +87,8 @@
 
 // Lend handles a loan request with idle units of a limiter. Reserved is the number
 // of idle units that stay with the lender. LeaseEnd is the end of the lender's
-// lease, and no loan lasts beyond it. Lend returns false if no units are idle or
-// the lease ends too soon.
+// lease, and no loan lasts beyond it. Lend returns false if no idle units
+// are left beyond the reserved ones, or if the loan would be shorter than two windows.
 func (t LoanTerms) Lend(now time.Time, l *Limiter, request LoanRequest, reserved int, leaseEnd time.Time) (Loan, bool) {
 	length := min(t.Duration, leaseEnd.Sub(now))
 	spare := min(l.Idle(now)-reserved, request.Units)
--- a/share/ramp.go
+++ b/share/ramp.go
@@ -4,8 +4,8 @@
 
 // Ramp limits how fast the use of a row may grow. The allowed fraction of the units
 // starts at Step percent. It rises by Step percent once per Period if at least
-// risePercent of the allowed units were used in that period while the destination
-// was warm, that is, answered about as fast as usual. It falls by Step percent in a
+// risePercent of the allowed units were used in that period and the destination is
+// warm at its end, that is, answers about as fast as usual. It falls by Step percent in a
 // period with little use. The zero value allows everything.
 //
 // Rising in bounded steps with an observation period between them follows Taiji
@@ -54,8 +54,8 @@
 }
 
 // Observe records how many of total units were used within the window that ends at
-// now, and whether the destination is warm. A cold destination delays the next rise
-// but does not lower the level.
+// now, and whether the destination is warm. A cold destination delays the next rise.
+// Only little use lowers the level.
 func (r *Ramp) Observe(now time.Time, used, total int, warm bool) {
 	if r.unlimited() {
 		return
