--- a/seat/agent.go
+++ b/seat/agent.go
@@ -217,7 +217,7 @@
 	return s.Holder == a.id && s.Term == st.Term
 }
 
-// HasRoster reports whether the agent knows the roster.
+// HasRoster reports whether the agent knows the roster, or that there is none yet.
 func (a *Agent) HasRoster() bool { return a.known }
 
 // Version returns the current version of the roster.
@@ -249,7 +249,7 @@
 }
 
 // LeaseEnd returns the later end of the instance's two leases. It returns the zero
-// time if the instance is not a member.
+// time if the instance is not a member or has never been renewed.
 func (a *Agent) LeaseEnd() time.Time {
 	if a.roster == nil || a.roster.index(a.id) < 0 || a.renewedAt.IsZero() {
 		return time.Time{}
@@ -291,7 +291,8 @@
 // SlotSeats returns the seats whose slots of targets the instance may use. These are
 // its own seats, even after the end of its lease, and its share of the seats that
 // appear to be unused. A seat appears unused if it is free, or if its holder has been
-// unresponsive and not renewed for longer than a lease.
+// unresponsive and not renewed for longer than a lease. An instance that is leaving or
+// is not a member has no share of the unused seats.
 //
 // The rule is intentionally weaker than that of Held. A hall that has lost all its
 // instances must serve requests before the old leases are certain to be over. If an
--- a/seat/propose.go
+++ b/seat/propose.go
@@ -78,10 +78,12 @@
 
 func (a *Agent) isMember() bool { return a.roster.index(a.id) >= 0 }
 
-// writeDue reports whether to write the roster now. An instance writes to join. The
+// writeDue reports whether to write the roster now. An instance that is not leaving
+// writes to join. The
 // writer writes once per RenewInterval, or when released seats wait for a new holder.
 // Any other member writes if less than a third of its platform lease is left because
-// the writer has not renewed it.
+// the writer has not renewed it, and RenewInterval has passed since its own last write.
+// No instance writes again within RenewInterval/minWriteDivisor.
 func (a *Agent) writeDue(now time.Time) bool {
 	since := now.Sub(a.lastWrite)
 	if !a.lastWrite.IsZero() && since < a.timing.RenewInterval/minWriteDivisor {
@@ -194,7 +196,8 @@
 	return out
 }
 
-// takeOver removes the members whose leases are certain to be over.
+// takeOver removes the members whose leases are certain to be over. A leaving instance
+// removes none.
 func (a *Agent) takeOver(now time.Time, w *Write) {
 	if a.leaving {
 		return
--- a/seat/roster.go
+++ b/seat/roster.go
@@ -112,7 +112,8 @@
 }
 
 // assignFree assigns each free seat to the member that holds the fewest, or to the first
-// of them by ID. Members in skip get no seats.
+// of them by ID. Members in skip and members that hold their fair
+// share get no seats, so that a seat may stay free.
 func (r *Roster) assignFree(skip map[string]bool) {
 	held := make(map[string]int)
 	for i := range r.Seats {
--- a/seat/timing.go
+++ b/seat/timing.go
@@ -14,7 +14,7 @@
 	// renewal in the roster.
 	MaxOffline time.Duration
 	// Window is the window of the caps. A seat passes to another holder one window
-	// after its last use.
+	// after its last use at the earliest.
 	Window time.Duration
 }
 
