--- a/gateway/gossip.go
+++ b/gateway/gossip.go
@@ -34,7 +34,8 @@
 	reconnectInterval = time.Second
 	// localRequestDelay and remoteRequestDelay are the times for which an instance that is
 	// behind waits for the push of a watcher, before it sends a delta request to an instance
-	// of its own region or of another region.
+	// of its own region or of another region. An instance that watches waits localRequestDelay for
+	// both.
 	localRequestDelay  = 700 * time.Millisecond
 	remoteRequestDelay = 1400 * time.Millisecond
 )
@@ -143,8 +144,8 @@
 	return flags
 }
 
-// partners returns the members that a round of gossip goes to: all that are alive or stopping if
-// wide is set. The caller holds mu.
+// partners returns the members that a round of gossip goes to: all others that are alive or
+// stopping if wide is set, and otherwise those that the view chooses. The caller holds mu.
 func (g *Gateway) partners(now time.Time, wide bool) []fleet.Member {
 	if !wide {
 		return g.view.Partners(now, g.rand)
@@ -245,8 +246,9 @@
 	g.view.MarkRefused(g.clock.Now(), addr)
 }
 
-// receiveGossip applies gossip. It sends delta requests for the kinds in which the sender is ahead.
-// If the sender is behind, it replies with its own positions, and the sender sends delta requests.
+// receiveGossip applies gossip. It sends the delta requests that are due. If the sender is behind
+// in a way that comparePositions reports, or lacks other news, it replies with its own positions,
+// and the sender sends delta requests. It does not reply to a reply.
 func (g *Gateway) receiveGossip(m *peer.Gossip) {
 	if len(m.Heartbeats) == 0 {
 		return
@@ -304,7 +306,8 @@
 // comparePositions compares the positions of the sender's replicas with those of this instance. It
 // registers the sender as a source for the kinds in which it is ahead. It reports whether this
 // instance is ahead in a kind for which the sender needs a reply: an urgent one, or one that the
-// sender lacks altogether. The caller holds mu.
+// sender lacks altogether. If a sender of the own region has the same rollout orders, they count as
+// loaded. The caller holds mu.
 func (g *Gateway) comparePositions(now time.Time, sender fleet.Member, positions []feed.Position) (ahead bool) {
 	for i, kind := range g.kinds {
 		if i >= len(positions) {
--- a/gateway/own_objects.go
+++ b/gateway/own_objects.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxRewrites bounds the objects that an instance writes again in one round. The rounds
-	// are rewriteInterval apart.
+	// are at least rewriteInterval apart.
 	maxRewrites     = 8
 	rewriteInterval = time.Second
 	// lostObjectsTimeout is the time after a restore of the store after which lost objects
@@ -21,8 +21,8 @@
 	lostObjectsTimeout = time.Minute
 )
 
-// lostObjects holds objects of KindTable, by name, that were in the store and are missing since it
-// was restored from a backup. They are rainford's own objects, so the instances have to write them
+// lostObjects holds objects of KindTable, by name, that were in the store and that it lacks, or holds in
+// an older version, since it was restored from a backup. They are rainford's own objects, so the instances have to write them
 // again.
 type lostObjects struct {
 	values map[string][]byte
@@ -114,8 +114,9 @@
 	})
 }
 
-// missingObjects returns the sorted names of the lost objects that the store still lacks. It drops
-// the record of those that the store holds again, and of all after the deadline. The caller holds
+// missingObjects returns the sorted names of the lost objects that the replica lacks or holds in
+// an older version. It drops the record of those that the replica holds again, and of all after the
+// deadline. The caller holds
 // mu.
 func (g *Gateway) missingObjects(now time.Time) []string {
 	var names []string
@@ -138,7 +139,7 @@
 }
 
 // rewriteObject writes an object to the store again, unless the store holds a version of it that
-// value does not supersede.
+// value does not supersede. The log line logObjectRewritten appears in that case too.
 func (g *Gateway) rewriteObject(ctx context.Context, name string, value []byte) {
 	stored, err := g.store.Get(ctx, KindTable, name)
 	switch {
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -16,7 +16,8 @@
 // Reasons of requests that are refused because of their account's rate limit.
 const (
 	reasonOverLimit = "over-limit"
-	// reasonNoOwner means that no owner of the limit was reached.
+	// reasonNoOwner means that no owner of the limit was reached, or that the client disconnected
+	// while the request waited for a permit.
 	reasonNoOwner = "no-limit-owner"
 )
 
@@ -318,7 +319,8 @@
 }
 
 // admit acquires a permit for the request if its account has a rate limit. It returns a refusal and
-// false if the request exceeds the limit. It runs before the body is read.
+// false if the request exceeds the limit, no owner of the limit was reached, or the client
+// disconnected during the wait. It runs before the body is read.
 func (g *Gateway) admit(ex *exchange) (requestResult, bool) {
 	if !ex.account.HasRateLimit() {
 		return requestResult{}, true
--- a/gateway/pool.go
+++ b/gateway/pool.go
@@ -14,7 +14,8 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// queueTickInterval is the interval at which the queue is checked in the absence of events.
+// queueTickInterval is the interval at which the queue and the pending permit requests are checked in
+// the absence of events.
 const queueTickInterval = 20 * time.Millisecond
 
 // pool holds the targets of one service and the requests that wait for them. It is safe for
@@ -53,7 +54,7 @@
 	}
 }
 
-// maxTargetEventLines is the number of target state changes with one cause up to which each is
+// maxTargetEventLines is the number of target state changes at a time up to which each is
 // logged in a line of its own. New targets, or halls that return to service, bring hundreds of
 // changes at a time at every instance.
 const maxTargetEventLines = 4
