--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -34,8 +34,8 @@
 	correlator    quarantine.CrashCorrelator
 	coordinator   quarantine.TrialCoordinator
 	pendingTrials map[quarantine.Digest]chan trialReply
-	// answered holds the accounts' requests that were answered by targets of this instance
-	// recently.
+	// answered holds the accounts' requests that targets have answered recently, to this instance
+	// or to another one that has sent them.
 	answered answeredRequests
 	// unresponsive holds the coordinators that did not reply, and the time until which each is
 	// skipped.
@@ -230,7 +230,8 @@
 	}
 }
 
-// rememberAnswer remembers that a request of an account was answered.
+// rememberAnswer remembers that a request of an account was answered. A request with a body longer
+// than maxRememberedBody is at most counted.
 func (g *Gateway) rememberAnswer(now time.Time, ex *exchange) {
 	if ex.account == nil {
 		return
@@ -248,8 +249,8 @@
 	g.quarantine.answered.add(r)
 }
 
-// requestInterrupted records that a request's connection to a target broke, and probes whether the
-// target has crashed.
+// requestInterrupted records that a request's connection to a target broke, unless the target is
+// leaving. It probes whether the target has crashed if the correlator asks for that.
 func (g *Gateway) requestInterrupted(now time.Time, ex *exchange, target upstream.Choice) {
 	ex.interrupted = true
 	if g.isLeaving(target) {
@@ -299,8 +300,8 @@
 	g.recordCrashes(now, target, interrupted)
 }
 
-// applyListChanges records the targets that have become unlisted or announce in their entry that
-// they leave. The caller holds mu of the gateway.
+// applyListChanges excludes targets that announce in their entry that they leave from the crash
+// correlation, and records that a removed target has crashed if a crash of it is pending. The caller holds mu of the gateway.
 func (g *Gateway) applyListChanges(now time.Time, changed []*catalog.Target, removed []string) {
 	if !g.quarantine.nonEmpty.Load() {
 		return
@@ -356,7 +357,8 @@
 // maxLoggedContents bounds the requests that the log line on a crash names.
 const maxLoggedContents = 8
 
-// logSuspects logs those of the given requests and accounts that are suspect.
+// logSuspects logs those of the given requests and accounts that are suspect, and sends the answered
+// requests of these accounts to other instances.
 func (g *Gateway) logSuspects(now time.Time, digests []quarantine.Digest, source string) {
 	for _, d := range digests {
 		status, _ := g.quarantine.status(now, d)
--- a/gateway/quarantine_gossip.go
+++ b/gateway/quarantine_gossip.go
@@ -95,8 +95,8 @@
 	return g.quarantine.table.Checksum()
 }
 
-// missingQuarantine returns updates for an instance whose checksum is sum, or nil if its table is
-// the same.
+// missingQuarantine returns the latest suspects for an instance whose checksum is sum, or nil if its
+// table is the same or the quarantine of this instance holds no state.
 func (g *Gateway) missingQuarantine(now time.Time, sum uint32) quarantine.Updates {
 	if !g.quarantine.nonEmpty.Load() {
 		return nil
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -1,7 +1,7 @@
 package gateway
 
 // Reload applies the settings that may change while the instance runs, which are the seeds. It
-// logs the names of other settings that have changed and need a restart.
+// logs the names of the changed settings that restartRequired checks.
 func (g *Gateway) Reload(config Config) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -12,7 +12,8 @@
 // ReloadFailed logs that changed settings were rejected.
 func (g *Gateway) ReloadFailed(err error) { g.log.Error(logReloadRefused, "error", err.Error()) }
 
-// restartRequired returns the names of the changed settings that need a restart.
+// restartRequired returns the names of those settings in its list that have changed. They need a
+// restart. Other settings need one too, but are not in the list.
 func (g *Gateway) restartRequired(config Config) []string {
 	var out []string
 	for _, pair := range []struct {
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -21,7 +21,7 @@
 	// leaderTimeout is the time without a message of the leader after which another instance takes
 	// over.
 	leaderTimeout = 3 * rollout.HeartbeatInterval
-	// stateWriteInterval is the time between two attempts to write the state of an order to the
+	// stateWriteInterval is the least time between two attempts to write the state of an order to the
 	// store.
 	stateWriteInterval = 400 * time.Millisecond
 )
@@ -64,7 +64,7 @@
 	follower *rollout.Follower
 	// leader is nil unless this instance leads the rollout.
 	leader *rollout.Leader
-	// leaderHeardAt is the time of the last stage received from another leader.
+	// leaderHeardAt is the time at which the stage in force was last received from another leader.
 	leaderHeardAt time.Time
 	// writing is true while a write of the state is in progress. writtenAt is the time at which the
 	// last write began.
@@ -72,8 +72,8 @@
 	writtenAt time.Time
 }
 
-// isOngoing reports whether the store holds no verdict for the order. This is also the case if the
-// store has lost the verdict. The caller holds mu.
+// isOngoing reports whether the order is not withdrawn and the store holds no verdict for it. This is
+// also the case if the store has lost the verdict. The caller holds mu.
 func (r *serviceRollout) isOngoing() bool { return !r.record.State.IsFinal() }
 
 // lostVerdict returns the verdict that the instances follow and the store has lost. It returns
@@ -117,7 +117,7 @@
 	g.rollouts.put(c.Name, known)
 }
 
-// put sets the rollout of a service and wakes rolloutLoop.
+// put sets the rollout of a service and wakes rolloutLoop. It does nothing if r is nil.
 func (rs *rollouts) put(service string, r *serviceRollout) {
 	if r == nil {
 		return
@@ -177,7 +177,8 @@
 	}
 }
 
-// rolloutLoop updates the ongoing rollouts periodically, and waits while there are none.
+// rolloutLoop updates all rollouts periodically while any of them is ongoing, and otherwise after a
+// change of an order.
 func (g *Gateway) rolloutLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		ongoing := false
@@ -254,7 +255,8 @@
 	g.writeState(ctx, now, r, r.leader.Verdict())
 }
 
-// leadsRollouts reports whether this instance leads rollouts, and returns the number of instances.
+// leadsRollouts reports whether this instance leads rollouts, and returns the number of instances
+// that are alive or whose state is unknown.
 func (g *Gateway) leadsRollouts(now time.Time, hasLed bool) (isLeader bool, members int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -160,7 +160,8 @@
 	return g.run(ex)
 }
 
-// requestURI returns the path and query exactly as the client sent them.
+// requestURI returns the path and query exactly as the client sent them, or those of the parsed URI
+// if the client sent more than these.
 func requestURI(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -336,7 +337,7 @@
 }
 
 // contentAttrs returns the content digest for the log if an attempt was interrupted or the digest
-// was looked up in the quarantine. A client that repeats such a request uses another ID, and the
+// was computed for another reason, such as a look-up in the quarantine. A client that repeats such a request uses another ID, and the
 // digest identifies the request in both lines.
 func (ex *exchange) contentAttrs() []slog.Attr {
 	interrupted := slices.ContainsFunc(ex.attempts, func(h attemptRecord) bool { return h.Outcome == retry.Unknown.String() })
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -18,8 +18,8 @@
 	minSeeds           = 3
 	firstStartPeerWait = 1500 * time.Millisecond
 	peerPollInterval   = 30 * time.Millisecond
-	// registrationWait is how long a restarted instance waits for the list of instances,
-	// which shows whether it is still registered.
+	// registrationWait is the longest time for which an instance waits for the list of
+	// instances, which shows whether it is still registered.
 	registrationWait = 3 * time.Second
 	// registerSpacing is the mean time between the writes of instances that all have to
 	// register again. It uses a sixth of the writes that the store of the largest site
--- a/gateway/status.go
+++ b/gateway/status.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// adminHandler returns the handler for operators. It serves the status on StatusPath and the metrics
-// on all other paths.
+// adminHandler returns the handler for operators. It serves the status to GET and HEAD requests for
+// StatusPath, and the metrics to all others.
 func (g *Gateway) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+StatusPath, g.serveStatus)
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -54,9 +54,9 @@
 }
 
 // stop performs a planned stop. The instance first announces to the platform and to the other
-// instances that it is leaving. It continues to serve while clients learn of that. Then it accepts
-// no new requests and waits for those in flight. Requests that are still in flight at the end of
-// the grace period are cut off.
+// instances that it is leaving. It continues to serve while clients learn of that. Then it refuses
+// new requests and waits for those in flight, until exitFraction of the grace period is left.
+// Requests that are still in flight then are cut off when the process exits.
 func (g *Gateway) stop() {
 	began := time.Now()
 	g.leaving.Store(true)
