--- a/gateway/target_limit_owner.go
+++ b/gateway/target_limit_owner.go
@@ -15,7 +15,8 @@
 
 const (
 	// minTargetLimit is the smallest rate that is issued for a target, in requests per second, even
-	// if the target announces a lower limit. Without an occasional request no response could
+	// if the target announces a lower limit. During a partition partitionedShare of it is issued.
+	// Without an occasional request no response could
 	// announce a higher limit.
 	minTargetLimit = 0.25
 	// partitionedShare is the fraction of a limit that an instance issues while it considers at
@@ -41,10 +42,11 @@
 	mu     sync.Mutex
 	issuer *ratelimit.Issuer
 	addrs  map[string]string
-	// partitioned is true if at most half of the instances are known to be alive.
+	// partitioned is true if at most half of the instances are alive or of unknown state.
 	partitioned bool
 	ticking     bool
-	// suspectedSince is the start of the suspicion of each suspected instance. candidates are the
+	// suspectedSince is the time since which each instance has been neither alive nor of unknown
+	// state. candidates are the
 	// instances that may own limits, as of the last update.
 	suspectedSince map[string]time.Time
 	candidates     map[string]fleet.Member
--- a/gateway/target_limits.go
+++ b/gateway/target_limits.go
@@ -62,8 +62,8 @@
 	return l.known.Update(now, id), first
 }
 
-// announcesNoLimit reports whether a response shows that its target has no limit. This needs a
-// complete response without a limit. A malformed value neither announces nor withdraws a limit.
+// announcesNoLimit reports whether a response that announces no limit shows that its target has
+// none. The response has to be complete. A malformed value neither announces nor withdraws a limit.
 func announcesNoLimit(r upstream.Result) bool {
 	complete := r.Outcome == upstream.Answered || r.Outcome == upstream.Rejected
 	return complete && !r.SelfReport.IsMalformed(availability.FieldRateLimit)
@@ -115,7 +115,8 @@
 	return l.known.Checksum(now)
 }
 
-// missing returns limits for an instance whose checksum differs, nil if it does not.
+// missing returns limits for an instance whose checksum differs, nil if it does not or
+// if this instance knows no limits.
 func (l *targetLimits) missing(now time.Time, sum uint32, salt uint64) availability.RateLimitList {
 	if !l.nonEmpty.Load() || l.checksum(now) == sum {
 		return nil
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -109,7 +109,8 @@
 }
 
 // isFromBackup reports whether an entry of a store that was restored from a backup is older than
-// what is known of the target: older than its last write, or written before its entry was removed.
+// what is known of the target: older than its last write, or written before its entry was removed,
+// by the same incarnation.
 func (l *targetList) isFromBackup(spec catalog.Target) bool {
 	if known := l.specs[spec.Name]; known != nil {
 		return known.ID == spec.ID && spec.Sequence < known.Sequence
@@ -187,8 +188,8 @@
 	return ok && (spec.Leaving || g.departures.has(spec.ID))
 }
 
-// decodeTarget decodes a target's entry. It returns an error if the settings do not contain the
-// target's hall.
+// decodeTarget decodes a target's entry. It returns an error if the entry is invalid or the
+// settings do not contain the target's hall.
 func (g *Gateway) decodeTarget(c feed.Change) (catalog.Target, error) {
 	spec, err := g.codec.Target(c.Name, c.Value)
 	if err != nil {
--- a/gateway/trial.go
+++ b/gateway/trial.go
@@ -98,8 +98,8 @@
 	return g.registered[name]
 }
 
-// unavailableInstances returns the instances that are not alive or did not reply as coordinators
-// recently. The caller holds mu.
+// unavailableInstances returns the instances that are suspected or stopping, or did not reply as
+// coordinators recently. The caller holds mu.
 func (g *Gateway) unavailableInstances(now time.Time) map[string]bool {
 	out := make(map[string]bool)
 	for _, s := range g.view.Others(now) {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -57,8 +57,8 @@
 	// missedAt is the time at which another instance first sent a change that the pending
 	// watch of a kind has not returned.
 	missedAt map[feed.Kind]time.Time
-	// cursors holds the position up to which the watch of a kind has observed that
-	// nothing has changed. The position of a replica remains that of its last change, so that
+	// cursors holds the position up to which the watch of a kind has returned all changes,
+	// which may be none. The position of a replica remains that of its last change, so that
 	// instances with the same objects have the same position.
 	cursors map[feed.Kind]feed.Position
 }
@@ -269,7 +269,7 @@
 	// errUnknownKind is returned if the store does not know a kind yet and the replica is empty.
 	errUnknownKind = errors.New("gateway: kind is not known to the store")
 	// errNothingNewer is returned if a list has not advanced the replica, because the store
-	// returned an old state.
+	// returned an old state or the one that the replica holds.
 	errNothingNewer = errors.New("gateway: list is not newer than the replica")
 )
 
@@ -291,7 +291,8 @@
 }
 
 // readOnce lists a kind if the replica holds no objects of the store's current era, and otherwise
-// watches it once. It applies the result.
+// watches it once. If the store has no history for the watch, it lists the kind too. It applies the
+// result.
 func (g *Gateway) readOnce(ctx context.Context, kind feed.Kind) error {
 	at := g.position(kind)
 	if at.IsZero() || g.watch.isPastEra(at) {
@@ -359,7 +360,8 @@
 func (g *Gateway) updateEra() { g.enterEra(g.store.Era(), sourceStore) }
 
 // enterEra follows the store into an era that a source has reported. Source is sourceStore or the
-// peer address of an instance. On a new era the instance also checks its registration.
+// peer address of an instance. On a new era the instance also checks its registration, unless no era
+// was known before.
 func (g *Gateway) enterEra(era int64, source string) {
 	before, entered := g.watch.enterEra(era)
 	if !entered {
@@ -373,7 +375,7 @@
 	g.log.Warn(logStoreEra, "era", era, "before", before, "source", source)
 }
 
-// recordStoreRead records the result of a read of the store. It must be called before the objects
+// recordStoreRead records the result of a read of the store, unless the read was cancelled. It must be called before the objects
 // that the read returned are applied.
 func (g *Gateway) recordStoreRead(kind feed.Kind, err error) {
 	if errors.Is(err, context.Canceled) {
