--- a/quarantine/accounts.go
+++ b/quarantine/accounts.go
@@ -32,7 +32,7 @@
 	flagTTL = 10 * time.Minute
 	// accountTrialBackoff is the time from the first failed trial to the next one. It doubles with
 	// each further failed trial, up to maxAccountTrialBackoff. An account that sends ten crashing
-	// requests a second thus crashes fewer than 30 targets in 14 s (TestAccountModel, and
+	// requests a second thus crashes at most 30 targets in 14 s (TestAccountModel, and
 	// TestFloodOfCrashingRequests of package gateway).
 	accountTrialBackoff    = time.Second
 	maxAccountTrialBackoff = 30 * time.Second
--- a/quarantine/accounts_test.go
+++ b/quarantine/accounts_test.go
@@ -113,8 +113,8 @@
 }
 
 // TestFlaggedAccountTrials checks the back-off after failed trials. It checks as well that three
-// consecutive answered trials clear the account at all instances, and that crashes before that do
-// not count again.
+// consecutive answered trials clear the account, that an empty table that merges its state has it
+// Allowed, and that crashes before that do not count again.
 func TestFlaggedAccountTrials(t *testing.T) {
 	var table Table
 	var coordinator TrialCoordinator
--- a/quarantine/correlator.go
+++ b/quarantine/correlator.go
@@ -44,7 +44,7 @@
 // RequestInterrupted records that the connection of a request to a target broke. If the target is
 // known to have crashed, RequestInterrupted returns the request as one that was there. Otherwise,
 // check reports whether the caller has to find out whether the target has crashed; it is true only
-// for the first request interrupted at the target.
+// for the first request interrupted at the target within correlationWindow.
 func (c *CrashCorrelator) RequestInterrupted(now time.Time, target string, r InterruptedRequest) (crashed []InterruptedRequest, check bool) {
 	p := c.pending[target]
 	if p == nil || now.Sub(p.since) >= correlationWindow {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -11,18 +11,18 @@
 	// Every request at a crashing target has one crash. Few requests are by chance at two different
 	// targets when these crash.
 	suspectCrashes = 2
-	// maxCrashes is the number of crashes from which on there are no more trials. It also bounds
-	// the number of crashes in a record.
+	// maxCrashes is the number of crashes from which on a request has no more trials. It also bounds
+	// the number of crashes in a record, be it of a request or of an account.
 	maxCrashes = 6
-	// firstTrialBackoff and secondTrialBackoff are the times from the first and the second failed
-	// trial to the next trial. After maxFailedTrials there is no other trial: five targets have
-	// crashed by then, including the two that made the request suspect.
+	// firstTrialBackoff and secondTrialBackoff are the times from the last crash to the next trial
+	// after the first and the second failed trial. After maxFailedTrials there is no other trial: at
+	// least five targets have crashed by then, including the two that made the request suspect.
 	firstTrialBackoff  = 10 * time.Second
 	secondTrialBackoff = time.Minute
 	maxFailedTrials    = 3
 
-	// singleCrashTTL is how long a record with one crash is kept, and suspectTTL how long a record
-	// with more crashes is kept, both from the last crash on. A request that is held by mistake is
+	// singleCrashTTL is how long a request's record with one crash is kept, and suspectTTL how long
+	// one with more crashes is kept, both from the last crash on. A request that is held by mistake is
 	// thus released without intervention. A request that does crash its targets costs a few targets
 	// an hour. Both constants are less than maxCrashAge, the largest age that a message can carry.
 	singleCrashTTL = 10 * time.Minute
--- a/quarantine/stored_test.go
+++ b/quarantine/stored_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStoredRecordRoundTrip checks that a table that reads the stored objects of another one holds
-// the same requests until these objects expire, also if the clocks of the two tables have different
-// origins.
+// TestStoredRecordRoundTrip checks that a table that reads a stored object of another one holds the
+// same request until the same time, also if the clocks of the two tables have different origins,
+// that a stored release clears it, and that an expired object gives no update.
 func TestStoredRecordRoundTrip(t *testing.T) {
 	var table Table
 	d := digest("/ends/")
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -8,7 +8,7 @@
 
 const (
 	// maxRecords bounds the number of records. A full table with maxCrashes crashes in each record
-	// takes less than 1 MB.
+	// takes less than 1 MiB (TestFullTableMemory).
 	maxRecords = 2048
 	// maxRecordsPerAccount bounds the records of one client account if the table holds records of
 	// several accounts.
@@ -31,7 +31,8 @@
 // Status is the state of a request or of an account in a Table.
 type Status struct {
 	Verdict Verdict
-	// Crashes is the number of targets that have crashed under it since its last answer.
+	// Crashes is the number of targets that have crashed under it since its last answer, at most
+	// maxCrashes.
 	Crashes int
 	// FailedTrials is the number of these crashes that happened during trials.
 	FailedTrials int
@@ -54,7 +55,8 @@
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// SuspectCount returns the number of records of requests and accounts that are not Allowed.
+// SuspectCount returns the number of records of requests and accounts that are not Allowed. It
+// includes expired records until Expire removes them.
 func (t *Table) SuspectCount() int { return t.suspectCount }
 
 // Status returns the state of a digest. The state of a digest without a record is the zero Status,
@@ -180,7 +182,8 @@
 	}
 }
 
-// makeRoom evicts a record if the table is full, or if the account has filled its share of it. It
+// makeRoom evicts a record if the table is full even without its expired records, which it removes
+// first, or if the account has filled its share of a table with records of several accounts. It
 // evicts a record with the fewest crashes, and among these the one whose last crash is the oldest.
 // An account that has filled its share loses one of its own records, so that its requests do not
 // evict the records of other accounts. makeRoom reports whether there is room for another record.
--- a/quarantine/wire.go
+++ b/quarantine/wire.go
@@ -83,7 +83,8 @@
 }
 
 // Checksum returns a checksum of the suspect records, by which instances detect that their tables
-// differ. It covers digests and crashed targets, but no times. It is 0 if no record is suspect.
+// differ. It covers digests and crashed targets in the order of their crashes, but no times. It is 0
+// if no record is suspect.
 func (t *Table) Checksum() uint32 {
 	sum := uint64(0)
 	for d, r := range t.records {
