--- a/availability/departures_test.go
+++ b/availability/departures_test.go
@@ -13,7 +13,8 @@
 )
 
 // TestDeparturesMergeInAnyOrder lets several sets learn departures from targets and from each
-// other, in any order, late and repeatedly, and checks that all sets end up equal.
+// other, in any order, late and repeatedly, and checks that all sets end up with the same
+// departures. It does not compare the times at which they were first heard of.
 func TestDeparturesMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := make([]availability.Departures, 3)
--- a/availability/rate_limits_test.go
+++ b/availability/rate_limits_test.go
@@ -16,8 +16,8 @@
 const settleTime = time.Second
 
 // TestRateLimitsMergeInAnyOrder lets several instances observe limits and exchange them, in any
-// order and repeatedly. It checks that all sets are equal once each instance has sent its limits to
-// each other one.
+// order and repeatedly. It checks that all sets have equal limits and checksums once each instance
+// has sent its limits to each other one, in as many rounds as there are instances.
 func TestRateLimitsMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets := make([]availability.RateLimits, rapid.IntRange(2, 4).Draw(t, "instances"))
