--- a/retry/token_bucket_test.go
+++ b/retry/token_bucket_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestTokenBucketsBoundRetries simulates instances that retry whenever they may, are restarted, and
-// learn late of each other. It checks for every time window that the retries of all instances stay
+// of which up to a tenth is not known to the others. It checks for every time window that the retries of all instances stay
 // within the ratio of the window's requests plus the slack.
 func TestTokenBucketsBoundRetries(t *testing.T) {
 	const ratio, slack = 0.2, 64
@@ -19,7 +19,7 @@
 		buckets := make([]*retry.TokenBucket, n)
 		start := func(i int) {
 			buckets[i] = retry.NewTokenBucket(ratio)
-			// One instance in ten is not known to the others yet.
+			// One in each full ten instances is not known yet, none of fewer than ten.
 			buckets[i].SetCapacity(slack, max(1, n-n/10))
 		}
 		for i := range buckets {
