--- a/ratelimit/hall_limit_test.go
+++ b/ratelimit/hall_limit_test.go
@@ -51,8 +51,8 @@
 
 // TestHallLimitHoldsThroughOwnerChanges stops and restarts random instances. The others learn of
 // it at different times, and permits are requested from random instances, including ones that
-// are not the owner. In any window, all instances together must issue at most one and a half
-// times the limit plus five permits.
+// are not the owner. In any window of HallBound, all instances together must issue at most one
+// and a half times the rate times the window, plus five permits.
 func TestHallLimitHoldsThroughOwnerChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -193,7 +193,8 @@
 		}
 	}
 	for ; now.Before(time.Unix(1000, 0).Add(length)); now = now.Add(step) {
-		// The instances in turn want a fifth more than the limit allows.
+		// The instances in turn want four requests a step, which is exactly the rate of the
+		// limit: the conversion to int drops the fifth that the factor adds.
 		for range int(1.2 * perSecond * step.Seconds()) {
 			i := wanted % instances
 			wanted++
--- a/ratelimit/holder_test.go
+++ b/ratelimit/holder_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestPermitsExpire checks that permits are used only within their lifetime, and that a
-// released permit can be used again.
+// TestPermitsExpire checks that permits are used only within their lifetime, counted from the
+// request, and that a released permit is not used after its expiry.
 func TestPermitsExpire(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := ratelimit.NewHolder("n0")
--- a/ratelimit/model_test.go
+++ b/ratelimit/model_test.go
@@ -62,8 +62,8 @@
 // costs are the refusals and the message costs of a run. Refusals are fractions of the
 // requests sent.
 type costs struct {
-	// shifting and steady are the requests refused within one second after the demand moved
-	// to another instance, and later. ideal is the fraction that a single token bucket
+	// shifting and steady are the requests refused, or left without an owner, within one
+	// second after the demand moved to another instance, and later. ideal is the fraction that a single token bucket
 	// would have refused.
 	shifting, steady, ideal float64
 	// bytes is the size of the messages per request. wait is the mean time until a
@@ -115,8 +115,8 @@
 func TestDemandWithinTheLimitIsServed(t *testing.T) {
 	for _, c := range []struct {
 		rate, demand float64
-		// most is the largest fraction that may be refused in addition to what a single
-		// token bucket refuses, later than one second after the demand moved.
+		// most is the largest fraction that may be refused later than one second after the
+		// demand moved, in addition to what a single token bucket refuses in the whole run.
 		most float64
 	}{
 		{5, 0.6, 0.03}, {20, 0.6, 0}, {100, 0.6, 0}, {1000, 0.6, 0},
--- a/ratelimit/simulation_test.go
+++ b/ratelimit/simulation_test.go
@@ -36,8 +36,8 @@
 	// asked counts all requests by account, refused those that were refused, and unavailable
 	// those that found no owner.
 	asked, refused, unavailable map[string]int
-	// ideal is a single token bucket for each account, and beyond counts the requests that
-	// it would have refused.
+	// ideal is a single token bucket for each account, and idealRefused counts the requests
+	// that it would have refused.
 	ideal        map[string]*bucket
 	idealRefused map[string]int
 	// waits are the waiting times of the admitted requests.
