--- a/fleet/model_test.go
+++ b/fleet/model_test.go
@@ -188,7 +188,8 @@
 // TestGossipAtFleetSizes simulates fleets of current and expected sizes. It checks that instances
 // of a region hardly suspect each other without a reason, that all instances of a region soon
 // suspect a dead one, that each region has a few watchers, and that the bytes sent by an instance
-// stay within the bound of docs/CAPACITY.md.
+// stay on average within the bound of docs/CAPACITY.md. The size of 730 instances is simulated only
+// with the flag -large.
 func TestGossipAtFleetSizes(t *testing.T) {
 	for _, size := range []struct{ members, regions int }{{12, 3}, {85, 3}, {300, 3}, {730, 7}} {
 		if size.members > 300 && !*large {
--- a/fleet/suspicion_test.go
+++ b/fleet/suspicion_test.go
@@ -13,8 +13,8 @@
 const roundsPerMinute = 120
 
 // TestNoFalseSuspicions checks that in a minute without faults no instance suspects a living and
-// reachable one, in its own region or in another. It covers the sizes of current fleets and a
-// larger one. One message in fifty is lost.
+// reachable one, in its own region or in another. It covers the sizes of current fleets and,
+// with the flag -large, a larger one. One message in fifty is lost.
 func TestNoFalseSuspicions(t *testing.T) {
 	for _, size := range []struct{ members, regions int }{{12, 3}, {74, 3}, {295, 3}, {730, 7}} {
 		if size.members > 300 && !*large {
@@ -54,8 +54,8 @@
 const settleRounds = 10
 
 // TestHallPartition partitions a hall from all others. In each instance's view of its region, the
-// members on its own side remain alive and those on the other side are suspected. After the
-// partition no living member is suspected within settleRounds.
+// members on its own side remain alive and those on the other side are suspected. No living
+// member is suspected settleRounds after the end of the partition.
 func TestHallPartition(t *testing.T) {
 	m := newModel(74, 3, 1)
 	for range 16 {
