--- a/feed/catchup_test.go
+++ b/feed/catchup_test.go
@@ -118,8 +118,9 @@
 
 // TestCatchUpReachesResponsiveSource guards against a catch-up that keeps asking sources
 // that never reply. Several sources announce themselves once per gossip round, each at its
-// own time in the round, and some of them never reply. Each of these may delay the request
-// to a responsive source by one round at most.
+// own time in the round, and some of them never reply. A responsive source must be asked
+// within the delay and two rounds, and one more round for each source that never replies.
+// Requests must be at least requestInterval apart.
 func TestCatchUpReachesResponsiveSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const after = 700 * time.Millisecond
--- a/feed/removal_hold_test.go
+++ b/feed/removal_hold_test.go
@@ -13,7 +13,7 @@
 // TestRemovalHold checks random sequences of outages, removals and returning objects. A
 // removal must be held only in the two seconds after an outage of at least three seconds.
 // An object that has returned must never be removed, and each held removal must take effect
-// exactly once.
+// exactly once. Removals that take effect during an outage are not checked.
 func TestRemovalHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h feed.RemovalHold
--- a/feed/replica_test.go
+++ b/feed/replica_test.go
@@ -69,12 +69,12 @@
 	return out
 }
 
-// TestReplicasFollowTheStore checks that replicas converge to the store. Two watchers and
-// three followers receive deltas that are lost, delayed, duplicated and relayed by any of
-// them, while watchers list the store anew and the store is restored from backups. Every
+// TestReplicasFollowTheStore checks that replicas converge to the store. Each of
+// five replicas watches the store, lists it anew, requests deltas from the others, and
+// receives earlier deltas late or again, while the store is restored from backups. Every
 // replica must always hold exactly one of the states of the store, and must never move to
-// an earlier state, where a state of a later era counts as later. Once no delta is lost any
-// more, all replicas must hold the state of the store.
+// an earlier state, where a state of a later era counts as later. At the end one replica lists the
+// store and the others request its changes, and all must hold the state of the store.
 func TestReplicasFollowTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newStore()
@@ -190,9 +190,9 @@
 }
 
 // TestPositionInsideExactDelta guards against objects that are never removed. A replica
-// holds an object that was created and removed between the two states of an exact delta. It
-// must get a full delta, whether or not the exact delta is empty and whatever the history
-// holds before it.
+// holds an object that was created and removed between the two states of an exact delta. The
+// delta that it requests must lead to the same objects, whether or not the exact delta is
+// empty and whatever the history holds before it.
 func TestPositionInsideExactDelta(t *testing.T) {
 	object := func(name string, gone bool) feed.Change {
 		return feed.Change{Object: feed.Object{Name: name, Value: []byte("1")}, Removed: gone}
