--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/rainford/rainford/peer"
 )
 
-// FuzzDelta unpacks arbitrary bytes. If that succeeds, a replica must either apply the
-// delta and reach its end, or reject it and stay at its position.
+// FuzzDelta unpacks arbitrary bytes. If that succeeds, a replica must not move back,
+// and must reach the end of the delta if Apply reports so.
 func FuzzDelta(f *testing.F) {
 	for _, d := range []feed.Delta{
 		targetDelta(3),
