--- a/forward/buffered_response_test.go
+++ b/forward/buffered_response_test.go
@@ -41,7 +41,7 @@
 
 // TestBufferedResponseIsReadAfterDeadline guards against the loss of a response that
 // arrived in time while the process was suspended until after the deadline. Without a
-// buffered response the read must fail at once.
+// buffered response the read must fail because of the deadline.
 func TestBufferedResponseIsReadAfterDeadline(t *testing.T) {
 	client := NewClient(Headers{RequestID: "Request-Id", Signature: "Signed"}, noCodec{}, nil)
 	r := &Request{Method: http.MethodGet, ID: "q1"}
