--- a/pipelining/fuzz_test.go
+++ b/pipelining/fuzz_test.go
@@ -181,7 +181,8 @@
 
 // FuzzConnection guards against request smuggling and lost requests. A client sends
 // arbitrary bytes in arbitrary pieces. The handlers must receive the same requests, and the
-// client the same responses, as from a server without pipelining.
+// client the same responses, as from a server without pipelining. Additional requests may
+// run as compare describes.
 func FuzzConnection(f *testing.F) {
 	for _, text := range []string{
 		get("/1") + get("/2") + get("/3"),
--- a/pipelining/pipelining_test.go
+++ b/pipelining/pipelining_test.go
@@ -40,9 +40,11 @@
 	seen []string
 }
 
-// newTestServer starts a server. The beginning of a path determines how its requests are
-// handled: "/once" is not idempotent, "/now" is answered at once, "/panic" ends without a
-// response, and "/close" closes the connection after the response.
+// newTestServer starts a server. The path of a request determines how it is handled. One
+// that begins with "/once" is not idempotent, and one that begins with "/now" is answered
+// at once. One that contains "panic" ends without a response, one that contains "close"
+// closes the connection after the response, and one that contains "large" gets a large
+// response.
 func newTestServer(t *testing.T, limits pipelining.Limits) *testServer {
 	s := &testServer{t: t, running: make(map[string]chan struct{}), disconnected: make(map[string]bool)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -401,7 +403,7 @@
 	})
 }
 
-// TestSlowReader checks a client that reads its responses slowly.
+// TestSlowReader checks a client that begins to read its responses after 20 ms.
 func TestSlowReader(t *testing.T) {
 	s := newTestServer(t, defaultLimits)
 	c := s.dial()
