--- a/upstream/cache_model_test.go
+++ b/upstream/cache_model_test.go
@@ -45,8 +45,8 @@
 	require.Equal(t, 1.0, s.factor())
 }
 
-// TestSlowAnswersHardlyRaiseWarmLatency checks that a few slow responses hardly change the warm
-// latency.
+// TestSlowAnswersHardlyRaiseWarmLatency checks that the warm latency changes by at most a quarter if
+// one in ten responses takes ten times as long as the others.
 func TestSlowAnswersHardlyRaiseWarmLatency(t *testing.T) {
 	var w cacheModel
 	known := SendState{KeyKnown: true}
--- a/upstream/choose.go
+++ b/upstream/choose.go
@@ -133,8 +133,9 @@
 
 // cheapest selects the target with the lowest cost among the targets of a ranking that are usable
 // and not full. If all usable targets of the ranking are full and the request is not sticky, it
-// selects the least loaded target of the region. If it selects none, the reason is ReasonLimited if the request should wait for a
-// permit, ReasonFull if all usable targets are full, and ReasonNoTarget if no target is usable.
+// selects the least loaded target of the region. If it selects none, the reason is ReasonLimited if
+// the request should wait for a permit, ReasonFull if all usable targets are full, and
+// ReasonNoTarget if no target is usable.
 func (p *Pool) cheapest(now time.Time, r *Request, region string, ranking affinity.Ranking) candidate {
 	best := candidate{reason: ReasonNoTarget}
 	bestCost := 0.0
--- a/upstream/pool_test.go
+++ b/upstream/pool_test.go
@@ -156,8 +156,8 @@
 	require.NotContains(t, []string{"", first.ID, second.ID}, third.ID)
 }
 
-// TestUnusableTargetsGetNothing draws targets that are leaving, evacuated, cold or replaced and
-// checks that none of them is granted.
+// TestUnusableTargetsGetNothing draws targets that are leaving, evacuated or replaced and checks
+// that none of them is granted.
 func TestUnusableTargetsGetNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool()
--- a/upstream/self_report_test.go
+++ b/upstream/self_report_test.go
@@ -202,7 +202,7 @@
 			queued.ID, queued.QueueTimeout = 1, time.Minute
 			for p.Acquire(start, queued).Action != upstream.Wait {
 			}
-			// Fill all targets. The last request at each target but the first brings a self-report.
+			// Fill all targets. Then one request at each target but the first ends with a self-report.
 			for _, spec := range specs[1:] {
 				p.Release(start, spec.ID, withSelfReport(upstream.Abandoned, report))
 			}
--- a/upstream/target_report.go
+++ b/upstream/target_report.go
@@ -158,9 +158,9 @@
 	}
 }
 
-// applyPeerLoad applies a load reported by another instance. It is ignored while the mean utilization
-// of the region is at least busyThreshold. Requests moved away from one target would then wait at another one too, which in
-// addition does not have their object.
+// applyPeerLoad applies a load reported by another instance. It is ignored while the mean
+// utilization of the region is at least busyThreshold. Requests moved away from one target would
+// then wait at another one too, which in addition does not have their object.
 func (p *Pool) applyPeerLoad(now time.Time, t *target, at time.Time, perSlot float64) {
 	if t.region.utilization.at(now) < busyThreshold {
 		t.recordLoad(at, perSlot*float64(max(t.spec.Slots, 1)))
--- a/upstream/versions_test.go
+++ b/upstream/versions_test.go
@@ -102,8 +102,9 @@
 	require.Equal(t, 100, n)
 }
 
-// TestSplitShares checks that new targets get the fraction of the requests that the split sets, and
-// that no more new targets get any than it allows.
+// TestSplitShares checks that new targets get the fraction of the requests that the split sets, give
+// or take 0.12, and that the number of new targets that get any exceeds the split's share of the 30
+// new targets by at most 12.
 func TestSplitShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
