--- a/balance/pool.go
+++ b/balance/pool.go
@@ -340,7 +340,8 @@
 }
 
 // refuse returns a refusal. The retry delay is between one and two times the expected wait, which
-// is first limited to the range from minRetryAfter to maxRetryAfter. It is random, so that requests refused together are not retried together.
+// is first limited to the range from minRetryAfter to maxRetryAfter. The delay is random, so that
+// requests refused together are not retried together.
 func (p *Pool) refuse(wait time.Duration) Decision {
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
 	jitter := time.Duration(p.config.Rand.Int64N(int64(wait)))
--- a/balance/target.go
+++ b/balance/target.go
@@ -72,7 +72,7 @@
 	successes  int
 	lastHalved time.Time
 	// fullSince is the start of the current growInterval. It is set when growFull first finds the
-	// target at its limit, and again by each increase there and by each refusal. growFull sets it to
+	// target at its limit, and again by each increase there and by each call of halveLimit. growFull sets it to
 	// zero if the target is below its limit, cannot be used, or has all of its slots.
 	fullSince time.Time
 	latency   time.Duration
