--- a/gateway/answered_requests.go
+++ b/gateway/answered_requests.go
@@ -37,8 +37,9 @@
 	return answeredRequest{account: quarantine.AccountHash(account), digest: binary.BigEndian.Uint64(d[:])}
 }
 
-// accountHistory counts, for one account, the results of requests that were not known to be
-// answered before. It is recorded only while the quarantine holds any state.
+// accountHistory counts, for one account, the answered requests that were not known to be answered
+// before, and the requests under which a target crashed. It is recorded only while the quarantine
+// holds any state.
 type accountHistory struct {
 	since             time.Time
 	answered, crashes int
@@ -47,7 +48,7 @@
 const (
 	// accountHistoryWindow is the time after which an account's counts start from zero.
 	accountHistoryWindow = time.Minute
-	// answersPerCrash is the number of answered requests per crashed target from which an account
+	// answersPerCrash is the number of answered requests per recorded crash from which an account
 	// is trusted by this instance. Requests of such an account were in flight when targets crashed
 	// for another reason. An account that sends a flood of crashing requests has next to no
 	// answered ones.
@@ -85,7 +86,8 @@
 	a.historyOf(now, account).answered++
 }
 
-// recordCrash counts a target that crashed under a request of an account.
+// recordCrash counts a request of an account under which a target crashed. A target that crashed
+// under several requests of the account is counted for each of them.
 func (a *answeredRequests) recordCrash(now time.Time, account uint32) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -121,9 +123,9 @@
 	return now || older
 }
 
-// takeUnsent returns the digests of an account's answered requests, or nil if the last call
-// that returned them, or found none, was within answersSendInterval. At most maxSentAnswers are
-// returned.
+// takeUnsent returns the digests of an account's answered requests, at most maxSentAnswers. It
+// returns nil if there are none, or if an earlier call took them less than answersSendInterval ago,
+// whether or not there were any then.
 func (a *answeredRequests) takeUnsent(now time.Time, account uint32) []uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -87,7 +87,7 @@
 }
 
 // inheritRemovalHold holds the removals of targets for at least as long as the sender of the
-// delta does.
+// delta does, but for the feed package's removalGrace if the sender holds them longer.
 func (g *Gateway) inheritRemovalHold(m *peer.Delta) {
 	if m.Kind != KindTargets || m.RemovalHold <= 0 {
 		return
--- a/gateway/held_changes.go
+++ b/gateway/held_changes.go
@@ -10,7 +10,8 @@
 // heldChanges holds changes of one kind that are not in force yet. After the store is restored from
 // a backup, what was confirmed after the backup stays in force until its writers have had time to
 // write it again. removals holds the removal of objects that the backup lacks. tombstones holds the
-// reappearance of objects that had been removed.
+// reappearance of objects that had been removed. The removals of targets are also held after a
+// long outage of the store.
 type heldChanges struct {
 	removals   feed.RemovalHold
 	tombstones feed.Tombstones
--- a/gateway/lost_instances.go
+++ b/gateway/lost_instances.go
@@ -11,7 +11,8 @@
 // for Config.ForgetAfter. An instance that was replaced never returns, and its share of what all
 // instances divide, such as the limits of client accounts, would remain unused for ever. An
 // instance that was only partitioned for that long registers again. Only the first watcher of a
-// region removes entries, and only while it receives heartbeats of most of the region.
+// region removes entries, and only while at least half of the region's members are alive in its
+// view. The time counts from when it became the first watcher, or later.
 func (g *Gateway) removeLostInstance(ctx context.Context, now time.Time) {
 	name, ok := g.lostInstance(now)
 	if !ok {
