--- a/forward/response_fuzz_test.go
+++ b/forward/response_fuzz_test.go
@@ -37,8 +37,9 @@
 }
 
 // FuzzResponse has a target send arbitrary bytes and close the connection. A request must
-// count as not run only if the bytes contain the header or the status that says so. A response must be accepted only if it
-// contains the ID of the request, and as a success only with a signature.
+// count as not run only if the bytes contain the header or the status that says so. A response
+// must be accepted only if it contains the ID of the request, and as a success only with a
+// signature.
 func FuzzResponse(f *testing.F) {
 	for _, seed := range []string{
 		"",
