--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -369,7 +369,8 @@
 }
 
 // TestBadVersions simulates rollouts of bad versions. It bounds the number of those that are not
-// rolled back, at request rates from smallRate on, and of those in which the version gets more requests than the exposure bound allows.
+// rolled back, at request rates from smallRate on, and of those in which the version gets more
+// requests than the exposure bound allows.
 // No rolled back version may get requests later than 5 s after its 50th bad response.
 func TestBadVersions(t *testing.T) {
 	failing := func(s *simulation) { s.fault.failureRate = 0.2 + 0.5*s.rng.Float64() }
