--- a/balance/self_report_test.go
+++ b/balance/self_report_test.go
@@ -60,7 +60,7 @@
 }
 
 // TestRequestedBackoffIsKept checks that a target that requested a back-off gets no requests until
-// it ends, and that a request is refused if all targets have requested one, with a retry delay that is
+// it ends, and that a request is refused if all targets have requested one. The retry delay is then
 // at least the time to the end of the first back-off.
 func TestRequestedBackoffIsKept(t *testing.T) {
 	start := time.Unix(1000, 0)
