--- a/share/bench_test.go
+++ b/share/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/rainford/rainford/table"
 )
 
-// BenchmarkLedger measures the cost per row of an instance with 2 of 64 seats:
-// replacing the table, and a round of heartbeats.
+// BenchmarkLedger measures the replacement of the table, and one call each of Observe
+// and LoanRequests, for an instance with 2 of 64 seats.
 func BenchmarkLedger(b *testing.B) {
 	for _, rows := range []int{20, 200, 2000} {
 		t := &table.Table{Regions: []table.Region{{Name: "r", Halls: []string{"h0", "h1", "h2"}}, {Name: "q", Halls: []string{"z"}}}}
