--- a/rollout/leader.go
+++ b/rollout/leader.go
@@ -67,8 +67,8 @@
 	// minUtilization is the lowest utilization of the old slots that is assumed.
 	minUtilization = 0.2
 	// A moving stage needs a failure log-likelihood ratio of -stageLLR or less, and one for slow
-	// responses of 0 or less. A stage in which fewer than smallSample observations are expected needs only smallSampleFraction of that
-	// number instead.
+	// responses of 0 or less. A stage in which fewer than smallSample observations are expected
+	// needs only smallSampleFraction of that number instead.
 	stageLLR            = 2.0
 	smallSample         = 30
 	smallSampleFraction = 0.5
