--- a/fleet/partners.go
+++ b/fleet/partners.go
@@ -43,8 +43,8 @@
 
 // Partners returns the members to which this round's gossip is sent. These are some living members
 // of the own region, by a schedule that all instances share, one member of another region, whatever
-// its state, unless it has refused a connection within refusalBackoff, and one member of the own region that is not alive, so that the end of a network
-// partition is noticed.
+// its state, unless it has refused a connection within refusalBackoff, and one member of the own
+// region that is not alive, so that the end of a network partition is noticed.
 func (v *View) Partners(now time.Time, rnd *rand.Rand) []Member {
 	v.nextRound(now)
 	var alive, silent []Member
