--- a/feed/replica.go
+++ b/feed/replica.go
@@ -188,9 +188,10 @@
 func objectDigest(name string, value []byte) uint64 { return mix.Pair(name, string(value)) }
 
 // DeltaSince returns a delta that leads from the position from to that of the replica.
-// Digest is the digest of the objects at from, 0 if it is not known. The delta is empty if
-// from is the replica's position, and empty and exact if only the digest is the same. Otherwise it joins the deltas of the history after
-// from, or is a full delta if the history does not reach back that far.
+// Digest is the digest of the objects at from, 0 if it is not known. The delta is empty
+// if from is the replica's position, and empty and exact if only the digest is the same.
+// Otherwise it joins the deltas of the history after from, or is a full delta if the
+// history does not reach back that far.
 func (r *Replica) DeltaSince(from Position, digest uint64) Delta {
 	start := r.historyIndex(from)
 	switch {
