--- a/pipelining/conn.go
+++ b/pipelining/conn.go
@@ -71,8 +71,8 @@
 	serving bool
 	// readErr is why nothing more can be read, or nil.
 	readErr error
-	// draining is set once a response closes the connection or a request ends without one. No further requests are run
-	// then.
+	// draining is set once a response closes the connection or a request ends without
+	// one. No further requests are run then.
 	draining bool
 	// closing is set if the connection is to be closed when the response queue is empty.
 	// serverClosed is set if the server has closed it, and connClosed if the connection of
--- a/pipelining/doc.go
+++ b/pipelining/doc.go
@@ -13,7 +13,7 @@
 // too.
 //
 // A plain request has the method GET or HEAD, no body, and no header that concerns the
-// connection except Connection: keep-alive. The response queue of a connection contains its unanswered requests, in
-// request order. Only idempotent requests run concurrently. A Handler says whether its
-// request is idempotent by calling AwaitStart.
+// connection except Connection: keep-alive. The response queue of a connection contains
+// its unanswered requests, in request order. Only idempotent requests run concurrently. A
+// Handler says whether its request is idempotent by calling AwaitStart.
 package pipelining
