--- a/upstream/backoff_model_test.go
+++ b/upstream/backoff_model_test.go
@@ -338,8 +338,8 @@
 	return modelCold
 }
 
-// gossip makes an instance send its target reports to modelFanout random instances, which may include
-// itself, in every round.
+// gossip makes an instance send its target reports to modelFanout random instances, which may
+// include itself, in every round.
 func (m *backoffModel) gossip(instance int) {
 	reports := m.pools[instance].TargetReports(m.now).Sample(modelTargetReports, m.rnd)
 	for range modelFanout {
--- a/upstream/rate_limit.go
+++ b/upstream/rate_limit.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// ReceivePermits applies the reply of an owner to a permit request made at requestedAt, and returns the
-// grants and refusals that follow.
+// ReceivePermits applies the reply of an owner to a permit request made at requestedAt, and returns
+// the grants and refusals that follow.
 func (p *Pool) ReceivePermits(now, requestedAt time.Time, name, from string, grant ratelimit.Grant) []Grant {
 	_, requests := p.permits.HandleReply(now, requestedAt, name, from, grant)
 	p.permitRequests = append(p.permitRequests, requests...)
--- a/upstream/target_list.go
+++ b/upstream/target_list.go
@@ -27,8 +27,8 @@
 	return p.dispatch(now)
 }
 
-// ChangeTargets adds or updates the changed targets and removes those with the IDs in removed.
-// A target that is in both is removed. It returns the grants and refusals that follow. The pool keeps
+// ChangeTargets adds or updates the changed targets and removes those with the IDs in removed. A
+// target that is in both is removed. It returns the grants and refusals that follow. The pool keeps
 // the specs, which must not change afterwards.
 func (p *Pool) ChangeTargets(now time.Time, changed []*catalog.Target, removed []string, evacuated map[string]bool) []Grant {
 	affected := make([]*target, 0, len(changed)+len(removed))
