--- a/locality/calibrate.go
+++ b/locality/calibrate.go
@@ -19,8 +19,8 @@
 	lastSeen map[float64]time.Time
 }
 
-// Add records that a key with the given hash was seen. It ignores a new key while maxPoints keys are
-// recorded.
+// Add records that a key with the given hash was seen. It ignores a new key while maxPoints keys
+// are recorded.
 func (p *Points) Add(now time.Time, point float64) {
 	if p.lastSeen == nil {
 		p.lastSeen = make(map[float64]time.Time)
--- a/locality/calibrate_test.go
+++ b/locality/calibrate_test.go
@@ -20,7 +20,8 @@
 }
 
 // TestCalibratedSharesDivideKeys checks that each region gets its share of a small number of keys,
-// give or take less than two keys, whatever the keys' hashes. At each boundary the error is less than one key.
+// give or take less than two keys, whatever the keys' hashes. At each boundary the error is less
+// than one key.
 func TestCalibratedSharesDivideKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawShares(t)
