--- a/cmd/rainford/common.go
+++ b/cmd/rainford/common.go
@@ -21,10 +21,11 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// common are the flags of subcommands that talk to the platform.
-type common struct {
+// commonFlags holds the flags that several subcommands share. The platform is the external
+// service that stores the configuration and the list of instances.
+type commonFlags struct {
 	platform string
-	who      string
+	operator string
 	json     bool
 	timeout  time.Duration
 }
@@ -33,48 +34,54 @@
 
 func newFlags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
 
-func (c *common) register(fs *flag.FlagSet) {
+// register adds the flags of subcommands that connect to the platform.
+func (c *commonFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&c.platform, "platform", "http://127.0.0.1:7000", "base URL of the platform's service, or objects://IP:PORT")
 	fs.DurationVar(&c.timeout, "timeout", defaultTimeout, "how long to try")
 	c.registerJSON(fs)
 }
 
-func (c *common) registerJSON(fs *flag.FlagSet) {
+func (c *commonFlags) registerJSON(fs *flag.FlagSet) {
 	fs.BoolVar(&c.json, "json", false, "print JSON")
 }
 
-// registerWho adds the flag of subcommands that change the configuration.
-func (c *common) registerWho(fs *flag.FlagSet) {
-	fs.StringVar(&c.who, "who", os.Getenv("USER"), "operator's name for the audit trail")
+// registerOperator adds the flag that names the operator. Subcommands that change the
+// configuration need it for the audit trail.
+func (c *commonFlags) registerOperator(fs *flag.FlagSet) {
+	fs.StringVar(&c.operator, "who", os.Getenv("USER"), "operator's name for the audit trail")
 }
 
-// objectsScheme begins the address of a platform whose store is one of objects
-// by kind.
+// objectsScheme is the prefix of the address of a platform whose store lists objects by
+// kind, such as servers and rollouts.
 const objectsScheme = "objects://"
 
-func (c *common) client() objectstore.Service {
+// client returns a client of the platform that the -platform flag names.
+func (c *commonFlags) client() objectstore.Service {
 	if addr, ok := strings.CutPrefix(c.platform, objectsScheme); ok {
 		return platform.NewObjects(addr)
 	}
 	return objectstore.NewClient(c.platform, 0)
 }
 
-// editor returns an editor for the audit trail's who and what.
-func (c *common) editor(client objectstore.Service, what string) (*config.Editor, error) {
-	if c.who == "" {
-		return nil, usagef("say who you are with -who or RAINFORD_WHO: the audit trail needs it")
+// editor returns an editor of the configuration. The audit trail records the operator and the
+// command that makes the change. Without an operator, editor returns a usage error.
+func (c *commonFlags) editor(client objectstore.Service, command string) (*config.Editor, error) {
+	if c.operator == "" {
+		return nil, usagef("the operator's name is missing: the audit trail needs -who or RAINFORD_WHO")
 	}
-	return &config.Editor{Store: client, Operator: c.who, Command: what, NewID: newID, Now: time.Now}, nil
+	return &config.Editor{Store: client, Operator: c.operator, Command: command, NewID: newID, Now: time.Now}, nil
 }
 
+// newID returns a random identifier of a change.
 func newID() string {
 	var raw [12]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// document reads the accepted configuration.
-func document(ctx context.Context, client objectstore.Service) (*config.Document, error) {
+// readDocument reads the accepted configuration. It returns an empty document if the
+// platform has none.
+func readDocument(ctx context.Context, client objectstore.Service) (*config.Document, error) {
 	obj, err := client.Get(ctx, config.Key)
 	if errors.Is(err, objectstore.ErrNotFound) {
 		return &config.Document{}, nil
@@ -91,8 +98,8 @@
 	return enc.Encode(v)
 }
 
-// accepted prints an accepted change.
-func (a *app) accepted(c *common, change config.Change) error {
+// printChange prints an accepted change with the cells that it changed.
+func (a *app) printChange(c *commonFlags, change config.Change) error {
 	if c.json {
 		return a.printJSON(change)
 	}
@@ -112,7 +119,7 @@
 
 func (a *app) versionCommand() *ffcli.Command {
 	fs := newFlags("rainford version")
-	c := &common{}
+	c := &commonFlags{}
 	c.registerJSON(fs)
 	return a.command("version", "rainford version [-json]", "print the version of the program", fs, func(context.Context, []string) error {
 		version := "devel"
--- a/cmd/rainford/walks_test.go
+++ b/cmd/rainford/explain_gateway_test.go
@@ -20,7 +20,7 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// logBuffer collects what an instance logs.
+// logBuffer collects the log of an instance. It is safe for concurrent use.
 type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -38,8 +38,8 @@
 	return l.b.String()
 }
 
-// walk is one instance with one server, whose log is read by explain.
-type walk struct {
+// gatewayFixture is one gateway with one target. Its log is the input of explain.
+type gatewayFixture struct {
 	t      *testing.T
 	log    logBuffer
 	addr   string
@@ -48,8 +48,9 @@
 	store  *objects.Store
 }
 
-func newWalk(t *testing.T) *walk {
-	w := &walk{t: t, store: objects.New()}
+// newGatewayFixture starts a gateway and a target, and waits until a request succeeds.
+func newGatewayFixture(t *testing.T) *gatewayFixture {
+	w := &gatewayFixture{t: t, store: objects.New()}
 	store := httptest.NewServer(w.store)
 	t.Cleanup(func() {
 		store.CloseClientConnections()
@@ -91,7 +92,8 @@
 	return w
 }
 
-func (w *walk) send(id string) int {
+// send sends a request and returns the status, or 0 if there is no response.
+func (w *gatewayFixture) send(id string) int {
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/", bytes.NewReader([]byte("b")))
 	require.NoError(w.t, err)
 	req.Host = "h.example"
@@ -105,8 +107,9 @@
 	return resp.StatusCode
 }
 
-// explain runs the command of docs/OPERATIONS.md on the log.
-func (w *walk) explain(id string) string {
+// explain runs rainford explain on the log until it finds the request, as
+// docs/OPERATIONS.md describes for operators.
+func (w *gatewayFixture) explain(id string) string {
 	var text string
 	require.Eventually(w.t, func() bool {
 		text, _ = explain(w.t, w.log.String(), id, "-")
@@ -115,13 +118,15 @@
 	return text
 }
 
-func (w *walk) script(f origin.Fault) {
+// setFault makes the target apply f to each request.
+func (w *gatewayFixture) setFault(f origin.Fault) {
 	w.server.SetScript(func(*http.Request) origin.Fault { return f })
 }
 
-// TestWalkRefused follows a request that was refused without having run.
-func TestWalkRefused(t *testing.T) {
-	w := newWalk(t)
+// TestExplainEvacuatedHall checks the explanation of a request that is refused, without having
+// run, because the only hall is evacuated.
+func TestExplainEvacuatedHall(t *testing.T) {
+	w := newGatewayFixture(t)
 	w.store.Set("evacuations", "a1", struct{}{})
 	require.Eventually(t, func() bool { return w.send("warm") == 503 }, 10*time.Second, 5*time.Millisecond)
 	runs := len(w.server.Runs())
@@ -133,10 +138,10 @@
 	require.Len(t, w.server.Runs(), runs)
 }
 
-// TestWalkTimeout follows a request that was given up at its route's timeout.
-func TestWalkTimeout(t *testing.T) {
-	w := newWalk(t)
-	w.script(origin.Silent)
+// TestExplainTimeout checks the explanation of a request that exceeds the timeout of its route.
+func TestExplainTimeout(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.setFault(origin.Silent)
 	require.Equal(t, 504, w.send("slow"))
 	text := w.explain("slow")
 	require.Contains(t, text, "request slow: 504, its time ended while a target had it; it may have run")
@@ -145,10 +150,11 @@
 	require.Contains(t, text, `"belief":"suspected","cause":"silent"`)
 }
 
-// TestWalkUnknown follows a request whose answer was lost after it was sent.
-func TestWalkUnknown(t *testing.T) {
-	w := newWalk(t)
-	w.script(origin.LostResponse)
+// TestExplainLostResponse checks the explanation of a request whose response is lost after the
+// request was sent.
+func TestExplainLostResponse(t *testing.T) {
+	w := newGatewayFixture(t)
+	w.setFault(origin.LostResponse)
 	require.Equal(t, 502, w.send("lost"))
 	text := w.explain("lost")
 	require.Contains(t, text, "request lost: 502, the connection or the answer broke after it was sent")
@@ -157,8 +163,8 @@
 	require.Contains(t, text, "EOF")
 }
 
-// replace has another server take the place of the one before.
-func (w *walk) replace(id string) {
+// replaceServer removes the target and starts another one with the given ID.
+func (w *gatewayFixture) replaceServer(id string) {
 	w.store.Remove("servers", w.server.ID)
 	server, err := origin.Start(id, "s", "a1", 1)
 	require.NoError(w.t, err)
@@ -168,15 +174,15 @@
 		"state": "ready", "warmupRemaining": "0ms", "sequence": 1})
 }
 
-// TestWalkEnding follows a request that is held back because targets end under it to the
-// targets that have ended.
-func TestWalkEnding(t *testing.T) {
-	w := newWalk(t)
+// TestExplainQuarantinedRequest checks the explanation of a request that is held because targets
+// crash while they run it. It must name the targets that crashed.
+func TestExplainQuarantinedRequest(t *testing.T) {
+	w := newGatewayFixture(t)
 	for i, id := range []string{"i-2", "i-3", "i-4"} {
-		w.script(origin.Crash)
+		w.setFault(origin.Crash)
 		ends := func() bool { return w.send(fmt.Sprint("end", i)) == 502 }
 		require.Eventually(t, ends, 10*time.Second, 20*time.Millisecond)
-		w.replace(id)
+		w.replaceServer(id)
 	}
 	require.Eventually(t, func() bool { return w.send("held") == 503 }, 10*time.Second, 20*time.Millisecond)
 	text := w.explain("held")
@@ -187,9 +193,10 @@
 	require.Empty(t, w.server.Runs())
 }
 
-// TestWalkRest follows a request that was refused as its target rests to what the target asked for.
-func TestWalkRest(t *testing.T) {
-	w := newWalk(t)
+// TestExplainTargetBackoff checks the explanation of a request that is refused because its target
+// requested a back-off in the response to an earlier request.
+func TestExplainTargetBackoff(t *testing.T) {
+	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	w.server.SetRetryAfter(time.Now().Add(time.Minute), 30*time.Second)
 	require.Equal(t, 503, w.send("asks"))
@@ -200,9 +207,10 @@
 	require.Contains(t, text, `"target":"i-1","belief":"resting"`)
 }
 
-// TestWalkLeaving follows a request that found no target, as that had said that it leaves.
-func TestWalkLeaving(t *testing.T) {
-	w := newWalk(t)
+// TestExplainLeavingTarget checks the explanation of a request that finds no target because the
+// only one has announced that it is leaving.
+func TestExplainLeavingTarget(t *testing.T) {
+	w := newGatewayFixture(t)
 	require.Eventually(t, func() bool { return w.send("warm") == 200 }, 10*time.Second, 5*time.Millisecond)
 	w.server.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	require.Equal(t, 200, w.send("told"))
--- a/cmd/rainford/hold.go
+++ b/cmd/rainford/hold.go
@@ -14,23 +14,27 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// held is a request that is held back, as the store keeps it.
-type held struct {
-	// Content is the form of its digest in logs.
+// heldRequest is a quarantined request, merged from its records in the store. Instances hold
+// such a request because targets crashed while they ran it.
+type heldRequest struct {
+	// Content is the digest of the request's content in the form that log lines use, and
+	// Digest is the whole digest in hexadecimal.
 	Content string `json:"content"`
 	Digest  string `json:"digest"`
-	// Ends is the number of targets that have ended under it, and Last when the last did.
+	// Ends is the number of targets that crashed while they ran the request, and Last is the
+	// time of the last crash.
 	Ends int       `json:"ends"`
 	Last time.Time `json:"last"`
-	// Released is when it was released, and By by whom; zero while it is held.
+	// Released is the time of the release, and By is the operator who released the request.
+	// Both are zero while the request is held.
 	Released time.Time `json:"released,omitzero"`
 	By       string    `json:"by,omitempty"`
 }
 
-// holdCommand lists and releases requests that are held back because targets end under them.
+// holdCommand returns the commands that list and release quarantined requests.
 func (a *app) holdCommand() *ffcli.Command {
 	list := newFlags("rainford hold list")
-	lc := &common{}
+	lc := &commonFlags{}
 	lc.register(list)
 	listCmd := a.command("list", "rainford hold list [-json]", "list the requests, and the accounts, that are held back because targets ended under them", list, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
@@ -45,15 +49,15 @@
 		return a.printHeld(lc, all)
 	})
 	release := newFlags("rainford hold release")
-	rc := &common{}
+	rc := &commonFlags{}
 	rc.register(release)
-	rc.registerWho(release)
+	rc.registerOperator(release)
 	releaseCmd := a.command("release", "rainford hold release [-who NAME] CONTENT", "have a request sent again like any other, at all instances", release, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
-			return usagef("hold release takes the content of one request, as request lines and hold list show it")
+			return usagef("hold release takes the content of one request, as printed by hold list and in request log lines")
 		}
-		if rc.who == "" {
-			return usagef("say who you are with -who or RAINFORD_WHO: the release is kept with it")
+		if rc.operator == "" {
+			return usagef("the operator's name is missing: the release is stored with the name from -who or RAINFORD_WHO")
 		}
 		ctx, cancel := context.WithTimeout(ctx, rc.timeout)
 		defer cancel()
@@ -62,29 +66,30 @@
 	return a.group("hold", "rainford hold <list|release>", "see and release requests that are held back", listCmd, releaseCmd)
 }
 
-// readHeld reads the held requests from the store, the latest first.
-func readHeld(ctx context.Context, client objectstore.Service) ([]held, error) {
+// readHeld reads the quarantined requests from the store. The request with the latest crash
+// comes first. A request that was released before its latest crash is held again.
+func readHeld(ctx context.Context, client objectstore.Service) ([]heldRequest, error) {
 	listing, err := client.List(ctx, quarantine.StoredPrefix)
 	if err != nil {
 		return nil, err
 	}
-	byDigest := make(map[quarantine.Digest]*held)
+	byDigest := make(map[quarantine.Digest]*heldRequest)
 	for _, o := range listing.Objects {
-		kept, err := quarantine.ParseStoredRecord(o.Key, o.Value)
+		record, err := quarantine.ParseStoredRecord(o.Key, o.Value)
 		if err != nil {
 			return nil, err
 		}
-		if kept.Expired(time.Now()) {
+		if record.Expired(time.Now()) {
 			continue
 		}
-		h := byDigest[kept.Digest]
+		h := byDigest[record.Digest]
 		if h == nil {
-			h = &held{Content: kept.Digest.String(), Digest: hex.EncodeToString(kept.Digest[:])}
-			byDigest[kept.Digest] = h
+			h = &heldRequest{Content: record.Digest.String(), Digest: hex.EncodeToString(record.Digest[:])}
+			byDigest[record.Digest] = h
 		}
-		h.add(kept)
+		h.merge(record)
 	}
-	var all []held
+	var all []heldRequest
 	for _, h := range byDigest {
 		if h.Released.Before(h.Last) {
 			h.Released, h.By = time.Time{}, ""
@@ -95,21 +100,21 @@
 	return all, nil
 }
 
-// add takes in one of the objects of the request.
-func (h *held) add(kept quarantine.StoredRecord) {
-	if kept.Released > 0 {
-		if at := kept.LastEvent(); at.After(h.Released) {
-			h.Released, h.By = at, kept.ReleasedBy
+// merge applies one stored record of the request, which is a release or a list of crashes.
+func (h *heldRequest) merge(record quarantine.StoredRecord) {
+	if record.Released > 0 {
+		if at := record.LastEvent(); at.After(h.Released) {
+			h.Released, h.By = at, record.ReleasedBy
 		}
 		return
 	}
-	h.Ends = max(h.Ends, len(kept.Crashes))
-	if last := kept.LastEvent(); last.After(h.Last) {
+	h.Ends = max(h.Ends, len(record.Crashes))
+	if last := record.LastEvent(); last.After(h.Last) {
 		h.Last = last
 	}
 }
 
-func (a *app) printHeld(c *common, all []held) error {
+func (a *app) printHeld(c *commonFlags, all []heldRequest) error {
 	if c.json {
 		return a.printJSON(all)
 	}
@@ -123,28 +128,30 @@
 	return nil
 }
 
-// releaseHeld writes a release of the one held request whose content is given.
-func (a *app) releaseHeld(ctx context.Context, c *common, content string) error {
+// releaseHeld stores a release of the one held request whose digest begins with content, or
+// whose digest has the form content in logs. It returns an error if no request or several
+// requests match.
+func (a *app) releaseHeld(ctx context.Context, c *commonFlags, content string) error {
 	client := c.client()
 	all, err := readHeld(ctx, client)
 	if err != nil {
 		return err
 	}
-	var found []held
+	var found []heldRequest
 	for _, h := range all {
 		if (strings.HasPrefix(h.Digest, content) || h.Content == content) && h.Released.IsZero() {
 			found = append(found, h)
 		}
 	}
 	if len(found) != 1 || content == "" {
-		return fmt.Errorf("%d held requests have the content %q", len(found), content)
+		return fmt.Errorf("%d held requests match the content %q: give the content of exactly one", len(found), content)
 	}
 	raw, err := hex.DecodeString(found[0].Digest)
 	if err != nil {
 		return err
 	}
-	kept := quarantine.StoredRecord{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), ReleasedBy: c.who}
-	_, err = client.Put(ctx, kept.Key(), 0, kept)
+	record := quarantine.StoredRecord{Digest: quarantine.Digest(raw), Released: time.Now().UnixMilli(), ReleasedBy: c.operator}
+	_, err = client.Put(ctx, record.Key(), 0, record)
 	if err != nil {
 		return err
 	}
--- a/cmd/rainford/hold_test.go
+++ b/cmd/rainford/hold_test.go
@@ -14,8 +14,9 @@
 	"github.com/rainford/rainford/quarantine"
 )
 
-// TestHold checks that held requests are listed, that one is released by its content with the
-// operator's name, and that what is no longer held is not released again.
+// TestHold checks that hold list prints the quarantined requests, that hold release releases one
+// of them by its content under the operator's name, and that a released request cannot be
+// released again.
 func TestHold(t *testing.T) {
 	server := httptest.NewServer(objects.New())
 	t.Cleanup(server.Close)
@@ -30,11 +31,11 @@
 	require.Empty(t, hold(exitOK, "list", "-platform", at))
 	store := platform.NewObjects(addr)
 	for _, uri := range []string{"/a/", "/b/"} {
-		kept := quarantine.StoredRecord{Digest: quarantine.Content{URI: uri}.Digest()}
+		record := quarantine.StoredRecord{Digest: quarantine.Content{URI: uri}.Digest()}
 		for i := range 3 {
-			kept.Crashes = append(kept.Crashes, quarantine.StoredCrash{Target: quarantine.TargetID(i), At: time.Now().UnixMilli(), Trial: i == 2})
+			record.Crashes = append(record.Crashes, quarantine.StoredCrash{Target: quarantine.TargetID(i), At: time.Now().UnixMilli(), Trial: i == 2})
 		}
-		_, err := store.Put(t.Context(), kept.Key(), 0, kept)
+		_, err := store.Put(t.Context(), record.Key(), 0, record)
 		require.NoError(t, err)
 	}
 	content := quarantine.Content{URI: "/a/"}.Digest().String()
--- a/cmd/rainford/rollout.go
+++ b/cmd/rainford/rollout.go
@@ -15,10 +15,12 @@
 	"github.com/rainford/rainford/rollout"
 )
 
-// defaultRolloutTime is for how long a rollout may go on where nothing else is said.
+// defaultRolloutTime is the default of -duration, the time within which a rollout shifts all
+// requests to the new version.
 const defaultRolloutTime = 10 * time.Minute
 
-// rolloutCommand orders that versions of services are brought in, and shows what becomes of the orders.
+// rolloutCommand returns the commands that order, list and abort rollouts of new versions of
+// services.
 func (a *app) rolloutCommand() *ffcli.Command {
 	return a.group("rollout", "rainford rollout <start|status|abort>", "bring a new version of a service in step by step",
 		a.rolloutStartCommand(), a.rolloutStatusCommand(), a.rolloutAbortCommand())
@@ -26,7 +28,7 @@
 
 func (a *app) rolloutStartCommand() *ffcli.Command {
 	fs := newFlags("rainford rollout start")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	duration := fs.Duration("duration", defaultRolloutTime, "time within which the requests are to be moved")
 	return a.command("start", "rainford rollout start [-duration TIME] SERVICE VERSION",
@@ -47,14 +49,15 @@
 		})
 }
 
-// startRollout gives an order, in place of one that has ended.
+// startRollout stores the rollout order o. It replaces an earlier order for the service if that
+// rollout has ended, and returns an error if it is still in progress.
 func (a *app) startRollout(ctx context.Context, store *platform.Store, o rollout.Order) error {
-	held, found, err := rolloutOf(ctx, store, o.Service)
+	current, found, err := findRollout(ctx, store, o.Service)
 	if err != nil {
 		return err
 	}
-	if found && !held.State.IsFinal() {
-		return fmt.Errorf("version %s of %s is being brought in: wait for its end, or say rainford rollout abort %s first", held.Version, o.Service, o.Service)
+	if found && !current.State.IsFinal() {
+		return fmt.Errorf("the rollout of version %s of %s is still in progress: wait for its end, or run rainford rollout abort %s first", current.Version, o.Service, o.Service)
 	}
 	if found {
 		if err := store.Remove(ctx, gateway.KindRollouts, o.Service); err != nil {
@@ -70,7 +73,7 @@
 
 func (a *app) rolloutStatusCommand() *ffcli.Command {
 	fs := newFlags("rainford rollout status")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	return a.command("status", "rainford rollout status [-json]", "list the orders to bring versions in, and what has become of them", fs, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
@@ -99,7 +102,7 @@
 
 func (a *app) rolloutAbortCommand() *ffcli.Command {
 	fs := newFlags("rainford rollout abort")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	return a.command("abort", "rainford rollout abort SERVICE", "take the order to bring a version in back: its targets get nothing any more", fs, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
@@ -111,35 +114,35 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		defer cancel()
-		held, found, err := rolloutOf(ctx, store, args[0])
+		current, found, err := findRollout(ctx, store, args[0])
 		switch {
 		case err != nil:
 			return err
 		case !found:
-			return fmt.Errorf("no version of %s is ordered", args[0])
-		case held.State.IsFinal():
-			return fmt.Errorf("the rollout of version %s of %s has ended: %s", held.Version, held.Service, stateName(held.State))
+			return fmt.Errorf("there is no rollout order for service %s", args[0])
+		case current.State.IsFinal():
+			return fmt.Errorf("the rollout of version %s of %s has ended: %s", current.Version, current.Service, stateName(current.State))
 		}
 		if err := store.Remove(ctx, gateway.KindRollouts, args[0]); err != nil {
 			return err
 		}
-		fmt.Fprintf(a.stdout, "version %s of %s is not brought in any more\n", held.Version, held.Service)
+		fmt.Fprintf(a.stdout, "version %s of %s is not brought in any more\n", current.Version, current.Service)
 		return nil
 	})
 }
 
-// objects returns the client of a platform whose store is one of objects by kind: the other has no targets
-// that name a version.
-func (c *common) objects() (*platform.Store, error) {
+// objects returns a client of a platform whose store lists objects by kind. Rollouts need such
+// a platform, because only its objects state the versions of the targets.
+func (c *commonFlags) objects() (*platform.Store, error) {
 	addr, ok := strings.CutPrefix(c.platform, objectsScheme)
 	if !ok {
-		return nil, usagef("-platform must be " + objectsScheme + "IP:PORT: targets tell their versions only there")
+		return nil, usagef("-platform must be " + objectsScheme + "IP:PORT: only there do targets announce their versions")
 	}
 	return platform.NewStore(addr), nil
 }
 
-// rolloutOf returns the order for a service, false if there is none.
-func rolloutOf(ctx context.Context, store *platform.Store, service string) (rollout.Record, bool, error) {
+// findRollout returns the rollout order for a service. It returns false if there is none.
+func findRollout(ctx context.Context, store *platform.Store, service string) (rollout.Record, bool, error) {
 	all, err := store.Rollouts(ctx)
 	if err != nil {
 		return rollout.Record{}, false, err
@@ -151,7 +154,8 @@
 	return all[i], true, nil
 }
 
-// stateName names the state of an order, also of one that nobody has taken up yet.
+// stateName returns the name of the state of a rollout. The state is empty until an instance
+// has started the rollout.
 func stateName(s rollout.State) string {
 	if s == "" {
 		return "ordered"
--- a/cmd/rainford/status.go
+++ b/cmd/rainford/status.go
@@ -23,6 +23,7 @@
 	"github.com/rainford/rainford/protocol"
 )
 
+// decode unmarshals the value of obj into out, which must be a pointer.
 func decode(obj objectstore.Object, out any) error {
 	err := json.Unmarshal(obj.Value, out)
 	if err != nil {
@@ -31,24 +32,26 @@
 	return nil
 }
 
-// instanceStatus is one line of the status.
+// instanceStatus is an instance with its status, or with the error of the request for it.
 type instanceStatus struct {
 	Instance member.Instance `json:"instance"`
 	Status   *node.Status    `json:"status,omitempty"`
 	Error    string          `json:"error,omitempty"`
 }
 
-// overview is the status of the whole system.
+// overview is the number of the accepted configuration and the status of every instance.
 type overview struct {
 	Version   int64            `json:"version"`
 	Instances []instanceStatus `json:"instances"`
 }
 
+// statusTimeout bounds a request for the status of an instance or for a look-up.
 const statusTimeout = 2 * time.Second
 
-// gather asks every listed instance for its status.
-func gather(ctx context.Context, client objectstore.Service) (*overview, error) {
-	doc, err := document(ctx, client)
+// fetchOverview requests the status of every instance that the platform lists, all at the
+// same time. An instance that does not respond is included with its error.
+func fetchOverview(ctx context.Context, client objectstore.Service) (*overview, error) {
+	doc, err := readDocument(ctx, client)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +69,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			out.Instances[i].ask(ctx)
+			out.Instances[i].fetch(ctx)
 		}()
 	}
 	wg.Wait()
@@ -74,11 +77,11 @@
 	return out, nil
 }
 
-func (s *instanceStatus) ask(ctx context.Context) {
+func (s *instanceStatus) fetch(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var st node.Status
-	err := getJSON(ctx, "http://"+s.Instance.AdminAddr+node.StatusPath, &st)
+	err := fetchJSON(ctx, "http://"+s.Instance.AdminAddr+node.StatusPath, &st)
 	if err != nil {
 		s.Error = err.Error()
 		return
@@ -86,9 +89,12 @@
 	s.Status = &st
 }
 
+// maxBody is the maximum size of a response, in bytes.
 const maxBody = 8 << 20
 
-func getJSON(ctx context.Context, url string, out any) error {
+// fetchJSON requests url and decodes the response, of at most maxBody bytes, into out. A
+// status other than 200 is an error.
+func fetchJSON(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -110,7 +116,7 @@
 
 func (a *app) statusCommand() *ffcli.Command {
 	fs := newFlags("rainford status")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	gateways := fs.String("gateways", "", "admin addresses of gateways, with commas between: show these, and which targets they send nothing to")
 	return a.command("status", "rainford status [-gateways IP:PORT,…] [-json]", "show every instance with the version that it has in force", fs, func(ctx context.Context, args []string) error {
@@ -122,7 +128,7 @@
 		if *gateways != "" {
 			return a.gatewayStatus(ctx, c, strings.Split(*gateways, ","))
 		}
-		o, err := gather(ctx, c.client())
+		o, err := fetchOverview(ctx, c.client())
 		if err != nil {
 			return err
 		}
@@ -166,35 +172,40 @@
 
 func (a *app) watchCommand() *ffcli.Command {
 	fs := newFlags("rainford watch")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	count := fs.Int("n", 0, "end after this many changes; 0 goes on")
 	return a.command("watch", "rainford watch [-n N] [-json]", "follow accepted changes, and when each is in force everywhere", fs, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
 			return usagef("watch takes no arguments")
 		}
-		return a.follow(ctx, c, *count)
+		return a.followChanges(ctx, c, *count)
 	})
 }
 
-// change is one line of watch.
-type inForce struct {
+// changeReport is one line of the watch command.
+type changeReport struct {
 	config.Change
-	// InForceSeconds is the time until every instance that answers had the
-	// change in force, or -1 if that took too long to wait for.
+	// InForceSeconds is the time until every instance that responds had the change in
+	// force, in seconds. It is -1 if that took longer than inForceMax.
 	InForceSeconds float64 `json:"in_force_seconds"`
-	Silent         int     `json:"silent_instances"`
+	Unresponsive   int     `json:"silent_instances"`
 }
 
 const (
-	followWait  = 20 * time.Second
+	// watchWait is the maximum time that one watch request waits for a change.
+	watchWait = 20 * time.Second
+	// inForceMax is the maximum time to wait until a change is in force everywhere, and
+	// inForcePoll is the interval between the requests for the status meanwhile.
 	inForceMax  = 30 * time.Second
 	inForcePoll = 100 * time.Millisecond
 )
 
-func (a *app) follow(ctx context.Context, c *common, count int) error {
+// followChanges prints each change that is accepted from now on, until count changes are
+// printed or ctx ends. A count of 0 means no bound.
+func (a *app) followChanges(ctx context.Context, c *commonFlags, count int) error {
 	client := c.client()
-	doc, err := document(ctx, client)
+	doc, err := readDocument(ctx, client)
 	if err != nil {
 		return err
 	}
@@ -204,7 +215,7 @@
 	}
 	after := int64(0)
 	for shown := 0; ctx.Err() == nil && (count == 0 || shown < count); {
-		listing, err := client.Watch(ctx, []string{config.Key}, after, followWait)
+		listing, err := client.Watch(ctx, []string{config.Key}, after, watchWait)
 		if err != nil {
 			if ctx.Err() != nil {
 				return nil
@@ -234,17 +245,19 @@
 	return nil
 }
 
-func (a *app) showChange(ctx context.Context, c *common, client objectstore.Service, change config.Change) error {
+// showChange polls the instances until all that respond have the change in force, and prints
+// the change with the time that this took.
+func (a *app) showChange(ctx context.Context, c *commonFlags, client objectstore.Service, change config.Change) error {
 	began := time.Now()
-	line := inForce{Change: change, InForceSeconds: -1}
+	line := changeReport{Change: change, InForceSeconds: -1}
 	for time.Since(began) < inForceMax && ctx.Err() == nil {
-		o, err := gather(ctx, client)
+		o, err := fetchOverview(ctx, client)
 		if err == nil {
 			behind := 0
-			line.Silent = 0
+			line.Unresponsive = 0
 			for _, s := range o.Instances {
 				if s.Status == nil {
-					line.Silent++
+					line.Unresponsive++
 				} else if s.Status.Version < change.Number {
 					behind++
 				}
@@ -260,13 +273,13 @@
 		return a.printJSON(line)
 	}
 	fmt.Fprintf(a.stdout, "version %d by %s at %s: %s; in force after %.2f s, %d instances silent\n",
-		change.Number, change.Operator, change.At.Format(time.RFC3339), change.Command, line.InForceSeconds, line.Silent)
+		change.Number, change.Operator, change.At.Format(time.RFC3339), change.Command, line.InForceSeconds, line.Unresponsive)
 	return nil
 }
 
 func (a *app) auditCommand() *ffcli.Command {
 	fs := newFlags("rainford audit")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	last := fs.Int("n", 20, "show the last N changes; 0 shows all")
 	return a.command("audit", "rainford audit [-n N] [-json]", "print the accepted changes: who, when, before, after, version", fs, func(ctx context.Context, args []string) error {
@@ -297,7 +310,7 @@
 
 func (a *app) lookupCommand() *ffcli.Command {
 	fs := newFlags("rainford lookup")
-	c := &common{}
+	c := &commonFlags{}
 	c.registerJSON(fs)
 	entry := fs.String("entry", "", "IP:PORT of an instance's callers' address")
 	return a.command("lookup", "rainford lookup -entry IP:PORT [-json] SERVICE", "ask an instance which ones a caller here should use", fs, func(ctx context.Context, args []string) error {
@@ -308,7 +321,7 @@
 		defer cancel()
 		var answer lookup.Response
 		query := url.Values{"service": {args[0]}}
-		err := getJSON(ctx, "http://"+*entry+protocol.LookupPath+"?"+query.Encode(), &answer)
+		err := fetchJSON(ctx, "http://"+*entry+protocol.LookupPath+"?"+query.Encode(), &answer)
 		if err != nil {
 			return err
 		}
--- a/cmd/rainford/summary.go
+++ b/cmd/rainford/summary.go
@@ -11,48 +11,52 @@
 	"time"
 )
 
-// summary tells where requests are late or refused, by service, region and span of time,
-// from the request lines of many instances.
+// summary counts late, failed and refused requests by service, region and interval of time,
+// from the request lines of the logs of several instances.
 type summary struct {
-	every time.Duration
-	lines []logLine
-	lost  int
-	// routeless counts requests that no route is for: questions which configuration
-	// is in force, or callers' mistakes.
-	routeless int
+	interval   time.Duration
+	lines      []logLine
+	unreadable int
+	// noRoute counts requests that match no route. Such requests are probes for the
+	// configuration that is in force, or mistakes of clients.
+	noRoute int
 }
 
-// reasonNoRoute is the reason of a request that no route is for.
+// reasonNoRoute is the reason in the log line of a request that matches no route.
 const reasonNoRoute = "no-route"
 
-// spanKey names a row of the summary. Region is that of the last target that got the
-// request, or "" if none did.
-type spanKey struct {
+// rowKey identifies a row of the summary. The field at is the start of the interval in which
+// the requests began. The region is that of the last target that a request was sent to, or
+// empty if it was sent to none.
+type rowKey struct {
 	at      time.Time
 	service string
 	region  string
 }
 
-// span is what happened in one row.
-type span struct {
+// summaryRow counts the requests and attempts of one row. A request that took longer than the
+// target latency of its route is late.
+type summaryRow struct {
 	requests, late, failed int
 	refused                map[string]int
-	// first counts attempts at the first target of a key, fresh those on a new
-	// connection.
-	attempts, first, fresh int
-	load                   float64
-	tookMs                 []int64
-	targets                map[string]*targetSpan
+	// firstChoice counts the attempts at the preferred target of a key, and newConnections
+	// counts the attempts on a new connection. The field load is the sum of the targets'
+	// loads, in requests in flight per slot.
+	attempts, firstChoice, newConnections int
+	load                                  float64
+	tookMs                                []int64
+	targets                               map[string]*targetUse
 }
 
-// targetSpan is what one target got in a span.
-type targetSpan struct {
+// targetUse is the total time of the attempts at one target in a row, in milliseconds, and the
+// set of objects that were requested from it. An object is identified by its route and key.
+type targetUse struct {
 	busyMs  int64
 	objects map[string]bool
 }
 
-// read takes in a log's request lines. What stands before the first brace of a line,
-// which log collectors put there, is left out.
+// read appends the request lines of a log. It ignores the text before the first brace of a
+// line, because log collectors insert a prefix there.
 func (s *summary) read(r io.Reader) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 64<<10), maxLine)
@@ -64,11 +68,11 @@
 		var l logLine
 		err := json.Unmarshal([]byte("{"+text), &l)
 		if err != nil {
-			s.lost++
+			s.unreadable++
 			continue
 		}
 		if l.Reason == reasonNoRoute {
-			s.routeless++
+			s.noRoute++
 			continue
 		}
 		s.lines = append(s.lines, l)
@@ -76,18 +80,18 @@
 	return scanner.Err()
 }
 
-// spans counts the lines by row.
-func (s *summary) spans() map[spanKey]*span {
-	out := make(map[spanKey]*span)
+// rows groups the lines into rows.
+func (s *summary) rows() map[rowKey]*summaryRow {
+	out := make(map[rowKey]*summaryRow)
 	for _, l := range s.lines {
 		began := l.Time.Add(-time.Duration(l.TookMs) * time.Millisecond)
-		key := spanKey{at: began.Truncate(s.every), service: l.Service}
+		key := rowKey{at: began.Truncate(s.interval), service: l.Service}
 		if n := len(l.Attempts); n > 0 {
 			key.region = l.Attempts[n-1].Region
 		}
 		row := out[key]
 		if row == nil {
-			row = &span{refused: make(map[string]int), targets: make(map[string]*targetSpan)}
+			row = &summaryRow{refused: make(map[string]int), targets: make(map[string]*targetUse)}
 			out[key] = row
 		}
 		row.add(l)
@@ -95,7 +99,7 @@
 	return out
 }
 
-func (row *span) add(l logLine) {
+func (row *summaryRow) add(l logLine) {
 	row.requests++
 	row.tookMs = append(row.tookMs, l.TookMs)
 	switch {
@@ -111,29 +115,28 @@
 	}
 }
 
-func (row *span) attempt(l logLine, a logAttempt) {
+func (row *summaryRow) attempt(l logLine, a logAttempt) {
 	row.attempts++
 	row.load += a.Load
 	if a.Reason == "first-choice" {
-		row.first++
+		row.firstChoice++
 	}
 	if !a.Reused {
-		row.fresh++
+		row.newConnections++
 	}
 	t := row.targets[a.Target]
 	if t == nil {
-		t = &targetSpan{objects: make(map[string]bool)}
+		t = &targetUse{objects: make(map[string]bool)}
 		row.targets[a.Target] = t
 	}
 	t.busyMs += a.TookMs
 	t.objects[l.Route+"/"+l.Key] = true
 }
 
-// print writes a row a line, and then the time of an attempt by the number of other
-// objects that the target has had since it last had the request's.
+// print writes one line for each row. The table of printObjects follows.
 func (s *summary) print(w io.Writer) {
-	rows := s.spans()
-	keys := make([]spanKey, 0, len(rows))
+	rows := s.rows()
+	keys := make([]rowKey, 0, len(rows))
 	for key := range rows {
 		keys = append(keys, key)
 	}
@@ -155,11 +158,11 @@
 			row.requests, row.late, row.failed, row.refusals(), median(row.tookMs), row.attemptsText())
 	}
 	s.printObjects(w)
-	if s.routeless > 0 {
-		fmt.Fprintf(w, "%d requests without a route left out\n", s.routeless)
+	if s.noRoute > 0 {
+		fmt.Fprintf(w, "%d requests without a route left out\n", s.noRoute)
 	}
-	if s.lost > 0 {
-		fmt.Fprintf(w, "%d lines could not be read\n", s.lost)
+	if s.unreadable > 0 {
+		fmt.Fprintf(w, "%d lines could not be read\n", s.unreadable)
 	}
 }
 
@@ -170,8 +173,8 @@
 	return text
 }
 
-// refusals returns the refused requests by reason.
-func (row *span) refusals() string {
+// refusals formats the number of refused requests for each reason.
+func (row *summaryRow) refusals() string {
 	var parts []string
 	for reason, n := range row.refused {
 		parts = append(parts, fmt.Sprintf("%s=%d", reason, n))
@@ -180,8 +183,10 @@
 	return orDash(strings.Join(parts, ","))
 }
 
-// attemptsText returns the columns that tell of attempts.
-func (row *span) attemptsText() string {
+// attemptsText formats the columns on attempts: the mean load of the targets, the busy time of
+// the busiest target relative to the median, the mean number of objects per target, and the
+// fractions of attempts at the first choice and on a new connection.
+func (row *summaryRow) attemptsText() string {
 	if row.attempts == 0 {
 		return "- - - - -"
 	}
@@ -194,10 +199,10 @@
 	}
 	n := float64(row.attempts)
 	return fmt.Sprintf("%.2f %.1f %.1f %.2f %.2f", row.load/n, float64(most)/float64(max(median(busy), 1)),
-		float64(objects)/float64(len(row.targets)), float64(row.first)/n, float64(row.fresh)/n)
+		float64(objects)/float64(len(row.targets)), float64(row.firstChoice)/n, float64(row.newConnections)/n)
 }
 
-// median returns the median of values, 0 if there are none.
+// median sorts values and returns their median, or 0 if there are none.
 func median(values []int64) int64 {
 	if len(values) == 0 {
 		return 0
@@ -206,12 +211,14 @@
 	return values[len(values)/2]
 }
 
-// sinceBounds are the upper bounds of the classes of objects since last seen. A target
-// of the sites of today keeps a few dozen.
-var sinceBounds = []int{8, 16, 32, 64}
+// reuseBounds holds the exclusive upper bounds of the classes of reuse distance. The reuse
+// distance of an object is the number of other objects that were requested from the target
+// since the last request for this object. The bounds cover the cache of a target, which
+// typically holds a few dozen objects.
+var reuseBounds = []int{8, 16, 32, 64}
 
-// printObjects writes the median time of answered attempts by how many other objects
-// the target has had since it last had this one, which shows how many it keeps.
+// printObjects writes the median time of successful attempts for each class of reuse
+// distance. The distance at which the time increases shows how many objects a target caches.
 func (s *summary) printObjects(w io.Writer) {
 	fmt.Fprintln(w, "service objects_since_last_seen attempts p50_ms")
 	sort.SliceStable(s.lines, func(i, j int) bool { return s.lines[i].Time.Before(s.lines[j].Time) })
@@ -220,9 +227,9 @@
 	for _, l := range s.lines {
 		for _, a := range l.Attempts {
 			var since int
-			recent[a.Target], since = touch(recent[a.Target], l.Route+"/"+l.Key)
+			recent[a.Target], since = moveToEnd(recent[a.Target], l.Route+"/"+l.Key)
 			if a.Outcome == "ran" {
-				class := l.Service + " " + sinceClass(since)
+				class := l.Service + " " + reuseClass(since)
 				classes[class] = append(classes[class], a.TookMs)
 			}
 		}
@@ -237,9 +244,10 @@
 	}
 }
 
-// touch moves an object to the end of a target's recent ones. It returns how many
-// others came since it was there last, or -1 if it was not there.
-func touch(recent []string, object string) ([]string, int) {
+// moveToEnd moves object to the end of recent, the objects of a target in the order of their
+// last requests. It returns the new list and the reuse distance of object, which is -1 if
+// recent did not contain it.
+func moveToEnd(recent []string, object string) ([]string, int) {
 	for i := len(recent) - 1; i >= 0; i-- {
 		if recent[i] == object {
 			since := len(recent) - 1 - i
@@ -249,14 +257,16 @@
 	return append(recent, object), -1
 }
 
-func sinceClass(since int) string {
+// reuseClass returns the name of the class of a reuse distance. A distance below 0 stands for
+// an object that was not requested from the target before.
+func reuseClass(since int) string {
 	if since < 0 {
 		return "never-seen"
 	}
-	for _, bound := range sinceBounds {
+	for _, bound := range reuseBounds {
 		if since < bound {
 			return fmt.Sprintf("under-%03d", bound)
 		}
 	}
-	return fmt.Sprintf("over-%03d", sinceBounds[len(sinceBounds)-1])
+	return fmt.Sprintf("over-%03d", reuseBounds[len(reuseBounds)-1])
 }
--- a/cmd/rainford/table.go
+++ b/cmd/rainford/table.go
@@ -20,15 +20,16 @@
 		a.tableGet(), a.tableCheck(), a.tableApply(), a.tableSet())
 }
 
-// baseLine is the first line of an exported table. It tells apply which
-// version the edits were made from.
-const baseLine = "# rainford table version "
+// versionHeader begins the first line of an exported table, and the number of the version
+// follows. It names the version that edits of the file are based on, so that table apply can
+// detect conflicting changes.
+const versionHeader = "# rainford table version "
 
-var baseForm = regexp.MustCompile(`^# rainford table version (\d+)`)
+var versionHeaderPattern = regexp.MustCompile(`^# rainford table version (\d+)`)
 
 func (a *app) tableGet() *ffcli.Command {
 	fs := newFlags("rainford table get")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	return a.command("get", "rainford table get [-json]", "print the table as CSV", fs, func(ctx context.Context, args []string) error {
 		if len(args) > 0 {
@@ -36,7 +37,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, c.timeout)
 		defer cancel()
-		doc, err := document(ctx, c.client())
+		doc, err := readDocument(ctx, c.client())
 		if err != nil {
 			return err
 		}
@@ -46,19 +47,22 @@
 				Table   table.Table `json:"table"`
 			}{doc.Number, doc.Table})
 		}
-		fmt.Fprintf(a.stdout, "%s%d\n", baseLine, doc.Number)
+		fmt.Fprintf(a.stdout, "%s%d\n", versionHeader, doc.Number)
 		return table.WriteCSV(a.stdout, doc.Table.Rows)
 	})
 }
 
-// sheet is a table read from a file.
-type sheet struct {
+// exportedSheet is a table that was read from a file.
+type exportedSheet struct {
 	*table.Sheet
-	// base is the version that the file was exported from, or -1.
+	// base is the version that the file was exported from, or -1 if the file does not
+	// name it.
 	base int64
 }
 
-func (a *app) readSheet(path string) (*sheet, error) {
+// readSheet reads a table from the file path, or from standard input if path is -. If the form
+// of the table has faults, it returns the sheet together with them as table.Findings.
+func (a *app) readSheet(path string) (*exportedSheet, error) {
 	var raw []byte
 	var err error
 	if path == "-" {
@@ -69,17 +73,18 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &sheet{base: -1}
-	if m := baseForm.FindSubmatch(raw); m != nil {
+	out := &exportedSheet{base: -1}
+	if m := versionHeaderPattern.FindSubmatch(raw); m != nil {
 		out.base, _ = strconv.ParseInt(string(m[1]), 10, 64)
 	}
 	out.Sheet, err = table.ReadCSV(bytes.NewReader(raw))
 	return out, err
 }
 
-// check returns all findings of a sheet: of its form, and of its content
-// against the regions and services of a table.
-func check(s *sheet, formErr error, against *table.Table) error {
+// checkSheet returns all findings on a sheet together: the findings on its form, given as
+// formErr, and those on its content, checked against the regions and services of the table
+// against. A formErr of another type is returned as it is.
+func checkSheet(s *exportedSheet, formErr error, against *table.Table) error {
 	findings, ok := formErr.(table.Findings)
 	if formErr != nil && !ok {
 		return formErr
@@ -89,8 +94,8 @@
 	return append(findings, table.Check(next, s.Sheet)...).Err()
 }
 
-// namedIn returns a table with the regions and services that rows name, and no rows.
-func namedIn(rows []table.Row) *table.Table {
+// tableFromRows returns a table without rows, with the regions and services that rows name.
+func tableFromRows(rows []table.Row) *table.Table {
 	t := &table.Table{}
 	regions, services := make(map[string]bool), make(map[string]bool)
 	for _, row := range rows {
@@ -110,7 +115,7 @@
 
 func (a *app) tableCheck() *ffcli.Command {
 	fs := newFlags("rainford table check")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
 	offline := fs.Bool("offline", false, "ask no platform: take the regions and services to be those that the rows name")
 	return a.command("check", "rainford table check [-json] [-offline] FILE", "check a table without changing anything; FILE may be -", fs, func(ctx context.Context, args []string) error {
@@ -123,15 +128,15 @@
 		if s == nil {
 			return formErr
 		}
-		against := namedIn(s.Rows)
+		against := tableFromRows(s.Rows)
 		if !*offline {
-			doc, err := document(ctx, c.client())
+			doc, err := readDocument(ctx, c.client())
 			if err != nil {
 				return err
 			}
 			against = &doc.Table
 		}
-		err := check(s, formErr, against)
+		err := checkSheet(s, formErr, against)
 		if c.json {
 			findings, _ := err.(table.Findings)
 			if findings == nil {
@@ -151,9 +156,9 @@
 
 func (a *app) tableApply() *ffcli.Command {
 	fs := newFlags("rainford table apply")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
-	c.registerWho(fs)
+	c.registerOperator(fs)
 	base := fs.Int64("base", -1, "version that the file was made from, if the file does not say")
 	return a.command("apply", "rainford table apply [-base N] [-who NAME] [-json] FILE", "replace the rows by those of a file; FILE may be -", fs, func(ctx context.Context, args []string) error {
 		if len(args) != 1 {
@@ -169,14 +174,14 @@
 			s.base = *base
 		}
 		if s.base < 0 {
-			return usagef("%s does not say which version it was made from: export it with table get, or give -base", args[0])
+			return usagef("%s does not name the version that it was made from: export it with table get, or set -base", args[0])
 		}
 		client := c.client()
-		doc, err := document(ctx, client)
+		doc, err := readDocument(ctx, client)
 		if err != nil {
 			return err
 		}
-		if err := check(s, formErr, &doc.Table); err != nil {
+		if err := checkSheet(s, formErr, &doc.Table); err != nil {
 			return err
 		}
 		editor, err := c.editor(client, "table apply "+args[0])
@@ -190,15 +195,15 @@
 		if err != nil {
 			return err
 		}
-		return a.accepted(c, change)
+		return a.printChange(c, change)
 	})
 }
 
 func (a *app) tableSet() *ffcli.Command {
 	fs := newFlags("rainford table set")
-	c := &common{}
+	c := &commonFlags{}
 	c.register(fs)
-	c.registerWho(fs)
+	c.registerOperator(fs)
 	return a.command("set", "rainford table set [-who NAME] [-json] SERVICE FROM TO CELL=VALUE…", "change cells of one row: weight, cap, shift, ramp", fs, func(ctx context.Context, args []string) error {
 		if len(args) < 4 {
 			return usagef("table set takes a service, from, to and at least one CELL=VALUE")
@@ -214,10 +219,12 @@
 		if err != nil {
 			return err
 		}
-		return a.accepted(c, change)
+		return a.printChange(c, change)
 	})
 }
 
+// setCells changes cells of one row of t. The arguments are the service, from, to and at least
+// one CELL=VALUE. A row that does not exist is added, with no cap and a full shift.
 func setCells(t *table.Table, args []string) error {
 	row := table.Row{Service: args[0], From: args[1], To: args[2], Cap: table.NoCap, Shift: table.FullShift}
 	for _, r := range t.Rows {
--- a/cmd/rainfordload/main.go
+++ b/cmd/rainfordload/main.go
@@ -1,5 +1,6 @@
-// Command rainfordload runs measured experiments of a whole estate on loopback
-// and prints one table, or JSON.
+// Command rainfordload measures the system under load. It runs experiments with all instances
+// and targets of one or more estates on the loopback interface, and prints the results as a
+// table or as JSON. An estate is a set of regions, halls and services of given sizes.
 package main
 
 import (
@@ -38,21 +39,25 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
+// settings holds the values of the flags. An experiment is run for each combination of the
+// estates, scenarios, policies, loads and loan lengths. A load is a fraction of the capacity,
+// and slow is a factor of the service times.
 type settings struct {
-	estates   []demo.Estate
-	scenarios []experiment.Scenario
-	policies  []experiment.Policy
-	loads     []float64
-	loans     []time.Duration
-	duration  time.Duration
-	slow      float64
-	seed      uint64
-	json      bool
-	// idle lists sizes as REGIONSxINSTANCES of a hall; with it nothing else
-	// is run.
+	estates     []demo.Estate
+	scenarios   []experiment.Scenario
+	policies    []experiment.Policy
+	loads       []float64
+	loanLengths []time.Duration
+	duration    time.Duration
+	slow        float64
+	seed        uint64
+	json        bool
+	// idle lists the sizes for measurements without load, each as the number of regions and
+	// the number of instances of a hall. If there are any, no experiments with load are run.
 	idle []experiment.IdleSize
 }
 
+// run runs the experiments and returns the exit code. Progress goes to standard error.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	s, err := parse(args, stderr)
 	if errors.Is(err, flag.ErrHelp) {
@@ -75,7 +80,7 @@
 		results = append(results, result)
 		fmt.Fprintln(stderr, "done:", result.Options)
 	}
-	err = output(stdout, s.json, results)
+	err = printResults(stdout, s.json, results)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitFailure
@@ -83,7 +88,8 @@
 	return exitOK
 }
 
-// runIdle measures what control costs at the sizes asked for.
+// runIdle measures the cost of the control traffic between instances without any requests, at
+// each size of s.idle. It prints a table and returns the exit code.
 func runIdle(ctx context.Context, s *settings, stdout, stderr io.Writer) int {
 	tw := tabwriter.NewWriter(stdout, 2, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "halls\tinstances\tcore % each\theap kB each\tsent B/s each\treceived B/s each\treads/s\twrites/s\tin force s\treads/s after outage\t")
@@ -103,17 +109,17 @@
 	return exitOK
 }
 
-// matrix returns every combination of the settings.
+// matrix returns the options of one experiment for each combination of the settings.
 func (s *settings) matrix() []experiment.Options {
 	var out []experiment.Options
 	for _, estate := range s.estates {
 		for _, scenario := range s.scenarios {
 			for _, load := range s.loads {
 				for _, policy := range s.policies {
-					for _, loan := range s.loans {
+					for _, loan := range s.loanLengths {
 						out = append(out, experiment.Options{
-							Estate: clone(estate), Scenario: scenario, Policy: policy, Load: load, LoanLength: loan,
-							Duration: s.duration, Slow: s.slow, Seed: s.seed,
+							Estate: clone(estate), Scenario: scenario, Policy: policy, Load: load, LoanDuration: loan,
+							Duration: s.duration, ServiceTimeFactor: s.slow, Seed: s.seed,
 						})
 					}
 				}
@@ -123,11 +129,14 @@
 	return out
 }
 
+// clone returns a copy of e with its own list of services, so that an experiment can change it.
 func clone(e demo.Estate) demo.Estate {
 	e.Services = append([]demo.ServiceSize(nil), e.Services...)
 	return e
 }
 
+// parse reads the flags and the environment variables with the prefix RAINFORDLOAD_. It returns
+// all errors in their values together.
 func parse(args []string, stderr io.Writer) (*settings, error) {
 	s := &settings{}
 	fs := flag.NewFlagSet("rainfordload", flag.ContinueOnError)
@@ -147,31 +156,31 @@
 		return nil, err
 	}
 	var errs []error
-	each(*estates, func(v string) {
+	forEachItem(*estates, func(v string) {
 		e, err := demo.ByName(v)
 		s.estates = append(s.estates, e)
 		errs = append(errs, err)
 	})
-	each(*scenarios, func(v string) {
+	forEachItem(*scenarios, func(v string) {
 		s.scenarios = append(s.scenarios, experiment.Scenario(v))
-		errs = append(errs, known(experiment.Scenario(v), experiment.Scenarios))
+		errs = append(errs, checkKnown(experiment.Scenario(v), experiment.Scenarios))
 	})
-	each(*policies, func(v string) {
+	forEachItem(*policies, func(v string) {
 		s.policies = append(s.policies, experiment.Policy(v))
-		errs = append(errs, known(experiment.Policy(v), experiment.Policies))
+		errs = append(errs, checkKnown(experiment.Policy(v), experiment.Policies))
 	})
-	each(*loads, func(v string) {
+	forEachItem(*loads, func(v string) {
 		n, err := strconv.ParseFloat(v, 64)
 		s.loads = append(s.loads, n)
 		errs = append(errs, err)
 	})
-	each(*loans, func(v string) {
+	forEachItem(*loans, func(v string) {
 		d, err := time.ParseDuration(v)
-		s.loans = append(s.loans, d)
+		s.loanLengths = append(s.loanLengths, d)
 		errs = append(errs, err)
 	})
 	if *idle != "" {
-		each(*idle, func(v string) {
+		forEachItem(*idle, func(v string) {
 			var size experiment.IdleSize
 			_, err := fmt.Sscanf(v, "%dx%d", &size.Regions, &size.PerHall)
 			s.idle = append(s.idle, size)
@@ -181,23 +190,25 @@
 	return s, errors.Join(errs...)
 }
 
-func each(list string, f func(string)) {
+// forEachItem calls f for each part of a list that is separated by commas.
+func forEachItem(list string, f func(string)) {
 	for _, v := range strings.Split(list, ",") {
 		f(strings.TrimSpace(v))
 	}
 }
 
-func known[T comparable](v T, all []T) error {
-	for _, have := range all {
-		if have == v {
+// checkKnown returns an error if v is not one of all.
+func checkKnown[T comparable](v T, all []T) error {
+	for _, candidate := range all {
+		if candidate == v {
 			return nil
 		}
 	}
-	return fmt.Errorf("no %v: want one of %v", v, all)
+	return fmt.Errorf("unknown value %v: want one of %v", v, all)
 }
 
-// reasons prints counts as "a:1 b:2", or "-" for none.
-func reasons(counts map[protocol.Reason]int64) string {
+// formatReasons prints counts as "a:1 b:2", or "-" for none.
+func formatReasons(counts map[protocol.Reason]int64) string {
 	if len(counts) == 0 {
 		return "-"
 	}
@@ -209,7 +220,8 @@
 	return strings.Join(parts, " ")
 }
 
-func output(w io.Writer, asJSON bool, results []*experiment.Result) error {
+// printResults writes the results to w, as JSON or as a table with a row for each service.
+func printResults(w io.Writer, asJSON bool, results []*experiment.Result) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(results)
 	}
@@ -222,7 +234,7 @@
 			}
 			fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%d\t%d\t%.2f\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%s\t\n",
 				r.Options, s.Service, s.Requests, s.OK, s.NotRun, s.Unknown, s.Used, s.P50Ms, s.P99Ms, s.P999Ms, s.RefusalP99Ms,
-				r.DrainSeconds, r.RecoverSeconds, r.CapUse, r.OverSlots, r.RunTwice, reasons(s.Reasons))
+				r.DrainSeconds, r.RecoverSeconds, r.CapUse, r.OverSlots, r.RunTwice, formatReasons(s.Reasons))
 		}
 	}
 	return tw.Flush()
--- a/forward/self_report_test.go
+++ b/forward/self_report_test.go
@@ -15,26 +15,28 @@
 	"github.com/rainford/rainford/upstream"
 )
 
-// TestSelfReportInResponse checks which responses count for what a target reports about
-// itself. The complete head of a response to the request is sufficient. Responses to other
-// requests, of other incarnations or of unknown origin do not count.
+// TestSelfReportInResponse checks from which responses the self-report of a target is taken. The
+// complete head of a response to the request is sufficient. Responses to other requests and
+// successes without a signature do not count. Responses of a server that replaced the target are
+// the subject of TestSelfReportOfReplacedTarget.
 func TestSelfReportInResponse(t *testing.T) {
-	leaves := availability.SelfReport{Leaving: true}
-	rests := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
+	leaving := availability.SelfReport{Leaving: true}
+	// All servers send Retry-After. Of these responses only the rejection makes it a back-off.
+	leavingWithBackoff := availability.SelfReport{Leaving: true, Backoff: 3 * time.Second}
 	for _, c := range []struct {
 		name  string
 		fault origin.Fault
 		want  availability.SelfReport
 	}{
-		{"success", origin.None, leaves},
-		{"server error", origin.Failed, leaves},
-		{"rejection", origin.Shed, rests},
-		{"surplus response", origin.Surplus, leaves},
-		{"response before the body is read", origin.EarlyRefusal, leaves},
-		{"no content length", origin.Unframed, leaves},
-		{"reset in the body", origin.UnframedReset, leaves},
-		{"truncated body", origin.Cut, leaves},
-		{"body never completed", origin.Stalled, leaves},
+		{"success", origin.None, leaving},
+		{"server error", origin.Failed, leaving},
+		{"rejection", origin.Shed, leavingWithBackoff},
+		{"surplus response", origin.Surplus, leaving},
+		{"response before the request body is read", origin.EarlyRefusal, leaving},
+		{"no content length", origin.Unframed, leaving},
+		{"reset in the body", origin.UnframedReset, leaving},
+		{"truncated body", origin.Cut, leaving},
+		{"body never completed", origin.Stalled, leaving},
 		{"response to another request", origin.Foreign, availability.SelfReport{}},
 		{"success without a signature", origin.Unsigned, availability.SelfReport{}},
 		{"garbage", origin.Garbage, availability.SelfReport{}},
@@ -55,6 +57,7 @@
 	s, client := startTarget(t, origin.None)
 	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
 	r := newRequest(s)
+	// The server is i-1.
 	r.Target, r.TargetName = "i-0", "i-0"
 	a := client.Do(context.Background(), r)
 	require.Equal(t, upstream.Replaced, a.TargetResult.Outcome)
@@ -62,14 +65,14 @@
 }
 
 // TestSelfReportAfterClientDisconnect checks that the self-report in a response head counts
-// although the client disconnects before the rest of the response arrives. The test repeats
-// the request with a later disconnect until the head arrives before it.
+// even if the client disconnects before the rest of the response arrives. The test repeats the
+// request with later disconnects until the head arrives before the disconnect.
 func TestSelfReportAfterClientDisconnect(t *testing.T) {
 	s, client := startTarget(t, origin.Stalled)
 	s.SetExtraHeaders(func(*http.Request) string { return "Server-Leaving: 1\r\n" })
-	for stay := 20 * time.Millisecond; stay < 10*time.Second; stay *= 2 {
-		ctx, leave := context.WithCancel(context.Background())
-		time.AfterFunc(stay, leave)
+	for disconnectAfter := 20 * time.Millisecond; disconnectAfter < 10*time.Second; disconnectAfter *= 2 {
+		ctx, disconnect := context.WithCancel(context.Background())
+		time.AfterFunc(disconnectAfter, disconnect)
 		r := newRequest(s)
 		r.Deadline = time.Now().Add(time.Minute)
 		a := client.Do(ctx, r)
@@ -86,16 +89,16 @@
 func TestWithheldRequest(t *testing.T) {
 	s, client := startTarget(t, origin.None)
 	r := newRequest(s)
-	accepted := 0
+	maySendCalls := 0
 	r.MaySend = func() bool {
-		accepted++
+		maySendCalls++
 		return false
 	}
 	a := client.Do(context.Background(), r)
 	require.ErrorIs(t, a.Err, forward.ErrWithheld)
 	require.Equal(t, retry.NotRun, a.Outcome)
 	require.False(t, a.Sent)
-	require.Equal(t, 1, accepted)
+	require.Equal(t, 1, maySendCalls)
 	require.Empty(t, s.Runs())
 	next := client.Do(context.Background(), newRequest(s))
 	require.Equal(t, retry.Ran, next.Outcome)
--- a/gateway/delta.go
+++ b/gateway/delta.go
@@ -87,7 +87,7 @@
 }
 
 // inheritRemovalHold holds the removals of targets for at least as long as the sender of the
-// delta does.
+// delta does, but for the feed package's removalGrace if the sender holds them longer.
 func (g *Gateway) inheritRemovalHold(m *peer.Delta) {
 	if m.Kind != KindTargets || m.RemovalHold <= 0 {
 		return
@@ -98,7 +98,9 @@
 }
 
 // handleDeltaRequest sends the changes that another instance has requested. If this instance has
-// no objects of the kind yet, the request is kept until it has some.
+// no objects of the kind yet, the request is kept until it has some, or dropped if
+// maxPendingDeltaRequests are kept already. A request from a position that the replica is not past
+// is not answered.
 func (g *Gateway) handleDeltaRequest(m *peer.DeltaRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/held_changes.go
+++ b/gateway/held_changes.go
@@ -10,7 +10,8 @@
 // heldChanges holds changes of one kind that are not in force yet. After the store is restored from
 // a backup, what was confirmed after the backup stays in force until its writers have had time to
 // write it again. removals holds the removal of objects that the backup lacks. tombstones holds the
-// reappearance of objects that had been removed.
+// reappearance of objects that had been removed. The removals of targets are also held after a
+// long outage of the store.
 type heldChanges struct {
 	removals   feed.RemovalHold
 	tombstones feed.Tombstones
@@ -86,8 +87,8 @@
 	return h.tombstones.Hold(now, c.Name)
 }
 
-// expired returns the changes whose hold has ended: the removal of objects that the replica still
-// lacks, and the reappearance of objects that it still has.
+// expired returns the changes whose hold has ended: the removals that were not cancelled
+// meanwhile, and the reappearance of objects that it still has.
 func (h *heldChanges) expired(now time.Time, replica *feed.Replica) []feed.Change {
 	var out []feed.Change
 	for _, name := range h.removals.Expired(now) {
--- a/internal/demo/fault_test.go
+++ b/internal/demo/fault_test.go
@@ -23,7 +23,7 @@
 	longSeed = flag.Uint64("seed", 1, "seed of the long randomised runs")
 )
 
-// small returns an estate of few targets and one or more instances a hall.
+// small returns an estate with few, fast targets and perHall instances in each hall.
 func small(perHall int) Estate {
 	e := EstateDesk()
 	e.PerHall = perHall
@@ -44,7 +44,7 @@
 	return c
 }
 
-// callers returns one client for each hall.
+// callers returns one client for each hall, with the client's default number of attempts.
 func (c *Cluster) callers(t *testing.T) []*caller.Client { return c.callersOf(t, 0) }
 
 func (c *Cluster) callersOf(t *testing.T, attempts int) []*caller.Client {
@@ -59,14 +59,14 @@
 	return out
 }
 
-// troubles brings about random faults until ctx ends.
-type troubles struct {
+// faultInjector injects random faults into the platform, the targets and the instances.
+type faultInjector struct {
 	cluster *Cluster
 	rnd     *rand.Rand
 	kills   int
 }
 
-func (f *troubles) run(ctx context.Context, t *testing.T) {
+func (f *faultInjector) run(ctx context.Context, t *testing.T) {
 	for {
 		if !pause.For(ctx, time.Duration(200+f.rnd.IntN(400))*time.Millisecond) {
 			break
@@ -83,14 +83,14 @@
 	}
 }
 
-func (f *troubles) platform() {
+func (f *faultInjector) platform() {
 	choices := []platformstore.Faults{
 		{}, {}, {}, {}, {}, {}, {Down: true}, {Delay: 200 * time.Millisecond}, {LoseReplies: 3}, {StaleReads: true},
 	}
 	f.cluster.SetFaults(choices[f.rnd.IntN(len(choices))])
 }
 
-func (f *troubles) targets() {
+func (f *faultInjector) targets() {
 	for _, target := range f.cluster.Targets("") {
 		target.Server.UpdateSettings(func(s *backend.Settings) {
 			s.DropBefore, s.DropDuring, s.DropAfter, s.Refuse = 0, 0, 0, 0
@@ -109,8 +109,8 @@
 	}
 }
 
-// kill ends an instance in the middle of its work and starts another.
-func (f *troubles) kill(t *testing.T) {
+// kill kills a random instance under load and starts another one at its addresses.
+func (f *faultInjector) kill(t *testing.T) {
 	all := f.cluster.Instances()
 	victim := all[f.rnd.IntN(len(all))]
 	self := victim.Node.Instance()
@@ -121,9 +121,9 @@
 	require.NoError(t, err)
 }
 
-// onceRun sends operations through faults and checks that none ran twice, and
-// that none ran that was said not to have run.
-func onceRun(t *testing.T, seed uint64, length time.Duration) {
+// testAtMostOnce sends operations while faults are injected. It checks that no operation
+// ran twice, and that none ran that was reported as not run to its client.
+func testAtMostOnce(t *testing.T, seed uint64, length time.Duration) {
 	cluster := startCluster(t, Options{Estate: small(1), Change: func(c *node.Config) { c.DefaultDeadline = 2 * time.Second }})
 	generator := load.NewGenerator()
 	ctx, cancel := context.WithTimeout(context.Background(), length)
@@ -138,7 +138,7 @@
 			generator.Run(ctx, stream, rand.NewPCG(seed, uint64(i)))
 		}()
 	}
-	f := &troubles{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 99))}
+	f := &faultInjector{cluster: cluster, rnd: rand.New(rand.NewPCG(seed, 99))}
 	f.run(ctx, t)
 	wg.Wait()
 	generator.Wait()
@@ -150,17 +150,17 @@
 	}
 	require.Zero(t, cluster.Runs.Duplicates(), "operations that ran twice")
 	for _, key := range st.NotRunKeys {
-		require.Zero(t, cluster.Runs.Count(key), "operation %s was said not to have run", key)
+		require.Zero(t, cluster.Runs.Count(key), "operation %s ran although it was reported as not run", key)
 	}
 	require.Zero(t, st.Corrupt)
 	require.Positive(t, st.OK)
 }
 
-func TestAtMostOnceThroughFaults(t *testing.T) { onceRun(t, 1, 8*time.Second) }
+func TestAtMostOnceThroughFaults(t *testing.T) { testAtMostOnce(t, 1, 8*time.Second) }
 
 func TestLongAtMostOnce(t *testing.T) {
 	if *longRun == 0 {
 		t.Skip("set -long to a length of time")
 	}
-	onceRun(t, *longSeed, *longRun)
+	testAtMostOnce(t, *longSeed, *longRun)
 }
--- a/internal/demo/gatewayload.go
+++ b/internal/demo/gatewayload.go
@@ -14,21 +14,24 @@
 	"github.com/rainford/rainford/platform"
 )
 
-// observer notes what reaches the targets.
+// observer records the requests that reach the targets.
 type observer struct {
-	mu   sync.Mutex
+	mu sync.Mutex
+	// runs counts the runs of each request, by its ID.
 	runs map[string]int
-	// forbidden names targets that are to get nothing from since on.
-	forbidden func(*origin.Server) bool
-	since     time.Time
-	late      int
-	byHall    map[string]int
-	byTarget  map[*origin.Server]int
-	// keysSeen counts the requests that came with their key, and busy are the runs of the
-	// account with a limit.
+	// forbidden reports whether a target must not receive requests after since, and
+	// forbiddenArrivals counts the requests that it received nevertheless.
+	forbidden         func(*origin.Server) bool
+	since             time.Time
+	forbiddenArrivals int
+	// byHall and byTarget count the requests that arrived, including refused ones.
+	byHall   map[string]int
+	byTarget map[*origin.Server]int
+	// keysSeen counts the requests that carried their client's key, and busy holds the
+	// arrival times of the executed requests of the client account with a rate limit.
 	keysSeen int
 	busy     []time.Time
-	// rested counts the requests that targets turned away as they rest.
+	// rested counts the requests that targets refused with a back-off time.
 	rested int
 }
 
@@ -36,6 +39,7 @@
 	return &observer{runs: make(map[string]int), byHall: make(map[string]int), byTarget: make(map[*origin.Server]int)}
 }
 
+// arrived records the arrival of a request at a target.
 func (o *observer) arrived(a origin.Arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -47,37 +51,43 @@
 	if a.RetryAfter > 0 {
 		o.rested++
 	}
-	o.noteAccount(a)
+	o.recordAccount(a)
 	if o.forbidden != nil && o.forbidden(a.Server) && a.At.After(o.since) {
-		o.late++
+		o.forbiddenArrivals++
 	}
 }
 
+// forbid makes every arrival after since at one of the targets count as a violation.
 func (o *observer) forbid(targets func(*origin.Server) bool, since time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.forbidden, o.since = targets, since
 }
 
+// allow ends the effect of forbid.
 func (o *observer) allow() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.forbidden = nil
 }
 
-// answered is what a client got.
-type answered struct {
-	id     string
-	once   bool
-	status int
-	whole  bool
-	took   time.Duration
+// clientResponse is the outcome of a request as its client observed it. Its status is
+// 0 if the client got no response.
+type clientResponse struct {
+	id string
+	// nonIdempotent marks a request that must run at most once.
+	nonIdempotent bool
+	status        int
+	// complete means that the body arrived to its end and belongs to this request.
+	complete bool
+	took     time.Duration
 }
 
-// sendTo sends one request of a client to an instance.
-func sendTo(ctx context.Context, addr, key, id, method, path string, body []byte) answered {
+// sendTo sends a request to the instance at addr. id identifies the request in the
+// responses and at the targets.
+func sendTo(ctx context.Context, addr, key, id, method, path string, body []byte) clientResponse {
 	began := time.Now()
-	a := answered{id: id}
+	a := clientResponse{id: id}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return a
@@ -95,12 +105,12 @@
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
 	a.status, a.took = resp.StatusCode, time.Since(began)
-	a.whole = err == nil && strings.HasSuffix(string(raw), " to "+id)
+	a.complete = err == nil && strings.HasSuffix(string(raw), " to "+id)
 	return a
 }
 
-// gatewayLoad sends requests to the instances in turn, those of stopping ones
-// included until they are gone.
+// gatewayLoad sends requests to all instances in turn, including instances that shut
+// down or have ended, and records the responses.
 type gatewayLoad struct {
 	estate  *gatewayEstate
 	options GatewayOptions
@@ -108,7 +118,7 @@
 	group   sync.WaitGroup
 
 	mu      sync.Mutex
-	answers []answered
+	answers []clientResponse
 }
 
 func newGatewayLoad(e *gatewayEstate, options GatewayOptions) *gatewayLoad {
@@ -134,8 +144,8 @@
 	}()
 }
 
-// request sends the request of a number. Each fifth must run at most once, and each
-// twentieth has a large body.
+// request sends request number n. Each fifth request must run at most once, and each
+// twentieth is an upload with a large body.
 func (l *gatewayLoad) request(n int) {
 	defer l.group.Done()
 	const onceEvery, uploadEvery, uploadBytes = 5, 20, 60_000
@@ -149,7 +159,7 @@
 		method, path, body = http.MethodPost, "/pay/", []byte("receipt")
 	}
 	a := sendTo(context.Background(), in.config.Listen, keyOf(n), id, method, path, body)
-	a.once = method == http.MethodPost
+	a.nonIdempotent = method == http.MethodPost
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers = append(l.answers, a)
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -20,53 +20,53 @@
 	clientTimeout = 3 * time.Second
 	lookupTimeout = time.Second
 	lookupLife    = time.Second
-	// thinkTime is the longest pause of a client between two requests.
+	// thinkTime bounds the pause of a client between two requests.
 	thinkTime    = 60 * time.Millisecond
 	probeEvery   = 200 * time.Millisecond
 	leaveOneIn   = 25
 	objectsCount = 12
 )
 
-// client is one client: it looks up, keeps connections, and sends one request at
+// client resolves the addresses of instances, keeps connections open, and sends one request at
 // a time.
 type client struct {
-	site  *site
-	place place
-	// account is the client's own.
+	site    *site
+	place   place
 	account account
 	rnd     *rand.Rand
 	http    *http.Client
 	addrs   []string
 	until   time.Time
-	bad     map[string]bool
+	failed  map[string]bool
 }
 
-func newClient(s *site, p place, owner account, seed uint64) *client {
-	c := &client{site: s, place: p, account: owner, rnd: rand.New(rand.NewPCG(seed, 7)), bad: make(map[string]bool)}
+func newClient(s *site, p place, acct account, seed uint64) *client {
+	c := &client{site: s, place: p, account: acct, rnd: rand.New(rand.NewPCG(seed, 7)), failed: make(map[string]bool)}
 	c.http = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, DisableCompression: true, DialContext: c.dial}}
 	return c
 }
 
-// dial opens a connection and notes when.
+// dial opens a connection and records the time.
 func (c *client) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	return openedConn{Conn: conn, at: time.Now()}, nil
+	return timedConn{Conn: conn, at: time.Now()}, nil
 }
 
-// openedConn is a connection with the time at which it was opened.
-type openedConn struct {
+// timedConn is a connection with the time at which it was opened.
+type timedConn struct {
 	net.Conn
 	at time.Time
 }
 
-// noteConn notes on an attempt when its connection was opened.
+// noteConn returns a context that records the time at which the attempt's connection was
+// opened.
 func (c *client) noteConn(ctx context.Context, a *attempt) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		if opened, ok := info.Conn.(openedConn); ok {
-			c.site.oracle.sentOver(a, opened.at)
+		if opened, ok := info.Conn.(timedConn); ok {
+			c.site.oracle.noteConnection(a, opened.at)
 		}
 	}})
 }
@@ -79,23 +79,24 @@
 	}
 }
 
-// lookup asks up to three instances where to go.
+// lookup refreshes the client's addresses if they have expired. It queries up to three
+// instances.
 func (c *client) lookup(ctx context.Context) {
 	if time.Now().Before(c.until) && len(c.addrs) > 0 {
 		return
 	}
 	for range 3 {
 		in := c.site.instances[c.rnd.IntN(len(c.site.instances))]
-		addrs, err := c.ask(ctx, in)
+		addrs, err := c.resolve(ctx, in)
 		if err == nil && len(addrs) > 0 {
 			c.addrs, c.until = addrs, time.Now().Add(lookupLife)
-			clear(c.bad)
+			clear(c.failed)
 			return
 		}
 	}
 }
 
-func (c *client) ask(ctx context.Context, in *instance) ([]string, error) {
+func (c *client) resolve(ctx context.Context, in *instance) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	url := fmt.Sprintf("http://%s/resolve?name=soak.example&region=%s&zone=%s", in.lookup, c.place.region, c.place.hall)
@@ -118,7 +119,7 @@
 func (c *client) pick() string {
 	var good []string
 	for _, addr := range c.addrs {
-		if !c.bad[addr] {
+		if !c.failed[addr] {
 			good = append(good, addr)
 		}
 	}
@@ -131,7 +132,7 @@
 	return good[c.rnd.IntN(len(good))]
 }
 
-// request sends one request, and once more if the answer allows it.
+// request sends one request, and retries it once if the answer permits it.
 func (c *client) request(ctx context.Context) {
 	kind := c.rnd.IntN(10)
 	path, method, size := "/read/", http.MethodGet, 0
@@ -152,16 +153,15 @@
 		if addr == "" {
 			return
 		}
-		again, after := c.attempt(ctx, addr, method, uri, body, deadline)
-		if !again || time.Until(deadline) < 2*after || ctx.Err() != nil {
+		retry, after := c.attempt(ctx, addr, method, uri, body, deadline)
+		if !retry || time.Until(deadline) < 2*after || ctx.Err() != nil {
 			return
 		}
 		time.Sleep(after)
 	}
 }
 
-// attempt sends one client attempt. It reports whether the client may repeat, and
-// when.
+// attempt sends one attempt. It reports whether the client may retry, and after what time.
 func (c *client) attempt(ctx context.Context, addr, method, uri string, body []byte, deadline time.Time) (bool, time.Duration) {
 	a := c.site.oracle.begin(c.site.instanceAt(addr), method, uri, body)
 	a.account, a.key, a.hot = c.account.name, c.site.keys.use(c.account.name), c.account.hot
@@ -188,9 +188,9 @@
 	req.Header.Set("Timeout-Ms", strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	resp, err := c.http.Do(req)
 	if err != nil {
-		c.bad[addr] = true
+		c.failed[addr] = true
 		c.site.oracle.finish(a, result{err: err})
-		return a.repeatable(), 0
+		return a.retryable(), 0
 	}
 	raw, err := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
@@ -198,10 +198,10 @@
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	after := time.Duration(seconds * float64(time.Second))
 	promise := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests
-	return err == nil && (promise || (a.repeatable() && resp.StatusCode >= 500)), after
+	return err == nil && (promise || (a.retryable() && resp.StatusCode >= 500)), after
 }
 
-// instanceAt returns the instance behind an address that clients were told.
+// instanceAt returns the instance that advertises an address, or nil.
 func (s *site) instanceAt(addr string) *instance {
 	for _, in := range s.instances {
 		if in.front.addr() == addr {
@@ -211,14 +211,14 @@
 	return nil
 }
 
-// probe asks each instance for the routes of the versions, which shows what is in
-// force there.
+// probe requests from each instance, every probeEvery, the route of the newest configuration
+// version that must be in force. The answer shows whether the instance applies that version.
 func (s *site) probe(ctx context.Context, group *sync.WaitGroup) {
 	defer group.Done()
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTimeout}
 	for ctx.Err() == nil {
 		for _, in := range s.instances {
-			version := s.oracle.due(time.Now())
+			version := s.oracle.requiredVersion(time.Now())
 			group.Add(1)
 			go func() {
 				defer group.Done()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -10,23 +10,23 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// lost is how long before its end a fault on the store may still delay news.
+// storeSettle is how long the effects of a store fault may last after the fault has ended.
 const storeSettle = 500 * time.Millisecond
 
-// bring brings a fault about and ends it after its time.
-func (r *runner) bring(f Fault) {
+// inject starts a fault and schedules its end.
+func (r *runner) inject(f Fault) {
 	s := r.site
 	in := s.instances[f.Which%len(s.instances)]
 	end := time.Now().Add(f.For)
 	switch f.Kind {
 	case InstanceTerm:
-		r.term(in)
+		r.stopInstance(in)
 	case InstanceKill:
 		s.oracle.killed(in.name, end)
 		in.signal(syscall.SIGKILL, true)
 	case InstancePause:
 		s.oracle.disturbed(in.name, end)
-		s.oracle.frozen(in.name, end)
+		s.oracle.paused(in.name, end)
 		in.signal(syscall.SIGSTOP, false)
 		r.later(f.For, func() { in.signal(syscall.SIGCONT, false) })
 	case InstanceReload:
@@ -39,7 +39,7 @@
 		}
 	case FrontLink, PeerLink, StoreLink, LinkReset:
 		r.link(f, in, end)
-	case StoreDown, StoreSlow, StoreLoses, StoreForgets:
+	case StoreDown, StoreSlow, StoreLosesReplies, StoreCompacts:
 		r.storeFault(f, end)
 	case StoreRestored:
 		r.restoreStore(f)
@@ -63,10 +63,10 @@
 		}
 	case ForeignEntry:
 		r.writeForeign(f)
-	case SameID:
-		r.startAgain(f)
-	case EndingRequests:
-		r.sendEnding(f)
+	case ServerRestart:
+		r.restartServer(f)
+	case CrashingRequests:
+		r.sendCrashing(f)
 	case Rollout:
 		r.rollout(f)
 	case ConfigChange:
@@ -80,8 +80,8 @@
 	}
 }
 
-// term stops an instance as planned.
-func (r *runner) term(in *instance) {
+// stopInstance stops an instance gracefully, unless it is already stopping.
+func (r *runner) stopInstance(in *instance) {
 	o := r.site.oracle
 	o.mu.Lock()
 	_, already := o.stopping[in.name]
@@ -103,7 +103,7 @@
 		}
 		return
 	}
-	p.set([]Mode{Delay, Trickle, Silent, DeafUp, DeafDown}[f.How%5])
+	p.set([]Mode{Delay, Trickle, Stall, StallUp, StallDown}[f.How%5])
 	r.later(f.For, func() { p.set(Pass) })
 }
 
@@ -117,7 +117,7 @@
 		s.store.SetFaults(objects.Faults{Down: f.How%2 == 0, Silent: f.How%2 == 1})
 	case StoreSlow:
 		s.store.SetFaults(objects.Faults{Delay: 250 * time.Millisecond})
-	case StoreLoses:
+	case StoreLosesReplies:
 		s.store.SetFaults(objects.Faults{LoseReplies: true})
 	default:
 		s.store.CompactHistory()
@@ -148,20 +148,20 @@
 	})
 }
 
-// pick returns a server that is there, or nil.
+// pick returns one of the present servers, or nil if there is none.
 func (s *site) pick(which int) *server {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var there []*server
+	var present []*server
 	for _, srv := range s.servers {
 		if !srv.gone {
-			there = append(there, srv)
+			present = append(present, srv)
 		}
 	}
-	if len(there) == 0 {
+	if len(present) == 0 {
 		return nil
 	}
-	return there[which%len(there)]
+	return present[which%len(present)]
 }
 
 func (s *site) markGone(srv *server) bool {
@@ -186,33 +186,33 @@
 		r.later(f.For, func() { srv.SetServiceTime(serverWork) })
 	case ServerFaults:
 		r.misbehave(srv, f)
-	case ServerForgets:
+	case ServerResets:
 		srv.ResetConnections()
 	case ServerDrain:
 		r.drain(srv, f)
-	case ServerReuse:
-		r.reuse(srv, f)
-	case ServerLeaves:
-		r.sayLeaving(srv, f)
+	case AddressReuse:
+		r.reuseAddress(srv, f)
+	case ServerLeaving:
+		r.announceLeaving(srv, f)
 	case ServerLimits:
-		r.nameLimits(srv, f)
-	case ServerRests:
-		r.askForRest(srv, f)
-	case ServerSays:
-		r.sayWrongly(srv, f)
+		r.announceLimits(srv, f)
+	case ServerBackoff:
+		r.requestBackoff(srv, f)
+	case ServerBadHeaders:
+		r.sendMalformedHeaders(srv, f)
 	case NewServer:
 		_, _ = s.addServer(srv.Service, srv.place, true)
 	}
 }
 
-// crash takes a server away, silently or with resets; another one comes in its
-// place.
+// crash makes a server unreachable, either by stalling its connections or by closing them.
+// Another server replaces it when the fault ends.
 func (r *runner) crash(srv *server, f Fault) {
 	if !r.site.markGone(srv) {
 		return
 	}
 	if f.How%2 == 0 {
-		srv.proxy.set(Silent)
+		srv.proxy.set(Stall)
 	} else {
 		srv.Close()
 	}
@@ -222,8 +222,8 @@
 	})
 }
 
-// misbehave has a server do something wrong with one in four requests, or one
-// thing with one in ten.
+// misbehave injects faults into a server's answers: in half of the variants a random fault
+// into one of four requests, otherwise one fixed fault into one of ten.
 func (r *runner) misbehave(srv *server, f Fault) {
 	rnd := rand.New(rand.NewPCG(uint64(f.How), 3))
 	only := origin.Fault(1 + f.How/2%int(origin.Failed))
@@ -240,8 +240,9 @@
 	r.later(f.For, func() { srv.SetScript(nil) })
 }
 
-// drain has a server leave: it says so, serves on, and ends. Some leave without a
-// word: their entry goes.
+// drain has a server leave. The server continues to serve until it stops. In two thirds of the
+// variants its entry states that it is draining; otherwise the entry is removed without
+// notice.
 func (r *runner) drain(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
@@ -262,9 +263,9 @@
 	})
 }
 
-// reuse gives the address of a server that has gone to one of another service. The
-// entry of the one that has gone is removed at once, or only afterwards.
-func (r *runner) reuse(srv *server, f Fault) {
+// reuseAddress gives the address of a stopped server to a server of the other service. The
+// entry of the stopped server is removed at once or only afterwards.
+func (r *runner) reuseAddress(srv *server, f Fault) {
 	s := r.site
 	if !s.markGone(srv) {
 		return
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -11,47 +11,54 @@
 )
 
 const (
-	// limitHeader is by which a server names how many requests a second it takes.
+	// limitHeader is the header in which a server announces the number of requests per second
+	// that it accepts.
 	limitHeader = "Server-Limit"
-	// limitSpan is the span in which requests are counted, from contact after a server first
-	// named its limit on, and limitGrace is for what an instance has on its way when it is told.
+	// limitSpan is the window in which requests are counted. The first window begins once the
+	// contact time has passed since the server announced its limit. limitGrace allows for the
+	// requests that an instance has in flight when it learns of the limit.
 	limitSpan  = 4 * time.Second
 	limitGrace = 500 * time.Millisecond
-	// namedOver and namedSlack are how much more than the limit may come in a window.
-	namedOver  = 1.5
-	namedSlack = 5
-	// limitLasts is the least time for which a server names a limit.
-	limitLasts = 9 * time.Second
-	// lowerWithin is within how long a lower limit is to be kept.
-	lowerWithin = 2 * time.Second
+	// announcedFactor and announcedSlack bound the requests in a window: announcedFactor times
+	// the limit, plus announcedSlack.
+	announcedFactor = 1.5
+	announcedSlack  = 5
+	// minLimitTime is the shortest time for which a server announces a limit.
+	minLimitTime = 9 * time.Second
+	// lowerLimitTime is the time within which instances must comply with a lowered limit.
+	lowerLimitTime = 2 * time.Second
 )
 
-// limitScripts are what servers name one after the other, less than the two or so a second that they
-// get otherwise: each value for a part of the time, or,
-// where there are many, one with each answer.
+// limitScripts are sequences of limits, in requests per second. Most are below the roughly two
+// requests per second that a server receives otherwise. A server announces each value for an
+// equal part of the time or, if the sequence has at least manyValues values, another value
+// with each answer.
 var limitScripts = [][]float64{{0.5}, {0.1}, {0.25}, {1}, {4, 0.2}, {0.5, 0.45, 0.55, 0.5, 0.48, 0.52, 0.5, 0.47}, {0.2, 4}}
 
-// manyValues is the number of values of a script from which on each answer names another one.
+// manyValues is the length of a sequence from which each answer announces another value.
 const manyValues = 8
 
-// limited is a server that names a limit, with what came from instances that it had told.
+// limited records a server that announces a limit, and the arrivals from instances that have
+// passed the limit on.
 type limited struct {
 	mu      sync.Mutex
 	from    time.Time
 	until   time.Time
 	script  []float64
 	answers int
-	// namedAt is when the server last named it: another word may have taken its place.
-	namedAt time.Time
+	// announcedAt is when the server last announced the limit. The server's extra headers may
+	// have been replaced since.
+	announcedAt time.Time
 
-	// told is when an instance first passed on the limit.
-	told map[string]said
-	came []time.Time
-	// broke says that the rule was broken: it is told once.
-	broke bool
+	// toldBy holds, for each instance, when it first passed on an answer with the limit.
+	toldBy   map[string]notice
+	arrivals []time.Time
+	// reported is set once a violation is recorded, so that each server's violation is
+	// recorded only once.
+	reported bool
 }
 
-// now returns what the server names at a time, false if nothing.
+// now returns the limit to announce at a time, and false if the server announces none.
 func (l *limited) now(at time.Time) (float64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +66,7 @@
 		return 0, false
 	}
 	l.answers++
-	l.namedAt = at
+	l.announcedAt = at
 	if len(l.script) >= manyValues {
 		return l.script[l.answers%len(l.script)], true
 	}
@@ -67,14 +74,16 @@
 	return l.script[int(part*float64(len(l.script)))], true
 }
 
-// goesOn tells whether the server still names a limit at a time at which a request arrives.
-func (l *limited) goesOn(at time.Time) bool {
+// active reports whether the server announced its limit within the second before at.
+func (l *limited) active(at time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return at.Sub(l.namedAt) < time.Second
+	return at.Sub(l.announcedAt) < time.Second
 }
 
-// highest returns the highest limit that the server named in a window that ends at a time.
+// highest returns the highest limit that applies to the window that ends at the given time. A
+// value counts unless its time ended more than lowerLimitTime before the window begins. Values
+// not yet announced count too.
 func (l *limited) highest(at time.Time) float64 {
 	highest := 0.0
 	for i, value := range l.script {
@@ -82,18 +91,19 @@
 		if len(l.script) < manyValues {
 			ends = l.from.Add(l.until.Sub(l.from) * time.Duration(i+1) / time.Duration(len(l.script)))
 		}
-		if ends.Add(lowerWithin).After(at.Add(-limitSpan)) {
+		if ends.Add(lowerLimitTime).After(at.Add(-limitSpan)) {
 			highest = max(highest, value)
 		}
 	}
 	return highest
 }
 
-// nameLimits has one server, those of a hall, or all of a service name limits for a while.
-func (r *runner) nameLimits(srv *server, f Fault) {
+// announceLimits has servers announce limits for the time of the fault: one server, the
+// servers of its service in its hall, or all servers of its service.
+func (r *runner) announceLimits(srv *server, f Fault) {
 	script := limitScripts[f.How%len(limitScripts)]
 	from := time.Now()
-	for _, other := range r.site.there() {
+	for _, other := range r.site.present() {
 		same := other == srv
 		switch f.How / len(limitScripts) % 4 {
 		case 2:
@@ -102,15 +112,15 @@
 			same = other.Service == srv.Service
 		}
 		if same {
-			r.nameLimit(other, &limited{from: from, until: from.Add(f.For), script: script, told: make(map[string]said)})
+			r.announceLimit(other, &limited{from: from, until: from.Add(f.For), script: script, toldBy: make(map[string]notice)})
 		}
 	}
 }
 
-func (r *runner) nameLimit(srv *server, l *limited) {
+func (r *runner) announceLimit(srv *server, l *limited) {
 	o := r.site.oracle
 	o.mu.Lock()
-	o.words.limits[srv.ID] = l
+	o.signals.limits[srv.ID] = l
 	o.mu.Unlock()
 	srv.SetExtraHeaders(func(*http.Request) string {
 		value, ok := l.now(time.Now())
@@ -121,44 +131,44 @@
 	})
 }
 
-// hearLimit notes that an instance has passed on an answer in which its server names a limit. The
+// noteLimit records that an instance has passed on an answer with the limit of its server. The
 // caller holds mu.
-func (o *oracle) hearLimit(a *attempt, r result) {
+func (o *oracle) noteLimit(a *attempt, r result) {
 	server, signed := strings.CutPrefix(r.header.Get("Server-Signature"), "sig.")
-	l := o.words.limits[server]
+	l := o.signals.limits[server]
 	if r.err != nil || !signed || l == nil || r.header.Get(limitHeader) == "" || a.run != o.runs[a.instance] {
 		return
 	}
-	first, known := l.told[a.instance]
+	first, known := l.toldBy[a.instance]
 	if !known || first.run != a.run {
-		l.told[a.instance] = said{at: a.doneAt, run: a.run}
+		l.toldBy[a.instance] = notice{at: a.doneAt, run: a.run}
 	}
 }
 
-// judgeLimit checks that what the instances send together that a server has told its limit stays
-// within it. A restart, freeze or cut of an instance since excuses that instance. The caller holds
-// mu.
+// judgeLimit checks that the requests from all instances that know a server's limit stay
+// within it together. Requests of an instance that was restarted, paused or disturbed since it
+// learned of the limit do not count. The caller holds mu.
 func (o *oracle) judgeLimit(a *attempt, v origin.Arrival) {
-	l := o.words.limits[v.Server.ID]
-	if l == nil || !v.At.Before(l.until) || !l.goesOn(v.At) {
+	l := o.signals.limits[v.Server.ID]
+	if l == nil || !v.At.Before(l.until) || !l.active(v.At) {
 		return
 	}
-	word, told := l.told[a.instance]
-	if !told || word.run != a.run || v.At.Sub(word.at) <= limitGrace || !o.quietSince[a.instance].Before(word.at) {
+	seen, known := l.toldBy[a.instance]
+	if !known || seen.run != a.run || v.At.Sub(seen.at) <= limitGrace || !o.undisturbedSince[a.instance].Before(seen.at) {
 		return
 	}
-	for len(l.came) > 0 && v.At.Sub(l.came[0]) >= limitSpan {
-		l.came = l.came[1:]
+	for len(l.arrivals) > 0 && v.At.Sub(l.arrivals[0]) >= limitSpan {
+		l.arrivals = l.arrivals[1:]
 	}
-	l.came = append(l.came, v.At)
+	l.arrivals = append(l.arrivals, v.At)
 	if v.At.Sub(l.from) < contact+limitSpan {
-		// The window has to begin after contact.
+		// The window must begin after the contact time.
 		return
 	}
 	o.checks["NAMED LIMIT"]++
-	allowed := namedOver*limitSpan.Seconds()*l.highest(v.At) + namedSlack
-	if float64(len(l.came)) > allowed && !l.broke {
-		l.broke = true
-		o.broken("NAMED LIMIT", "%s got %d requests in %v from instances that it had told, %.0f allowed, %.1f s after it named its limit", v.Server.ID, len(l.came), limitSpan, allowed, v.At.Sub(l.from).Seconds())
+	allowed := announcedFactor*limitSpan.Seconds()*l.highest(v.At) + announcedSlack
+	if float64(len(l.arrivals)) > allowed && !l.reported {
+		l.reported = true
+		o.violated("NAMED LIMIT", "%s got %d requests in %v from instances that knew its limit, %.0f allowed, %.1f s after it announced the limit", v.Server.ID, len(l.arrivals), limitSpan, allowed, v.At.Sub(l.from).Seconds())
 	}
 }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -11,14 +11,14 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// Violation is a broken promise.
+// Violation is one failed check.
 type Violation struct {
 	Rule   string        `json:"rule"`
 	At     time.Duration `json:"at_ns"`
 	Detail string        `json:"detail"`
 }
 
-// oracle judges the run by what clients and servers see.
+// oracle checks the run by what clients and servers observe.
 type oracle struct {
 	keys       *keyring
 	mu         sync.Mutex
@@ -28,66 +28,67 @@
 	violations []Violation
 	checks     map[string]int
 
-	// quietSince is since when an instance is without disturbance.
-	quietSince map[string]time.Time
-	stopping   map[string]time.Time
-	runs       map[string]int
-	versionAt  map[int]time.Time
-	newest     int
-	// seen is the highest version seen in force at a process of an instance.
+	// undisturbedSince holds, for each instance, when its last disturbance ended or will end.
+	undisturbedSince map[string]time.Time
+	stopping         map[string]time.Time
+	runs             map[string]int
+	versionAt        map[int]time.Time
+	newest           int
+	// seen holds the highest configuration version seen in force at the current process of
+	// each instance.
 	seen      map[string]int
 	draining  map[string]time.Time
 	evacuated map[string]time.Time
 	coldSends map[string][]time.Time
 	servers   map[string]*server
-	// silencedAt is when the connections of clients to an instance were last silenced.
+	// silencedAt holds when the client connections of each instance were last silenced.
 	silencedAt map[string]time.Time
-	// endings are the servers that ended under a request, by its path.
-	endings map[string]*endings
-	words   words
+	// crashes holds the crashes under each request, by the request's URI.
+	crashes map[string]*serverCrashes
+	signals serverSignals
 	// versions are the rollouts of the run.
 	versions []*versionCheck
-	// restoredAt is when the store last came back from a copy.
+	// restoredAt is when the store was last restored from a copy.
 	restoredAt time.Time
-	// frozenAt is until when an instance last stood still.
-	frozenAt map[string]time.Time
+	// pausedUntil holds when the last pause of each instance ended or will end.
+	pausedUntil map[string]time.Time
 }
 
 func newOracle(keys *keyring) *oracle {
 	return &oracle{
 		keys: keys, start: time.Now(), attempts: make(map[string]*attempt), checks: make(map[string]int),
-		quietSince: make(map[string]time.Time), stopping: make(map[string]time.Time), runs: make(map[string]int),
+		undisturbedSince: make(map[string]time.Time), stopping: make(map[string]time.Time), runs: make(map[string]int),
 		versionAt: make(map[int]time.Time), seen: make(map[string]int), draining: make(map[string]time.Time),
-		evacuated: make(map[string]time.Time), coldSends: make(map[string][]time.Time), servers: make(map[string]*server), endings: make(map[string]*endings), silencedAt: make(map[string]time.Time),
-		words: newWords(), frozenAt: make(map[string]time.Time),
+		evacuated: make(map[string]time.Time), coldSends: make(map[string][]time.Time), servers: make(map[string]*server), crashes: make(map[string]*serverCrashes), silencedAt: make(map[string]time.Time),
+		signals: newWords(), pausedUntil: make(map[string]time.Time),
 	}
 }
 
-// broken notes a broken promise. The caller holds mu.
-func (o *oracle) broken(rule, format string, args ...any) {
+// violated records a violation of a rule. The caller holds mu.
+func (o *oracle) violated(rule, format string, args ...any) {
 	o.violations = append(o.violations, Violation{Rule: rule, At: time.Since(o.start), Detail: fmt.Sprintf(format, args...)})
 }
 
-// disturbed notes that an instance is disturbed until a time.
+// disturbed records that an instance is disturbed until the given time.
 func (o *oracle) disturbed(name string, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if until.After(o.quietSince[name]) {
-		o.quietSince[name] = until
+	if until.After(o.undisturbedSince[name]) {
+		o.undisturbedSince[name] = until
 	}
 }
 
-// frozen notes that an instance stands still until a time.
-func (o *oracle) frozen(name string, until time.Time) {
+// paused records that an instance is paused until the given time.
+func (o *oracle) paused(name string, until time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if until.After(o.frozenAt[name]) {
-		o.frozenAt[name] = until
+	if until.After(o.pausedUntil[name]) {
+		o.pausedUntil[name] = until
 	}
 }
 
-// killed notes that an instance is killed. If it was stopping as planned, it no
-// longer is.
+// killed records that an instance is killed. A planned stop in progress no longer counts as
+// one.
 func (o *oracle) killed(name string, until time.Time) {
 	o.disturbed(name, until)
 	o.mu.Lock()
@@ -101,8 +102,9 @@
 	o.versionAt[version], o.newest = at, version
 }
 
-// due returns the newest version that has to be in force everywhere.
-func (o *oracle) due(now time.Time) int {
+// requiredVersion returns the newest configuration version that must be in force at every
+// connected instance.
+func (o *oracle) requiredVersion(now time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for v := o.newest; v > 1; v-- {
@@ -116,18 +118,18 @@
 func (o *oracle) watchServer(s *server) {
 	o.mu.Lock()
 	o.servers[s.ID] = s
-	o.words.forget(s.ID)
+	o.signals.forget(s.ID)
 	o.mu.Unlock()
 	s.SetObserver(o.arrived)
 }
 
-// inTouch tells whether an instance was without disturbance for long enough. The
-// caller holds mu.
-func (o *oracle) inTouch(name string, at time.Time) bool {
-	return at.Sub(o.quietSince[name]) >= contact
+// connected reports whether an instance has been undisturbed for at least the contact time.
+// The caller holds mu.
+func (o *oracle) connected(name string, at time.Time) bool {
+	return at.Sub(o.undisturbedSince[name]) >= contact
 }
 
-// begin notes a client attempt before it is sent.
+// begin records an attempt before it is sent.
 func (o *oracle) begin(in *instance, method, uri string, body []byte) *attempt {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,30 +138,30 @@
 	if in != nil {
 		a.instance = in.name
 		a.run = o.runs[in.name]
-		a.touched = o.inTouch(in.name, a.at)
+		a.connected = o.connected(in.name, a.at)
 	}
 	o.attempts[a.id] = a
 	return a
 }
 
-// silenced notes that the connections of clients to an instance carry nothing any more.
+// silenced records that the open client connections of an instance no longer carry data.
 func (o *oracle) silenced(name string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.silencedAt[name] = time.Now()
 }
 
-// sentOver notes when the connection of an attempt was opened.
-func (o *oracle) sentOver(a *attempt, opened time.Time) {
+// noteConnection records when the connection of an attempt was opened.
+func (o *oracle) noteConnection(a *attempt, opened time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	a.connAt = opened
 }
 
-// carries tells whether an attempt was sent over a connection that can have carried it. A
-// client that did not use one for long finds out late that it was silenced. The caller holds
-// mu.
-func (o *oracle) carries(a *attempt) bool {
+// canCarry reports whether the connection of an attempt can have carried it. A client that
+// reuses an idle connection does not notice at once that the connection was silenced. The
+// caller holds mu.
+func (o *oracle) canCarry(a *attempt) bool {
 	return a.connAt.IsZero() || a.connAt.After(o.silencedAt[a.instance])
 }
 
@@ -169,37 +171,38 @@
 	a.leftAt = time.Now()
 }
 
-// arrived judges a request that reaches a server.
+// arrived checks a request that reaches a server.
 func (o *oracle) arrived(v origin.Arrival) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checks["UNASKED"]++
 	a := o.attempts[v.ID]
 	if a == nil {
-		o.broken("UNASKED", "server %s got a request with the unknown id %q", v.Server.ID, v.ID)
+		o.violated("UNASKED", "server %s got a request with the unknown id %q", v.Server.ID, v.ID)
 		return
 	}
 	if v.Executed && (v.Method != a.method || v.URI != a.uri || sha256.Sum256(v.Body) != a.digest) {
-		o.broken("UNASKED", "%s was changed on the way: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
+		o.violated("UNASKED", "%s was changed in transit: %s %s, %d bytes", a.id, v.Method, v.URI, len(v.Body))
 	}
 	a.arrivals = append(a.arrivals, arrival{server: v.Server.ID, hall: v.Server.Zone, at: v.At, ran: v.Executed})
-	o.judgePlace(a, v)
+	o.judgeRouting(a, v)
 	o.judgeAccount(a, v)
 	o.judgeTimes(a, v)
-	o.judgeCold(v)
-	o.judgeEnding(a, v)
-	o.judgeWords(a, v)
+	o.judgeSlowStart(v)
+	o.judgeCrashing(a, v)
+	o.judgeSignals(a, v)
 	o.judgeExposure(a, v)
 }
 
-// judgePlace checks service, home region and at most once. The caller holds mu.
-func (o *oracle) judgePlace(a *attempt, v origin.Arrival) {
+// judgeRouting checks the service, the home region and at-most-once execution. The caller
+// holds mu.
+func (o *oracle) judgeRouting(a *attempt, v origin.Arrival) {
 	o.checks["ROUTE"]++
 	if v.Server.Service != a.service() {
-		o.broken("ROUTE", "%s %s was run by service %s", a.id, a.uri, v.Server.Service)
+		o.violated("ROUTE", "%s %s was run by service %s", a.id, a.uri, v.Server.Service)
 	}
 	if strings.HasPrefix(a.uri, "/home/") && !strings.HasPrefix(v.Server.Zone, "a") {
-		o.broken("HOME", "%s arrived in hall %s", a.id, v.Server.Zone)
+		o.violated("HOME", "%s arrived in hall %s", a.id, v.Server.Zone)
 	}
 	ran := 0
 	servers := make(map[string]bool)
@@ -210,43 +213,44 @@
 		}
 	}
 	o.checks["TWICE"]++
-	if !a.repeatable() && ran > 1 {
-		o.broken("TWICE", "%s %s ran %d times", a.id, a.uri, ran)
+	if !a.retryable() && ran > 1 {
+		o.violated("TWICE", "%s %s ran %d times", a.id, a.uri, ran)
 	}
 	if len(servers) > 2 {
-		o.broken("BUDGET", "%s ran at %d servers", a.id, len(servers))
+		o.violated("BUDGET", "%s ran at %d servers", a.id, len(servers))
 	}
-	if v.Executed && refusal(a.result.status) && !a.repeatable() {
-		o.broken("REFUSED", "%s was answered %d and then ran", a.id, a.result.status)
+	if v.Executed && isRejection(a.result.status) && !a.retryable() {
+		o.violated("REFUSED", "%s was answered %d and then ran", a.id, a.result.status)
 	}
 }
 
-// judgeTimes checks draining, evacuation and clients that have left. The caller
-// holds mu.
+// judgeTimes checks the time bounds for draining servers, evacuated halls and requests that
+// their client canceled. The caller holds mu.
 func (o *oracle) judgeTimes(a *attempt, v origin.Arrival) {
-	touched := o.inTouch(a.instance, v.At)
+	touched := o.connected(a.instance, v.At)
 	if at, ok := o.draining[v.Server.ID]; ok && touched {
 		o.checks["DRAIN"]++
 		if v.At.Sub(at) > drainTimeout {
-			o.broken("DRAIN", "%s from %s reached %s %.2f s after it began to leave", a.id, a.instance, v.Server.ID, v.At.Sub(at).Seconds())
+			o.violated("DRAIN", "%s from %s reached %s %.2f s after it began to drain", a.id, a.instance, v.Server.ID, v.At.Sub(at).Seconds())
 		}
 	}
 	if at, ok := o.evacuated[v.Server.Zone]; ok && touched {
 		o.checks["EVAC"]++
 		if v.At.Sub(at) > evacuateTime {
-			o.broken("EVAC", "%s from %s reached hall %s %.2f s after its evacuation", a.id, a.instance, v.Server.Zone, v.At.Sub(at).Seconds())
+			o.violated("EVAC", "%s from %s reached hall %s %.2f s after its evacuation", a.id, a.instance, v.Server.Zone, v.At.Sub(at).Seconds())
 		}
 	}
 	if !a.leftAt.IsZero() && touched {
 		o.checks["GONE"]++
 		if v.At.Sub(a.leftAt) > 500*time.Millisecond {
-			o.broken("GONE", "%s reached %s %.2f s after its client had left", a.id, v.Server.ID, v.At.Sub(a.leftAt).Seconds())
+			o.violated("GONE", "%s reached %s %.2f s after its client had left", a.id, v.Server.ID, v.At.Sub(a.leftAt).Seconds())
 		}
 	}
 }
 
-// judgeCold checks what a cold server gets in any second. The caller holds mu.
-func (o *oracle) judgeCold(v origin.Arrival) {
+// judgeSlowStart checks the number of requests that a server in slow start receives within any
+// second. The caller holds mu.
+func (o *oracle) judgeSlowStart(v origin.Arrival) {
 	s := o.servers[v.Server.ID]
 	if s == nil || s.coldUntil.IsZero() || v.At.After(s.coldUntil) {
 		return
@@ -259,16 +263,16 @@
 	sends = append(sends, v.At)
 	o.coldSends[s.ID] = sends
 	if len(sends) > warmupRate*3/2+5 {
-		o.broken("FAILBACK", "cold server %s got %d requests in a second", s.ID, len(sends))
+		o.violated("FAILBACK", "cold server %s got %d requests in a second", s.ID, len(sends))
 	}
 }
 
-func refusal(status int) bool {
+func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-// finish judges the end of an attempt as its client sees it.
+// finish checks the result of an attempt that its client received.
 func (o *oracle) finish(a *attempt, r result) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -280,13 +284,14 @@
 		}
 	}
 	o.judgeAnswer(a, r, ran)
-	o.hearWord(a, r)
-	o.hearLimit(a, r)
+	o.noteLeaving(a, r)
+	o.noteLimit(a, r)
 	o.judgeConfig(a, r)
-	o.judgeEnd(a, r, ran)
+	o.judgeCompletion(a, r, ran)
 }
 
-// judgeAnswer checks what an answer claims. The caller holds mu.
+// judgeAnswer checks that an answer belongs to its request and agrees with what servers
+// executed. The caller holds mu.
 func (o *oracle) judgeAnswer(a *attempt, r result, ran int) {
 	if r.err != nil {
 		return
@@ -294,19 +299,19 @@
 	o.checks["MIXED"]++
 	switch {
 	case r.status == http.StatusOK && r.header.Get("Server-Signature") == "":
-		o.broken("MIXED", "%s got a success without a signature", a.id)
+		o.violated("MIXED", "%s got a success without a signature", a.id)
 	case r.status == http.StatusOK && !strings.HasSuffix(r.body, " to "+a.id):
-		o.broken("MIXED", "%s got the body %.40q", a.id, r.body)
-	case refusal(r.status) && ran > 0 && !a.repeatable():
-		o.broken("REFUSED", "%s was answered %d and had run", a.id, r.status)
+		o.violated("MIXED", "%s got the body %.40q", a.id, r.body)
+	case isRejection(r.status) && ran > 0 && !a.retryable():
+		o.violated("REFUSED", "%s was answered %d and had run", a.id, r.status)
 	case o.mayBeUnauthorized(a, r.status):
-	case r.status/100 == 4 && !refusal(r.status) && a.probe == 0 && r.header.Get("Server-Signature") == "":
-		o.broken("DENIED", "%s %s got %d from %s", a.id, a.uri, r.status, a.instance)
+	case r.status/100 == 4 && !isRejection(r.status) && a.probe == 0 && r.header.Get("Server-Signature") == "":
+		o.violated("DENIED", "%s %s got %d from %s", a.id, a.uri, r.status, a.instance)
 	}
 }
 
-// judgeConfig checks that a version that is due is in force, and that none goes
-// back. The caller holds mu.
+// judgeConfig checks that an instance applies each configuration version in time and does not
+// revert to an earlier one. The caller holds mu.
 func (o *oracle) judgeConfig(a *attempt, r result) {
 	if a.probe == 0 || r.err != nil || a.run != o.runs[a.instance] {
 		return
@@ -318,21 +323,22 @@
 		}
 		return
 	}
-	if a.touched {
-		o.broken("CONFIG", "%s does not have version %d, %.2f s after it was written", a.instance, a.probe, a.at.Sub(o.versionAt[a.probe]).Seconds())
+	if a.connected {
+		o.violated("CONFIG", "%s does not have version %d, %.2f s after it was written", a.instance, a.probe, a.at.Sub(o.versionAt[a.probe]).Seconds())
 	}
 	if a.probe <= o.seen[a.instance] && a.probe > o.newest-20 {
-		o.broken("CONFIG", "%s went back behind version %d", a.instance, a.probe)
+		o.violated("CONFIG", "%s reverted to a version before %d", a.instance, a.probe)
 	}
 }
 
-// judgeEnd checks time-outs and planned stops. The caller holds mu.
-func (o *oracle) judgeEnd(a *attempt, r result, ran int) {
+// judgeCompletion checks the time-out of a request, and that a planned stop cuts no request.
+// The caller holds mu.
+func (o *oracle) judgeCompletion(a *attempt, r result, ran int) {
 	took := a.doneAt.Sub(a.at)
-	if a.touched && o.inTouch(a.instance, a.doneAt) && a.leftAt.IsZero() && o.carries(a) {
+	if a.connected && o.connected(a.instance, a.doneAt) && a.leftAt.IsZero() && o.canCarry(a) {
 		o.checks["TIMEOUT"]++
 		if took > routeTimeout+500*time.Millisecond {
-			o.broken("TIMEOUT", "%s %s took %.2f s at %s", a.id, a.uri, took.Seconds(), a.instance)
+			o.violated("TIMEOUT", "%s %s took %.2f s at %s", a.id, a.uri, took.Seconds(), a.instance)
 		}
 	}
 	at, stopping := o.stopping[a.instance]
@@ -340,25 +346,25 @@
 		return
 	}
 	o.checks["LOST"]++
-	if at.Sub(o.quietSince[a.instance]) >= contact && a.at.Sub(at) < 3*time.Second && took < routeTimeout {
-		o.broken("LOST", "%s %s was cut by the planned stop of %s: %v", a.id, a.uri, a.instance, r.err)
+	if at.Sub(o.undisturbedSince[a.instance]) >= contact && a.at.Sub(at) < 3*time.Second && took < routeTimeout {
+		o.violated("LOST", "%s %s was cut by the planned stop of %s: %v", a.id, a.uri, a.instance, r.err)
 	}
 }
 
-// ended notes the end of a process.
+// ended records that a process of an instance has exited, and checks the exit.
 func (o *oracle) ended(name string, expected bool, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checks["ENDS"]++
 	if !expected {
-		o.broken("ENDS", "a process of %s ended by itself: %v", name, err)
+		o.violated("ENDS", "a process of %s exited unexpectedly: %v", name, err)
 	}
 	if at, ok := o.stopping[name]; ok {
 		if err != nil {
-			o.broken("STOP", "%s ended its planned stop with %v", name, err)
+			o.violated("STOP", "%s ended its planned stop with %v", name, err)
 		}
 		if took := time.Since(at); took > grace+time.Second {
-			o.broken("STOP", "%s took %.2f s to stop", name, took.Seconds())
+			o.violated("STOP", "%s took %.2f s to stop", name, took.Seconds())
 		}
 		delete(o.stopping, name)
 	}
@@ -366,37 +372,38 @@
 	o.seen[name] = 0
 }
 
-// budget checks the repeats of the whole run: in any window, the arrivals of a
-// service beyond the first of each request stay within a fifth of the requests of
-// the largest window beside it, plus the slack.
+// budget checks the retry budget over the whole run. For each service and window, arrivals
+// beyond the first of each request may number at most a fifth of the requests sent in the
+// largest of three windows, plus a slack. The three are that window, the one before it and the
+// one shifted back by half a window.
 func (o *oracle) budget() {
 	const window, ratio, slack = 10 * time.Second, 0.2, 64
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, service := range services {
-		var sent, again []time.Time
+		var sent, repeated []time.Time
 		for _, a := range o.attempts {
 			if a.service() != service {
 				continue
 			}
 			sent = append(sent, a.at)
 			for _, arrival := range a.arrivals[min(1, len(a.arrivals)):] {
-				again = append(again, arrival.at)
+				repeated = append(repeated, arrival.at)
 			}
 		}
-		for _, end := range again {
+		for _, end := range repeated {
 			o.checks["BUDGET"]++
-			repeats := within(again, end.Add(-window), end)
-			most := max(within(sent, end.Add(-window), end), within(sent, end.Add(-2*window), end.Add(-window)), within(sent, end.Add(-3*window/2), end.Add(-window/2)))
+			repeats := countWithin(repeated, end.Add(-window), end)
+			most := max(countWithin(sent, end.Add(-window), end), countWithin(sent, end.Add(-2*window), end.Add(-window)), countWithin(sent, end.Add(-3*window/2), end.Add(-window/2)))
 			if float64(repeats) > ratio*float64(most)+slack {
-				o.broken("BUDGET", "service %s got %d repeats for %d requests", service, repeats, most)
+				o.violated("BUDGET", "service %s got %d repeats for %d requests", service, repeats, most)
 				break
 			}
 		}
 	}
 }
 
-func within(times []time.Time, from, to time.Time) int {
+func countWithin(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, t := range times {
 		if t.After(from) && !t.After(to) {
@@ -406,8 +413,9 @@
 	return n
 }
 
-// served returns how many attempts of clients that were sent after a time were
-// served, of how many.
+// served returns the number of client attempts sent since a time that were answered with 200,
+// and the number of those that count. Probes, requests of hot accounts, and canceled and
+// unfinished attempts do not count.
 func (o *oracle) served(after time.Time) (served, all int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -7,67 +7,70 @@
 	"time"
 )
 
-// FaultKind is a kind of fault.
+// FaultKind is a kind of fault. Its value is printed in reports.
 type FaultKind string
 
-// The kinds.
+// The kinds of faults.
 const (
-	InstanceTerm   FaultKind = "instance-term"
-	InstanceKill   FaultKind = "instance-kill"
-	InstancePause  FaultKind = "instance-pause"
-	InstanceReload FaultKind = "instance-reload"
-	KillAll        FaultKind = "kill-all"
-	FrontLink      FaultKind = "front-link"
-	PeerLink       FaultKind = "peer-link"
-	StoreLink      FaultKind = "store-link"
-	LinkReset      FaultKind = "link-reset"
-	StoreDown      FaultKind = "store-down"
-	StoreSlow      FaultKind = "store-slow"
-	StoreLoses     FaultKind = "store-loses-replies"
-	StoreForgets   FaultKind = "store-forgets"
-	ServerCrash    FaultKind = "server-crash"
-	ServerSlow     FaultKind = "server-slow"
-	ServerFaults   FaultKind = "server-faults"
-	ServerDrain    FaultKind = "server-drain"
-	ServerReuse    FaultKind = "server-address-reused"
-	ServerForgets  FaultKind = "server-forgets-connections"
-	NewServer      FaultKind = "new-server"
-	Evacuation     FaultKind = "evacuation"
-	ConfigChange   FaultKind = "config-change"
-	ConfigStorm    FaultKind = "config-storm"
-	KeyChange      FaultKind = "key-change"
-	LinkSilence    FaultKind = "link-silence"
-	ServerSilence  FaultKind = "server-silence"
-	EndingRequests FaultKind = "ending-requests"
-	ForeignEntry   FaultKind = "foreign-entry"
-	SameID         FaultKind = "server-starts-under-its-id"
-	ServerLeaves   FaultKind = "server-leaves-by-word"
-	ServerRests    FaultKind = "server-asks-for-rest"
-	ServerSays     FaultKind = "server-says-wrong-words"
-	ServerLimits   FaultKind = "server-names-limit"
-	Rollout        FaultKind = "rollout"
-	StoreRestored  FaultKind = "store-restored"
+	InstanceTerm      FaultKind = "instance-term"
+	InstanceKill      FaultKind = "instance-kill"
+	InstancePause     FaultKind = "instance-pause"
+	InstanceReload    FaultKind = "instance-reload"
+	KillAll           FaultKind = "kill-all"
+	FrontLink         FaultKind = "front-link"
+	PeerLink          FaultKind = "peer-link"
+	StoreLink         FaultKind = "store-link"
+	LinkReset         FaultKind = "link-reset"
+	StoreDown         FaultKind = "store-down"
+	StoreSlow         FaultKind = "store-slow"
+	StoreLosesReplies FaultKind = "store-loses-replies"
+	StoreCompacts     FaultKind = "store-forgets"
+	ServerCrash       FaultKind = "server-crash"
+	ServerSlow        FaultKind = "server-slow"
+	ServerFaults      FaultKind = "server-faults"
+	ServerDrain       FaultKind = "server-drain"
+	AddressReuse      FaultKind = "server-address-reused"
+	ServerResets      FaultKind = "server-forgets-connections"
+	NewServer         FaultKind = "new-server"
+	Evacuation        FaultKind = "evacuation"
+	ConfigChange      FaultKind = "config-change"
+	ConfigStorm       FaultKind = "config-storm"
+	KeyChange         FaultKind = "key-change"
+	LinkSilence       FaultKind = "link-silence"
+	ServerSilence     FaultKind = "server-silence"
+	CrashingRequests  FaultKind = "ending-requests"
+	ForeignEntry      FaultKind = "foreign-entry"
+	ServerRestart     FaultKind = "server-starts-under-its-id"
+	ServerLeaving     FaultKind = "server-leaves-by-word"
+	ServerBackoff     FaultKind = "server-asks-for-rest"
+	ServerBadHeaders  FaultKind = "server-says-wrong-words"
+	ServerLimits      FaultKind = "server-names-limit"
+	Rollout           FaultKind = "rollout"
+	StoreRestored     FaultKind = "store-restored"
 )
 
-// laterKinds came after seeds were kept. They are drawn by themselves, so that the other
-// faults of a seed stay as they are.
-var laterKinds = []FaultKind{KeyChange, LinkSilence, ServerSilence}
+// silenceKinds are drawn from a random source of their own. A kind that is added to baseKinds
+// would change the plan of every recorded seed.
+var silenceKinds = []FaultKind{KeyChange, LinkSilence, ServerSilence}
 
-// entryKinds came later still, and are drawn by themselves too.
-var entryKinds = []FaultKind{ForeignEntry, SameID}
+// entryKinds are faults on the entries of servers. They are drawn from a random source of
+// their own, as silenceKinds are.
+var entryKinds = []FaultKind{ForeignEntry, ServerRestart}
 
-// wordKinds came after these, and are drawn by themselves too. ServerLimits came last.
-var wordKinds = []FaultKind{ServerLeaves, ServerRests, ServerRests, ServerSays}
+// signalKinds are signals that servers send in headers. They are drawn from a random source of
+// their own, as silenceKinds are. ServerLimits has yet another source.
+var signalKinds = []FaultKind{ServerLeaving, ServerBackoff, ServerBackoff, ServerBadHeaders}
 
-// kindsOfFaults are all kinds, with how often they come.
-var kindsOfFaults = []struct {
+// baseKinds lists the kinds that are drawn from the first random source, with their relative
+// frequencies.
+var baseKinds = []struct {
 	kind   FaultKind
 	weight int
 }{
 	{InstanceTerm, 4}, {InstanceKill, 3}, {InstancePause, 3}, {InstanceReload, 2}, {KillAll, 1},
 	{FrontLink, 3}, {PeerLink, 3}, {StoreLink, 4}, {LinkReset, 3},
-	{StoreDown, 2}, {StoreSlow, 2}, {StoreLoses, 1}, {StoreForgets, 2},
-	{ServerCrash, 3}, {ServerSlow, 2}, {ServerFaults, 5}, {ServerDrain, 4}, {ServerReuse, 3}, {ServerForgets, 3}, {NewServer, 3},
+	{StoreDown, 2}, {StoreSlow, 2}, {StoreLosesReplies, 1}, {StoreCompacts, 2},
+	{ServerCrash, 3}, {ServerSlow, 2}, {ServerFaults, 5}, {ServerDrain, 4}, {AddressReuse, 3}, {ServerResets, 3}, {NewServer, 3},
 	{Evacuation, 3}, {ConfigChange, 5}, {ConfigStorm, 2},
 }
 
@@ -76,26 +79,27 @@
 	At   time.Duration
 	For  time.Duration
 	Kind FaultKind
-	// Which picks the instance, server or hall, modulo their number, and How
-	// the variant.
+	// Which selects the instance, server or hall, modulo their number. How selects the
+	// variant.
 	Which, How int
 }
 
-// String returns the fault in a line.
+// String returns the fault in one line, with its start, kind, Which, How and duration.
 func (f Fault) String() string {
 	return fmt.Sprintf("%.1fs %s(%d,%d) for %.1fs", f.At.Seconds(), f.Kind, f.Which, f.How, f.For.Seconds())
 }
 
-// gaps are how far apart faults come, from seed to seed: dense ones overlap, rare
-// ones leave instances undisturbed, so that the rules with a time bound count.
+// gaps are the base intervals between faults, one of which the seed selects. At short
+// intervals faults overlap. Long intervals leave instances undisturbed for long enough for the
+// checks with a time bound to apply.
 var gaps = []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 3500 * time.Millisecond}
 
-// Plan returns the faults of a seed, in the order of time. They come in series and
-// overlap, and end some time before the run does.
+// Plan returns the faults of a seed in order of their start. The faults may overlap. The last
+// starts before six tenths of the duration have passed.
 func Plan(seed uint64, duration time.Duration) []Fault {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	total := 0
-	for _, k := range kindsOfFaults {
+	for _, k := range baseKinds {
 		total += k.weight
 	}
 	var out []Fault
@@ -104,7 +108,7 @@
 	for at := 500 * time.Millisecond; at < last; at += gap/4 + time.Duration(rnd.Int64N(int64(gap))) {
 		f := Fault{At: at, For: time.Duration(300+rnd.IntN(3500)) * time.Millisecond, Which: rnd.IntN(1 << 16), How: rnd.IntN(1 << 16)}
 		point := rnd.IntN(total)
-		for _, k := range kindsOfFaults {
+		for _, k := range baseKinds {
 			point -= k.weight
 			if point < 0 {
 				f.Kind = k.kind
@@ -113,31 +117,31 @@
 		}
 		out = append(out, f)
 	}
-	again := rand.New(rand.NewPCG(seed, 2))
-	for at := 700 * time.Millisecond; at < last; at += gap + time.Duration(again.Int64N(int64(3*gap))) {
-		out = append(out, Fault{At: at, Kind: laterKinds[again.IntN(len(laterKinds))], Which: again.IntN(1 << 16), How: again.IntN(1 << 16)})
+	silences := rand.New(rand.NewPCG(seed, 2))
+	for at := 700 * time.Millisecond; at < last; at += gap + time.Duration(silences.Int64N(int64(3*gap))) {
+		out = append(out, Fault{At: at, Kind: silenceKinds[silences.IntN(len(silenceKinds))], Which: silences.IntN(1 << 16), How: silences.IntN(1 << 16)})
 	}
-	ending := rand.New(rand.NewPCG(seed, 4))
-	at := 700*time.Millisecond + time.Duration(ending.Int64N(int64(duration/10)))
-	out = append(out, Fault{At: at, For: last - at, Kind: EndingRequests, Which: ending.IntN(1 << 16), How: ending.IntN(1 << 16)})
+	crashes := rand.New(rand.NewPCG(seed, 4))
+	at := 700*time.Millisecond + time.Duration(crashes.Int64N(int64(duration/10)))
+	out = append(out, Fault{At: at, For: last - at, Kind: CrashingRequests, Which: crashes.IntN(1 << 16), How: crashes.IntN(1 << 16)})
 	entries := rand.New(rand.NewPCG(seed, 6))
 	for at := 900 * time.Millisecond; at < last; at += 2*gap + time.Duration(entries.Int64N(int64(3*gap))) {
 		out = append(out, Fault{At: at, For: time.Duration(300+entries.IntN(2000)) * time.Millisecond, Kind: entryKinds[entries.IntN(len(entryKinds))],
 			Which: entries.IntN(1 << 16), How: entries.IntN(1 << 16)})
 	}
-	words := rand.New(rand.NewPCG(seed, 8))
-	for at := 1100 * time.Millisecond; at < last; at += 2*gap + time.Duration(words.Int64N(int64(3*gap))) {
-		out = append(out, Fault{At: at, For: time.Duration(1000+words.IntN(4000)) * time.Millisecond, Kind: wordKinds[words.IntN(len(wordKinds))],
-			Which: words.IntN(1 << 16), How: words.IntN(1 << 16)})
+	signals := rand.New(rand.NewPCG(seed, 8))
+	for at := 1100 * time.Millisecond; at < last; at += 2*gap + time.Duration(signals.Int64N(int64(3*gap))) {
+		out = append(out, Fault{At: at, For: time.Duration(1000+signals.IntN(4000)) * time.Millisecond, Kind: signalKinds[signals.IntN(len(signalKinds))],
+			Which: signals.IntN(1 << 16), How: signals.IntN(1 << 16)})
 	}
 	limits := rand.New(rand.NewPCG(seed, 10))
-	for at := 1300 * time.Millisecond; at < last-limitLasts; at += 3*gap + time.Duration(limits.Int64N(int64(4*gap))) {
-		length := limitLasts + time.Duration(limits.Int64N(int64(last-limitLasts-at)))
+	for at := 1300 * time.Millisecond; at < last-minLimitTime; at += 3*gap + time.Duration(limits.Int64N(int64(4*gap))) {
+		length := minLimitTime + time.Duration(limits.Int64N(int64(last-minLimitTime-at)))
 		out = append(out, Fault{At: at, For: length, Kind: ServerLimits, Which: limits.IntN(1 << 16), How: limits.IntN(1 << 16)})
 	}
 	rollouts := rand.New(rand.NewPCG(seed, 12))
-	for at := 1500 * time.Millisecond; at < last-rolloutLasts/2; at += rolloutLasts + time.Duration(rollouts.Int64N(int64(rolloutLasts))) {
-		out = append(out, Fault{At: at, For: rolloutLasts, Kind: Rollout, Which: rollouts.IntN(1 << 16), How: rollouts.IntN(1 << 16)})
+	for at := 1500 * time.Millisecond; at < last-rolloutTime/2; at += rolloutTime + time.Duration(rollouts.Int64N(int64(rolloutTime))) {
+		out = append(out, Fault{At: at, For: rolloutTime, Kind: Rollout, Which: rollouts.IntN(1 << 16), How: rollouts.IntN(1 << 16)})
 	}
 	restores := rand.New(rand.NewPCG(seed, 14))
 	if restores.IntN(2) == 0 {
--- a/internal/soak/rollouts.go
+++ b/internal/soak/rollouts.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// rolloutLasts is the time that an order gives, and newPerHall the number of servers of the new
-	// version in each hall.
-	rolloutLasts = 9 * time.Second
-	newPerHall   = 2
-	// exposedShare and exposedSlack are how many of a service's requests a bad version may get, and
-	// rollbackWithin how long after its fiftieth bad answer it may still get any.
+	// rolloutTime is the duration of a rollout, and newPerHall the number of servers of the
+	// new version in each hall.
+	rolloutTime = 9 * time.Second
+	newPerHall  = 2
+	// exposedShare and exposedSlack bound the requests of a service that a bad version may
+	// receive: a share of all, plus a number. rollbackWithin is how long a bad version may
+	// still receive requests after its fiftieth bad answer. badAnswers is that number.
 	exposedShare   = 0.1
 	exposedSlack   = 50
 	badAnswers     = 50
 	rollbackWithin = 5 * time.Second
-	// verdictLooks is how often the order is looked at.
-	verdictLooks = 50 * time.Millisecond
+	// verdictPoll is the interval at which the status of the rollout is read.
+	verdictPoll = 50 * time.Millisecond
 )
 
-// quality is what is wrong with a version.
+// quality is the defect of a version, if any.
 type quality int
 
-// The qualities.
+// The qualities of a version.
 const (
 	soundVersion quality = iota
 	failingVersion
@@ -39,63 +40,63 @@
 	qualities
 )
 
-// versionCheck judges the rollout of one version.
+// versionCheck checks the rollout of one version.
 type versionCheck struct {
 	service, version string
 	quality          quality
 	from, until      time.Time
-	// all are the requests that reached the service in the time of the order, and atNew those that
-	// instances in touch sent to the version.
+	// all counts the requests that reached the service during the rollout, and atNew those
+	// that connected instances sent to the new version, if it is bad.
 	all, atNew int
-	// answeredBadly is the number of the version's bad answers, and fiftiethAt when the fiftieth
-	// came.
-	answeredBadly int
-	fiftiethAt    time.Time
-	late          bool
-	verdict       string
-	// forgotten says that all instances ended soon after the store had lost what it held of the
-	// order: nobody may know of the verdict, or of the version's bad answers.
-	forgotten bool
+	// badAnswers counts the bad answers of the version. fiftiethAt is when the fiftieth, by
+	// the constant badAnswers, was given.
+	badAnswers int
+	fiftiethAt time.Time
+	reported   bool
+	verdict    string
+	// stateLost is set if all instances were killed soon after the store lost the state of the
+	// rollout. The verdict and the bad answers of the version may then be lost.
+	stateLost bool
 }
 
 func (c *versionCheck) isBad() bool { return c.quality != soundVersion }
 
-// rollout has the operator order a version of a service, starts its servers, and does what the platform does
-// at its end.
+// rollout orders a new version of a service, starts its servers, and performs the platform's
+// part once the rollout has ended.
 func (r *runner) rollout(f Fault) {
 	s := r.site
 	service := services[f.Which%len(services)]
 	if !s.rolling.CompareAndSwap(false, true) {
 		return
 	}
-	check := &versionCheck{service: service, version: s.nextVersion(), quality: quality(f.How % int(qualities)), from: time.Now(), until: time.Now().Add(rolloutLasts)}
+	check := &versionCheck{service: service, version: s.nextVersion(), quality: quality(f.How % int(qualities)), from: time.Now(), until: time.Now().Add(rolloutTime)}
 	o := s.oracle
 	o.mu.Lock()
 	o.versions = append(o.versions, check)
 	o.mu.Unlock()
 	s.store.Remove("rollouts", service)
-	s.store.Set("rollouts", service, objects.Rollout{Service: service, TargetVersion: check.version, Duration: rolloutLasts.String()})
+	s.store.Set("rollouts", service, objects.Rollout{Service: service, TargetVersion: check.version, Duration: rolloutTime.String()})
 	for _, p := range places {
 		for range newPerHall {
 			srv, err := s.addVersion(service, check.version, p)
 			if err != nil {
 				continue
 			}
-			r.spoil(srv, check)
+			r.degrade(srv, check)
 		}
 	}
 	r.awaitVerdict(check)
 }
 
-// spoil gives a server of a version what is wrong with it.
-func (r *runner) spoil(srv *server, check *versionCheck) {
+// degrade injects the defect of the version into one of its servers.
+func (r *runner) degrade(srv *server, check *versionCheck) {
 	var n atomic.Int64
 	fails := func(req *http.Request) bool {
 		switch check.quality {
 		case failingVersion:
 			return true
 		case failingLater:
-			return time.Since(check.from) > rolloutLasts/3
+			return time.Since(check.from) > rolloutTime/3
 		case failingOnARoute:
 			return strings.HasPrefix(req.RequestURI, "/up/") || strings.HasPrefix(req.RequestURI, "/home/")
 		default:
@@ -118,20 +119,20 @@
 	})
 }
 
-// awaitVerdict waits for the end of a rollout. A success stops the old servers at once, a rollback drains the
-// new ones, as does an order that was not ended in its time.
+// awaitVerdict waits for the end of a rollout. After a success it stops the old servers at
+// once. After a rollback, or if the rollout has not ended in time, it drains the new servers.
 func (r *runner) awaitVerdict(check *versionCheck) {
 	s := r.site
 	state := s.rolloutState(check.service)
 	if state != "" && state != "running" || time.Now().After(check.until.Add(2*time.Second)) {
-		s.oracle.ruled(check, state)
+		s.oracle.noteVerdict(check, state)
 		succeeded := state == "succeeded"
 		if succeeded {
 			s.setVersion(check.service, check.version)
 		} else {
 			s.reject(check.version)
 		}
-		for _, srv := range s.there() {
+		for _, srv := range s.present() {
 			if srv.Service != check.service || (srv.version == check.version) == succeeded {
 				continue
 			}
@@ -143,7 +144,7 @@
 				s.store.Remove("servers", srv.ID)
 				continue
 			}
-			r.leave(srv)
+			r.drainOnly(srv)
 		}
 		r.later(time.Until(check.until)+rollbackWithin, func() {
 			s.oracle.judgeVersion(check, s.rolloutState(check.service))
@@ -151,11 +152,11 @@
 		})
 		return
 	}
-	r.later(verdictLooks, func() { r.awaitVerdict(check) })
+	r.later(verdictPoll, func() { r.awaitVerdict(check) })
 }
 
-// leave drains a server for which none comes.
-func (r *runner) leave(srv *server) {
+// drainOnly drains a server without a replacement.
+func (r *runner) drainOnly(srv *server) {
 	r.site.record(srv, objects.Draining)
 	r.later(drainTimeout+2*time.Second, func() {
 		r.site.store.Remove("servers", srv.ID)
@@ -163,7 +164,8 @@
 	})
 }
 
-// rolloutState returns what the store holds of the order for a service.
+// rolloutState returns the state of a service's rollout that the store holds, or the empty
+// string if there is none.
 func (s *site) rolloutState(service string) string {
 	var status objects.RolloutStatus
 	raw := s.store.Status("rollouts", service)
@@ -177,14 +179,14 @@
 func (o *oracle) badAnswer(check *versionCheck) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	check.answeredBadly++
-	if check.answeredBadly == badAnswers {
+	check.badAnswers++
+	if check.badAnswers == badAnswers {
 		check.fiftiethAt = time.Now()
 	}
 }
 
-// ruled notes the verdict of a rollout.
-func (o *oracle) ruled(check *versionCheck, verdict string) {
+// noteVerdict records the verdict of a rollout.
+func (o *oracle) noteVerdict(check *versionCheck, verdict string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	check.verdict = verdict
@@ -193,8 +195,9 @@
 	}
 }
 
-// judgeExposure counts a request that reaches a server while a version of its service is brought in. The caller
-// holds mu.
+// judgeExposure counts a request that reaches a server of a service with a rollout, and checks
+// that a bad version receives none later than rollbackWithin after its fiftieth bad answer.
+// The caller holds mu.
 func (o *oracle) judgeExposure(a *attempt, v origin.Arrival) {
 	srv := o.servers[v.Server.ID]
 	for _, check := range o.versions {
@@ -204,32 +207,32 @@
 		if v.At.Before(check.until) {
 			check.all++
 		}
-		if srv.version != check.version || !check.isBad() || check.forgotten || !o.inTouch(a.instance, v.At) {
+		if srv.version != check.version || !check.isBad() || check.stateLost || !o.connected(a.instance, v.At) {
 			continue
 		}
 		o.checks["EXPOSURE"]++
 		if v.At.Before(check.until) {
 			check.atNew++
 		}
-		if !check.fiftiethAt.IsZero() && v.At.Sub(check.fiftiethAt) > rollbackWithin && !check.late {
-			check.late = true
-			o.broken("EXPOSURE", "%s of %s got a request from %s %.2f s after its fiftieth bad answer", check.version, check.service, a.instance, v.At.Sub(check.fiftiethAt).Seconds())
+		if !check.fiftiethAt.IsZero() && v.At.Sub(check.fiftiethAt) > rollbackWithin && !check.reported {
+			check.reported = true
+			o.violated("EXPOSURE", "%s of %s got a request from %s %.2f s after its fiftieth bad answer", check.version, check.service, a.instance, v.At.Sub(check.fiftiethAt).Seconds())
 		}
 	}
 }
 
-// judgeVersion judges a rollout whose time is over. What the store holds then must be what it held first.
+// judgeVersion checks a rollout after its end. The store must still hold the first verdict.
 func (o *oracle) judgeVersion(check *versionCheck, state string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if check.forgotten {
+	if check.stateLost {
 		return
 	}
 	o.checks["VERDICT"]++
 	if check.verdict != "" && check.verdict != "running" && state != check.verdict {
-		o.broken("VERDICT", "the rollout of %s of %s was %s and is %s", check.version, check.service, check.verdict, state)
+		o.violated("VERDICT", "the verdict of the rollout of %s of %s changed from %q to %q", check.version, check.service, check.verdict, state)
 	}
 	if check.isBad() && float64(check.atNew) > exposedShare*float64(check.all)+exposedSlack {
-		o.broken("EXPOSURE", "%s of %s (quality %d) got %d of %d requests", check.version, check.service, check.quality, check.atNew, check.all)
+		o.violated("EXPOSURE", "%s of %s (quality %d) got %d of %d requests", check.version, check.service, check.quality, check.atNew, check.all)
 	}
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Options are the choices of a run.
+// Options are the parameters of a run.
 type Options struct {
 	Seed     uint64
 	Duration time.Duration
 	// Program is the path of rainfordd.
 	Program string
-	// Instances and Clients are how many there are.
+	// Instances and Clients are the numbers of gateway processes and of clients.
 	Instances, Clients int
-	// Keep is the folder for the logs, empty for one that is removed.
+	// Keep is the folder for the logs. If it is empty, the logs are removed after the run.
 	Keep     string
 	Progress io.Writer
 }
@@ -35,19 +35,19 @@
 	PeakMemory int64          `json:"peak_memory_bytes"`
 	PeakFiles  int            `json:"peak_files"`
 	Processes  int            `json:"processes"`
-	// Ended is how many servers ended under each request that ends them.
+	// Ended holds the number of servers that crashed under each request that crashes servers.
 	Ended  map[string]int `json:"ended"`
 	Broken []Violation    `json:"broken"`
 }
 
 const (
 	settleTime = 1500 * time.Millisecond
-	// recoverTime is given to the system after the last fault.
+	// recoverTime is the time that the system has to recover after the last fault.
 	recoverTime = 5 * time.Second
-	// recoverPart has to be served from then on.
-	recoverPart = 0.9
-	mostMemory  = 160 << 20
-	mostFiles   = 1000
+	// recoverShare is the fraction of requests that must be served after recoverTime.
+	recoverShare = 0.9
+	maxMemory    = 160 << 20
+	maxFiles     = 1000
 )
 
 type runner struct {
@@ -57,7 +57,7 @@
 	report  Report
 }
 
-// later calls f after a while; the run waits for it.
+// later calls f after the given time. The run waits for the call to return.
 func (r *runner) later(after time.Duration, f func()) {
 	r.wg.Add(1)
 	time.AfterFunc(after, func() {
@@ -66,7 +66,8 @@
 	})
 }
 
-// Run plays the plan of a seed and reports.
+// Run executes the plan of a seed and returns the report. It returns an error if the site
+// cannot be started.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	dir := options.Keep
 	if dir == "" {
@@ -106,7 +107,7 @@
 	clients.Add(1)
 	go r.site.probe(loadCtx, &clients)
 	r.sleep(ctx, settleTime)
-	r.faults(ctx)
+	r.injectAll(ctx)
 	r.wg.Wait()
 	quiet := time.Now().Add(recoverTime)
 	r.sleep(ctx, max(time.Until(quiet.Add(3*time.Second)), r.options.Duration-time.Since(began)))
@@ -126,7 +127,7 @@
 	}
 }
 
-// measure looks at the memory and descriptors of the processes.
+// measure updates the peaks of the processes' resident memory and open descriptors.
 func (r *runner) measure() {
 	for _, in := range r.site.instances {
 		memory, files := in.memory()
@@ -135,7 +136,7 @@
 	}
 }
 
-func (r *runner) faults(ctx context.Context) {
+func (r *runner) injectAll(ctx context.Context) {
 	began := time.Now()
 	for _, f := range Plan(r.options.Seed, r.options.Duration) {
 		r.sleep(ctx, time.Until(began.Add(f.At)))
@@ -144,7 +145,7 @@
 		}
 		r.report.Faults[string(f.Kind)]++
 		fmt.Fprintf(r.options.Progress, "seed %d: %s\n", r.options.Seed, f)
-		r.bring(f)
+		r.inject(f)
 	}
 }
 
@@ -157,19 +158,19 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checks["RECOVER"]++
-	if r.report.AfterEnd < recoverPart {
-		o.broken("RECOVER", "%d of %d requests served after the last fault", served, all)
+	if r.report.AfterEnd < recoverShare {
+		o.violated("RECOVER", "%d of %d requests served after the last fault", served, all)
 	}
 	o.checks["GROWTH"]++
-	if r.report.PeakMemory > mostMemory || r.report.PeakFiles > mostFiles {
-		o.broken("GROWTH", "%d bytes, %d descriptors", r.report.PeakMemory, r.report.PeakFiles)
+	if r.report.PeakMemory > maxMemory || r.report.PeakFiles > maxFiles {
+		o.violated("GROWTH", "peak of %d bytes of memory and %d open descriptors", r.report.PeakMemory, r.report.PeakFiles)
 	}
 }
 
 func (r *runner) finish(began time.Time) {
 	o := r.site.oracle
 	r.report.Served, r.report.Requests = o.served(time.Time{})
-	r.report.Ended = o.endedInAll()
+	r.report.Ended = o.crashCounts()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r.report.Seconds = time.Since(began).Seconds()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -20,8 +20,8 @@
 	"github.com/rainford/rainford/internal/standin/origin"
 )
 
-// touchSources looks at every source file of the module, so that a kept result of
-// this test is not used after a change of the program.
+// touchSources reads the state of each source file of the module, so that go test does not
+// reuse a cached result after a change of the program.
 func touchSources(t *testing.T) {
 	err := filepath.WalkDir(filepath.Join("..", ".."), func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || filepath.Ext(path) != ".go" {
@@ -42,7 +42,7 @@
 	return program
 }
 
-// TestShortSoak plays one seed.
+// TestShortSoak runs one seed.
 func TestShortSoak(t *testing.T) {
 	report, err := Run(context.Background(), Options{Seed: 3, Duration: 10 * time.Second, Program: build(t),
 		Instances: 5, Clients: 10, Progress: io.Discard})
@@ -51,10 +51,11 @@
 	require.Greater(t, report.Requests, 200)
 }
 
-// kept plays the seeds that failed once again, which takes minutes.
+// kept selects the run of the recorded seeds, which takes minutes.
 var kept = flag.Bool("kept", false, "play the seeds of testdata/seeds.txt")
 
-// TestKeptSeeds plays every seed that ever failed.
+// TestKeptSeeds runs each recorded seed, all of which have failed before. Without the flag
+// kept it only parses the list.
 func TestKeptSeeds(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("testdata", "seeds.txt"))
 	require.NoError(t, err)
@@ -88,11 +89,11 @@
 			require.Less(t, f.At, time.Minute)
 		}
 	}
-	require.Len(t, kinds, len(kindsOfFaults)+len(laterKinds)+len(entryKinds)+3+3+1, "every kind comes")
+	require.Len(t, kinds, len(baseKinds)+len(silenceKinds)+len(entryKinds)+3+3+1, "each kind of fault is drawn")
 }
 
-// TestProxyModes checks that bytes pass unchanged in each mode that lets them, and
-// that what was held passes once the mode changes.
+// TestProxyModes checks that each mode that forwards bytes leaves them unchanged, and that
+// bytes held by a mode are forwarded once the mode changes.
 func TestProxyModes(t *testing.T) {
 	server, err := origin.Start("i-1", "read", "a1", 3)
 	require.NoError(t, err)
@@ -115,7 +116,7 @@
 		p.set(mode)
 		require.NoError(t, send())
 	}
-	for _, mode := range []Mode{Silent, DeafUp, DeafDown} {
+	for _, mode := range []Mode{Stall, StallUp, StallDown} {
 		p.set(mode)
 		time.AfterFunc(100*time.Millisecond, func() { p.set(Pass) })
 		require.NoError(t, send())
@@ -125,13 +126,14 @@
 	for _, run := range runs {
 		require.Equal(t, body, run.Body)
 	}
-	p.set(Silent)
+	p.set(Stall)
 	time.AfterFunc(50*time.Millisecond, p.reset)
 	require.Error(t, send())
 }
 
-// TestOracleSeesEachBreak feeds the oracle with what a broken system would show.
-func TestOracleSeesEachBreak(t *testing.T) {
+// TestOracleDetectsEachViolation checks that the oracle reports each rule's violation, given
+// the observations that a faulty system would cause.
+func TestOracleDetectsEachViolation(t *testing.T) {
 	in := &instance{name: "n1"}
 	ok := func(id string) result {
 		return result{status: 200, header: http.Header{"Server-Signature": {"s"}}, body: "answer of i-1 to " + id}
@@ -229,11 +231,11 @@
 			}
 			o.budget()
 		},
-		"DRAIN by word": func(o *oracle) {
+		"DRAIN by header": func(o *oracle) {
 			a := o.begin(in, "GET", "/read/1", nil)
 			arrive(o, a, nil)
 			o.finish(a, leaving(a.id))
-			o.quietSince["n1"] = time.Now().Add(time.Minute)
+			o.undisturbedSince["n1"] = time.Now().Add(time.Minute)
 			next := o.begin(in, "GET", "/read/1", nil)
 			next.at = a.doneAt.Add(drainTimeout + time.Millisecond)
 			arrive(o, next, nil)
@@ -243,21 +245,21 @@
 			arrive(o, a, nil)
 			o.finish(a, leaving(a.id))
 			next := o.begin(&instance{name: "n2"}, "GET", "/read/1", nil)
-			next.at = a.doneAt.Add(newsTime + time.Millisecond)
+			next.at = a.doneAt.Add(propagationTime + time.Millisecond)
 			arrive(o, next, nil)
 		},
-		"BUDGET by rest": func(o *oracle) {
+		"BUDGET by back-off": func(o *oracle) {
 			asked := time.Now()
 			arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.Executed, v.RetryAfter = false, time.Minute })
-			for i := range mostInRest + 1 {
-				arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.At = asked.Add(restGrace + time.Duration(i+1)*time.Second) })
+			for i := range maxDuringBackoff + 1 {
+				arrive(o, o.begin(in, "GET", "/read/1", nil), func(v *origin.Arrival) { v.At = asked.Add(backoffGrace + time.Duration(i+1)*time.Second) })
 			}
 		},
 		"KEY": func(o *oracle) {
 			a := o.begin(in, "GET", "/read/1", nil)
 			arrive(o, a, func(v *origin.Arrival) { v.Header = http.Header{"Credential": {"k"}} })
 		},
-		"KEY taken": func(o *oracle) {
+		"KEY removed": func(o *oracle) {
 			a := o.begin(in, "GET", "/read/1", nil)
 			a.key = "taken"
 			o.keys.until["taken"] = time.Now().Add(-configApply - time.Second)
@@ -290,7 +292,7 @@
 	for rule, bring := range cases {
 		t.Run("rule "+rule, func(t *testing.T) {
 			o := newOracle(newKeyring())
-			o.quietSince["n1"] = time.Now().Add(-time.Minute)
+			o.undisturbedSince["n1"] = time.Now().Add(-time.Minute)
 			bring(o)
 			if rule == "" {
 				require.Empty(t, o.violations)
@@ -302,17 +304,17 @@
 	}
 }
 
-// TestWordsAreExcused checks what the oracle does not hold against an instance: requests sent soon
-// after a word, and those of one that was restarted, stood still, or was cut off since.
-func TestWordsAreExcused(t *testing.T) {
+// TestExcusedSignals checks that the oracle does not report requests sent soon after a signal,
+// nor those of an instance that was restarted, paused or disturbed since.
+func TestExcusedSignals(t *testing.T) {
 	in := &instance{name: "n1"}
 	server := &origin.Server{ID: "i-1", Service: "read", Zone: "a1"}
 	for name, excuse := range map[string]func(o *oracle, asked time.Time, late *attempt){
 		"soon":      func(_ *oracle, _ time.Time, late *attempt) { late.at = time.Now() },
 		"restarted": func(o *oracle, _ time.Time, late *attempt) { o.runs["n1"], late.run = 1, 1 },
-		"frozen": func(o *oracle, asked time.Time, _ *attempt) {
-			o.frozenAt["n1"] = asked.Add(time.Second)
-			o.quietSince["n1"] = asked.Add(time.Second)
+		"paused": func(o *oracle, asked time.Time, _ *attempt) {
+			o.pausedUntil["n1"] = asked.Add(time.Second)
+			o.undisturbedSince["n1"] = asked.Add(time.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -321,13 +323,13 @@
 			asked := time.Now()
 			o.arrived(origin.Arrival{Server: server, At: asked, Run: origin.Run{ID: a.id}, RetryAfter: time.Minute})
 			o.finish(a, result{status: 200, header: http.Header{"Server-Signature": {"sig.i-1"}, leavingHeader: {"1"}}, body: " to " + a.id})
-			for range mostInRest + 1 {
+			for range maxDuringBackoff + 1 {
 				late := o.begin(in, "GET", "/read/1", nil)
 				late.at = asked.Add(2 * drainTimeout)
 				excuse(o, asked, late)
 				at := asked.Add(2 * drainTimeout)
 				if name == "soon" {
-					at = asked.Add(restGrace)
+					at = asked.Add(backoffGrace)
 				}
 				o.arrived(origin.Arrival{Server: server, At: at, Executed: true, Run: origin.Run{ID: late.id, Method: "GET", URI: "/read/1"}})
 			}
@@ -336,9 +338,9 @@
 	}
 }
 
-// TestTimeoutOverSilencedConnection checks that a request that a client sent over a connection
-// that was silenced before is not held against the instance, which never got it, and that one
-// over a connection of its own is.
+// TestTimeoutOverSilencedConnection checks that the oracle does not report the time-out of a
+// request that a client sent over a connection silenced before, because the instance never
+// received it, and does report one over a connection opened later.
 func TestTimeoutOverSilencedConnection(t *testing.T) {
 	for _, c := range []struct {
 		opened time.Duration
@@ -349,9 +351,9 @@
 		silenced := time.Now().Add(-time.Minute)
 		o.silencedAt["n0"] = silenced
 		a := o.begin(in, http.MethodGet, "/read/1", nil)
-		require.True(t, a.touched)
+		require.True(t, a.connected)
 		a.at = time.Now().Add(-routeTimeout - time.Second)
-		o.sentOver(a, silenced.Add(c.opened))
+		o.noteConnection(a, silenced.Add(c.opened))
 		o.finish(a, result{err: context.DeadlineExceeded})
 		require.Len(t, o.violations, c.broken)
 	}
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -15,91 +15,94 @@
 	"github.com/rainford/rainford/protocol"
 )
 
-// Settings are what a target does. The faults are chances between 0 and 1.
+// Settings determine the behavior of a target. Those of type float64, except ColdFactor, are probabilities of
+// a fault per request, between 0 and 1.
 type Settings struct {
 	Slots       int           `json:"slots"`
 	ServiceTime time.Duration `json:"service_time"`
-	// ColdRuns is the number of requests after the start that a cold target
-	// takes ColdFactor times as long for.
+	// ColdRuns is the number of requests until a cold target is warm. The
+	// service time falls linearly over these requests from about ColdFactor
+	// times ServiceTime to ServiceTime.
 	ColdRuns   int     `json:"cold_runs"`
 	ColdFactor float64 `json:"cold_factor"`
-	// Shed refuses work beyond the slots; without it such work queues up.
+	// Shed refuses requests when no slot is free. Without Shed, they wait.
 	Shed bool `json:"shed"`
-	// Draining refuses all new work.
+	// Draining refuses all new requests and announces it in a header.
 	Draining bool `json:"draining"`
-	// AlwaysHealthy says "ok" while draining or faulty.
+	// AlwaysHealthy makes health checks succeed while the target is draining.
 	AlwaysHealthy bool `json:"lie_health"`
-	// DropBefore breaks the connection before the work, DropDuring after it
-	// and before an answer, DropAfter in the middle of the answer.
+	// DropBefore closes the connection before the request is run, DropDuring
+	// after the run and before the response, and DropAfter in the middle of the
+	// response.
 	DropBefore float64 `json:"drop_before"`
 	DropDuring float64 `json:"drop_during"`
 	DropAfter  float64 `json:"drop_after"`
-	// Refuse refuses work explicitly.
+	// Refuse refuses the request with a header that states that it was not run.
 	Refuse float64 `json:"refuse"`
 }
 
-// Paths of the control interface.
+// Paths of the control interface, which changes settings and returns the counts of runs.
 const (
 	SettingsPath = "/control/settings"
 	RunsPath     = "/control/runs"
 )
 
-// Server is one target.
+// Server is the stand-in for one target. It is safe for concurrent use.
 type Server struct {
 	id   string
 	runs *Runs
 
-	mu       sync.Mutex
-	settings Settings
-	served   int
-	inFlight int
-	offered  int
-	peak     int
-	lastNew  time.Time
+	mu          sync.Mutex
+	settings    Settings
+	served      int
+	inFlight    int
+	outstanding int
+	peak        int
+	lastStart   time.Time
 }
 
-// NewServer returns the target called id. Runs may be shared.
+// NewServer returns a target with the given name, which counts its runs in runs. Targets may share runs.
 func NewServer(id string, settings Settings, runs *Runs) *Server {
 	return &Server{id: id, runs: runs, settings: settings}
 }
 
-// UpdateSettings changes the settings.
+// UpdateSettings calls change with the settings, which it may modify.
 func (s *Server) UpdateSettings(change func(*Settings)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.settings)
 }
 
-// ResetWarmup makes the target cold again.
+// ResetWarmup makes the target cold, as after a start.
 func (s *Server) ResetWarmup() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served = 0
 }
 
-// LastStart returns when the target last took new work.
+// LastStart returns the time at which a request last acquired a slot.
 func (s *Server) LastStart() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastNew
+	return s.lastStart
 }
 
-// PeakRequests returns the most requests that were sent to the target at a time,
-// refused and waiting ones included.
+// PeakRequests returns the largest number of requests that were at the target
+// concurrently, including refused and waiting ones.
 func (s *Server) PeakRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.peak
 }
 
-// InFlight returns the requests in flight.
+// InFlight returns the number of slots in use.
 func (s *Server) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.inFlight
 }
 
-// Handler returns the target's interface.
+// Handler returns the handler of the target's interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", s.health)
@@ -108,8 +111,7 @@
 	return mux
 }
 
-// ControlHandler returns the interface that changes settings and tells what
-// ran.
+// ControlHandler returns the handler of the control interface.
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+SettingsPath, func(w http.ResponseWriter, r *http.Request) {
@@ -130,8 +132,8 @@
 }
 
 func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
-	now := s.current()
-	if now.Draining && !now.AlwaysHealthy {
+	settings := s.currentSettings()
+	if settings.Draining && !settings.AlwaysHealthy {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
@@ -144,54 +146,55 @@
 	writeJSON(w, map[string]int{"in_flight": s.inFlight, "slots": s.settings.Slots})
 }
 
-func (s *Server) current() Settings {
+func (s *Server) currentSettings() Settings {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.settings
 }
 
-func (s *Server) offer(by int) {
+func (s *Server) addOutstanding(by int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.offered += by
-	s.peak = max(s.peak, s.offered)
+	s.outstanding += by
+	s.peak = max(s.peak, s.outstanding)
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
-	s.offer(1)
-	defer s.offer(-1)
-	now := s.current()
-	if now.Draining {
+	s.addOutstanding(1)
+	defer s.addOutstanding(-1)
+	settings := s.currentSettings()
+	if settings.Draining {
 		w.Header().Set(protocol.HeaderDraining, protocol.FlagSet)
 		refuse(w, "draining")
 		return
 	}
-	if chance(now.Refuse) {
+	if chance(settings.Refuse) {
 		refuse(w, "refused")
 		return
 	}
-	if !s.take(r, now.Shed) {
+	if !s.acquireSlot(r, settings.Shed) {
 		refuse(w, "no slot is free")
 		return
 	}
-	defer s.free()
-	if chance(now.DropBefore) {
+	defer s.releaseSlot()
+	if chance(settings.DropBefore) {
 		panic(http.ErrAbortHandler)
 	}
-	s.run(w, r, now)
+	s.run(w, r, settings)
 }
 
-// slotPoll is how often work that waits looks for a free slot.
-const slotPoll = time.Millisecond
+// slotPollInterval is the interval at which waiting requests check for a free slot.
+const slotPollInterval = time.Millisecond
 
-// take takes a slot, waiting for one if the target does not shed.
-func (s *Server) take(r *http.Request, shed bool) bool {
-	for !s.tryTake() {
+// acquireSlot acquires a slot. Unless shed is set, it waits for one until the request is canceled. It returns
+// whether it has a slot.
+func (s *Server) acquireSlot(r *http.Request, shed bool) bool {
+	for !s.tryAcquireSlot() {
 		if shed {
 			return false
 		}
 		select {
-		case <-time.After(slotPoll):
+		case <-time.After(slotPollInterval):
 		case <-r.Context().Done():
 			return false
 		}
@@ -199,26 +202,26 @@
 	return true
 }
 
-func (s *Server) tryTake() bool {
+func (s *Server) tryAcquireSlot() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.inFlight >= s.settings.Slots {
 		return false
 	}
 	s.inFlight++
-	s.lastNew = time.Now()
+	s.lastStart = time.Now()
 	return true
 }
 
-func (s *Server) free() {
+func (s *Server) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
 }
 
-// run does the work. It counts the run before it works, since a caller that
-// goes away in the middle can't undo it.
-func (s *Server) run(w http.ResponseWriter, r *http.Request, now Settings) {
+// run executes the request. It counts the run before the service time begins,
+// since a client that disconnects later can't undo it.
+func (s *Server) run(w http.ResponseWriter, r *http.Request, settings Settings) {
 	sum := sha256.New()
 	n, err := io.Copy(sum, r.Body)
 	if err != nil {
@@ -226,43 +229,43 @@
 	}
 	s.runs.add(r.Header.Get(protocol.HeaderIdempotencyKey))
 	select {
-	case <-time.After(s.serviceTime(now)):
+	case <-time.After(s.serviceTime(settings)):
 	case <-r.Context().Done():
 		return
 	}
-	if chance(now.DropDuring) {
+	if chance(settings.DropDuring) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("X-Target", s.id)
 	if text := r.URL.Path; len(text) > len("/blob/") && text[:len("/blob/")] == "/blob/" {
-		s.blob(w, text[len("/blob/"):], now)
+		s.serveBlob(w, text[len("/blob/"):], settings)
 		return
 	}
 	body := fmt.Sprintf(`{"target":%q,"id":%q,"bytes":%d,"sha256":%q}`, s.id, r.Header.Get(protocol.HeaderRequestID), n, hex.EncodeToString(sum.Sum(nil)))
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if chance(now.DropAfter) {
+	if chance(settings.DropAfter) {
 		_, _ = io.WriteString(w, body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(w, body)
 }
 
-func (s *Server) serviceTime(now Settings) time.Duration {
+func (s *Server) serviceTime(settings Settings) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.served++
-	if s.served <= now.ColdRuns {
-		// Warmth grows with the work done.
-		left := float64(now.ColdRuns-s.served) / float64(now.ColdRuns)
-		return time.Duration(float64(now.ServiceTime) * (1 + (now.ColdFactor-1)*left))
+	if s.served <= settings.ColdRuns {
+		// The extra time decreases linearly with the number of requests served.
+		remaining := float64(settings.ColdRuns-s.served) / float64(settings.ColdRuns)
+		return time.Duration(float64(settings.ServiceTime) * (1 + (settings.ColdFactor-1)*remaining))
 	}
-	return now.ServiceTime
+	return settings.ServiceTime
 }
 
-const blobChunk = 32 << 10
+const blobChunkBytes = 32 << 10
 
-// Blob returns the bytes of an answer of size bytes, for comparing.
+// Blob returns the body of a large response of size bytes, for comparison.
 func Blob(size int) []byte {
 	out := make([]byte, size)
 	src := rand.New(rand.NewPCG(uint64(size), 1))
@@ -272,18 +275,18 @@
 	return out
 }
 
-// blob answers without a length, in chunks.
-func (s *Server) blob(w http.ResponseWriter, text string, now Settings) {
+// serveBlob sends a body of the given size in chunks, without a Content-Length.
+func (s *Server) serveBlob(w http.ResponseWriter, text string, settings Settings) {
 	size, err := strconv.Atoi(text)
 	if err != nil || size < 0 || size > 64<<20 {
 		http.Error(w, "bad size", http.StatusBadRequest)
 		return
 	}
-	drop := chance(now.DropAfter)
+	drop := chance(settings.DropAfter)
 	data := Blob(size)
 	control := http.NewResponseController(w)
-	for off := 0; off < size; off += blobChunk {
-		_, err := w.Write(data[off:min(off+blobChunk, size)])
+	for off := 0; off < size; off += blobChunkBytes {
+		_, err := w.Write(data[off:min(off+blobChunkBytes, size)])
 		if err != nil {
 			return
 		}
--- a/internal/standin/origin/server.go
+++ b/internal/standin/origin/server.go
@@ -13,72 +13,73 @@
 	"github.com/rainford/rainford/internal/loopback"
 )
 
-// Fault is what a server does wrong with one request.
+// Fault selects how a server misbehaves for one request.
 type Fault int
 
 // The faults.
 const (
-	// None runs the request and answers.
+	// None runs the request and responds with status 200.
 	None Fault = iota
-	// Shed answers that the request was not run.
+	// Shed refuses the request with Not-Executed and the status of SetShedStatus.
 	Shed
-	// Surplus runs the request and sends a second answer to it behind the
-	// first.
+	// Surplus runs the request and sends a second response directly after the first.
 	Surplus
-	// Foreign sends an answer to another request first. What the server says of itself is
-	// in that one alone.
+	// Foreign sends a response with another request's ID first. Only that response has the additional
+	// header lines of SetExtraHeaders.
 	Foreign
-	// Unframed answers without a length and ends the connection.
+	// Unframed responds without a length and closes the connection at the end of the body.
 	Unframed
-	// UnframedReset does so and resets the connection midway.
+	// UnframedReset responds without a length and resets the connection 20 ms later.
 	UnframedReset
-	// Cut ends the connection in the middle of the answer.
+	// Cut closes the connection in the middle of the response's body.
 	Cut
-	// Garbage sends bytes that are no answer.
+	// Garbage does not run the request, sends bytes that are not HTTP, and closes the connection.
 	Garbage
-	// LostResponse runs the request and ends the connection without an answer.
+	// LostResponse runs the request and closes the connection without a response.
 	LostResponse
-	// Silent runs the request and says nothing.
+	// Silent runs the request and sends nothing until the connection is closed.
 	Silent
-	// EarlyRefusal refuses the request before its body is in, and reads on later.
+	// EarlyRefusal responds with status 413 before it reads the request's body, and reads the body 50 ms
+	// later. It does not run the request.
 	EarlyRefusal
-	// Unsigned answers with success and no signature.
+	// Unsigned runs the request and responds with status 200 but no Server-Signature.
 	Unsigned
-	// Failed runs the request and answers 500.
+	// Failed runs the request and responds with status 500.
 	Failed
-	// Crash runs the request and ends the server with all that it has, as a crash does.
+	// Crash runs the request, then closes the listener and resets all connections, as when the process
+	// crashes.
 	Crash
-	// Stalled sends the head and half of the answer, and then nothing more.
+	// Stalled sends the head and half of the response's body, and then nothing until the connection is
+	// closed.
 	Stalled
-	// Unmarked503 runs the request and answers 503 all the same, without a word that it did
-	// not run.
+	// Unmarked503 runs the request and responds with status 503, without the header Not-Executed.
 	Unmarked503
 )
 
-// Run is a request that was run.
+// Run records a request that a server has run.
 type Run struct {
 	ID, Method, URI string
 	Body            []byte
 }
 
-// Arrival is a request that has reached a server.
+// Arrival records a request that has reached a server and was run or refused with Not-Executed.
 type Arrival struct {
 	Server *Server
 	At     time.Time
 	Run
 	Header http.Header
-	// Executed is false if the server turned the request away, and Asks the rest that it then
-	// asked for, 0 for none.
+	// Executed is false if the server refused the request. RetryAfter is the back-off that the refusal
+	// requested, or 0 for none.
 	Executed   bool
 	RetryAfter time.Duration
 }
 
-// Server is one incarnation. It is safe for concurrent use.
+// Server is one incarnation of a target. It is safe for concurrent use.
 type Server struct {
-	// ID is the incarnation's, and Zone the place that it records.
+	// ID identifies the incarnation. Zone is its hall, as its object in the platform's store names it.
 	ID, Service, Zone string
 	Slots             int
-	// ServiceTime is how long a run takes.
+	// ServiceTime is the duration of a run.
 	ServiceTime time.Duration
 
 	listener net.Listener
@@ -86,23 +87,25 @@
 	script   func(*http.Request) Fault
 	runs     []Run
 	observe  func(Arrival)
-	// ends tells which requests end the server, and ended is told of the first.
-	ends  func(*http.Request) bool
-	ended func(Run)
-	// shedStatus is the status line's end of answers to requests that are turned away.
+	// crashes returns whether a request crashes the server. onCrash is called with the first that does.
+	crashes func(*http.Request) bool
+	onCrash func(Run)
+	// shedStatus is the status code and reason phrase of refusals.
 	shedStatus string
-	// restUntil is until when everything is turned away, and asks the rest asked for.
-	restUntil time.Time
-	asks      time.Duration
-	// says returns more header lines of the answer to a request.
-	says     func(*http.Request) string
-	once     sync.Once
-	conns    map[net.Conn]bool
-	accepted int
-	canceled int
+	// refuseUntil is the time until which all requests are refused, with retryAfter as the requested
+	// back-off.
+	refuseUntil time.Time
+	retryAfter  time.Duration
+	// extraHeaders returns additional header lines for the response to a request.
+	extraHeaders func(*http.Request) string
+	crashOnce    sync.Once
+	conns        map[net.Conn]bool
+	accepted     int
+	canceled     int
 }
 
-// Start returns a server on a port of its own on the loopback address of the process.
+// Start returns a server that listens on a free port of the process's loopback address. Its service time is
+// 0 until SetServiceTime.
 func Start(id, service, zone string, slots int) (*Server, error) {
 	ln, err := net.Listen("tcp", loopback.Host()+":0")
 	if err != nil {
@@ -113,91 +116,89 @@
 	return s, nil
 }
 
-// Addr is IP:PORT.
+// Addr returns the server's address as IP:PORT.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetScript sets what decides on the fault of each request.
+// SetScript sets the function that selects the fault of each request.
 func (s *Server) SetScript(script func(*http.Request) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.script = script
 }
 
-// SetCrash sets which requests end the server when it runs them, and what is told of the
-// first of them before the server ends.
-func (s *Server) SetCrash(ends func(*http.Request) bool, ended func(Run)) {
+// SetCrash sets the function that selects requests that crash the server, and one that is called with the
+// first such request before the server closes.
+func (s *Server) SetCrash(crashes func(*http.Request) bool, onCrash func(Run)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ends, s.ended = ends, ended
+	s.crashes, s.onCrash = crashes, onCrash
 }
 
-// SetShedStatus sets the status, such as "429 Too Many Requests", of answers to requests that
-// are turned away.
+// SetShedStatus sets the status of refusals, such as "429 Too Many Requests". The default is 503.
 func (s *Server) SetShedStatus(status string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shedStatus = status
 }
 
-func (s *Server) statusOfShed() string {
+func (s *Server) currentShedStatus() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shedStatus
 }
 
-// SetRetryAfter has the server turn away everything until a time, and ask for a rest of some length
-// each time.
-func (s *Server) SetRetryAfter(until time.Time, asks time.Duration) {
+// SetRetryAfter makes the server refuse all requests until a time, each with the given back-off in the header
+// Retry-After.
+func (s *Server) SetRetryAfter(until time.Time, retryAfter time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.restUntil, s.asks = until, asks
+	s.refuseUntil, s.retryAfter = until, retryAfter
 }
 
-// rest returns the rest that the server asks for now, 0 for none.
-func (s *Server) rest() time.Duration {
+// currentRetryAfter returns the back-off that the server requests now, or 0 if it accepts requests.
+func (s *Server) currentRetryAfter() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !time.Now().Before(s.restUntil) {
+	if !time.Now().Before(s.refuseUntil) {
 		return 0
 	}
-	return s.asks
+	return s.retryAfter
 }
 
-// SetExtraHeaders sets what returns more header lines of the answer to a request, whatever the answer
-// is. Each line ends with "\r\n".
-func (s *Server) SetExtraHeaders(says func(*http.Request) string) {
+// SetExtraHeaders sets the function that returns additional header lines for the response to a request,
+// whatever its status. Each line must end with "\r\n".
+func (s *Server) SetExtraHeaders(extraHeaders func(*http.Request) string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.says = says
+	s.extraHeaders = extraHeaders
 }
 
-// lines returns the header lines that every answer to a request has.
-func (s *Server) lines(req *http.Request) string {
+// extraHeaderLines returns the additional header lines for the response to a request.
+func (s *Server) extraHeaderLines(req *http.Request) string {
 	s.mu.Lock()
-	says := s.says
+	extraHeaders := s.extraHeaders
 	s.mu.Unlock()
-	if says == nil {
+	if extraHeaders == nil {
 		return ""
 	}
-	return says(req)
+	return extraHeaders(req)
 }
 
-// SetObserver sets what is told of each request that arrives, before it is
-// answered.
+// SetObserver sets the function that is called with each Arrival, before the response is sent.
 func (s *Server) SetObserver(observe func(Arrival)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.observe = observe
 }
 
-// SetServiceTime sets how long a run takes.
+// SetServiceTime sets the duration of a run.
 func (s *Server) SetServiceTime(work time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ServiceTime = work
 }
 
-func (s *Server) arrived(req *http.Request, a Arrival) {
+func (s *Server) notifyArrival(req *http.Request, a Arrival) {
 	s.mu.Lock()
 	observe := s.observe
 	s.mu.Unlock()
@@ -209,7 +210,7 @@
 	observe(a)
 }
 
-// Runs returns the requests run so far.
+// Runs returns a copy of the list of the requests run so far.
 func (s *Server) Runs() []Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,29 +224,29 @@
 	return s.accepted
 }
 
-// Canceled returns the number of runs whose connection ended first.
+// Canceled returns the number of Silent and Stalled responses whose connection has ended.
 func (s *Server) Canceled() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.canceled
 }
 
-// ResetConnections resets all connections.
+// ResetConnections resets all open connections. The server goes on accepting new ones.
 func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
-// Close ends the server.
+// Close stops listening and resets all connections.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.ResetConnections()
 }
 
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -276,7 +277,7 @@
 	br := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(br)
-		if err != nil || !s.one(c, req) {
+		if err != nil || !s.serveRequest(c, req) {
 			return
 		}
 	}
@@ -286,7 +287,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.ends != nil && s.ends(req):
+	case s.crashes != nil && s.crashes(req):
 		return Crash
 	case s.script == nil:
 		return None
@@ -295,26 +296,26 @@
 	}
 }
 
-// one serves one request. It reports whether the connection goes on.
-func (s *Server) one(c net.Conn, req *http.Request) bool {
+// serveRequest serves one request. It returns whether the connection stays open for the next.
+func (s *Server) serveRequest(c net.Conn, req *http.Request) bool {
 	id := req.Header.Get("Request-Id")
-	lines := s.lines(req)
+	lines := s.extraHeaderLines(req)
 	if expected := req.Header.Get("Expected-Instance"); expected != "" && expected != s.ID {
 		_, _ = io.Copy(io.Discard, req.Body)
-		return send(c, "421 Misdirected Request", "Instance-Id: "+s.ID+"\r\n"+lines, "") == nil
+		return writeResponse(c, "421 Misdirected Request", "Instance-Id: "+s.ID+"\r\n"+lines, "") == nil
 	}
-	fault, asks := s.fault(req), s.rest()
-	if asks > 0 {
+	fault, retryAfter := s.fault(req), s.currentRetryAfter()
+	if retryAfter > 0 {
 		fault = Shed
-		lines += fmt.Sprintf("Retry-After: %g\r\n", asks.Seconds())
+		lines += fmt.Sprintf("Retry-After: %g\r\n", retryAfter.Seconds())
 	}
 	switch fault {
 	case Shed:
 		_, _ = io.Copy(io.Discard, req.Body)
-		s.arrived(req, Arrival{RetryAfter: asks})
-		return send(c, s.statusOfShed(), "Not-Executed: 1\r\nRequest-Id: "+id+"\r\n"+lines, "") == nil
+		s.notifyArrival(req, Arrival{RetryAfter: retryAfter})
+		return writeResponse(c, s.currentShedStatus(), "Not-Executed: 1\r\nRequest-Id: "+id+"\r\n"+lines, "") == nil
 	case EarlyRefusal:
-		_ = send(c, "413 Request Entity Too Large", s.headers(id)+lines, "no")
+		_ = writeResponse(c, "413 Request Entity Too Large", s.headers(id)+lines, "no")
 		time.Sleep(50 * time.Millisecond)
 		_, err := io.Copy(io.Discard, req.Body)
 		return err == nil
@@ -323,7 +324,7 @@
 		_, _ = c.Write([]byte("@@ not http @@\r\n\r\n"))
 		return false
 	case Foreign:
-		_ = send(c, "200 OK", s.headers("other")+lines, "other's")
+		_ = writeResponse(c, "200 OK", s.headers("other")+lines, "other's")
 		lines = ""
 	default:
 	}
@@ -331,14 +332,14 @@
 	if err != nil {
 		return false
 	}
-	s.arrived(req, Arrival{Run: Run{Body: body}, Executed: true})
+	s.notifyArrival(req, Arrival{Run: Run{Body: body}, Executed: true})
 	r := Run{ID: id, Method: req.Method, URI: req.RequestURI, Body: body}
 	s.run(r)
 	if fault == Crash {
-		s.end(r)
+		s.crash(r)
 		return false
 	}
-	return s.answer(c, fault, id, lines)
+	return s.respond(c, fault, id, lines)
 }
 
 func (s *Server) run(r Run) {
@@ -349,14 +350,14 @@
 	time.Sleep(work)
 }
 
-// end ends the server under a request.
-func (s *Server) end(r Run) {
+// crash closes the server because of a request, as a crash of the process does.
+func (s *Server) crash(r Run) {
 	s.mu.Lock()
-	ended := s.ended
+	onCrash := s.onCrash
 	s.mu.Unlock()
-	s.once.Do(func() {
-		if ended != nil {
-			ended(r)
+	s.crashOnce.Do(func() {
+		if onCrash != nil {
+			onCrash(r)
 		}
 	})
 	s.Close()
@@ -366,21 +367,21 @@
 	return fmt.Sprintf("Request-Id: %s\r\nServer-Signature: sig.%s\r\nServer-Load: 1,0,%d\r\n", id, s.ID, s.Slots)
 }
 
-// answer sends the answer to a request that was run.
-func (s *Server) answer(c net.Conn, fault Fault, id, lines string) bool {
+// respond sends the response to a request that was run. It returns whether the connection stays open.
+func (s *Server) respond(c net.Conn, fault Fault, id, lines string) bool {
 	text := "answer of " + s.ID + " to " + id
 	headers := s.headers(id) + lines
 	switch fault {
 	case LostResponse:
 		return false
 	case Silent:
-		s.untilClosed(c)
+		s.awaitClose(c)
 		return false
 	case Cut, Stalled:
 		head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n", headers, len(text))
 		_, _ = c.Write([]byte(head + text[:len(text)/2]))
 		if fault == Stalled {
-			s.untilClosed(c)
+			s.awaitClose(c)
 		}
 		return false
 	case Unframed, UnframedReset:
@@ -388,28 +389,28 @@
 		_, _ = c.Write([]byte(head + text))
 		if fault == UnframedReset {
 			time.Sleep(20 * time.Millisecond)
-			reset(c)
+			resetConn(c)
 		}
 		return false
 	case Surplus:
 		var buf bytes.Buffer
-		_ = send(&buf, "200 OK", headers, text)
-		_ = send(&buf, "200 OK", headers, "again")
+		_ = writeResponse(&buf, "200 OK", headers, text)
+		_ = writeResponse(&buf, "200 OK", headers, "again")
 		_, err := c.Write(buf.Bytes())
 		return err == nil
 	case Unsigned:
-		return send(c, "200 OK", "Request-Id: "+id+"\r\n"+lines, text) == nil
+		return writeResponse(c, "200 OK", "Request-Id: "+id+"\r\n"+lines, text) == nil
 	case Unmarked503:
-		return send(c, "503 Service Unavailable", headers, "sorry") == nil
+		return writeResponse(c, "503 Service Unavailable", headers, "sorry") == nil
 	case Failed:
-		return send(c, "500 Internal Server Error", headers, "failed") == nil
+		return writeResponse(c, "500 Internal Server Error", headers, "failed") == nil
 	default:
-		return send(c, "200 OK", headers, text) == nil
+		return writeResponse(c, "200 OK", headers, text) == nil
 	}
 }
 
-// untilClosed waits for the end of the connection.
-func (s *Server) untilClosed(c net.Conn) {
+// awaitClose waits until the connection ends and counts the run as canceled.
+func (s *Server) awaitClose(c net.Conn) {
 	var buf [1]byte
 	_, _ = c.Read(buf[:])
 	s.mu.Lock()
@@ -417,7 +418,7 @@
 	s.canceled++
 }
 
-func send(w io.Writer, status, headers, body string) error {
+func writeResponse(w io.Writer, status, headers, body string) error {
 	_, err := fmt.Fprintf(w, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	return err
 }
--- a/internal/standin/platformstore/server.go
+++ b/internal/standin/platformstore/server.go
@@ -12,7 +12,7 @@
 	"github.com/rainford/rainford/objectstore"
 )
 
-// Paths of the control interface.
+// Paths of the control interface, which sets faults and returns counts.
 const (
 	FaultsPath = "/control/faults"
 	CountsPath = "/control/counts"
@@ -20,8 +20,9 @@
 
 const maxWait = time.Minute
 
-// Server answers the platform's HTTP interface from a Store. Servers of one
-// store share its limits; each has its own faults and counts.
+// Server serves the platform's HTTP interface for a Store. Servers of the same
+// Store share the requests counted against its rate limits. Each server has its
+// own faults and counts.
 type Server struct {
 	store  *Store
 	limits Limits
@@ -31,12 +32,12 @@
 	counts Counts
 }
 
-// NewServer returns a server of store with the given limits.
+// NewServer returns a server of store with the given rate limits.
 func NewServer(store *Store, limits Limits) *Server {
 	return &Server{store: store, limits: limits}
 }
 
-// SetFaults replaces the faults in force. Waiting watches see them at once.
+// SetFaults replaces the faults. Waiting watches apply them at once.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
@@ -44,26 +45,26 @@
 	s.store.WakeWatches()
 }
 
-// Counts returns the calls so far.
+// Counts returns the counts of requests since the start.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Handler returns the service's interface.
+// Handler returns the handler of the store's interface.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+objectstore.ObjectsPath+"{key...}", s.reading(s.get))
-	mux.HandleFunc("GET "+objectstore.ListPath, s.reading(s.list))
-	mux.HandleFunc("GET "+objectstore.WatchPath, s.reading(s.watch))
-	mux.HandleFunc("PUT "+objectstore.ObjectsPath+"{key...}", s.writing(s.put))
-	mux.HandleFunc("DELETE "+objectstore.ObjectsPath+"{key...}", s.writing(s.delete))
+	mux.HandleFunc("GET "+objectstore.ObjectsPath+"{key...}", s.readHandler(s.get))
+	mux.HandleFunc("GET "+objectstore.ListPath, s.readHandler(s.list))
+	mux.HandleFunc("GET "+objectstore.WatchPath, s.readHandler(s.watch))
+	mux.HandleFunc("PUT "+objectstore.ObjectsPath+"{key...}", s.writeHandler(s.put))
+	mux.HandleFunc("DELETE "+objectstore.ObjectsPath+"{key...}", s.writeHandler(s.delete))
 	return mux
 }
 
-// ControlHandler returns the interface that sets faults and reads counts. It
-// belongs on an address of its own.
+// ControlHandler returns the handler of the control interface. It is meant to
+// be served on a separate address.
 func (s *Server) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT "+FaultsPath, func(w http.ResponseWriter, r *http.Request) {
@@ -82,25 +83,25 @@
 	return mux
 }
 
-func (s *Server) reading(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) readHandler(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.count(func(c *Counts) { c.Reads++ })
+		s.updateCounts(func(c *Counts) { c.Reads++ })
 		if s.admit(w, r, &s.store.reads, s.limits.Reads) {
 			next(w, r)
 		}
 	}
 }
 
-func (s *Server) writing(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) writeHandler(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		s.count(func(c *Counts) { c.Writes++ })
+		s.updateCounts(func(c *Counts) { c.Writes++ })
 		if s.admit(w, r, &s.store.writes, s.limits.Writes) {
 			next(w, r)
 		}
 	}
 }
 
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, m *meter, limit int) bool {
+func (s *Server) admit(w http.ResponseWriter, r *http.Request, m *rateLimiter, limit int) bool {
 	w.Header().Set(objectstore.EraHeader, strconv.FormatInt(s.store.Era(), 10))
 	f := s.currentFaults()
 	if f.Delay > 0 {
@@ -115,7 +116,7 @@
 		return false
 	}
 	if !m.allow(time.Now(), limit) {
-		s.count(func(c *Counts) { c.Limited++ })
+		s.updateCounts(func(c *Counts) { c.Limited++ })
 		http.Error(w, "too many calls", http.StatusTooManyRequests)
 		return false
 	}
@@ -128,7 +129,7 @@
 	return s.faults
 }
 
-func (s *Server) count(f func(*Counts)) {
+func (s *Server) updateCounts(f func(*Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.counts)
@@ -148,7 +149,7 @@
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
-	s.count(func(c *Counts) { c.Watches++ })
+	s.updateCounts(func(c *Counts) { c.Watches++ })
 	query := r.URL.Query()
 	after, err := strconv.ParseInt(query.Get("after"), 10, 64)
 	if err != nil {
@@ -201,7 +202,7 @@
 		return
 	}
 	obj, ok := s.store.Put(r.PathValue("key"), req.Version, req.Value)
-	s.answerWrite(w, obj, ok)
+	s.respondToWrite(w, obj, ok)
 }
 
 func (s *Server) delete(w http.ResponseWriter, r *http.Request) {
@@ -211,22 +212,22 @@
 		return
 	}
 	obj, ok := s.store.Delete(r.PathValue("key"), version)
-	s.answerWrite(w, obj, ok)
+	s.respondToWrite(w, obj, ok)
 }
 
-func (s *Server) answerWrite(w http.ResponseWriter, obj objectstore.Object, ok bool) {
-	if s.takeLostReply() {
+func (s *Server) respondToWrite(w http.ResponseWriter, obj objectstore.Object, ok bool) {
+	if s.consumeLostReply() {
 		panic(http.ErrAbortHandler)
 	}
 	if !ok {
-		s.count(func(c *Counts) { c.Conflicts++ })
+		s.updateCounts(func(c *Counts) { c.Conflicts++ })
 		writeJSON(w, http.StatusConflict, obj)
 		return
 	}
 	writeJSON(w, http.StatusOK, obj)
 }
 
-func (s *Server) takeLostReply() bool {
+func (s *Server) consumeLostReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseReplies == 0 {
--- a/quarantine/correlator.go
+++ b/quarantine/correlator.go
@@ -44,7 +44,7 @@
 // RequestInterrupted records that the connection of a request to a target broke. If the target is
 // known to have crashed, RequestInterrupted returns the request as one that was there. Otherwise,
 // check reports whether the caller has to find out whether the target has crashed; it is true only
-// for the first request interrupted at the target.
+// for the first request interrupted at the target within correlationWindow.
 func (c *CrashCorrelator) RequestInterrupted(now time.Time, target string, r InterruptedRequest) (crashed []InterruptedRequest, check bool) {
 	p := c.pending[target]
 	if p == nil || now.Sub(p.since) >= correlationWindow {
@@ -106,7 +106,8 @@
 	return p != nil && !p.crashed
 }
 
-// Len returns the number of targets at which requests were interrupted within correlationWindow.
+// Len returns the number of targets at which requests were interrupted and that have not been
+// removed since, by Expire or otherwise.
 func (c *CrashCorrelator) Len() int { return len(c.pending) }
 
 // Expire removes targets whose correlationWindow has passed.
